--- a/crates/fernknot-drill/src/main.rs
+++ b/crates/fernknot-bench-adapter/src/main.rs
@@ -147,7 +147,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("fernknot-drill: {message}");
+            eprintln!("fernknot-bench-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/fernknot-drill/src/wire.rs
+++ b/crates/fernknot-bench-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The bench's wire, as far as the drill reads and writes it.
 
-use fernknot_config::Facts;
+use fernknot_router_config::Facts;
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
--- a/crates/fernknot-cli/src/check.rs
+++ b/crates/fernknot-cli/src/check.rs
@@ -1,7 +1,7 @@
 //! `fernknot check`: every fault of a file at once.
 
 use crate::{Fail, Words, say};
-use fernknot_intake::{Fault, Plan, ProcessFacts};
+use fernknot_schema::{Fault, Plan, ProcessFacts};
 use std::path::Path;
 
 pub fn run(words: &Words) -> Result<(), Fail> {
--- a/crates/fernknot-cli/src/demo.rs
+++ b/crates/fernknot-cli/src/demo.rs
@@ -1,12 +1,12 @@
 //! `fernknot demo`: a whole system on loopback, served until told to stop.
 
 use crate::{Fail, Words, failed, say};
-use fernknot_basin::checker::{Allowed, Kind, Seen, check};
-use fernknot_basin::load::{Load, LoadFacts, Platform};
-use fernknot_basin::nodes::{Facts, Nodes};
-use fernknot_basin::operator::{End, Operator};
-use fernknot_basin::paper::{Draft, HOST, shard};
-use fernknot_basin::rig::{Layout, Rig, Role, until};
+use fernknot_testbed::checker::{Allowed, Kind, Seen, check};
+use fernknot_testbed::load::{Load, LoadFacts, Platform};
+use fernknot_testbed::nodes::{Facts, Nodes};
+use fernknot_testbed::operator::{End, Operator};
+use fernknot_testbed::paper::{Draft, HOST, shard};
+use fernknot_testbed::rig::{Layout, Rig, Role, until};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
--- a/crates/fernknot-cli/src/measure.rs
+++ b/crates/fernknot-cli/src/measure.rs
@@ -1,7 +1,7 @@
 //! `fernknot measure`: one table for each thing that is varied.
 
 use crate::{Fail, Words, failed, say};
-use fernknot_basin::measure::{Size, What, play};
+use fernknot_testbed::measure::{Size, What, play};
 use serde_json::json;
 use std::time::Duration;
 
--- a/crates/fernknot-cli/src/talk.rs
+++ b/crates/fernknot-cli/src/talk.rs
@@ -1,10 +1,10 @@
 //! `fernknot config`, `fernknot show` and `fernknot views`: words with a running system.
 
 use crate::{Fail, Words, addrs, check, failed, say};
-use fernknot_basin::inner;
-use fernknot_basin::operator::{End, Operator};
-use fernknot_conduit::Question;
-use fernknot_intake::Plan;
+use fernknot_rpc::Question;
+use fernknot_schema::Plan;
+use fernknot_testbed::inner;
+use fernknot_testbed::operator::{End, Operator};
 use std::ffi::OsStr;
 use std::io::Write;
 use std::net::SocketAddrV4;
--- a/crates/fernknot-cli/tests/demo.rs
+++ b/crates/fernknot-cli/tests/demo.rs
@@ -9,7 +9,7 @@
 /// Builds the programs where they are missing beside the command line.
 fn programs() {
     let profile = Path::new(env!("CARGO_BIN_EXE_fernknot")).parent().unwrap();
-    let names = ["fernknot-headworks", "fernknot-sluice"];
+    let names = ["fernknot-controller", "fernknot-gateway"];
     if names.iter().all(|name| profile.join(name).is_file()) {
         return;
     }
--- a/crates/fernknot-views/tests/common/mod.rs
+++ b/crates/fernknot-consensus/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use fernknot::interface::Nanos;
-use fernknot_views::*;
+use fernknot_consensus::*;
 
 pub const MS: u64 = 1_000_000;
 pub const SUSPECT: u64 = 500 * MS;
--- a/crates/fernknot-views/tests/forced.rs
+++ b/crates/fernknot-consensus/tests/forced.rs
@@ -7,7 +7,7 @@
 use assert_matches::assert_matches;
 use common::*;
 use fernknot::interface::Nanos;
-use fernknot_views::{ForceError, Plant, ViewNo};
+use fernknot_consensus::{ForceError, Plant, ViewNo};
 
 fn founded(seed: u64, count: u8, losses: usize, plant: Option<Plant>) -> Fleet {
     let mut fleet = Fleet::new(seed, count, count.min(3), losses, plant);
--- a/crates/fernknot-views/tests/hundreds.rs
+++ b/crates/fernknot-consensus/tests/hundreds.rs
@@ -5,7 +5,7 @@
 
 use assert_matches::assert_matches;
 use common::*;
-use fernknot_views::Plant;
+use fernknot_consensus::Plant;
 
 #[derive(Debug, Default)]
 struct Figures {
--- a/crates/fernknot-views/tests/model.rs
+++ b/crates/fernknot-consensus/tests/model.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use fernknot::interface::Nanos;
-use fernknot_views::*;
+use fernknot_consensus::*;
 use stateright::{Checker, Model, Property};
 
 const COUNT: usize = 3;
--- a/crates/fernknot-views/tests/past.rs
+++ b/crates/fernknot-consensus/tests/past.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use common::*;
-use fernknot_views::Plant;
+use fernknot_consensus::Plant;
 
 fn founded(seed: u64, count: u8, losses: usize, plant: Option<Plant>) -> Fleet {
     let mut fleet = Fleet::new(seed, count, count, losses, plant);
--- a/crates/fernknot-views/tests/schedules.rs
+++ b/crates/fernknot-consensus/tests/schedules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fernknot_views::Plant;
+use fernknot_consensus::Plant;
 use proptest::prelude::*;
 
 fn trouble() -> impl Strategy<Value = Trouble> {
--- a/crates/fernknot-views/tests/second_loss.rs
+++ b/crates/fernknot-consensus/tests/second_loss.rs
@@ -5,7 +5,7 @@
 
 use assert_matches::assert_matches;
 use common::*;
-use fernknot_views::{Lack, Plant, Standing};
+use fernknot_consensus::{Lack, Plant, Standing};
 
 /// As many as started, of which so many disks may be lost at once.
 fn founded(seed: u64, count: u8, losses: usize, plant: Option<Plant>) -> Fleet {
--- a/crates/fernknot-headworks/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -1,8 +1,8 @@
 //! The calls of nodes and operators, each with its answer.
 
 use crate::ground::Ground;
-use fernknot_intake::{Beat, Fault, Plan, digest};
-use fernknot_standpipe::{Asked, Body, Call, Reply};
+use fernknot_http_api::{Asked, Body, Call, Reply};
+use fernknot_schema::{Beat, Fault, Plan, digest};
 use std::sync::Arc;
 
 /// Longest name of a node's life, in bytes.
--- a/crates/fernknot-headworks/src/control.rs
+++ b/crates/fernknot-controller/src/control.rs
@@ -1,7 +1,7 @@
 //! The control state: what the registrars agree on.
 
 use bitcode::{Decode, Encode};
-use fernknot_intake::Plan;
+use fernknot_schema::Plan;
 use std::sync::Arc;
 use thiserror::Error;
 
--- a/crates/fernknot-headworks/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -1,8 +1,8 @@
 //! The disk, seen from the loop: read once at the start and written by a thread of its own.
 
-use fernknot_cistern::{Cistern, Space, StoreError};
-use fernknot_gauge::part;
-use fernknot_views::{Saved, Ticket};
+use fernknot_consensus::{Saved, Ticket};
+use fernknot_storage::{Cistern, Space, StoreError};
+use fernknot_telemetry::part;
 use mio::Waker;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
--- a/crates/fernknot-headworks/src/ears.rs
+++ b/crates/fernknot-controller/src/ears.rs
@@ -1,9 +1,9 @@
 //! The gateways that listen here, and which news each of them wants.
 
 use crate::registrar::Ear;
-use fernknot_conduit::Share;
-use fernknot_duties::Gateway;
+use fernknot_ownership::Gateway;
 use fernknot_registry::NodeFact;
+use fernknot_rpc::Share;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One listener.
--- a/crates/fernknot-headworks/src/host.rs
+++ b/crates/fernknot-controller/src/host.rs
@@ -3,12 +3,12 @@
 use crate::disk::Disk;
 use crate::registrar::{Ear, Order, Registrar, RegistrarFacts, Slot};
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Inward, Outward, PeerWord, Shuffles, pull, push};
-use fernknot_gauge::part;
-use fernknot_intake::ProcessFacts;
-use fernknot_overlay::{Descriptor, Role};
-use fernknot_penstock::{Berth, Dock, DockFacts, Event, NetError, Signals};
-use fernknot_standpipe::{Pulled, Tap, TapFacts};
+use fernknot_http_api::{Pulled, Tap, TapFacts};
+use fernknot_net::{Berth, Dock, DockFacts, Event, NetError, Signals};
+use fernknot_peer_sampling::{Descriptor, Role};
+use fernknot_rpc::{Inward, Outward, PeerWord, Shuffles, pull, push};
+use fernknot_schema::ProcessFacts;
+use fernknot_telemetry::part;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -346,7 +346,7 @@
 
     /// Written once, given to all.
     fn tell(&mut self, to: &[Ear], word: &Outward) {
-        let mut bytes = fernknot_penstock::Buffer::default();
+        let mut bytes = fernknot_net::Buffer::default();
         push(&mut bytes, word);
         for ear in to {
             let berth = Berth(ear.0);
@@ -360,7 +360,7 @@
         }
     }
 
-    fn answer(&mut self, slot: Slot, reply: &fernknot_standpipe::Reply) {
+    fn answer(&mut self, slot: Slot, reply: &fernknot_http_api::Reply) {
         let last = self.stopping.is_some();
         let berth = Berth(slot.line);
         let Some(Line { end: End::Caller(tap), .. }) = self.lines.get_mut(&berth) else { return };
--- a/crates/fernknot-headworks/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -1,15 +1,15 @@
-//! `fernknot-headworks`: one registrar of the system's control plane.
+//! `fernknot-controller`: one registrar of the system's control plane.
 
-use fernknot_gauge::{LevelFilter, part};
-use fernknot_headworks::host::{Host, check};
-use fernknot_intake::ProcessFacts;
+use fernknot_controller::host::{Host, check};
+use fernknot_schema::ProcessFacts;
+use fernknot_telemetry::{LevelFilter, part};
 use std::hash::{BuildHasher, Hasher};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const HELP: &str = "fernknot-headworks: one registrar, which knows the nodes and keeps the configuration
+const HELP: &str = "fernknot-controller: one registrar, which knows the nodes and keeps the configuration
 
-usage: fernknot-headworks [--check] [--help] [--version]
+usage: fernknot-controller [--check] [--help] [--version]
 
   --check    reads the settings, names every fault, and ends
 
@@ -35,7 +35,7 @@
             Long("check") => Run::Check,
             Long("help") | Short('h') => return Ok(Run::Say(HELP.into())),
             Long("version") | Short('V') => {
-                return Ok(Run::Say(format!("fernknot-headworks {}", env!("CARGO_PKG_VERSION"))));
+                return Ok(Run::Say(format!("fernknot-controller {}", env!("CARGO_PKG_VERSION"))));
             }
             other => return Err(other.unexpected()),
         };
@@ -61,7 +61,7 @@
         }
         Ok(run) => run,
         Err(why) => {
-            eprintln!("fernknot-headworks: {why}");
+            eprintln!("fernknot-controller: {why}");
             return ExitCode::from(BAD_USE);
         }
     };
@@ -78,7 +78,7 @@
     }
     let level = std::env::var("FERNKNOT_LOG").ok().and_then(|level| level.parse().ok());
     // It fails only where a log has begun, and none has.
-    let _ = fernknot_gauge::begin(level.unwrap_or(LevelFilter::Info));
+    let _ = fernknot_telemetry::begin(level.unwrap_or(LevelFilter::Info));
     // Chance of the system's own, and the address: no two lives are alike, on whatever machines.
     let mut seed = std::collections::hash_map::RandomState::new().build_hasher();
     seed.write_u32(u32::from(facts.ip));
--- a/crates/fernknot-headworks/src/registrar.rs
+++ b/crates/fernknot-controller/src/registrar.rs
@@ -9,16 +9,16 @@
 use crate::ground::Ground;
 use crate::peers::{Do, Peers};
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Inward, Outward, PeerWord, Question, Registrar as Told};
-use fernknot_duties::{Cut, Fence, Keeper, KeeperBounds};
-use fernknot_gauge::{Counters, part};
-use fernknot_intake::{NodeState as Beats, Plan, digest};
-use fernknot_registry::{NodeFact, NodeState, Noted, Registry, RegistryBounds, life_hash};
-use fernknot_standpipe::{Desk, Reply, Request, Serve, Served};
-use fernknot_views::{
+use fernknot_consensus::{
     Inquiry, Member, MemberId, Order as ViewOrder, OrderNo, Plant as ViewsPlant, Saved, Ticket, ViewFacts,
     Views,
 };
+use fernknot_http_api::{Desk, Reply, Request, Serve, Served};
+use fernknot_ownership::{Cut, Fence, Keeper, KeeperBounds};
+use fernknot_registry::{NodeFact, NodeState, Noted, Registry, RegistryBounds, life_hash};
+use fernknot_rpc::{Inward, Outward, PeerWord, Question, Registrar as Told};
+use fernknot_schema::{NodeState as Beats, Plan, digest};
+use fernknot_telemetry::{Counters, part};
 use log::Level;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write;
@@ -87,7 +87,7 @@
 
     /// How long a gateway that is unheard may be alive all the same.
     fn doubt(&self) -> Nanos {
-        fernknot_duties::doubt(self.contact, self.window, self.beat)
+        fernknot_ownership::doubt(self.contact, self.window, self.beat)
     }
 
     fn views(&self, id: MemberId, bootstrap: bool) -> ViewFacts {
@@ -399,7 +399,7 @@
                 self.cut_look = true;
             }
             PeerWord::GatewayLeft { life } => {
-                self.keeper.left(now, fernknot_duties::LifeId(life));
+                self.keeper.left(now, fernknot_ownership::LifeId(life));
                 self.cut_look = true;
             }
             PeerWord::Cut(cut) => {
--- a/crates/fernknot-headworks/src/standing.rs
+++ b/crates/fernknot-controller/src/standing.rs
@@ -1,6 +1,6 @@
 //! How the view stands, in words for a person.
 
-use fernknot_views::{Lack, Standing};
+use fernknot_consensus::{Lack, Standing};
 use std::fmt::Write;
 
 fn why(lack: Lack) -> &'static str {
--- a/crates/fernknot-headworks/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -2,12 +2,12 @@
 #![allow(dead_code)] // each test file uses its own part
 
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Inward, Outward, PeerWord, Share};
-use fernknot_duties::{Gateway, LifeId};
-use fernknot_headworks::{Ear, Order, Plant, Registrar, RegistrarFacts, Slot};
+use fernknot_consensus::{Saved, Ticket, Word};
+use fernknot_controller::{Ear, Order, Plant, Registrar, RegistrarFacts, Slot};
+use fernknot_http_api::{Pulled, Request, Tap, TapFacts};
+use fernknot_ownership::{Gateway, LifeId};
 use fernknot_protocol::buffer::Buffer;
-use fernknot_standpipe::{Pulled, Request, Tap, TapFacts};
-use fernknot_views::{Saved, Ticket, Word};
+use fernknot_rpc::{Inward, Outward, PeerWord, Share};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/fernknot-headworks/tests/days.rs
+++ b/crates/fernknot-controller/tests/days.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Fleet, Writes, ms, plan};
-use fernknot_conduit::Share;
+use fernknot_rpc::Share;
 use test_case::test_case;
 
 /// A seeded chance (splitmix64).
--- a/crates/fernknot-headworks/tests/nodes.rs
+++ b/crates/fernknot-controller/tests/nodes.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{Fleet, ms, plan};
-use fernknot_conduit::{Inward, Outward, Share};
-use fernknot_headworks::Ear;
+use fernknot_controller::Ear;
 use fernknot_registry::NodeState;
+use fernknot_rpc::{Inward, Outward, Share};
 use test_case::test_case;
 
 /// The last that a listener heard of a node.
--- a/crates/fernknot-headworks/tests/views.rs
+++ b/crates/fernknot-controller/tests/views.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use common::{Fleet, Writes, addr, ms, plan};
-use fernknot_conduit::{Inward, Outward, Question};
+use fernknot_rpc::{Inward, Outward, Question};
 use test_case::test_case;
 
 fn shown(fleet: &mut Fleet, at: usize) -> String {
--- a/crates/fernknot-headworks/tests/worst_days.rs
+++ b/crates/fernknot-controller/tests/worst_days.rs
@@ -4,10 +4,10 @@
 
 use common::{Fleet, SYNC, WAY, Writes, ms, plan};
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Outward, Share};
-use fernknot_headworks::{Control, Plant, Taken};
+use fernknot_consensus::Plant as ViewsPlant;
+use fernknot_controller::{Control, Plant, Taken};
 use fernknot_registry::NodeState;
-use fernknot_views::Plant as ViewsPlant;
+use fernknot_rpc::{Outward, Share};
 use test_case::test_case;
 
 const REPLACE: &str = "POST /-/config/replace HTTP/1.1\r\n";
--- a/crates/fernknot-homes/src/homes.rs
+++ b/crates/fernknot-distribution/src/homes.rs
@@ -3,7 +3,7 @@
 use crate::link::{Link, MOST_HOPS, Pulse, Topic, What, ward_key};
 use crate::registrars::{Pauses, Registrar};
 use fernknot::interface::Nanos;
-use fernknot_duties::{Cut, Gateway, LifeId};
+use fernknot_ownership::{Cut, Gateway, LifeId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 
--- a/crates/fernknot-homes/src/link.rs
+++ b/crates/fernknot-distribution/src/link.rs
@@ -1,7 +1,7 @@
 //! Topics, pulses and the links on which they come.
 
 use fernknot::interface::Nanos;
-use fernknot_duties::{Fence, key_hash};
+use fernknot_ownership::{Fence, key_hash};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
--- a/crates/fernknot-homes/src/registrars.rs
+++ b/crates/fernknot-distribution/src/registrars.rs
@@ -1,7 +1,7 @@
 //! Which registrar a gateway is with, and how it goes to another.
 
 use fernknot::interface::Nanos;
-use fernknot_duties::scatter;
+use fernknot_ownership::scatter;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
--- a/crates/fernknot-homes/tests/common/mod.rs
+++ b/crates/fernknot-distribution/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A few zones of gateways and registrars in memory, on a clock of 10 ms steps.
 
 use fernknot::interface::Nanos;
-use fernknot_duties::{Cut, Fence, Gateway, LifeId};
-use fernknot_homes::{Homes, HomesBounds, Order, Pulse, Registrar, Topic, What};
+use fernknot_distribution::{Homes, HomesBounds, Order, Pulse, Registrar, Topic, What};
+use fernknot_ownership::{Cut, Fence, Gateway, LifeId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/fernknot-homes/tests/homes.rs
+++ b/crates/fernknot-distribution/tests/homes.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{APPLY, World, ZONES, cut, gateway_addr, millis, registrar_addr, topics, zone};
-use fernknot_duties::LifeId;
-use fernknot_homes::{Homes, HomesBounds, Order, Pulse, Topic, What};
+use fernknot_distribution::{Homes, HomesBounds, Order, Pulse, Topic, What};
+use fernknot_ownership::LifeId;
 use proptest::prelude::*;
 use test_case::test_case;
 
--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -4,10 +4,10 @@
 use crate::table::{AskerId, HandOffState, Held, PartOf, PartState, Table};
 use fernknot::decide::Router;
 use fernknot::interface::*;
-use fernknot_config::PhaseFacts;
-use fernknot_phases::{Block, Phases, Query, print_of};
 use fernknot_protocol::matches;
 use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, Said};
+use fernknot_router_config::PhaseFacts;
+use fernknot_two_phase::{Block, Phases, Query, print_of};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// The final answer to a multiget.
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -2,9 +2,9 @@
 #![allow(dead_code)]
 
 use fernknot::interface::*;
-use fernknot_config::{PhaseFacts, Silent, Split};
 use fernknot_engine::{AskerId, Ended, Engine, Order, PartOf, Verdict};
 use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, Said};
+use fernknot_router_config::{PhaseFacts, Silent, Split};
 
 pub const GOAL: f64 = 1000.0;
 pub const HARD: f64 = 3000.0;
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use fernknot::interface::*;
-use fernknot_config::{PhaseFacts, Silent};
 use fernknot_engine::{PartOf, Verdict};
 use fernknot_protocol::multiget::Said;
+use fernknot_router_config::{PhaseFacts, Silent};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -4,11 +4,11 @@
 
 use common::*;
 use fernknot::interface::*;
-use fernknot_config::{PhaseFacts, Silent};
 use fernknot_engine::{Ended, PartOf, Verdict};
-use fernknot_phases::print_of;
 use fernknot_protocol::matches::{self, Match, Names};
 use fernknot_protocol::multiget::Said;
+use fernknot_router_config::{PhaseFacts, Silent};
+use fernknot_two_phase::print_of;
 use test_case::test_case;
 
 const ALL: [u32; 4] = [0, 1, 2, 3];
--- a/crates/fernknot-lab/src/fleet.rs
+++ b/crates/fernknot-experiments/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::lanes;
 use crate::report::rounded;
 use fernknot::interface::Nanos;
-use fernknot_fleet::{Fleet, FleetFacts, RouterId, Step, Variant, Verdict};
+use fernknot_membership::{Fleet, FleetFacts, RouterId, Step, Variant, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
--- a/crates/fernknot-lab/src/main.rs
+++ b/crates/fernknot-experiments/src/main.rs
@@ -1,7 +1,7 @@
-//! `fernknot-lab NAME`: runs an experiment and prints its figures.
+//! `fernknot-experiments NAME`: runs an experiment and prints its figures.
 
 use clap::{Args, Parser, Subcommand};
-use fernknot_lab::{fleet, report, two_phase};
+use fernknot_experiments::{fleet, report, two_phase};
 use std::process::ExitCode;
 
 #[derive(Parser)]
--- a/crates/fernknot-lab/src/world.rs
+++ b/crates/fernknot-experiments/src/world.rs
@@ -2,10 +2,10 @@
 
 use crate::stores::{Job, Script, Store};
 use fernknot::interface::*;
-use fernknot_config::PhaseFacts;
 use fernknot_engine::{AskerId, Ended, Engine, Order, PartOf, Verdict};
 use fernknot_protocol::matches::{self, Match, Names};
 use fernknot_protocol::multiget::Asked;
+use fernknot_router_config::PhaseFacts;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
--- a/crates/fernknot-lab/tests/fleet.rs
+++ b/crates/fernknot-experiments/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Membership in simulated time: the same line for the same seed, and what each variant is worth.
 
-use fernknot_lab::fleet::play;
+use fernknot_experiments::fleet::play;
 use test_case::test_case;
 
 #[test]
@@ -13,7 +13,7 @@
 #[test_case("one-way"; "links that work one way")]
 #[test_case("ring"; "each hears its left neighbour alone")]
 fn no_router_that_lives_is_held_for_lost(scenario: &str) {
-    let scenario = fernknot_lab::fleet::SCENARIOS.into_iter().find(|name| *name == scenario).unwrap();
+    let scenario = fernknot_experiments::fleet::SCENARIOS.into_iter().find(|name| *name == scenario).unwrap();
     let row = play("fleet", scenario, 30, 1);
     assert_eq!((row.false_lost, row.unjoined), (0, 0), "{row:?}");
 }
--- a/crates/fernknot-lab/tests/two_phase.rs
+++ b/crates/fernknot-experiments/tests/two_phase.rs
@@ -1,7 +1,7 @@
 //! The experiment itself: the same figures for the same seed, no break of a rule, nothing kept.
 
-use fernknot_lab::report;
-use fernknot_lab::two_phase::{VARIANTS, play, results};
+use fernknot_experiments::report;
+use fernknot_experiments::two_phase::{VARIANTS, play, results};
 use test_case::test_case;
 
 #[test_case(0.5; "at ease")]
@@ -16,7 +16,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_lines_whatever_runs_beside_it() {
-    let lines = |results: Vec<fernknot_lab::two_phase::Result>| {
+    let lines = |results: Vec<fernknot_experiments::two_phase::Result>| {
         report::json(&results.iter().map(|result| &result.row).collect::<Vec<_>>())
     };
     let both = lines(results(5..7, 1));
--- a/crates/fernknot-trial/src/main.rs
+++ b/crates/fernknot-fault-tests/src/main.rs
@@ -1,9 +1,9 @@
-//! `fernknot-trial NAME`: plays trials and prints what they showed, an object or a row each.
+//! `fernknot-fault-tests NAME`: plays trials and prints what they showed, an object or a row each.
 
 use clap::Parser;
-use fernknot_trial::rig;
-use fernknot_trial::scenes::{NAMES, scene};
-use fernknot_trial::schedule::{Schedule, Step};
+use fernknot_fault_tests::rig;
+use fernknot_fault_tests::scenes::{NAMES, scene};
+use fernknot_fault_tests::schedule::{Schedule, Step};
 use serde::Serialize;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -56,7 +56,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(message) => {
-            eprintln!("fernknot-trial: {message}");
+            eprintln!("fernknot-fault-tests: {message}");
             ExitCode::from(2)
         }
     }
--- a/crates/fernknot-trial/tests/checker.rs
+++ b/crates/fernknot-fault-tests/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker against histories made by hand: each breaks one promise, and the sound one none.
 
-use fernknot_trial::checker::{History, Occurred, Verdict, check};
-use fernknot_trial::clients::{Got, Request};
+use fernknot_fault_tests::checker::{History, Occurred, Verdict, check};
+use fernknot_fault_tests::clients::{Got, Request};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/crates/fernknot-trial/tests/ends.rs
+++ b/crates/fernknot-fault-tests/tests/ends.rs
@@ -21,7 +21,7 @@
 /// Guards the machine that a trial runs on: the rig is killed, and can do nothing more itself.
 #[test]
 fn a_rig_that_is_killed_takes_its_routers_with_it() {
-    let mut rig = Command::new(env!("CARGO_BIN_EXE_fernknot-trial"))
+    let mut rig = Command::new(env!("CARGO_BIN_EXE_fernknot-fault-tests"))
         .args(["loss", "--routers", "4", "--period", "200"])
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
--- a/crates/fernknot-trial/tests/membership.rs
+++ b/crates/fernknot-fault-tests/tests/membership.rs
@@ -1,8 +1,8 @@
 //! Several real processes and faults between them: each trial keeps its promises, and planted breaks are found.
 
-use fernknot_trial::rig;
-use fernknot_trial::scenes::{NAMES, PLANTED, scene};
-use fernknot_trial::schedule::Schedule;
+use fernknot_fault_tests::rig;
+use fernknot_fault_tests::scenes::{NAMES, PLANTED, scene};
+use fernknot_fault_tests::schedule::Schedule;
 use test_case::test_case;
 
 const PERIOD_MS: f64 = 200.0;
@@ -35,7 +35,7 @@
         if promise == "one-answer" {
             // Its clients are judged as though nothing had happened to the router.
             outcome.history.occurred.clear();
-            outcome.breaks = fernknot_trial::checker::check(&outcome.history);
+            outcome.breaks = fernknot_fault_tests::checker::check(&outcome.history);
         }
         assert!(outcome.breaks.iter().any(|one| one.promise == promise), "{name}: {:#?}", outcome.breaks);
     }
--- a/crates/fernknot-sluice/src/asks.rs
+++ b/crates/fernknot-gateway/src/asks.rs
@@ -2,10 +2,10 @@
 
 use crate::routes::Pinned;
 use fernknot::interface::*;
-use fernknot_intake::Target;
-use fernknot_manifold::{Part, gather};
-use fernknot_penstock::{Berth, Buffer};
+use fernknot_merge::{Part, gather};
+use fernknot_net::{Berth, Buffer};
 use fernknot_protocol::http::{Request, Response};
+use fernknot_schema::Target;
 use std::io::Write;
 use std::rc::Rc;
 
--- a/crates/fernknot-sluice/src/clients.rs
+++ b/crates/fernknot-gateway/src/clients.rs
@@ -2,7 +2,7 @@
 
 use fernknot::interface::Nanos;
 use fernknot_engine::AskerId;
-use fernknot_penstock::Berth;
+use fernknot_net::Berth;
 use fernknot_protocol::http::RequestReader;
 use std::collections::HashMap;
 
--- a/crates/fernknot-sluice/src/gateway/downstream.rs
+++ b/crates/fernknot-gateway/src/gateway/downstream.rs
@@ -6,10 +6,10 @@
 use fernknot::decide::FIRST_WAIT;
 use fernknot::interface::*;
 use fernknot_engine::{AskerId, Verdict};
-use fernknot_intake::Target;
-use fernknot_penstock::{Berth, Ports};
+use fernknot_net::{Berth, Ports};
 use fernknot_protocol::http::{Answer, GO_ON, Request};
 use fernknot_protocol::multiget::{Asked, AskedPart};
+use fernknot_schema::Target;
 
 impl Gateway {
     pub(super) fn client_gone<P: Ports>(&mut self, now: Nanos, berth: Berth, ports: &mut P) {
--- a/crates/fernknot-sluice/src/gateway/upstream.rs
+++ b/crates/fernknot-gateway/src/gateway/upstream.rs
@@ -4,7 +4,7 @@
 use crate::asks::{Verdict, judge, wire};
 use crate::lines::Heard;
 use fernknot::interface::*;
-use fernknot_penstock::{Berth, Ports};
+use fernknot_net::{Berth, Ports};
 use fernknot_protocol::http::Response;
 use fernknot_registry::{NodeFact, NodeState};
 use std::collections::BTreeMap;
--- a/crates/fernknot-sluice/src/host.rs
+++ b/crates/fernknot-gateway/src/host.rs
@@ -2,8 +2,8 @@
 
 use crate::gateway::{Doors, Gateway, inner_addr, links, seeds};
 use fernknot::interface::Nanos;
-use fernknot_intake::ProcessFacts;
-use fernknot_penstock::{Dock, DockFacts, NetError, Signals};
+use fernknot_net::{Dock, DockFacts, NetError, Signals};
+use fernknot_schema::ProcessFacts;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use thiserror::Error;
--- a/crates/fernknot-sluice/src/lines.rs
+++ b/crates/fernknot-gateway/src/lines.rs
@@ -1,9 +1,9 @@
 //! Connections to nodes: one request at a time on each, kept while they are sound.
 
 use fernknot::interface::*;
-use fernknot_config::Limits;
-use fernknot_penstock::{Berth, Buffer};
+use fernknot_net::{Berth, Buffer};
 use fernknot_protocol::http::{Response, ResponseReader};
+use fernknot_router_config::Limits;
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
--- a/crates/fernknot-sluice/src/main.rs
+++ b/crates/fernknot-gateway/src/main.rs
@@ -1,12 +1,12 @@
-//! `fernknot-sluice`: one gateway of the system's data plane.
+//! `fernknot-gateway`: one gateway of the system's data plane.
 
-use fernknot_intake::ProcessFacts;
+use fernknot_schema::ProcessFacts;
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-const HELP: &str = "fernknot-sluice: one gateway between clients and nodes
+const HELP: &str = "fernknot-gateway: one gateway between clients and nodes
 
-usage: fernknot-sluice [--check] [--help] [--version]
+usage: fernknot-gateway [--check] [--help] [--version]
 
   --check    reads the settings, names every fault, and ends
 
@@ -27,15 +27,15 @@
                 return ExitCode::SUCCESS;
             }
             Ok(Some(lexopt::Arg::Long("version") | lexopt::Arg::Short('V'))) => {
-                println!("fernknot-sluice {}", env!("CARGO_PKG_VERSION"));
+                println!("fernknot-gateway {}", env!("CARGO_PKG_VERSION"));
                 return ExitCode::SUCCESS;
             }
             Ok(Some(arg)) => {
-                eprintln!("fernknot-sluice: {}", arg.unexpected());
+                eprintln!("fernknot-gateway: {}", arg.unexpected());
                 return ExitCode::from(2);
             }
             Err(why) => {
-                eprintln!("fernknot-sluice: {why}");
+                eprintln!("fernknot-gateway: {why}");
                 return ExitCode::from(2);
             }
         }
@@ -60,11 +60,11 @@
     }
     let level = std::env::var("FERNKNOT_LOG").ok().and_then(|level| level.parse().ok());
     // It fails only where a log has begun, and none has.
-    let _ = fernknot_gauge::begin(level.unwrap_or(fernknot_gauge::LevelFilter::Info));
+    let _ = fernknot_telemetry::begin(level.unwrap_or(fernknot_telemetry::LevelFilter::Info));
     // A life's number and its chance: no two processes start at one place at one time.
     let time = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_nanos() as u64);
     let seed = time ^ (u64::from(u32::from(facts.ip)) << 32) ^ u64::from(std::process::id());
-    match fernknot_sluice::host::Host::new(facts, path.into(), seed) {
+    match fernknot_gateway::host::Host::new(facts, path.into(), seed) {
         Ok(mut host) => {
             host.run();
             ExitCode::SUCCESS
--- a/crates/fernknot-sluice/src/news.rs
+++ b/crates/fernknot-gateway/src/news.rs
@@ -1,13 +1,13 @@
 //! Streams of news: from a registrar or the home in the zone, and on to those that subscribe here. Whom to
-//! listen to is what `fernknot-homes` says; here are the connections and the words.
+//! listen to is what `fernknot-distribution` says; here are the connections and the words.
 
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Inward, Outward, Question, Registrar as Told, Share, pull, push};
-use fernknot_duties::{Cut, Fence, Gateway, Holder, HolderBounds, LifeId};
-use fernknot_homes::{Homes, HomesBounds, Order, Pulse, Registrar, Topic, What};
-use fernknot_intake::Plan;
-use fernknot_penstock::{Berth, Ports};
+use fernknot_distribution::{Homes, HomesBounds, Order, Pulse, Registrar, Topic, What};
+use fernknot_net::{Berth, Ports};
+use fernknot_ownership::{Cut, Fence, Gateway, Holder, HolderBounds, LifeId};
 use fernknot_registry::{NodeFact, Pool};
+use fernknot_rpc::{Inward, Outward, Question, Registrar as Told, Share, pull, push};
+use fernknot_schema::Plan;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
--- a/crates/fernknot-sluice/src/routes.rs
+++ b/crates/fernknot-gateway/src/routes.rs
@@ -2,7 +2,7 @@
 
 use fernknot::decide::{LATE_SHARE, earnings};
 use fernknot::interface::*;
-use fernknot_intake::{Class, Plan, Route, RouteTable, Target};
+use fernknot_schema::{Class, Plan, Route, RouteTable, Target};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// One version, with the module's names for what it names.
--- a/crates/fernknot-sluice/tests/answers.rs
+++ b/crates/fernknot-gateway/tests/answers.rs
@@ -4,11 +4,11 @@
 
 use common::{buffer, limits, request, response};
 use fernknot::interface::*;
-use fernknot_intake::{Class, ClientLimits, Plan, Route, Target};
-use fernknot_penstock::{Berth, Buffer};
-use fernknot_sluice::asks::{Ask, Verdict, judge};
-use fernknot_sluice::lines::{Heard, Lines};
-use fernknot_sluice::routes::{Names, Pinned};
+use fernknot_gateway::asks::{Ask, Verdict, judge};
+use fernknot_gateway::lines::{Heard, Lines};
+use fernknot_gateway::routes::{Names, Pinned};
+use fernknot_net::{Berth, Buffer};
+use fernknot_schema::{Class, ClientLimits, Plan, Route, Target};
 use std::rc::Rc;
 use test_case::test_case;
 
--- a/crates/fernknot-sluice/tests/callers.rs
+++ b/crates/fernknot-gateway/tests/callers.rs
@@ -4,7 +4,7 @@
 mod stage;
 mod stories;
 
-use fernknot_sluice::Plant;
+use fernknot_gateway::Plant;
 use stage::Report;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -82,7 +82,7 @@
         if !report.faults.is_empty() {
             println!("seed {seed}: {}", report.faults.join("\n    "));
             println!(
-                "    FERNKNOT_SEED={seed} cargo test -p fernknot-sluice --test callers given_any_seed -- --nocapture"
+                "    FERNKNOT_SEED={seed} cargo test -p fernknot-gateway --test callers given_any_seed -- --nocapture"
             );
             failed.push(seed);
         }
--- a/crates/fernknot-sluice/tests/common/mod.rs
+++ b/crates/fernknot-gateway/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Heads and bodies as they stand on the wire, read by the readers that the gateway uses.
 
 use fernknot::interface::Nanos;
-use fernknot_config::{Limits, SocketFacts};
-use fernknot_penstock::Buffer;
+use fernknot_net::Buffer;
 use fernknot_protocol::http::{Request, RequestReader, Response, ResponseReader};
+use fernknot_router_config::{Limits, SocketFacts};
 
 pub fn limits() -> Limits {
     let facts = SocketFacts {
--- a/crates/fernknot-sluice/tests/stage/checker.rs
+++ b/crates/fernknot-gateway/tests/stage/checker.rs
@@ -2,8 +2,8 @@
 //! and ran. It shares no code with what it judges.
 
 use fernknot::interface::Nanos;
-use fernknot_flume::wire::Message;
-use fernknot_penstock::Berth;
+use fernknot_net::Berth;
+use fernknot_simulator::wire::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a request's path stands for.
--- a/crates/fernknot-sluice/tests/stage/clients.rs
+++ b/crates/fernknot-gateway/tests/stage/clients.rs
@@ -3,8 +3,8 @@
 use super::checker::{Asked, Kind};
 use super::{Arrival, Due, SENDING, Side, Stage, plans};
 use fernknot::interface::Nanos;
-use fernknot_flume::wire;
-use fernknot_penstock::Berth;
+use fernknot_net::Berth;
+use fernknot_simulator::wire;
 use std::collections::VecDeque;
 
 #[derive(Default)]
--- a/crates/fernknot-sluice/tests/stage/nodes.rs
+++ b/crates/fernknot-gateway/tests/stage/nodes.rs
@@ -2,9 +2,9 @@
 
 use super::{Arrival, Due, Mark, Stage, plans};
 use fernknot::interface::Nanos;
-use fernknot_flume::wire::{self, Message};
-use fernknot_penstock::Berth;
+use fernknot_net::Berth;
 use fernknot_registry::{NodeFact, NodeState};
+use fernknot_simulator::wire::{self, Message};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
--- a/crates/fernknot-sluice/tests/stage/plans.rs
+++ b/crates/fernknot-gateway/tests/stage/plans.rs
@@ -2,7 +2,7 @@
 
 use super::checker::{Kind, QUORUM, TOP};
 use super::{Due, Stage};
-use fernknot_intake::{Class, ClientLimits, Plan, Route, Service, Target};
+use fernknot_schema::{Class, ClientLimits, Plan, Route, Service, Target};
 
 pub const HOST: &str = "h.example";
 /// One service of one node, two of two, and the shards of two cuts of an index.
--- a/crates/fernknot-sluice/tests/stage/registrar.rs
+++ b/crates/fernknot-gateway/tests/stage/registrar.rs
@@ -2,10 +2,10 @@
 
 use super::{Due, Mark, REGISTRAR, SENDING, SETTLING, Stage, addr};
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Inward, Outward, Registrar, pull, push};
-use fernknot_duties::{Cut, Fence, Gateway};
-use fernknot_penstock::{Berth, Buffer};
+use fernknot_net::{Berth, Buffer};
+use fernknot_ownership::{Cut, Fence, Gateway};
 use fernknot_registry::NodeFact;
+use fernknot_rpc::{Inward, Outward, Registrar, pull, push};
 use std::collections::BTreeMap;
 
 pub const APPLY_MS: f64 = 1500.0;
--- a/crates/fernknot-sluice/tests/stories/bodies.rs
+++ b/crates/fernknot-gateway/tests/stories/bodies.rs
@@ -2,8 +2,8 @@
 
 use super::{Story, plan};
 use fernknot::interface::Nanos;
-use fernknot_intake::ClientLimits;
-use fernknot_penstock::{Berth, Event, NetError};
+use fernknot_net::{Berth, Event, NetError};
+use fernknot_schema::ClientLimits;
 use test_case::test_case;
 
 /// Eight bodies of the greatest size take an eighth of it.
--- a/crates/fernknot-sluice/tests/stories/mod.rs
+++ b/crates/fernknot-gateway/tests/stories/mod.rs
@@ -2,13 +2,13 @@
 
 use crate::stage::{REGISTRAR, facts};
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Outward, Registrar, push};
-use fernknot_duties::Cut;
-use fernknot_flume::ports::{Did, SimPorts};
-use fernknot_intake::{Class, ClientLimits, Plan, Route, Service, Target};
-use fernknot_penstock::{Berth, Event, NetError};
+use fernknot_gateway::{Doors, Gateway};
+use fernknot_net::{Berth, Event, NetError};
+use fernknot_ownership::Cut;
 use fernknot_registry::{NodeFact, NodeState};
-use fernknot_sluice::{Doors, Gateway};
+use fernknot_rpc::{Outward, Registrar, push};
+use fernknot_schema::{Class, ClientLimits, Plan, Route, Service, Target};
+use fernknot_simulator::ports::{Did, SimPorts};
 
 mod bodies;
 mod names;
--- a/crates/fernknot-sluice/tests/stories/names.rs
+++ b/crates/fernknot-gateway/tests/stories/names.rs
@@ -2,9 +2,9 @@
 
 use super::{Story, answer, node, plan, request};
 use fernknot::interface::Nanos;
-use fernknot_conduit::Outward;
-use fernknot_intake::{Class, ClientLimits, Target};
 use fernknot_registry::{NodeFact, NodeState};
+use fernknot_rpc::Outward;
+use fernknot_schema::{Class, ClientLimits, Target};
 
 #[test]
 fn given_a_node_that_no_well_teller_names_when_it_is_dropped_then_nothing_further_goes_to_it() {
--- a/crates/fernknot-sluice/tests/stories/offers.rs
+++ b/crates/fernknot-gateway/tests/stories/offers.rs
@@ -2,8 +2,8 @@
 
 use super::{Story, answer, plan, request};
 use fernknot::interface::Nanos;
-use fernknot_intake::ClientLimits;
-use fernknot_penstock::Event;
+use fernknot_net::Event;
+use fernknot_schema::ClientLimits;
 
 const LONG: Nanos = Nanos(700_000_000);
 
--- a/crates/fernknot-sluice/tests/stories/resets.rs
+++ b/crates/fernknot-gateway/tests/stories/resets.rs
@@ -2,7 +2,7 @@
 
 use super::{Story, answer, plan, request};
 use fernknot::interface::Nanos;
-use fernknot_intake::ClientLimits;
+use fernknot_schema::ClientLimits;
 use test_case::test_case;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nAnswer-Seal: s-a\r\n";
--- a/crates/fernknot-sluice/tests/stories/resting.rs
+++ b/crates/fernknot-gateway/tests/stories/resting.rs
@@ -2,7 +2,7 @@
 
 use super::{Story, answer, plan, request};
 use fernknot::interface::Nanos;
-use fernknot_intake::ClientLimits;
+use fernknot_schema::ClientLimits;
 
 const SECOND: Nanos = Nanos(1_000_000_000);
 
--- a/crates/fernknot-standpipe/src/tap.rs
+++ b/crates/fernknot-http-api/src/tap.rs
@@ -2,9 +2,9 @@
 
 use crate::call::Reply;
 use fernknot::interface::Nanos;
-use fernknot_config::{Limits, SocketFacts};
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::http::{Answer, GO_ON, Request, RequestReader};
+use fernknot_router_config::{Limits, SocketFacts};
 
 /// What callers may send.
 #[derive(Clone, Debug)]
--- a/crates/fernknot-standpipe/tests/callers.rs
+++ b/crates/fernknot-http-api/tests/callers.rs
@@ -1,8 +1,8 @@
 //! Callers on many connections from one seed each: pipelined calls in pieces, answers that come later, twice or never,
 //! callers that have gone, and connections used again. `FERNKNOT_SEEDS` sets how many seeds are played.
 
+use fernknot_http_api::{Plant, Pulled, Reply, Tap, TapFacts};
 use fernknot_protocol::buffer::Buffer;
-use fernknot_standpipe::{Plant, Pulled, Reply, Tap, TapFacts};
 use std::collections::{BTreeMap, VecDeque};
 
 const SEEDS: u64 = 500;
--- a/crates/fernknot-standpipe/tests/calls.rs
+++ b/crates/fernknot-http-api/tests/calls.rs
@@ -1,8 +1,8 @@
 //! Pairs of calls and answers behind the one handler, and the requests of one connection.
 
 use assert_matches::assert_matches;
+use fernknot_http_api::{Asked, Call, Desk, Pulled, Reply, Serve, Served, Tap, TapFacts};
 use fernknot_protocol::buffer::Buffer;
-use fernknot_standpipe::{Asked, Call, Desk, Pulled, Reply, Serve, Served, Tap, TapFacts};
 use test_case::test_case;
 
 struct Greet(String);
--- a/crates/fernknot-fleet/benches/turn.rs
+++ b/crates/fernknot-membership/benches/turn.rs
@@ -2,7 +2,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use fernknot::interface::Nanos;
-use fernknot_fleet::{Fleet, FleetFacts, RouterId, Step, Variant};
+use fernknot_membership::{Fleet, FleetFacts, RouterId, Step, Variant};
 
 const SECOND: u64 = 1_000_000_000;
 
--- a/crates/fernknot-fleet/tests/model.rs
+++ b/crates/fernknot-membership/tests/model.rs
@@ -1,7 +1,7 @@
 //! Verdicts among three routers, checked over all orders of accusing, ripening, telling, refuting, losing and
 //! stopping. The lattice is the production code; what is modelled is who says what to whom, and when.
 
-use fernknot_fleet::{Incarnation, Standing, Verdict};
+use fernknot_membership::{Incarnation, Standing, Verdict};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/fernknot-fleet/tests/view.rs
+++ b/crates/fernknot-membership/tests/view.rs
@@ -1,7 +1,7 @@
 //! Views from words in any order, and what one router makes of silence, lateness and strangers.
 
 use fernknot::interface::Nanos;
-use fernknot_fleet::*;
+use fernknot_membership::*;
 use proptest::prelude::*;
 use test_case::test_case;
 
--- a/crates/fernknot-manifold/tests/gather.rs
+++ b/crates/fernknot-merge/tests/gather.rs
@@ -1,4 +1,4 @@
-use fernknot_manifold::{Gathered, Part, RECORD, gather};
+use fernknot_merge::{Gathered, Part, RECORD, gather};
 use proptest::prelude::*;
 use test_case::test_case;
 
--- a/crates/fernknot-penstock/tests/dock.rs
+++ b/crates/fernknot-net/tests/dock.rs
@@ -1,6 +1,6 @@
 //! The loop's connections over loopback: what is told of bytes with which a connection ends.
 
-use fernknot_penstock::{Berth, Dock, DockFacts, Event};
+use fernknot_net::{Berth, Dock, DockFacts, Event};
 use std::io::Write;
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/fernknot-duties/tests/common/mod.rs
+++ b/crates/fernknot-ownership/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Gateways and times for the stories of this package.
 
 use fernknot::interface::Nanos;
-use fernknot_duties::{Cut, Fence, Gateway, Holder, HolderBounds, Keeper, KeeperBounds, LifeId};
+use fernknot_ownership::{Cut, Fence, Gateway, Holder, HolderBounds, Keeper, KeeperBounds, LifeId};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 pub const BEAT: Nanos = Nanos(1_000_000_000);
--- a/crates/fernknot-duties/tests/duties.rs
+++ b/crates/fernknot-ownership/tests/duties.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use common::{WINDOW, at, cut, gateway, holder, keeper};
 use fernknot::interface::Nanos;
-use fernknot_duties::{Cut, CutChange, Fence, Holder, LifeId, Order, Standing, Taken};
+use fernknot_ownership::{Cut, CutChange, Fence, Holder, LifeId, Order, Standing, Taken};
 use proptest::prelude::*;
 
 fn orders(holder: &mut Holder, beats: f64) -> Vec<Order> {
--- a/crates/fernknot-overlay/tests/common/mod.rs
+++ b/crates/fernknot-peer-sampling/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Some hundred processes in memory; a shuffle takes no time, and the dead don't answer.
 
 use fernknot::interface::Nanos;
-use fernknot_overlay::{Descriptor, Order, Overlay, OverlayBounds, Role};
+use fernknot_peer_sampling::{Descriptor, Order, Overlay, OverlayBounds, Role};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/fernknot-overlay/tests/overlay.rs
+++ b/crates/fernknot-peer-sampling/tests/overlay.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{PERIOD, World, ZONES, addr};
-use fernknot_overlay::{Descriptor, Overlay, OverlayBounds, Role};
+use fernknot_peer_sampling::{Descriptor, Overlay, OverlayBounds, Role};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/fernknot-protocol/src/discovery.rs
+++ b/crates/fernknot-protocol/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::buffer::Buffer;
 use crate::http::ResponseReader;
 use fernknot::interface::{Health, Nanos, PlaceId};
-use fernknot_config::Limits;
+use fernknot_router_config::Limits;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::io::Write;
--- a/crates/fernknot-protocol/src/frames.rs
+++ b/crates/fernknot-protocol/src/frames.rs
@@ -3,7 +3,7 @@
 use crate::buffer::Buffer;
 use crate::report;
 use fernknot::interface::LoadReport;
-use fernknot_config::Limits;
+use fernknot_router_config::Limits;
 use std::io::Write;
 
 /// One part of a call.
--- a/crates/fernknot-protocol/src/http.rs
+++ b/crates/fernknot-protocol/src/http.rs
@@ -2,7 +2,7 @@
 
 use crate::body::{Framing, framing};
 use crate::buffer::Buffer;
-use fernknot_config::Limits;
+use fernknot_router_config::Limits;
 use httparse::Status;
 use std::io::Write;
 
--- a/crates/fernknot-protocol/src/multiget.rs
+++ b/crates/fernknot-protocol/src/multiget.rs
@@ -2,7 +2,7 @@
 
 use crate::http::Request;
 use fernknot::interface::{Nanos, ShardId, UseCaseId};
-use fernknot_config::{Limits, PhaseFacts, SocketFacts};
+use fernknot_router_config::{Limits, PhaseFacts, SocketFacts};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::collections::BTreeSet;
--- a/crates/fernknot-protocol/tests/machines.rs
+++ b/crates/fernknot-protocol/tests/machines.rs
@@ -1,12 +1,12 @@
 //! The state machines, fed whole, byte by byte and split at every byte.
 
 use fernknot::interface::*;
-use fernknot_config::{Limits, PhaseFacts, Silent, SocketFacts, Split};
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::discovery::{Watch, list};
 use fernknot_protocol::frames::{self, CallPart, CallPhase, End, Frame};
 use fernknot_protocol::http::{Answer, Request, RequestReader, ResponseReader};
 use fernknot_protocol::multiget;
+use fernknot_router_config::{Limits, PhaseFacts, Silent, SocketFacts, Split};
 use std::fmt::Debug;
 use test_case::test_case;
 
--- a/crates/fernknot-config/tests/start.rs
+++ b/crates/fernknot-router-config/tests/start.rs
@@ -1,7 +1,7 @@
 //! What stops a start, and what a start makes of its limits.
 
 use fernknot::interface::{Effect, Nanos, ZoneId};
-use fernknot_config::{First, Silent, Start};
+use fernknot_router_config::{First, Silent, Start};
 use serde_json::{Value, json};
 use test_case::test_case;
 
--- a/crates/fernknot-router/src/core.rs
+++ b/crates/fernknot-router/src/core.rs
@@ -6,8 +6,8 @@
 use crate::link::Handle;
 use crate::membership::Membership;
 use fernknot::interface::Nanos;
-use fernknot_config::{Limits, SocketFacts};
 use fernknot_engine::Engine;
+use fernknot_router_config::{Limits, SocketFacts};
 use slog::Logger;
 use std::collections::BTreeSet;
 
--- a/crates/fernknot-router/src/main.rs
+++ b/crates/fernknot-router/src/main.rs
@@ -16,7 +16,7 @@
 mod nodes;
 mod peers;
 
-use fernknot_config::{First, Start};
+use fernknot_router_config::{First, Start};
 use std::process::ExitCode;
 
 fn variable(name: &str) -> Option<String> {
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -1,8 +1,8 @@
 //! Membership on sockets: the fleet's words over the peers' datagrams, its changes in log and counters.
 
 use fernknot::interface::Nanos;
-use fernknot_config::{FleetStart, Told};
-use fernknot_fleet::{Fleet, FleetFacts, Refused, RouterId, Step, Variant};
+use fernknot_membership::{Fleet, FleetFacts, Refused, RouterId, Step, Variant};
+use fernknot_router_config::{FleetStart, Told};
 use slog::{Logger, info, warn};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/fernknot-conduit/src/shuffles.rs
+++ b/crates/fernknot-rpc/src/shuffles.rs
@@ -2,7 +2,7 @@
 
 use bitcode::{Decode, Encode};
 use fernknot::interface::Nanos;
-use fernknot_overlay::{Descriptor, Order, Overlay, OverlayBounds, Role};
+use fernknot_peer_sampling::{Descriptor, Order, Overlay, OverlayBounds, Role};
 use std::net::SocketAddrV4;
 
 /// Descriptors that one datagram may bring; more is refused.
--- a/crates/fernknot-conduit/src/words.rs
+++ b/crates/fernknot-rpc/src/words.rs
@@ -2,9 +2,9 @@
 //! hears [`Outward`] ones.
 
 use bitcode::{Decode, Encode};
-use fernknot_duties::{Cut, Gateway};
-use fernknot_intake::Plan;
+use fernknot_ownership::{Cut, Gateway};
 use fernknot_registry::NodeFact;
+use fernknot_schema::Plan;
 use std::net::SocketAddrV4;
 
 /// Which news a listener wants of a teller. Configurations, cuts and pulses come with either. (The listener
@@ -47,7 +47,7 @@
         addr: SocketAddrV4,
         zone: String,
     },
-    Views(fernknot_views::Word),
+    Views(fernknot_consensus::Word),
     /// Changes of nodes that were first told to the speaker.
     Nodes(Vec<NodeFact>),
     /// Lives whose beats came to the speaker lately, by their hashes.
--- a/crates/fernknot-intake/tests/common/mod.rs
+++ b/crates/fernknot-schema/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Bodies that are right, for tests to break.
 #![allow(dead_code)]
 
-use fernknot_intake::{Fault, Plan};
+use fernknot_schema::{Fault, Plan};
 use serde_json::{Value, json};
 
 pub fn plan_json() -> Value {
--- a/crates/fernknot-intake/tests/plan.rs
+++ b/crates/fernknot-schema/tests/plan.rs
@@ -1,7 +1,7 @@
 mod common;
 
 use common::{changed, places, plan_json, read_plan, without};
-use fernknot_intake::{Class, Plan, Target, digest};
+use fernknot_schema::{Class, Plan, Target, digest};
 use proptest::prelude::*;
 use serde_json::json;
 use test_case::test_case;
--- a/crates/fernknot-intake/tests/routes.rs
+++ b/crates/fernknot-schema/tests/routes.rs
@@ -1,7 +1,7 @@
 mod common;
 
 use common::{plan_json, read_plan};
-use fernknot_intake::{Plan, RouteTable};
+use fernknot_schema::{Plan, RouteTable};
 use proptest::prelude::*;
 use test_case::test_case;
 
--- a/crates/fernknot-intake/tests/told.rs
+++ b/crates/fernknot-schema/tests/told.rs
@@ -1,7 +1,7 @@
 mod common;
 
 use common::{changed, places, process_json, without};
-use fernknot_intake::{Beat, NodeState, ProcessFacts};
+use fernknot_schema::{Beat, NodeState, ProcessFacts};
 use serde_json::{Value, json};
 use test_case::test_case;
 
--- a/crates/fernknot-flume/src/callers.rs
+++ b/crates/fernknot-simulator/src/callers.rs
@@ -8,8 +8,8 @@
 use crate::troubles::Trigger;
 use crate::world::{Event as All, Input, World, ms};
 use fernknot::interface::Nanos;
+use fernknot_http_api::{Pulled, Reply, Request, Tap, TapFacts};
 use fernknot_protocol::buffer::Buffer;
-use fernknot_standpipe::{Pulled, Reply, Request, Tap, TapFacts};
 use std::collections::BTreeMap;
 
 /// Who is silent for so long is passed over.
--- a/crates/fernknot-flume/src/listeners.rs
+++ b/crates/fernknot-simulator/src/listeners.rs
@@ -5,10 +5,10 @@
 use crate::register::Version;
 use crate::world::{Event as All, FIRST_LISTENER, Input, World, ms};
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Inward, Outward, Share};
-use fernknot_duties::{Gateway, LifeId};
-use fernknot_headworks::Ear;
+use fernknot_controller::Ear;
+use fernknot_ownership::{Gateway, LifeId};
 use fernknot_registry::{NodeFact, NodeState};
+use fernknot_rpc::{Inward, Outward, Share};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/fernknot-flume/src/main.rs
+++ b/crates/fernknot-simulator/src/main.rs
@@ -1,15 +1,16 @@
-//! `fernknot-flume play --seeds FROM..TO` plays seeds side by side and names those where a rule broke;
-//! `fernknot-flume replay SEED` prints one with its log, shrunk to the troubles that it needs.
+//! `fernknot-simulator play --seeds FROM..TO` plays seeds side by side and names those where a rule broke;
+//! `fernknot-simulator replay SEED` prints one with its log, shrunk to the troubles that it needs.
 
-use fernknot_flume::play::{Facts, play, play_with, shrink};
+use fernknot_simulator::play::{Facts, play, play_with, shrink};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-const HELP: &str = "fernknot-flume play --seeds FROM..TO [--members 3|5] [--threads N] [--beyond] [--system]
-fernknot-flume replay SEED [--members 3|5] [--beyond] [--whole] [--system]
+const HELP: &str =
+    "fernknot-simulator play --seeds FROM..TO [--members 3|5] [--threads N] [--beyond] [--system]
+fernknot-simulator replay SEED [--members 3|5] [--beyond] [--whole] [--system]
 
 play    ends with 1 where a rule broke, and names the seeds
 replay  prints the log and who knew what; without --whole, of the fewest troubles that still break the rule
--- a/crates/fernknot-flume/src/play.rs
+++ b/crates/fernknot-simulator/src/play.rs
@@ -5,7 +5,7 @@
 use crate::troubles::{Trouble, schedule};
 use crate::world::{World, ms};
 use fernknot::interface::Nanos;
-use fernknot_headworks::{Registrar, RegistrarFacts};
+use fernknot_controller::{Registrar, RegistrarFacts};
 use std::collections::BTreeMap;
 
 /// What the users' pages promise and ask, as their deploy files give it.
@@ -64,9 +64,9 @@
     /// Gateways are told that far more may be sent again than the rules allow.
     FreeRetries,
     /// One of the gateways' own.
-    Gateway(fernknot_sluice::Plant),
+    Gateway(fernknot_gateway::Plant),
     /// One of the registrars' own.
-    Registrar(fernknot_headworks::Plant),
+    Registrar(fernknot_controller::Plant),
 }
 
 /// Machines that a system's settings name at its first start.
--- a/crates/fernknot-flume/src/ports.rs
+++ b/crates/fernknot-simulator/src/ports.rs
@@ -1,6 +1,6 @@
 //! Ports without sockets, for a gateway in simulated time.
 
-use fernknot_penstock::{Berth, Buffer, NetError, Ports};
+use fernknot_net::{Berth, Buffer, NetError, Ports};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
 use std::net::SocketAddrV4;
--- a/crates/fernknot-flume/src/world.rs
+++ b/crates/fernknot-simulator/src/world.rs
@@ -9,10 +9,10 @@
 use crate::traffic::Traffic;
 use crate::troubles::{Trigger, Trouble};
 use fernknot::interface::Nanos;
-use fernknot_conduit::{Inward, PeerWord};
-use fernknot_headworks::{Ear, Order, Registrar, RegistrarFacts, Slot};
-use fernknot_standpipe::Reply;
-use fernknot_views::{Saved, Ticket};
+use fernknot_consensus::{Saved, Ticket};
+use fernknot_controller::{Ear, Order, Registrar, RegistrarFacts, Slot};
+use fernknot_http_api::Reply;
+use fernknot_rpc::{Inward, PeerWord};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/fernknot-flume/tests/plants.rs
+++ b/crates/fernknot-simulator/tests/plants.rs
@@ -1,8 +1,8 @@
 //! Breaks planted on purpose: each is found within a stated number of seeds.
 
-use fernknot_flume::play::{Facts, Plant, play};
-use fernknot_headworks::Plant as Own;
-use fernknot_views::Plant as Views;
+use fernknot_consensus::Plant as Views;
+use fernknot_controller::Plant as Own;
+use fernknot_simulator::play::{Facts, Plant, play};
 use std::ops::Range;
 use test_case::test_case;
 
--- a/crates/fernknot-flume/tests/register.rs
+++ b/crates/fernknot-simulator/tests/register.rs
@@ -1,6 +1,6 @@
 //! The judge of the operators' history, by histories whose verdict is known.
 
-use fernknot_flume::register::{Call, Op, Ret, Verdict, Version, judge};
+use fernknot_simulator::register::{Call, Op, Ret, Verdict, Version, judge};
 use test_case::test_case;
 
 fn version(epoch: u64) -> Version {
--- a/crates/fernknot-flume/tests/seeds.rs
+++ b/crates/fernknot-simulator/tests/seeds.rs
@@ -1,7 +1,7 @@
 //! Whole plays from seeds.
 
-use fernknot_flume::judge::Finding;
-use fernknot_flume::play::{Facts, Plant, play, play_with, shrink};
+use fernknot_simulator::judge::Finding;
+use fernknot_simulator::play::{Facts, Plant, play, play_with, shrink};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use test_case::test_case;
--- a/crates/fernknot-flume/tests/system.rs
+++ b/crates/fernknot-simulator/tests/system.rs
@@ -1,8 +1,8 @@
 //! The whole system: real registrars and real gateways among operators, nodes that answer and clients, from one seed.
 
-use fernknot_flume::play::{Facts, Outcome, Plant, play};
-use fernknot_flume::world::ms;
-use fernknot_sluice::Plant as Own;
+use fernknot_gateway::Plant as Own;
+use fernknot_simulator::play::{Facts, Outcome, Plant, play};
+use fernknot_simulator::world::ms;
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/fernknot-cistern/tests/common/mod.rs
+++ b/crates/fernknot-storage/tests/common/mod.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use fernknot::interface::Nanos;
-use fernknot_cistern::folder::Folder;
-use fernknot_cistern::keeper::{Generation, Keeper, Measures, Order, Outcome, Values};
-use fernknot_cistern::{Step, StoreError};
+use fernknot_storage::folder::Folder;
+use fernknot_storage::keeper::{Generation, Keeper, Measures, Order, Outcome, Values};
+use fernknot_storage::{Step, StoreError};
 
 pub const SMALL_DISK: u64 = 64 << 20;
 
--- a/crates/fernknot-cistern/tests/files.rs
+++ b/crates/fernknot-storage/tests/files.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::{OnFiles, SMALL_DISK, copy, files};
-use fernknot_cistern::{Cistern, Full, Space};
+use fernknot_storage::{Cistern, Full, Space};
 use tempfile::TempDir;
 use test_case::test_case;
 
--- a/crates/fernknot-cistern/tests/keeper.rs
+++ b/crates/fernknot-storage/tests/keeper.rs
@@ -4,8 +4,8 @@
 
 use common::{Chance, StandIn, Stop};
 use fernknot::interface::Nanos;
-use fernknot_cistern::keeper::{Generation, Keeper, Measures, Order, Outcome, Values};
-use fernknot_cistern::{Step, StoreError};
+use fernknot_storage::keeper::{Generation, Keeper, Measures, Order, Outcome, Values};
+use fernknot_storage::{Step, StoreError};
 use proptest::prelude::*;
 
 const KEYS: [&str; 3] = ["epoch", "plan", "vote"];
--- a/crates/fernknot-basin/src/inner.rs
+++ b/crates/fernknot-testbed/src/inner.rs
@@ -1,8 +1,8 @@
 //! What is said to a running process at its inner port.
 
-use fernknot_conduit::{Inward, Outward, Question, Share, pull, push};
-use fernknot_duties::{Gateway, LifeId};
+use fernknot_ownership::{Gateway, LifeId};
 use fernknot_protocol::buffer::Buffer;
+use fernknot_rpc::{Inward, Outward, Question, Share, pull, push};
 use std::io::{Error, ErrorKind, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/fernknot-basin/src/load.rs
+++ b/crates/fernknot-testbed/src/load.rs
@@ -4,7 +4,7 @@
 use crate::nodes::held;
 use crate::paper::HOST;
 use crate::wire::{self, Line, Message};
-use fernknot_flume::chance::Chance;
+use fernknot_simulator::chance::Chance;
 use std::net::SocketAddrV4;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/fernknot-basin/src/nodes.rs
+++ b/crates/fernknot-testbed/src/nodes.rs
@@ -2,7 +2,7 @@
 //! many requests at once, turns the rest away, drains before a planned end and says nothing before a crash.
 
 use crate::wire::{self, Line, Message};
-use fernknot_flume::chance::{Chance, STEP, mixed};
+use fernknot_simulator::chance::{Chance, STEP, mixed};
 use serde_json::json;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
--- a/crates/fernknot-basin/src/rig.rs
+++ b/crates/fernknot-testbed/src/rig.rs
@@ -60,8 +60,8 @@
 impl Role {
     pub fn program(self) -> &'static str {
         match self {
-            Role::Registrar => "fernknot-headworks",
-            Role::Gateway => "fernknot-sluice",
+            Role::Registrar => "fernknot-controller",
+            Role::Gateway => "fernknot-gateway",
         }
     }
 
--- a/crates/fernknot-basin/tests/checker.rs
+++ b/crates/fernknot-testbed/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker against histories made by hand: each breaks one rule.
 
-use fernknot_basin::checker::{Allowed, Kind, Request, Seen, Try, check};
-use fernknot_basin::nodes::{Ledger, Ran};
+use fernknot_testbed::checker::{Allowed, Kind, Request, Seen, Try, check};
+use fernknot_testbed::nodes::{Ledger, Ran};
 use test_case::test_case;
 
 fn ran(service: &str, seal: &str, records: &[u8]) -> Ran {
--- a/crates/fernknot-basin/tests/common/mod.rs
+++ b/crates/fernknot-testbed/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! What the tests of this package share: the programs, and a system that serves.
 
-use fernknot_basin::checker::{Allowed, Kind};
-use fernknot_basin::load::{Load, LoadFacts, Platform};
-use fernknot_basin::nodes::{Facts, Nodes};
-use fernknot_basin::operator::{End, Operator};
-use fernknot_basin::paper::Draft;
-use fernknot_basin::rig::{Layout, Rig, Role, program, until};
+use fernknot_testbed::checker::{Allowed, Kind};
+use fernknot_testbed::load::{Load, LoadFacts, Platform};
+use fernknot_testbed::nodes::{Facts, Nodes};
+use fernknot_testbed::operator::{End, Operator};
+use fernknot_testbed::paper::Draft;
+use fernknot_testbed::rig::{Layout, Rig, Role, program, until};
 use std::process::Command;
 use std::sync::Once;
 use std::time::Duration;
--- a/crates/fernknot-basin/tests/operator.rs
+++ b/crates/fernknot-testbed/tests/operator.rs
@@ -1,8 +1,8 @@
 //! How an operator goes from one registrar to another, against listeners that say what a story needs.
 
 use assert_matches::assert_matches;
-use fernknot_basin::operator::{End, Operator};
-use fernknot_basin::wire::{Line, answer};
+use fernknot_testbed::operator::{End, Operator};
+use fernknot_testbed::wire::{Line, answer};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener};
 use std::sync::{Arc, Mutex};
 use std::thread;
--- a/crates/fernknot-basin/tests/system.rs
+++ b/crates/fernknot-testbed/tests/system.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{PATIENCE, System, epoch};
-use fernknot_basin::checker::{Kind, check};
-use fernknot_basin::operator::{End, Operator};
-use fernknot_basin::paper::Draft;
-use fernknot_basin::rig::{Role, until};
+use fernknot_testbed::checker::{Kind, check};
+use fernknot_testbed::operator::{End, Operator};
+use fernknot_testbed::paper::Draft;
+use fernknot_testbed::rig::{Role, until};
 
 /// Guards the whole path: what an operator sent is read back as it was, is in force at every gateway, and a gathered
 /// answer holds the greatest records of its parts.
--- a/crates/fernknot-phases/benches/sketch.rs
+++ b/crates/fernknot-two-phase/benches/sketch.rs
@@ -3,7 +3,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use fastbloom::BloomFilter;
-use fernknot_phases::{Sketch, print_of};
+use fernknot_two_phase::{Sketch, print_of};
 use std::collections::HashSet;
 use std::hint::black_box;
 use xorf::{BinaryFuse8, Filter};
--- a/crates/fernknot-phases/src/phases.rs
+++ b/crates/fernknot-two-phase/src/phases.rs
@@ -4,9 +4,9 @@
 use crate::spans::Spans;
 use fernknot::interface::*;
 use fernknot::state::RunningMean;
-use fernknot_config::{PhaseFacts, Silent, Split};
 use fernknot_protocol::matches::{Match, Names};
 use fernknot_protocol::multiget::Said;
+use fernknot_router_config::{PhaseFacts, Silent, Split};
 use std::collections::{BTreeMap, HashMap};
 
 /// A first phase leaves as much time as this share of the recent second phases of the size took at most,
--- a/examples/stand-in/src/lib.rs
+++ b/examples/stand-in/src/lib.rs
@@ -7,7 +7,7 @@
 pub use discovery::Discovery;
 pub use node::{Behaviour, Call, DataNode};
 
-use fernknot_config::{First, Limits, Start};
+use fernknot_router_config::{First, Limits, Start};
 
 /// The configuration that newcomers and tests start from.
 pub const CONFIG: &str = include_str!("../../config.json");
