--- a/crates/fernknot-cli/src/check.rs
+++ b/crates/fernknot-cli/src/check.rs
@@ -1,7 +1,7 @@
 //! `fernknot check`: every fault of a file at once.
 
 use crate::{Fail, Words, say};
-use fernknot_schema::{Fault, Plan, ProcessFacts};
+use fernknot_schema::{Fault, ProcessFacts, RoutingConfig};
 use std::path::Path;
 
 pub fn run(words: &Words) -> Result<(), Fail> {
@@ -12,7 +12,7 @@
         let facts = ProcessFacts::read(&bytes).map_err(|faults| named(path, &faults))?;
         say(format!("{}: sound; {} in {}", path.display(), facts.node_name, facts.zone));
     } else {
-        let plan = Plan::read(&bytes).map_err(|faults| named(path, &faults))?;
+        let plan = RoutingConfig::read(&bytes).map_err(|faults| named(path, &faults))?;
         let (routes, services) = (plan.routes.len(), plan.services.len());
         say(format!(
             "{}: sound; version {}, {routes} routes, {services} services",
--- a/crates/fernknot-cli/src/talk.rs
+++ b/crates/fernknot-cli/src/talk.rs
@@ -2,7 +2,7 @@
 
 use crate::{Fail, Words, addrs, check, failed, say};
 use fernknot_rpc::Question;
-use fernknot_schema::Plan;
+use fernknot_schema::RoutingConfig;
 use fernknot_testbed::inner;
 use fernknot_testbed::operator::{End, Operator};
 use std::ffi::OsStr;
@@ -57,7 +57,7 @@
 
 fn replace(addrs: Vec<SocketAddrV4>, path: &Path, base: u64) -> Result<(), Fail> {
     let bytes = check::read(path)?;
-    let plan = Plan::read(&bytes).map_err(|faults| check::named(path, &faults))?;
+    let plan = RoutingConfig::read(&bytes).map_err(|faults| check::named(path, &faults))?;
     match (Operator { addrs, within: WITHIN }).replace(&bytes, base) {
         End::Answered { status: 200, by, .. } => {
             say(format!("taken: version {} is in force, says {by}", plan.epoch));
--- a/crates/fernknot-consensus/src/ballots.rs
+++ b/crates/fernknot-consensus/src/ballots.rs
@@ -10,7 +10,7 @@
 use fernknot::interface::Nanos;
 
 use crate::types::*;
-use crate::views::{MOST_FLOORS, MOST_MEMBERS, Peer, Views, is_member, same, voters};
+use crate::views::{Consensus, MOST_FLOORS, MOST_MEMBERS, Peer, is_member, same, voters};
 
 /// Candidates for the next view that are weighed, at most.
 const MOST_CANDIDATES: usize = 12;
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Value {
     next: Base,
-    no: OrderNo,
+    no: Revision,
     state: Arc<[u8]>,
     /// Taken over from another ballot: it may have been chosen.
     adopted: bool,
@@ -37,16 +37,16 @@
 /// An attempt of this member to change the view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Run {
-    ballot: Ballot,
+    ballot: ProposalNumber,
     step: Step,
     since: Nanos,
     resend_at: Nanos,
     pause: Nanos,
     majority_at: Option<Nanos>,
     /// By place among the voters: who answered, and the newest it holds.
-    answers: BTreeMap<usize, (Member, Option<OrderNo>)>,
-    tail: Option<(OrderNo, Arc<[u8]>)>,
-    best: Option<(Ballot, Value)>,
+    answers: BTreeMap<usize, (Member, Option<Revision>)>,
+    tail: Option<(Revision, Arc<[u8]>)>,
+    best: Option<(ProposalNumber, Value)>,
     value: Option<Value>,
     installed: BTreeMap<MemberId, Member>,
     chosen_at: Option<Nanos>,
@@ -62,10 +62,10 @@
 }
 
 fn seat(view: &View, who: &Member) -> Option<usize> {
-    voters(view).position(|seat| same(view.no, seat, who))
+    voters(view).position(|seat| same(view.number, seat, who))
 }
 
-impl Views {
+impl Consensus {
     // Who belongs to the next view.
 
     /// Well and in touch, so that a view with it could take changes.
@@ -90,7 +90,7 @@
             }
             if is_member(view, &peer.told.who) {
                 inside.push(peer);
-            } else if view.no > ViewNo(0) {
+            } else if view.number > ViewNumber(0) {
                 joining.push(peer);
             }
         }
@@ -126,20 +126,20 @@
         members.push(self.facts.me.clone());
         // Who was first stays first, so that the sequencer changes only where it must.
         members.sort_by_key(|member| {
-            let place = view.members.iter().position(|seat| same(view.no, seat, member));
+            let place = view.members.iter().position(|seat| same(view.number, seat, member));
             (place.unwrap_or(usize::MAX), member.id)
         });
         members
     }
 
     /// The next view with these members. Dropped ones keep their vote while the members are few.
-    fn next_base(&self, members: Vec<Member>, no: OrderNo) -> Base {
+    fn next_base(&self, members: Vec<Member>, no: Revision) -> Base {
         let base = &self.cur.base;
-        let number = ViewNo(base.view.no.0.saturating_add(1));
+        let number = ViewNumber(base.view.number.0.saturating_add(1));
         let mut absent: Vec<Member> = Vec::new();
         let seats = self.facts.losses.saturating_mul(2).saturating_add(1);
         for member in voters(&base.view) {
-            let out = base.view.no > ViewNo(0) && members.iter().all(|other| other.id != member.id);
+            let out = base.view.number > ViewNumber(0) && members.iter().all(|other| other.id != member.id);
             if out && !self.replaced(member) && members.len() + absent.len() < seats.min(MOST_MEMBERS) {
                 absent.push(member.clone());
             }
@@ -149,7 +149,7 @@
         if floors.len() > MOST_FLOORS {
             floors.remove(0);
         }
-        Base { view: View { no: number, members, absent }, floors }
+        Base { view: View { number: number, members, absent }, floors }
     }
 
     /// Members of the next view, at least: those that a change needs. The first view may have fewer where fewer founders
@@ -158,7 +158,7 @@
     fn fewest(&self) -> usize {
         let view = &self.cur.base.view;
         let needed = self.facts.losses.saturating_add(1);
-        if view.no == ViewNo(0) { needed.min(view.members.len()).max(1) } else { needed }
+        if view.number == ViewNumber(0) { needed.min(view.members.len()).max(1) } else { needed }
     }
 
     // When.
@@ -187,7 +187,7 @@
     /// Those first in the view begin first, so that ballots seldom meet.
     fn delay(&mut self) -> Nanos {
         let view = &self.cur.base.view;
-        let before = view.members.iter().take_while(|seat| !same(view.no, seat, &self.facts.me));
+        let before = view.members.iter().take_while(|seat| !same(view.number, seat, &self.facts.me));
         let rank = before.filter(|member| self.in_touch(member)).count();
         if rank == 0 {
             return Nanos(0);
@@ -197,7 +197,7 @@
     }
 
     fn in_touch(&self, seat: &Member) -> bool {
-        let view = self.cur.base.view.no;
+        let view = self.cur.base.view.number;
         let fit = |peer: &Peer| self.fit(peer) && same(view, seat, &peer.told.who);
         self.peers.values().any(fit)
     }
@@ -215,7 +215,7 @@
             && !self.is_sequencer();
         let lost = view.members.iter().any(|member| self.lost(member));
         let heard_stopped = view.members.iter().any(|member| {
-            self.peers.get(&member.id).is_some_and(|peer| peer.told.view == view.no && peer.told.stopped)
+            self.peers.get(&member.id).is_some_and(|peer| peer.told.view == view.number && peer.told.stopped)
         });
         let knocked = self.peers.values().any(|peer| !is_member(view, &peer.told.who) && self.fit(peer));
         if settled && !headless && !lost && !heard_stopped && !knocked {
@@ -227,12 +227,12 @@
                 && self.peers.values().any(|peer| peer.told.who.addr == seat.addr && self.fit(peer))
         };
         let voting = voters(view)
-            .filter(|seat| same(view.no, seat, &self.facts.me) || self.in_touch(seat) || empty(seat));
+            .filter(|seat| same(view.number, seat, &self.facts.me) || self.in_touch(seat) || empty(seat));
         if plan.len() < self.fewest() || voting.count() <= voters(view).count() / 2 {
             return None;
         }
         let patience = self.facts.suspect_after;
-        let in_plan = |seat: &Member| plan.iter().any(|member| same(view.no, seat, member));
+        let in_plan = |seat: &Member| plan.iter().any(|member| same(view.number, seat, member));
         if settled && !headless {
             let grown = plan.len() > view.members.len() && view.members.iter().all(in_plan);
             if lost || grown {
@@ -250,7 +250,7 @@
         // for the first.
         let first = view.members.first();
         let first_at_it = match first {
-            Some(first) if same(view.no, first, &self.facts.me) => self.leads(),
+            Some(first) if same(view.number, first, &self.facts.me) => self.leads(),
             Some(first) => self.in_touch(first),
             None => false,
         };
@@ -270,7 +270,7 @@
 
     fn start_run(&mut self) {
         let round = self.cur.promise.round.max(self.seen_round).saturating_add(1);
-        let ballot = Ballot { round, id: self.me() };
+        let ballot = ProposalNumber { round, id: self.me() };
         self.seen_round = round;
         if !self.stopped() {
             self.unsettled = self.now;
@@ -365,15 +365,15 @@
     pub(crate) fn hear_stopped(
         &mut self,
         who: Member,
-        ballot: Ballot,
-        base: ViewNo,
-        holds: Option<OrderNo>,
+        ballot: ProposalNumber,
+        base: ViewNumber,
+        holds: Option<Revision>,
         state: Option<Arc<[u8]>>,
-        vouched: Option<Vouched>,
+        vouched: Option<AcceptedView>,
     ) {
         let held = holds.map_or_else(Default::default, |no| (base, no));
         self.note_mark(who.id, Mark { promise: (base, ballot), held, ..Mark::default() });
-        if base != self.cur.base.view.no {
+        if base != self.cur.base.view.number {
             return;
         }
         let mine = self.holds().then(|| (self.cur.no, self.cur.state.clone()));
@@ -384,7 +384,7 @@
             return;
         }
         let same_as_mine =
-            |no: OrderNo| mine.as_ref().filter(|(held, _)| *held == no).map(|(_, state)| state.clone());
+            |no: Revision| mine.as_ref().filter(|(held, _)| *held == no).map(|(_, state)| state.clone());
         let tail = match holds {
             Some(no) if run.tail.as_ref().is_some_and(|(held, _)| *held >= no) => None,
             Some(no) => match state.or_else(|| same_as_mine(no)) {
@@ -477,8 +477,8 @@
         self.backoff_until = self.now + pulse + self.part_of(self.facts.suspect_after.times(0.5));
     }
 
-    pub(crate) fn hear_outdone(&mut self, base: ViewNo, promise: Ballot) {
-        if base != self.cur.base.view.no {
+    pub(crate) fn hear_outdone(&mut self, base: ViewNumber, promise: ProposalNumber) {
+        if base != self.cur.base.view.number {
             return;
         }
         self.seen_round = self.seen_round.max(promise.round);
@@ -488,9 +488,9 @@
         }
     }
 
-    pub(crate) fn hear_installed(&mut self, who: Member, ballot: Ballot, base: ViewNo) {
+    pub(crate) fn hear_installed(&mut self, who: Member, ballot: ProposalNumber, base: ViewNumber) {
         self.note_mark(who.id, Mark { promise: (base, ballot), vouched: (base, ballot), ..Mark::default() });
-        let here = base == self.cur.base.view.no;
+        let here = base == self.cur.base.view.number;
         let Some(run) = &mut self.run else { return };
         if !here || run.ballot != ballot || run.step == Step::Stop {
             return;
@@ -546,7 +546,7 @@
             }
             return;
         }
-        let word = Word::Chosen { ballot: run.ballot, base: view.no, force: all };
+        let word = Word::Chosen { ballot: run.ballot, base: view.number, force: all };
         let mut to: BTreeSet<SocketAddrV4> = next.members.iter().map(|member| self.addr(member)).collect();
         to.extend(voters(&view).map(|seat| self.seat_addr(seat)));
         to.insert(self.facts.me.addr);
@@ -600,23 +600,23 @@
 
     /// Takes part in the change of `base` only if it is the last view that this member knows.
     fn at_base(&mut self, from: SocketAddrV4, base: &Base) -> bool {
-        if base.view.no < self.cur.base.view.no {
+        if base.view.number < self.cur.base.view.number {
             let base = self.cur.base.clone();
             if self.may_tell() {
                 self.say(from, Word::Told { base });
             }
             return false;
         }
-        if base.view.no > self.cur.base.view.no {
+        if base.view.number > self.cur.base.view.number {
             self.move_to(base.clone());
         }
         *base == self.cur.base
     }
 
     /// Whether the ballot may go on here; a higher one ends what this member was at itself.
-    fn bow_to(&mut self, from: SocketAddrV4, ballot: Ballot) -> bool {
+    fn bow_to(&mut self, from: SocketAddrV4, ballot: ProposalNumber) -> bool {
         if ballot < self.cur.promise {
-            let (base, promise) = (self.cur.base.view.no, self.cur.promise);
+            let (base, promise) = (self.cur.base.view.number, self.cur.promise);
             self.say(from, Word::Outdone { base, promise });
             return false;
         }
@@ -637,7 +637,13 @@
         true
     }
 
-    pub(crate) fn hear_stop(&mut self, from: SocketAddrV4, ballot: Ballot, base: Base, no: Option<OrderNo>) {
+    pub(crate) fn hear_stop(
+        &mut self,
+        from: SocketAddrV4,
+        ballot: ProposalNumber,
+        base: Base,
+        no: Option<Revision>,
+    ) {
         if self.plant == Some(Plant::EmptyVotes) && self.cur.base == Base::default() {
             self.cur.base = base.clone();
         }
@@ -656,43 +662,43 @@
             vouched
         });
         let who = self.facts.me.clone();
-        self.say_safely(from, Word::Stopped { who, ballot, base: base.view.no, holds, state, vouched });
+        self.say_safely(from, Word::Stopped { who, ballot, base: base.view.number, holds, state, vouched });
     }
 
     pub(crate) fn hear_install(
         &mut self,
         from: SocketAddrV4,
-        ballot: Ballot,
+        ballot: ProposalNumber,
         base: Base,
         next: Base,
-        no: OrderNo,
+        no: Revision,
         state: Option<Arc<[u8]>>,
     ) {
-        let follows = next.view.no.0 == base.view.no.0.saturating_add(1);
+        let follows = next.view.number.0 == base.view.number.0.saturating_add(1);
         if !follows || !self.at_base(from, &base) {
             return;
         }
-        let known = self.cur.held == base.view.no && self.cur.no == no;
+        let known = self.cur.held == base.view.number && self.cur.no == no;
         if (!known && state.is_none()) || !self.bow_to(from, ballot) {
             return;
         }
-        let vouched = Vouched { ballot, next, no, state: if known { None } else { state } };
+        let vouched = AcceptedView { ballot, next, no, state: if known { None } else { state } };
         if self.cur.vouched.as_ref() != Some(&vouched) {
             self.cur.vouched = Some(vouched);
             self.touch();
         }
         let who = self.facts.me.clone();
-        self.say_safely(from, Word::Installed { who, ballot, base: base.view.no });
+        self.say_safely(from, Word::Installed { who, ballot, base: base.view.number });
     }
 
-    pub(crate) fn hear_chosen(&mut self, ballot: Ballot, base: ViewNo, force: bool) {
+    pub(crate) fn hear_chosen(&mut self, ballot: ProposalNumber, base: ViewNumber, force: bool) {
         let vouched = self.cur.vouched.as_ref().filter(|vouched| vouched.ballot == ballot);
-        if base == self.cur.base.view.no
+        if base == self.cur.base.view.number
             && let Some(vouched) = vouched
         {
             let next = vouched.next.clone();
             self.move_to(next);
-        } else if base.0.saturating_add(1) != self.cur.base.view.no.0 {
+        } else if base.0.saturating_add(1) != self.cur.base.view.number.0 {
             return;
         }
         if force && !self.stopped() {
--- a/crates/fernknot-consensus/src/confirm.rs
+++ b/crates/fernknot-consensus/src/confirm.rs
@@ -6,7 +6,7 @@
 use fernknot::interface::Nanos;
 
 use crate::types::*;
-use crate::views::{Views, floor, is_member, voters};
+use crate::views::{Consensus, floor, is_member, voters};
 
 /// Inquiries in hand, at most.
 const MOST_INQUIRIES: usize = 256;
@@ -18,7 +18,7 @@
     /// Only what was said in answer to this round, or to a later one, counts: it was said after the question came.
     round: u64,
     /// What this member had stored when the question came. All that was taken by then is at or below it.
-    index: OrderNo,
+    index: Revision,
 }
 
 /// The inquiries of one member and what others have said to them.
@@ -27,10 +27,10 @@
     round: u64,
     waiting: Vec<Waiting>,
     /// The newest round to which a voter said that it stands in a view and has not stopped.
-    said: BTreeMap<MemberId, (ViewNo, u64)>,
+    said: BTreeMap<MemberId, (ViewNumber, u64)>,
 }
 
-impl Views {
+impl Consensus {
     /// Asks whether the view still stands: `Order::Confirmed` comes once a majority of its voters has said so after
     /// this call, and all that was taken before it has been delivered here. It may never come. False where too many
     /// are in hand.
@@ -41,7 +41,7 @@
         }
         self.inquiries.round += 1;
         let stale = self.plant == Some(Plant::ReadDelivered);
-        let index = if self.holds() && !stale { self.cur.no } else { OrderNo(0) };
+        let index = if self.holds() && !stale { self.cur.no } else { Revision(0) };
         let round = self.inquiries.round;
         self.inquiries.waiting.push(Waiting { inquiry, round, index });
         self.ask_voters();
@@ -66,8 +66,8 @@
 
     /// Says the newest round to all who vote, and have not said so yet.
     pub(crate) fn ask_voters(&mut self) {
-        let (view, life, round) = (self.cur.base.view.no, self.life, self.inquiries.round);
-        if self.inquiries.waiting.is_empty() || view == ViewNo(0) {
+        let (view, life, round) = (self.cur.base.view.number, self.life, self.inquiries.round);
+        if self.inquiries.waiting.is_empty() || view == ViewNumber(0) {
             return;
         }
         let silent: Vec<Member> = voters(&self.cur.base.view)
@@ -82,8 +82,14 @@
         }
     }
 
-    pub(crate) fn hear_confirm(&mut self, from: std::net::SocketAddrV4, view: ViewNo, life: u64, round: u64) {
-        let mine = self.cur.base.view.no;
+    pub(crate) fn hear_confirm(
+        &mut self,
+        from: std::net::SocketAddrV4,
+        view: ViewNumber,
+        life: u64,
+        round: u64,
+    ) {
+        let mine = self.cur.base.view.number;
         if view < mine {
             if self.may_tell() {
                 let base = self.cur.base.clone();
@@ -98,10 +104,10 @@
         }
     }
 
-    pub(crate) fn hear_confirmed(&mut self, who: MemberId, view: ViewNo, life: u64, round: u64) {
+    pub(crate) fn hear_confirmed(&mut self, who: MemberId, view: ViewNumber, life: u64, round: u64) {
         let votes = voters(&self.cur.base.view).any(|member| member.id == who);
         // Guards against an answer to an earlier life of this process, whose rounds had the same numbers.
-        if life != self.life || view != self.cur.base.view.no || !votes {
+        if life != self.life || view != self.cur.base.view.number || !votes {
             return;
         }
         let said = self.inquiries.said.entry(who).or_default();
@@ -135,7 +141,7 @@
         let mut rounds: Vec<u64> = voters(view)
             .map(|member| match self.inquiries.said.get(&member.id) {
                 _ if self.is_me(member) => self.inquiries.round,
-                Some((said, round)) if *said == view.no => *round,
+                Some((said, round)) if *said == view.number => *round,
                 _ => 0,
             })
             .collect();
@@ -147,6 +153,6 @@
         let ended = |waiting: &Waiting| waiting.round <= confirmed && waiting.index <= delivered;
         let (ended, waiting) = self.inquiries.waiting.iter().copied().partition::<Vec<Waiting>, _>(ended);
         self.inquiries.waiting = waiting;
-        ended.iter().for_each(|waiting| self.order(Order::Confirmed { inquiry: waiting.inquiry }));
+        ended.iter().for_each(|waiting| self.order(Action::Confirmed { inquiry: waiting.inquiry }));
     }
 }
--- a/crates/fernknot-consensus/src/forced.rs
+++ b/crates/fernknot-consensus/src/forced.rs
@@ -8,7 +8,7 @@
 use fernknot::interface::Nanos;
 
 use crate::types::*;
-use crate::views::{MOST_FLOORS, Views, same, voters};
+use crate::views::{Consensus, MOST_FLOORS, same, voters};
 
 /// View numbers are below 2^32, since cuts carry them in so many bits. A forced view begins a new era; within it, a
 /// number drawn at random parts two that are forced at once by operators who don't know of each other.
@@ -19,20 +19,20 @@
 const ORDERS: u64 = 1 << 32;
 
 /// Rises by one with each forced view.
-pub(crate) fn era(no: ViewNo) -> u64 {
+pub(crate) fn era(no: ViewNumber) -> u64 {
     no.0 / ERA
 }
 
-impl Views {
+impl Consensus {
     /// Makes a view of this member and of those whom it hears, by an operator's word that the disks of `lost` (as
     /// the view names them) are gone for good. In force once enough disks are in it, new ones counted.
     ///
     /// # Errors
     /// Where the view could change by itself, or something is held elsewhere that would be lost.
-    pub fn force(&mut self, now: Nanos, lost: &[SocketAddrV4]) -> Result<ViewNo, ForceError> {
+    pub fn force(&mut self, now: Nanos, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceError> {
         self.listen(now);
         let view = self.cur.base.view.clone();
-        if view.no == ViewNo(0) {
+        if view.number == ViewNumber(0) {
             return Err(ForceError::HoldsNothing);
         }
         if !self.well() {
@@ -45,7 +45,7 @@
         let mut survivors: Vec<Member> = Vec::new();
         let mut votes = 0;
         for seat in voters(&view) {
-            if same(view.no, seat, &self.facts.me) {
+            if same(view.number, seat, &self.facts.me) {
                 votes += !self.past.condemned as usize;
                 continue;
             }
@@ -68,15 +68,15 @@
             return Err(ForceError::MajorityHeard);
         }
         let mut newest = (self.cur.held, self.cur.no, self.cur.state.clone());
-        if let Some(Vouched { next, no, state, .. }) = &self.cur.vouched
-            && (next.view.no, *no) > (newest.0, newest.1)
+        if let Some(AcceptedView { next, no, state, .. }) = &self.cur.vouched
+            && (next.view.number, *no) > (newest.0, newest.1)
         {
-            newest = (next.view.no, *no, state.clone().unwrap_or_else(|| self.cur.state.clone()));
+            newest = (next.view.number, *no, state.clone().unwrap_or_else(|| self.cur.state.clone()));
         }
         let mine = (newest.0, newest.1, Reverse(self.me()));
         for peer in self.peers.values().filter(|peer| now - peer.heard <= limit) {
             let at = peer.told.who.addr;
-            if peer.told.view > view.no {
+            if peer.told.view > view.number {
                 return Err(ForceError::KnowsMore(at));
             }
             let survives = survivors.iter().any(|member| member.id == peer.told.who.id);
@@ -85,13 +85,13 @@
             }
         }
         let fork = self.draw() % (ERA / FORK);
-        let no = ViewNo((era(view.no) + 1).saturating_mul(ERA).saturating_add(fork * FORK));
+        let no = ViewNumber((era(view.number) + 1).saturating_mul(ERA).saturating_add(fork * FORK));
         if no.0 > MOST - ERA {
             return Err(ForceError::NoNumber);
         }
-        let order = OrderNo((newest.1.0 / ORDERS + 1).saturating_mul(ORDERS));
+        let order = Revision((newest.1.0 / ORDERS + 1).saturating_mul(ORDERS));
         let (no, order) = match self.plant {
-            Some(Plant::UnfencedForce) => (ViewNo(view.no.0 + 1), newest.1),
+            Some(Plant::UnfencedForce) => (ViewNumber(view.number.0 + 1), newest.1),
             _ => (no, order),
         };
         let mut floors = self.cur.base.floors.clone();
@@ -102,7 +102,7 @@
         let mut members = vec![self.facts.me.clone()];
         members.append(&mut survivors);
         self.cur.vouched = None;
-        self.move_to(Base { view: View { no, members, absent: Vec::new() }, floors });
+        self.move_to(Base { view: View { number: no, members, absent: Vec::new() }, floors });
         (self.cur.held, self.cur.no, self.cur.state) = (no, order, newest.2);
         self.settle();
         Ok(no)
@@ -110,14 +110,14 @@
 
     /// A view of a later era without this member has closed its disk out, if anything was ever vouched for from it.
     pub(crate) fn closed_out(&self, base: &Base) -> bool {
-        let was = self.cur.base.view.no;
-        let blank = self.cur.held == ViewNo(0) && self.cur.vouched.is_none() && !self.stopped();
-        let later = was > ViewNo(0) && era(base.view.no) > era(was);
+        let was = self.cur.base.view.number;
+        let blank = self.cur.held == ViewNumber(0) && self.cur.vouched.is_none() && !self.stopped();
+        let later = was > ViewNumber(0) && era(base.view.number) > era(was);
         later && !blank && voters(&base.view).all(|seat| seat.id != self.me())
     }
 
     /// A forced view is on one disk only, and nobody may hear of it before it is there.
     pub(crate) fn may_tell(&self) -> bool {
-        era(self.safe.0) == era(self.cur.base.view.no)
+        era(self.safe.0) == era(self.cur.base.view.number)
     }
 }
--- a/crates/fernknot-consensus/src/lib.rs
+++ b/crates/fernknot-consensus/src/lib.rs
@@ -11,4 +11,4 @@
 mod views;
 
 pub use types::*;
-pub use views::Views;
+pub use views::Consensus;
--- a/crates/fernknot-consensus/src/past.rs
+++ b/crates/fernknot-consensus/src/past.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 
 use crate::types::*;
-use crate::views::{MOST_MEMBERS, MOST_PEERS, Views, Writing, floor, same, voters};
+use crate::views::{Consensus, MOST_MEMBERS, MOST_PEERS, Writing, floor, same, voters};
 
 /// Words that wait for the end of the questions, at most; the oldest are dropped, their senders say them again.
 const MOST_DEFERRED: usize = 32;
@@ -32,7 +32,7 @@
 
 impl Past {
     /// An empty disk has no past, and is `proven`.
-    pub fn new(saved: &Saved, proven: bool) -> Past {
+    pub fn new(saved: &PersistentState, proven: bool) -> Past {
         Past {
             began: saved.mark(),
             safe: saved.mark(),
@@ -45,7 +45,7 @@
     }
 }
 
-impl Views {
+impl Consensus {
     // For others.
 
     /// Another's disk has come so far at least.
@@ -81,11 +81,11 @@
         let heard = self.past.marks.get(&id).copied().unwrap_or_default();
         let view = &self.cur.base.view;
         let inside = view.members.iter().any(|seat| seat.id == id);
-        let taken = self.commit.max(OrderNo(self.cur.no.0.saturating_sub(1)));
-        if view.no == ViewNo(0) || !inside || !self.holds() || taken <= floor(&self.cur.base) {
+        let taken = self.commit.max(Revision(self.cur.no.0.saturating_sub(1)));
+        if view.number == ViewNumber(0) || !inside || !self.holds() || taken <= floor(&self.cur.base) {
             return heard;
         }
-        heard.join(Mark { held: (view.no, taken), ..Mark::default() })
+        heard.join(Mark { held: (view.number, taken), ..Mark::default() })
     }
 
     /// Answers one who asks, before it is told anything that it might act on.
@@ -149,7 +149,7 @@
     /// while no view goes on, where all disks have lost something that they had called synced.
     pub(crate) fn give_up_copy(&mut self, told: &Pulse) {
         let live = told.echo.0 == self.life;
-        if self.past.condemned && live && told.force && told.view >= self.cur.base.view.no {
+        if self.past.condemned && live && told.force && told.view >= self.cur.base.view.number {
             self.renew();
         }
     }
@@ -163,7 +163,7 @@
         let view = &self.cur.base.view;
         let me = &self.facts.me;
         let recalled = |seat: &Member| {
-            same(view.no, seat, me) || self.past.recalls.values().any(|who| same(view.no, seat, who))
+            same(view.number, seat, me) || self.past.recalls.values().any(|who| same(view.number, seat, who))
         };
         let (spoke, silent): (Vec<&Member>, Vec<&Member>) = voters(view).partition(|seat| recalled(seat));
         let waits = silent.iter().any(|seat| !self.suspected(seat));
@@ -189,7 +189,7 @@
         facts.me.id = MemberId(self.draw().max(1));
         facts.bootstrap = false;
         let me = facts.me.id;
-        let mut next = Views::planted(self.draw(), facts, None, self.now, self.plant);
+        let mut next = Consensus::planted(self.draw(), facts, None, self.now, self.plant);
         next.addrs.append(&mut self.addrs);
         next.tickets = self.tickets;
         next.host_well = self.host_well;
@@ -200,14 +200,14 @@
             (*safe, *mark) = Default::default();
             words.clear();
         }
-        next.orders = std::mem::take(&mut self.orders);
+        next.actions = std::mem::take(&mut self.actions);
         for (proposal, _) in std::mem::take(&mut self.queue) {
-            next.orders.push_back(Order::Refused { proposal });
+            next.actions.push_back(Action::Refused { proposal });
         }
         if self.entered.is_some() {
-            next.orders.push_back(Order::Left);
+            next.actions.push_back(Action::Left);
         }
-        next.orders.push_back(Order::Renewed { was, me });
+        next.actions.push_back(Action::Renewed { was, me });
         next.pulse_soon = true;
         next.touch();
         *self = next;
--- a/crates/fernknot-consensus/src/standing.rs
+++ b/crates/fernknot-consensus/src/standing.rs
@@ -1,9 +1,9 @@
 //! How the view stands: who counts in it, who is left out and why, and how many more disks may be lost.
 
 use crate::types::*;
-use crate::views::{Peer, Views, is_member, same, voters};
+use crate::views::{Consensus, Peer, is_member, same, voters};
 
-impl Views {
+impl Consensus {
     /// How the view stands, as this member sees it; a loss is seen within `suspect_after`.
     pub fn standing(&self) -> Standing {
         let view = &self.cur.base.view;
@@ -15,14 +15,14 @@
         }
         for peer in self.peers.values() {
             let who = &peer.told.who;
-            if voters(view).all(|seat| !same(view.no, seat, who)) && self.fresh(peer) {
+            if voters(view).all(|seat| !same(view.number, seat, who)) && self.fresh(peer) {
                 let lack = Some(self.lack(peer).unwrap_or(Lack::CatchingUp));
                 seats.push(Seat { member: who.clone(), inside: false, votes: false, lack });
             }
         }
         let in_force = self.force && !self.stopped() && is_member(view, &self.facts.me);
         let losses_borne = if in_force { self.losses_borne() } else { 0 };
-        Standing { no: view.no, in_force, seats, losses_borne }
+        Standing { no: view.number, in_force, seats, losses_borne }
     }
 
     /// So many disks may go that one is left with all that was acknowledged, and a majority to go on with it.
@@ -41,8 +41,8 @@
 
     fn lack_of_voter(&self, member: &Member, inside: bool) -> Option<Lack> {
         let view = &self.cur.base.view;
-        if same(view.no, member, &self.facts.me) {
-            return match (self.past.proven, self.well(), self.holds() && self.safe.1 == view.no) {
+        if same(view.number, member, &self.facts.me) {
+            return match (self.past.proven, self.well(), self.holds() && self.safe.1 == view.number) {
                 (false, ..) if self.past.condemned => Some(Lack::OlderCopy),
                 (false, ..) => Some(Lack::Asks),
                 (_, false, _) => Some(Lack::DiskNotWell),
@@ -54,7 +54,7 @@
             return Some(Lack::Replaced);
         }
         let Some(peer) = self.peers.get(&member.id) else { return Some(Lack::Silent) };
-        let behind = !inside || peer.told.view != view.no || peer.told.held != view.no;
+        let behind = !inside || peer.told.view != view.number || peer.told.held != view.number;
         let behind = behind && !(inside && self.plant == Some(Plant::JoinerCounts));
         self.lack(peer).or_else(|| behind.then_some(Lack::CatchingUp))
     }
--- a/crates/fernknot-consensus/src/types.rs
+++ b/crates/fernknot-consensus/src/types.rs
@@ -19,9 +19,9 @@
     /// One life of a disk: drawn at random by the host when a disk is empty, and kept on it. Never 0.
     MemberId,
     /// The number of a view; 0 stands for the founders before there is any view.
-    ViewNo,
+    ViewNumber,
     /// The place of a state in the one order; 0 is the empty state that view 1 begins with.
-    OrderNo,
+    Revision,
     /// Names one request to write to disk.
     Ticket,
     /// Names one question whether what is known here still stands; given by the host, never twice in a life.
@@ -39,7 +39,7 @@
 /// Who stores every change. The first member is the sequencer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct View {
-    pub no: ViewNo,
+    pub number: ViewNumber,
     pub members: Vec<Member>,
     /// Dropped members that still vote on the next view, kept only while the members are fewer
     /// than two times the losses to be borne and one. They store no changes.
@@ -51,23 +51,23 @@
 pub struct Base {
     pub view: View,
     /// Oldest first. What an earlier view stored above the floor of its next was never taken.
-    pub floors: Vec<(ViewNo, OrderNo)>,
+    pub floors: Vec<(ViewNumber, Revision)>,
 }
 
 /// Number of an attempt to change a view: higher rounds win, ids part equal ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Ballot {
+pub struct ProposalNumber {
     pub round: u64,
     pub id: MemberId,
 }
 
 /// A next view that this member has accepted under a ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Vouched {
-    pub ballot: Ballot,
+pub struct AcceptedView {
+    pub ballot: ProposalNumber,
     pub next: Base,
     /// Order number that the next view begins with.
-    pub no: OrderNo,
+    pub no: Revision,
     /// Absent where it is the state that the member holds as its newest.
     pub state: Option<Arc<[u8]>>,
 }
@@ -77,11 +77,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Mark {
     /// What it promised, and in the change of which view.
-    pub promise: (ViewNo, Ballot),
+    pub promise: (ViewNumber, ProposalNumber),
     /// The ballot under which it accepted a next view, and in the change of which view.
-    pub vouched: (ViewNo, Ballot),
+    pub vouched: (ViewNumber, ProposalNumber),
     /// The newest state.
-    pub held: (ViewNo, OrderNo),
+    pub held: (ViewNumber, Revision),
 }
 
 impl Mark {
@@ -102,26 +102,26 @@
 
 /// All that a member keeps on disk. The host writes it whole and hands it back at the next start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Saved {
+pub struct PersistentState {
     pub me: MemberId,
     /// The last view known to be chosen.
     pub base: Base,
     /// Nothing below this ballot counts any more for the change of `base`; not 0: stopped.
-    pub promise: Ballot,
-    pub vouched: Option<Vouched>,
+    pub promise: ProposalNumber,
+    pub vouched: Option<AcceptedView>,
     /// The view that `no` and `state` belong to; below `base`, they only remember.
-    pub held: ViewNo,
-    pub no: OrderNo,
+    pub held: ViewNumber,
+    pub no: Revision,
     pub state: Arc<[u8]>,
     /// How far the disks of the voters had come when this was written, as far as they had said.
     pub marks: Vec<(MemberId, Mark)>,
 }
 
-impl Saved {
+impl PersistentState {
     /// What whoever has this on disk may have vouched for.
     pub fn mark(&self) -> Mark {
-        let view = self.base.view.no;
-        let vouched = self.vouched.as_ref().map_or(Ballot::default(), |vouched| vouched.ballot);
+        let view = self.base.view.number;
+        let vouched = self.vouched.as_ref().map_or(ProposalNumber::default(), |vouched| vouched.ballot);
         Mark { promise: (view, self.promise), vouched: (view, vouched), held: (self.held, self.no) }
     }
 }
@@ -131,16 +131,16 @@
 pub struct Pulse {
     pub who: Member,
     /// What is safely on disk: the view, the view of the newest state, its order number.
-    pub view: ViewNo,
-    pub held: ViewNo,
-    pub no: OrderNo,
+    pub view: ViewNumber,
+    pub held: ViewNumber,
+    pub no: Revision,
     /// What is safely promised and vouched for in the change of `view`.
-    pub promise: Ballot,
-    pub vouched: Ballot,
+    pub promise: ProposalNumber,
+    pub vouched: ProposalNumber,
     /// Started from a disk, and nobody has said enough yet of what came from it before.
     pub asks: bool,
     /// The newest order number known to be taken in `view`.
-    pub commit: OrderNo,
+    pub commit: Revision,
     pub force: bool,
     pub stopped: bool,
     pub well: bool,
@@ -173,76 +173,76 @@
     /// The newest state, to a member of the view that lacks it.
     Whole {
         base: Base,
-        no: OrderNo,
+        no: Revision,
         state: Arc<[u8]>,
     },
     /// The sequencer's next change.
     Change {
-        view: ViewNo,
-        no: OrderNo,
+        view: ViewNumber,
+        no: Revision,
         state: Arc<[u8]>,
     },
     /// `who` has the change on disk.
     Have {
         who: MemberId,
-        view: ViewNo,
-        no: OrderNo,
+        view: ViewNumber,
+        no: Revision,
     },
     /// All members have it on disk.
     Commit {
-        view: ViewNo,
-        no: OrderNo,
+        view: ViewNumber,
+        no: Revision,
     },
     /// Stop `base` under this ballot; `no` is the newest that the proposer holds.
     Stop {
-        ballot: Ballot,
+        ballot: ProposalNumber,
         base: Base,
-        no: Option<OrderNo>,
+        no: Option<Revision>,
     },
     /// Stopped. `holds` is the newest order number, `state` goes with it where the proposer lacks it.
     Stopped {
         who: Member,
-        ballot: Ballot,
-        base: ViewNo,
-        holds: Option<OrderNo>,
+        ballot: ProposalNumber,
+        base: ViewNumber,
+        holds: Option<Revision>,
         state: Option<Arc<[u8]>>,
-        vouched: Option<Vouched>,
+        vouched: Option<AcceptedView>,
     },
     /// A higher ballot has been promised.
     Outdone {
-        base: ViewNo,
-        promise: Ballot,
+        base: ViewNumber,
+        promise: ProposalNumber,
     },
     /// The next view, and what it begins with; no state where the receiver holds it.
     Install {
-        ballot: Ballot,
+        ballot: ProposalNumber,
         base: Base,
         next: Base,
-        no: OrderNo,
+        no: Revision,
         state: Option<Arc<[u8]>>,
     },
     /// On disk with the view's number.
     Installed {
         who: Member,
-        ballot: Ballot,
-        base: ViewNo,
+        ballot: ProposalNumber,
+        base: ViewNumber,
     },
     /// The next view is chosen; `force`: all its members have it on disk.
     Chosen {
-        ballot: Ballot,
-        base: ViewNo,
+        ballot: ProposalNumber,
+        base: ViewNumber,
         force: bool,
     },
     /// Does the hearer stand in this view, not stopped? `life` is that of the speaker's process.
     Confirm {
-        view: ViewNo,
+        view: ViewNumber,
         life: u64,
         round: u64,
     },
     /// `who` does, and said so after the round had begun.
     Confirmed {
         who: MemberId,
-        view: ViewNo,
+        view: ViewNumber,
         life: u64,
         round: u64,
     },
@@ -302,7 +302,7 @@
 /// How the view stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Standing {
-    pub no: ViewNo,
+    pub no: ViewNumber,
     /// Changes are taken in it.
     pub in_force: bool,
     pub seats: Vec<Seat>,
@@ -334,7 +334,7 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Order {
+pub enum Action {
     Say {
         to: SocketAddrV4,
         word: Word,
@@ -342,18 +342,18 @@
     /// Write and sync, then call `stored`. Only one is out at a time, except after a failure.
     Store {
         ticket: Ticket,
-        saved: Saved,
+        saved: PersistentState,
     },
     /// In force, in one order, on every member; also once after a start, when the view is in force.
     Deliver {
-        view: ViewNo,
-        no: OrderNo,
+        view: ViewNumber,
+        no: Revision,
         state: Arc<[u8]>,
     },
     /// On disk with every member of its view: nothing within the losses to be borne can undo it.
     Taken {
         proposal: u64,
-        no: OrderNo,
+        no: Revision,
     },
     /// Certainly not taken, now or later. A proposal that gets neither word is not known yet.
     Refused {
--- a/crates/fernknot-consensus/src/views.rs
+++ b/crates/fernknot-consensus/src/views.rs
@@ -34,8 +34,8 @@
     /// When the newest of my pulses left that it has answered to.
     pub echoed: Option<Nanos>,
     /// What it has on disk, in `told.held`; `Have` may be ahead of pulses.
-    pub held: ViewNo,
-    pub no: OrderNo,
+    pub held: ViewNumber,
+    pub no: Revision,
     /// Until then it is left out of the next view: it did not store in time.
     pub slow_until: Nanos,
     whole_at: Option<Nanos>,
@@ -45,7 +45,7 @@
 
 /// One registrar's part in the register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Views {
+pub struct Consensus {
     pub(crate) facts: ViewFacts,
     pub(crate) plant: Option<Plant>,
     chance: u64,
@@ -56,8 +56,8 @@
     listen_from: Nanos,
     pub(crate) past: Past,
     /// What is to be on disk, and what of it is.
-    pub(crate) cur: Saved,
-    pub(crate) safe: (ViewNo, ViewNo, OrderNo),
+    pub(crate) cur: PersistentState,
+    pub(crate) safe: (ViewNumber, ViewNumber, Revision),
     pub(crate) dirty: bool,
     pub(crate) writing: Option<Writing>,
     waiting: VecDeque<(SocketAddrV4, Word)>,
@@ -70,12 +70,12 @@
     pub(crate) force: bool,
     pub(crate) entered: Option<View>,
     /// In views up to this one, this life must not sequence: an earlier one may have.
-    barred: ViewNo,
-    pub(crate) commit: OrderNo,
-    delivered: Option<(OrderNo, Arc<[u8]>)>,
+    barred: ViewNumber,
+    pub(crate) commit: Revision,
+    delivered: Option<(Revision, Arc<[u8]>)>,
     flight: Option<Flight>,
     pub(crate) queue: VecDeque<(u64, Arc<[u8]>)>,
-    unclear: Vec<(u64, ViewNo, OrderNo)>,
+    unclear: Vec<(u64, ViewNumber, Revision)>,
     pub(crate) run: Option<Run>,
     pub(crate) seen_round: u64,
     pub(crate) backoff_until: Nanos,
@@ -88,7 +88,7 @@
     pub(crate) pulse_soon: bool,
     pub(crate) inquiries: Inquiries,
     inner: VecDeque<Word>,
-    pub(crate) orders: VecDeque<Order>,
+    pub(crate) actions: VecDeque<Action>,
     wake: Option<Nanos>,
 }
 
@@ -96,7 +96,7 @@
 pub(crate) struct Writing {
     ticket: Ticket,
     since: Nanos,
-    pub(crate) safe: (ViewNo, ViewNo, OrderNo),
+    pub(crate) safe: (ViewNumber, ViewNumber, Revision),
     pub(crate) mark: Mark,
     pub(crate) words: VecDeque<(SocketAddrV4, Word)>,
 }
@@ -105,40 +105,40 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Flight {
     proposal: u64,
-    no: OrderNo,
+    no: Revision,
     since: Nanos,
     resend_at: Nanos,
     pause: Nanos,
 }
 
-impl Views {
+impl Consensus {
     /// `seed` must differ from start to start. `saved` is what the host last wrote, or none where
     /// the disk is empty; what another life of the disk wrote is not trusted.
-    pub fn new(seed: u64, facts: ViewFacts, saved: Option<Saved>, now: Nanos) -> Views {
-        Views::planted(seed, facts, saved, now, None)
+    pub fn new(seed: u64, facts: ViewFacts, saved: Option<PersistentState>, now: Nanos) -> Consensus {
+        Consensus::planted(seed, facts, saved, now, None)
     }
 
     #[doc(hidden)]
     pub fn planted(
         seed: u64,
         facts: ViewFacts,
-        saved: Option<Saved>,
+        saved: Option<PersistentState>,
         now: Nanos,
         plant: Option<Plant>,
-    ) -> Views {
+    ) -> Consensus {
         let mut facts = facts;
         facts.pulse_every = facts.pulse_every.max(Nanos(1));
         facts.suspect_after = facts.suspect_after.max(Nanos(2));
         let me = facts.me.clone();
         let saved = saved.filter(|saved| saved.me == me.id);
         let fresh = saved.is_none();
-        let mut cur = saved.unwrap_or_else(|| Saved {
+        let mut cur = saved.unwrap_or_else(|| PersistentState {
             me: me.id,
             base: Base::default(),
-            promise: Ballot::default(),
+            promise: ProposalNumber::default(),
             vouched: None,
-            held: ViewNo(0),
-            no: OrderNo(0),
+            held: ViewNumber(0),
+            no: Revision(0),
             state: Arc::from([]),
             marks: Vec::new(),
         });
@@ -157,16 +157,16 @@
             addrs.extend(voters(&vouched.next.view).map(|member| member.addr));
         }
         addrs.remove(&me.addr);
-        let vouched_no = cur.vouched.as_ref().map_or(ViewNo(0), |vouched| vouched.next.view.no);
+        let vouched_no = cur.vouched.as_ref().map_or(ViewNumber(0), |vouched| vouched.next.view.number);
         let barred = match plant {
-            Some(Plant::SequenceAgain) => ViewNo(0),
-            _ => cur.base.view.no.max(vouched_no),
+            Some(Plant::SequenceAgain) => ViewNumber(0),
+            _ => cur.base.view.number.max(vouched_no),
         };
-        let safe = (cur.base.view.no, cur.held, cur.no);
+        let safe = (cur.base.view.number, cur.held, cur.no);
         let seen_round = cur.promise.round;
         let commit = floor(&cur.base);
         let past = Past::new(&cur, fresh || plant == Some(Plant::OldCopyVotes));
-        let mut views = Views {
+        let mut views = Consensus {
             facts,
             plant,
             chance: seed,
@@ -204,7 +204,7 @@
             pulse_soon: false,
             inquiries: Inquiries::default(),
             inner: VecDeque::new(),
-            orders: VecDeque::new(),
+            actions: VecDeque::new(),
             wake: None,
         };
         views.life = views.draw();
@@ -276,26 +276,26 @@
 
     /// The next state after `base`. Only the sequencer takes it; `base` must be the last number
     /// given out, proposals in hand counted.
-    pub fn propose(&mut self, now: Nanos, proposal: u64, base: OrderNo, state: Vec<u8>) {
+    pub fn propose(&mut self, now: Nanos, proposal: u64, base: Revision, state: Vec<u8>) {
         self.listen(now);
-        let last = OrderNo(self.cur.no.0.saturating_add(self.queue.len() as u64));
+        let last = Revision(self.cur.no.0.saturating_add(self.queue.len() as u64));
         if self.is_sequencer() && self.well() && base == last && self.queue.len() < MOST_PROPOSALS {
             self.queue.push_back((proposal, Arc::from(state)));
             self.start_change();
         } else {
-            self.orders.push_back(Order::Refused { proposal });
+            self.actions.push_back(Action::Refused { proposal });
         }
         self.settle();
     }
 
     /// What is to be done; none: nothing more until an input or the last `Wake`.
-    pub fn next(&mut self, now: Nanos) -> Option<Order> {
-        if self.orders.is_empty() {
+    pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
+        if self.actions.is_empty() {
             self.listen(now);
             self.tick();
             self.settle();
         }
-        if let Some(order) = self.orders.pop_front() {
+        if let Some(order) = self.actions.pop_front() {
             return Some(order);
         }
         let due = self.due();
@@ -303,7 +303,7 @@
             return None;
         }
         self.wake = Some(due);
-        Some(Order::Wake { after: due - now })
+        Some(Action::Wake { after: due - now })
     }
 
     /// The view that is in force, as far as this member knows, if it is in one.
@@ -331,7 +331,7 @@
         let vouching = voters(view).filter(|member| {
             member.id == self.facts.me.id
                 || self.peers.get(&member.id).is_some_and(|peer| {
-                    peer.told.view == view.no
+                    peer.told.view == view.number
                         && !peer.told.stopped
                         && !peer.told.asks
                         && peer.echoed.is_some_and(recent)
@@ -347,7 +347,7 @@
     }
 
     /// The newest state that was delivered, and its place in the order.
-    pub fn delivered(&self) -> Option<(OrderNo, &[u8])> {
+    pub fn delivered(&self) -> Option<(Revision, &[u8])> {
         self.delivered.as_ref().map(|(no, state)| (*no, &state[..]))
     }
 
@@ -358,18 +358,18 @@
     }
 
     pub(crate) fn stopped(&self) -> bool {
-        self.cur.promise != Ballot::default()
+        self.cur.promise != ProposalNumber::default()
     }
 
     /// First of the view, and nothing of an earlier life can be on its way.
     pub(crate) fn leads(&self) -> bool {
         let view = &self.cur.base.view;
-        view.no > self.barred && view.members.first().is_some_and(|member| member.id == self.me())
+        view.number > self.barred && view.members.first().is_some_and(|member| member.id == self.me())
     }
 
     /// Has the whole of what the view began with, and is to store what follows.
     pub(crate) fn holds(&self) -> bool {
-        self.cur.held == self.cur.base.view.no && is_member(&self.cur.base.view, &self.facts.me)
+        self.cur.held == self.cur.base.view.number && is_member(&self.cur.base.view, &self.facts.me)
     }
 
     pub(crate) fn well(&self) -> bool {
@@ -406,8 +406,8 @@
         now - self.listen_from > self.facts.suspect_after
     }
 
-    pub(crate) fn order(&mut self, order: Order) {
-        self.orders.push_back(order);
+    pub(crate) fn order(&mut self, order: Action) {
+        self.actions.push_back(order);
     }
 
     /// Listened for long enough, and not in touch.
@@ -453,7 +453,7 @@
         if to == self.facts.me.addr {
             self.inner.push_back(word);
         } else {
-            self.orders.push_back(Order::Say { to, word });
+            self.actions.push_back(Action::Say { to, word });
         }
     }
 
@@ -493,11 +493,11 @@
         self.writing = Some(Writing {
             ticket,
             since: self.now,
-            safe: (self.cur.base.view.no, self.cur.held, self.cur.no),
+            safe: (self.cur.base.view.number, self.cur.held, self.cur.no),
             mark: self.cur.mark(),
             words: std::mem::take(&mut self.waiting),
         });
-        self.orders.push_back(Order::Store { ticket, saved: self.cur.clone() });
+        self.actions.push_back(Action::Store { ticket, saved: self.cur.clone() });
     }
 
     // Time.
@@ -583,7 +583,8 @@
         // One who is alone asks everywhere: those it knew may all be gone.
         let in_touch = voters(view).filter(|member| !self.suspected(member)).count();
         // Those whom a forced view has closed out may be content with each other, and hear of it only so.
-        let closes_out = era(view.no) > 0 && view.members.first().is_some_and(|first| first.id == self.me());
+        let closes_out =
+            era(view.number) > 0 && view.members.first().is_some_and(|first| first.id == self.me());
         if closes_out
             || !self.force
             || in_touch <= voters(view).count() / 2
@@ -603,7 +604,7 @@
             vouched: self.past.safe.vouched.1,
             asks: !self.past.proven,
             commit: self.commit,
-            force: self.force && self.safe.0 == view.no,
+            force: self.force && self.safe.0 == view.number,
             stopped: self.stopped(),
             well: self.well() && !self.past.condemned,
             life: self.life,
@@ -627,7 +628,7 @@
             Word::Pulse(pulse) => self.hear_pulse(from, pulse),
             Word::Recall { who, of, life, mark } => self.hear_recall(who, of, life, mark),
             Word::Told { base } => {
-                if base.view.no > self.cur.base.view.no {
+                if base.view.number > self.cur.base.view.number {
                     self.move_to(base);
                     self.pulse_soon = true;
                 }
@@ -644,7 +645,7 @@
                 self.take();
             }
             Word::Commit { view, no } => {
-                if view == self.cur.base.view.no && self.holds() && !self.leads() {
+                if view == self.cur.base.view.number && self.holds() && !self.leads() {
                     self.commit = self.commit.max(no);
                     self.go_in_force();
                 }
@@ -709,7 +710,7 @@
         peer.asks_since = told.asks.then(|| peer.asks_since.unwrap_or(now));
         peer.told = told.clone();
         let is = self.peers.get(&id).is_some_and(|peer| self.fresh(peer));
-        self.pulse_soon |= is != was || away || told.view > self.cur.base.view.no;
+        self.pulse_soon |= is != was || away || told.view > self.cur.base.view.number;
         self.recall(from, &told);
         self.give_up_copy(&told);
         self.catch_up(from, &told);
@@ -722,7 +723,7 @@
     pub(crate) fn heed(&mut self, told: &Pulse) {
         let id = told.who.id;
         let view = &self.cur.base.view;
-        if told.view == view.no
+        if told.view == view.number
             && told.force
             && !self.force
             && self.holds()
@@ -734,7 +735,7 @@
                 self.commit = self.commit.max(told.commit);
                 self.go_in_force();
             }
-        } else if told.view == view.no && self.force && !self.leads() {
+        } else if told.view == view.number && self.force && !self.leads() {
             self.commit = self.commit.max(told.commit);
             self.deliver();
         }
@@ -743,17 +744,18 @@
     /// Gives one that is behind what it lacks: the state if it is in the view, else word of it.
     fn catch_up(&mut self, from: SocketAddrV4, told: &Pulse) {
         let view = &self.cur.base.view;
-        let behind = told.view < view.no;
-        if (!behind && (told.view > view.no || told.held >= view.no)) || !self.may_tell() {
+        let behind = told.view < view.number;
+        if (!behind && (told.view > view.number || told.held >= view.number)) || !self.may_tell() {
             return;
         }
-        let inside = view.no > ViewNo(0) && view.members.iter().any(|member| member.id == told.who.id);
+        let inside =
+            view.number > ViewNumber(0) && view.members.iter().any(|member| member.id == told.who.id);
         let first = view.members.first();
         let first_does = first.is_some_and(|first| {
             first.id != self.me()
                 && first.id != told.who.id
                 && self.peers.get(&first.id).is_some_and(|peer| {
-                    self.fresh(peer) && peer.told.view == view.no && peer.told.held == view.no
+                    self.fresh(peer) && peer.told.view == view.number && peer.told.held == view.number
                 })
         });
         if !inside || !self.holds() {
@@ -776,19 +778,19 @@
         }
     }
 
-    fn hear_whole(&mut self, base: Base, no: OrderNo, state: Arc<[u8]>) {
-        if base.view.no > self.cur.base.view.no {
+    fn hear_whole(&mut self, base: Base, no: Revision, state: Arc<[u8]>) {
+        if base.view.number > self.cur.base.view.number {
             self.move_to(base.clone());
         }
-        let newer = self.cur.held < base.view.no || self.cur.no < no;
+        let newer = self.cur.held < base.view.number || self.cur.no < no;
         let mine = base == self.cur.base && is_member(&base.view, &self.facts.me);
         if mine && newer && !self.stopped() && !(self.leads() && self.holds()) {
             // In the same view a later number means that all before it are taken.
             if self.holds() && self.cur.no < no {
-                self.commit = self.commit.max(OrderNo(no.0.saturating_sub(1)));
+                self.commit = self.commit.max(Revision(no.0.saturating_sub(1)));
                 self.deliver();
             }
-            (self.cur.held, self.cur.no, self.cur.state) = (base.view.no, no, state);
+            (self.cur.held, self.cur.no, self.cur.state) = (base.view.number, no, state);
             self.touch();
         }
     }
@@ -796,13 +798,13 @@
     /// Takes over a view that is known to be chosen. Its state comes along only if it is the one
     /// that this member vouched for; else the newest state only remembers until `Whole` comes.
     pub(crate) fn move_to(&mut self, base: Base) {
-        if base.view.no <= self.cur.base.view.no {
+        if base.view.number <= self.cur.base.view.number {
             return;
         }
         if self.closed_out(&base) && self.plant != Some(Plant::UnfencedForce) {
             return self.renew();
         }
-        if era(base.view.no) > era(self.cur.base.view.no) {
+        if era(base.view.number) > era(self.cur.base.view.number) {
             // An operator has vouched for this disk, whatever is missing on it.
             (self.past.proven, self.past.condemned) = (true, false);
         }
@@ -811,15 +813,15 @@
             if let Some(state) = vouched.state {
                 self.cur.state = state;
             }
-            (self.cur.held, self.cur.no) = (base.view.no, vouched.no);
+            (self.cur.held, self.cur.no) = (base.view.number, vouched.no);
         }
         for member in voters(&base.view) {
             if member.addr != self.facts.me.addr && self.addrs.len() < 2 * MOST_PEERS {
                 self.addrs.insert(member.addr);
             }
         }
-        let was = self.cur.base.view.no;
-        self.cur.promise = Ballot::default();
+        let was = self.cur.base.view.number;
+        self.cur.promise = ProposalNumber::default();
         self.seen_round = 0;
         self.commit = floor(&base);
         self.cur.base = base;
@@ -834,11 +836,11 @@
             self.unclear.push((flight.proposal, was, flight.no));
         }
         for (proposal, _) in std::mem::take(&mut self.queue) {
-            self.orders.push_back(Order::Refused { proposal });
+            self.actions.push_back(Action::Refused { proposal });
         }
         self.clear_up();
         if !is_member(&self.cur.base.view, &self.facts.me) && self.entered.take().is_some() {
-            self.orders.push_back(Order::Left);
+            self.actions.push_back(Action::Left);
         }
     }
 
@@ -848,19 +850,19 @@
         let base = self.cur.base.clone();
         let force = self.force;
         let guesses = self.plant == Some(Plant::FloorGuessed);
-        let orders = &mut self.orders;
+        let orders = &mut self.actions;
         self.unclear.retain(|(proposal, view, no)| {
-            let next = ViewNo(view.0.saturating_add(1));
+            let next = ViewNumber(view.0.saturating_add(1));
             let Some((_, floor)) = base.floors.iter().find(|(view, _)| *view == next) else {
                 if guesses {
-                    orders.push_back(Order::Refused { proposal: *proposal });
+                    orders.push_back(Action::Refused { proposal: *proposal });
                 }
                 return base.floors.first().is_some_and(|(oldest, _)| *oldest <= next);
             };
             if floor < no {
-                orders.push_back(Order::Refused { proposal: *proposal });
-            } else if force || base.view.no > next {
-                orders.push_back(Order::Taken { proposal: *proposal, no: *no });
+                orders.push_back(Action::Refused { proposal: *proposal });
+            } else if force || base.view.number > next {
+                orders.push_back(Action::Taken { proposal: *proposal, no: *no });
             } else {
                 return true; // chosen, but perhaps not yet on all disks
             }
@@ -869,7 +871,7 @@
     }
 
     pub(crate) fn go_in_force(&mut self) {
-        if !self.past.proven || !self.holds() || self.cur.base.view.no == ViewNo(0) {
+        if !self.past.proven || !self.holds() || self.cur.base.view.number == ViewNumber(0) {
             return;
         }
         if !self.force {
@@ -878,7 +880,7 @@
             self.reason = None;
             let view = self.cur.base.view.clone();
             if self.entered.as_ref() != Some(&view) {
-                self.orders.push_back(Order::Entered { view: view.clone() });
+                self.actions.push_back(Action::Entered { view: view.clone() });
                 self.entered = Some(view);
             }
             self.clear_up();
@@ -894,10 +896,10 @@
         }
         let all = view.members.iter().all(|member| {
             if member.id == self.me() {
-                return self.safe.0 == view.no && self.safe.1 == view.no;
+                return self.safe.0 == view.number && self.safe.1 == view.number;
             }
             self.peers.get(&member.id).is_some_and(|peer| {
-                peer.told.view == view.no && peer.told.held == view.no && !peer.told.stopped
+                peer.told.view == view.number && peer.told.held == view.number && !peer.told.stopped
             })
         });
         if all && view.members.len() > self.facts.losses {
@@ -910,7 +912,7 @@
         if self.force && self.holds() && self.commit >= self.cur.no && newer {
             let (no, state) = (self.cur.no, self.cur.state.clone());
             self.delivered = Some((no, state.clone()));
-            self.orders.push_back(Order::Deliver { view: self.cur.base.view.no, no, state });
+            self.actions.push_back(Action::Deliver { view: self.cur.base.view.number, no, state });
         }
     }
 
@@ -926,11 +928,11 @@
             return;
         }
         let Some((proposal, state)) = self.queue.pop_front() else { return };
-        self.cur.no = OrderNo(self.cur.no.0.saturating_add(1));
+        self.cur.no = Revision(self.cur.no.0.saturating_add(1));
         self.cur.state = state;
         self.touch();
         self.unsettled = self.now;
-        let (view, no) = (self.cur.base.view.no, self.cur.no);
+        let (view, no) = (self.cur.base.view.number, self.cur.no);
         let pause = self.facts.pulse_every;
         self.flight = Some(Flight { proposal, no, since: self.now, resend_at: self.now + pause, pause });
         for to in self.others() {
@@ -939,8 +941,8 @@
         self.take();
     }
 
-    fn has(&self, member: &Member, no: OrderNo) -> bool {
-        let view = self.cur.base.view.no;
+    fn has(&self, member: &Member, no: Revision) -> bool {
+        let view = self.cur.base.view.number;
         if member.id == self.me() {
             return self.safe.1 == view && self.safe.2 >= no;
         }
@@ -957,10 +959,10 @@
         {
             return;
         }
-        let view = view.no;
+        let view = view.number;
         self.flight = None;
         self.commit = no;
-        self.orders.push_back(Order::Taken { proposal, no });
+        self.actions.push_back(Action::Taken { proposal, no });
         for to in self.others() {
             self.say(to, Word::Commit { view, no });
         }
@@ -976,7 +978,7 @@
             return;
         }
         let members: Vec<Member> = self.cur.base.view.members.clone();
-        let view = self.cur.base.view.no;
+        let view = self.cur.base.view.number;
         for member in &members {
             if member.id == self.me() || self.has(member, no) {
                 continue;
@@ -993,12 +995,12 @@
         }
     }
 
-    fn hear_change(&mut self, from: SocketAddrV4, view: ViewNo, no: OrderNo, state: Arc<[u8]>) {
-        if view != self.cur.base.view.no || !self.holds() || self.leads() {
-            self.pulse_soon |= view > self.cur.base.view.no;
+    fn hear_change(&mut self, from: SocketAddrV4, view: ViewNumber, no: Revision, state: Arc<[u8]>) {
+        if view != self.cur.base.view.number || !self.holds() || self.leads() {
+            self.pulse_soon |= view > self.cur.base.view.number;
             return;
         }
-        let next = OrderNo(self.cur.no.0.saturating_add(1));
+        let next = Revision(self.cur.no.0.saturating_add(1));
         if no == next && !self.stopped() {
             // The sequencer goes on only when the last change is on all disks, and in force.
             self.commit = self.commit.max(self.cur.no);
@@ -1020,17 +1022,17 @@
 }
 
 /// Before view 1 members are known by address, later only by the life of their disk.
-pub(crate) fn same(view: ViewNo, seat: &Member, who: &Member) -> bool {
-    if view == ViewNo(0) { seat.addr == who.addr } else { seat.id == who.id }
+pub(crate) fn same(view: ViewNumber, seat: &Member, who: &Member) -> bool {
+    if view == ViewNumber(0) { seat.addr == who.addr } else { seat.id == who.id }
 }
 
 pub(crate) fn is_member(view: &View, who: &Member) -> bool {
-    view.members.iter().any(|seat| same(view.no, seat, who))
+    view.members.iter().any(|seat| same(view.number, seat, who))
 }
 
 /// Where the view began.
-pub(crate) fn floor(base: &Base) -> OrderNo {
-    base.floors.last().map_or(OrderNo(0), |(_, no)| *no)
+pub(crate) fn floor(base: &Base) -> Revision {
+    base.floors.last().map_or(Revision(0), |(_, no)| *no)
 }
 
 fn sound_member(member: &Member) -> bool {
--- a/crates/fernknot-consensus/tests/common/mod.rs
+++ b/crates/fernknot-consensus/tests/common/mod.rs
@@ -52,25 +52,25 @@
 pub struct Machine {
     pub addr: SocketAddrV4,
     pub id: MemberId,
-    pub saved: Option<Saved>,
+    pub saved: Option<PersistentState>,
     /// All that was ever whole on the disk of this life.
-    pub copies: Vec<Saved>,
+    pub copies: Vec<PersistentState>,
     /// Lives that gave themselves up.
     pub renewed: Vec<MemberId>,
     pub disk: Disk,
-    pub views: Option<Views>,
+    pub views: Option<Consensus>,
     pub life: u64,
     pub frozen: bool,
     /// Taken away with its disk.
     pub gone: bool,
-    held_writes: Vec<(Ticket, Saved)>,
+    held_writes: Vec<(Ticket, PersistentState)>,
     told_full: bool,
 }
 
 #[derive(Debug)]
 enum Event {
     Word { from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8> },
-    Stored { at: usize, life: u64, ticket: Ticket, saved: Box<Saved> },
+    Stored { at: usize, life: u64, ticket: Ticket, saved: Box<PersistentState> },
     Wake { at: usize, life: u64 },
 }
 
@@ -91,13 +91,13 @@
     serial: u64,
     ids: u64,
     pub proposals: BTreeMap<u64, Vec<u8>>,
-    pub taken: BTreeMap<u64, OrderNo>,
+    pub taken: BTreeMap<u64, Revision>,
     pub refused: BTreeSet<u64>,
     /// What was delivered at each order number, anywhere.
     pub states: BTreeMap<u64, Arc<[u8]>>,
     pub views: BTreeMap<u64, View>,
     /// Inquiries in hand: by whom, and the newest that was acknowledged anywhere when they were made.
-    asked: BTreeMap<u64, (usize, OrderNo)>,
+    asked: BTreeMap<u64, (usize, Revision)>,
     inquiries: u64,
     pub confirmed: u64,
     pub words: u64,
@@ -185,13 +185,13 @@
         };
         // What lies on disk goes through bytes, as with a real host.
         let saved = machine.saved.as_ref().map(|saved| bitcode::decode(&bitcode::encode(saved)).unwrap());
-        machine.views = Some(Views::planted(seed, facts, saved, Nanos(self.now), self.plant));
+        machine.views = Some(Consensus::planted(seed, facts, saved, Nanos(self.now), self.plant));
         self.serve(at);
     }
 
     /// The process dies; a write under way may be on disk or not.
     pub fn kill(&mut self, at: usize) {
-        let mut under_way: Vec<Saved> = self
+        let mut under_way: Vec<PersistentState> = self
             .events
             .values()
             .filter_map(|event| match event {
@@ -217,7 +217,7 @@
         }
     }
 
-    fn keep(&mut self, at: usize, saved: Saved) {
+    fn keep(&mut self, at: usize, saved: PersistentState) {
         let machine = &mut self.machines[at];
         machine.copies.retain(|copy| copy.me == saved.me);
         machine.copies.push(saved.clone());
@@ -300,13 +300,14 @@
             }
             let before =
                 self.machines[at].views.as_ref().and_then(|views| views.delivered()).map(|(no, _)| no);
-            let Some(order) = self.machines[at].views.as_mut().and_then(|views| views.next(now)) else {
+            let Some(order) = self.machines[at].views.as_mut().and_then(|views| views.poll_action(now))
+            else {
                 return;
             };
             let life = self.machines[at].life;
             assert!(orders < 5_000, "no end of orders at machine {at}: {order:?}");
             match order {
-                Order::Say { to, word } => {
+                Action::Say { to, word } => {
                     self.words += 1;
                     let from = self.machines[at].addr;
                     let bytes = bitcode::encode(&word);
@@ -323,7 +324,7 @@
                         self.push(after, Event::Word { from, to, bytes: bytes.clone() });
                     }
                 }
-                Order::Store { ticket, saved } => {
+                Action::Store { ticket, saved } => {
                     self.syncs += 1;
                     match self.machines[at].disk {
                         Disk::Well | Disk::Slow => {
@@ -340,7 +341,7 @@
                         }
                     }
                 }
-                Order::Deliver { view, no, state } => {
+                Action::Deliver { view, no, state } => {
                     if before.is_some_and(|before| before > no) {
                         self.break_rule(format!("machine {at} went back from {before:?} to {no:?}"));
                     }
@@ -368,7 +369,7 @@
                         }
                     }
                 }
-                Order::Taken { proposal, no } => {
+                Action::Taken { proposal, no } => {
                     self.taken.insert(proposal, no);
                     let of: Arc<[u8]> = self.proposals[&proposal].clone().into();
                     let known = self.states.entry(no.0).or_insert_with(|| of.clone());
@@ -379,20 +380,20 @@
                         self.break_rule(format!("{proposal} was refused and taken"));
                     }
                 }
-                Order::Refused { proposal } => {
+                Action::Refused { proposal } => {
                     self.refused.insert(proposal);
                     if self.taken.contains_key(&proposal) {
                         self.break_rule(format!("{proposal} was taken and refused"));
                     }
                 }
-                Order::Entered { view } => {
-                    let known = self.views.entry(view.no.0).or_insert_with(|| view.clone());
+                Action::Entered { view } => {
+                    let known = self.views.entry(view.number.0).or_insert_with(|| view.clone());
                     if *known != view {
-                        let what = format!("two views {:?}", view.no);
+                        let what = format!("two views {:?}", view.number);
                         self.break_rule(what);
                     }
                 }
-                Order::Confirmed { inquiry } => {
+                Action::Confirmed { inquiry } => {
                     let Some((by, newest)) = self.asked.remove(&inquiry.0) else {
                         self.break_rule(format!("{inquiry:?} was confirmed and not asked, or twice"));
                         continue;
@@ -406,12 +407,12 @@
                         ));
                     }
                 }
-                Order::Left => {}
-                Order::Renewed { was, me } => {
+                Action::Left => {}
+                Action::Renewed { was, me } => {
                     self.machines[at].id = me;
                     self.machines[at].renewed.push(was);
                 }
-                Order::Wake { after } => self.push(after.0 + 1000, Event::Wake { at, life }),
+                Action::Wake { after } => self.push(after.0 + 1000, Event::Wake { at, life }),
             }
         }
     }
@@ -493,7 +494,7 @@
     pub fn sequencer(&self) -> Option<usize> {
         let leads = |machine: &Machine| machine.views.as_ref().is_some_and(|views| views.is_sequencer());
         let newest =
-            |at: &usize| self.machines[*at].views.as_ref().and_then(|v| v.view()).map(|view| view.no);
+            |at: &usize| self.machines[*at].views.as_ref().and_then(|v| v.view()).map(|view| view.number);
         (0..self.machines.len()).filter(|at| leads(&self.machines[*at])).max_by_key(newest)
     }
 
@@ -565,7 +566,7 @@
     pub fn agree(&self) -> bool {
         let mut seen = BTreeSet::new();
         for views in self.machines.iter().filter_map(|machine| machine.views.as_ref()) {
-            seen.insert((views.view().map(|view| view.no), views.delivered().map(|(no, _)| no)));
+            seen.insert((views.view().map(|view| view.number), views.delivered().map(|(no, _)| no)));
         }
         seen.len() == 1 && seen.iter().all(|(view, no)| view.is_some() && no.is_some())
     }
--- a/crates/fernknot-consensus/tests/forced.rs
+++ b/crates/fernknot-consensus/tests/forced.rs
@@ -7,7 +7,7 @@
 use assert_matches::assert_matches;
 use common::*;
 use fernknot::interface::Nanos;
-use fernknot_consensus::{ForceError, Plant, ViewNo};
+use fernknot_consensus::{ForceError, Plant, ViewNumber};
 
 fn founded(seed: u64, count: u8, losses: usize, plant: Option<Plant>) -> Fleet {
     let mut fleet = Fleet::new(seed, count, count.min(3), losses, plant);
@@ -17,7 +17,7 @@
     fleet
 }
 
-fn force(fleet: &mut Fleet, at: usize, lost: &[usize]) -> Result<ViewNo, ForceError> {
+fn force(fleet: &mut Fleet, at: usize, lost: &[usize]) -> Result<ViewNumber, ForceError> {
     let lost: Vec<SocketAddrV4> = lost.iter().map(|at| fleet.machines[*at].addr).collect();
     let now = Nanos(fleet.now);
     let end = fleet.machines[at].views.as_mut().unwrap().force(now, &lost);
--- a/crates/fernknot-consensus/tests/model.rs
+++ b/crates/fernknot-consensus/tests/model.rs
@@ -21,12 +21,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    views: Views,
+    views: Consensus,
     id: MemberId,
-    saved: Option<Saved>,
+    saved: Option<PersistentState>,
     /// What was on the disk before the last write.
-    older: Option<Saved>,
-    writing: Option<(Ticket, Saved)>,
+    older: Option<PersistentState>,
+    writing: Option<(Ticket, PersistentState)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -74,7 +74,14 @@
 }
 
 impl Registrars {
-    fn start(&self, world: &World, at: usize, id: MemberId, saved: Option<Saved>, first: bool) -> Views {
+    fn start(
+        &self,
+        world: &World,
+        at: usize,
+        id: MemberId,
+        saved: Option<PersistentState>,
+        first: bool,
+    ) -> Consensus {
         let facts = ViewFacts {
             me: Member { id, addr: addr(at), zone: String::new() },
             founders: (0..COUNT).map(addr).collect(),
@@ -84,14 +91,14 @@
             pulse_every: Nanos(PULSE),
             lease: Nanos(SUSPECT),
         };
-        Views::planted(world.now + id.0, facts, saved, Nanos(world.now), self.plant)
+        Consensus::planted(world.now + id.0, facts, saved, Nanos(world.now), self.plant)
     }
 
     fn serve(&self, world: &mut World, at: usize) {
         let now = Nanos(world.now);
-        while let Some(order) = world.nodes[at].views.next(now) {
+        while let Some(order) = world.nodes[at].views.poll_action(now) {
             match order {
-                Order::Say { to, word } => {
+                Action::Say { to, word } => {
                     let Some(to) = (0..COUNT).find(|other| addr(*other) == to) else { continue };
                     let cut = world.cut.is_some_and(|cut| cut == at || cut == to);
                     if !matches!(word, Word::Pulse(_)) {
@@ -100,25 +107,27 @@
                         world.nodes[to].views.heard(now, addr(at), word);
                     }
                 }
-                Order::Store { ticket, saved } => world.nodes[at].writing = Some((ticket, saved)),
-                Order::Deliver { no, state, .. } => self.state(world, no.0, state),
-                Order::Taken { proposal, no } => {
+                Action::Store { ticket, saved } => world.nodes[at].writing = Some((ticket, saved)),
+                Action::Deliver { no, state, .. } => self.state(world, no.0, state),
+                Action::Taken { proposal, no } => {
                     world.acknowledged = world.acknowledged.max(no.0);
                     if self.disks_with(world, no) < 2 {
                         world.broken = Some("acknowledged on fewer disks than may be lost and one");
                     }
                     self.state(world, no.0, Arc::from(proposal.to_be_bytes()));
                 }
-                Order::Entered { view } if !self.on_disk(world, &view) => {
+                Action::Entered { view } if !self.on_disk(world, &view) => {
                     world.broken = Some("a view in force before it is on its members' disks");
                 }
-                Order::Entered { view } => match world.views.iter().find(|known| known.no == view.no) {
-                    Some(known) if *known != view => world.broken = Some("two views of one number"),
-                    Some(_) => {}
-                    None => world.views.push(view),
-                },
-                Order::Renewed { me, .. } => world.nodes[at].id = me,
-                Order::Confirmed { inquiry } => {
+                Action::Entered { view } => {
+                    match world.views.iter().find(|known| known.number == view.number) {
+                        Some(known) if *known != view => world.broken = Some("two views of one number"),
+                        Some(_) => {}
+                        None => world.views.push(view),
+                    }
+                }
+                Action::Renewed { me, .. } => world.nodes[at].id = me,
+                Action::Confirmed { inquiry } => {
                     let found = world.asked.iter().position(|(asked, ..)| *asked == inquiry);
                     let has = world.nodes[at].views.delivered().map(|(no, _)| no.0);
                     match found.map(|found| world.asked.remove(found)) {
@@ -126,27 +135,29 @@
                         _ => world.broken = Some("an inquiry confirmed that may not be"),
                     }
                 }
-                Order::Refused { .. } | Order::Left | Order::Wake { .. } => {}
+                Action::Refused { .. } | Action::Left | Action::Wake { .. } => {}
             }
         }
         let views = &world.nodes[at].views;
-        let newest = world.views.iter().map(|view| view.no).max();
-        let leads = views.is_sequencer() && views.view().map(|view| view.no) == newest;
+        let newest = world.views.iter().map(|view| view.number).max();
+        let leads = views.is_sequencer() && views.view().map(|view| view.number) == newest;
         if leads && views.delivered().is_some_and(|(no, _)| no.0 < world.acknowledged) {
             world.broken = Some("an acknowledged state is not in the newest view");
         }
     }
 
-    fn disks_with(&self, world: &World, no: OrderNo) -> usize {
-        let has = |saved: &Saved| saved.no >= no || saved.vouched.as_ref().is_some_and(|next| next.no >= no);
+    fn disks_with(&self, world: &World, no: Revision) -> usize {
+        let has = |saved: &PersistentState| {
+            saved.no >= no || saved.vouched.as_ref().is_some_and(|next| next.no >= no)
+        };
         world.nodes.iter().filter(|node| node.saved.as_ref().is_some_and(has)).count()
     }
 
     /// Members whose disk was emptied since don't count.
     fn on_disk(&self, world: &World, view: &View) -> bool {
-        let has = |saved: &Saved| {
-            let vouched = saved.vouched.as_ref().map(|vouched| vouched.next.view.no);
-            saved.base.view.no >= view.no || vouched >= Some(view.no)
+        let has = |saved: &PersistentState| {
+            let vouched = saved.vouched.as_ref().map(|vouched| vouched.next.view.number);
+            saved.base.view.number >= view.number || vouched >= Some(view.number)
         };
         let inside = |node: &&Node| view.members.iter().any(|member| member.id == node.id);
         world.nodes.iter().filter(inside).all(|node| node.saved.as_ref().is_some_and(has))
--- a/crates/fernknot-consensus/tests/schedules.rs
+++ b/crates/fernknot-consensus/tests/schedules.rs
@@ -101,7 +101,7 @@
 fn chosen_and_gone(fleet: &mut Fleet) {
     fleet.cut_off(2);
     let number = |fleet: &Fleet, at: usize| {
-        fleet.machines[at].views.as_ref().and_then(|views| views.view()).map(|view| view.no)
+        fleet.machines[at].views.as_ref().and_then(|views| views.view()).map(|view| view.number)
     };
     for _ in 0..20_000 {
         fleet.play(MS / 10);
@@ -137,7 +137,8 @@
     let halves = [(0, 2), (0, 3), (1, 2), (1, 3)];
     cut(fleet, &halves);
     cut(fleet, &[(0, 4), (1, 4), (2, 4)]);
-    let view = |fleet: &Fleet| fleet.machines[3].views.as_ref().and_then(|v| v.view()).map(|view| view.no);
+    let view =
+        |fleet: &Fleet| fleet.machines[3].views.as_ref().and_then(|v| v.view()).map(|view| view.number);
     let before = view(fleet);
     for _ in 0..40_000 {
         fleet.play(MS / 10);
@@ -166,7 +167,8 @@
         fleet.play(PULSE);
     }
     fleet.cuts.clear();
-    let view = |fleet: &Fleet| fleet.machines[0].views.as_ref().and_then(|v| v.view()).map(|view| view.no);
+    let view =
+        |fleet: &Fleet| fleet.machines[0].views.as_ref().and_then(|v| v.view()).map(|view| view.number);
     let before = view(fleet);
     for _ in 0..40_000 {
         fleet.play(MS / 10);
--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::ground::Ground;
 use fernknot_http_api::{Asked, Body, Call, Reply};
-use fernknot_schema::{Beat, Fault, Plan, digest};
+use fernknot_schema::{Beat, Fault, RoutingConfig, digest};
 use std::sync::Arc;
 
 /// Longest name of a node's life, in bytes.
@@ -120,7 +120,7 @@
     fn read(asked: Asked<'_>) -> Result<Replace, Reply> {
         let base = asked.request.header("Base-Epoch").map(str::trim);
         let base = base.and_then(|base| base.parse().ok());
-        let plan = Plan::read(&asked.request.body);
+        let plan = RoutingConfig::read(&asked.request.body);
         match (plan, base) {
             (Ok(plan), Some(base)) => {
                 let body = asked.request.body.clone();
--- a/crates/fernknot-controller/src/control.rs
+++ b/crates/fernknot-controller/src/control.rs
@@ -1,7 +1,7 @@
 //! The control state: what the registrars agree on.
 
 use bitcode::{Decode, Encode};
-use fernknot_schema::Plan;
+use fernknot_schema::RoutingConfig;
 use std::sync::Arc;
 use thiserror::Error;
 
@@ -86,7 +86,7 @@
     /// The body again, to be handed out without a copy each.
     pub body: Arc<[u8]>,
     /// None before the first configuration.
-    pub plan: Option<Plan>,
+    pub plan: Option<RoutingConfig>,
 }
 
 impl InForce {
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -1,6 +1,6 @@
 //! The disk, seen from the loop: read once at the start and written by a thread of its own.
 
-use fernknot_consensus::{Saved, Ticket};
+use fernknot_consensus::{PersistentState, Ticket};
 use fernknot_storage::{Cistern, Space, StoreError};
 use fernknot_telemetry::part;
 use mio::Waker;
@@ -22,7 +22,7 @@
 
 /// What lay on the disk at the start.
 pub struct Found {
-    pub saved: Option<Saved>,
+    pub saved: Option<PersistentState>,
     pub known: Vec<SocketAddrV4>,
     /// Nothing of the register was there.
     pub fresh: bool,
@@ -48,7 +48,7 @@
     let known = cistern.load(KNOWN)?.and_then(|bytes| bitcode::decode(&bytes).ok());
     let fresh = bytes.is_none();
     // What another build wrote says nothing here, and its member's life ends: it joins as a new one.
-    let saved = bytes.and_then(|bytes| match bitcode::decode::<Saved>(&bytes) {
+    let saved = bytes.and_then(|bytes| match bitcode::decode::<PersistentState>(&bytes) {
         Ok(saved) => Some(saved),
         Err(why) => {
             log::error!(target: part::DISK, "read the register: {why}");
@@ -113,7 +113,7 @@
     }
 
     /// Begins a write of the register. False where it can't even wait.
-    pub fn store(&mut self, ticket: Ticket, saved: &Saved) -> bool {
+    pub fn store(&mut self, ticket: Ticket, saved: &PersistentState) -> bool {
         match &mut self.state {
             State::Opening(_) => false,
             State::Open(cistern) => cistern.submit(ticket.0, VIEWS, bitcode::encode(saved)).is_ok(),
--- a/crates/fernknot-controller/src/ground.rs
+++ b/crates/fernknot-controller/src/ground.rs
@@ -4,7 +4,7 @@
 //! of the body itself, a plain beat.
 
 use crate::control::Control;
-use fernknot_consensus::Order as ViewOrder;
+use fernknot_consensus::Action as ViewOrder;
 
 /// The reason why an answer holds beyond this registrar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/fernknot-controller/src/registrar.rs
+++ b/crates/fernknot-controller/src/registrar.rs
@@ -10,14 +10,14 @@
 use crate::peers::{Do, Peers};
 use fernknot::interface::Nanos;
 use fernknot_consensus::{
-    Inquiry, Member, MemberId, Order as ViewOrder, OrderNo, Plant as ViewsPlant, Saved, Ticket, ViewFacts,
-    Views,
+    Action as ViewOrder, Consensus, Inquiry, Member, MemberId, PersistentState, Plant as ViewsPlant,
+    Revision, Ticket, ViewFacts,
 };
 use fernknot_http_api::{Desk, Reply, Request, Serve, Served};
 use fernknot_ownership::{Cut, Fence, Keeper, KeeperBounds};
 use fernknot_registry::{NodeFact, NodeState, Noted, Registry, RegistryBounds, life_hash};
 use fernknot_rpc::{Inward, Outward, PeerWord, Question, Registrar as Told};
-use fernknot_schema::{NodeState as Beats, Plan, digest};
+use fernknot_schema::{NodeState as Beats, RoutingConfig, digest};
 use fernknot_telemetry::{Counters, part};
 use log::Level;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -131,7 +131,7 @@
     /// Write and sync, then call `stored`.
     Store {
         ticket: Ticket,
-        saved: Saved,
+        saved: PersistentState,
     },
     /// Keep these addresses on disk, in the place of those before.
     Remember {
@@ -180,7 +180,7 @@
     desk: Option<Desk<Registrar, Slot>>,
     now: Nanos,
     /// None until the disk has been read.
-    views: Option<Views>,
+    views: Option<Consensus>,
     views_due: Nanos,
     /// When they last asked to be pulled without news.
     views_wake: Nanos,
@@ -266,7 +266,13 @@
 
     /// The disk has been read: what the register kept there, if anything, and the registrars once known. `fresh`
     /// says that the disk was empty; an unreadable one is not.
-    pub fn disk_read(&mut self, now: Nanos, saved: Option<Saved>, known: &[SocketAddrV4], fresh: bool) {
+    pub fn disk_read(
+        &mut self,
+        now: Nanos,
+        saved: Option<PersistentState>,
+        known: &[SocketAddrV4],
+        fresh: bool,
+    ) {
         self.tick(now);
         let id = saved.as_ref().map_or(MemberId(self.facts.seed.max(1)), |saved| saved.me);
         let facts = self.facts.views(id, self.facts.bootstrap && fresh);
@@ -274,7 +280,7 @@
             Some(Plant::Views(plant)) => Some(plant),
             _ => None,
         };
-        let mut views = Views::planted(self.facts.seed.rotate_left(17), facts, saved, now, plant);
+        let mut views = Consensus::planted(self.facts.seed.rotate_left(17), facts, saved, now, plant);
         for addr in known {
             self.peers.know(now, *addr);
             views.know(now, *addr);
@@ -506,7 +512,7 @@
 
     /// True once nothing here is waited for by others.
     pub fn may_end(&self) -> bool {
-        let alone = self.views.as_ref().and_then(Views::view).is_none_or(|view| view.members.len() < 2);
+        let alone = self.views.as_ref().and_then(Consensus::view).is_none_or(|view| view.members.len() < 2);
         let out = self.views.as_ref().is_none_or(|views| {
             !views.is_sequencer() && views.sequencer().is_none_or(|first| first.addr != self.facts.addr)
         });
@@ -593,7 +599,7 @@
 
     fn drain_views(&mut self) {
         let now = self.now;
-        while let Some(order) = self.views.as_mut().and_then(|views| views.next(now)) {
+        while let Some(order) = self.views.as_mut().and_then(|views| views.poll_action(now)) {
             match order {
                 ViewOrder::Say { to, word } => {
                     self.learn(to);
@@ -621,7 +627,7 @@
                 ViewOrder::Entered { view } => {
                     let names: Vec<String> =
                         view.members.iter().map(|member| member.addr.ip().to_string()).collect();
-                    let text = format!("view {} with {} is in force", view.no.0, names.join(", "));
+                    let text = format!("view {} with {} is in force", view.number.0, names.join(", "));
                     self.note(Level::Info, part::VIEWS, text);
                     self.changes.unpropose(now, None);
                     view.members.iter().for_each(|member| self.learn(member.addr));
@@ -657,14 +663,14 @@
         }
     }
 
-    fn delivered(&mut self, no: OrderNo, state: &[u8]) {
+    fn delivered(&mut self, no: Revision, state: &[u8]) {
         let control = match Control::read(state) {
             Ok(control) => control,
             Err(why) => return self.note(Level::Error, part::PLAN, why.to_string()),
         };
         let plan = match control.body.is_empty() {
             true => None,
-            false => match Plan::read(&control.body) {
+            false => match RoutingConfig::read(&control.body) {
                 Ok(plan) => Some(plan),
                 Err(faults) => {
                     let why = faults.first().map(ToString::to_string).unwrap_or_default();
@@ -820,7 +826,7 @@
     /// that no sum of the transport finds, and only what is sound may go into the order.
     fn handed(&mut self, from: SocketAddrV4, call: CallId, base: u64, body: Vec<u8>) {
         let origin = Origin::Peer(from, call);
-        let epoch = match Plan::read(&body) {
+        let epoch = match RoutingConfig::read(&body) {
             Ok(plan) => plan.epoch,
             Err(_) => return self.end(origin, Replaced::Unclear("garbled on its way to the sequencer")),
         };
@@ -898,7 +904,7 @@
                 _ => control.with(taken, body),
             };
             let state = state.write();
-            let order = OrderNo(self.in_force.order);
+            let order = Revision(self.in_force.order);
             if let Some(views) = &mut self.views {
                 views.propose(now, call, order, state);
             }
@@ -1048,7 +1054,7 @@
         let Some(views) = &self.views else { return };
         // Who is cut off from the majority must not cut: its fence would be refused, its count be wrong.
         let leads = views.is_sequencer() && views.holds_lease(self.now);
-        let view = views.view().map_or(0, |view| view.no.0 as u32);
+        let view = views.view().map_or(0, |view| view.number.0 as u32);
         if let Some(cut) = self.keeper.recut(self.now, view, leads) {
             self.say_all(|| PeerWord::Cut(cut.clone()));
             self.new_cut(cut);
@@ -1073,7 +1079,7 @@
 
     fn pulse_word(&mut self) -> Outward {
         let mut registrars = vec![Told { addr: self.facts.addr, zone: self.facts.zone.clone() }];
-        let view = self.views.as_ref().and_then(Views::view);
+        let view = self.views.as_ref().and_then(Consensus::view);
         let members = view.into_iter().flat_map(|view| &view.members);
         let named = members.map(|member| (member.addr, member.zone.clone()));
         let up = self.peers.up();
@@ -1117,7 +1123,7 @@
     }
 
     fn levels(&mut self) {
-        let view = self.views.as_ref().and_then(Views::view).map_or(0, |view| view.no.0);
+        let view = self.views.as_ref().and_then(Consensus::view).map_or(0, |view| view.number.0);
         let borne = self.views.as_ref().map_or(0, |views| views.standing().losses_borne);
         let levels = [
             ("view", view),
@@ -1148,7 +1154,7 @@
                 }
             }
             Question::Views => {
-                let standing = self.views.as_ref().map(Views::standing);
+                let standing = self.views.as_ref().map(Consensus::standing);
                 let heard = self.holds_lease();
                 out = crate::standing::told(standing.as_ref(), self.in_force.order, self.facts.losses, heard);
             }
--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // each test file uses its own part
 
 use fernknot::interface::Nanos;
-use fernknot_consensus::{Saved, Ticket, Word};
+use fernknot_consensus::{PersistentState, Ticket, Word};
 use fernknot_controller::{Ear, Order, Plant, Registrar, RegistrarFacts, Slot};
 use fernknot_http_api::{Pulled, Request, Tap, TapFacts};
 use fernknot_ownership::{Gateway, LifeId};
@@ -36,17 +36,17 @@
     Word(usize, usize, PeerWord),
     Opened(usize, usize),
     Closed(usize, usize),
-    Stored(usize, Ticket, Saved),
+    Stored(usize, Ticket, PersistentState),
 }
 
 /// One machine.
 struct Machine {
     brain: Option<Registrar>,
     life: u64,
-    disk: Option<Saved>,
+    disk: Option<PersistentState>,
     known: Vec<SocketAddrV4>,
     writes: Writes,
-    held: Vec<(Ticket, Saved)>,
+    held: Vec<(Ticket, PersistentState)>,
 }
 
 pub struct Fleet {
--- a/crates/fernknot-gateway/src/gateway.rs
+++ b/crates/fernknot-gateway/src/gateway.rs
@@ -18,7 +18,7 @@
 use fernknot_registry::{NodeFact, Pool, PoolBounds};
 use fernknot_router_config::{Limits, SocketFacts};
 use fernknot_rpc::{Question, Share, Shuffles};
-use fernknot_schema::{ClientLimits, Plan, ProcessFacts};
+use fernknot_schema::{ClientLimits, ProcessFacts, RoutingConfig};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -422,7 +422,7 @@
         self.sharers.map_or(0.0, |sharers| self.facts.bounds.retry_slack / f64::from(sharers.max(1)))
     }
 
-    fn take_plan<P: Ports>(&mut self, now: Nanos, order: u64, plan: Plan, ports: &mut P) {
+    fn take_plan<P: Ports>(&mut self, now: Nanos, order: u64, plan: RoutingConfig, ports: &mut P) {
         // Guards against going back: only what is later in the one order is ever taken.
         if self.pinned.as_ref().is_some_and(|held| held.order >= order) {
             return;
--- a/crates/fernknot-gateway/src/news.rs
+++ b/crates/fernknot-gateway/src/news.rs
@@ -7,7 +7,7 @@
 use fernknot_ownership::{Cut, Fence, Gateway, Holder, HolderBounds, LifeId};
 use fernknot_registry::{NodeFact, Pool};
 use fernknot_rpc::{Inward, Outward, Question, Registrar as Told, Share, pull, push};
-use fernknot_schema::Plan;
+use fernknot_schema::RoutingConfig;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
@@ -26,7 +26,7 @@
 /// What this gateway holds, for those that listen to it.
 pub struct Held<'a> {
     pub pool: &'a Pool,
-    pub plan: Option<(u64, &'a Plan)>,
+    pub plan: Option<(u64, &'a RoutingConfig)>,
     pub whole: bool,
     pub ready: bool,
 }
@@ -35,7 +35,7 @@
 pub enum News {
     Plan {
         order: u64,
-        plan: Plan,
+        plan: RoutingConfig,
     },
     Nodes(Vec<NodeFact>),
     /// All of a share was told, from this mark of the list on.
@@ -130,7 +130,7 @@
     }
 
     /// The services that the configuration in force names.
-    pub fn services(&mut self, plan: &Plan) {
+    pub fn services(&mut self, plan: &RoutingConfig) {
         self.homes.services(plan.services.iter().map(|service| service.name.as_str()));
         self.services = plan.services.iter().map(|service| service.name.clone()).collect();
     }
@@ -424,7 +424,7 @@
     }
 
     /// Passes on to all that listen here what was news to this gateway.
-    pub fn pass_plan<P: Ports>(&self, ports: &mut P, order: u64, plan: &Plan) {
+    pub fn pass_plan<P: Ports>(&self, ports: &mut P, order: u64, plan: &RoutingConfig) {
         if !self.below.is_empty() {
             let word = Outward::Plan { order, plan: plan.clone() };
             self.below.keys().for_each(|berth| self.tell(ports, *berth, &word));
--- a/crates/fernknot-gateway/src/routes.rs
+++ b/crates/fernknot-gateway/src/routes.rs
@@ -2,13 +2,13 @@
 
 use fernknot::decide::{LATE_SHARE, earnings};
 use fernknot::interface::*;
-use fernknot_schema::{Class, Plan, Route, RouteTable, Target};
+use fernknot_schema::{Class, Route, RouteTable, RoutingConfig, Target};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// One version, with the module's names for what it names.
 pub struct Pinned {
     pub order: u64,
-    pub plan: Plan,
+    pub plan: RoutingConfig,
     table: RouteTable,
     use_cases: Vec<UseCaseId>,
 }
@@ -131,7 +131,7 @@
         &mut self,
         now: Nanos,
         order: u64,
-        plan: Plan,
+        plan: RoutingConfig,
         keep: Nanos,
     ) -> (Pinned, Vec<(UseCaseId, UseCaseFacts)>, Vec<UseCaseId>) {
         let mut freed = Vec::new();
--- a/crates/fernknot-gateway/tests/answers.rs
+++ b/crates/fernknot-gateway/tests/answers.rs
@@ -8,7 +8,7 @@
 use fernknot_gateway::lines::{Heard, Lines};
 use fernknot_gateway::routes::{Names, Pinned};
 use fernknot_net::{Berth, Buffer};
-use fernknot_schema::{Class, ClientLimits, Plan, Route, Target};
+use fernknot_schema::{Class, ClientLimits, Route, RoutingConfig, Target};
 use std::rc::Rc;
 use test_case::test_case;
 
@@ -35,7 +35,7 @@
     assert_eq!(judge(&response(&text), "a1"), Verdict::Failed);
 }
 
-fn plan(to: Target) -> Plan {
+fn plan(to: Target) -> RoutingConfig {
     let route = Route {
         name: "r".into(),
         authority: "h.example".into(),
@@ -47,7 +47,7 @@
         to,
         tries: 2,
     };
-    Plan { epoch: 1, routes: vec![route], services: Vec::new(), limits: ClientLimits::default() }
+    RoutingConfig { epoch: 1, routes: vec![route], services: Vec::new(), limits: ClientLimits::default() }
 }
 
 fn pinned(to: Target) -> Rc<Pinned> {
@@ -186,7 +186,7 @@
 #[test_case(plan(shards(4, 0.5)), false; "another quorum")]
 #[test_case(plan(shards(3, 0.75)), true; "another cut of the index")]
 fn given_a_version_with_then_the_number_stays_only_if_what_is_open_may_be_judged_by_it(
-    next: Plan,
+    next: RoutingConfig,
     stays: bool,
 ) {
     let mut names = Names::default();
--- a/crates/fernknot-gateway/tests/stage/mod.rs
+++ b/crates/fernknot-gateway/tests/stage/mod.rs
@@ -14,7 +14,7 @@
 use fernknot::interface::Nanos;
 use fernknot_gateway::{Doors, Gateway, Plant};
 use fernknot_net::{Berth, Event, NetError};
-use fernknot_schema::{Plan, ProcessFacts};
+use fernknot_schema::{ProcessFacts, RoutingConfig};
 use fernknot_simulator::ports::{Did, SimPorts};
 use fernknot_simulator::wire;
 use nodes::{Host, Job};
@@ -138,7 +138,7 @@
     clients: Vec<Client>,
     hosts: Vec<Host>,
     teller: Teller,
-    plans: Vec<Plan>,
+    plans: Vec<RoutingConfig>,
     /// Versions that have reached this life of the gateway, now and at the end of the turn before.
     version: Option<usize>,
     settled: Option<usize>,
--- a/crates/fernknot-gateway/tests/stage/plans.rs
+++ b/crates/fernknot-gateway/tests/stage/plans.rs
@@ -2,7 +2,7 @@
 
 use super::checker::{Kind, QUORUM, TOP};
 use super::{Due, Stage};
-use fernknot_schema::{Class, ClientLimits, Plan, Route, Service, Target};
+use fernknot_schema::{Class, ClientLimits, Route, RoutingConfig, Service, Target};
 
 pub const HOST: &str = "h.example";
 /// One service of one node, two of two, and the shards of two cuts of an index.
@@ -19,7 +19,7 @@
 }
 
 /// Whether this version lets requests of a kind be repeated; where it has no route for them they don't go out.
-pub fn is_once(plan: &Plan, kind: Kind) -> bool {
+pub fn is_once(plan: &RoutingConfig, kind: Kind) -> bool {
     let route = plan.routes.iter().find(|route| route.path_prefix == prefix(kind));
     route.is_none_or(|route| route.traffic_class == Class::Mutating)
 }
@@ -75,7 +75,7 @@
         };
         let limits = ClientLimits { header_ms: 300, idle_ms: 1500, ..ClientLimits::default() };
         let services = SERVICES.iter().map(service).collect();
-        self.plans.push(Plan { epoch, routes, services, limits });
+        self.plans.push(RoutingConfig { epoch, routes, services, limits });
     }
 
     /// The operator's next version.
--- a/crates/fernknot-gateway/tests/stories/mod.rs
+++ b/crates/fernknot-gateway/tests/stories/mod.rs
@@ -7,7 +7,7 @@
 use fernknot_ownership::Cut;
 use fernknot_registry::{NodeFact, NodeState};
 use fernknot_rpc::{Outward, Registrar, push};
-use fernknot_schema::{Class, ClientLimits, Plan, Route, Service, Target};
+use fernknot_schema::{Class, ClientLimits, Route, RoutingConfig, Service, Target};
 use fernknot_simulator::ports::{Did, SimPorts};
 
 mod bodies;
@@ -34,7 +34,7 @@
 }
 
 /// A version with one service of one node, to which requests under `/m/` go once at most.
-pub fn plan(limits: ClientLimits) -> Plan {
+pub fn plan(limits: ClientLimits) -> RoutingConfig {
     let route = Route {
         name: "m".into(),
         authority: "h.example".into(),
@@ -53,12 +53,12 @@
         protocol: "h1".into(),
         tls: false,
     };
-    Plan { epoch: 0, routes: vec![route], services: vec![service], limits }
+    RoutingConfig { epoch: 0, routes: vec![route], services: vec![service], limits }
 }
 
 impl Story {
     /// A gateway with so much memory that holds this version and knows the node.
-    pub fn begin(memory_mb: u64, plan: Plan) -> Story {
+    pub fn begin(memory_mb: u64, plan: RoutingConfig) -> Story {
         let mut ports = SimPorts::default();
         let doors = Doors { front: ports.name(), ready: ports.name(), inner: ports.name() };
         let gateway = Gateway::new(facts(memory_mb), doors, 7).unwrap();
@@ -114,9 +114,9 @@
     }
 
     /// The next version.
-    pub fn takes(&mut self, plan: Plan) {
+    pub fn takes(&mut self, plan: RoutingConfig) {
         self.order += 1;
-        self.tells(&Outward::Plan { order: self.order, plan: Plan { epoch: self.order, ..plan } });
+        self.tells(&Outward::Plan { order: self.order, plan: RoutingConfig { epoch: self.order, ..plan } });
     }
 
     /// A turn of the loop with this news.
--- a/crates/fernknot-rpc/src/words.rs
+++ b/crates/fernknot-rpc/src/words.rs
@@ -4,7 +4,7 @@
 use bitcode::{Decode, Encode};
 use fernknot_ownership::{Cut, Gateway};
 use fernknot_registry::NodeFact;
-use fernknot_schema::Plan;
+use fernknot_schema::RoutingConfig;
 use std::net::SocketAddrV4;
 
 /// Which news a listener wants of a teller. Configurations, cuts and pulses come with either. (The listener
@@ -94,7 +94,7 @@
     /// A configuration that is in force, and its place in the one order.
     Plan {
         order: u64,
-        plan: Plan,
+        plan: RoutingConfig,
     },
     Nodes(Vec<NodeFact>),
     /// All that the teller holds has been told.
--- a/crates/fernknot-schema/src/lib.rs
+++ b/crates/fernknot-schema/src/lib.rs
@@ -16,7 +16,7 @@
 mod walk;
 
 pub use beat::{Beat, NodeState};
-pub use plan::{Class, ClientLimits, Plan, Route, Service, Target, digest};
+pub use plan::{Class, ClientLimits, Route, RoutingConfig, Service, Target, digest};
 pub use process::{BindAddrs, Bounds, FaultBudget, Limits, ProcessFacts};
 pub use routes::RouteTable;
 pub use walk::Fault;
--- a/crates/fernknot-schema/src/plan.rs
+++ b/crates/fernknot-schema/src/plan.rs
@@ -17,7 +17,7 @@
 
 /// One version of the configuration, whole.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Plan {
+pub struct RoutingConfig {
     pub epoch: u64,
     pub routes: Vec<Route>,
     pub services: Vec<Service>,
@@ -90,14 +90,14 @@
     }
 }
 
-impl Plan {
+impl RoutingConfig {
     /// Reads and checks a configuration. Unknown keys pass, and what PROTOCOL does not forbid is not
     /// refused: a valid version that is turned away costs a duty.
     ///
     /// # Errors
     ///
     /// What makes it invalid; the call wants a 400.
-    pub fn read(bytes: &[u8]) -> Result<Plan, Vec<Fault>> {
+    pub fn read(bytes: &[u8]) -> Result<RoutingConfig, Vec<Fault>> {
         let whole =
             |why: &dyn std::fmt::Display| vec![Fault::new("", format!("cannot be read whole: {why}"))];
         // Strict first: what `schematic` reads may hold comments and trailing commas.
@@ -123,7 +123,7 @@
             routes.push(route);
         }
         match faults.is_empty() {
-            true => Ok(Plan {
+            true => Ok(RoutingConfig {
                 epoch: paper.epoch.map_or(0, |epoch| epoch.0),
                 routes,
                 services,
--- a/crates/fernknot-schema/src/routes.rs
+++ b/crates/fernknot-schema/src/routes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::plan::Plan;
+use crate::plan::RoutingConfig;
 
 /// The routes of one plan, laid out for finding.
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
 }
 
 impl RouteTable {
-    pub fn new(plan: &Plan) -> RouteTable {
+    pub fn new(plan: &RoutingConfig) -> RouteTable {
         let mut table = RouteTable::default();
         for (at, route) in plan.routes.iter().enumerate() {
             let host = bare_host(&route.authority).to_ascii_lowercase().into_bytes();
--- a/crates/fernknot-schema/tests/common/mod.rs
+++ b/crates/fernknot-schema/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Bodies that are right, for tests to break.
 #![allow(dead_code)]
 
-use fernknot_schema::{Fault, Plan};
+use fernknot_schema::{Fault, RoutingConfig};
 use serde_json::{Value, json};
 
 pub fn plan_json() -> Value {
@@ -36,8 +36,8 @@
     json
 }
 
-pub fn read_plan(json: &Value) -> Result<Plan, Vec<Fault>> {
-    Plan::read(json.to_string().as_bytes())
+pub fn read_plan(json: &Value) -> Result<RoutingConfig, Vec<Fault>> {
+    RoutingConfig::read(json.to_string().as_bytes())
 }
 
 pub fn process_json() -> Value {
--- a/crates/fernknot-schema/tests/plan.rs
+++ b/crates/fernknot-schema/tests/plan.rs
@@ -1,7 +1,7 @@
 mod common;
 
 use common::{changed, places, plan_json, read_plan, without};
-use fernknot_schema::{Class, Plan, Target, digest};
+use fernknot_schema::{Class, RoutingConfig, Target, digest};
 use proptest::prelude::*;
 use serde_json::json;
 use test_case::test_case;
@@ -17,7 +17,7 @@
     assert_eq!(gather.to, Target::Fanout { shards, top_k: 200, quorum: 0.6 });
     assert_eq!((plain.traffic_class, plain.deadline_ms, plain.tries), (Class::Mutating, 5000, 2));
     assert_eq!(split.to, Target::Shares(vec![("a".into(), 1.0), ("c".into(), 2.5)]));
-    assert_eq!(plan, bitcode::decode::<Plan>(&bitcode::encode(&plan)).unwrap());
+    assert_eq!(plan, bitcode::decode::<RoutingConfig>(&bitcode::encode(&plan)).unwrap());
 }
 
 #[test_case("/routes/1/backend", json!("nobody"); "a route names an unknown service")]
@@ -65,7 +65,7 @@
 #[test_case(""; "nothing")]
 #[test_case("[]"; "a list")]
 fn given_what_is_no_strict_json_when_read_then_it_is_refused(text: &str) {
-    assert!(Plan::read(text.as_bytes()).is_err());
+    assert!(RoutingConfig::read(text.as_bytes()).is_err());
 }
 
 #[test]
@@ -105,7 +105,7 @@
         let mut bytes = plan_json().to_string().into_bytes();
         let at = at % bytes.len();
         if cut { bytes.truncate(at) } else { bytes[at] = byte }
-        let _ = Plan::read(&bytes);
+        let _ = RoutingConfig::read(&bytes);
         digest(&bytes);
     }
 }
--- a/crates/fernknot-schema/tests/routes.rs
+++ b/crates/fernknot-schema/tests/routes.rs
@@ -1,7 +1,7 @@
 mod common;
 
 use common::{plan_json, read_plan};
-use fernknot_schema::{Plan, RouteTable};
+use fernknot_schema::{RouteTable, RoutingConfig};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -19,7 +19,7 @@
     assert_eq!(table.find(host, path), route);
 }
 
-fn plan(prefixes: &[String]) -> Plan {
+fn plan(prefixes: &[String]) -> RoutingConfig {
     let mut plan = read_plan(&plan_json()).unwrap();
     let route = plan.routes.remove(1);
     plan.routes.clear();
--- a/crates/fernknot-simulator/src/gateways.rs
+++ b/crates/fernknot-simulator/src/gateways.rs
@@ -9,7 +9,7 @@
 use fernknot_gateway::{Doors, Gateway};
 use fernknot_net::{Berth, Buffer, Event as Happened, NetError};
 use fernknot_rpc::{Inward, Outward, pull, push};
-use fernknot_schema::{Plan, ProcessFacts};
+use fernknot_schema::{ProcessFacts, RoutingConfig};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -94,7 +94,7 @@
     pub list: Vec<Process>,
     pub pipes: BTreeMap<u64, Pipe>,
     /// The plan told last, for a plant.
-    older: Option<Plan>,
+    older: Option<RoutingConfig>,
 }
 
 fn gateway_addr(at: usize) -> SocketAddrV4 {
--- a/crates/fernknot-simulator/src/world.rs
+++ b/crates/fernknot-simulator/src/world.rs
@@ -9,7 +9,7 @@
 use crate::traffic::Traffic;
 use crate::troubles::{Trigger, Trouble};
 use fernknot::interface::Nanos;
-use fernknot_consensus::{Saved, Ticket};
+use fernknot_consensus::{PersistentState, Ticket};
 use fernknot_controller::{Ear, Order, Registrar, RegistrarFacts, Slot};
 use fernknot_http_api::Reply;
 use fernknot_rpc::{Inward, PeerWord};
@@ -85,7 +85,7 @@
     Syn(u64),
     /// Has nothing passed for as long as a connection bears?
     Silent(u64, u64),
-    Written(usize, u64, Ticket, Saved),
+    Written(usize, u64, Ticket, PersistentState),
     /// A full disk may have room.
     Reopen(usize, u64),
     Caller(crate::callers::Event),
@@ -116,12 +116,12 @@
 
 /// What lies on a disk, and how it is.
 struct Disk {
-    saved: Option<Saved>,
+    saved: Option<PersistentState>,
     /// Older copies, for a plant.
-    older: VecDeque<Saved>,
+    older: VecDeque<PersistentState>,
     known: Vec<SocketAddrV4>,
     writes: Writes,
-    under_way: Vec<(Ticket, Saved, Nanos)>,
+    under_way: Vec<(Ticket, PersistentState, Nanos)>,
     sound: bool,
 }
 
@@ -687,7 +687,7 @@
 
     // Disks.
 
-    fn store(&mut self, at: usize, ticket: Ticket, saved: Saved) {
+    fn store(&mut self, at: usize, ticket: Ticket, saved: PersistentState) {
         let life = self.machines[at].life;
         let wait = match self.machines[at].disk.writes {
             Writes::Well => self.chance.between(ms(1), ms(5)),
@@ -719,7 +719,7 @@
     }
 
     /// The disk has it, also where the process is frozen.
-    fn written(&mut self, at: usize, life: u64, ticket: Ticket, saved: Saved) {
+    fn written(&mut self, at: usize, life: u64, ticket: Ticket, saved: PersistentState) {
         let early = self.facts.plant == Some(Plant::DiskAcksEarly);
         let machine = &mut self.machines[at];
         if machine.life != life || machine.brain.is_none() {
@@ -762,7 +762,7 @@
         let life = self.machines[at].life;
         let was = std::mem::replace(&mut self.machines[at].disk.writes, writes);
         if was == Writes::Hang && writes != Writes::Hang {
-            let held: Vec<(Ticket, Saved)> = self.machines[at]
+            let held: Vec<(Ticket, PersistentState)> = self.machines[at]
                 .disk
                 .under_way
                 .iter()
