--- a/crates/fernknot-cli/src/capacity.rs
+++ b/crates/fernknot-cli/src/capacity.rs
@@ -4,7 +4,7 @@
 //! registrars, processes on loopback); `docs/CAPACITY.md` has the tables. They are those of the dearest rows, so that a
 //! plan errs to the safe side. What lies beyond the measured sizes is reckoned along the same lines.
 
-use crate::{Fail, Words, say};
+use crate::{Arguments, CliError, say};
 
 pub const OPTIONS: [&str; 9] = [
     "gateways",
@@ -49,18 +49,18 @@
 const WARD: f64 = 16.0;
 const MOST_WARDS: f64 = 8.0;
 
-pub fn run(words: &Words) -> Result<(), Fail> {
+pub fn run(words: &Arguments) -> Result<(), CliError> {
     let [] = words.exactly("plan-capacity [--gateways N] [--nodes N] ...")?;
-    let number = |name: &str, absent: f64| -> Result<f64, Fail> {
+    let number = |name: &str, absent: f64| -> Result<f64, CliError> {
         let number: f64 = words.number(name)?.unwrap_or(absent);
         match number.is_finite() && number >= 0.0 {
             true => Ok(number),
-            false => Err(Fail::Usage(format!("--{name}: {number} is no number that fits"))),
+            false => Err(CliError::Usage(format!("--{name}: {number} is no number that fits"))),
         }
     };
-    let above = |name: &str, absent: f64| -> Result<f64, Fail> {
+    let above = |name: &str, absent: f64| -> Result<f64, CliError> {
         match number(name, absent)? {
-            0.0 => Err(Fail::Usage(format!("--{name}: is 0"))),
+            0.0 => Err(CliError::Usage(format!("--{name}: is 0"))),
             number => Ok(number),
         }
     };
--- a/crates/fernknot-cli/src/demo.rs
+++ b/crates/fernknot-cli/src/demo.rs
@@ -1,12 +1,12 @@
 //! `fernknot demo`: a whole system on loopback, served until told to stop.
 
-use crate::{Fail, Words, failed, say};
-use fernknot_testbed::checker::{Allowed, Kind, Seen, check};
-use fernknot_testbed::load::{Load, LoadFacts, Platform};
-use fernknot_testbed::nodes::{Facts, Nodes};
-use fernknot_testbed::operator::{End, Operator};
-use fernknot_testbed::paper::{Draft, HOST, shard};
-use fernknot_testbed::rig::{Layout, Rig, Role, until};
+use crate::{Arguments, CliError, failed, say};
+use fernknot_testbed::checker::{AttemptOutcome, Expectations, Kind, check};
+use fernknot_testbed::load::{Load, LoadBalancer, LoadSettings};
+use fernknot_testbed::nodes::{NodeSettings, Nodes};
+use fernknot_testbed::operator::{CallOutcome, Operator};
+use fernknot_testbed::paper::{ConfigDraft, HOST, shard};
+use fernknot_testbed::rig::{Cluster, ClusterSettings, Role, until};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -17,12 +17,12 @@
 const RATE: f64 = 20.0;
 const REPLICAS: usize = 3;
 
-pub fn run(words: &Words) -> Result<(), Fail> {
+pub fn run(words: &Arguments) -> Result<(), CliError> {
     let [] = words.exactly("demo [--gateways N] [--seconds N]")?;
     let gateways: usize = words.number("gateways")?.unwrap_or(2).max(1);
     let seconds: Option<f64> = words.number("seconds")?;
     if seconds.is_some_and(|seconds| !(0.0..=1e9).contains(&seconds)) {
-        return Err(Fail::Usage("--seconds: is no time".into()));
+        return Err(CliError::Usage("--seconds: is no time".into()));
     }
     let over = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
@@ -30,7 +30,8 @@
     }
     let begun = Instant::now();
     let seed = u64::from(std::process::id());
-    let rig = Rig::start(Layout { gateways, seed, ..Layout::default() }).map_err(failed)?;
+    let rig =
+        Cluster::start(ClusterSettings { gateways, seed, ..ClusterSettings::default() }).map_err(failed)?;
     let listed = |addrs: &[std::net::SocketAddrV4]| {
         addrs.iter().map(ToString::to_string).collect::<Vec<_>>().join(",")
     };
@@ -42,10 +43,10 @@
     say(format!("the registrars agreed on a view after {:.2} s", took.as_secs_f64()));
 
     let nodes = Nodes::new(rig.nodes_ip(), rig.control(), rig.layout().beat, seed);
-    let draft = Draft::default();
+    let draft = ConfigDraft::default();
     let services = draft.fanout().into_iter().chain(["single".to_string()]).collect::<Vec<_>>();
     for (number, service) in services.iter().flat_map(|service| vec![service; REPLICAS]).enumerate() {
-        let facts = Facts {
+        let facts = NodeSettings {
             service: service.clone(),
             zone: rig.zone(number),
             capacity: 3,
@@ -62,7 +63,7 @@
 
     let operator = Operator { addrs: rig.control(), within: PATIENCE };
     match operator.replace(&draft.bytes(), 0) {
-        End::Answered { status: 200, by, .. } => {
+        CallOutcome::Answered { status: 200, by, .. } => {
             say(format!("version {} of the configuration was taken by {by}", draft.epoch));
         }
         end => return Err(failed(format!("the configuration was not taken: {end:?}"))),
@@ -74,10 +75,10 @@
         begun.elapsed().as_secs_f64()
     ));
 
-    let platform = Platform::new(&doors, Duration::from_millis(500), seed);
+    let platform = LoadBalancer::new(&doors, Duration::from_millis(500), seed);
     let load = Load::start(
         &platform,
-        &LoadFacts {
+        &LoadSettings {
             clients: 4,
             per_s: RATE,
             mix: vec![Kind::Gather, Kind::Gather, Kind::One, Kind::Order],
@@ -129,7 +130,7 @@
         ));
     }
     let last = requests.iter().rev().find(|request| request.kind == Kind::Gather && request.served());
-    if let Some(Seen::Answer { seals, missing, body, .. }) =
+    if let Some(AttemptOutcome::Answer { seals, missing, body, .. }) =
         last.map(|request| &request.tries[request.tries.len() - 1].seen)
     {
         say(format!(
@@ -138,7 +139,7 @@
             body.len() / 16
         ));
     }
-    let allowed = Allowed {
+    let allowed = Expectations {
         sets: vec![draft.fanout()],
         top_k: draft.top_k,
         quorum: draft.quorum,
--- a/crates/fernknot-cli/src/main.rs
+++ b/crates/fernknot-cli/src/main.rs
@@ -44,20 +44,20 @@
 Exit codes: 0 done, 1 it failed or was refused, 2 wrong usage or bad input.";
 
 /// Why a command did not do what was asked.
-enum Fail {
+enum CliError {
     /// Wrong usage or bad input.
     Usage(String),
     Failed(String),
 }
 
-impl From<lexopt::Error> for Fail {
-    fn from(why: lexopt::Error) -> Fail {
-        Fail::Usage(why.to_string())
+impl From<lexopt::Error> for CliError {
+    fn from(why: lexopt::Error) -> CliError {
+        CliError::Usage(why.to_string())
     }
 }
 
-fn failed(why: impl Display) -> Fail {
-    Fail::Failed(why.to_string())
+fn failed(why: impl Display) -> CliError {
+    CliError::Failed(why.to_string())
 }
 
 /// Prints a line. A reader that has gone is none of our faults, and ends the command quietly.
@@ -68,15 +68,15 @@
 }
 
 /// The words of a command: those without a dash, and options with their values.
-struct Words {
+struct Arguments {
     plain: Vec<OsString>,
     options: Vec<(String, Option<String>)>,
 }
 
-impl Words {
+impl Arguments {
     /// `valued` are options that take a value, `flags` those that don't.
-    fn read(parser: &mut lexopt::Parser, valued: &[&str], flags: &[&str]) -> Result<Words, Fail> {
-        let mut words = Words { plain: Vec::new(), options: Vec::new() };
+    fn read(parser: &mut lexopt::Parser, valued: &[&str], flags: &[&str]) -> Result<Arguments, CliError> {
+        let mut words = Arguments { plain: Vec::new(), options: Vec::new() };
         while let Some(arg) = parser.next()? {
             match arg {
                 lexopt::Arg::Value(word) => words.plain.push(word),
@@ -100,27 +100,32 @@
         self.options.iter().rev().find(|(key, _)| key == name).and_then(|(_, value)| value.as_deref())
     }
 
-    fn number<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, Fail> {
+    fn number<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, CliError> {
         let Some(value) = self.value(name) else { return Ok(None) };
-        value.parse().map(Some).map_err(|_| Fail::Usage(format!("--{name}: {value} is no number that fits")))
+        value
+            .parse()
+            .map(Some)
+            .map_err(|_| CliError::Usage(format!("--{name}: {value} is no number that fits")))
     }
 
     /// The words without a dash, which must be so many.
-    fn exactly<const COUNT: usize>(&self, wanted: &str) -> Result<[&OsString; COUNT], Fail> {
+    fn exactly<const COUNT: usize>(&self, wanted: &str) -> Result<[&OsString; COUNT], CliError> {
         let words: Vec<&OsString> = self.plain.iter().collect();
-        words.try_into().map_err(|_| Fail::Usage(format!("wanted: {wanted}")))
+        words.try_into().map_err(|_| CliError::Usage(format!("wanted: {wanted}")))
     }
 }
 
-fn addrs(text: &OsStr) -> Result<Vec<SocketAddrV4>, Fail> {
+fn addrs(text: &OsStr) -> Result<Vec<SocketAddrV4>, CliError> {
     let text = text.to_string_lossy();
     let read = |word: &str| {
-        word.trim().parse().map_err(|_| Fail::Usage(format!("{word}: is not an IPv4 address with a port")))
+        word.trim()
+            .parse()
+            .map_err(|_| CliError::Usage(format!("{word}: is not an IPv4 address with a port")))
     };
     text.split(',').map(read).collect()
 }
 
-fn run(mut parser: lexopt::Parser) -> Result<(), Fail> {
+fn run(mut parser: lexopt::Parser) -> Result<(), CliError> {
     let command = match parser.next()? {
         Some(lexopt::Arg::Value(word)) => word.to_string_lossy().into_owned(),
         Some(lexopt::Arg::Long("help") | lexopt::Arg::Short('h')) => "help".into(),
@@ -129,26 +134,26 @@
             return Ok(());
         }
         Some(other) => return Err(other.unexpected().into()),
-        None => return Err(Fail::Usage("no command".into())),
+        None => return Err(CliError::Usage("no command".into())),
     };
     match command.as_str() {
         "help" => say(HELP),
-        "check" => return check::run(&Words::read(&mut parser, &[], &["settings"])?),
-        "config" => return talk::config(&Words::read(&mut parser, &["base"], &[])?),
-        "show" => return talk::show(&Words::read(&mut parser, &[], &[])?),
+        "check" => return check::run(&Arguments::read(&mut parser, &[], &["settings"])?),
+        "config" => return talk::config(&Arguments::read(&mut parser, &["base"], &[])?),
+        "show" => return talk::show(&Arguments::read(&mut parser, &[], &[])?),
         "views" => {
-            return talk::views(&Words::read(&mut parser, &["lost"], &["yes-the-others-are-lost"])?);
+            return talk::views(&Arguments::read(&mut parser, &["lost"], &["yes-the-others-are-lost"])?);
         }
-        "demo" => return demo::run(&Words::read(&mut parser, &["gateways", "seconds"], &[])?),
+        "demo" => return demo::run(&Arguments::read(&mut parser, &["gateways", "seconds"], &[])?),
         "measure" => {
-            return measure::run(&Words::read(
+            return measure::run(&Arguments::read(
                 &mut parser,
                 &["sizes", "seconds", "gateways", "zones"],
                 &["json"],
             )?);
         }
-        "plan-capacity" => return capacity::run(&Words::read(&mut parser, &capacity::OPTIONS, &[])?),
-        other => return Err(Fail::Usage(format!("{other}: is no command"))),
+        "plan-capacity" => return capacity::run(&Arguments::read(&mut parser, &capacity::OPTIONS, &[])?),
+        other => return Err(CliError::Usage(format!("{other}: is no command"))),
     }
     Ok(())
 }
@@ -156,8 +161,8 @@
 fn main() -> ExitCode {
     let (text, code) = match run(lexopt::Parser::from_env()) {
         Ok(()) => return ExitCode::SUCCESS,
-        Err(Fail::Failed(why)) => (why, 1),
-        Err(Fail::Usage(why)) => (format!("{why}\n`fernknot --help` tells what there is"), 2),
+        Err(CliError::Failed(why)) => (why, 1),
+        Err(CliError::Usage(why)) => (format!("{why}\n`fernknot --help` tells what there is"), 2),
     };
     // Where nobody reads it, nothing is lost.
     let _ = writeln!(std::io::stderr(), "fernknot: {text}");
--- a/crates/fernknot-cli/src/measure.rs
+++ b/crates/fernknot-cli/src/measure.rs
@@ -1,22 +1,22 @@
 //! `fernknot measure`: one table for each thing that is varied.
 
-use crate::{Fail, Words, failed, say};
-use fernknot_testbed::measure::{Size, What, play};
+use crate::{Arguments, CliError, failed, say};
+use fernknot_testbed::measure::{Dimension, Workload, play};
 use serde_json::json;
 use std::time::Duration;
 
-pub fn run(words: &Words) -> Result<(), Fail> {
+pub fn run(words: &Arguments) -> Result<(), CliError> {
     let [what] = words.exactly("measure gateways|nodes|routes|changes|queries|shards")?;
     let name = what.to_string_lossy().into_owned();
     let (what, sizes) = match name.as_str() {
-        "gateways" => (What::Gateways, vec![2, 4, 8, 16, 32]),
-        "nodes" => (What::Nodes, vec![50, 200, 800, 2000]),
-        "routes" => (What::Routes, vec![12, 100, 370, 1000]),
-        "changes" => (What::Changes, vec![0, 6, 30, 60]),
-        "queries" => (What::Queries, vec![25, 50, 100, 200]),
-        "shards" => (What::Shards, vec![2, 4, 8, 16]),
+        "gateways" => (Dimension::Gateways, vec![2, 4, 8, 16, 32]),
+        "nodes" => (Dimension::Nodes, vec![50, 200, 800, 2000]),
+        "routes" => (Dimension::Routes, vec![12, 100, 370, 1000]),
+        "changes" => (Dimension::Changes, vec![0, 6, 30, 60]),
+        "queries" => (Dimension::Queries, vec![25, 50, 100, 200]),
+        "shards" => (Dimension::Shards, vec![2, 4, 8, 16]),
         other => {
-            return Err(Fail::Usage(format!(
+            return Err(CliError::Usage(format!(
                 "{other}: is none of gateways, nodes, routes, changes, queries, shards"
             )));
         }
@@ -27,12 +27,14 @@
         None => sizes,
         Some(text) => text
             .split(',')
-            .map(|word| word.trim().parse().map_err(|_| Fail::Usage(format!("--sizes: {word} is no number"))))
-            .collect::<Result<Vec<usize>, Fail>>()?,
+            .map(|word| {
+                word.trim().parse().map_err(|_| CliError::Usage(format!("--sizes: {word} is no number")))
+            })
+            .collect::<Result<Vec<usize>, CliError>>()?,
     };
     let seconds: f64 = words.number("seconds")?.unwrap_or(10.0);
     if !(1.0..=3600.0).contains(&seconds) {
-        return Err(Fail::Usage("--seconds: is not from 1 to 3600".into()));
+        return Err(CliError::Usage("--seconds: is not from 1 to 3600".into()));
     }
     let json = words.flag("json");
     if !json {
@@ -42,7 +44,7 @@
         ));
     }
     for count in sizes {
-        let mut size = Size::of(what, count);
+        let mut size = Workload::of(what, count);
         size.gateways = words.number("gateways")?.unwrap_or(size.gateways);
         size.zones = words.number("zones")?.unwrap_or(size.zones);
         let cost = play(&size, Duration::from_secs_f64(seconds)).map_err(failed)?;
--- a/crates/fernknot-cli/src/talk.rs
+++ b/crates/fernknot-cli/src/talk.rs
@@ -1,10 +1,10 @@
 //! `fernknot config`, `fernknot show` and `fernknot views`: words with a running system.
 
-use crate::{Fail, Words, addrs, check, failed, say};
-use fernknot_rpc::Question;
+use crate::{Arguments, CliError, addrs, check, failed, say};
+use fernknot_rpc::InspectionTopic;
 use fernknot_schema::RoutingConfig;
 use fernknot_testbed::inner;
-use fernknot_testbed::operator::{End, Operator};
+use fernknot_testbed::operator::{CallOutcome, Operator};
 use std::ffi::OsStr;
 use std::io::Write;
 use std::net::SocketAddrV4;
@@ -16,7 +16,7 @@
 /// How long a process may take to answer a question.
 const ANSWER: Duration = Duration::from_secs(3);
 
-pub fn config(words: &Words) -> Result<(), Fail> {
+pub fn config(words: &Arguments) -> Result<(), CliError> {
     let usage = "config read ADDR[,ADDR...], or config replace ADDR[,ADDR...] FILE --base N";
     let verb = words.plain.first().map(|word| word.to_string_lossy().into_owned());
     match verb.as_deref() {
@@ -28,11 +28,13 @@
             let [_, at, file] = words.exactly(usage)?;
             let base = words.number("base")?;
             let base = base.ok_or_else(|| {
-                Fail::Usage("--base is missing: the version that this one follows, 0 for the first".into())
+                CliError::Usage(
+                    "--base is missing: the version that this one follows, 0 for the first".into(),
+                )
             })?;
             replace(addrs(at)?, Path::new(file), base)
         }
-        _ => Err(Fail::Usage(format!("wanted: {usage}"))),
+        _ => Err(CliError::Usage(format!("wanted: {usage}"))),
     }
 }
 
@@ -40,37 +42,37 @@
     said.iter().map(|said| format!("\n  {said}")).collect()
 }
 
-fn read(addrs: Vec<SocketAddrV4>) -> Result<(), Fail> {
+fn read(addrs: Vec<SocketAddrV4>) -> Result<(), CliError> {
     match (Operator { addrs, within: WITHIN }).read() {
-        End::Answered { status: 200, body, .. } => {
+        CallOutcome::Answered { status: 200, body, .. } => {
             let mut out = std::io::stdout().lock();
             // A reader that has gone wants no more.
             let _ = out.write_all(&body).and_then(|()| out.write_all(b"\n"));
             Ok(())
         }
-        End::Answered { status, body, by } => {
+        CallOutcome::Answered { status, body, by } => {
             Err(failed(format!("{by} says {status}: {}", String::from_utf8_lossy(&body))))
         }
-        End::Unclear(said) => Err(failed(format!("no registrar gave it:{}", unclear(&said)))),
+        CallOutcome::Unclear(said) => Err(failed(format!("no registrar gave it:{}", unclear(&said)))),
     }
 }
 
-fn replace(addrs: Vec<SocketAddrV4>, path: &Path, base: u64) -> Result<(), Fail> {
+fn replace(addrs: Vec<SocketAddrV4>, path: &Path, base: u64) -> Result<(), CliError> {
     let bytes = check::read(path)?;
     let plan = RoutingConfig::read(&bytes).map_err(|faults| check::named(path, &faults))?;
     match (Operator { addrs, within: WITHIN }).replace(&bytes, base) {
-        End::Answered { status: 200, by, .. } => {
+        CallOutcome::Answered { status: 200, by, .. } => {
             say(format!("taken: version {} is in force, says {by}", plan.epoch));
             Ok(())
         }
-        End::Answered { status: 412 | 409, body, by } => Err(failed(format!(
+        CallOutcome::Answered { status: 412 | 409, body, by } => Err(failed(format!(
             "not taken: {by} says that another version than {base} is in place: {}",
             String::from_utf8_lossy(&body)
         ))),
-        End::Answered { status, body, by } => {
+        CallOutcome::Answered { status, body, by } => {
             Err(failed(format!("not taken: {by} says {status}: {}", String::from_utf8_lossy(&body))))
         }
-        End::Unclear(said) => Err(failed(format!(
+        CallOutcome::Unclear(said) => Err(failed(format!(
             "unclear: version {} may be in force or not; run the same command again, or `fernknot config read`:{}",
             plan.epoch,
             unclear(&said)
@@ -78,17 +80,19 @@
     }
 }
 
-pub fn show(words: &Words) -> Result<(), Fail> {
+pub fn show(words: &Arguments) -> Result<(), CliError> {
     let usage = "show nodes|views|homes|duties|counters ADDR";
     let [what, at] = words.exactly(usage)?;
     let question = match what.to_string_lossy().as_ref() {
-        "nodes" => Question::Nodes,
-        "views" => Question::Views,
-        "homes" => Question::Homes,
-        "duties" => Question::Duties,
-        "counters" => Question::Counters,
+        "nodes" => InspectionTopic::Nodes,
+        "views" => InspectionTopic::Views,
+        "homes" => InspectionTopic::Homes,
+        "duties" => InspectionTopic::Duties,
+        "counters" => InspectionTopic::Counters,
         other => {
-            return Err(Fail::Usage(format!("{other}: is none of nodes, views, homes, duties, counters")));
+            return Err(CliError::Usage(format!(
+                "{other}: is none of nodes, views, homes, duties, counters"
+            )));
         }
     };
     for addr in addrs(at)? {
@@ -98,18 +102,18 @@
     Ok(())
 }
 
-pub fn views(words: &Words) -> Result<(), Fail> {
+pub fn views(words: &Arguments) -> Result<(), CliError> {
     let usage = "views force ADDR --lost ADDR[,ADDR...] --yes-the-others-are-lost";
     let [verb, at] = words.exactly(usage)?;
     let (true, [at]) = (verb == "force", &addrs(at)?[..]) else {
-        return Err(Fail::Usage(format!("wanted: {usage}")));
+        return Err(CliError::Usage(format!("wanted: {usage}")));
     };
     let lost = words.value("lost").ok_or_else(|| {
-        Fail::Usage("--lost is missing: whose disks are gone for good, as `show views` names them".into())
+        CliError::Usage("--lost is missing: whose disks are gone for good, as `show views` names them".into())
     })?;
     let lost = if lost == "none" { Vec::new() } else { addrs(OsStr::new(lost))? };
     if !words.flag("yes-the-others-are-lost") {
-        return Err(Fail::Usage(
+        return Err(CliError::Usage(
             "--yes-the-others-are-lost is missing: what only they hold is given up, and they come back as new members"
                 .into(),
         ));
--- a/crates/fernknot-consensus/src/ballots.rs
+++ b/crates/fernknot-consensus/src/ballots.rs
@@ -17,8 +17,8 @@
 
 /// What a next view would be and begin with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Value {
-    next: Base,
+struct NextView {
+    next: ChosenView,
     no: Revision,
     state: Arc<[u8]>,
     /// Taken over from another ballot: it may have been chosen.
@@ -26,7 +26,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Step {
+enum Phase {
     Stop,
     /// On the disks of those who join, before anybody's vote binds: else a view could be chosen
     /// that too few have.
@@ -36,9 +36,9 @@
 
 /// An attempt of this member to change the view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Run {
+pub(crate) struct ViewChangeAttempt {
     ballot: ProposalNumber,
-    step: Step,
+    step: Phase,
     since: Nanos,
     resend_at: Nanos,
     pause: Nanos,
@@ -46,17 +46,17 @@
     /// By place among the voters: who answered, and the newest it holds.
     answers: BTreeMap<usize, (Member, Option<Revision>)>,
     tail: Option<(Revision, Arc<[u8]>)>,
-    best: Option<(ProposalNumber, Value)>,
-    value: Option<Value>,
+    best: Option<(ProposalNumber, NextView)>,
+    value: Option<NextView>,
     installed: BTreeMap<MemberId, Member>,
     chosen_at: Option<Nanos>,
     outer_asked: bool,
     grace: Nanos,
 }
 
-impl Run {
+impl ViewChangeAttempt {
     pub(crate) fn due(&self) -> Nanos {
-        let grace = self.majority_at.map(|at| at + self.grace).filter(|_| self.step == Step::Stop);
+        let grace = self.majority_at.map(|at| at + self.grace).filter(|_| self.step == Phase::Stop);
         grace.map_or(self.resend_at, |at| at.min(self.resend_at))
     }
 }
@@ -133,7 +133,7 @@
     }
 
     /// The next view with these members. Dropped ones keep their vote while the members are few.
-    fn next_base(&self, members: Vec<Member>, no: Revision) -> Base {
+    fn next_base(&self, members: Vec<Member>, no: Revision) -> ChosenView {
         let base = &self.cur.base;
         let number = ViewNumber(base.view.number.0.saturating_add(1));
         let mut absent: Vec<Member> = Vec::new();
@@ -149,7 +149,7 @@
         if floors.len() > MOST_FLOORS {
             floors.remove(0);
         }
-        Base { view: View { number: number, members, absent }, floors }
+        ChosenView { view: View { number: number, members, absent }, floors }
     }
 
     /// Members of the next view, at least: those that a change needs. The first view may have fewer where fewer founders
@@ -223,7 +223,7 @@
         }
         let plan = self.plan(None);
         let empty = |seat: &Member| {
-            self.plant == Some(Plant::EmptyVotes)
+            self.plant == Some(SeededBug::EmptyVotes)
                 && self.peers.values().any(|peer| peer.told.who.addr == seat.addr && self.fit(peer))
         };
         let voting = voters(view)
@@ -278,9 +278,9 @@
         self.cur.promise = ballot;
         self.touch();
         let pulse = self.facts.pulse_every;
-        self.run = Some(Run {
+        self.run = Some(ViewChangeAttempt {
             ballot,
-            step: Step::Stop,
+            step: Phase::Stop,
             since: self.now,
             resend_at: self.now + pulse,
             pause: pulse,
@@ -310,15 +310,15 @@
         let base = self.cur.base.clone();
         let mine = self.holds().then_some(self.cur.no);
         match run.step {
-            Step::Stop => {
+            Phase::Stop => {
                 for (place, seat) in voters(&base.view).enumerate() {
                     if !run.answers.contains_key(&place) {
-                        let word = Word::Stop { ballot: run.ballot, base: base.clone(), no: mine };
+                        let word = Message::Stop { ballot: run.ballot, base: base.clone(), no: mine };
                         self.say_safely(self.seat_addr(seat), word);
                     }
                 }
             }
-            Step::Prime | Step::Vote => {
+            Phase::Prime | Phase::Vote => {
                 let Some(value) = &run.value else { return };
                 let next = &value.next.view;
                 let inside = |who: &Member| next.members.iter().any(|member| member.id == who.id);
@@ -334,11 +334,11 @@
                 }
                 for member in to {
                     let votes = seat(&base.view, &member).is_some();
-                    if run.installed.contains_key(&member.id) || (run.step == Step::Prime && votes) {
+                    if run.installed.contains_key(&member.id) || (run.step == Phase::Prime && votes) {
                         continue;
                     }
                     let has = answered.get(&member.id).is_some_and(|holds| *holds == Some(value.no));
-                    let word = Word::Install {
+                    let word = Message::Install {
                         ballot: run.ballot,
                         base: base.clone(),
                         next: value.next.clone(),
@@ -352,11 +352,11 @@
         }
     }
 
-    fn late(&self, run: &Run, times: f64) -> bool {
+    fn late(&self, run: &ViewChangeAttempt, times: f64) -> bool {
         self.now - run.since > self.facts.suspect_after.times(times)
     }
 
-    fn inner_installed(&self, run: &Run) -> bool {
+    fn inner_installed(&self, run: &ViewChangeAttempt) -> bool {
         run.value.as_ref().is_some_and(|value| {
             value.next.view.members.iter().all(|member| run.installed.contains_key(&member.id))
         })
@@ -372,7 +372,10 @@
         vouched: Option<AcceptedView>,
     ) {
         let held = holds.map_or_else(Default::default, |no| (base, no));
-        self.note_mark(who.id, Mark { promise: (base, ballot), held, ..Mark::default() });
+        self.note_mark(
+            who.id,
+            DurableProgress { promise: (base, ballot), held, ..DurableProgress::default() },
+        );
         if base != self.cur.base.view.number {
             return;
         }
@@ -380,7 +383,7 @@
         let place = self.seat_of(&who);
         let Some(run) = &mut self.run else { return };
         let Some(place) = place else { return };
-        if run.ballot != ballot || run.step != Step::Stop {
+        if run.ballot != ballot || run.step != Phase::Stop {
             return;
         }
         let same_as_mine =
@@ -398,7 +401,7 @@
         let vouched = match vouched {
             Some(vouched) => {
                 let Some(state) = vouched.state.clone().or_else(|| same_as_mine(vouched.no)) else { return };
-                Some((vouched.ballot, Value { next: vouched.next, no: vouched.no, state, adopted: true }))
+                Some((vouched.ballot, NextView { next: vouched.next, no: vouched.no, state, adopted: true }))
             }
             None => None,
         };
@@ -417,20 +420,20 @@
     fn seat_of(&self, who: &Member) -> Option<usize> {
         let view = &self.cur.base.view;
         let empty = || voters(view).position(|seat| seat.addr == who.addr);
-        seat(view, who).or_else(|| (self.plant == Some(Plant::EmptyVotes)).then(empty).flatten())
+        seat(view, who).or_else(|| (self.plant == Some(SeededBug::EmptyVotes)).then(empty).flatten())
     }
 
     /// Once enough have stopped: what the next view is, and what it begins with.
     fn trim(&mut self) {
         let view = &self.cur.base.view;
         let Some(run) = &self.run else { return };
-        if run.step != Step::Stop {
+        if run.step != Phase::Stop {
             return;
         }
         let majority = run.answers.len() > voters(view).count() / 2;
         // All that was taken is with every member, so one member that holds is enough to know it.
         let mut known = run.answers.values().any(|(_, holds)| holds.is_some());
-        known |= run.best.is_some() || self.plant == Some(Plant::EmptyVotes);
+        known |= run.best.is_some() || self.plant == Some(SeededBug::EmptyVotes);
         if !majority || !known {
             return;
         }
@@ -446,7 +449,7 @@
             return;
         }
         let Some(run) = &self.run else { return };
-        let best = run.best.clone().filter(|_| self.plant != Some(Plant::ForgetVouched));
+        let best = run.best.clone().filter(|_| self.plant != Some(SeededBug::ForgetVouched));
         let value = match best {
             Some((_, value)) => value,
             None => {
@@ -456,14 +459,14 @@
                 if members.len() < self.fewest() {
                     return self.give_up();
                 }
-                Value { next: self.next_base(members, no), no, state, adopted: false }
+                NextView { next: self.next_base(members, no), no, state, adopted: false }
             }
         };
         let joining =
             value.next.view.members.iter().any(|member| seat(&self.cur.base.view, member).is_none());
         let (now, pulse) = (self.now, self.facts.pulse_every);
         if let Some(run) = &mut self.run {
-            run.step = if joining { Step::Prime } else { Step::Vote };
+            run.step = if joining { Phase::Prime } else { Phase::Vote };
             run.value = Some(value);
             (run.since, run.resend_at, run.pause) = (now, now + pulse, pulse);
         }
@@ -489,10 +492,17 @@
     }
 
     pub(crate) fn hear_installed(&mut self, who: Member, ballot: ProposalNumber, base: ViewNumber) {
-        self.note_mark(who.id, Mark { promise: (base, ballot), vouched: (base, ballot), ..Mark::default() });
+        self.note_mark(
+            who.id,
+            DurableProgress {
+                promise: (base, ballot),
+                vouched: (base, ballot),
+                ..DurableProgress::default()
+            },
+        );
         let here = base == self.cur.base.view.number;
         let Some(run) = &mut self.run else { return };
-        if !here || run.ballot != ballot || run.step == Step::Stop {
+        if !here || run.ballot != ballot || run.step == Phase::Stop {
             return;
         }
         run.installed.insert(who.id, who);
@@ -509,14 +519,14 @@
             .members
             .iter()
             .all(|member| seat(&view, member).is_some() || run.installed.contains_key(&member.id));
-        let primed = primed || self.plant == Some(Plant::JoinerCounts);
+        let primed = primed || self.plant == Some(SeededBug::JoinerCounts);
         let late = self.late(run, 0.5);
-        if run.step == Step::Prime {
+        if run.step == Phase::Prime {
             let go_on = primed || (value.adopted && late);
             if go_on {
                 let (now, pulse) = (self.now, self.facts.pulse_every);
                 if let Some(run) = &mut self.run {
-                    run.step = Step::Vote;
+                    run.step = Phase::Vote;
                     (run.since, run.resend_at, run.pause) = (now, now + pulse, pulse);
                 }
                 self.ask();
@@ -525,7 +535,7 @@
         }
         let votes: BTreeSet<usize> = run.installed.values().filter_map(|who| self.seat_of(who)).collect();
         let majority = votes.len() > voters(&view).count() / 2;
-        let all = self.inner_installed(run) || self.plant == Some(Plant::JoinerCounts);
+        let all = self.inner_installed(run) || self.plant == Some(SeededBug::JoinerCounts);
         if !majority {
             // Now those who will not be in the view; after that at the pace of asking again.
             if all && !run.outer_asked {
@@ -546,7 +556,7 @@
             }
             return;
         }
-        let word = Word::Chosen { ballot: run.ballot, base: view.number, force: all };
+        let word = Message::Chosen { ballot: run.ballot, base: view.number, force: all };
         let mut to: BTreeSet<SocketAddrV4> = next.members.iter().map(|member| self.addr(member)).collect();
         to.extend(voters(&view).map(|seat| self.seat_addr(seat)));
         to.insert(self.facts.me.addr);
@@ -561,13 +571,13 @@
         let Some(run) = &self.run else { return };
         let step = run.step;
         match step {
-            Step::Stop => self.trim(),
-            Step::Prime | Step::Vote => self.count(),
+            Phase::Stop => self.trim(),
+            Phase::Prime | Phase::Vote => self.count(),
         }
         let Some(run) = &self.run else { return };
-        if run.step == step && self.late(run, if step == Step::Vote { 2.0 } else { 1.0 }) {
+        if run.step == step && self.late(run, if step == Phase::Vote { 2.0 } else { 1.0 }) {
             // One that can't be reached to join is left out for a while.
-            if let (Step::Prime, Some(value)) = (step, &run.value) {
+            if let (Phase::Prime, Some(value)) = (step, &run.value) {
                 let until = self.now + self.facts.suspect_after.times(2.0);
                 let view = self.cur.base.view.clone();
                 let slow: Vec<MemberId> = value
@@ -599,11 +609,11 @@
     // Ballots: those who vote, and those who join.
 
     /// Takes part in the change of `base` only if it is the last view that this member knows.
-    fn at_base(&mut self, from: SocketAddrV4, base: &Base) -> bool {
+    fn at_base(&mut self, from: SocketAddrV4, base: &ChosenView) -> bool {
         if base.view.number < self.cur.base.view.number {
             let base = self.cur.base.clone();
             if self.may_tell() {
-                self.say(from, Word::Told { base });
+                self.say(from, Message::Told { base });
             }
             return false;
         }
@@ -617,7 +627,7 @@
     fn bow_to(&mut self, from: SocketAddrV4, ballot: ProposalNumber) -> bool {
         if ballot < self.cur.promise {
             let (base, promise) = (self.cur.base.view.number, self.cur.promise);
-            self.say(from, Word::Outdone { base, promise });
+            self.say(from, Message::Outdone { base, promise });
             return false;
         }
         self.seen_round = self.seen_round.max(ballot.round);
@@ -641,10 +651,10 @@
         &mut self,
         from: SocketAddrV4,
         ballot: ProposalNumber,
-        base: Base,
+        base: ChosenView,
         no: Option<Revision>,
     ) {
-        if self.plant == Some(Plant::EmptyVotes) && self.cur.base == Base::default() {
+        if self.plant == Some(SeededBug::EmptyVotes) && self.cur.base == ChosenView::default() {
             self.cur.base = base.clone();
         }
         if !self.at_base(from, &base) || self.seat_of(&self.facts.me.clone()).is_none() {
@@ -662,15 +672,18 @@
             vouched
         });
         let who = self.facts.me.clone();
-        self.say_safely(from, Word::Stopped { who, ballot, base: base.view.number, holds, state, vouched });
+        self.say_safely(
+            from,
+            Message::Stopped { who, ballot, base: base.view.number, holds, state, vouched },
+        );
     }
 
     pub(crate) fn hear_install(
         &mut self,
         from: SocketAddrV4,
         ballot: ProposalNumber,
-        base: Base,
-        next: Base,
+        base: ChosenView,
+        next: ChosenView,
         no: Revision,
         state: Option<Arc<[u8]>>,
     ) {
@@ -688,7 +701,7 @@
             self.touch();
         }
         let who = self.facts.me.clone();
-        self.say_safely(from, Word::Installed { who, ballot, base: base.view.number });
+        self.say_safely(from, Message::Installed { who, ballot, base: base.view.number });
     }
 
     pub(crate) fn hear_chosen(&mut self, ballot: ProposalNumber, base: ViewNumber, force: bool) {
--- a/crates/fernknot-consensus/src/confirm.rs
+++ b/crates/fernknot-consensus/src/confirm.rs
@@ -13,8 +13,8 @@
 
 /// One who asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Waiting {
-    inquiry: Inquiry,
+struct PendingReadIndex {
+    inquiry: ReadIndexId,
     /// Only what was said in answer to this round, or to a later one, counts: it was said after the question came.
     round: u64,
     /// What this member had stored when the question came. All that was taken by then is at or below it.
@@ -23,9 +23,9 @@
 
 /// The inquiries of one member and what others have said to them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Inquiries {
+pub(crate) struct ReadIndexState {
     round: u64,
-    waiting: Vec<Waiting>,
+    waiting: Vec<PendingReadIndex>,
     /// The newest round to which a voter said that it stands in a view and has not stopped.
     said: BTreeMap<MemberId, (ViewNumber, u64)>,
 }
@@ -34,23 +34,23 @@
     /// Asks whether the view still stands: `Order::Confirmed` comes once a majority of its voters has said so after
     /// this call, and all that was taken before it has been delivered here. It may never come. False where too many
     /// are in hand.
-    pub fn inquire(&mut self, now: Nanos, inquiry: Inquiry) -> bool {
+    pub fn inquire(&mut self, now: Nanos, inquiry: ReadIndexId) -> bool {
         self.listen(now);
         if self.inquiries.waiting.len() >= MOST_INQUIRIES {
             return false;
         }
         self.inquiries.round += 1;
-        let stale = self.plant == Some(Plant::ReadDelivered);
+        let stale = self.plant == Some(SeededBug::ReadDelivered);
         let index = if self.holds() && !stale { self.cur.no } else { Revision(0) };
         let round = self.inquiries.round;
-        self.inquiries.waiting.push(Waiting { inquiry, round, index });
+        self.inquiries.waiting.push(PendingReadIndex { inquiry, round, index });
         self.ask_voters();
         self.settle();
         true
     }
 
     /// Nobody waits for it any more.
-    pub fn withdraw(&mut self, inquiry: Inquiry) {
+    pub fn withdraw(&mut self, inquiry: ReadIndexId) {
         self.inquiries.waiting.retain(|waiting| waiting.inquiry != inquiry);
     }
 
@@ -78,7 +78,7 @@
             .collect();
         for member in silent {
             let to = self.addr(&member);
-            self.say(to, Word::Confirm { view, life, round });
+            self.say(to, Message::Confirm { view, life, round });
         }
     }
 
@@ -93,14 +93,14 @@
         if view < mine {
             if self.may_tell() {
                 let base = self.cur.base.clone();
-                self.say(from, Word::Told { base });
+                self.say(from, Message::Told { base });
             }
         } else if view > mine {
             self.pulse_soon = true;
-        } else if !self.stopped() || self.plant == Some(Plant::ConfirmStopped) {
+        } else if !self.stopped() || self.plant == Some(SeededBug::ConfirmStopped) {
             // Who has not stopped now had not when the question came; so no later view had been chosen by a majority.
             let who = self.me();
-            self.say(from, Word::Confirmed { who, view, life, round });
+            self.say(from, Message::Confirmed { who, view, life, round });
         }
     }
 
@@ -130,7 +130,7 @@
         let Some(delivered) = self.delivered().map(|(no, _)| no) else { return };
         // Guards against one that was left out and is back: it may hold a change under way, and have delivered nothing
         // of the view yet. What was taken before the view began lies below its floor.
-        if delivered < floor(&self.cur.base) && self.plant != Some(Plant::ConfirmBelowFloor) {
+        if delivered < floor(&self.cur.base) && self.plant != Some(SeededBug::ConfirmBelowFloor) {
             return;
         }
         if !self.force || self.stopped() || !self.holds() || !is_member(view, &self.facts.me) {
@@ -147,11 +147,12 @@
             .collect();
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         let confirmed = match self.plant {
-            Some(Plant::ConfirmAlone) => self.inquiries.round,
+            Some(SeededBug::ConfirmAlone) => self.inquiries.round,
             _ => rounds.get(most).copied().unwrap_or(0),
         };
-        let ended = |waiting: &Waiting| waiting.round <= confirmed && waiting.index <= delivered;
-        let (ended, waiting) = self.inquiries.waiting.iter().copied().partition::<Vec<Waiting>, _>(ended);
+        let ended = |waiting: &PendingReadIndex| waiting.round <= confirmed && waiting.index <= delivered;
+        let (ended, waiting) =
+            self.inquiries.waiting.iter().copied().partition::<Vec<PendingReadIndex>, _>(ended);
         self.inquiries.waiting = waiting;
         ended.iter().for_each(|waiting| self.order(Action::Confirmed { inquiry: waiting.inquiry }));
     }
--- a/crates/fernknot-consensus/src/forced.rs
+++ b/crates/fernknot-consensus/src/forced.rs
@@ -29,17 +29,17 @@
     ///
     /// # Errors
     /// Where the view could change by itself, or something is held elsewhere that would be lost.
-    pub fn force(&mut self, now: Nanos, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceError> {
+    pub fn force(&mut self, now: Nanos, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceViewError> {
         self.listen(now);
         let view = self.cur.base.view.clone();
         if view.number == ViewNumber(0) {
-            return Err(ForceError::HoldsNothing);
+            return Err(ForceViewError::HoldsNothing);
         }
         if !self.well() {
-            return Err(ForceError::DiskNotWell);
+            return Err(ForceViewError::DiskNotWell);
         }
         if !self.has_listened(now) {
-            return Err(ForceError::Listening);
+            return Err(ForceViewError::Listening);
         }
         let limit = self.facts.suspect_after;
         let mut survivors: Vec<Member> = Vec::new();
@@ -53,7 +53,7 @@
             let named = lost.contains(&at) || lost.contains(&seat.addr);
             let heard = self.peers.get(&seat.id).filter(|peer| now - peer.heard <= limit);
             match heard.filter(|_| !self.replaced(seat)) {
-                Some(_) if named => return Err(ForceError::Heard(at)),
+                Some(_) if named => return Err(ForceViewError::Heard(at)),
                 Some(peer) => {
                     // An older copy votes on nothing by itself.
                     let told = &peer.told;
@@ -61,11 +61,11 @@
                     survivors.push(peer.told.who.clone());
                 }
                 None if named || self.replaced(seat) => {}
-                None => return Err(ForceError::NotNamed(at)),
+                None => return Err(ForceViewError::NotNamed(at)),
             }
         }
         if votes > voters(&view).count() / 2 {
-            return Err(ForceError::MajorityHeard);
+            return Err(ForceViewError::MajorityHeard);
         }
         let mut newest = (self.cur.held, self.cur.no, self.cur.state.clone());
         if let Some(AcceptedView { next, no, state, .. }) = &self.cur.vouched
@@ -77,21 +77,21 @@
         for peer in self.peers.values().filter(|peer| now - peer.heard <= limit) {
             let at = peer.told.who.addr;
             if peer.told.view > view.number {
-                return Err(ForceError::KnowsMore(at));
+                return Err(ForceViewError::KnowsMore(at));
             }
             let survives = survivors.iter().any(|member| member.id == peer.told.who.id);
             if survives && (peer.told.held, peer.told.no, Reverse(peer.told.who.id)) > mine {
-                return Err(ForceError::KnowsMore(at));
+                return Err(ForceViewError::KnowsMore(at));
             }
         }
         let fork = self.draw() % (ERA / FORK);
         let no = ViewNumber((era(view.number) + 1).saturating_mul(ERA).saturating_add(fork * FORK));
         if no.0 > MOST - ERA {
-            return Err(ForceError::NoNumber);
+            return Err(ForceViewError::NoNumber);
         }
         let order = Revision((newest.1.0 / ORDERS + 1).saturating_mul(ORDERS));
         let (no, order) = match self.plant {
-            Some(Plant::UnfencedForce) => (ViewNumber(view.number.0 + 1), newest.1),
+            Some(SeededBug::UnfencedForce) => (ViewNumber(view.number.0 + 1), newest.1),
             _ => (no, order),
         };
         let mut floors = self.cur.base.floors.clone();
@@ -102,14 +102,14 @@
         let mut members = vec![self.facts.me.clone()];
         members.append(&mut survivors);
         self.cur.vouched = None;
-        self.move_to(Base { view: View { number: no, members, absent: Vec::new() }, floors });
+        self.move_to(ChosenView { view: View { number: no, members, absent: Vec::new() }, floors });
         (self.cur.held, self.cur.no, self.cur.state) = (no, order, newest.2);
         self.settle();
         Ok(no)
     }
 
     /// A view of a later era without this member has closed its disk out, if anything was ever vouched for from it.
-    pub(crate) fn closed_out(&self, base: &Base) -> bool {
+    pub(crate) fn closed_out(&self, base: &ChosenView) -> bool {
         let was = self.cur.base.view.number;
         let blank = self.cur.held == ViewNumber(0) && self.cur.vouched.is_none() && !self.stopped();
         let later = was > ViewNumber(0) && era(base.view.number) > era(was);
--- a/crates/fernknot-consensus/src/past.rs
+++ b/crates/fernknot-consensus/src/past.rs
@@ -7,18 +7,18 @@
 use std::net::SocketAddrV4;
 
 use crate::types::*;
-use crate::views::{Consensus, MOST_MEMBERS, MOST_PEERS, Writing, floor, same, voters};
+use crate::views::{Consensus, MOST_MEMBERS, MOST_PEERS, PendingWrite, floor, same, voters};
 
 /// Words that wait for the end of the questions, at most; the oldest are dropped, their senders say them again.
 const MOST_DEFERRED: usize = 32;
 
 /// What is known of the pasts of this disk and of the others'.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Past {
+pub(crate) struct DiskRecovery {
     /// How far the disk had come when this process started from it.
-    began: Mark,
+    began: DurableProgress,
     /// How far it has come now.
-    pub safe: Mark,
+    pub safe: DurableProgress,
     /// Nothing that came from this disk is missing on it, as far as can be known.
     pub proven: bool,
     /// Others remember more than there is.
@@ -26,14 +26,14 @@
     /// Those who remember no more of it than there is.
     recalls: BTreeMap<MemberId, Member>,
     /// How far the disks of others had come.
-    marks: BTreeMap<MemberId, Mark>,
-    deferred: VecDeque<(SocketAddrV4, Word)>,
+    marks: BTreeMap<MemberId, DurableProgress>,
+    deferred: VecDeque<(SocketAddrV4, Message)>,
 }
 
-impl Past {
+impl DiskRecovery {
     /// An empty disk has no past, and is `proven`.
-    pub fn new(saved: &PersistentState, proven: bool) -> Past {
-        Past {
+    pub fn new(saved: &PersistentState, proven: bool) -> DiskRecovery {
+        DiskRecovery {
             began: saved.mark(),
             safe: saved.mark(),
             proven,
@@ -49,7 +49,7 @@
     // For others.
 
     /// Another's disk has come so far at least.
-    pub(crate) fn note_mark(&mut self, id: MemberId, mark: Mark) {
+    pub(crate) fn note_mark(&mut self, id: MemberId, mark: DurableProgress) {
         if id == self.me() || id == MemberId(0) {
             return;
         }
@@ -66,7 +66,7 @@
     }
 
     /// The marks that go onto this disk with the next write: those of all who vote now or may vote next.
-    pub(crate) fn marks_to_keep(&self) -> Vec<(MemberId, Mark)> {
+    pub(crate) fn marks_to_keep(&self) -> Vec<(MemberId, DurableProgress)> {
         let next = self.cur.vouched.iter().flat_map(|vouched| voters(&vouched.next.view));
         let ids = voters(&self.cur.base.view).chain(next).map(|seat| seat.id);
         let ids: std::collections::BTreeSet<MemberId> = ids.collect();
@@ -77,7 +77,7 @@
     /// How far a disk had come, by what was heard of it and by what this disk holds: a change that follows
     /// another shows that the one before is with every member. (What the view began with may lie on a member's disk
     /// as the next view that it vouched for, still under the number of the last one.)
-    fn mark_of(&self, id: MemberId) -> Mark {
+    fn mark_of(&self, id: MemberId) -> DurableProgress {
         let heard = self.past.marks.get(&id).copied().unwrap_or_default();
         let view = &self.cur.base.view;
         let inside = view.members.iter().any(|seat| seat.id == id);
@@ -85,40 +85,40 @@
         if view.number == ViewNumber(0) || !inside || !self.holds() || taken <= floor(&self.cur.base) {
             return heard;
         }
-        heard.join(Mark { held: (view.number, taken), ..Mark::default() })
+        heard.join(DurableProgress { held: (view.number, taken), ..DurableProgress::default() })
     }
 
     /// Answers one who asks, before it is told anything that it might act on.
-    pub(crate) fn recall(&mut self, from: SocketAddrV4, told: &Pulse) {
+    pub(crate) fn recall(&mut self, from: SocketAddrV4, told: &PeerHeartbeat) {
         let id = told.who.id;
         if told.asks {
             let mark = self.mark_of(id);
             let who = self.facts.me.clone();
             // What it has on disk since it began to ask is not what came from it before.
-            return self.say(from, Word::Recall { who, of: id, life: told.life, mark });
+            return self.say(from, Message::Recall { who, of: id, life: told.life, mark });
         }
         let (promise, vouched) = ((told.view, told.promise), (told.view, told.vouched));
-        self.note_mark(id, Mark { promise, vouched, held: (told.held, told.no) });
+        self.note_mark(id, DurableProgress { promise, vouched, held: (told.held, told.no) });
     }
 
     // For this one.
 
     /// Keeps back what asks for an act of a member, until it is known that it may act.
-    pub(crate) fn admit(&mut self, from: SocketAddrV4, word: Word) -> Option<Word> {
+    pub(crate) fn admit(&mut self, from: SocketAddrV4, word: Message) -> Option<Message> {
         if self.past.proven {
             return Some(word);
         }
         match &word {
-            Word::Whole { base, .. } | Word::Stop { base, .. } | Word::Install { base, .. } => {
+            Message::Whole { base, .. } | Message::Stop { base, .. } | Message::Install { base, .. } => {
                 // Who is to be asked is known by the newest view.
                 self.move_to(base.clone());
                 if self.past.proven {
                     return Some(word); // a forced view: closed out by it, or taken into it
                 }
             }
-            Word::Change { .. } | Word::Commit { .. } | Word::Chosen { .. } => {}
+            Message::Change { .. } | Message::Commit { .. } | Message::Chosen { .. } => {}
             // What this disk may have forgotten is that it stopped.
-            Word::Confirm { .. } => return None,
+            Message::Confirm { .. } => return None,
             _ => return Some(word),
         }
         if self.past.deferred.len() >= MOST_DEFERRED {
@@ -128,14 +128,14 @@
         None
     }
 
-    pub(crate) fn hear_recall(&mut self, who: Member, of: MemberId, life: u64, mark: Mark) {
+    pub(crate) fn hear_recall(&mut self, who: Member, of: MemberId, life: u64, mark: DurableProgress) {
         if of != self.me() || life != self.life || self.past.proven {
             return;
         }
         if !self.past.began.covers(mark) {
             self.pulse_soon |= !self.past.condemned;
             self.past.condemned = true;
-            if self.plant == Some(Plant::GivesUpAtOnce) {
+            if self.plant == Some(SeededBug::GivesUpAtOnce) {
                 self.renew();
             }
             return;
@@ -147,7 +147,7 @@
 
     /// An older copy is given up only for a view that goes on without it. Guards against few copies or one being left
     /// while no view goes on, where all disks have lost something that they had called synced.
-    pub(crate) fn give_up_copy(&mut self, told: &Pulse) {
+    pub(crate) fn give_up_copy(&mut self, told: &PeerHeartbeat) {
         let live = told.echo.0 == self.life;
         if self.past.condemned && live && told.force && told.view >= self.cur.base.view.number {
             self.renew();
@@ -196,7 +196,7 @@
         next.failed = self.failed;
         // A write of the old life may still be under way, and says nothing of the new one.
         next.writing = self.writing.take();
-        if let Some(Writing { safe, mark, words, .. }) = &mut next.writing {
+        if let Some(PendingWrite { safe, mark, words, .. }) = &mut next.writing {
             (*safe, *mark) = Default::default();
             words.clear();
         }
--- a/crates/fernknot-consensus/src/types.rs
+++ b/crates/fernknot-consensus/src/types.rs
@@ -23,9 +23,9 @@
     /// The place of a state in the one order; 0 is the empty state that view 1 begins with.
     Revision,
     /// Names one request to write to disk.
-    Ticket,
+    WriteId,
     /// Names one question whether what is known here still stands; given by the host, never twice in a life.
-    Inquiry
+    ReadIndexId
 );
 
 /// A registrar: the life of its disk, where it listens for other registrars, and its zone.
@@ -48,7 +48,7 @@
 
 /// A view that is known to be chosen, and the order numbers at which the last views began.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Base {
+pub struct ChosenView {
     pub view: View,
     /// Oldest first. What an earlier view stored above the floor of its next was never taken.
     pub floors: Vec<(ViewNumber, Revision)>,
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct AcceptedView {
     pub ballot: ProposalNumber,
-    pub next: Base,
+    pub next: ChosenView,
     /// Order number that the next view begins with.
     pub no: Revision,
     /// Absent where it is the state that the member holds as its newest.
@@ -75,7 +75,7 @@
 /// How far a disk has come. Each part only rises as long as it is the same disk, so one that falls short of what
 /// others heard of it is an older copy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Mark {
+pub struct DurableProgress {
     /// What it promised, and in the change of which view.
     pub promise: (ViewNumber, ProposalNumber),
     /// The ballot under which it accepted a next view, and in the change of which view.
@@ -84,10 +84,10 @@
     pub held: (ViewNumber, Revision),
 }
 
-impl Mark {
+impl DurableProgress {
     /// The later of both, part by part.
-    pub fn join(self, other: Mark) -> Mark {
-        Mark {
+    pub fn join(self, other: DurableProgress) -> DurableProgress {
+        DurableProgress {
             promise: self.promise.max(other.promise),
             vouched: self.vouched.max(other.vouched),
             held: self.held.max(other.held),
@@ -95,7 +95,7 @@
     }
 
     /// Nothing of the other is missing here.
-    pub fn covers(self, other: Mark) -> bool {
+    pub fn covers(self, other: DurableProgress) -> bool {
         self.join(other) == self
     }
 }
@@ -105,7 +105,7 @@
 pub struct PersistentState {
     pub me: MemberId,
     /// The last view known to be chosen.
-    pub base: Base,
+    pub base: ChosenView,
     /// Nothing below this ballot counts any more for the change of `base`; not 0: stopped.
     pub promise: ProposalNumber,
     pub vouched: Option<AcceptedView>,
@@ -114,21 +114,25 @@
     pub no: Revision,
     pub state: Arc<[u8]>,
     /// How far the disks of the voters had come when this was written, as far as they had said.
-    pub marks: Vec<(MemberId, Mark)>,
+    pub marks: Vec<(MemberId, DurableProgress)>,
 }
 
 impl PersistentState {
     /// What whoever has this on disk may have vouched for.
-    pub fn mark(&self) -> Mark {
+    pub fn mark(&self) -> DurableProgress {
         let view = self.base.view.number;
         let vouched = self.vouched.as_ref().map_or(ProposalNumber::default(), |vouched| vouched.ballot);
-        Mark { promise: (view, self.promise), vouched: (view, vouched), held: (self.held, self.no) }
+        DurableProgress {
+            promise: (view, self.promise),
+            vouched: (view, vouched),
+            held: (self.held, self.no),
+        }
     }
 }
 
 /// What a member tells of itself, at every pulse and at once where something has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Pulse {
+pub struct PeerHeartbeat {
     pub who: Member,
     /// What is safely on disk: the view, the view of the newest state, its order number.
     pub view: ViewNumber,
@@ -156,23 +160,23 @@
 
 /// A message between registrars. May be lost, doubled or late.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub enum Word {
-    Pulse(Pulse),
+pub enum Message {
+    Pulse(PeerHeartbeat),
     /// To one who asks: how far the disk of the life `of` had come, as far as `who` ever heard. `life` is the
     /// asking process as it named itself.
     Recall {
         who: Member,
         of: MemberId,
         life: u64,
-        mark: Mark,
+        mark: DurableProgress,
     },
     /// A later view, to one who isn't in it or votes in an older one.
     Told {
-        base: Base,
+        base: ChosenView,
     },
     /// The newest state, to a member of the view that lacks it.
     Whole {
-        base: Base,
+        base: ChosenView,
         no: Revision,
         state: Arc<[u8]>,
     },
@@ -196,7 +200,7 @@
     /// Stop `base` under this ballot; `no` is the newest that the proposer holds.
     Stop {
         ballot: ProposalNumber,
-        base: Base,
+        base: ChosenView,
         no: Option<Revision>,
     },
     /// Stopped. `holds` is the newest order number, `state` goes with it where the proposer lacks it.
@@ -216,8 +220,8 @@
     /// The next view, and what it begins with; no state where the receiver holds it.
     Install {
         ballot: ProposalNumber,
-        base: Base,
-        next: Base,
+        base: ChosenView,
+        next: ChosenView,
         no: Revision,
         state: Option<Arc<[u8]>>,
     },
@@ -250,7 +254,7 @@
 
 /// What the register is told at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct ViewFacts {
+pub struct ConsensusSettings {
     pub me: Member,
     /// Inner addresses of the registrars that found the first view.
     pub founders: Vec<SocketAddrV4>,
@@ -268,7 +272,7 @@
 
 /// Why a registrar does not count in the view now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lack {
+pub enum Ineligibility {
     /// Not heard for `suspect_after`, or it does not hear this one.
     Silent,
     /// Another life of a disk speaks at its address.
@@ -289,23 +293,23 @@
 
 /// A registrar's place in the view or beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Seat {
+pub struct ReplicaStatus {
     pub member: Member,
     /// Stores every change.
     pub inside: bool,
     /// Votes on the next view.
     pub votes: bool,
     /// None: it counts.
-    pub lack: Option<Lack>,
+    pub lack: Option<Ineligibility>,
 }
 
 /// How the view stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Standing {
+pub struct ViewStatus {
     pub no: ViewNumber,
     /// Changes are taken in it.
     pub in_force: bool,
-    pub seats: Vec<Seat>,
+    pub seats: Vec<ReplicaStatus>,
     /// So many disks more may be lost for good, at once and now, with nothing acknowledged lost and no order of an
     /// operator needed to go on.
     pub losses_borne: usize,
@@ -313,7 +317,7 @@
 
 /// Why a view is not forced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum ForceError {
+pub enum ForceViewError {
     #[error("a majority of the voters is heard: the view changes by itself")]
     MajorityHeard,
     #[error("{0} is named as lost, and is heard")]
@@ -337,11 +341,11 @@
 pub enum Action {
     Say {
         to: SocketAddrV4,
-        word: Word,
+        word: Message,
     },
     /// Write and sync, then call `stored`. Only one is out at a time, except after a failure.
     Store {
-        ticket: Ticket,
+        ticket: WriteId,
         saved: PersistentState,
     },
     /// In force, in one order, on every member; also once after a start, when the view is in force.
@@ -374,7 +378,7 @@
     /// A majority of the voters stood in the view, not stopped, after the inquiry was made, and all that was taken
     /// before it has been delivered here.
     Confirmed {
-        inquiry: Inquiry,
+        inquiry: ReadIndexId,
     },
     /// Call `next` again after this long at the latest.
     Wake {
@@ -385,7 +389,7 @@
 /// Breaks planted for the checkers, which must find each one.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Plant {
+pub enum SeededBug {
     /// An empty disk at a member's address votes for it.
     EmptyVotes,
     /// Words leave before what they vouch for is on disk.
--- a/crates/fernknot-consensus/src/views.rs
+++ b/crates/fernknot-consensus/src/views.rs
@@ -7,10 +7,10 @@
 
 use fernknot::interface::Nanos;
 
-use crate::ballots::Run;
-use crate::confirm::Inquiries;
+use crate::ballots::ViewChangeAttempt;
+use crate::confirm::ReadIndexState;
 use crate::forced::era;
-use crate::past::Past;
+use crate::past::DiskRecovery;
 use crate::types::*;
 
 /// Members of a view, at most.
@@ -29,7 +29,7 @@
 /// What is known of another registrar.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
-    pub told: Pulse,
+    pub told: PeerHeartbeat,
     pub heard: Nanos,
     /// When the newest of my pulses left that it has answered to.
     pub echoed: Option<Nanos>,
@@ -46,21 +46,21 @@
 /// One registrar's part in the register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Consensus {
-    pub(crate) facts: ViewFacts,
-    pub(crate) plant: Option<Plant>,
+    pub(crate) facts: ConsensusSettings,
+    pub(crate) plant: Option<SeededBug>,
     chance: u64,
     pub(crate) life: u64,
     pub(crate) now: Nanos,
     pub(crate) started: Nanos,
     /// Nobody is suspected before this and `suspect_after` are over: the start, or a sleep.
     listen_from: Nanos,
-    pub(crate) past: Past,
+    pub(crate) past: DiskRecovery,
     /// What is to be on disk, and what of it is.
     pub(crate) cur: PersistentState,
     pub(crate) safe: (ViewNumber, ViewNumber, Revision),
     pub(crate) dirty: bool,
-    pub(crate) writing: Option<Writing>,
-    waiting: VecDeque<(SocketAddrV4, Word)>,
+    pub(crate) writing: Option<PendingWrite>,
+    waiting: VecDeque<(SocketAddrV4, Message)>,
     pub(crate) tickets: u64,
     pub(crate) host_well: bool,
     pub(crate) failed: Option<Nanos>,
@@ -73,10 +73,10 @@
     barred: ViewNumber,
     pub(crate) commit: Revision,
     delivered: Option<(Revision, Arc<[u8]>)>,
-    flight: Option<Flight>,
+    flight: Option<PendingChange>,
     pub(crate) queue: VecDeque<(u64, Arc<[u8]>)>,
     unclear: Vec<(u64, ViewNumber, Revision)>,
-    pub(crate) run: Option<Run>,
+    pub(crate) run: Option<ViewChangeAttempt>,
     pub(crate) seen_round: u64,
     pub(crate) backoff_until: Nanos,
     /// Since when the view is not in force, or is stopped.
@@ -86,24 +86,24 @@
     pulse_at: Nanos,
     pulsed: Nanos,
     pub(crate) pulse_soon: bool,
-    pub(crate) inquiries: Inquiries,
-    inner: VecDeque<Word>,
+    pub(crate) inquiries: ReadIndexState,
+    inner: VecDeque<Message>,
     pub(crate) actions: VecDeque<Action>,
     wake: Option<Nanos>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Writing {
-    ticket: Ticket,
+pub(crate) struct PendingWrite {
+    ticket: WriteId,
     since: Nanos,
     pub(crate) safe: (ViewNumber, ViewNumber, Revision),
-    pub(crate) mark: Mark,
-    pub(crate) words: VecDeque<(SocketAddrV4, Word)>,
+    pub(crate) mark: DurableProgress,
+    pub(crate) words: VecDeque<(SocketAddrV4, Message)>,
 }
 
 /// The sequencer's change that is not yet on all disks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Flight {
+struct PendingChange {
     proposal: u64,
     no: Revision,
     since: Nanos,
@@ -114,17 +114,17 @@
 impl Consensus {
     /// `seed` must differ from start to start. `saved` is what the host last wrote, or none where
     /// the disk is empty; what another life of the disk wrote is not trusted.
-    pub fn new(seed: u64, facts: ViewFacts, saved: Option<PersistentState>, now: Nanos) -> Consensus {
+    pub fn new(seed: u64, facts: ConsensusSettings, saved: Option<PersistentState>, now: Nanos) -> Consensus {
         Consensus::planted(seed, facts, saved, now, None)
     }
 
     #[doc(hidden)]
     pub fn planted(
         seed: u64,
-        facts: ViewFacts,
+        facts: ConsensusSettings,
         saved: Option<PersistentState>,
         now: Nanos,
-        plant: Option<Plant>,
+        plant: Option<SeededBug>,
     ) -> Consensus {
         let mut facts = facts;
         facts.pulse_every = facts.pulse_every.max(Nanos(1));
@@ -134,7 +134,7 @@
         let fresh = saved.is_none();
         let mut cur = saved.unwrap_or_else(|| PersistentState {
             me: me.id,
-            base: Base::default(),
+            base: ChosenView::default(),
             promise: ProposalNumber::default(),
             vouched: None,
             held: ViewNumber(0),
@@ -159,13 +159,13 @@
         addrs.remove(&me.addr);
         let vouched_no = cur.vouched.as_ref().map_or(ViewNumber(0), |vouched| vouched.next.view.number);
         let barred = match plant {
-            Some(Plant::SequenceAgain) => ViewNumber(0),
+            Some(SeededBug::SequenceAgain) => ViewNumber(0),
             _ => cur.base.view.number.max(vouched_no),
         };
         let safe = (cur.base.view.number, cur.held, cur.no);
         let seen_round = cur.promise.round;
         let commit = floor(&cur.base);
-        let past = Past::new(&cur, fresh || plant == Some(Plant::OldCopyVotes));
+        let past = DiskRecovery::new(&cur, fresh || plant == Some(SeededBug::OldCopyVotes));
         let mut views = Consensus {
             facts,
             plant,
@@ -202,7 +202,7 @@
             pulse_at: now,
             pulsed: now,
             pulse_soon: false,
-            inquiries: Inquiries::default(),
+            inquiries: ReadIndexState::default(),
             inner: VecDeque::new(),
             actions: VecDeque::new(),
             wake: None,
@@ -212,7 +212,7 @@
     }
 
     /// A word from the registrar that listens at `from`.
-    pub fn heard(&mut self, now: Nanos, from: SocketAddrV4, word: Word) {
+    pub fn heard(&mut self, now: Nanos, from: SocketAddrV4, word: Message) {
         self.listen(now);
         if sound(&word) {
             self.hear(from, word);
@@ -221,7 +221,7 @@
     }
 
     /// The end of the write with this ticket; not `ok`: what is on disk is not known.
-    pub fn stored(&mut self, now: Nanos, ticket: Ticket, ok: bool) {
+    pub fn stored(&mut self, now: Nanos, ticket: WriteId, ok: bool) {
         self.listen(now);
         if self.writing.as_ref().is_some_and(|writing| writing.ticket == ticket)
             && let Some(mut writing) = self.writing.take()
@@ -373,7 +373,7 @@
     }
 
     pub(crate) fn well(&self) -> bool {
-        let slow = |writing: &Writing| self.now - writing.since > self.facts.suspect_after.times(0.5);
+        let slow = |writing: &PendingWrite| self.now - writing.since > self.facts.suspect_after.times(0.5);
         self.host_well && self.failed.is_none() && !self.writing.as_ref().is_some_and(slow)
     }
 
@@ -449,7 +449,7 @@
 
     // Words out.
 
-    pub(crate) fn say(&mut self, to: SocketAddrV4, word: Word) {
+    pub(crate) fn say(&mut self, to: SocketAddrV4, word: Message) {
         if to == self.facts.me.addr {
             self.inner.push_back(word);
         } else {
@@ -458,8 +458,8 @@
     }
 
     /// Says it once all that is known now is on disk.
-    pub(crate) fn say_safely(&mut self, to: SocketAddrV4, word: Word) {
-        if self.plant == Some(Plant::WordBeforeDisk) {
+    pub(crate) fn say_safely(&mut self, to: SocketAddrV4, word: Message) {
+        if self.plant == Some(SeededBug::WordBeforeDisk) {
             return self.say(to, word);
         }
         if self.dirty {
@@ -487,10 +487,10 @@
             return;
         }
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        let ticket = WriteId(self.tickets);
         self.dirty = false;
         self.cur.marks = self.marks_to_keep();
-        self.writing = Some(Writing {
+        self.writing = Some(PendingWrite {
             ticket,
             since: self.now,
             safe: (self.cur.base.view.number, self.cur.held, self.cur.no),
@@ -595,7 +595,7 @@
             }
         }
         to.remove(&self.facts.me.addr);
-        let pulse = Pulse {
+        let pulse = PeerHeartbeat {
             who: self.facts.me.clone(),
             view: self.safe.0,
             held: self.safe.1,
@@ -614,7 +614,7 @@
             deaf,
         };
         for (to, echo) in to {
-            self.say(to, Word::Pulse(Pulse { echo, ..pulse.clone() }));
+            self.say(to, Message::Pulse(PeerHeartbeat { echo, ..pulse.clone() }));
         }
         // Words may be lost, and the view may have changed since they were asked.
         self.ask_voters();
@@ -622,21 +622,21 @@
 
     // Words in.
 
-    pub(crate) fn hear(&mut self, from: SocketAddrV4, word: Word) {
+    pub(crate) fn hear(&mut self, from: SocketAddrV4, word: Message) {
         let Some(word) = self.admit(from, word) else { return };
         match word {
-            Word::Pulse(pulse) => self.hear_pulse(from, pulse),
-            Word::Recall { who, of, life, mark } => self.hear_recall(who, of, life, mark),
-            Word::Told { base } => {
+            Message::Pulse(pulse) => self.hear_pulse(from, pulse),
+            Message::Recall { who, of, life, mark } => self.hear_recall(who, of, life, mark),
+            Message::Told { base } => {
                 if base.view.number > self.cur.base.view.number {
                     self.move_to(base);
                     self.pulse_soon = true;
                 }
             }
-            Word::Whole { base, no, state } => self.hear_whole(base, no, state),
-            Word::Change { view, no, state } => self.hear_change(from, view, no, state),
-            Word::Have { who, view, no } => {
-                self.note_mark(who, Mark { held: (view, no), ..Mark::default() });
+            Message::Whole { base, no, state } => self.hear_whole(base, no, state),
+            Message::Change { view, no, state } => self.hear_change(from, view, no, state),
+            Message::Have { who, view, no } => {
+                self.note_mark(who, DurableProgress { held: (view, no), ..DurableProgress::default() });
                 if let Some(peer) = self.peers.get_mut(&who)
                     && (view, no) > (peer.held, peer.no)
                 {
@@ -644,28 +644,28 @@
                 }
                 self.take();
             }
-            Word::Commit { view, no } => {
+            Message::Commit { view, no } => {
                 if view == self.cur.base.view.number && self.holds() && !self.leads() {
                     self.commit = self.commit.max(no);
                     self.go_in_force();
                 }
             }
-            Word::Stop { ballot, base, no } => self.hear_stop(from, ballot, base, no),
-            Word::Stopped { who, ballot, base, holds, state, vouched } => {
+            Message::Stop { ballot, base, no } => self.hear_stop(from, ballot, base, no),
+            Message::Stopped { who, ballot, base, holds, state, vouched } => {
                 self.hear_stopped(who, ballot, base, holds, state, vouched);
             }
-            Word::Outdone { base, promise } => self.hear_outdone(base, promise),
-            Word::Install { ballot, base, next, no, state } => {
+            Message::Outdone { base, promise } => self.hear_outdone(base, promise),
+            Message::Install { ballot, base, next, no, state } => {
                 self.hear_install(from, ballot, base, next, no, state);
             }
-            Word::Installed { who, ballot, base } => self.hear_installed(who, ballot, base),
-            Word::Chosen { ballot, base, force } => self.hear_chosen(ballot, base, force),
-            Word::Confirm { view, life, round } => self.hear_confirm(from, view, life, round),
-            Word::Confirmed { who, view, life, round } => self.hear_confirmed(who, view, life, round),
+            Message::Installed { who, ballot, base } => self.hear_installed(who, ballot, base),
+            Message::Chosen { ballot, base, force } => self.hear_chosen(ballot, base, force),
+            Message::Confirm { view, life, round } => self.hear_confirm(from, view, life, round),
+            Message::Confirmed { who, view, life, round } => self.hear_confirmed(who, view, life, round),
         }
     }
 
-    fn hear_pulse(&mut self, from: SocketAddrV4, told: Pulse) {
+    fn hear_pulse(&mut self, from: SocketAddrV4, told: PeerHeartbeat) {
         let id = told.who.id;
         if id == self.me() || id == MemberId(0) {
             return;
@@ -720,7 +720,7 @@
     }
 
     /// What the sequencer's pulse says of the view and of what is taken in it.
-    pub(crate) fn heed(&mut self, told: &Pulse) {
+    pub(crate) fn heed(&mut self, told: &PeerHeartbeat) {
         let id = told.who.id;
         let view = &self.cur.base.view;
         if told.view == view.number
@@ -742,7 +742,7 @@
     }
 
     /// Gives one that is behind what it lacks: the state if it is in the view, else word of it.
-    fn catch_up(&mut self, from: SocketAddrV4, told: &Pulse) {
+    fn catch_up(&mut self, from: SocketAddrV4, told: &PeerHeartbeat) {
         let view = &self.cur.base.view;
         let behind = told.view < view.number;
         if (!behind && (told.view > view.number || told.held >= view.number)) || !self.may_tell() {
@@ -761,7 +761,7 @@
         if !inside || !self.holds() {
             if behind {
                 let base = self.cur.base.clone();
-                self.say(from, Word::Told { base });
+                self.say(from, Message::Told { base });
             }
             return;
         }
@@ -774,11 +774,11 @@
         {
             peer.whole_at = Some(now);
             let (base, no, state) = (self.cur.base.clone(), self.cur.no, self.cur.state.clone());
-            self.say(from, Word::Whole { base, no, state });
+            self.say(from, Message::Whole { base, no, state });
         }
     }
 
-    fn hear_whole(&mut self, base: Base, no: Revision, state: Arc<[u8]>) {
+    fn hear_whole(&mut self, base: ChosenView, no: Revision, state: Arc<[u8]>) {
         if base.view.number > self.cur.base.view.number {
             self.move_to(base.clone());
         }
@@ -797,11 +797,11 @@
 
     /// Takes over a view that is known to be chosen. Its state comes along only if it is the one
     /// that this member vouched for; else the newest state only remembers until `Whole` comes.
-    pub(crate) fn move_to(&mut self, base: Base) {
+    pub(crate) fn move_to(&mut self, base: ChosenView) {
         if base.view.number <= self.cur.base.view.number {
             return;
         }
-        if self.closed_out(&base) && self.plant != Some(Plant::UnfencedForce) {
+        if self.closed_out(&base) && self.plant != Some(SeededBug::UnfencedForce) {
             return self.renew();
         }
         if era(base.view.number) > era(self.cur.base.view.number) {
@@ -849,7 +849,7 @@
     fn clear_up(&mut self) {
         let base = self.cur.base.clone();
         let force = self.force;
-        let guesses = self.plant == Some(Plant::FloorGuessed);
+        let guesses = self.plant == Some(SeededBug::FloorGuessed);
         let orders = &mut self.actions;
         self.unclear.retain(|(proposal, view, no)| {
             let next = ViewNumber(view.0.saturating_add(1));
@@ -934,9 +934,10 @@
         self.unsettled = self.now;
         let (view, no) = (self.cur.base.view.number, self.cur.no);
         let pause = self.facts.pulse_every;
-        self.flight = Some(Flight { proposal, no, since: self.now, resend_at: self.now + pause, pause });
+        self.flight =
+            Some(PendingChange { proposal, no, since: self.now, resend_at: self.now + pause, pause });
         for to in self.others() {
-            self.say(to, Word::Change { view, no, state: self.cur.state.clone() });
+            self.say(to, Message::Change { view, no, state: self.cur.state.clone() });
         }
         self.take();
     }
@@ -946,7 +947,7 @@
         if member.id == self.me() {
             return self.safe.1 == view && self.safe.2 >= no;
         }
-        self.plant == Some(Plant::OneDisk)
+        self.plant == Some(SeededBug::OneDisk)
             || self.peers.get(&member.id).is_some_and(|peer| peer.held == view && peer.no >= no)
     }
 
@@ -964,7 +965,7 @@
         self.commit = no;
         self.actions.push_back(Action::Taken { proposal, no });
         for to in self.others() {
-            self.say(to, Word::Commit { view, no });
+            self.say(to, Message::Commit { view, no });
         }
         self.deliver();
         self.start_change();
@@ -984,7 +985,7 @@
                 continue;
             }
             let to = self.addr(member);
-            self.say(to, Word::Change { view, no, state: self.cur.state.clone() });
+            self.say(to, Message::Change { view, no, state: self.cur.state.clone() });
             if late && let Some(peer) = self.peers.get_mut(&member.id) {
                 peer.slow_until = now + limit.times(2.0);
             }
@@ -1011,7 +1012,7 @@
         }
         if no <= self.cur.no {
             let who = self.me();
-            self.say_safely(from, Word::Have { who, view, no });
+            self.say_safely(from, Message::Have { who, view, no });
         }
     }
 }
@@ -1031,7 +1032,7 @@
 }
 
 /// Where the view began.
-pub(crate) fn floor(base: &Base) -> Revision {
+pub(crate) fn floor(base: &ChosenView) -> Revision {
     base.floors.last().map_or(Revision(0), |(_, no)| *no)
 }
 
@@ -1039,7 +1040,7 @@
     member.zone.len() <= LONGEST_ZONE
 }
 
-fn sound_base(base: &Base) -> bool {
+fn sound_base(base: &ChosenView) -> bool {
     base.view.members.len() <= MOST_MEMBERS
         && base.view.absent.len() <= MOST_MEMBERS
         && base.floors.len() <= MOST_FLOORS
@@ -1047,23 +1048,23 @@
 }
 
 /// Words beyond all bounds are dropped whole.
-fn sound(word: &Word) -> bool {
+fn sound(word: &Message) -> bool {
     match word {
-        Word::Pulse(pulse) => {
+        Message::Pulse(pulse) => {
             sound_member(&pulse.who) && pulse.hears.len() <= MOST_PEERS && pulse.deaf.len() <= MOST_PEERS
         }
-        Word::Told { base } | Word::Whole { base, .. } | Word::Stop { base, .. } => sound_base(base),
-        Word::Stopped { who, vouched, .. } => {
+        Message::Told { base } | Message::Whole { base, .. } | Message::Stop { base, .. } => sound_base(base),
+        Message::Stopped { who, vouched, .. } => {
             sound_member(who) && vouched.as_ref().is_none_or(|vouched| sound_base(&vouched.next))
         }
-        Word::Install { base, next, .. } => sound_base(base) && sound_base(next),
-        Word::Installed { who, .. } | Word::Recall { who, .. } => sound_member(who),
-        Word::Have { .. }
-        | Word::Change { .. }
-        | Word::Commit { .. }
-        | Word::Outdone { .. }
-        | Word::Chosen { .. }
-        | Word::Confirm { .. }
-        | Word::Confirmed { .. } => true,
+        Message::Install { base, next, .. } => sound_base(base) && sound_base(next),
+        Message::Installed { who, .. } | Message::Recall { who, .. } => sound_member(who),
+        Message::Have { .. }
+        | Message::Change { .. }
+        | Message::Commit { .. }
+        | Message::Outdone { .. }
+        | Message::Chosen { .. }
+        | Message::Confirm { .. }
+        | Message::Confirmed { .. } => true,
     }
 }
--- a/crates/fernknot-consensus/tests/common/mod.rs
+++ b/crates/fernknot-consensus/tests/common/mod.rs
@@ -63,21 +63,21 @@
     pub frozen: bool,
     /// Taken away with its disk.
     pub gone: bool,
-    held_writes: Vec<(Ticket, PersistentState)>,
+    held_writes: Vec<(WriteId, PersistentState)>,
     told_full: bool,
 }
 
 #[derive(Debug)]
 enum Event {
     Word { from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8> },
-    Stored { at: usize, life: u64, ticket: Ticket, saved: Box<PersistentState> },
+    Stored { at: usize, life: u64, ticket: WriteId, saved: Box<PersistentState> },
     Wake { at: usize, life: u64 },
 }
 
 pub struct Fleet {
     pub now: u64,
     pub chance: Chance,
-    pub plant: Option<Plant>,
+    pub plant: Option<SeededBug>,
     pub machines: Vec<Machine>,
     pub founders: Vec<SocketAddrV4>,
     pub losses: usize,
@@ -110,7 +110,7 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, machines: u8, founders: u8, losses: usize, plant: Option<Plant>) -> Fleet {
+    pub fn new(seed: u64, machines: u8, founders: u8, losses: usize, plant: Option<SeededBug>) -> Fleet {
         let mut fleet = Fleet {
             now: MS,
             chance: Chance(seed.wrapping_mul(2).wrapping_add(1)),
@@ -174,7 +174,7 @@
         machine.life += 1;
         machine.frozen = false;
         machine.told_full = false;
-        let facts = ViewFacts {
+        let facts = ConsensusSettings {
             me: Member { id: machine.id, addr: machine.addr, zone: format!("z{at}") },
             founders: self.founders.clone(),
             bootstrap,
@@ -526,7 +526,7 @@
             let Some(views) = self.machines[at].views.as_mut().filter(|_| !frozen) else { continue };
             self.inquiries += 1;
             self.asked.insert(self.inquiries, (at, newest));
-            views.inquire(now, Inquiry(self.inquiries));
+            views.inquire(now, ReadIndexId(self.inquiries));
             self.serve(at);
         }
     }
--- a/crates/fernknot-consensus/tests/forced.rs
+++ b/crates/fernknot-consensus/tests/forced.rs
@@ -7,9 +7,9 @@
 use assert_matches::assert_matches;
 use common::*;
 use fernknot::interface::Nanos;
-use fernknot_consensus::{ForceError, Plant, ViewNumber};
+use fernknot_consensus::{ForceViewError, SeededBug, ViewNumber};
 
-fn founded(seed: u64, count: u8, losses: usize, plant: Option<Plant>) -> Fleet {
+fn founded(seed: u64, count: u8, losses: usize, plant: Option<SeededBug>) -> Fleet {
     let mut fleet = Fleet::new(seed, count, count.min(3), losses, plant);
     fleet.play(2 * SUSPECT);
     assert_matches!(fleet.goes_on(4 * SUSPECT), Some(_));
@@ -17,7 +17,7 @@
     fleet
 }
 
-fn force(fleet: &mut Fleet, at: usize, lost: &[usize]) -> Result<ViewNumber, ForceError> {
+fn force(fleet: &mut Fleet, at: usize, lost: &[usize]) -> Result<ViewNumber, ForceViewError> {
     let lost: Vec<SocketAddrV4> = lost.iter().map(|at| fleet.machines[*at].addr).collect();
     let now = Nanos(fleet.now);
     let end = fleet.machines[at].views.as_mut().unwrap().force(now, &lost);
@@ -63,22 +63,22 @@
     let mut fleet = founded(3, 3, 1, None);
     fleet.kill(0);
     fleet.play(2 * SUSPECT);
-    assert_eq!(force(&mut fleet, 1, &[0]), Err(ForceError::MajorityHeard));
-    assert_eq!(force(&mut fleet, 1, &[0, 2]), Err(ForceError::Heard(addr(3))));
+    assert_eq!(force(&mut fleet, 1, &[0]), Err(ForceViewError::MajorityHeard));
+    assert_eq!(force(&mut fleet, 1, &[0, 2]), Err(ForceViewError::Heard(addr(3))));
     fleet.kill(2);
     fleet.play(2 * SUSPECT);
-    assert_eq!(force(&mut fleet, 1, &[0]), Err(ForceError::NotNamed(addr(3))));
+    assert_eq!(force(&mut fleet, 1, &[0]), Err(ForceViewError::NotNamed(addr(3))));
     fleet.kill(1);
     fleet.restart(1);
-    assert_eq!(force(&mut fleet, 1, &[0, 2]), Err(ForceError::Listening));
+    assert_eq!(force(&mut fleet, 1, &[0, 2]), Err(ForceViewError::Listening));
     fleet.play(2 * SUSPECT);
     assert_matches!(force(&mut fleet, 1, &[0, 2]), Ok(_));
     let empty = fleet.add(addr(50), false);
-    assert_eq!(force(&mut fleet, empty, &[0, 2]), Err(ForceError::HoldsNothing));
+    assert_eq!(force(&mut fleet, empty, &[0, 2]), Err(ForceViewError::HoldsNothing));
 }
 
 /// The others were only cut off, and changed views and states meanwhile; then all meet.
-fn the_others_come_back(seed: u64, plant: Option<Plant>) -> Fleet {
+fn the_others_come_back(seed: u64, plant: Option<SeededBug>) -> Fleet {
     let mut fleet = founded(100 + seed, 3, 1, plant);
     fleet.cut_off(2);
     fleet.play(3 * SUSPECT);
@@ -132,7 +132,7 @@
 #[test]
 fn given_a_forced_view_without_its_fence_when_the_old_majority_returns_then_it_is_found() {
     let broken = |seed: &u64| {
-        let mut fleet = the_others_come_back(*seed, Some(Plant::UnfencedForce));
+        let mut fleet = the_others_come_back(*seed, Some(SeededBug::UnfencedForce));
         fleet.heal();
         fleet.goes_on(8 * SUSPECT);
         fleet.play(4 * SUSPECT);
--- a/crates/fernknot-consensus/tests/hundreds.rs
+++ b/crates/fernknot-consensus/tests/hundreds.rs
@@ -5,7 +5,7 @@
 
 use assert_matches::assert_matches;
 use common::*;
-use fernknot_consensus::Plant;
+use fernknot_consensus::SeededBug;
 
 #[derive(Debug, Default)]
 struct Figures {
@@ -49,7 +49,7 @@
     count: u8,
     losses: usize,
     changes: u64,
-    plant: Option<Plant>,
+    plant: Option<SeededBug>,
 ) -> Result<Figures, String> {
     let mut fleet = Fleet::new(seed, count, 3, losses, plant);
     fleet.state_bytes = 4_000;
@@ -127,7 +127,7 @@
 
 /// A change under way when its sequencer is cut off, and what is said of it when that is back after so many views:
 /// taken, refused or neither. `reached`: the others had heard of it, so it was taken in the end.
-fn said_after(seed: u64, views: u64, reached: bool, plant: Option<Plant>) -> (bool, bool) {
+fn said_after(seed: u64, views: u64, reached: bool, plant: Option<SeededBug>) -> (bool, bool) {
     let mut fleet = Fleet::new(600 + seed, 3, 3, 1, plant);
     assert_matches!(fleet.goes_on(4 * SUSPECT), Some(_));
     fleet.play(300 * MS);
@@ -182,5 +182,5 @@
 
 #[test]
 fn given_a_forgotten_floor_that_is_guessed_when_a_proposal_was_taken_then_it_is_found() {
-    assert_eq!(said_after(0, 45, true, Some(Plant::FloorGuessed)), (false, true));
+    assert_eq!(said_after(0, 45, true, Some(SeededBug::FloorGuessed)), (false, true));
 }
--- a/crates/fernknot-consensus/tests/model.rs
+++ b/crates/fernknot-consensus/tests/model.rs
@@ -26,7 +26,7 @@
     saved: Option<PersistentState>,
     /// What was on the disk before the last write.
     older: Option<PersistentState>,
-    writing: Option<(Ticket, PersistentState)>,
+    writing: Option<(WriteId, PersistentState)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -37,7 +37,7 @@
     cut: Option<usize>,
     left: [u8; 6],
     /// Inquiries in hand: by whom, and what was acknowledged by then.
-    asked: Vec<(Inquiry, usize, u64)>,
+    asked: Vec<(ReadIndexId, usize, u64)>,
     /// What was delivered or acknowledged, and the views that were entered.
     states: Vec<(u64, Arc<[u8]>)>,
     views: Vec<View>,
@@ -69,7 +69,7 @@
 }
 
 struct Registrars {
-    plant: Option<Plant>,
+    plant: Option<SeededBug>,
     left: [u8; 6],
 }
 
@@ -82,7 +82,7 @@
         saved: Option<PersistentState>,
         first: bool,
     ) -> Consensus {
-        let facts = ViewFacts {
+        let facts = ConsensusSettings {
             me: Member { id, addr: addr(at), zone: String::new() },
             founders: (0..COUNT).map(addr).collect(),
             bootstrap: first,
@@ -101,7 +101,7 @@
                 Action::Say { to, word } => {
                     let Some(to) = (0..COUNT).find(|other| addr(*other) == to) else { continue };
                     let cut = world.cut.is_some_and(|cut| cut == at || cut == to);
-                    if !matches!(word, Word::Pulse(_)) {
+                    if !matches!(word, Message::Pulse(_)) {
                         world.words.insert((at, to, bitcode::encode(&word)));
                     } else if !cut {
                         world.nodes[to].views.heard(now, addr(at), word);
@@ -323,7 +323,7 @@
                 (0..3).for_each(|_| self.all_serve(&mut next));
             }
             Act::Ask(at) => {
-                let inquiry = Inquiry(next.left[ASK] as u64);
+                let inquiry = ReadIndexId(next.left[ASK] as u64);
                 next.left[ASK] -= 1;
                 next.asked.push((inquiry, at, next.acknowledged));
                 let now = Nanos(next.now);
@@ -370,10 +370,10 @@
     deep.assert_properties();
 }
 
-#[test_case::test_case(Plant::OneDisk, [1, 0, 0, 0, 1, 0])]
-#[test_case::test_case(Plant::WordBeforeDisk, [1, 0, 0, 0, 1, 0])]
-#[test_case::test_case(Plant::ReadDelivered, [0, 0, 0, 0, 1, 1])]
-fn given_a_planted_break_when_the_model_is_checked_then_it_is_found(plant: Plant, left: [u8; 6]) {
+#[test_case::test_case(SeededBug::OneDisk, [1, 0, 0, 0, 1, 0])]
+#[test_case::test_case(SeededBug::WordBeforeDisk, [1, 0, 0, 0, 1, 0])]
+#[test_case::test_case(SeededBug::ReadDelivered, [0, 0, 0, 0, 1, 1])]
+fn given_a_planted_break_when_the_model_is_checked_then_it_is_found(plant: SeededBug, left: [u8; 6]) {
     let checker = Registrars { plant: Some(plant), left }.checker();
     let checker = checker.threads(2).target_state_count(4 * MOST_STATES).spawn_bfs().join();
     println!("{plant:?}: {} states", checker.unique_state_count());
--- a/crates/fernknot-consensus/tests/past.rs
+++ b/crates/fernknot-consensus/tests/past.rs
@@ -4,9 +4,9 @@
 
 use assert_matches::assert_matches;
 use common::*;
-use fernknot_consensus::Plant;
+use fernknot_consensus::SeededBug;
 
-fn founded(seed: u64, count: u8, losses: usize, plant: Option<Plant>) -> Fleet {
+fn founded(seed: u64, count: u8, losses: usize, plant: Option<SeededBug>) -> Fleet {
     let mut fleet = Fleet::new(seed, count, count, losses, plant);
     assert_matches!(fleet.goes_on(2_000 * MS), Some(_));
     fleet.play(300 * MS);
@@ -106,7 +106,7 @@
 }
 
 /// Three disks lose some of what they had called synced, and all return. Whether they go on by themselves.
-fn all_older(seed: u64, plant: Option<Plant>) -> (Fleet, bool) {
+fn all_older(seed: u64, plant: Option<SeededBug>) -> (Fleet, bool) {
     let mut fleet = founded(900 + seed, 3, 1, plant);
     for at in 0..3 {
         let writes = fleet.chance.draw(6) as usize;
@@ -158,7 +158,7 @@
 #[test]
 fn given_older_copies_that_give_themselves_up_at_once_when_no_view_goes_on_then_it_is_found() {
     let lost = |seed: &u64| {
-        let (fleet, goes_on) = all_older(*seed, Some(Plant::GivesUpAtOnce));
+        let (fleet, goes_on) = all_older(*seed, Some(SeededBug::GivesUpAtOnce));
         !goes_on && fleet.machines.iter().any(|machine| !machine.renewed.is_empty())
     };
     let found = (0..20).filter(lost).count();
@@ -167,7 +167,7 @@
 }
 
 /// One restarts while all others run: how long until a change is taken with it, and it has delivered it.
-fn one_returns(seed: u64, plant: Option<Plant>) -> u64 {
+fn one_returns(seed: u64, plant: Option<SeededBug>) -> u64 {
     let mut fleet = founded(1500 + seed, 3, 1, plant);
     let at = seed as usize % 3;
     fleet.kill(at);
@@ -184,12 +184,12 @@
 
 #[test]
 fn given_one_that_restarts_when_all_others_run_then_its_questions_cost_it_no_wait() {
-    let sorted = |plant: Option<Plant>| {
+    let sorted = |plant: Option<SeededBug>| {
         let mut took: Vec<u64> = (0..60).map(|seed| one_returns(seed, plant) / MS).collect();
         took.sort();
         took
     };
-    let (asked, before) = (sorted(None), sorted(Some(Plant::OldCopyVotes)));
+    let (asked, before) = (sorted(None), sorted(Some(SeededBug::OldCopyVotes)));
     println!(
         "one returns: {} ms, {} at most; without questions {}, {}",
         asked[30], asked[59], before[30], before[59]
@@ -237,14 +237,14 @@
 fn given_a_copy_from_before_the_view_when_it_meets_one_who_missed_it_then_nothing_is_lost(
     moment: fn(&mut Fleet),
 ) {
-    let play = |seed: u64, plant: Option<Plant>| {
+    let play = |seed: u64, plant: Option<SeededBug>| {
         let mut fleet = founded(300 + seed, 3, 1, plant);
         moment(&mut fleet);
         let lost = fleet.broken.clone();
         let settled = fleet.agree() && fleet.members().len() == 3;
         lost.or_else(|| (!settled).then(|| format!("not settled: {:?}", fleet.members())))
     };
-    let found = (0..20).filter_map(|seed| play(seed, Some(Plant::OldCopyVotes))).collect::<Vec<_>>();
+    let found = (0..20).filter_map(|seed| play(seed, Some(SeededBug::OldCopyVotes))).collect::<Vec<_>>();
     println!("OldCopyVotes: found by {} of 20 seeds, such as {:?}", found.len(), found.first());
     assert!(!found.is_empty());
     for seed in 0..60 * more_seeds() {
@@ -253,7 +253,7 @@
 }
 
 /// All lose power in the middle of changes, and return together: how long it takes until a change is taken.
-fn all_return(seed: u64, plant: Option<Plant>) -> u64 {
+fn all_return(seed: u64, plant: Option<SeededBug>) -> u64 {
     let mut fleet = founded(500 + seed, 3, 1, plant);
     // What was not synced may be lost, and nothing that was vouched for.
     fleet.propose();
@@ -270,13 +270,13 @@
 
 #[test]
 fn given_good_disks_when_all_lose_power_then_none_gives_itself_up_and_all_go_on_at_once() {
-    let sorted = |plant: Option<Plant>| {
+    let sorted = |plant: Option<SeededBug>| {
         let mut took: Vec<u64> = (0..100).map(|seed| all_return(seed, plant) / MS).collect();
         took.sort();
         took
     };
     // Without the questions that a disk's past asks: as it was before there were any.
-    let (asked, before) = (sorted(None), sorted(Some(Plant::OldCopyVotes)));
+    let (asked, before) = (sorted(None), sorted(Some(SeededBug::OldCopyVotes)));
     let told = |took: &[u64]| {
         format!("{} ms in the middle, {} of 90 in 100, {} at most", took[50], took[90], took[99])
     };
--- a/crates/fernknot-consensus/tests/schedules.rs
+++ b/crates/fernknot-consensus/tests/schedules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fernknot_consensus::Plant;
+use fernknot_consensus::SeededBug;
 use proptest::prelude::*;
 
 fn trouble() -> impl Strategy<Value = Trouble> {
@@ -51,7 +51,7 @@
 }
 
 /// How many random schedules it takes to find the break.
-fn found(plant: Plant) -> Option<u32> {
+fn found(plant: SeededBug) -> Option<u32> {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
@@ -63,9 +63,9 @@
     })
 }
 
-#[test_case::test_case(Plant::SequenceAgain; "goes on after a restart")]
-#[test_case::test_case(Plant::ReadDelivered; "waits for nothing stored")]
-fn given_a_planted_break_when_schedules_are_played_then_it_is_found(plant: Plant) {
+#[test_case::test_case(SeededBug::SequenceAgain; "goes on after a restart")]
+#[test_case::test_case(SeededBug::ReadDelivered; "waits for nothing stored")]
+fn given_a_planted_break_when_schedules_are_played_then_it_is_found(plant: SeededBug) {
     let schedules = found(plant);
     println!("{plant:?}: found by schedule {schedules:?}");
     assert!(schedules.is_some());
@@ -188,19 +188,19 @@
     fleet.play(2 * PULSE);
 }
 
-#[test_case::test_case(Plant::ConfirmBelowFloor, 3, back_with_a_change_under_way)]
-#[test_case::test_case(Plant::ConfirmAlone, 3, cut_off_and_asked)]
-#[test_case::test_case(Plant::ConfirmStopped, 5, stopped_and_asked)]
-#[test_case::test_case(Plant::OneDisk, 3, ack_on_too_few)]
-#[test_case::test_case(Plant::WordBeforeDisk, 3, ack_on_too_few)]
-#[test_case::test_case(Plant::EmptyVotes, 3, an_empty_disk_and_one_left_out)]
-#[test_case::test_case(Plant::ForgetVouched, 3, chosen_and_gone)]
+#[test_case::test_case(SeededBug::ConfirmBelowFloor, 3, back_with_a_change_under_way)]
+#[test_case::test_case(SeededBug::ConfirmAlone, 3, cut_off_and_asked)]
+#[test_case::test_case(SeededBug::ConfirmStopped, 5, stopped_and_asked)]
+#[test_case::test_case(SeededBug::OneDisk, 3, ack_on_too_few)]
+#[test_case::test_case(SeededBug::WordBeforeDisk, 3, ack_on_too_few)]
+#[test_case::test_case(SeededBug::EmptyVotes, 3, an_empty_disk_and_one_left_out)]
+#[test_case::test_case(SeededBug::ForgetVouched, 3, chosen_and_gone)]
 fn given_a_planted_break_when_its_moment_is_played_then_only_it_is_found(
-    plant: Plant,
+    plant: SeededBug,
     machines: u8,
     moment: fn(&mut Fleet),
 ) {
-    let play = |seed: u64, plant: Option<Plant>| {
+    let play = |seed: u64, plant: Option<SeededBug>| {
         let mut fleet = Fleet::new(seed, machines, machines, 1, plant);
         fleet.goes_on(4 * SUSPECT);
         fleet.play(300 * MS);
--- a/crates/fernknot-consensus/tests/second_loss.rs
+++ b/crates/fernknot-consensus/tests/second_loss.rs
@@ -5,10 +5,10 @@
 
 use assert_matches::assert_matches;
 use common::*;
-use fernknot_consensus::{Lack, Plant, Standing};
+use fernknot_consensus::{Ineligibility, SeededBug, ViewStatus};
 
 /// As many as started, of which so many disks may be lost at once.
-fn founded(seed: u64, count: u8, losses: usize, plant: Option<Plant>) -> Fleet {
+fn founded(seed: u64, count: u8, losses: usize, plant: Option<SeededBug>) -> Fleet {
     let mut fleet = Fleet::new(seed, count, count.min(3), losses, plant);
     fleet.play(2 * SUSPECT);
     assert_matches!(fleet.goes_on(4 * SUSPECT), Some(_));
@@ -17,7 +17,7 @@
     fleet
 }
 
-fn standing(fleet: &Fleet) -> Option<Standing> {
+fn standing(fleet: &Fleet) -> Option<ViewStatus> {
     let at = fleet.sequencer()?;
     fleet.machines[at].views.as_ref().map(|views| views.standing())
 }
@@ -69,7 +69,7 @@
 }
 
 /// The first loss, then a second one `after` the fleet says that it bears it; all others lose power at that moment.
-fn play(seed: u64, count: u8, losses: usize, plant: Option<Plant>) -> Result<(), String> {
+fn play(seed: u64, count: u8, losses: usize, plant: Option<SeededBug>) -> Result<(), String> {
     let mut fleet = founded(seed, count, losses, plant);
     let first = FIRSTS[seed as usize % FIRSTS.len()];
     let one = fleet.chance.draw(count as u64) as usize;
@@ -162,7 +162,7 @@
 
 #[test]
 fn given_a_joiner_that_counts_early_when_schedules_are_played_then_it_is_found() {
-    let found = (0..200).find(|seed| play(*seed, 3, 1, Some(Plant::JoinerCounts)).is_err());
+    let found = (0..200).find(|seed| play(*seed, 3, 1, Some(SeededBug::JoinerCounts)).is_err());
     println!("JoinerCounts: found by seed {found:?}");
     assert!(found.is_some());
 }
@@ -175,7 +175,7 @@
     fleet.play(2 * SUSPECT);
     let it = standing(&fleet).unwrap();
     let out = it.seats.iter().find(|seat| !seat.inside).unwrap();
-    assert!(out.votes && out.lack == Some(Lack::Silent));
+    assert!(out.votes && out.lack == Some(Ineligibility::Silent));
     assert_eq!(it.losses_borne, 0);
     fleet.restart(2);
     fleet.play(SUSPECT);
@@ -183,7 +183,7 @@
     fleet.disk(2, Disk::Hangs);
     fleet.play(SUSPECT);
     let it = standing(&fleet).unwrap();
-    assert_matches!(it.seats.iter().find(|seat| !seat.inside), Some(seat) if seat.lack == Some(Lack::DiskNotWell));
+    assert_matches!(it.seats.iter().find(|seat| !seat.inside), Some(seat) if seat.lack == Some(Ineligibility::DiskNotWell));
     assert_eq!(it.losses_borne, 0);
 }
 
--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -1,19 +1,19 @@
 //! The calls of nodes and operators, each with its answer.
 
-use crate::ground::Ground;
-use fernknot_http_api::{Asked, Body, Call, Reply};
-use fernknot_schema::{Beat, Fault, RoutingConfig, digest};
+use crate::ground::QuorumEvidence;
+use fernknot_http_api::{Body, Endpoint, MatchedRequest, Reply};
+use fernknot_schema::{NodeHeartbeat, RoutingConfig, ValidationError, digest};
 use std::sync::Arc;
 
 /// Longest name of a node's life, in bytes.
 const LONGEST_ID: usize = 200;
 
-fn faults(faults: &[Fault]) -> Reply {
-    let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+fn faults(faults: &[ValidationError]) -> Reply {
+    let lines: Vec<String> = faults.iter().map(ValidationError::to_string).collect();
     Reply::refused(400, &lines.join("; "))
 }
 
-fn id(asked: Asked<'_>) -> Result<String, Reply> {
+fn id(asked: MatchedRequest<'_>) -> Result<String, Reply> {
     match asked.segment.len() <= LONGEST_ID {
         true => Ok(asked.segment.to_string()),
         false => Err(Reply::refused(400, "the id in the path is too long")),
@@ -23,35 +23,35 @@
 /// A node lives, or says that it is about to leave.
 pub struct Heartbeat {
     pub id: String,
-    pub beat: Beat,
+    pub beat: NodeHeartbeat,
 }
 
 /// What becomes of a node's call.
-pub enum NodeHeard {
+pub enum NodeCallOutcome {
     /// A plain beat: noted here, which promises nothing.
     Noted,
     /// That it leaves is known to a majority.
-    Leaves(Ground),
+    Leaves(QuorumEvidence),
     /// Not noted: the node is to call another registrar.
     No(&'static str),
 }
 
-impl From<NodeHeard> for Reply {
-    fn from(heard: NodeHeard) -> Reply {
+impl From<NodeCallOutcome> for Reply {
+    fn from(heard: NodeCallOutcome) -> Reply {
         match heard {
-            NodeHeard::Noted | NodeHeard::Leaves(_) => Reply::done(),
-            NodeHeard::No(why) => Reply::refused(503, why),
+            NodeCallOutcome::Noted | NodeCallOutcome::Leaves(_) => Reply::done(),
+            NodeCallOutcome::No(why) => Reply::refused(503, why),
         }
     }
 }
 
-impl Call for Heartbeat {
-    type Answer = NodeHeard;
+impl Endpoint for Heartbeat {
+    type Answer = NodeCallOutcome;
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/nodes/*/heartbeat";
 
-    fn read(asked: Asked<'_>) -> Result<Heartbeat, Reply> {
-        let beat = Beat::read(&asked.request.body).map_err(|bad| faults(&bad))?;
+    fn read(asked: MatchedRequest<'_>) -> Result<Heartbeat, Reply> {
+        let beat = NodeHeartbeat::read(&asked.request.body).map_err(|bad| faults(&bad))?;
         Ok(Heartbeat { id: id(asked)?, beat })
     }
 }
@@ -61,18 +61,18 @@
     pub id: String,
 }
 
-impl Call for Deregister {
-    type Answer = NodeHeard;
+impl Endpoint for Deregister {
+    type Answer = NodeCallOutcome;
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/nodes/*/deregister";
 
-    fn read(asked: Asked<'_>) -> Result<Deregister, Reply> {
+    fn read(asked: MatchedRequest<'_>) -> Result<Deregister, Reply> {
         Ok(Deregister { id: id(asked)? })
     }
 }
 
 /// An operator's new configuration.
-pub struct Replace {
+pub struct ReplaceConfig {
     pub base: u64,
     pub epoch: u64,
     pub digest: u64,
@@ -81,30 +81,30 @@
 
 /// The end of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Replaced {
-    Taken(Ground),
+pub enum ChangeOutcome {
+    Taken(QuorumEvidence),
     /// Another version is in place.
-    Other(String, Ground),
+    Other(String, QuorumEvidence),
     /// Its number is not above the one in force.
-    Invalid(String, Ground),
+    Invalid(String, QuorumEvidence),
     /// Not known: it may be in force or not, and may be repeated unchanged.
     Unclear(&'static str),
 }
 
-impl Replaced {
+impl ChangeOutcome {
     /// As it is told between registrars.
     pub fn status(&self) -> (u16, String) {
         match self {
-            Replaced::Taken(_) => (200, String::new()),
-            Replaced::Other(why, _) => (412, why.clone()),
-            Replaced::Invalid(why, _) => (400, why.clone()),
-            Replaced::Unclear(why) => (503, why.to_string()),
+            ChangeOutcome::Taken(_) => (200, String::new()),
+            ChangeOutcome::Other(why, _) => (412, why.clone()),
+            ChangeOutcome::Invalid(why, _) => (400, why.clone()),
+            ChangeOutcome::Unclear(why) => (503, why.to_string()),
         }
     }
 }
 
-impl From<Replaced> for Reply {
-    fn from(end: Replaced) -> Reply {
+impl From<ChangeOutcome> for Reply {
+    fn from(end: ChangeOutcome) -> Reply {
         match end.status() {
             (200, _) => Reply::done(),
             (status, why) => Reply::refused(status, &why),
@@ -112,19 +112,19 @@
     }
 }
 
-impl Call for Replace {
-    type Answer = Replaced;
+impl Endpoint for ReplaceConfig {
+    type Answer = ChangeOutcome;
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/config/replace";
 
-    fn read(asked: Asked<'_>) -> Result<Replace, Reply> {
+    fn read(asked: MatchedRequest<'_>) -> Result<ReplaceConfig, Reply> {
         let base = asked.request.header("Base-Epoch").map(str::trim);
         let base = base.and_then(|base| base.parse().ok());
         let plan = RoutingConfig::read(&asked.request.body);
         match (plan, base) {
             (Ok(plan), Some(base)) => {
                 let body = asked.request.body.clone();
-                Ok(Replace { base, epoch: plan.epoch, digest: digest(&body), body })
+                Ok(ReplaceConfig { base, epoch: plan.epoch, digest: digest(&body), body })
             }
             (Ok(_), None) => Err(Reply::refused(400, "Base-Epoch: is no whole number")),
             (Err(bad), _) => Err(faults(&bad)),
@@ -133,45 +133,47 @@
 }
 
 /// An operator asks for the newest configuration.
-pub struct Read;
+pub struct ReadConfig;
 
 /// The newest configuration, as far as this registrar may speak for it.
-pub enum Newest {
-    Body(Arc<[u8]>, Ground),
+pub enum ReadConfigOutcome {
+    Body(Arc<[u8]>, QuorumEvidence),
     /// None was ever taken.
-    None(Ground),
+    None(QuorumEvidence),
     /// A newer one may be known elsewhere.
     Unsure,
 }
 
-impl From<Newest> for Reply {
-    fn from(newest: Newest) -> Reply {
+impl From<ReadConfigOutcome> for Reply {
+    fn from(newest: ReadConfigOutcome) -> Reply {
         match newest {
-            Newest::Body(body, _) => Reply::json(Body::Shared(body)),
-            Newest::None(_) => Reply::refused(404, "no configuration has been taken yet"),
-            Newest::Unsure => Reply::refused(503, "cut off from the others, who may know a newer one"),
+            ReadConfigOutcome::Body(body, _) => Reply::json(Body::Shared(body)),
+            ReadConfigOutcome::None(_) => Reply::refused(404, "no configuration has been taken yet"),
+            ReadConfigOutcome::Unsure => {
+                Reply::refused(503, "cut off from the others, who may know a newer one")
+            }
         }
     }
 }
 
-impl Call for Read {
-    type Answer = Newest;
+impl Endpoint for ReadConfig {
+    type Answer = ReadConfigOutcome;
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/-/config/read";
 
-    fn read(_: Asked<'_>) -> Result<Read, Reply> {
-        Ok(Read)
+    fn read(_: MatchedRequest<'_>) -> Result<ReadConfig, Reply> {
+        Ok(ReadConfig)
     }
 }
 
 /// Is this registrar of use?
-pub struct Readiness;
+pub struct CheckReadiness;
 
 /// In touch with a majority now, or not known to be.
-pub struct Ready(pub Option<Ground>);
+pub struct ReadinessOutcome(pub Option<QuorumEvidence>);
 
-impl From<Ready> for Reply {
-    fn from(ready: Ready) -> Reply {
+impl From<ReadinessOutcome> for Reply {
+    fn from(ready: ReadinessOutcome) -> Reply {
         match ready.0 {
             Some(_) => Reply::done(),
             None => Reply::refused(503, "not in touch with the others"),
@@ -179,33 +181,33 @@
     }
 }
 
-impl Call for Readiness {
-    type Answer = Ready;
+impl Endpoint for CheckReadiness {
+    type Answer = ReadinessOutcome;
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/-/readiness";
 
-    fn read(_: Asked<'_>) -> Result<Readiness, Reply> {
-        Ok(Readiness)
+    fn read(_: MatchedRequest<'_>) -> Result<CheckReadiness, Reply> {
+        Ok(CheckReadiness)
     }
 }
 
 /// What has been counted.
-pub struct Count;
+pub struct ReadCounters;
 
-pub struct Counted(pub String);
+pub struct CountersReport(pub String);
 
-impl From<Counted> for Reply {
-    fn from(counted: Counted) -> Reply {
+impl From<CountersReport> for Reply {
+    fn from(counted: CountersReport) -> Reply {
         Reply::json(Body::Own(counted.0.into_bytes()))
     }
 }
 
-impl Call for Count {
-    type Answer = Counted;
+impl Endpoint for ReadCounters {
+    type Answer = CountersReport;
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/-/counters";
 
-    fn read(_: Asked<'_>) -> Result<Count, Reply> {
-        Ok(Count)
+    fn read(_: MatchedRequest<'_>) -> Result<ReadCounters, Reply> {
+        Ok(ReadCounters)
     }
 }
--- a/crates/fernknot-controller/src/control.rs
+++ b/crates/fernknot-controller/src/control.rs
@@ -11,7 +11,7 @@
 
 /// A version that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Taken {
+pub struct CommittedVersion {
     pub epoch: u64,
     pub base: u64,
     /// A hash of the configuration by its value.
@@ -20,32 +20,32 @@
 
 /// What the registrars agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Control {
+pub struct ControlState {
     /// The version in force; 0 where there is none yet.
     pub epoch: u64,
     /// The configuration just as its operator sent it.
     pub body: Vec<u8>,
     /// The last versions taken, oldest first.
-    pub taken: Vec<Taken>,
+    pub taken: Vec<CommittedVersion>,
 }
 
 /// A state of the order that is no control state.
 #[derive(Debug, Error)]
 #[error("read the control state: {why}")]
-pub struct BadControl {
+pub struct ControlStateError {
     pub why: String,
 }
 
-impl Control {
+impl ControlState {
     /// Reads a state of the one order; the empty one is that before the first configuration.
     ///
     /// # Errors
     /// Bytes that no registrar of this build wrote.
-    pub fn read(state: &[u8]) -> Result<Control, BadControl> {
+    pub fn read(state: &[u8]) -> Result<ControlState, ControlStateError> {
         if state.is_empty() {
-            return Ok(Control::default());
+            return Ok(ControlState::default());
         }
-        bitcode::decode(state).map_err(|why| BadControl { why: why.to_string() })
+        bitcode::decode(state).map_err(|why| ControlStateError { why: why.to_string() })
     }
 
     /// The state as it goes into the order.
@@ -65,33 +65,33 @@
     }
 
     /// The state that follows when a configuration is taken.
-    pub fn with(&self, taken: Taken, body: Vec<u8>) -> Control {
+    pub fn with(&self, taken: CommittedVersion, body: Vec<u8>) -> ControlState {
         self.remembering(REMEMBERED, taken, body)
     }
 
     /// The same, with so many versions remembered.
-    pub(crate) fn remembering(&self, most: usize, taken: Taken, body: Vec<u8>) -> Control {
+    pub(crate) fn remembering(&self, most: usize, taken: CommittedVersion, body: Vec<u8>) -> ControlState {
         let from = (self.taken.len() + 1).saturating_sub(most);
         let mut history = self.taken[from..].to_vec();
         history.push(taken);
-        Control { epoch: taken.epoch, body, taken: history }
+        ControlState { epoch: taken.epoch, body, taken: history }
     }
 }
 
 /// The configuration in force, laid out for use.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     pub order: u64,
-    pub control: Control,
+    pub control: ControlState,
     /// The body again, to be handed out without a copy each.
     pub body: Arc<[u8]>,
     /// None before the first configuration.
     pub plan: Option<RoutingConfig>,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// Nothing is known yet.
-    pub fn none() -> InForce {
-        InForce { order: 0, control: Control::default(), body: Arc::from([]), plan: None }
+    pub fn none() -> ActiveConfig {
+        ActiveConfig { order: 0, control: ControlState::default(), body: Arc::from([]), plan: None }
     }
 }
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk, seen from the loop: read once at the start and written by a thread of its own.
 
-use fernknot_consensus::{PersistentState, Ticket};
-use fernknot_storage::{Cistern, Space, StoreError};
+use fernknot_consensus::{PersistentState, WriteId};
+use fernknot_storage::{Capacity, Storage, StorageError};
 use fernknot_telemetry::part;
 use mio::Waker;
 use std::net::SocketAddrV4;
@@ -21,29 +21,29 @@
 const NOBODY: u64 = u64::MAX;
 
 /// What lay on the disk at the start.
-pub struct Found {
+pub struct RecoveredState {
     pub saved: Option<PersistentState>,
     pub known: Vec<SocketAddrV4>,
     /// Nothing of the register was there.
     pub fresh: bool,
 }
 
-enum State {
+enum DiskState {
     /// The thread that opens the folder hands it over when it has read it.
-    Opening(Receiver<(Cistern, Found)>),
-    Open(Cistern),
+    Opening(Receiver<(Storage, RecoveredState)>),
+    Open(Storage),
     /// This machine has none: what is held is as lasting as the process.
-    Absent(Vec<Ticket>),
+    Absent(Vec<WriteId>),
 }
 
 /// The disk.
 pub struct Disk {
-    state: State,
+    state: DiskState,
     /// A disk that takes longer for one write is not well.
     patience: Duration,
 }
 
-fn read(cistern: &Cistern) -> Result<Found, StoreError> {
+fn read(cistern: &Storage) -> Result<RecoveredState, StorageError> {
     let bytes = cistern.load(VIEWS)?;
     let known = cistern.load(KNOWN)?.and_then(|bytes| bitcode::decode(&bytes).ok());
     let fresh = bytes.is_none();
@@ -55,10 +55,10 @@
             None
         }
     });
-    Ok(Found { saved, known: known.unwrap_or_default(), fresh })
+    Ok(RecoveredState { saved, known: known.unwrap_or_default(), fresh })
 }
 
-fn wait_until_read(cistern: &Cistern) -> Found {
+fn wait_until_read(cistern: &Storage) -> RecoveredState {
     let mut told = false;
     loop {
         match read(cistern) {
@@ -77,13 +77,13 @@
     /// Begins to read the folder, on a thread of its own: a disk that hangs holds up no beat. Without a folder, all
     /// is there at once.
     pub fn begin(dir: Option<PathBuf>, bytes: u64, patience: Duration, waker: Arc<Waker>) -> Disk {
-        let Some(dir) = dir else { return Disk { state: State::Absent(Vec::new()), patience } };
+        let Some(dir) = dir else { return Disk { state: DiskState::Absent(Vec::new()), patience } };
         let (to, from) = channel();
         let work = move || {
             let wake = waker.clone();
             let waker_of_writes: Box<dyn Fn() + Send> = Box::new(move || _ = wake.wake());
-            let space = Space { slots: SLOTS, disk_bytes: bytes };
-            match Cistern::open(dir, space, Some(waker_of_writes)) {
+            let space = Capacity { slots: SLOTS, disk_bytes: bytes };
+            match Storage::open(dir, space, Some(waker_of_writes)) {
                 Ok(cistern) => {
                     let found = wait_until_read(&cistern);
                     // The loop may have ended meanwhile.
@@ -96,28 +96,28 @@
         if let Err(why) = std::thread::Builder::new().name("opening".into()).spawn(work) {
             log::error!(target: part::DISK, "start a thread: {why}");
         }
-        Disk { state: State::Opening(from), patience }
+        Disk { state: DiskState::Opening(from), patience }
     }
 
     /// What lay there, once it has been read; given out once.
-    pub fn found(&mut self) -> Option<Found> {
-        let State::Opening(from) = &self.state else { return None };
+    pub fn found(&mut self) -> Option<RecoveredState> {
+        let DiskState::Opening(from) = &self.state else { return None };
         let (cistern, found) = from.try_recv().ok()?;
-        self.state = State::Open(cistern);
+        self.state = DiskState::Open(cistern);
         Some(found)
     }
 
     /// True where there is no disk at all.
     pub fn is_absent(&self) -> bool {
-        matches!(self.state, State::Absent(_))
+        matches!(self.state, DiskState::Absent(_))
     }
 
     /// Begins a write of the register. False where it can't even wait.
-    pub fn store(&mut self, ticket: Ticket, saved: &PersistentState) -> bool {
+    pub fn store(&mut self, ticket: WriteId, saved: &PersistentState) -> bool {
         match &mut self.state {
-            State::Opening(_) => false,
-            State::Open(cistern) => cistern.submit(ticket.0, VIEWS, bitcode::encode(saved)).is_ok(),
-            State::Absent(done) => {
+            DiskState::Opening(_) => false,
+            DiskState::Open(cistern) => cistern.submit(ticket.0, VIEWS, bitcode::encode(saved)).is_ok(),
+            DiskState::Absent(done) => {
                 done.push(ticket);
                 true
             }
@@ -126,43 +126,45 @@
 
     /// Keeps addresses; if it fails, the next change brings them again.
     pub fn remember(&mut self, addrs: &[SocketAddrV4]) {
-        if let State::Open(cistern) = &self.state {
+        if let DiskState::Open(cistern) = &self.state {
             let _ = cistern.submit(NOBODY, KNOWN, bitcode::encode(addrs));
         }
     }
 
     /// Writes of the register that came to an end, and whether it was a good one.
-    pub fn done(&mut self) -> Vec<(Ticket, bool)> {
+    pub fn done(&mut self) -> Vec<(WriteId, bool)> {
         match &mut self.state {
-            State::Opening(_) => Vec::new(),
-            State::Open(cistern) => {
+            DiskState::Opening(_) => Vec::new(),
+            DiskState::Open(cistern) => {
                 let done = cistern.done().into_iter().filter(|(ticket, _)| *ticket != NOBODY);
                 done.map(|(ticket, end)| {
                     if let Err(why) = &end {
                         log::warn!(target: part::DISK, "{why}");
                     }
-                    (Ticket(ticket), end.is_ok())
+                    (WriteId(ticket), end.is_ok())
                 })
                 .collect()
             }
-            State::Absent(done) => std::mem::take(done).into_iter().map(|ticket| (ticket, true)).collect(),
+            DiskState::Absent(done) => {
+                std::mem::take(done).into_iter().map(|ticket| (ticket, true)).collect()
+            }
         }
     }
 
     /// Whether it writes, and in time; not known before it has been read.
     pub fn is_well(&self) -> Option<bool> {
         match &self.state {
-            State::Opening(_) => None,
-            State::Open(cistern) => {
+            DiskState::Opening(_) => None,
+            DiskState::Open(cistern) => {
                 let wait = cistern.oldest_wait(Instant::now());
                 Some(cistern.sound() && wait.is_none_or(|wait| wait < self.patience))
             }
-            State::Absent(_) => Some(true),
+            DiskState::Absent(_) => Some(true),
         }
     }
 
     /// When it is to be looked at again, if a write is out.
     pub fn is_writing(&self) -> bool {
-        matches!(&self.state, State::Open(cistern) if cistern.waiting() > 0)
+        matches!(&self.state, DiskState::Open(cistern) if cistern.waiting() > 0)
     }
 }
--- a/crates/fernknot-controller/src/ground.rs
+++ b/crates/fernknot-controller/src/ground.rs
@@ -3,15 +3,15 @@
 //! undone, or from the word of a registrar that had one. What stands on nobody says so by having none: 503, a fault
 //! of the body itself, a plain beat.
 
-use crate::control::Control;
+use crate::control::ControlState;
 use fernknot_consensus::Action as ViewOrder;
 
 /// The reason why an answer holds beyond this registrar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ground(Kind);
+pub struct QuorumEvidence(EvidenceKind);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum EvidenceKind {
     /// The sequencer's own change lies on the disks of all members.
     Stored,
     /// It was taken earlier, as the history delivered here says; what is taken stays so for ever.
@@ -24,28 +24,28 @@
     Planted,
 }
 
-impl Ground {
+impl QuorumEvidence {
     /// That of an order of the views, where it has one.
-    pub fn of(order: &ViewOrder) -> Option<Ground> {
+    pub fn of(order: &ViewOrder) -> Option<QuorumEvidence> {
         match order {
-            ViewOrder::Taken { .. } => Some(Ground(Kind::Stored)),
-            ViewOrder::Confirmed { .. } => Some(Ground(Kind::Majority)),
+            ViewOrder::Taken { .. } => Some(QuorumEvidence(EvidenceKind::Stored)),
+            ViewOrder::Confirmed { .. } => Some(QuorumEvidence(EvidenceKind::Majority)),
             _ => None,
         }
     }
 
     /// The delivered history names this very configuration under this number.
-    pub fn known(control: &Control, epoch: u64, digest: u64) -> Option<Ground> {
-        control.has_taken(epoch, digest).then_some(Ground(Kind::Known))
+    pub fn known(control: &ControlState, epoch: u64, digest: u64) -> Option<QuorumEvidence> {
+        control.has_taken(epoch, digest).then_some(QuorumEvidence(EvidenceKind::Known))
     }
 
     /// The word of the registrar to which a call was handed; it can't say so without a ground of its own.
-    pub fn relayed() -> Ground {
-        Ground(Kind::Relayed)
+    pub fn relayed() -> QuorumEvidence {
+        QuorumEvidence(EvidenceKind::Relayed)
     }
 
     #[doc(hidden)]
-    pub fn planted() -> Ground {
-        Ground(Kind::Planted)
+    pub fn planted() -> QuorumEvidence {
+        QuorumEvidence(EvidenceKind::Planted)
     }
 }
--- a/crates/fernknot-controller/src/host.rs
+++ b/crates/fernknot-controller/src/host.rs
@@ -1,13 +1,15 @@
 //! The program's host: sockets, clock, signals, settings and disk around one [`Registrar`].
 
 use crate::disk::Disk;
-use crate::registrar::{Ear, Order, Registrar, RegistrarFacts, Slot};
+use crate::registrar::{Action, Controller, ControllerSettings, PendingCall, SubscriberId};
 use fernknot::interface::Nanos;
-use fernknot_http_api::{Pulled, Tap, TapFacts};
-use fernknot_net::{Berth, Dock, DockFacts, Event, NetError, Signals};
-use fernknot_peer_sampling::{Descriptor, Role};
-use fernknot_rpc::{Inward, Outward, PeerWord, Shuffles, pull, push};
-use fernknot_schema::ProcessFacts;
+use fernknot_http_api::{HttpServerConnection, HttpServerSettings, ReadOutcome};
+use fernknot_net::{ConnectionId, Event, EventLoop, EventLoopSettings, NetError, Signals};
+use fernknot_peer_sampling::{PeerDescriptor, Role};
+use fernknot_rpc::{
+    ControllerMessage, ControllerToGateway, GatewayToController, ShuffleProtocol, pull, push,
+};
+use fernknot_schema::ProcessSettings;
 use fernknot_telemetry::part;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -49,48 +51,48 @@
 }
 
 /// Who is at the other end.
-enum End {
+enum ConnectionRole {
     /// A node or an operator, over HTTP.
-    Caller(Tap),
+    Caller(HttpServerConnection),
     /// A process of the system that speaks to this one; a registrar once it said where it listens.
     Inner(Option<SocketAddrV4>),
     /// A registrar to whom this one speaks.
     Outer(SocketAddrV4),
 }
 
-struct Line {
-    end: End,
+struct Connection {
+    end: ConnectionRole,
     heard: Nanos,
 }
 
 /// The program.
 pub struct Host {
-    facts: ProcessFacts,
+    facts: ProcessSettings,
     path: PathBuf,
     changed: Option<SystemTime>,
     look_at: Nanos,
     start: Instant,
-    dock: Dock,
-    control: Berth,
-    inner: Berth,
-    lines: HashMap<Berth, Line>,
-    outer: HashMap<SocketAddrV4, Berth>,
-    brain: Registrar,
+    dock: EventLoop,
+    control: ConnectionId,
+    inner: ConnectionId,
+    lines: HashMap<ConnectionId, Connection>,
+    outer: HashMap<SocketAddrV4, ConnectionId>,
+    brain: Controller,
     disk: Disk,
-    shuffles: Shuffles,
+    shuffles: ShuffleProtocol,
     signals: Signals,
-    tap: TapFacts,
+    tap: HttpServerSettings,
     largest_word: usize,
     sweep_at: Nanos,
     stopping: Option<Nanos>,
 }
 
 /// Where a registrar listens for other processes of the system: its second inner port.
-fn inner_addr(ip: Ipv4Addr, facts: &ProcessFacts) -> SocketAddrV4 {
+fn inner_addr(ip: Ipv4Addr, facts: &ProcessSettings) -> SocketAddrV4 {
     SocketAddrV4::new(ip, facts.port_range.0 + 1)
 }
 
-fn seeds(facts: &ProcessFacts) -> Vec<SocketAddrV4> {
+fn seeds(facts: &ProcessSettings) -> Vec<SocketAddrV4> {
     facts.seeds.iter().map(|seed| inner_addr(*seed.ip(), facts)).collect()
 }
 
@@ -106,7 +108,7 @@
 ///
 /// # Errors
 /// Every fault, by the place in the file.
-pub fn check(facts: &ProcessFacts) -> Result<(), Vec<String>> {
+pub fn check(facts: &ProcessSettings) -> Result<(), Vec<String>> {
     let mut faults = Vec::new();
     if facts.bind_addrs.control_addr.is_none() {
         faults.push("bind_addrs.control_addr: is missing; a registrar is called there".to_string());
@@ -125,7 +127,7 @@
     ///
     /// # Errors
     /// Where the system refuses what is needed.
-    pub fn new(facts: ProcessFacts, path: PathBuf, seed: u64) -> Result<Host, HostError> {
+    pub fn new(facts: ProcessSettings, path: PathBuf, seed: u64) -> Result<Host, HostError> {
         check(&facts).map_err(|faults| HostError::Facts(faults.join("; ")))?;
         let system = |step| move |why| HostError::System { step, why };
         let signals = Signals::watch().map_err(system("watch for signals"))?;
@@ -136,7 +138,7 @@
         let body = LARGEST_BODY.min(memory / MEMORY_PER_BODY);
         let links = (facts.limits.fd_limit - KEPT_BACK) as usize;
         let largest_word = 2 * body + ENVELOPE;
-        let brain_facts = RegistrarFacts {
+        let brain_facts = ControllerSettings {
             addr: inner_addr(facts.ip, &facts),
             zone: facts.zone.clone(),
             seeds: seeds(&facts),
@@ -149,28 +151,28 @@
             seed,
         };
         let silence = span(brain_facts.suspect());
-        let mut dock =
-            Dock::new(DockFacts { links, ahead: largest_word + 4, silence }).map_err(system("poll"))?;
+        let mut dock = EventLoop::new(EventLoopSettings { links, ahead: largest_word + 4, silence })
+            .map_err(system("poll"))?;
         let control = facts.bind_addrs.control_addr.unwrap_or(SocketAddrV4::new(facts.ip, 0));
         let control = dock.listen(control)?;
         let inner = dock.listen(brain_facts.addr)?;
         dock.listen_datagrams(brain_facts.addr)?;
-        let own = Descriptor {
+        let own = PeerDescriptor {
             addr: brain_facts.addr,
             role: Role::Registrar,
             zone: facts.zone.clone(),
             life: seed,
             age: 0,
         };
-        let shuffles = Shuffles::new(own, &brain_facts.seeds, contact.times(SHUFFLE_CONTACTS), seed);
-        let tap = TapFacts::new(links, facts.limits.memory_mb, body).map_err(HostError::Facts)?;
+        let shuffles = ShuffleProtocol::new(own, &brain_facts.seeds, contact.times(SHUFFLE_CONTACTS), seed);
+        let tap = HttpServerSettings::new(links, facts.limits.memory_mb, body).map_err(HostError::Facts)?;
         let patience = span(apply.times(1.0 / 6.0));
         let bytes = (facts.limits.disk_mb * (1 << 20) as f64) as u64;
         let disk = Disk::begin(facts.data_dir.clone(), bytes, patience, dock.waker());
         let changed = std::fs::metadata(&path).and_then(|about| about.modified()).ok();
         let start = dock.clock();
         let mut host = Host {
-            brain: Registrar::new(brain_facts, Nanos(0)),
+            brain: Controller::new(brain_facts, Nanos(0)),
             facts,
             path,
             changed,
@@ -244,8 +246,9 @@
         self.dock.stop_listening(self.inner);
         let mut news = Vec::new();
         let until = self.now() + millis(self.facts.bounds.loss_slack_ms);
-        let waits =
-            |dock: &Dock, lines: &HashMap<Berth, Line>| lines.keys().any(|berth| dock.waiting(*berth) > 0);
+        let waits = |dock: &EventLoop, lines: &HashMap<ConnectionId, Connection>| {
+            lines.keys().any(|berth| dock.waiting(*berth) > 0)
+        };
         while waits(&self.dock, &self.lines) && self.now() < until {
             let wait = until - self.now();
             self.dock.turn(Some(span(wait.times(0.2))), &mut news);
@@ -262,7 +265,7 @@
         }
         self.changed = changed;
         let Ok(bytes) = std::fs::read(&self.path) else { return };
-        match ProcessFacts::read(&bytes) {
+        match ProcessSettings::read(&bytes) {
             Ok(facts) => {
                 if facts.seeds != self.facts.seeds {
                     log::info!(target: part::FACTS, "{} seeds are named now", facts.seeds.len());
@@ -296,29 +299,29 @@
     fn follow(&mut self, now: Nanos) {
         while let Some(order) = self.brain.next(now) {
             match order {
-                Order::Answer { slot, reply } => self.answer(slot, &reply),
-                Order::Say { to, word } => {
+                Action::Answer { slot, reply } => self.answer(slot, &reply),
+                Action::Say { to, word } => {
                     if let Some(berth) = self.outer.get(&to).copied() {
                         self.say(now, to, berth, word);
                     }
                 }
-                Order::Tell { to, word } => self.tell(&to, &word),
-                Order::Connect { to } => match self.dock.connect(to) {
+                Action::Tell { to, word } => self.tell(&to, &word),
+                Action::Connect { to } => match self.dock.connect(to) {
                     Ok(berth) => {
                         self.outer.insert(to, berth);
-                        self.lines.insert(berth, Line { end: End::Outer(to), heard: now });
+                        self.lines.insert(berth, Connection { end: ConnectionRole::Outer(to), heard: now });
                     }
                     Err(why) => {
                         log::warn!(target: part::LINKS, "{why}");
                         self.brain.closed(now, to);
                     }
                 },
-                Order::GiveUp { to } => {
+                Action::GiveUp { to } => {
                     if let Some(berth) = self.outer.remove(&to) {
                         self.drop_line(berth);
                     }
                 }
-                Order::Store { ticket, saved } => {
+                Action::Store { ticket, saved } => {
                     if !self.disk.store(ticket, &saved) {
                         self.brain.stored(now, ticket, false);
                     }
@@ -326,13 +329,13 @@
                         self.look_at_disk(now);
                     }
                 }
-                Order::Remember { addrs } => self.disk.remember(&addrs),
-                Order::Note { level, part, text } => log::log!(target: part, level, "{text}"),
+                Action::Remember { addrs } => self.disk.remember(&addrs),
+                Action::Note { level, part, text } => log::log!(target: part, level, "{text}"),
             }
         }
     }
 
-    fn say(&mut self, now: Nanos, to: SocketAddrV4, berth: Berth, word: PeerWord) {
+    fn say(&mut self, now: Nanos, to: SocketAddrV4, berth: ConnectionId, word: ControllerMessage) {
         if self.dock.waiting(berth) > 2 * self.largest_word + SLACK {
             log::warn!(target: part::LINKS, "{to} does not read; dropped");
             self.outer.remove(&to);
@@ -340,16 +343,16 @@
             return self.brain.closed(now, to);
         }
         if let Some(out) = self.dock.output(berth) {
-            push(out, &Inward::Peer(word));
+            push(out, &GatewayToController::Peer(word));
         }
     }
 
     /// Written once, given to all.
-    fn tell(&mut self, to: &[Ear], word: &Outward) {
+    fn tell(&mut self, to: &[SubscriberId], word: &ControllerToGateway) {
         let mut bytes = fernknot_net::Buffer::default();
         push(&mut bytes, word);
         for ear in to {
-            let berth = Berth(ear.0);
+            let berth = ConnectionId(ear.0);
             if self.dock.waiting(berth) > 2 * self.largest_word + SLACK {
                 log::warn!(target: part::LINKS, "a listener does not read; dropped");
                 self.brain.ear_gone(*ear);
@@ -360,10 +363,12 @@
         }
     }
 
-    fn answer(&mut self, slot: Slot, reply: &fernknot_http_api::Reply) {
+    fn answer(&mut self, slot: PendingCall, reply: &fernknot_http_api::Reply) {
         let last = self.stopping.is_some();
-        let berth = Berth(slot.line);
-        let Some(Line { end: End::Caller(tap), .. }) = self.lines.get_mut(&berth) else { return };
+        let berth = ConnectionId(slot.line);
+        let Some(Connection { end: ConnectionRole::Caller(tap), .. }) = self.lines.get_mut(&berth) else {
+            return;
+        };
         let Some(out) = self.dock.output(berth) else { return };
         if !tap.answer(out, slot.call, reply, last) {
             self.lines.remove(&berth);
@@ -373,22 +378,22 @@
         self.caller_came(berth);
     }
 
-    fn drop_line(&mut self, berth: Berth) {
+    fn drop_line(&mut self, berth: ConnectionId) {
         self.lines.remove(&berth);
         self.dock.close(berth);
     }
 
     /// A connection has gone, or is of no use any more.
-    fn gone(&mut self, now: Nanos, berth: Berth) {
+    fn gone(&mut self, now: Nanos, berth: ConnectionId) {
         let Some(line) = self.lines.remove(&berth) else { return };
         self.dock.close(berth);
         match line.end {
-            End::Caller(tap) if tap.waits() => {
-                self.brain.call_gone(Slot { line: berth.0, call: tap.call() });
+            ConnectionRole::Caller(tap) if tap.waits() => {
+                self.brain.call_gone(PendingCall { line: berth.0, call: tap.call() });
             }
-            End::Caller(_) => {}
-            End::Inner(_) => self.brain.ear_gone(Ear(berth.0)),
-            End::Outer(to) => {
+            ConnectionRole::Caller(_) => {}
+            ConnectionRole::Inner(_) => self.brain.ear_gone(SubscriberId(berth.0)),
+            ConnectionRole::Outer(to) => {
                 self.outer.remove(&to);
                 self.brain.closed(now, to);
             }
@@ -399,11 +404,15 @@
         let now = self.now();
         match event {
             Event::Accepted { berth, at, .. } => {
-                let end = if at == self.control { End::Caller(Tap::default()) } else { End::Inner(None) };
-                self.lines.insert(berth, Line { end, heard: now });
+                let end = if at == self.control {
+                    ConnectionRole::Caller(HttpServerConnection::default())
+                } else {
+                    ConnectionRole::Inner(None)
+                };
+                self.lines.insert(berth, Connection { end, heard: now });
             }
             Event::Opened { berth } => {
-                if let Some(Line { end: End::Outer(to), .. }) = self.lines.get(&berth) {
+                if let Some(Connection { end: ConnectionRole::Outer(to), .. }) = self.lines.get(&berth) {
                     let to = *to;
                     self.brain.opened(now, to);
                 }
@@ -412,10 +421,10 @@
                 let Some(line) = self.lines.get_mut(&berth) else { return };
                 line.heard = now;
                 match line.end {
-                    End::Caller(_) => self.caller_came(berth),
-                    End::Inner(_) => self.inner_came(now, berth),
+                    ConnectionRole::Caller(_) => self.caller_came(berth),
+                    ConnectionRole::Inner(_) => self.inner_came(now, berth),
                     // Nothing is said back on these.
-                    End::Outer(_) => self.gone(now, berth),
+                    ConnectionRole::Outer(_) => self.gone(now, berth),
                 }
             }
             // Half a connection is of no use: the answers of callers who close theirs are not read.
@@ -429,9 +438,11 @@
         }
     }
 
-    fn caller_came(&mut self, berth: Berth) {
+    fn caller_came(&mut self, berth: ConnectionId) {
         let now = self.now();
-        let Some(Line { end: End::Caller(tap), .. }) = self.lines.get_mut(&berth) else { return };
+        let Some(Connection { end: ConnectionRole::Caller(tap), .. }) = self.lines.get_mut(&berth) else {
+            return;
+        };
         let mut input = match self.dock.input(berth) {
             Some(input) => std::mem::take(input),
             None => return,
@@ -442,38 +453,40 @@
             *place = input;
         }
         match pulled {
-            Pulled::Nothing => {}
-            Pulled::Call(request) => {
-                let slot = Slot { line: berth.0, call: tap.call() };
+            ReadOutcome::Nothing => {}
+            ReadOutcome::Call(request) => {
+                let slot = PendingCall { line: berth.0, call: tap.call() };
                 self.brain.call(now, slot, &request);
             }
-            Pulled::Bad => {
+            ReadOutcome::Bad => {
                 self.lines.remove(&berth);
                 self.dock.close_after(berth);
             }
         }
     }
 
-    fn inner_came(&mut self, now: Nanos, berth: Berth) {
+    fn inner_came(&mut self, now: Nanos, berth: ConnectionId) {
         loop {
-            let Some(Line { end: End::Inner(from), .. }) = self.lines.get(&berth) else { return };
+            let Some(Connection { end: ConnectionRole::Inner(from), .. }) = self.lines.get(&berth) else {
+                return;
+            };
             let from = *from;
             let most = if from.is_some() { self.largest_word } else { STRANGER };
             let Some(input) = self.dock.input(berth) else { return };
-            match pull::<Inward>(input, most) {
+            match pull::<GatewayToController>(input, most) {
                 Ok(None) => return,
-                Ok(Some(Inward::Peer(word))) => {
-                    if let PeerWord::Hello { addr, .. } = &word
+                Ok(Some(GatewayToController::Peer(word))) => {
+                    if let ControllerMessage::Hello { addr, .. } = &word
                         && let Some(line) = self.lines.get_mut(&berth)
                     {
-                        line.end = End::Inner(Some(*addr));
+                        line.end = ConnectionRole::Inner(Some(*addr));
                         let addr = *addr;
                         self.brain.peer(now, addr, word);
                     } else if let Some(from) = from {
                         self.brain.peer(now, from, word);
                     }
                 }
-                Ok(Some(word)) => self.brain.inward(now, Ear(berth.0), word),
+                Ok(Some(word)) => self.brain.inward(now, SubscriberId(berth.0), word),
                 Err(why) => {
                     let peer = self.dock.peer(berth);
                     log::warn!(target: part::LINKS, "read from {peer:?}: {why}");
@@ -487,12 +500,12 @@
     fn sweep(&mut self, now: Nanos) {
         let contact = millis(self.facts.bounds.contact_ms);
         self.sweep_at = now + contact;
-        let late = |line: &Line| match &line.end {
-            End::Caller(tap) => !tap.waits() && now - line.heard > contact.times(IDLE_CONTACTS),
-            End::Inner(_) => now - line.heard > contact.times(SILENT_CONTACTS),
-            End::Outer(_) => false,
+        let late = |line: &Connection| match &line.end {
+            ConnectionRole::Caller(tap) => !tap.waits() && now - line.heard > contact.times(IDLE_CONTACTS),
+            ConnectionRole::Inner(_) => now - line.heard > contact.times(SILENT_CONTACTS),
+            ConnectionRole::Outer(_) => false,
         };
-        let late: Vec<Berth> =
+        let late: Vec<ConnectionId> =
             self.lines.iter().filter(|(_, line)| late(line)).map(|(berth, _)| *berth).collect();
         late.into_iter().for_each(|berth| self.gone(now, berth));
         if !self.brain.holds_lease() {
--- a/crates/fernknot-controller/src/lib.rs
+++ b/crates/fernknot-controller/src/lib.rs
@@ -13,9 +13,9 @@
 mod registrar;
 mod standing;
 
-pub use changes::{CallId, Origin};
-pub use control::{Control, Taken};
-pub use ground::Ground;
+pub use changes::{ForwardedCallId, RequestOrigin};
+pub use control::{CommittedVersion, ControlState};
+pub use ground::QuorumEvidence;
 #[doc(hidden)]
-pub use registrar::Plant;
-pub use registrar::{Ear, Order, Registrar, RegistrarFacts, Slot};
+pub use registrar::SeededBug;
+pub use registrar::{Action, Controller, ControllerSettings, PendingCall, SubscriberId};
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -1,7 +1,7 @@
 //! `fernknot-controller`: one registrar of the system's control plane.
 
 use fernknot_controller::host::{Host, check};
-use fernknot_schema::ProcessFacts;
+use fernknot_schema::ProcessSettings;
 use fernknot_telemetry::{LevelFilter, part};
 use std::hash::{BuildHasher, Hasher};
 use std::path::PathBuf;
@@ -20,22 +20,22 @@
 
 const BAD_USE: u8 = 2;
 
-enum Run {
+enum Command {
     Serve,
     Check,
     Say(String),
 }
 
-fn asked() -> Result<Run, lexopt::Error> {
+fn asked() -> Result<Command, lexopt::Error> {
     use lexopt::prelude::*;
-    let mut run = Run::Serve;
+    let mut run = Command::Serve;
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         run = match arg {
-            Long("check") => Run::Check,
-            Long("help") | Short('h') => return Ok(Run::Say(HELP.into())),
+            Long("check") => Command::Check,
+            Long("help") | Short('h') => return Ok(Command::Say(HELP.into())),
             Long("version") | Short('V') => {
-                return Ok(Run::Say(format!("fernknot-controller {}", env!("CARGO_PKG_VERSION"))));
+                return Ok(Command::Say(format!("fernknot-controller {}", env!("CARGO_PKG_VERSION"))));
             }
             other => return Err(other.unexpected()),
         };
@@ -44,10 +44,10 @@
 }
 
 /// Reads and checks the settings; every fault by its place.
-fn facts(path: &PathBuf) -> Result<ProcessFacts, Vec<String>> {
+fn facts(path: &PathBuf) -> Result<ProcessSettings, Vec<String>> {
     let bytes =
         std::fs::read(path).map_err(|why| vec![format!("FERNKNOT_CONFIG: {}: {why}", path.display())])?;
-    let facts = ProcessFacts::read(&bytes)
+    let facts = ProcessSettings::read(&bytes)
         .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<String>>())?;
     check(&facts)?;
     Ok(facts)
@@ -55,7 +55,7 @@
 
 fn main() -> ExitCode {
     let run = match asked() {
-        Ok(Run::Say(text)) => {
+        Ok(Command::Say(text)) => {
             println!("{text}");
             return ExitCode::SUCCESS;
         }
@@ -73,7 +73,7 @@
             return ExitCode::from(BAD_USE);
         }
     };
-    if matches!(run, Run::Check) {
+    if matches!(run, Command::Check) {
         return ExitCode::SUCCESS;
     }
     let level = std::env::var("FERNKNOT_LOG").ok().and_then(|level| level.parse().ok());
--- a/crates/fernknot-controller/src/peers.rs
+++ b/crates/fernknot-controller/src/peers.rs
@@ -9,7 +9,7 @@
 
 /// How the connection to a registrar stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Link {
+enum LinkState {
     /// To be tried again then, after a pause of so long.
     Down {
         at: Nanos,
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Peer {
-    link: Link,
+    link: LinkState,
     /// As it said itself.
     pub zone: Option<String>,
     heard: Option<Nanos>,
@@ -43,7 +43,7 @@
 
 /// What is to be done about a connection.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum LinkAction {
     Connect(SocketAddrV4),
     GiveUp(SocketAddrV4),
 }
@@ -66,13 +66,13 @@
             return false;
         }
         if self.known.len() >= MOST {
-            let down = self.known.iter().filter(|(_, peer)| peer.link != Link::Up);
+            let down = self.known.iter().filter(|(_, peer)| peer.link != LinkState::Up);
             let Some(oldest) = down.min_by_key(|(_, peer)| peer.heard).map(|(addr, _)| *addr) else {
                 return false;
             };
             self.known.remove(&oldest);
         }
-        let link = Link::Down { at: now, pause: self.first_pause };
+        let link = LinkState::Down { at: now, pause: self.first_pause };
         self.known.insert(addr, Peer { link, zone: None, heard: None });
         true
     }
@@ -84,10 +84,10 @@
         if let Some(zone) = zone {
             peer.zone = Some(zone.to_string());
             match &mut peer.link {
-                Link::Down { at, .. } => *at = now,
+                LinkState::Down { at, .. } => *at = now,
                 // Begun while it had no power: its first packet is lost and is sent again after a second. Guards
                 // the return of all at once, when each begins before the others are there.
-                Link::Begun { at, until } => *until = (*until).min((*at + self.first_pause).max(now)),
+                LinkState::Begun { at, until } => *until = (*until).min((*at + self.first_pause).max(now)),
                 _ => {}
             }
         }
@@ -95,7 +95,7 @@
 
     pub fn opened(&mut self, addr: SocketAddrV4) {
         if let Some(peer) = self.known.get_mut(&addr) {
-            peer.link = Link::Up;
+            peer.link = LinkState::Up;
         }
     }
 
@@ -103,30 +103,30 @@
         let (first, last) = (self.first_pause, self.last_pause);
         if let Some(peer) = self.known.get_mut(&addr) {
             let pause = match peer.link {
-                Link::Down { pause, .. } => pause,
-                Link::Up => first,
+                LinkState::Down { pause, .. } => pause,
+                LinkState::Up => first,
                 // What never answered is tried ever less.
-                Link::Begun { .. } if peer.heard.is_some_and(|at| now - at < last) => first.times(2.0),
-                Link::Begun { at, .. } => (now - at).times(2.0).max(first.times(4.0)).min(last),
+                LinkState::Begun { .. } if peer.heard.is_some_and(|at| now - at < last) => first.times(2.0),
+                LinkState::Begun { at, .. } => (now - at).times(2.0).max(first.times(4.0)).min(last),
             };
-            peer.link = Link::Down { at: now + pause, pause };
+            peer.link = LinkState::Down { at: now + pause, pause };
         }
     }
 
     /// What is to be done now, one at a time.
-    pub fn next(&mut self, now: Nanos) -> Option<Do> {
+    pub fn next(&mut self, now: Nanos) -> Option<LinkAction> {
         for (addr, peer) in &mut self.known {
             match peer.link {
-                Link::Down { at, .. } if at <= now => {
-                    peer.link = Link::Begun { at: now, until: now + self.connect_within };
-                    return Some(Do::Connect(*addr));
+                LinkState::Down { at, .. } if at <= now => {
+                    peer.link = LinkState::Begun { at: now, until: now + self.connect_within };
+                    return Some(LinkAction::Connect(*addr));
                 }
                 // A machine without power, or behind a cut, gives no answer at all.
-                Link::Begun { until, .. } if now >= until => {
+                LinkState::Begun { until, .. } if now >= until => {
                     let lately = peer.heard.is_some_and(|heard| now - heard < self.connect_within);
                     let wait = if lately { Nanos(0) } else { self.first_pause };
-                    peer.link = Link::Down { at: now + wait, pause: self.first_pause };
-                    return Some(Do::GiveUp(*addr));
+                    peer.link = LinkState::Down { at: now + wait, pause: self.first_pause };
+                    return Some(LinkAction::GiveUp(*addr));
                 }
                 _ => {}
             }
@@ -136,20 +136,20 @@
 
     pub fn due(&self) -> Option<Nanos> {
         let times = self.known.values().filter_map(|peer| match peer.link {
-            Link::Down { at, .. } => Some(at),
-            Link::Begun { until, .. } => Some(until),
-            Link::Up => None,
+            LinkState::Down { at, .. } => Some(at),
+            LinkState::Begun { until, .. } => Some(until),
+            LinkState::Up => None,
         });
         times.min()
     }
 
     pub fn is_up(&self, addr: SocketAddrV4) -> bool {
-        self.known.get(&addr).is_some_and(|peer| peer.link == Link::Up)
+        self.known.get(&addr).is_some_and(|peer| peer.link == LinkState::Up)
     }
 
     /// Those to whom a connection stands.
     pub fn up(&self) -> Vec<SocketAddrV4> {
-        self.known.iter().filter(|(_, peer)| peer.link == Link::Up).map(|(addr, _)| *addr).collect()
+        self.known.iter().filter(|(_, peer)| peer.link == LinkState::Up).map(|(addr, _)| *addr).collect()
     }
 
     pub fn all(&self) -> Vec<SocketAddrV4> {
