--- a/crates/fernknot-controller/src/registrar.rs
+++ b/crates/fernknot-controller/src/registrar.rs
@@ -1,23 +1,26 @@
 //! One registrar: what it knows, and what it does about what it hears.
 
 use crate::calls::{
-    Count, Counted, Deregister, Heartbeat, Newest, NodeHeard, Read, Readiness, Ready, Replace, Replaced,
+    ChangeOutcome, CheckReadiness, CountersReport, Deregister, Heartbeat, NodeCallOutcome, ReadConfig,
+    ReadConfigOutcome, ReadCounters, ReadinessOutcome, ReplaceConfig,
 };
-use crate::changes::{CallId, Changes, Origin, Stage, Verdict, judge};
-use crate::control::{Control, InForce, Taken};
-use crate::ears::{Ears, Listener};
-use crate::ground::Ground;
-use crate::peers::{Do, Peers};
+use crate::changes::{ChangeAssessment, ChangeStage, ForwardedCallId, PendingChanges, RequestOrigin, judge};
+use crate::control::{ActiveConfig, CommittedVersion, ControlState};
+use crate::ears::{Subscriber, Subscribers};
+use crate::ground::QuorumEvidence;
+use crate::peers::{LinkAction, Peers};
 use fernknot::interface::Nanos;
 use fernknot_consensus::{
-    Action as ViewOrder, Consensus, Inquiry, Member, MemberId, PersistentState, Plant as ViewsPlant,
-    Revision, Ticket, ViewFacts,
+    Action as ViewOrder, Consensus, ConsensusSettings, Member, MemberId, PersistentState, ReadIndexId,
+    Revision, SeededBug as ViewsPlant, WriteId,
 };
-use fernknot_http_api::{Desk, Reply, Request, Serve, Served};
-use fernknot_ownership::{Cut, Fence, Keeper, KeeperBounds};
-use fernknot_registry::{NodeFact, NodeState, Noted, Registry, RegistryBounds, life_hash};
-use fernknot_rpc::{Inward, Outward, PeerWord, Question, Registrar as Told};
-use fernknot_schema::{NodeState as Beats, RoutingConfig, digest};
+use fernknot_http_api::{DispatchOutcome, Dispatcher, Handler, Reply, Request};
+use fernknot_ownership::{Assigner, AssignerSettings, Assignment, FencingToken};
+use fernknot_registry::{CallOutcome, NodeRecord, NodeState, Registry, RegistryLimits, life_hash};
+use fernknot_rpc::{
+    ControllerEndpoint as Told, ControllerMessage, ControllerToGateway, GatewayToController, InspectionTopic,
+};
+use fernknot_schema::{ReportedNodeState as Beats, RoutingConfig, digest};
 use fernknot_telemetry::{Counters, part};
 use log::Level;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -39,7 +42,7 @@
 /// A call that waits for its answer. Never used again: an answer belongs to a call, not to the connection that it
 /// came on, where another may wait by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Slot {
+pub struct PendingCall {
     /// The connection.
     pub line: u64,
     /// The number of the call on it.
@@ -48,11 +51,11 @@
 
 /// The connection of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ear(pub u64);
+pub struct SubscriberId(pub u64);
 
 /// What a registrar is told at its start.
 #[derive(Clone, Debug)]
-pub struct RegistrarFacts {
+pub struct ControllerSettings {
     /// Where other processes of the system reach it.
     pub addr: SocketAddrV4,
     pub zone: String,
@@ -74,7 +77,7 @@
     pub seed: u64,
 }
 
-impl RegistrarFacts {
+impl ControllerSettings {
     /// A registrar that was silent for so long is left out.
     pub fn suspect(&self) -> Nanos {
         self.contact.times(0.25)
@@ -90,9 +93,9 @@
         fernknot_ownership::doubt(self.contact, self.window, self.beat)
     }
 
-    fn views(&self, id: MemberId, bootstrap: bool) -> ViewFacts {
+    fn views(&self, id: MemberId, bootstrap: bool) -> ConsensusSettings {
         let suspect_after = self.suspect();
-        ViewFacts {
+        ConsensusSettings {
             me: Member { id, addr: self.addr, zone: self.zone.clone() },
             founders: self.seeds.clone(),
             bootstrap,
@@ -106,19 +109,19 @@
 
 /// What the host is to do.
 #[derive(Debug)]
-pub enum Order {
+pub enum Action {
     Answer {
-        slot: Slot,
+        slot: PendingCall,
         reply: Reply,
     },
     /// To another registrar, over the connection that was opened to it.
     Say {
         to: SocketAddrV4,
-        word: PeerWord,
+        word: ControllerMessage,
     },
     Tell {
-        to: Vec<Ear>,
-        word: Outward,
+        to: Vec<SubscriberId>,
+        word: ControllerToGateway,
     },
     /// Open a connection to a registrar; `opened` or `closed` follows.
     Connect {
@@ -130,7 +133,7 @@
     },
     /// Write and sync, then call `stored`.
     Store {
-        ticket: Ticket,
+        ticket: WriteId,
         saved: PersistentState,
     },
     /// Keep these addresses on disk, in the place of those before.
@@ -148,7 +151,7 @@
 /// Breaks planted for the checkers, which must find each one.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Plant {
+pub enum SeededBug {
     /// Reads, refusals and drains by this registrar's own state.
     OwnState,
     /// Few versions are remembered, and what lies past them is refused.
@@ -164,39 +167,39 @@
 
 /// Who waits for a majority's word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Waiter {
+enum QuorumWaiter {
     /// A change in hand, by its number.
     Change(u64),
-    Read(Slot),
-    Ready(Slot),
+    Read(PendingCall),
+    Ready(PendingCall),
     /// A node that says that it leaves.
-    Leave(Slot),
+    Leave(PendingCall),
 }
 
 /// One registrar.
-pub struct Registrar {
-    facts: RegistrarFacts,
-    plant: Option<Plant>,
-    desk: Option<Desk<Registrar, Slot>>,
+pub struct Controller {
+    facts: ControllerSettings,
+    plant: Option<SeededBug>,
+    desk: Option<Dispatcher<Controller, PendingCall>>,
     now: Nanos,
     /// None until the disk has been read.
     views: Option<Consensus>,
     views_due: Nanos,
     /// When they last asked to be pulled without news.
     views_wake: Nanos,
-    in_force: InForce,
-    changes: Changes,
+    in_force: ActiveConfig,
+    changes: PendingChanges,
     /// What a majority was asked, for whom, and until when the answer is waited for.
-    inquiries: BTreeMap<Inquiry, (Waiter, Nanos)>,
+    inquiries: BTreeMap<ReadIndexId, (QuorumWaiter, Nanos)>,
     next_inquiry: u64,
     registry: Registry,
     /// The registry's version that listeners have been told.
     nodes_told: u64,
     /// Lives of which the other registrars are to be told: something was first told here, or that they leave.
     to_tell: BTreeSet<String>,
-    keeper: Keeper,
-    cut: Cut,
-    ears: Ears,
+    keeper: Assigner,
+    cut: Assignment,
+    ears: Subscribers,
     peers: Peers,
     turned: Nanos,
     pulse_at: Nanos,
@@ -207,45 +210,45 @@
     lease: bool,
     stopping: bool,
     counters: Counters,
-    orders: VecDeque<Order>,
+    orders: VecDeque<Action>,
 }
 
-fn desk() -> Desk<Registrar, Slot> {
-    Desk::default()
+fn desk() -> Dispatcher<Controller, PendingCall> {
+    Dispatcher::default()
         .on::<Heartbeat>()
         .on::<Deregister>()
-        .on::<Replace>()
-        .on::<Read>()
-        .on::<Readiness>()
-        .on::<Count>()
+        .on::<ReplaceConfig>()
+        .on::<ReadConfig>()
+        .on::<CheckReadiness>()
+        .on::<ReadCounters>()
 }
 
-impl Registrar {
+impl Controller {
     /// Knows no node and no configuration yet; beats are taken at once, the rest once the disk has been read.
-    pub fn new(facts: RegistrarFacts, now: Nanos) -> Registrar {
-        Registrar::planted(facts, now, None)
+    pub fn new(facts: ControllerSettings, now: Nanos) -> Controller {
+        Controller::planted(facts, now, None)
     }
 
     #[doc(hidden)]
-    pub fn planted(facts: RegistrarFacts, now: Nanos, plant: Option<Plant>) -> Registrar {
+    pub fn planted(facts: ControllerSettings, now: Nanos, plant: Option<SeededBug>) -> Controller {
         let mut peers = Peers::new(facts.addr, facts.suspect());
         facts.seeds.iter().for_each(|seed| _ = peers.know(now, *seed));
-        Registrar {
+        Controller {
             desk: Some(desk()),
             now,
             views: None,
             views_due: now,
             views_wake: now,
-            in_force: InForce::none(),
-            changes: Changes::new(plant == Some(Plant::ForgetEarly)),
+            in_force: ActiveConfig::none(),
+            changes: PendingChanges::new(plant == Some(SeededBug::ForgetEarly)),
             inquiries: BTreeMap::new(),
             next_inquiry: 0,
-            registry: Registry::new(facts.beat, RegistryBounds::default()),
+            registry: Registry::new(facts.beat, RegistryLimits::default()),
             nodes_told: 0,
             to_tell: BTreeSet::new(),
-            keeper: Keeper::new(facts.beat, KeeperBounds { most_gateways: 1024, doubt: facts.doubt() }),
-            cut: Cut::default(),
-            ears: Ears::default(),
+            keeper: Assigner::new(facts.beat, AssignerSettings { most_gateways: 1024, doubt: facts.doubt() }),
+            cut: Assignment::default(),
+            ears: Subscribers::default(),
             peers,
             turned: now,
             pulse_at: now,
@@ -277,7 +280,7 @@
         let id = saved.as_ref().map_or(MemberId(self.facts.seed.max(1)), |saved| saved.me);
         let facts = self.facts.views(id, self.facts.bootstrap && fresh);
         let plant = match self.plant {
-            Some(Plant::Views(plant)) => Some(plant),
+            Some(SeededBug::Views(plant)) => Some(plant),
             _ => None,
         };
         let mut views = Consensus::planted(self.facts.seed.rotate_left(17), facts, saved, now, plant);
@@ -290,146 +293,147 @@
     }
 
     /// A request of a node or an operator. The answer comes as an order, now or later.
-    pub fn call(&mut self, now: Nanos, slot: Slot, request: &Request) {
+    pub fn call(&mut self, now: Nanos, slot: PendingCall, request: &Request) {
         self.tick(now);
         // The desk is lent out: what serves is this very registrar.
         let Some(desk) = self.desk.take() else { return };
-        if let Served::Now(reply) = desk.serve(self, request, slot) {
-            self.orders.push_back(Order::Answer { slot, reply });
+        if let DispatchOutcome::Now(reply) = desk.serve(self, request, slot) {
+            self.orders.push_back(Action::Answer { slot, reply });
         }
         self.desk = Some(desk);
     }
 
     /// A caller has gone without waiting for the answer.
-    pub fn call_gone(&mut self, slot: Slot) {
-        self.changes.forget(Origin::Caller(slot));
-        let gone: Vec<Inquiry> = self
+    pub fn call_gone(&mut self, slot: PendingCall) {
+        self.changes.forget(RequestOrigin::Caller(slot));
+        let gone: Vec<ReadIndexId> = self
             .inquiries
             .iter()
-            .filter(|(_, (waiter, _))| matches!(waiter, Waiter::Read(of) | Waiter::Ready(of) | Waiter::Leave(of) if *of == slot))
+            .filter(|(_, (waiter, _))| matches!(waiter, QuorumWaiter::Read(of) | QuorumWaiter::Ready(of) | QuorumWaiter::Leave(of) if *of == slot))
             .map(|(inquiry, _)| *inquiry)
             .collect();
         gone.into_iter().for_each(|inquiry| _ = self.withdraw(inquiry));
     }
 
     /// A word of a listener, or of one who becomes it.
-    pub fn inward(&mut self, now: Nanos, ear: Ear, word: Inward) {
+    pub fn inward(&mut self, now: Nanos, ear: SubscriberId, word: GatewayToController) {
         self.tick(now);
         match word {
-            Inward::Attach { who, ready, share, order } => {
+            GatewayToController::Attach { who, ready, share, order } => {
                 if self.keeper.alive(now, who.clone()) {
                     self.cut_look = true;
                 }
-                let listener = Listener { who, ready, share, order };
+                let listener = Subscriber { who, ready, share, order };
                 self.welcome(ear, listener);
             }
-            Inward::Alive { ready } => {
+            GatewayToController::Alive { ready } => {
                 let Some(listener) = self.ears.list.get_mut(&ear) else { return };
                 listener.ready = ready;
                 let who = listener.who.clone();
                 self.keeper.alive(now, who);
             }
-            Inward::Below(gateways) => {
+            GatewayToController::Below(gateways) => {
                 for gateway in gateways.into_iter().take(MOST_TOLD) {
                     self.keeper.alive(now, gateway);
                 }
                 self.cut_look = true;
             }
-            Inward::Leaving => {
+            GatewayToController::Leaving => {
                 self.ears.partly.remove(&ear);
                 let Some(listener) = self.ears.list.remove(&ear) else { return };
                 let life = listener.who.life;
                 self.keeper.left(now, life);
                 self.cut_look = true;
-                self.say_all(|| PeerWord::GatewayLeft { life: life.0 });
+                self.say_all(|| ControllerMessage::GatewayLeft { life: life.0 });
             }
-            Inward::Ask(question) => {
+            GatewayToController::Ask(question) => {
                 let text = self.answer(question);
-                self.orders.push_back(Order::Tell { to: vec![ear], word: Outward::Answer(text) });
+                self.orders
+                    .push_back(Action::Tell { to: vec![ear], word: ControllerToGateway::Answer(text) });
             }
-            Inward::Force { lost } => {
+            GatewayToController::Force { lost } => {
                 let end = self.force_view(&lost);
-                self.orders.push_back(Order::Tell { to: vec![ear], word: Outward::Forced(end) });
+                self.orders.push_back(Action::Tell { to: vec![ear], word: ControllerToGateway::Forced(end) });
             }
             // Told by the connection that it came on: see `peer`.
-            Inward::Peer(_) => {}
+            GatewayToController::Peer(_) => {}
         }
     }
 
     /// A listener's connection has gone. Its gateway may live: its beats say, not its connection.
-    pub fn ear_gone(&mut self, ear: Ear) {
+    pub fn ear_gone(&mut self, ear: SubscriberId) {
         self.ears.list.remove(&ear);
         self.ears.partly.remove(&ear);
     }
 
     /// A word of the registrar that listens at `from`.
-    pub fn peer(&mut self, now: Nanos, from: SocketAddrV4, word: PeerWord) {
+    pub fn peer(&mut self, now: Nanos, from: SocketAddrV4, word: ControllerMessage) {
         self.tick(now);
         self.peers.heard(now, from, None);
         match word {
-            PeerWord::Hello { zone, .. } => {
+            ControllerMessage::Hello { zone, .. } => {
                 self.learn(from);
                 self.peers.heard(now, from, Some(&zone));
                 if self.peers.is_up(from) {
                     self.tell_whole(from);
                 }
             }
-            PeerWord::Views(word) => {
+            ControllerMessage::Views(word) => {
                 if let Some(views) = &mut self.views {
                     views.heard(now, from, word);
                     self.views_due = now;
                 }
             }
-            PeerWord::Nodes(facts) => {
+            ControllerMessage::Nodes(facts) => {
                 let before = self.registry.version();
                 let changed = self.registry.told(now, &facts);
                 self.counters.add("nodes_told", changed as u64);
                 // That a node leaves is passed on once by each who hears of it. Guards against a cut one way between
                 // the teller and another, where nodes and gateways reach both.
                 let news = self.registry.changes_since(before).map_or(Vec::new(), |(_, facts)| facts);
-                let leaves = |fact: &&NodeFact| matches!(fact.state, NodeState::Draining | NodeState::Gone);
+                let leaves = |fact: &&NodeRecord| matches!(fact.state, NodeState::Draining | NodeState::Gone);
                 self.to_tell.extend(news.iter().filter(leaves).map(|fact| fact.id.clone()));
             }
-            PeerWord::Heard(hashes) => {
+            ControllerMessage::Heard(hashes) => {
                 let unknown = self.registry.heard_elsewhere(now, &hashes);
                 if !unknown.is_empty() {
-                    self.say(from, PeerWord::Want(unknown));
+                    self.say(from, ControllerMessage::Want(unknown));
                 }
             }
-            PeerWord::Want(hashes) => {
+            ControllerMessage::Want(hashes) => {
                 let facts = self.registry.facts_of(&hashes);
-                self.say(from, PeerWord::Nodes(facts));
+                self.say(from, ControllerMessage::Nodes(facts));
             }
-            PeerWord::Gateways(gateways) => {
+            ControllerMessage::Gateways(gateways) => {
                 self.keeper.told(now, &gateways);
                 self.cut_look = true;
             }
-            PeerWord::GatewayLeft { life } => {
-                self.keeper.left(now, fernknot_ownership::LifeId(life));
+            ControllerMessage::GatewayLeft { life } => {
+                self.keeper.left(now, fernknot_ownership::IncarnationId(life));
                 self.cut_look = true;
             }
-            PeerWord::Cut(cut) => {
+            ControllerMessage::Cut(cut) => {
                 if cut.fence > self.cut.fence {
                     self.keeper.learn(now, &cut);
                     self.new_cut(cut.sorted());
                 }
             }
-            PeerWord::Replace { life, call, base, body } => {
-                self.handed(from, CallId { life, call }, base, body);
+            ControllerMessage::Replace { life, call, base, body } => {
+                self.handed(from, ForwardedCallId { life, call }, base, body);
             }
-            PeerWord::Replaced { life, call, status, why } => {
-                let mine = life == self.facts.seed || self.plant == Some(Plant::AnyLife);
+            ControllerMessage::Replaced { life, call, status, why } => {
+                let mine = life == self.facts.seed || self.plant == Some(SeededBug::AnyLife);
                 if mine && let Some(origin) = self.changes.ended_elsewhere(now, from, call, status) {
-                    let ground = Ground::relayed();
+                    let ground = QuorumEvidence::relayed();
                     let end = match status {
-                        200 => Replaced::Taken(ground),
-                        412 => Replaced::Other(why, ground),
-                        _ => Replaced::Invalid(why, ground),
+                        200 => ChangeOutcome::Taken(ground),
+                        412 => ChangeOutcome::Other(why, ground),
+                        _ => ChangeOutcome::Invalid(why, ground),
                     };
                     self.end(origin, end);
                 }
             }
-            PeerWord::Know(addrs) => {
+            ControllerMessage::Know(addrs) => {
                 for addr in addrs.into_iter().take(MOST_NAMED) {
                     self.learn(addr);
                 }
@@ -441,11 +445,11 @@
     pub fn opened(&mut self, now: Nanos, to: SocketAddrV4) {
         self.tick(now);
         self.peers.opened(to);
-        self.say(to, PeerWord::Hello { addr: self.facts.addr, zone: self.facts.zone.clone() });
+        self.say(to, ControllerMessage::Hello { addr: self.facts.addr, zone: self.facts.zone.clone() });
         let mut known = self.peers.all();
         known.retain(|addr| *addr != to);
         known.truncate(MOST_NAMED);
-        self.say(to, PeerWord::Know(known));
+        self.say(to, ControllerMessage::Know(known));
         self.tell_whole(to);
         // What is said between the members was dropped meanwhile.
         if let Some(views) = &mut self.views {
@@ -461,7 +465,7 @@
     }
 
     /// The end of a write.
-    pub fn stored(&mut self, now: Nanos, ticket: Ticket, ok: bool) {
+    pub fn stored(&mut self, now: Nanos, ticket: WriteId, ok: bool) {
         self.tick(now);
         if let Some(views) = &mut self.views {
             views.stored(now, ticket, ok);
@@ -522,7 +526,7 @@
     // What goes out.
 
     /// The next thing to do, until there is none.
-    pub fn next(&mut self, now: Nanos) -> Option<Order> {
+    pub fn next(&mut self, now: Nanos) -> Option<Action> {
         if self.orders.is_empty() {
             self.tick(now);
             self.work();
@@ -567,7 +571,7 @@
         self.end_inquiries();
         for origin in self.changes.expire(now) {
             self.counters.add("changes_unclear", 1);
-            self.end(origin, Replaced::Unclear("no end in time; it may be repeated unchanged"));
+            self.end(origin, ChangeOutcome::Unclear("no end in time; it may be repeated unchanged"));
         }
         if !self.changes.list.is_empty() {
             self.step_changes();
@@ -589,8 +593,8 @@
         }
         while let Some(what) = self.peers.next(now) {
             self.orders.push_back(match what {
-                Do::Connect(to) => Order::Connect { to },
-                Do::GiveUp(to) => Order::GiveUp { to },
+                LinkAction::Connect(to) => Action::Connect { to },
+                LinkAction::GiveUp(to) => Action::GiveUp { to },
             });
         }
     }
@@ -604,16 +608,16 @@
                 ViewOrder::Say { to, word } => {
                     self.learn(to);
                     // A word for one who is out of reach is lost: the members say again what counts.
-                    self.say(to, PeerWord::Views(word));
+                    self.say(to, ControllerMessage::Views(word));
                 }
                 ViewOrder::Store { ticket, saved } => {
-                    self.orders.push_back(Order::Store { ticket, saved });
+                    self.orders.push_back(Action::Store { ticket, saved });
                 }
                 ViewOrder::Deliver { no, state, .. } => self.delivered(no, &state),
                 ViewOrder::Taken { proposal, .. } => {
-                    let Some(ground) = Ground::of(&order) else { continue };
-                    let taken = |stage: Stage| stage == Stage::Proposed(proposal);
-                    let ends: Vec<Origin> = self
+                    let Some(ground) = QuorumEvidence::of(&order) else { continue };
+                    let taken = |stage: ChangeStage| stage == ChangeStage::Proposed(proposal);
+                    let ends: Vec<RequestOrigin> = self
                         .changes
                         .list
                         .iter()
@@ -621,7 +625,7 @@
                         .map(|c| c.origin)
                         .collect();
                     self.changes.list.retain(|change| !taken(change.stage));
-                    ends.into_iter().for_each(|origin| self.end(origin, Replaced::Taken(ground)));
+                    ends.into_iter().for_each(|origin| self.end(origin, ChangeOutcome::Taken(ground)));
                 }
                 ViewOrder::Refused { proposal } => self.changes.unpropose(now, Some(proposal)),
                 ViewOrder::Entered { view } => {
@@ -634,7 +638,7 @@
                     self.cut_look = true;
                 }
                 ViewOrder::Confirmed { inquiry } => {
-                    let Some(ground) = Ground::of(&order) else { continue };
+                    let Some(ground) = QuorumEvidence::of(&order) else { continue };
                     if let Some((waiter, _)) = self.inquiries.remove(&inquiry) {
                         self.confirmed(waiter, ground);
                     }
@@ -642,7 +646,7 @@
                 ViewOrder::Left => self.note(Level::Warn, part::VIEWS, "in no view any more".into()),
                 ViewOrder::Renewed { .. } => {
                     // Guards against a repeat acknowledged out of a history that an operator has given up.
-                    self.in_force = InForce::none();
+                    self.in_force = ActiveConfig::none();
                     let text = "the disk is an older copy of itself, or closed out: joins as a new member";
                     self.note(Level::Warn, part::VIEWS, text.into());
                 }
@@ -664,7 +668,7 @@
     }
 
     fn delivered(&mut self, no: Revision, state: &[u8]) {
-        let control = match Control::read(state) {
+        let control = match ControlState::read(state) {
             Ok(control) => control,
             Err(why) => return self.note(Level::Error, part::PLAN, why.to_string()),
         };
@@ -688,12 +692,12 @@
             self.note(Level::Info, part::PLAN, text);
         }
         let body = Arc::from(&control.body[..]);
-        self.in_force = InForce { order: no.0, control, body, plan };
+        self.in_force = ActiveConfig { order: no.0, control, body, plan };
         for (origin, ground) in self.changes.settle(&self.in_force.control) {
-            self.end(origin, Replaced::Taken(ground));
+            self.end(origin, ChangeOutcome::Taken(ground));
         }
         let order = no.0;
-        let behind: Vec<Ear> = self
+        let behind: Vec<SubscriberId> = self
             .ears
             .list
             .iter()
@@ -703,7 +707,7 @@
         self.tell_plan(behind);
     }
 
-    fn tell_plan(&mut self, to: Vec<Ear>) {
+    fn tell_plan(&mut self, to: Vec<SubscriberId>) {
         let Some(plan) = self.in_force.plan.clone().filter(|_| !to.is_empty()) else { return };
         let order = self.in_force.order;
         for ear in &to {
@@ -711,10 +715,10 @@
                 listener.order = order;
             }
         }
-        self.orders.push_back(Order::Tell { to, word: Outward::Plan { order, plan } });
+        self.orders.push_back(Action::Tell { to, word: ControllerToGateway::Plan { order, plan } });
     }
 
-    fn end(&mut self, origin: Origin, end: Replaced) {
+    fn end(&mut self, origin: RequestOrigin, end: ChangeOutcome) {
         let (status, why) = end.status();
         match status {
             200 => self.counters.add("changes_taken", 1),
@@ -725,9 +729,9 @@
             }
         }
         match origin {
-            Origin::Caller(slot) => self.orders.push_back(Order::Answer { slot, reply: end.into() }),
-            Origin::Peer(to, CallId { life, call }) => {
-                self.say(to, PeerWord::Replaced { life, call, status, why });
+            RequestOrigin::Caller(slot) => self.orders.push_back(Action::Answer { slot, reply: end.into() }),
+            RequestOrigin::Peer(to, ForwardedCallId { life, call }) => {
+                self.say(to, ControllerMessage::Replaced { life, call, status, why });
             }
         }
     }
@@ -735,13 +739,13 @@
     // A majority's word.
 
     /// Asks a majority of the voters. False where that is of no use: none is in touch, or too many wait.
-    fn inquire(&mut self, waiter: Waiter, within: Nanos) -> bool {
-        if self.plant == Some(Plant::OwnState) {
-            self.confirmed(waiter, Ground::planted());
+    fn inquire(&mut self, waiter: QuorumWaiter, within: Nanos) -> bool {
+        if self.plant == Some(SeededBug::OwnState) {
+            self.confirmed(waiter, QuorumEvidence::planted());
             return true;
         }
         self.next_inquiry += 1;
-        let (now, inquiry) = (self.now, Inquiry(self.next_inquiry));
+        let (now, inquiry) = (self.now, ReadIndexId(self.next_inquiry));
         self.views_due = now;
         let asked =
             self.views.as_mut().is_some_and(|views| !views.is_cut_off(now) && views.inquire(now, inquiry));
@@ -752,7 +756,7 @@
         asked
     }
 
-    fn withdraw(&mut self, inquiry: Inquiry) -> Option<Waiter> {
+    fn withdraw(&mut self, inquiry: ReadIndexId) -> Option<QuorumWaiter> {
         if let Some(views) = &mut self.views {
             views.withdraw(inquiry);
         }
@@ -760,38 +764,38 @@
     }
 
     /// A majority stood in the view after the call of `waiter` came, and what was taken before is delivered here.
-    fn confirmed(&mut self, waiter: Waiter, ground: Ground) {
+    fn confirmed(&mut self, waiter: QuorumWaiter, ground: QuorumEvidence) {
         let reply = match waiter {
-            Waiter::Change(call) => {
+            QuorumWaiter::Change(call) => {
                 if let Some((origin, end)) = self.changes.confirmed(call, &self.in_force.control, ground) {
                     self.end(origin, end);
                 }
                 return;
             }
-            Waiter::Read(slot) => {
+            QuorumWaiter::Read(slot) => {
                 let newest = match self.in_force.plan {
-                    None => Newest::None(ground),
-                    Some(_) => Newest::Body(self.in_force.body.clone(), ground),
+                    None => ReadConfigOutcome::None(ground),
+                    Some(_) => ReadConfigOutcome::Body(self.in_force.body.clone(), ground),
                 };
                 (slot, newest.into())
             }
-            Waiter::Ready(slot) => (slot, Ready((!self.stopping).then_some(ground)).into()),
-            Waiter::Leave(slot) => (slot, NodeHeard::Leaves(ground).into()),
+            QuorumWaiter::Ready(slot) => (slot, ReadinessOutcome((!self.stopping).then_some(ground)).into()),
+            QuorumWaiter::Leave(slot) => (slot, NodeCallOutcome::Leaves(ground).into()),
         };
-        self.orders.push_back(Order::Answer { slot: reply.0, reply: reply.1 });
+        self.orders.push_back(Action::Answer { slot: reply.0, reply: reply.1 });
     }
 
     /// The end of one that nobody confirmed: nothing is said of what is known here.
-    fn unconfirmed(&mut self, waiter: Waiter) {
+    fn unconfirmed(&mut self, waiter: QuorumWaiter) {
         self.counters.add("inquiries_unconfirmed", 1);
         let (slot, reply) = match waiter {
             // Its own time ends it, or its being abandoned.
-            Waiter::Change(_) => return,
-            Waiter::Read(slot) => (slot, Newest::Unsure.into()),
-            Waiter::Ready(slot) => (slot, Ready(None).into()),
-            Waiter::Leave(slot) => (slot, self.leaves_elsewhere().into()),
+            QuorumWaiter::Change(_) => return,
+            QuorumWaiter::Read(slot) => (slot, ReadConfigOutcome::Unsure.into()),
+            QuorumWaiter::Ready(slot) => (slot, ReadinessOutcome(None).into()),
+            QuorumWaiter::Leave(slot) => (slot, self.leaves_elsewhere().into()),
         };
-        self.orders.push_back(Order::Answer { slot, reply });
+        self.orders.push_back(Action::Answer { slot, reply });
     }
 
     /// Those whose time is over; all, and the callers' changes, where no majority is in touch any more, so that they
@@ -802,8 +806,9 @@
             return;
         }
         let cut_off = self.is_cut_off();
-        let over = |(_, (_, until)): &(&Inquiry, &(Waiter, Nanos))| cut_off || *until <= now;
-        let over: Vec<Inquiry> = self.inquiries.iter().filter(over).map(|(inquiry, _)| *inquiry).collect();
+        let over = |(_, (_, until)): &(&ReadIndexId, &(QuorumWaiter, Nanos))| cut_off || *until <= now;
+        let over: Vec<ReadIndexId> =
+            self.inquiries.iter().filter(over).map(|(inquiry, _)| *inquiry).collect();
         for inquiry in over {
             if let Some(waiter) = self.withdraw(inquiry) {
                 self.unconfirmed(waiter);
@@ -812,7 +817,7 @@
         if cut_off {
             for origin in self.changes.abandon() {
                 self.counters.add("changes_unclear", 1);
-                self.end(origin, Replaced::Unclear(CUT_OFF));
+                self.end(origin, ChangeOutcome::Unclear(CUT_OFF));
             }
         }
     }
@@ -824,16 +829,16 @@
 
     /// A change that came to another registrar. What it has checked is checked again: a word may be garbled in ways
     /// that no sum of the transport finds, and only what is sound may go into the order.
-    fn handed(&mut self, from: SocketAddrV4, call: CallId, base: u64, body: Vec<u8>) {
-        let origin = Origin::Peer(from, call);
+    fn handed(&mut self, from: SocketAddrV4, call: ForwardedCallId, base: u64, body: Vec<u8>) {
+        let origin = RequestOrigin::Peer(from, call);
         let epoch = match RoutingConfig::read(&body) {
             Ok(plan) => plan.epoch,
-            Err(_) => return self.end(origin, Replaced::Unclear("garbled on its way to the sequencer")),
+            Err(_) => return self.end(origin, ChangeOutcome::Unclear("garbled on its way to the sequencer")),
         };
         let until = self.now + CALL_WITHIN.times(SEQUENCER_SHARE);
         let what = (base, epoch, digest(&body));
         if !self.changes.take(self.now, origin, what, body, until) {
-            self.end(origin, Replaced::Unclear("too many changes at once"));
+            self.end(origin, ChangeOutcome::Unclear("too many changes at once"));
         }
     }
 
@@ -850,19 +855,20 @@
         let life = self.facts.seed;
         let planted = self.changes.planted;
         let mut proposes = None;
-        let mut flies = self.changes.list.iter().any(|change| matches!(change.stage, Stage::Proposed(_)));
+        let mut flies =
+            self.changes.list.iter().any(|change| matches!(change.stage, ChangeStage::Proposed(_)));
         for change in &mut self.changes.list {
-            if change.stage != Stage::Waits || change.not_before > now {
+            if change.stage != ChangeStage::Waits || change.not_before > now {
                 continue;
             }
             let verdict = judge(&self.in_force.control, change, planted);
-            if let Verdict::Taken(ground) = verdict {
-                ends.push((change.call, change.origin, Replaced::Taken(ground)));
+            if let ChangeAssessment::Taken(ground) = verdict {
+                ends.push((change.call, change.origin, ChangeOutcome::Taken(ground)));
             } else if leads && !flies {
                 match verdict {
-                    Verdict::Propose => {
+                    ChangeAssessment::Propose => {
                         flies = true;
-                        change.stage = Stage::Proposed(change.call);
+                        change.stage = ChangeStage::Proposed(change.call);
                         proposes = Some((
                             change.call,
                             change.epoch,
@@ -873,16 +879,16 @@
                     }
                     // Only a majority may say so: this one may be cut off, and others have gone on.
                     _ => {
-                        change.stage = Stage::Doubted;
+                        change.stage = ChangeStage::Doubted;
                         doubts.push((change.call, change.until));
                     }
                 }
-            } else if let (Some(to), Origin::Caller(_)) = (sequencer, change.origin) {
+            } else if let (Some(to), RequestOrigin::Caller(_)) = (sequencer, change.origin) {
                 let (call, base, body) = (change.call, change.base, change.body.clone());
-                says.push((to, PeerWord::Replace { life, call, base, body }));
-                change.stage = Stage::HandedTo(to);
-            } else if let (false, Origin::Peer(..)) = (leads, change.origin) {
-                ends.push((change.call, change.origin, Replaced::Unclear("no sequencer here")));
+                says.push((to, ControllerMessage::Replace { life, call, base, body }));
+                change.stage = ChangeStage::HandedTo(to);
+            } else if let (false, RequestOrigin::Peer(..)) = (leads, change.origin) {
+                ends.push((change.call, change.origin, ChangeOutcome::Unclear("no sequencer here")));
             }
         }
         self.changes.list.retain(|change| ends.iter().all(|(call, _, _)| *call != change.call));
@@ -893,14 +899,14 @@
             self.say(to, word);
         }
         for (call, until) in doubts {
-            if !self.inquire(Waiter::Change(call), until - now) {
+            if !self.inquire(QuorumWaiter::Change(call), until - now) {
                 self.changes.wait(now, call);
             }
         }
         if let Some((call, epoch, base, digest, body)) = proposes {
-            let (taken, control) = (Taken { epoch, base, digest }, &self.in_force.control);
+            let (taken, control) = (CommittedVersion { epoch, base, digest }, &self.in_force.control);
             let state = match self.plant {
-                Some(Plant::ForgetEarly) => control.remembering(FEW, taken, body),
+                Some(SeededBug::ForgetEarly) => control.remembering(FEW, taken, body),
                 _ => control.with(taken, body),
             };
             let state = state.write();
@@ -913,13 +919,13 @@
 
     // The other registrars.
 
-    fn say(&mut self, to: SocketAddrV4, word: PeerWord) {
+    fn say(&mut self, to: SocketAddrV4, word: ControllerMessage) {
         if self.peers.is_up(to) {
-            self.orders.push_back(Order::Say { to, word });
+            self.orders.push_back(Action::Say { to, word });
         }
     }
 
-    fn say_all(&mut self, word: impl Fn() -> PeerWord) {
+    fn say_all(&mut self, word: impl Fn() -> ControllerMessage) {
         for to in self.peers.up() {
             self.say(to, word());
         }
@@ -929,11 +935,11 @@
     fn tell_whole(&mut self, to: SocketAddrV4) {
         let (_, facts) = self.registry.snapshot();
         for facts in facts.chunks(MOST_TOLD) {
-            self.say(to, PeerWord::Nodes(facts.to_vec()));
+            self.say(to, ControllerMessage::Nodes(facts.to_vec()));
         }
-        if self.cut.fence != Fence::default() {
+        if self.cut.fence != FencingToken::default() {
             let cut = self.cut.clone();
-            self.say(to, PeerWord::Cut(cut));
+            self.say(to, ControllerMessage::Cut(cut));
         }
     }
 
@@ -947,7 +953,7 @@
         }
         self.note(Level::Info, part::LINKS, format!("a registrar may be at {addr}"));
         let addrs = self.peers.all();
-        self.orders.push_back(Order::Remember { addrs });
+        self.orders.push_back(Action::Remember { addrs });
     }
 
     fn half_beat(&mut self) {
@@ -958,10 +964,10 @@
         let up = self.peers.up();
         for to in &up {
             for heard in heard.chunks(MOST_TOLD) {
-                self.say(*to, PeerWord::Heard(heard.to_vec()));
+                self.say(*to, ControllerMessage::Heard(heard.to_vec()));
             }
             if !gateways.is_empty() {
-                self.say(*to, PeerWord::Gateways(gateways.clone()));
+                self.say(*to, ControllerMessage::Gateways(gateways.clone()));
             }
         }
         if !self.holds_lease() {
@@ -982,14 +988,14 @@
         }
         let hashes: Vec<u64> = std::mem::take(&mut self.to_tell).iter().map(|id| life_hash(id)).collect();
         let facts = self.registry.facts_of(&hashes);
-        self.say_all(|| PeerWord::Nodes(facts.clone()));
+        self.say_all(|| ControllerMessage::Nodes(facts.clone()));
     }
 
     // The gateways.
 
     /// Guards against a gateway that starts while this registrar is cut off, and would be ready with an old
     /// configuration: without a majority it hears of nodes, and that it had better ask another.
-    fn welcome(&mut self, ear: Ear, listener: Listener) {
+    fn welcome(&mut self, ear: SubscriberId, listener: Subscriber) {
         self.ears.list.insert(ear, listener);
         if self.holds_lease() {
             return self.tell_all(ear);
@@ -997,7 +1003,7 @@
         self.ears.partly.insert(ear);
         self.tell_nodes_to(ear);
         let pulse = self.pulse_word();
-        self.orders.push_back(Order::Tell { to: vec![ear], word: pulse });
+        self.orders.push_back(Action::Tell { to: vec![ear], word: pulse });
     }
 
     /// Those who were told in part get the rest, now that a majority is heard.
@@ -1009,22 +1015,24 @@
         }
     }
 
-    fn tell_all(&mut self, ear: Ear) {
+    fn tell_all(&mut self, ear: SubscriberId) {
         if self.ears.list.get(&ear).is_some_and(|listener| listener.order < self.in_force.order) {
             self.tell_plan(vec![ear]);
         }
         self.tell_nodes_to(ear);
         let pulse = self.pulse_word();
-        self.orders.extend([Outward::Whole, pulse].map(|word| Order::Tell { to: vec![ear], word }));
+        self.orders
+            .extend([ControllerToGateway::Whole, pulse].map(|word| Action::Tell { to: vec![ear], word }));
     }
 
-    fn tell_nodes_to(&mut self, ear: Ear) {
+    fn tell_nodes_to(&mut self, ear: SubscriberId) {
         let Some(listener) = self.ears.list.get(&ear) else { return };
         let (_, facts) = self.registry.snapshot();
         let facts = listener.share_of(&facts);
-        let cut = (self.cut.fence != Fence::default()).then(|| Outward::Cut(self.cut.clone()));
-        let words = cut.into_iter().chain([Outward::Nodes(facts)]);
-        self.orders.extend(words.map(|word| Order::Tell { to: vec![ear], word }));
+        let cut =
+            (self.cut.fence != FencingToken::default()).then(|| ControllerToGateway::Cut(self.cut.clone()));
+        let words = cut.into_iter().chain([ControllerToGateway::Nodes(facts)]);
+        self.orders.extend(words.map(|word| Action::Tell { to: vec![ear], word }));
     }
 
     fn tell_nodes(&mut self) {
@@ -1037,16 +1045,17 @@
         if facts.is_empty() {
             return;
         }
-        let all: Vec<Ear> =
+        let all: Vec<SubscriberId> =
             self.ears.list.iter().filter(|(_, listener)| listener.wants_all()).map(|(ear, _)| *ear).collect();
         for (ear, listener) in self.ears.list.iter().filter(|(_, listener)| !listener.wants_all()) {
             let share = listener.share_of(&facts);
             if !share.is_empty() {
-                self.orders.push_back(Order::Tell { to: vec![*ear], word: Outward::Nodes(share) });
+                self.orders
+                    .push_back(Action::Tell { to: vec![*ear], word: ControllerToGateway::Nodes(share) });
             }
         }
         if !all.is_empty() {
-            self.orders.push_back(Order::Tell { to: all, word: Outward::Nodes(facts) });
+            self.orders.push_back(Action::Tell { to: all, word: ControllerToGateway::Nodes(facts) });
         }
     }
 
@@ -1056,12 +1065,12 @@
         let leads = views.is_sequencer() && views.holds_lease(self.now);
         let view = views.view().map_or(0, |view| view.number.0 as u32);
         if let Some(cut) = self.keeper.recut(self.now, view, leads) {
-            self.say_all(|| PeerWord::Cut(cut.clone()));
+            self.say_all(|| ControllerMessage::Cut(cut.clone()));
             self.new_cut(cut);
         }
     }
 
-    fn new_cut(&mut self, cut: Cut) {
+    fn new_cut(&mut self, cut: Assignment) {
         let text = format!(
             "cut {}.{} has {} gateways of {} that may be alive",
             cut.fence.view(),
@@ -1073,11 +1082,11 @@
         self.cut = cut;
         let to = self.ears.all();
         if !to.is_empty() {
-            self.orders.push_back(Order::Tell { to, word: Outward::Cut(self.cut.clone()) });
+            self.orders.push_back(Action::Tell { to, word: ControllerToGateway::Cut(self.cut.clone()) });
         }
     }
 
-    fn pulse_word(&mut self) -> Outward {
+    fn pulse_word(&mut self) -> ControllerToGateway {
         let mut registrars = vec![Told { addr: self.facts.addr, zone: self.facts.zone.clone() }];
         let view = self.views.as_ref().and_then(Consensus::view);
         let members = view.into_iter().flat_map(|view| &view.members);
@@ -1091,21 +1100,21 @@
         }
         let lease = self.holds_lease() && !self.stopping;
         let (order, fence) = (self.in_force.order, self.cut.fence.0);
-        Outward::Pulse { teller: self.facts.seed, order, lease, hops: 0, fence, registrars }
+        ControllerToGateway::Pulse { teller: self.facts.seed, order, lease, hops: 0, fence, registrars }
     }
 
     fn pulse(&mut self) {
         let to = self.ears.all();
         if !to.is_empty() {
             let word = self.pulse_word();
-            self.orders.push_back(Order::Tell { to, word });
+            self.orders.push_back(Action::Tell { to, word });
         }
     }
 
     // Words for people.
 
     fn note(&mut self, level: Level, part: &'static str, text: String) {
-        self.orders.push_back(Order::Note { level, part, text });
+        self.orders.push_back(Action::Note { level, part, text });
     }
 
     /// A view by an operator's order.
@@ -1140,25 +1149,25 @@
         levels.into_iter().for_each(|(name, level)| self.counters.set(name, level));
     }
 
-    fn answer(&mut self, question: Question) -> String {
+    fn answer(&mut self, question: InspectionTopic) -> String {
         let mut out = String::new();
         // Writing to a string does not fail.
         match question {
-            Question::Nodes => {
+            InspectionTopic::Nodes => {
                 let (version, mut facts) = self.registry.snapshot();
                 facts.sort_by(|a, b| (&a.service, &a.id).cmp(&(&b.service, &b.id)));
                 let _ = writeln!(out, "{} nodes up, change {version}", self.registry.up());
                 for fact in facts {
-                    let NodeFact { id, service, addr, zone, state, .. } = fact;
+                    let NodeRecord { id, service, addr, zone, state, .. } = fact;
                     let _ = writeln!(out, "{service} {id} {addr} {zone} {state:?}");
                 }
             }
-            Question::Views => {
+            InspectionTopic::Views => {
                 let standing = self.views.as_ref().map(Consensus::standing);
                 let heard = self.holds_lease();
                 out = crate::standing::told(standing.as_ref(), self.in_force.order, self.facts.losses, heard);
             }
-            Question::Homes | Question::Duties => {
+            InspectionTopic::Homes | InspectionTopic::Duties => {
                 let (cut, fence) = (&self.cut, self.cut.fence);
                 let _ = writeln!(
                     out,
@@ -1171,7 +1180,7 @@
                     let _ = writeln!(out, "{:016x} {} {}", gateway.life.0, gateway.addr, gateway.zone);
                 }
             }
-            Question::Counters => {
+            InspectionTopic::Counters => {
                 self.levels();
                 out = self.counters.json();
             }
@@ -1180,15 +1189,15 @@
     }
 }
 
-impl Serve<Heartbeat, Slot> for Registrar {
-    fn serve(&mut self, call: Heartbeat, slot: Slot) -> Option<NodeHeard> {
+impl Handler<Heartbeat, PendingCall> for Controller {
+    fn serve(&mut self, call: Heartbeat, slot: PendingCall) -> Option<NodeCallOutcome> {
         let Heartbeat { id, beat } = call;
         self.counters.add("beats", 1);
         let state = match beat.state {
             Beats::Ready => NodeState::Ready,
             Beats::Draining => NodeState::Draining,
         };
-        let fact = NodeFact {
+        let fact = NodeRecord {
             id,
             service: beat.backend,
             addr: beat.address,
@@ -1203,97 +1212,101 @@
         }
         let id = fact.id.clone();
         match self.noted(id.clone(), |registry, now| registry.beat(now, fact)) {
-            NodeHeard::Noted if state == NodeState::Draining => self.leaves(id, slot),
+            NodeCallOutcome::Noted if state == NodeState::Draining => self.leaves(id, slot),
             // It lives, whoever hears it; but the others must hear it too. Guards against nodes that beat on where a
             // registrar is cut off from its like alone, and are lost to the majority and its gateways.
-            NodeHeard::Noted if self.is_cut_off() => Some(NodeHeard::No(CUT_OFF)),
+            NodeCallOutcome::Noted if self.is_cut_off() => Some(NodeCallOutcome::No(CUT_OFF)),
             heard => Some(heard),
         }
     }
 }
 
-impl Serve<Deregister, Slot> for Registrar {
-    fn serve(&mut self, call: Deregister, slot: Slot) -> Option<NodeHeard> {
+impl Handler<Deregister, PendingCall> for Controller {
+    fn serve(&mut self, call: Deregister, slot: PendingCall) -> Option<NodeCallOutcome> {
         self.counters.add("leaves", 1);
         if self.is_cut_off() {
             return Some(self.leaves_elsewhere());
         }
         let id = call.id;
         match self.noted(id.clone(), |registry, now| registry.leave(now, &id)) {
-            NodeHeard::Noted => self.leaves(id, slot),
+            NodeCallOutcome::Noted => self.leaves(id, slot),
             heard => Some(heard),
         }
     }
 }
 
-impl Registrar {
+impl Controller {
     /// The word that a node leaves must reach all gateways in touch, and who is cut off can't promise that. It goes
     /// to the other registrars first and the question after it, on the same connections: a majority that answers has
     /// the word. What is noted here meanwhile is true whoever hears of it. It is told whether it is news here or not:
     /// guards against a word that came here from one who could not tell all, and was refused there.
-    fn leaves(&mut self, id: String, slot: Slot) -> Option<NodeHeard> {
+    fn leaves(&mut self, id: String, slot: PendingCall) -> Option<NodeCallOutcome> {
         self.to_tell.insert(id);
         self.tell_others();
-        if self.inquire(Waiter::Leave(slot), CALL_WITHIN) {
+        if self.inquire(QuorumWaiter::Leave(slot), CALL_WITHIN) {
             return None;
         }
         Some(self.leaves_elsewhere())
     }
 
     /// The node is to tell another registrar.
-    fn leaves_elsewhere(&mut self) -> NodeHeard {
+    fn leaves_elsewhere(&mut self) -> NodeCallOutcome {
         self.counters.add("leaves_refused", 1);
-        NodeHeard::No(CUT_OFF)
+        NodeCallOutcome::No(CUT_OFF)
     }
 
-    fn noted(&mut self, id: String, note: impl FnOnce(&mut Registry, Nanos) -> Noted) -> NodeHeard {
+    fn noted(
+        &mut self,
+        id: String,
+        note: impl FnOnce(&mut Registry, Nanos) -> CallOutcome,
+    ) -> NodeCallOutcome {
         let noted = note(&mut self.registry, self.now);
         if noted.is_news() {
             self.to_tell.insert(id);
         }
         match noted {
-            Noted::Refused => NodeHeard::No("no room for another node"),
-            _ => NodeHeard::Noted,
+            CallOutcome::Refused => NodeCallOutcome::No("no room for another node"),
+            _ => NodeCallOutcome::Noted,
         }
     }
 }
 
-impl Serve<Replace, Slot> for Registrar {
-    fn serve(&mut self, call: Replace, slot: Slot) -> Option<Replaced> {
+impl Handler<ReplaceConfig, PendingCall> for Controller {
+    fn serve(&mut self, call: ReplaceConfig, slot: PendingCall) -> Option<ChangeOutcome> {
         self.counters.add("changes", 1);
-        if let Some(ground) = Ground::known(&self.in_force.control, call.epoch, call.digest) {
-            return Some(Replaced::Taken(ground));
+        if let Some(ground) = QuorumEvidence::known(&self.in_force.control, call.epoch, call.digest) {
+            return Some(ChangeOutcome::Taken(ground));
         }
         if self.stopping {
-            return Some(Replaced::Unclear("about to stop"));
+            return Some(ChangeOutcome::Unclear("about to stop"));
         }
         if self.is_cut_off() {
-            return Some(Replaced::Unclear(CUT_OFF));
+            return Some(ChangeOutcome::Unclear(CUT_OFF));
         }
-        let (origin, until) = (Origin::Caller(slot), self.now + CALL_WITHIN);
+        let (origin, until) = (RequestOrigin::Caller(slot), self.now + CALL_WITHIN);
         let what = (call.base, call.epoch, call.digest);
         let taken = self.changes.take(self.now, origin, what, call.body, until);
-        (!taken).then_some(Replaced::Unclear("too many changes at once"))
+        (!taken).then_some(ChangeOutcome::Unclear("too many changes at once"))
     }
 }
 
-impl Serve<Read, Slot> for Registrar {
-    fn serve(&mut self, _: Read, slot: Slot) -> Option<Newest> {
-        let asked = self.inquire(Waiter::Read(slot), CALL_WITHIN);
-        (!asked).then_some(Newest::Unsure)
+impl Handler<ReadConfig, PendingCall> for Controller {
+    fn serve(&mut self, _: ReadConfig, slot: PendingCall) -> Option<ReadConfigOutcome> {
+        let asked = self.inquire(QuorumWaiter::Read(slot), CALL_WITHIN);
+        (!asked).then_some(ReadConfigOutcome::Unsure)
     }
 }
 
-impl Serve<Readiness, Slot> for Registrar {
-    fn serve(&mut self, _: Readiness, slot: Slot) -> Option<Ready> {
-        let asked = !self.stopping && self.inquire(Waiter::Ready(slot), CALL_WITHIN);
-        (!asked).then_some(Ready(None))
+impl Handler<CheckReadiness, PendingCall> for Controller {
+    fn serve(&mut self, _: CheckReadiness, slot: PendingCall) -> Option<ReadinessOutcome> {
+        let asked = !self.stopping && self.inquire(QuorumWaiter::Ready(slot), CALL_WITHIN);
+        (!asked).then_some(ReadinessOutcome(None))
     }
 }
 
-impl Serve<Count, Slot> for Registrar {
-    fn serve(&mut self, _: Count, _: Slot) -> Option<Counted> {
+impl Handler<ReadCounters, PendingCall> for Controller {
+    fn serve(&mut self, _: ReadCounters, _: PendingCall) -> Option<CountersReport> {
         self.levels();
-        Some(Counted(self.counters.json()))
+        Some(CountersReport(self.counters.json()))
     }
 }
--- a/crates/fernknot-controller/src/standing.rs
+++ b/crates/fernknot-controller/src/standing.rs
@@ -1,23 +1,23 @@
 //! How the view stands, in words for a person.
 
-use fernknot_consensus::{Lack, Standing};
+use fernknot_consensus::{Ineligibility, ViewStatus};
 use std::fmt::Write;
 
-fn why(lack: Lack) -> &'static str {
+fn why(lack: Ineligibility) -> &'static str {
     match lack {
-        Lack::Silent => "not heard, or does not hear this one",
-        Lack::Replaced => "another disk is at its address",
-        Lack::DiskNotWell => "its disk hangs or refuses",
-        Lack::TooSlow => "does not store in time",
-        Lack::Asks => "asks the others what its disk had vouched for",
-        Lack::OlderCopy => "its disk is an older copy of itself",
-        Lack::CatchingUp => "catches up",
-        Lack::NotWithAll => "not in touch with all of the view",
+        Ineligibility::Silent => "not heard, or does not hear this one",
+        Ineligibility::Replaced => "another disk is at its address",
+        Ineligibility::DiskNotWell => "its disk hangs or refuses",
+        Ineligibility::TooSlow => "does not store in time",
+        Ineligibility::Asks => "asks the others what its disk had vouched for",
+        Ineligibility::OlderCopy => "its disk is an older copy of itself",
+        Ineligibility::CatchingUp => "catches up",
+        Ineligibility::NotWithAll => "not in touch with all of the view",
     }
 }
 
 /// The answer to `fernknot show views`.
-pub fn told(standing: Option<&Standing>, order: u64, losses: usize, majority: bool) -> String {
+pub fn told(standing: Option<&ViewStatus>, order: u64, losses: usize, majority: bool) -> String {
     let mut out = String::new();
     // Writing to a string does not fail.
     let Some(standing) = standing else {
--- a/crates/fernknot-controller/tests/changes.rs
+++ b/crates/fernknot-controller/tests/changes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Fleet, Writes, ms, plan};
-use fernknot_rpc::Share;
+use fernknot_rpc::Subscription;
 use test_case::test_case;
 
 #[test_case(1)]
@@ -11,7 +11,7 @@
 #[test_case(3)]
 fn given_a_calm_fleet_when_any_registrar_takes_a_version_then_all_have_it_just_as_sent(at: usize) {
     let mut fleet = Fleet::three();
-    let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Share::All, 0)).collect();
+    let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
     assert_eq!(fleet.replace(at, 0, &plan(7, "one")), 200);
     fleet.run(ms(50));
     for at in 1..=3 {
@@ -115,7 +115,7 @@
 #[test]
 fn given_a_disk_that_hangs_when_a_version_comes_then_nobody_hears_of_it_before_it_is_safe() {
     let mut fleet = Fleet::three();
-    let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Share::All, 0)).collect();
+    let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
     (1..=3).for_each(|at| fleet.disk(at, Writes::Hang));
     assert_eq!(fleet.replace(1, 0, &plan(7, "one")), 503);
     assert!(ears.iter().all(|ear| fleet.plans(*ear).is_empty()));
--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -2,12 +2,12 @@
 #![allow(dead_code)] // each test file uses its own part
 
 use fernknot::interface::Nanos;
-use fernknot_consensus::{PersistentState, Ticket, Word};
-use fernknot_controller::{Ear, Order, Plant, Registrar, RegistrarFacts, Slot};
-use fernknot_http_api::{Pulled, Request, Tap, TapFacts};
-use fernknot_ownership::{Gateway, LifeId};
+use fernknot_consensus::{Message, PersistentState, WriteId};
+use fernknot_controller::{Action, Controller, ControllerSettings, PendingCall, SeededBug, SubscriberId};
+use fernknot_http_api::{HttpServerConnection, HttpServerSettings, ReadOutcome, Request};
+use fernknot_ownership::{GatewayRecord, IncarnationId};
 use fernknot_protocol::buffer::Buffer;
-use fernknot_rpc::{Inward, Outward, PeerWord, Share};
+use fernknot_rpc::{ControllerMessage, ControllerToGateway, GatewayToController, Subscription};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -33,20 +33,20 @@
 }
 
 enum News {
-    Word(usize, usize, PeerWord),
+    Word(usize, usize, ControllerMessage),
     Opened(usize, usize),
     Closed(usize, usize),
-    Stored(usize, Ticket, PersistentState),
+    Stored(usize, WriteId, PersistentState),
 }
 
 /// One machine.
 struct Machine {
-    brain: Option<Registrar>,
+    brain: Option<Controller>,
     life: u64,
     disk: Option<PersistentState>,
     known: Vec<SocketAddrV4>,
     writes: Writes,
-    held: Vec<(Ticket, PersistentState)>,
+    held: Vec<(WriteId, PersistentState)>,
 }
 
 pub struct Fleet {
@@ -60,11 +60,11 @@
     dark: BTreeSet<usize>,
     seeds: Vec<SocketAddrV4>,
     losses: usize,
-    plant: Option<Plant>,
+    plant: Option<SeededBug>,
     /// Answers by caller.
     pub answers: BTreeMap<u64, (u16, String)>,
     /// What each listener has heard.
-    pub heard: BTreeMap<u64, VecDeque<Outward>>,
+    pub heard: BTreeMap<u64, VecDeque<ControllerToGateway>>,
     next: u64,
     /// Words between registrars that were no pulses, so far.
     pub words: u64,
@@ -83,7 +83,7 @@
     }
 
     /// The same, with a break planted in each.
-    pub fn planted(count: usize, seeds: usize, losses: usize, plant: Option<Plant>) -> Fleet {
+    pub fn planted(count: usize, seeds: usize, losses: usize, plant: Option<SeededBug>) -> Fleet {
         let mut fleet = Fleet {
             now: Nanos(1),
             machines: BTreeMap::new(),
@@ -109,7 +109,7 @@
         self.dark.remove(&at);
         self.count += 1;
         let life = self.count;
-        let facts = RegistrarFacts {
+        let facts = ControllerSettings {
             addr: addr(at),
             zone: format!("zone-{at}"),
             seeds: self.seeds.clone(),
@@ -131,7 +131,7 @@
         });
         machine.life = life;
         machine.held.clear();
-        let mut brain = Registrar::planted(facts, self.now, self.plant);
+        let mut brain = Controller::planted(facts, self.now, self.plant);
         brain.disk_read(self.now, machine.disk.clone(), &machine.known, machine.disk.is_none());
         machine.brain = Some(brain);
     }
@@ -210,7 +210,7 @@
         all.into_iter().find(|at| !self.brain(*at).may_end()).expect("one is the sequencer")
     }
 
-    pub fn brain(&mut self, at: usize) -> &mut Registrar {
+    pub fn brain(&mut self, at: usize) -> &mut Controller {
         self.machines.get_mut(&at).and_then(|machine| machine.brain.as_mut()).expect("it runs")
     }
 
@@ -219,7 +219,7 @@
         self.next += 1;
         let (caller, now) = (self.next, self.now);
         let request = request(head, body);
-        self.brain(at).call(now, Slot { line: caller, call: 1 }, &request);
+        self.brain(at).call(now, PendingCall { line: caller, call: 1 }, &request);
         self.follow(at);
         caller
     }
@@ -272,23 +272,27 @@
     }
 
     /// A gateway listens at a registrar; its number.
-    pub fn listen(&mut self, at: usize, share: Share, order: u64) -> u64 {
+    pub fn listen(&mut self, at: usize, share: Subscription, order: u64) -> u64 {
         self.next += 1;
         let (ear, now) = (self.next, self.now);
         let inner = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, ear as u8), 7120);
-        let who = Gateway { life: LifeId(ear), addr: inner, zone: "zone-1".into() };
+        let who = GatewayRecord { life: IncarnationId(ear), addr: inner, zone: "zone-1".into() };
         self.heard.insert(ear, VecDeque::new());
-        self.brain(at).inward(now, Ear(ear), Inward::Attach { who, ready: true, share, order });
+        self.brain(at).inward(
+            now,
+            SubscriberId(ear),
+            GatewayToController::Attach { who, ready: true, share, order },
+        );
         self.follow(at);
         ear
     }
 
     /// A word of an operator at the inner port, and what it is answered.
-    pub fn order(&mut self, at: usize, word: Inward) -> Option<Outward> {
+    pub fn order(&mut self, at: usize, word: GatewayToController) -> Option<ControllerToGateway> {
         self.next += 1;
         let (ear, now) = (self.next, self.now);
         self.heard.insert(ear, VecDeque::new());
-        self.brain(at).inward(now, Ear(ear), word);
+        self.brain(at).inward(now, SubscriberId(ear), word);
         self.follow(at);
         self.heard.remove(&ear)?.pop_front()
     }
@@ -296,7 +300,7 @@
     /// The epochs of the plans that a listener has heard.
     pub fn plans(&self, ear: u64) -> Vec<u64> {
         let plans = self.heard[&ear].iter().filter_map(|word| match word {
-            Outward::Plan { plan, .. } => Some(plan.epoch),
+            ControllerToGateway::Plan { plan, .. } => Some(plan.epoch),
             _ => None,
         });
         plans.collect()
@@ -313,7 +317,8 @@
         let all: Vec<usize> = self.machines.keys().copied().collect();
         all.iter().for_each(|at| self.follow(*at));
         loop {
-            let due = self.machines.values().filter_map(|machine| machine.brain.as_ref()).map(Registrar::due);
+            let due =
+                self.machines.values().filter_map(|machine| machine.brain.as_ref()).map(Controller::due);
             let news = self.news.keys().next().map(|(at, _)| *at);
             let Some(at) = due.chain(news).min().filter(|at| *at <= until) else { break };
             self.now = self.now.max(at);
@@ -380,24 +385,27 @@
             .and_then(|brain| brain.next(now))
         {
             match order {
-                Order::Answer { slot, reply } => {
+                Action::Answer { slot, reply } => {
                     let text = String::from_utf8_lossy(reply.body.bytes()).into_owned();
                     self.answers.insert(slot.line, (reply.status, text));
                 }
-                Order::Say { to, word } => {
-                    let lasting = !matches!(&word, PeerWord::Views(Word::Pulse(_)) | PeerWord::Heard(_));
+                Action::Say { to, word } => {
+                    let lasting = !matches!(
+                        &word,
+                        ControllerMessage::Views(Message::Pulse(_)) | ControllerMessage::Heard(_)
+                    );
                     self.words += lasting as u64;
                     self.later(WAY, News::Word(at, number(&to), word));
                 }
-                Order::Tell { to, word } => {
+                Action::Tell { to, word } => {
                     for ear in to {
                         self.heard.entry(ear.0).or_default().push_back(word.clone());
                     }
                 }
-                Order::Connect { to } if self.dark.contains(&number(&to)) => {}
-                Order::Connect { to } => self.later(WAY + WAY, News::Opened(at, number(&to))),
-                Order::GiveUp { .. } | Order::Note { .. } => {}
-                Order::Store { ticket, saved } => {
+                Action::Connect { to } if self.dark.contains(&number(&to)) => {}
+                Action::Connect { to } => self.later(WAY + WAY, News::Opened(at, number(&to))),
+                Action::GiveUp { .. } | Action::Note { .. } => {}
+                Action::Store { ticket, saved } => {
                     let machine = self.machines.get_mut(&at).expect("it has just spoken");
                     if machine.writes == Writes::Hang {
                         machine.held.push((ticket, saved));
@@ -405,7 +413,7 @@
                         self.later(SYNC, News::Stored(at, ticket, saved));
                     }
                 }
-                Order::Remember { addrs } => {
+                Action::Remember { addrs } => {
                     self.machines.get_mut(&at).expect("it has just spoken").known = addrs;
                 }
             }
@@ -417,9 +425,9 @@
 fn request(head: &str, body: &str) -> Request {
     let (mut input, mut out) = (Buffer::default(), Buffer::default());
     input.push(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
-    let facts = TapFacts::new(100, 256.0, 1 << 20).expect("enough of all");
-    match Tap::default().pull(&mut input, &mut out, &facts) {
-        Pulled::Call(request) => request,
+    let facts = HttpServerSettings::new(100, 256.0, 1 << 20).expect("enough of all");
+    match HttpServerConnection::default().pull(&mut input, &mut out, &facts) {
+        ReadOutcome::Call(request) => request,
         other => panic!("no request: {other:?}"),
     }
 }
--- a/crates/fernknot-controller/tests/days.rs
+++ b/crates/fernknot-controller/tests/days.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Fleet, Writes, ms, plan};
-use fernknot_rpc::Share;
+use fernknot_rpc::Subscription;
 use test_case::test_case;
 
 /// A seeded chance (splitmix64).
@@ -86,7 +86,7 @@
             trouble(&mut fleet, &mut chance, what, at, &mut epochs);
             // Within this all are back: only then may another be lost.
             fleet.run(ms(5000 + chance.below(2000)));
-            let ear = fleet.listen(at, Share::All, 0);
+            let ear = fleet.listen(at, Subscription::All, 0);
             fleet.run(ms(300));
             let told = fleet.plans(ear);
             assert!(told.is_sorted(), "never back: {told:?}");
--- a/crates/fernknot-controller/tests/views.rs
+++ b/crates/fernknot-controller/tests/views.rs
@@ -4,12 +4,12 @@
 
 use assert_matches::assert_matches;
 use common::{Fleet, Writes, addr, ms, plan};
-use fernknot_rpc::{Inward, Outward, Question};
+use fernknot_rpc::{ControllerToGateway, GatewayToController, InspectionTopic};
 use test_case::test_case;
 
 fn shown(fleet: &mut Fleet, at: usize) -> String {
-    match fleet.order(at, Inward::Ask(Question::Views)) {
-        Some(Outward::Answer(text)) => text,
+    match fleet.order(at, GatewayToController::Ask(InspectionTopic::Views)) {
+        Some(ControllerToGateway::Answer(text)) => text,
         other => panic!("no answer: {other:?}"),
     }
 }
@@ -43,13 +43,13 @@
     let mut fleet = Fleet::three();
     assert_eq!(fleet.replace(1, 0, &plan(7, "one")), 200);
     fleet.run(ms(50));
-    let order = || Inward::Force { lost: vec![addr(1), addr(2)] };
-    assert_matches!(fleet.order(3, order()), Some(Outward::Forced(Err(why))) if why.contains("is heard"));
+    let order = || GatewayToController::Force { lost: vec![addr(1), addr(2)] };
+    assert_matches!(fleet.order(3, order()), Some(ControllerToGateway::Forced(Err(why))) if why.contains("is heard"));
     fleet.power_off(1);
     fleet.power_off(2);
     fleet.run(ms(4000));
     assert_eq!(fleet.replace(3, 7, &plan(8, "two")), 503);
-    assert_matches!(fleet.order(3, order()), Some(Outward::Forced(Ok(_))));
+    assert_matches!(fleet.order(3, order()), Some(ControllerToGateway::Forced(Ok(_))));
     fleet.run(ms(500));
     // One disk is not enough to acknowledge on: a new one is.
     assert_eq!(fleet.replace(3, 7, &plan(8, "two")), 503);
@@ -78,7 +78,10 @@
     fleet.run(ms(4000));
     assert_eq!(fleet.replace(1, 7, &plan(8, "two")), 200);
     let lost = vec![addr(1), addr(2)];
-    assert_matches!(fleet.order(3, Inward::Force { lost }), Some(Outward::Forced(Ok(_))));
+    assert_matches!(
+        fleet.order(3, GatewayToController::Force { lost }),
+        Some(ControllerToGateway::Forced(Ok(_)))
+    );
     fleet.run(ms(500));
     fleet.join_all();
     fleet.run(ms(6000));
--- a/crates/fernknot-controller/tests/worst_days.rs
+++ b/crates/fernknot-controller/tests/worst_days.rs
@@ -4,17 +4,17 @@
 
 use common::{Fleet, SYNC, WAY, Writes, ms, plan};
 use fernknot::interface::Nanos;
-use fernknot_consensus::Plant as ViewsPlant;
-use fernknot_controller::{Control, Plant, Taken};
+use fernknot_consensus::SeededBug as ViewsPlant;
+use fernknot_controller::{CommittedVersion, ControlState, SeededBug};
 use fernknot_registry::NodeState;
-use fernknot_rpc::{Outward, Share};
+use fernknot_rpc::{ControllerToGateway, Subscription};
 use test_case::test_case;
 
 const REPLACE: &str = "POST /-/config/replace HTTP/1.1\r\n";
 
 /// The sequencer is cut off and the others take two versions; what it says meanwhile to repeats of them, to reads, to
 /// readiness and to a node that leaves, each asked once every 100 ms for six seconds.
-fn cut_off_sequencer(plant: Option<Plant>) -> Result<(), String> {
+fn cut_off_sequencer(plant: Option<SeededBug>) -> Result<(), String> {
     let mut fleet = Fleet::planted(3, 3, 1, plant);
     assert_eq!(fleet.replace(1, 0, &plan(4, "one")), 200);
     fleet.run(ms(50));
@@ -60,14 +60,14 @@
     assert_eq!(cut_off_sequencer(None), Ok(()));
 }
 
-#[test_case(Plant::OwnState; "own state")]
-#[test_case(Plant::Views(ViewsPlant::ConfirmAlone); "an inquiry that asks nobody")]
-fn given_a_planted_break_when_the_sequencer_is_cut_off_then_it_is_found(plant: Plant) {
+#[test_case(SeededBug::OwnState; "own state")]
+#[test_case(SeededBug::Views(ViewsPlant::ConfirmAlone); "an inquiry that asks nobody")]
+fn given_a_planted_break_when_the_sequencer_is_cut_off_then_it_is_found(plant: SeededBug) {
     assert!(cut_off_sequencer(Some(plant)).is_err());
 }
 
 /// A version is acknowledged by the sequencer; at that very moment its words to another stop, which is read.
-fn read_at_the_moment(plant: Option<Plant>) -> Vec<(u16, String)> {
+fn read_at_the_moment(plant: Option<SeededBug>) -> Vec<(u16, String)> {
     let mut read = Vec::new();
     for other in 1..=2 {
         let mut fleet = Fleet::planted(3, 3, 1, plant);
@@ -87,9 +87,9 @@
     assert_eq!(read_at_the_moment(None), vec![(200, plan(7, "two")); 2]);
 }
 
-#[test_case(Plant::OwnState; "own state")]
-#[test_case(Plant::Views(ViewsPlant::ReadDelivered); "what is stored is not waited for")]
-fn given_a_planted_break_when_a_version_was_just_acknowledged_then_it_is_found(plant: Plant) {
+#[test_case(SeededBug::OwnState; "own state")]
+#[test_case(SeededBug::Views(ViewsPlant::ReadDelivered); "what is stored is not waited for")]
+fn given_a_planted_break_when_a_version_was_just_acknowledged_then_it_is_found(plant: SeededBug) {
     assert!(read_at_the_moment(Some(plant)).contains(&(200, plan(4, "one"))));
 }
 
@@ -103,14 +103,16 @@
     };
     for at in 1..=3 {
         let mut fleet = Fleet::three();
-        let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Share::All, 0)).collect();
+        let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
         let head = "POST /-/nodes/i-1/heartbeat HTTP/1.1\r\n";
         assert_eq!(fleet.answered(at, head, &heartbeat("ready", 1)), 200);
         fleet.run(ms(2000));
         assert_eq!(fleet.answered(at, head, &heartbeat("draining", 2)), 200);
         let knows = ears.iter().filter(|ear| {
             fleet.heard[ear].iter().any(|word| match word {
-                Outward::Nodes(facts) => facts.iter().any(|fact| fact.state == NodeState::Draining),
+                ControllerToGateway::Nodes(facts) => {
+                    facts.iter().any(|fact| fact.state == NodeState::Draining)
+                }
                 _ => false,
             })
         });
@@ -205,7 +207,7 @@
 }
 
 /// So many versions one after the other; then the first of them is sent again.
-fn repeat_after(count: u64, plant: Option<Plant>) -> u16 {
+fn repeat_after(count: u64, plant: Option<SeededBug>) -> u16 {
     let mut fleet = Fleet::planted(3, 3, 1, plant);
     for epoch in 1..=count {
         assert_eq!(fleet.replace(1, epoch - 1, &plan(epoch, "p")), 200);
@@ -227,12 +229,12 @@
 
 #[test]
 fn given_few_versions_remembered_and_what_lies_past_them_refused_when_it_comes_again_then_it_is_found() {
-    assert!([400, 412].contains(&repeat_after(4, Some(Plant::ForgetEarly))));
+    assert!([400, 412].contains(&repeat_after(4, Some(SeededBug::ForgetEarly))));
 }
 
 /// A registrar hands a call on, ends and comes back at its address while the sequencer has the call in hand. The end
 /// of that call reaches the new life, which has handed on another one under the same number.
-fn an_end_for_an_earlier_life(plant: Option<Plant>) -> (u16, bool) {
+fn an_end_for_an_earlier_life(plant: Option<SeededBug>) -> (u16, bool) {
     let mut fleet = Fleet::planted(3, 3, 1, plant);
     assert_eq!(fleet.replace(1, 0, &plan(5, "one")), 200);
     fleet.run(ms(50));
@@ -262,7 +264,7 @@
 
 #[test]
 fn given_ends_that_name_no_life_when_one_comes_for_an_earlier_then_it_is_found() {
-    assert_eq!(an_end_for_an_earlier_life(Some(Plant::AnyLife)), (200, false));
+    assert_eq!(an_end_for_an_earlier_life(Some(SeededBug::AnyLife)), (200, false));
 }
 
 /// What each call costs a calm fleet of three: milliseconds until its answer, and words between registrars. The lease
@@ -297,11 +299,11 @@
 
 #[test]
 fn given_ten_thousand_versions_when_the_state_goes_to_disk_then_its_history_is_bounded() {
-    let (mut control, mut chance) = (Control::default(), 1u64);
+    let (mut control, mut chance) = (ControlState::default(), 1u64);
     let mut sizes = Vec::new();
     for version in 1..=10_000u64 {
         chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-        let taken = Taken { epoch: 3 * version, base: control.epoch, digest: chance };
+        let taken = CommittedVersion { epoch: 3 * version, base: control.epoch, digest: chance };
         control = control.with(taken, Vec::new());
         if [1, 100, 1_024, 10_000].contains(&version) {
             sizes.push(control.write().len());
--- a/crates/fernknot-distribution/src/homes.rs
+++ b/crates/fernknot-distribution/src/homes.rs
@@ -1,9 +1,9 @@
 //! The state machine of one gateway.
 
-use crate::link::{Link, MOST_HOPS, Pulse, Topic, What, ward_key};
-use crate::registrars::{Pauses, Registrar};
+use crate::link::{MOST_HOPS, SourceHeartbeat, SourceKind, Subscription, Topic, ward_key};
+use crate::registrars::{Backoff, ControllerEndpoint};
 use fernknot::interface::Nanos;
-use fernknot_ownership::{Cut, Gateway, LifeId};
+use fernknot_ownership::{Assignment, GatewayRecord, IncarnationId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 
@@ -25,27 +25,27 @@
 
 /// What a gateway may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct HomesBounds {
+pub struct RelaysLimits {
     pub most_topics: usize,
     pub most_subscribers: usize,
     pub most_registrars: usize,
 }
 
-impl Default for HomesBounds {
+impl Default for RelaysLimits {
     fn default() -> Self {
-        HomesBounds { most_topics: 4_096, most_subscribers: 4_096, most_registrars: 64 }
+        RelaysLimits { most_topics: 4_096, most_subscribers: 4_096, most_registrars: 64 }
     }
 }
 
 /// What the host has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Action {
     /// Have a link to this process and take these topics on it, and no others. Given again when the topics change.
-    Attach { addr: SocketAddrV4, what: What, topics: Vec<Topic> },
+    Attach { addr: SocketAddrV4, what: SourceKind, topics: Vec<Topic> },
     /// Close the link.
-    Detach { addr: SocketAddrV4, what: What },
+    Detach { addr: SocketAddrV4, what: SourceKind },
     /// Pass a pulse on to these subscribers.
-    Relay { to: Vec<SocketAddrV4>, pulse: Pulse },
+    Relay { to: Vec<SocketAddrV4>, pulse: SourceHeartbeat },
 }
 
 #[derive(Clone, Debug)]
@@ -57,15 +57,15 @@
 
 /// Where one gateway gets each topic's news, and to whom it passes them on.
 #[derive(Clone, Debug)]
-pub struct Homes {
-    pub(crate) me: LifeId,
+pub struct Relays {
+    pub(crate) me: IncarnationId,
     pub(crate) zone: String,
-    pub(crate) bounds: HomesBounds,
+    pub(crate) bounds: RelaysLimits,
     pub(crate) pulse_every: Nanos,
     pub(crate) stale: Nanos,
     pub(crate) patience: Nanos,
     pub(crate) hand_over: Nanos,
-    pub(crate) cut: Cut,
+    pub(crate) cut: Assignment,
     /// For each ward: from whom its topics come; see `topics`.
     pub(crate) above: Vec<Option<SocketAddrV4>>,
     /// For each topic the home, or the one between; None where this gateway is it, or no gateway of the zone lives.
@@ -73,30 +73,30 @@
     /// Topics of which this gateway was the home until a cut, and until when it serves on.
     pub(crate) handing: BTreeMap<Topic, Nanos>,
     /// Where a topic came from before a cut; held until the new source is fresh, or for a bounded while.
-    pub(crate) moving: BTreeMap<Topic, (What, SocketAddrV4, Nanos)>,
+    pub(crate) moving: BTreeMap<Topic, (SourceKind, SocketAddrV4, Nanos)>,
     /// Homes that are stale.
     pub(crate) fallen: BTreeSet<SocketAddrV4>,
-    pub(crate) links: BTreeMap<(What, SocketAddrV4), Link>,
-    pub(crate) registrars: Vec<Registrar>,
+    pub(crate) links: BTreeMap<(SourceKind, SocketAddrV4), Subscription>,
+    pub(crate) registrars: Vec<ControllerEndpoint>,
     pub(crate) current: Option<SocketAddrV4>,
     pub(crate) trial: Option<SocketAddrV4>,
-    pub(crate) pauses: Pauses,
+    pub(crate) pauses: Backoff,
     pub(crate) subscribers: BTreeMap<SocketAddrV4, Subscriber>,
-    pub(crate) newest: Pulse,
-    pub(crate) orders: VecDeque<Order>,
+    pub(crate) newest: SourceHeartbeat,
+    pub(crate) orders: VecDeque<Action>,
     pub(crate) dirty: bool,
     pub(crate) look_at: Nanos,
     /// Links on which a pulse with a lease came and was not passed on yet.
-    pub(crate) passed: BTreeSet<(What, SocketAddrV4)>,
+    pub(crate) passed: BTreeSet<(SourceKind, SocketAddrV4)>,
     pub(crate) relay_at: Nanos,
 }
 
-impl Homes {
+impl Relays {
     /// `apply` is the time in which news has to be in force after its acknowledgement (the bound `apply_ms`). The
     /// configuration is a topic from the start.
-    pub fn new(me: LifeId, zone: &str, apply: Nanos, bounds: HomesBounds, seed: u64) -> Homes {
+    pub fn new(me: IncarnationId, zone: &str, apply: Nanos, bounds: RelaysLimits, seed: u64) -> Relays {
         let stale = apply.times(STALE);
-        Homes {
+        Relays {
             me,
             zone: zone.to_string(),
             bounds,
@@ -104,7 +104,7 @@
             stale,
             patience: apply.times(PATIENCE),
             hand_over: apply.times(HAND_OVER),
-            cut: Cut::default(),
+            cut: Assignment::default(),
             above: vec![None],
             topics: BTreeMap::from([(Topic::Configuration, None)]),
             handing: BTreeMap::new(),
@@ -114,9 +114,9 @@
             registrars: Vec::new(),
             current: None,
             trial: None,
-            pauses: Pauses::new(seed, stale, 256),
+            pauses: Backoff::new(seed, stale, 256),
             subscribers: BTreeMap::new(),
-            newest: Pulse::default(),
+            newest: SourceHeartbeat::default(),
             orders: VecDeque::new(),
             dirty: true,
             look_at: Nanos(0),
@@ -126,7 +126,7 @@
     }
 
     /// The life whose news this is about.
-    pub fn life(&self) -> LifeId {
+    pub fn life(&self) -> IncarnationId {
         self.me
     }
 
@@ -153,8 +153,8 @@
     }
 
     /// The registrars there are, as the overlay or a view names them.
-    pub fn registrars(&mut self, registrars: &[Registrar]) {
-        let mut known: Vec<Registrar> =
+    pub fn registrars(&mut self, registrars: &[ControllerEndpoint]) {
+        let mut known: Vec<ControllerEndpoint> =
             registrars.iter().take(self.bounds.most_registrars).cloned().collect();
         known.sort();
         known.dedup_by_key(|registrar| registrar.addr);
@@ -165,7 +165,7 @@
     }
 
     /// A cut came; an older one changes nothing.
-    pub fn cut(&mut self, now: Nanos, cut: &Cut) {
+    pub fn cut(&mut self, now: Nanos, cut: &Assignment) {
         if cut.fence <= self.cut.fence {
             return;
         }
@@ -183,7 +183,7 @@
             }
             match before {
                 Some(addr) => {
-                    self.moving.insert(topic, (What::Home, addr, until));
+                    self.moving.insert(topic, (SourceKind::Home, addr, until));
                 }
                 None if was_live => {
                     self.handing.insert(topic, until);
@@ -191,7 +191,7 @@
                 // No cut named this gateway before: nobody counts on it, but the news must not stop.
                 None => {
                     if let Some(registrar) = self.current {
-                        self.moving.insert(topic, (What::Registrar, registrar, until));
+                        self.moving.insert(topic, (SourceKind::Registrar, registrar, until));
                     }
                 }
             }
@@ -202,13 +202,14 @@
     }
 
     /// A pulse came on a link.
-    pub fn pulse(&mut self, now: Nanos, from: SocketAddrV4, what: What, pulse: Pulse) {
+    pub fn pulse(&mut self, now: Nanos, from: SocketAddrV4, what: SourceKind, pulse: SourceHeartbeat) {
         let stale = self.stale;
         let Some(link) = self.links.get_mut(&(what, from)) else { return };
-        let pulse = Pulse { lease: pulse.lease && pulse.hops <= MOST_HOPS, ..pulse };
+        let pulse = SourceHeartbeat { lease: pulse.lease && pulse.hops <= MOST_HOPS, ..pulse };
         let was_fresh = link.is_fresh(now, stale);
         link.pulse(now, pulse.lease, pulse.hops, stale);
-        self.dirty |= was_fresh != link.is_fresh(now, stale) || (what == What::Registrar && !pulse.lease);
+        self.dirty |=
+            was_fresh != link.is_fresh(now, stale) || (what == SourceKind::Registrar && !pulse.lease);
         if pulse.lease {
             self.pauses.worked(from);
             self.passed.insert((what, from));
@@ -217,30 +218,30 @@
             self.newest.order = pulse.order;
         }
         self.newest.fence = self.newest.fence.max(pulse.fence);
-        if what == What::Registrar && Some(from) == self.current {
+        if what == SourceKind::Registrar && Some(from) == self.current {
             self.newest.registry = pulse.registry;
         }
     }
 
     /// News came on a link: its teller is well, which says nothing of a lease.
-    pub fn told(&mut self, now: Nanos, from: SocketAddrV4, what: What) {
+    pub fn told(&mut self, now: Nanos, from: SocketAddrV4, what: SourceKind) {
         if let Some(link) = self.links.get_mut(&(what, from)) {
             link.well_at = link.well_at.max(now);
         }
     }
 
     /// A link broke, or could not be had.
-    pub fn lost(&mut self, now: Nanos, addr: SocketAddrV4, what: What) {
+    pub fn lost(&mut self, now: Nanos, addr: SocketAddrV4, what: SourceKind) {
         if self.links.remove(&(what, addr)).is_none() {
             return;
         }
         self.pauses.failed(now, addr);
         match what {
-            What::Registrar => {
+            SourceKind::Registrar => {
                 self.current = self.current.filter(|current| *current != addr);
                 self.trial = self.trial.filter(|trial| *trial != addr);
             }
-            What::Home => {
+            SourceKind::Home => {
                 self.fallen.insert(addr);
             }
         }
@@ -276,7 +277,7 @@
 
     /// The newest place in the order and the newest fence that any teller spoke of: what is older here is to be
     /// asked for.
-    pub fn newest(&self) -> Pulse {
+    pub fn newest(&self) -> SourceHeartbeat {
         self.newest
     }
 
@@ -298,7 +299,7 @@
     }
 
     /// The next thing to do, until there is none.
-    pub fn next(&mut self, now: Nanos) -> Option<Order> {
+    pub fn next(&mut self, now: Nanos) -> Option<Action> {
         if self.orders.is_empty() && (self.dirty || now >= self.look_at) {
             self.look(now);
         }
@@ -329,7 +330,7 @@
     }
 
     /// The home of a topic in this zone, by the newest cut.
-    pub fn home(&self, topic: &Topic) -> Option<&Gateway> {
+    pub fn home(&self, topic: &Topic) -> Option<&GatewayRecord> {
         self.cut.owner(Some(&self.zone), &ward_key(topic.ward(self.above.len())))
     }
 }
--- a/crates/fernknot-distribution/src/lib.rs
+++ b/crates/fernknot-distribution/src/lib.rs
@@ -10,6 +10,6 @@
 mod plan;
 mod registrars;
 
-pub use homes::{Homes, HomesBounds, Order};
-pub use link::{Pulse, Topic, What};
-pub use registrars::Registrar;
+pub use homes::{Action, Relays, RelaysLimits};
+pub use link::{SourceHeartbeat, SourceKind, Topic};
+pub use registrars::ControllerEndpoint;
--- a/crates/fernknot-distribution/src/link.rs
+++ b/crates/fernknot-distribution/src/link.rs
@@ -1,7 +1,7 @@
 //! Topics, pulses and the links on which they come.
 
 use fernknot::interface::Nanos;
-use fernknot_ownership::{Fence, key_hash};
+use fernknot_ownership::{FencingToken, key_hash};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -37,19 +37,19 @@
 
 /// To whom a link leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum What {
+pub enum SourceKind {
     Registrar,
     Home,
 }
 
 /// What a teller says at short intervals, also when there is no news.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pulse {
+pub struct SourceHeartbeat {
     /// The newest place in the order of configurations that it knows.
     pub order: u64,
     /// The version of its registry; compared only among pulses of one registrar.
     pub registry: u64,
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// It is in touch with the rest: what it says is new. A home says so only while its registrar does.
     pub lease: bool,
     /// How many passed it on since the registrar. One that runs in a circle, where two gateways hold different cuts,
@@ -61,7 +61,7 @@
 pub(crate) const MOST_HOPS: u8 = 6;
 
 #[derive(Clone, Debug)]
-pub(crate) struct Link {
+pub(crate) struct Subscription {
     pub topics: BTreeSet<Topic>,
     pub since: Nanos,
     /// The last pulse, with a lease or without; at first, when it was attached.
@@ -75,9 +75,17 @@
     pub hops: u8,
 }
 
-impl Link {
-    pub fn new(now: Nanos, topics: BTreeSet<Topic>) -> Link {
-        Link { topics, since: now, well_at: now, fresh_at: now, fresh_since: None, heard: false, hops: 0 }
+impl Subscription {
+    pub fn new(now: Nanos, topics: BTreeSet<Topic>) -> Subscription {
+        Subscription {
+            topics,
+            since: now,
+            well_at: now,
+            fresh_at: now,
+            fresh_since: None,
+            heard: false,
+            hops: 0,
+        }
     }
 
     pub fn pulse(&mut self, now: Nanos, lease: bool, hops: u8, stale: Nanos) {
--- a/crates/fernknot-distribution/src/plan.rs
+++ b/crates/fernknot-distribution/src/plan.rs
@@ -1,14 +1,14 @@
 //! Which links there have to be, by what is known now.
 
-use crate::homes::{Homes, Order};
-use crate::link::{Link, Pulse, Topic, What};
+use crate::homes::{Action, Relays};
+use crate::link::{SourceHeartbeat, SourceKind, Subscription, Topic};
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-type Plan = BTreeMap<(What, SocketAddrV4), BTreeSet<Topic>>;
+type DesiredSubscriptions = BTreeMap<(SourceKind, SocketAddrV4), BTreeSet<Topic>>;
 
-impl Homes {
+impl Relays {
     pub(crate) fn look(&mut self, now: Nanos) {
         (self.dirty, self.look_at) = (false, now + self.pulse_every);
         self.handing.retain(|_, until| now < *until);
@@ -23,7 +23,7 @@
     fn judge_homes(&mut self, now: Nanos) {
         let homes: BTreeSet<SocketAddrV4> = self.topics.values().flatten().copied().collect();
         for addr in homes {
-            let link = self.links.get(&(What::Home, addr));
+            let link = self.links.get(&(SourceKind::Home, addr));
             let spread = self.stale.times(0.25 * self.pauses.chance(addr.port() as u64));
             let holds = link.is_some_and(|link| {
                 let is_well = now - link.well_at <= self.stale && link.heard;
@@ -55,8 +55,8 @@
             return;
         }
         let link =
-            |addr: Option<SocketAddrV4>| addr.and_then(|addr| self.links.get(&(What::Registrar, addr)));
-        let is_fresh = |addr| link(addr).is_some_and(|link: &Link| link.is_fresh(now, self.stale));
+            |addr: Option<SocketAddrV4>| addr.and_then(|addr| self.links.get(&(SourceKind::Registrar, addr)));
+        let is_fresh = |addr| link(addr).is_some_and(|link: &Subscription| link.is_fresh(now, self.stale));
         if let Some(trial) = self.trial {
             let tried = link(Some(trial));
             let wait = self.pauses.wait(trial, self.pulse_every);
@@ -74,7 +74,7 @@
             }
         }
         let link =
-            |addr: Option<SocketAddrV4>| addr.and_then(|addr| self.links.get(&(What::Registrar, addr)));
+            |addr: Option<SocketAddrV4>| addr.and_then(|addr| self.links.get(&(SourceKind::Registrar, addr)));
         if let Some(current) = self.current
             && link(self.current).is_none_or(|link| now - link.well_at > self.patience)
         {
@@ -100,22 +100,22 @@
             .map(|registrar| registrar.addr);
     }
 
-    fn plan(&mut self, now: Nanos, direct: &BTreeSet<Topic>) -> Plan {
-        let mut plan = Plan::new();
+    fn plan(&mut self, now: Nanos, direct: &BTreeSet<Topic>) -> DesiredSubscriptions {
+        let mut plan = DesiredSubscriptions::new();
         for addr in self.current.iter().chain(&self.trial) {
-            plan.insert((What::Registrar, *addr), direct.clone());
+            plan.insert((SourceKind::Registrar, *addr), direct.clone());
         }
         for (topic, home) in &self.topics {
             if let Some(addr) = home {
-                plan.entry((What::Home, *addr)).or_default().insert(topic.clone());
+                plan.entry((SourceKind::Home, *addr)).or_default().insert(topic.clone());
             }
         }
         // The old source is kept until the new one speaks.
         let (links, topics, stale, current) = (&self.links, &self.topics, self.stale, self.current);
         self.moving.retain(|topic, (what, addr, until)| {
             let source = match topics.get(topic) {
-                Some(Some(home)) => Some((What::Home, *home)),
-                _ => current.map(|addr| (What::Registrar, addr)),
+                Some(Some(home)) => Some((SourceKind::Home, *home)),
+                _ => current.map(|addr| (SourceKind::Registrar, addr)),
             };
             let speaks =
                 source.and_then(|source| links.get(&source)).is_some_and(|link| link.is_fresh(now, stale));
@@ -128,24 +128,24 @@
         plan
     }
 
-    fn order(&mut self, now: Nanos, plan: Plan) {
-        let old: Vec<(What, SocketAddrV4)> =
+    fn order(&mut self, now: Nanos, plan: DesiredSubscriptions) {
+        let old: Vec<(SourceKind, SocketAddrV4)> =
             self.links.keys().filter(|key| !plan.contains_key(key)).copied().collect();
         for (what, addr) in old {
             self.links.remove(&(what, addr));
-            self.orders.push_back(Order::Detach { addr, what });
+            self.orders.push_back(Action::Detach { addr, what });
         }
         for ((what, addr), topics) in plan {
             match self.links.get_mut(&(what, addr)) {
                 Some(link) if link.topics == topics => continue,
                 Some(link) => link.topics.clone_from(&topics),
                 // A home that was lost is tried again after a pause; a registrar was chosen after its own.
-                None if what == What::Home && !self.pauses.is_over(now, addr) => continue,
+                None if what == SourceKind::Home && !self.pauses.is_over(now, addr) => continue,
                 None => {
-                    self.links.insert((what, addr), Link::new(now, topics.clone()));
+                    self.links.insert((what, addr), Subscription::new(now, topics.clone()));
                 }
             }
-            self.orders.push_back(Order::Attach { addr, what, topics: topics.into_iter().collect() });
+            self.orders.push_back(Action::Attach { addr, what, topics: topics.into_iter().collect() });
         }
     }
 
@@ -186,9 +186,9 @@
         }
         for (to, lease) in [(with, true), (without, false)] {
             if !to.is_empty() {
-                self.orders.push_back(Order::Relay {
+                self.orders.push_back(Action::Relay {
                     to,
-                    pulse: Pulse { lease, hops: hops.saturating_add(1), ..self.newest },
+                    pulse: SourceHeartbeat { lease, hops: hops.saturating_add(1), ..self.newest },
                 });
             }
         }
--- a/crates/fernknot-distribution/src/registrars.rs
+++ b/crates/fernknot-distribution/src/registrars.rs
@@ -10,14 +10,14 @@
 
 /// A registrar that is known to be there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Registrar {
+pub struct ControllerEndpoint {
     pub addr: SocketAddrV4,
     pub zone: String,
 }
 
 /// Pauses after failures, by address; spread by chance so that many gateways don't try at once.
 #[derive(Clone, Debug)]
-pub(crate) struct Pauses {
+pub(crate) struct Backoff {
     seed: u64,
     tries: u64,
     stale: Nanos,
@@ -25,9 +25,9 @@
     by_addr: BTreeMap<SocketAddrV4, (u32, Nanos)>,
 }
 
-impl Pauses {
-    pub fn new(seed: u64, stale: Nanos, most: usize) -> Pauses {
-        Pauses { seed, tries: 0, stale, most, by_addr: BTreeMap::new() }
+impl Backoff {
+    pub fn new(seed: u64, stale: Nanos, most: usize) -> Backoff {
+        Backoff { seed, tries: 0, stale, most, by_addr: BTreeMap::new() }
     }
 
     pub fn failed(&mut self, now: Nanos, addr: SocketAddrV4) {
--- a/crates/fernknot-distribution/tests/common/mod.rs
+++ b/crates/fernknot-distribution/tests/common/mod.rs
@@ -1,8 +1,10 @@
 //! A few zones of gateways and registrars in memory, on a clock of 10 ms steps.
 
 use fernknot::interface::Nanos;
-use fernknot_distribution::{Homes, HomesBounds, Order, Pulse, Registrar, Topic, What};
-use fernknot_ownership::{Cut, Fence, Gateway, LifeId};
+use fernknot_distribution::{
+    Action, ControllerEndpoint, Relays, RelaysLimits, SourceHeartbeat, SourceKind, Topic,
+};
+use fernknot_ownership::{Assignment, FencingToken, GatewayRecord, IncarnationId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -26,11 +28,14 @@
     ZONES[life as usize % 3]
 }
 
-pub fn cut(count: u32, lives: impl IntoIterator<Item = u64>) -> Cut {
-    let gateway =
-        |life| Gateway { life: LifeId(life), addr: gateway_addr(life), zone: zone(life).to_string() };
-    let live: Vec<Gateway> = lives.into_iter().map(gateway).collect();
-    Cut { fence: Fence::of(1, count), may_be_alive: live.len() as u32, live }.sorted()
+pub fn cut(count: u32, lives: impl IntoIterator<Item = u64>) -> Assignment {
+    let gateway = |life| GatewayRecord {
+        life: IncarnationId(life),
+        addr: gateway_addr(life),
+        zone: zone(life).to_string(),
+    };
+    let live: Vec<GatewayRecord> = lives.into_iter().map(gateway).collect();
+    Assignment { fence: FencingToken::of(1, count), may_be_alive: live.len() as u32, live }.sorted()
 }
 
 pub fn topics() -> Vec<Topic> {
@@ -47,12 +52,12 @@
 }
 
 pub struct Member {
-    pub homes: Homes,
+    pub homes: Relays,
     /// The newest news of each topic that came.
     pub has: BTreeMap<Topic, u64>,
     pub silent: bool,
     pub dead: bool,
-    pub links: BTreeMap<(What, SocketAddrV4), BTreeSet<Topic>>,
+    pub links: BTreeMap<(SourceKind, SocketAddrV4), BTreeSet<Topic>>,
 }
 
 /// News is a number for each topic; it crosses no time but the steps.
@@ -87,19 +92,19 @@
     }
 
     pub fn start(&mut self, life: u64) {
-        let mut homes = Homes::new(LifeId(life), zone(life), APPLY, HomesBounds::default(), life);
+        let mut homes = Relays::new(IncarnationId(life), zone(life), APPLY, RelaysLimits::default(), life);
         let names: Vec<String> = (0..12).map(|number| format!("service-{number}")).collect();
         homes.services(names.iter().map(String::as_str));
         let known = self
             .tellers
             .iter()
-            .map(|(addr, teller)| Registrar { addr: *addr, zone: teller.zone.to_string() });
+            .map(|(addr, teller)| ControllerEndpoint { addr: *addr, zone: teller.zone.to_string() });
         homes.registrars(&known.collect::<Vec<_>>());
         let (has, links) = (BTreeMap::new(), BTreeMap::new());
         self.members.insert(life, Member { homes, has, silent: false, dead: false, links });
     }
 
-    pub fn cut(&mut self, cut: &Cut) {
+    pub fn cut(&mut self, cut: &Assignment) {
         let now = millis(self.ms);
         self.members
             .values_mut()
@@ -122,7 +127,7 @@
             self.tellers.iter().filter(|(_, teller)| teller.lease && !teller.silent && !teller.dead);
         let tellers: Vec<(SocketAddrV4, &str)> = tellers.map(|(addr, teller)| (*addr, teller.zone)).collect();
         for (addr, from) in tellers {
-            for life in self.takers(What::Registrar, addr, topic) {
+            for life in self.takers(SourceKind::Registrar, addr, topic) {
                 self.crossings += (zone(life) != from) as usize;
                 self.give(life, topic, news);
             }
@@ -142,7 +147,7 @@
     }
 
     pub fn run(&mut self, ms: u64) {
-        let pulses = Homes::pulse_every(APPLY).0 / 1_000_000 / STEP;
+        let pulses = Relays::pulse_every(APPLY).0 / 1_000_000 / STEP;
         for _ in 0..ms.div_ceil(STEP) {
             self.ms += STEP;
             let now = millis(self.ms);
@@ -162,7 +167,7 @@
         live.all(|member| member.has == self.news)
     }
 
-    fn order(&mut self, now: Nanos, life: u64) -> Option<Order> {
+    fn order(&mut self, now: Nanos, life: u64) -> Option<Action> {
         let member = self.members.get_mut(&life)?;
         if member.dead || member.silent { None } else { member.homes.next(now) }
     }
@@ -172,16 +177,20 @@
             if teller.silent || teller.dead {
                 continue;
             }
-            let pulse = Pulse { lease: teller.lease, fence: Fence::of(1, 1), ..Pulse::default() };
+            let pulse = SourceHeartbeat {
+                lease: teller.lease,
+                fence: FencingToken::of(1, 1),
+                ..SourceHeartbeat::default()
+            };
             for member in self.members.values_mut() {
-                if member.links.contains_key(&(What::Registrar, *addr)) && !member.silent {
-                    member.homes.pulse(now, *addr, What::Registrar, pulse);
+                if member.links.contains_key(&(SourceKind::Registrar, *addr)) && !member.silent {
+                    member.homes.pulse(now, *addr, SourceKind::Registrar, pulse);
                 }
             }
         }
     }
 
-    fn takers(&self, what: What, addr: SocketAddrV4, topic: &Topic) -> Vec<u64> {
+    fn takers(&self, what: SourceKind, addr: SocketAddrV4, topic: &Topic) -> Vec<u64> {
         let takes =
             |member: &Member| member.links.get(&(what, addr)).is_some_and(|topics| topics.contains(topic));
         self.members.iter().filter(|(_, member)| takes(member)).map(|(life, _)| *life).collect()
@@ -200,13 +209,13 @@
         on.into_iter().for_each(|other| self.give(other, topic, news));
     }
 
-    fn obey(&mut self, now: Nanos, life: u64, order: Order) {
+    fn obey(&mut self, now: Nanos, life: u64, order: Action) {
         let me = gateway_addr(life);
         match order {
-            Order::Attach { addr, what, topics } => {
+            Action::Attach { addr, what, topics } => {
                 self.attaches += 1;
                 let has: BTreeMap<Topic, u64> = match what {
-                    What::Registrar => match self.tellers.get(&addr) {
+                    SourceKind::Registrar => match self.tellers.get(&addr) {
                         Some(teller) if !teller.dead => {
                             if teller.silent || !teller.lease {
                                 BTreeMap::new()
@@ -216,7 +225,7 @@
                         }
                         _ => return self.break_link(now, life, addr, what),
                     },
-                    What::Home => {
+                    SourceKind::Home => {
                         let at = self
                             .members
                             .values_mut()
@@ -238,7 +247,7 @@
                     }
                 }
             }
-            Order::Detach { addr, what } => {
+            Action::Detach { addr, what } => {
                 self.members.get_mut(&life).unwrap().links.remove(&(what, addr));
                 if let Some(home) =
                     self.members.values_mut().find(|home| gateway_addr(home.homes_life()) == addr)
@@ -246,17 +255,17 @@
                     home.homes.subscribed(me, []);
                 }
             }
-            Order::Relay { to, pulse } => {
+            Action::Relay { to, pulse } => {
                 for member in self.members.values_mut().filter(|member| !member.silent) {
                     if to.contains(&gateway_addr(member.homes_life())) {
-                        member.homes.pulse(now, me, What::Home, pulse);
+                        member.homes.pulse(now, me, SourceKind::Home, pulse);
                     }
                 }
             }
         }
     }
 
-    fn break_link(&mut self, now: Nanos, life: u64, addr: SocketAddrV4, what: What) {
+    fn break_link(&mut self, now: Nanos, life: u64, addr: SocketAddrV4, what: SourceKind) {
         let member = self.members.get_mut(&life).unwrap();
         member.links.remove(&(what, addr));
         member.homes.lost(now, addr, what);
@@ -266,7 +275,7 @@
     pub fn reset(&mut self, addr: SocketAddrV4) {
         let now = millis(self.ms);
         for life in self.members.keys().copied().collect::<Vec<_>>() {
-            for what in [What::Registrar, What::Home] {
+            for what in [SourceKind::Registrar, SourceKind::Home] {
                 if self.members[&life].links.contains_key(&(what, addr)) {
                     self.break_link(now, life, addr, what);
                 }
--- a/crates/fernknot-distribution/tests/homes.rs
+++ b/crates/fernknot-distribution/tests/homes.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{APPLY, World, ZONES, cut, gateway_addr, millis, registrar_addr, topics, zone};
-use fernknot_distribution::{Homes, HomesBounds, Order, Pulse, Topic, What};
-use fernknot_ownership::LifeId;
+use fernknot_distribution::{Action, Relays, RelaysLimits, SourceHeartbeat, SourceKind, Topic};
+use fernknot_ownership::IncarnationId;
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -96,7 +96,7 @@
     let direct = |world: &World, life: u64| {
         let links = world.members[&life].links.iter();
         links
-            .filter(|((what, _), _)| *what == What::Registrar)
+            .filter(|((what, _), _)| *what == SourceKind::Registrar)
             .any(|(_, taken)| taken.contains(&Topic::Configuration))
     };
     assert!(!direct(&world, other));
@@ -121,7 +121,7 @@
     let world = World::new(0..3);
     for (life, member) in &world.members {
         let links: Vec<_> = member.links.keys().copied().collect();
-        assert_eq!(links, [(What::Registrar, registrar_addr(*life as u8))]);
+        assert_eq!(links, [(SourceKind::Registrar, registrar_addr(*life as u8))]);
         assert!(topics().iter().all(|topic| member.homes.is_home(topic)));
     }
 }
@@ -173,21 +173,22 @@
 /// ever, as if a registrar were in touch.
 #[test]
 fn given_a_pulse_that_runs_in_a_circle_when_passed_on_again_and_again_then_it_is_soon_none_of_a_lease() {
-    let mut pair = [0, 3].map(|life| Homes::new(LifeId(life), zone(life), APPLY, HomesBounds::default(), 1));
+    let mut pair =
+        [0, 3].map(|life| Relays::new(IncarnationId(life), zone(life), APPLY, RelaysLimits::default(), 1));
     let addrs = [0, 3].map(gateway_addr);
     for (at, other) in [(0, 3), (1, 0)] {
         pair[at].cut(millis(0), &cut(1, [other]));
         pair[at].subscribed(addrs[1 - at], [Topic::Configuration]);
         while pair[at].next(millis(0)).is_some() {}
     }
-    let mut pulse = Pulse { lease: true, ..Pulse::default() };
+    let mut pulse = SourceHeartbeat { lease: true, ..SourceHeartbeat::default() };
     let mut rounds = 0;
     while pulse.lease && rounds < 100 {
         let (at, now) = (rounds % 2, millis(150 * (rounds as u64 + 1)));
-        pair[at].pulse(now, addrs[1 - at], What::Home, pulse);
-        let orders: Vec<Order> = std::iter::from_fn(|| pair[at].next(now)).collect();
+        pair[at].pulse(now, addrs[1 - at], SourceKind::Home, pulse);
+        let orders: Vec<Action> = std::iter::from_fn(|| pair[at].next(now)).collect();
         let mut relayed = orders.iter().filter_map(|order| match order {
-            Order::Relay { pulse, .. } if pulse.lease => Some(*pulse),
+            Action::Relay { pulse, .. } if pulse.lease => Some(*pulse),
             _ => None,
         });
         pulse = relayed.next_back().unwrap_or_default();
--- a/crates/fernknot-gateway/src/asks.rs
+++ b/crates/fernknot-gateway/src/asks.rs
@@ -1,11 +1,11 @@
 //! Requests of clients in hand: what goes to nodes for each, and the answer that is made of what comes back.
 
-use crate::routes::Pinned;
+use crate::routes::ConfigSnapshot;
 use fernknot::interface::*;
-use fernknot_merge::{Part, gather};
-use fernknot_net::{Berth, Buffer};
+use fernknot_merge::{ShardAnswer, gather};
+use fernknot_net::{Buffer, ConnectionId};
 use fernknot_protocol::http::{Request, Response};
-use fernknot_schema::Target;
+use fernknot_schema::RouteTarget;
 use std::io::Write;
 use std::rc::Rc;
 
@@ -41,10 +41,10 @@
 }
 
 /// A request that is owed an answer.
-pub struct Ask {
-    pub client: Berth,
+pub struct PendingRequest {
+    pub client: ConnectionId,
     pub multiget: MultigetId,
-    pub pinned: Rc<Pinned>,
+    pub pinned: Rc<ConfigSnapshot>,
     pub route: usize,
     pub attempt: String,
     pub client_end: Nanos,
@@ -59,17 +59,17 @@
     failure: Option<Response>,
     /// The connections that it went over, one for each hand-off. Guards against a late or doubled answer to one
     /// hand-off in the place of the answer to another: both bear the same id, so that only the connection tells.
-    pub used: Vec<Berth>,
+    pub used: Vec<ConnectionId>,
     /// It went out on a connection that was up.
     pub offered: bool,
     /// Connections begun for it that are not known to have failed before they were up: what was written on one has not
     /// gone out only while it is still opening.
-    pub opening: Vec<Berth>,
+    pub opening: Vec<ConnectionId>,
 }
 
 /// What a node's answer is worth.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseClass {
     Part,
     /// The node did not run it; it is another one where `stranger` is true.
     NotRun {
@@ -82,22 +82,22 @@
 
 /// Judges an answer by its head. Guards against a late answer in another's place, an answer cut short, and
 /// a failure that bears a seal.
-pub fn judge(response: &Response, attempt: &str) -> Verdict {
+pub fn judge(response: &Response, attempt: &str) -> ResponseClass {
     if response.header(wire::ATTEMPT) != Some(attempt) {
-        return Verdict::Stray;
+        return ResponseClass::Stray;
     }
     let sealed = response.header(wire::SEAL).is_some_and(|seal| !seal.is_empty());
     let coded = response.header("content-encoding").is_some();
     match response.status {
-        200..300 if sealed && response.framed && !coded => Verdict::Part,
-        421 => Verdict::NotRun { stranger: true },
-        _ if response.header(wire::NOT_RUN).is_some() => Verdict::NotRun { stranger: false },
-        _ => Verdict::Failed,
+        200..300 if sealed && response.framed && !coded => ResponseClass::Part,
+        421 => ResponseClass::NotRun { stranger: true },
+        _ if response.header(wire::NOT_RUN).is_some() => ResponseClass::NotRun { stranger: false },
+        _ => ResponseClass::Failed,
     }
 }
 
 /// A final answer as it is written.
-pub struct Final<'a> {
+pub struct FinalResponse<'a> {
     pub status: u16,
     pub headers: Vec<(&'a str, String)>,
     pub body: &'a [u8],
@@ -122,7 +122,7 @@
     }
 }
 
-impl Final<'_> {
+impl FinalResponse<'_> {
     pub fn write(&self, out: &mut Buffer, keep: bool, idle_s: u64) {
         // Writing to a buffer does not fail.
         let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
@@ -142,16 +142,16 @@
     }
 }
 
-impl Ask {
+impl PendingRequest {
     pub fn new(
-        client: Berth,
-        pinned: Rc<Pinned>,
+        client: ConnectionId,
+        pinned: Rc<ConfigSnapshot>,
         route: usize,
         attempt: String,
         client_end: Nanos,
         request: Request,
         parts: usize,
-    ) -> Ask {
+    ) -> PendingRequest {
         let mut head = Vec::with_capacity(256);
         // Writing to a vector does not fail.
         let _ = write!(head, "{} {} HTTP/1.1\r\n", request.method, request.target);
@@ -161,7 +161,7 @@
         if !request.body.is_empty() || matches!(request.method.as_str(), "POST" | "PUT" | "PATCH") {
             let _ = write!(head, "Content-Length: {}\r\n", request.body.len());
         }
-        Ask {
+        PendingRequest {
             client,
             multiget: MultigetId(0),
             pinned,
@@ -202,21 +202,21 @@
         }
     }
 
-    fn pass<'a>(&self, response: &'a Response) -> Final<'a> {
+    fn pass<'a>(&self, response: &'a Response) -> FinalResponse<'a> {
         let kept = response.headers().iter().filter(|(name, _)| passes(name));
         let headers = kept.map(|(name, value)| (name.as_str(), value.clone())).collect();
         let length = response.header("content-length").filter(|_| self.bodiless);
-        Final { status: response.status, headers, body: &response.body, length }
+        FinalResponse { status: response.status, headers, body: &response.body, length }
     }
 
     /// The answer of what is in; a gathered one is written into `merged`.
-    pub fn settled<'a>(&'a self, merged: &'a mut Vec<u8>) -> Option<Final<'a>> {
-        let Target::Fanout { top_k, quorum, .. } = &self.pinned.route(self.route).to else {
+    pub fn settled<'a>(&'a self, merged: &'a mut Vec<u8>) -> Option<FinalResponse<'a>> {
+        let RouteTarget::Fanout { top_k, quorum, .. } = &self.pinned.route(self.route).to else {
             return self.parts.first()?.as_ref().map(|part| self.pass(part));
         };
         let is_in = self.parts.iter().flatten();
-        let parts: Vec<Part> = is_in
-            .map(|part| Part { seal: part.header(wire::SEAL).unwrap_or_default(), body: &part.body })
+        let parts: Vec<ShardAnswer> = is_in
+            .map(|part| ShardAnswer { seal: part.header(wire::SEAL).unwrap_or_default(), body: &part.body })
             .collect();
         let got = gather(&parts, self.parts.len(), *top_k, *quorum)?;
         *merged = got.body;
@@ -224,16 +224,16 @@
         if got.missing > 0 {
             headers.push((wire::MISSING, got.missing.to_string()));
         }
-        Some(Final { status: 200, headers, body: merged, length: None })
+        Some(FinalResponse { status: 200, headers, body: merged, length: None })
     }
 
     /// The answer where there is none: a node's own failure, or ours.
-    pub fn failed(&self, status: u16) -> Final<'_> {
+    pub fn failed(&self, status: u16) -> FinalResponse<'_> {
         match &self.failure {
             Some(failure) => self.pass(failure),
             None => {
                 let headers = vec![(wire::ATTEMPT, self.attempt.clone())];
-                Final { status, headers, body: b"", length: None }
+                FinalResponse { status, headers, body: b"", length: None }
             }
         }
     }
--- a/crates/fernknot-gateway/src/clients.rs
+++ b/crates/fernknot-gateway/src/clients.rs
@@ -2,19 +2,19 @@
 
 use fernknot::interface::Nanos;
 use fernknot_engine::AskerId;
-use fernknot_net::Berth;
+use fernknot_net::ConnectionId;
 use fernknot_protocol::http::RequestReader;
 use std::collections::HashMap;
 
 /// Where a connection came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum ListenAddress {
     Front,
     Ready,
 }
 
-pub struct Client {
-    pub door: Door,
+pub struct ClientConnection {
+    pub door: ListenAddress,
     pub reader: RequestReader,
     /// The request in hand.
     pub asker: Option<AskerId>,
@@ -34,10 +34,10 @@
     in_part: usize,
 }
 
-impl Client {
-    pub fn new(door: Door, now: Nanos, rests: Nanos) -> Client {
+impl ClientConnection {
+    pub fn new(door: ListenAddress, now: Nanos, rests: Nanos) -> ClientConnection {
         let reader = RequestReader::default();
-        Client {
+        ClientConnection {
             door,
             reader,
             asker: None,
@@ -60,36 +60,36 @@
 }
 
 #[derive(Default)]
-pub struct Clients {
-    held: HashMap<Berth, Client>,
+pub struct ClientConnections {
+    held: HashMap<ConnectionId, ClientConnection>,
     /// Bytes kept for bodies that have come in part, of all together.
     in_part: usize,
 }
 
-impl Clients {
-    pub fn add(&mut self, berth: Berth, client: Client) {
+impl ClientConnections {
+    pub fn add(&mut self, berth: ConnectionId, client: ClientConnection) {
         self.remove(berth);
         self.held.insert(berth, client);
     }
 
-    pub fn has(&self, berth: Berth) -> bool {
+    pub fn has(&self, berth: ConnectionId) -> bool {
         self.held.contains_key(&berth)
     }
 
-    pub fn get_mut(&mut self, berth: Berth) -> Option<&mut Client> {
+    pub fn get_mut(&mut self, berth: ConnectionId) -> Option<&mut ClientConnection> {
         self.held.get_mut(&berth)
     }
 
-    pub fn remove(&mut self, berth: Berth) -> Option<Client> {
+    pub fn remove(&mut self, berth: ConnectionId) -> Option<ClientConnection> {
         self.held.remove(&berth).inspect(|client| self.in_part -= client.in_part)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Client> {
+    pub fn all(&self) -> impl Iterator<Item = &ClientConnection> {
         self.held.values()
     }
 
     /// Counts what a client has sent in part, after its reader has read; what all have sent so comes back, in bytes.
-    pub fn count_in_part(&mut self, berth: Berth) -> usize {
+    pub fn count_in_part(&mut self, berth: ConnectionId) -> usize {
         if let Some(client) = self.held.get_mut(&berth) {
             let before = std::mem::replace(&mut client.in_part, client.reader.kept());
             self.in_part = self.in_part - before + client.in_part;
@@ -99,22 +99,23 @@
 
     /// Those that have been idle, or sending one request, for too long. Guards what a client was told against a
     /// version that came since and lets connections rest for a shorter time.
-    pub fn overdue(&self, now: Nanos, idle: Nanos, sending: Nanos) -> Vec<(Berth, bool)> {
+    pub fn overdue(&self, now: Nanos, idle: Nanos, sending: Nanos) -> Vec<(ConnectionId, bool)> {
         let waits = self.held.iter().filter(|(_, client)| client.asker.is_none());
         let late = waits.filter(|(_, client)| {
             let most = if client.coming { sending } else { idle.max(client.rests) };
             now - client.since > most
         });
-        let mut late: Vec<(Berth, bool)> = late.map(|(berth, client)| (*berth, client.coming)).collect();
+        let mut late: Vec<(ConnectionId, bool)> =
+            late.map(|(berth, client)| (*berth, client.coming)).collect();
         // In one order, so that a run can be played again.
         late.sort();
         late
     }
 
     /// Those without a request in hand or on its way.
-    pub fn idle(&self) -> Vec<Berth> {
+    pub fn idle(&self) -> Vec<ConnectionId> {
         let idle = self.held.iter().filter(|(_, client)| client.asker.is_none() && !client.coming);
-        let mut idle: Vec<Berth> = idle.map(|(berth, _)| *berth).collect();
+        let mut idle: Vec<ConnectionId> = idle.map(|(berth, _)| *berth).collect();
         idle.sort();
         idle
     }
--- a/crates/fernknot-gateway/src/gateway.rs
+++ b/crates/fernknot-gateway/src/gateway.rs
@@ -4,21 +4,21 @@
 mod downstream;
 mod upstream;
 
-use crate::asks::Ask;
-use crate::clients::{Client, Clients, Door};
-use crate::lines::Lines;
-use crate::news::{Held, Mains, News};
-use crate::routes::{Names, Pinned};
+use crate::asks::PendingRequest;
+use crate::clients::{ClientConnection, ClientConnections, ListenAddress};
+use crate::lines::NodeConnections;
+use crate::news::{LocalState, Update, UpdateRelay};
+use crate::routes::{ConfigSnapshot, EngineIds};
 use fernknot::interface::*;
 use fernknot::state::Mwc;
 use fernknot_engine::{AskerId, Engine, Order};
-use fernknot_net::{Berth, Event, Ports};
-use fernknot_ownership::{Gateway as Me, HolderBounds, LifeId, unconfirmed};
-use fernknot_peer_sampling::{Descriptor, Role};
-use fernknot_registry::{NodeFact, Pool, PoolBounds};
+use fernknot_net::{ConnectionId, Event, Network};
+use fernknot_ownership::{GatewayRecord as Me, IncarnationId, OwnedKeysSettings, unconfirmed};
+use fernknot_peer_sampling::{PeerDescriptor, Role};
+use fernknot_registry::{NodeDirectory, NodeDirectoryLimits, NodeRecord};
 use fernknot_router_config::{Limits, SocketFacts};
-use fernknot_rpc::{Question, Share, Shuffles};
-use fernknot_schema::{ClientLimits, ProcessFacts, RoutingConfig};
+use fernknot_rpc::{InspectionTopic, ShuffleProtocol, Subscription};
+use fernknot_schema::{ClientLimits, ProcessSettings, RoutingConfig};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -42,19 +42,19 @@
 
 /// Where a gateway listens; the host opens these and says by which berths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doors {
+pub struct ListenerIds {
     /// For clients.
-    pub front: Berth,
+    pub front: ConnectionId,
     /// For those that ask whether it is ready.
-    pub ready: Berth,
+    pub ready: ConnectionId,
     /// For other processes of the system.
-    pub inner: Berth,
+    pub inner: ConnectionId,
 }
 
 /// Breaks planted for the checkers, which must find each one.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum SeededBug {
     /// An answer belongs to what its connection carries, whatever id it bears.
     MatchByConnection,
     /// What a connection carried when it was reset counts as never sent.
@@ -84,25 +84,25 @@
 /// been followed. Where [`wants_seeds`](Gateway::wants_seeds), the host reads its settings anew and tells
 /// [`seeds`](Gateway::seeds).
 pub struct Gateway {
-    facts: ProcessFacts,
+    facts: ProcessSettings,
     limits: Limits,
-    doors: Doors,
+    doors: ListenerIds,
     seed: u64,
     chance: Mwc,
     engine: Option<Engine>,
-    clients: Clients,
-    asks: HashMap<AskerId, Ask>,
+    clients: ClientConnections,
+    asks: HashMap<AskerId, PendingRequest>,
     by_multiget: HashMap<MultigetId, AskerId>,
     next_asker: u64,
-    lines: Lines,
-    names: Names,
-    pool: Pool,
+    lines: NodeConnections,
+    names: EngineIds,
+    pool: NodeDirectory,
     /// What the module was told of the lives of each service.
     nodes: HashMap<ShardId, BTreeMap<String, (NodeId, Health)>>,
     next_node: u32,
-    pinned: Option<Rc<Pinned>>,
-    mains: Mains,
-    shuffles: Shuffles,
+    pinned: Option<Rc<ConfigSnapshot>>,
+    mains: UpdateRelay,
+    shuffles: ShuffleProtocol,
     whole: bool,
     sharers: Option<u32>,
     /// How long an idle line to a node may be used again, as nodes tell.
@@ -114,7 +114,7 @@
     reread_at: Nanos,
     wants_seeds: bool,
     counters: Counters,
-    plant: Option<Plant>,
+    plant: Option<SeededBug>,
 }
 
 #[derive(Default)]
@@ -136,13 +136,13 @@
     ///
     /// # Errors
     /// Less memory, or fewer connections, than anything can be done with.
-    pub fn new(facts: ProcessFacts, doors: Doors, seed: u64) -> Result<Gateway, String> {
+    pub fn new(facts: ProcessSettings, doors: ListenerIds, seed: u64) -> Result<Gateway, String> {
         let bounds = &facts.bounds;
         let links = links(&facts);
         let inner_addr = inner_addr(&facts);
         let seeds = seeds(&facts);
-        let me = Me { life: LifeId(seed), addr: inner_addr, zone: facts.zone.clone() };
-        let own = Descriptor {
+        let me = Me { life: IncarnationId(seed), addr: inner_addr, zone: facts.zone.clone() };
+        let own = PeerDescriptor {
             addr: inner_addr,
             role: Role::Gateway,
             zone: facts.zone.clone(),
@@ -152,14 +152,14 @@
         let contact = Nanos::from_millis(bounds.contact_ms);
         let window = Nanos::from_millis(bounds.retry_window_s * 1e3);
         let beat = Nanos::from_millis(facts.beat_ms);
-        let shuffles = Shuffles::new(own, &seeds, contact.times(SHUFFLE), seed);
-        let shared = HolderBounds {
+        let shuffles = ShuffleProtocol::new(own, &seeds, contact.times(SHUFFLE), seed);
+        let shared = OwnedKeysSettings {
             most_keys: 0,
             hand_over: Nanos::from_millis(bounds.apply_ms),
             unconfirmed: unconfirmed(contact, beat),
             window,
         };
-        let mains = Mains::new(me, &seeds, shared, seed);
+        let mains = UpdateRelay::new(me, &seeds, shared, seed);
         let socket_facts = SocketFacts {
             use_cases: Vec::new(),
             shards: 0,
@@ -180,13 +180,13 @@
             seed,
             chance: Mwc::new(seed),
             engine: None,
-            clients: Clients::default(),
+            clients: ClientConnections::default(),
             asks: HashMap::new(),
             by_multiget: HashMap::new(),
             next_asker: 0,
-            lines: Lines::default(),
-            names: Names::default(),
-            pool: Pool::new(beat, PoolBounds::default()),
+            lines: NodeConnections::default(),
+            names: EngineIds::default(),
+            pool: NodeDirectory::new(beat, NodeDirectoryLimits::default()),
             nodes: HashMap::new(),
             next_node: 0,
             pinned: None,
@@ -209,12 +209,12 @@
 
     /// The same with a break in it.
     #[doc(hidden)]
-    pub fn planted(self, plant: Plant) -> Gateway {
+    pub fn planted(self, plant: SeededBug) -> Gateway {
         Gateway { plant: Some(plant), ..self }
     }
 
     /// Takes what happened up to now, does what is due, and says over the ports what there is to say.
-    pub fn turn<P: Ports>(&mut self, now: Nanos, events: impl IntoIterator<Item = Event>, ports: &mut P) {
+    pub fn turn<P: Network>(&mut self, now: Nanos, events: impl IntoIterator<Item = Event>, ports: &mut P) {
         self.noticed(now);
         for event in events {
             self.happened(now, event, ports);
@@ -233,7 +233,7 @@
     }
 
     /// The order to stop: says farewell, is no longer ready, and answers what is in hand.
-    pub fn stop<P: Ports>(&mut self, now: Nanos, ports: &mut P) {
+    pub fn stop<P: Network>(&mut self, now: Nanos, ports: &mut P) {
         if self.stopping.is_none() {
             self.stopping = Some(now);
             log::info!(target: "gateway", "told to stop, {} requests in hand", self.asks.len());
@@ -254,7 +254,7 @@
 
     /// After the order to stop: whether all is answered, or the grace is nearly over. What has been written has still
     /// to go out.
-    pub fn is_out<P: Ports>(&mut self, now: Nanos, ports: &mut P) -> bool {
+    pub fn is_out<P: Network>(&mut self, now: Nanos, ports: &mut P) -> bool {
         let Some(since) = self.stopping else { return false };
         let grace = Nanos::from_millis(self.facts.bounds.grace_s * 1e3);
         let gone = now - since;
@@ -270,20 +270,20 @@
             self.clients.remove(berth);
             ports.close(berth);
         }
-        self.asks.is_empty() && self.clients.all().all(|client| client.door == Door::Ready)
+        self.asks.is_empty() && self.clients.all().all(|client| client.door == ListenAddress::Ready)
     }
 
     fn is_ready(&self) -> bool {
         self.stopping.is_none() && self.pinned.is_some() && self.whole
     }
 
-    fn happened<P: Ports>(&mut self, now: Nanos, event: Event, ports: &mut P) {
+    fn happened<P: Network>(&mut self, now: Nanos, event: Event, ports: &mut P) {
         match event {
             Event::Accepted { berth, at, .. } if at == self.doors.inner => self.mains.accepted(berth),
             Event::Accepted { berth, at, .. } => {
-                let door = if at == self.doors.front { Door::Front } else { Door::Ready };
+                let door = if at == self.doors.front { ListenAddress::Front } else { ListenAddress::Ready };
                 debug_assert!(at == self.doors.front || at == self.doors.ready);
-                let client = Client::new(door, now, self.idle());
+                let client = ClientConnection::new(door, now, self.idle());
                 self.clients.add(berth, client);
             }
             Event::Opened { .. } => {}
@@ -303,7 +303,7 @@
                 if self.lines.is_line(berth) {
                     log::debug!(target: "line", "{why}");
                     self.line_rest(now, berth, ports);
-                    let may_have_run = opened && self.plant != Some(Plant::AgainAfterReset);
+                    let may_have_run = opened && self.plant != Some(SeededBug::AgainAfterReset);
                     let outcome = if may_have_run { Outcome::Broken } else { Outcome::Unreachable };
                     self.line_lost(now, berth, outcome, ports);
                 } else if self.mains.is_mine(berth) {
@@ -321,7 +321,7 @@
         }
     }
 
-    fn came<P: Ports>(&mut self, now: Nanos, berth: Berth, ended: bool, ports: &mut P) {
+    fn came<P: Network>(&mut self, now: Nanos, berth: ConnectionId, ended: bool, ports: &mut P) {
         if self.lines.is_line(berth) {
             self.line_came(now, berth, ended, ports);
         } else if self.mains.is_mine(berth) {
@@ -334,18 +334,23 @@
     // ---- News ------------------------------------------------------------------------------
 
     /// What those that listen here are told.
-    fn held<'a>(pinned: &'a Option<Rc<Pinned>>, pool: &'a Pool, whole: bool, ready: bool) -> Held<'a> {
+    fn held<'a>(
+        pinned: &'a Option<Rc<ConfigSnapshot>>,
+        pool: &'a NodeDirectory,
+        whole: bool,
+        ready: bool,
+    ) -> LocalState<'a> {
         let plan = pinned.as_ref().map(|pinned| (pinned.order, &pinned.plan));
-        Held { pool, plan, whole, ready }
+        LocalState { pool, plan, whole, ready }
     }
 
-    fn tend<P: Ports>(&mut self, now: Nanos, ports: &mut P) {
+    fn tend<P: Network>(&mut self, now: Nanos, ports: &mut P) {
         let ready = self.is_ready();
         let held = Gateway::held(&self.pinned, &self.pool, self.whole, ready);
         self.mains.tend(now, ports, &held);
     }
 
-    fn news<P: Ports>(&mut self, now: Nanos, berth: Berth, ports: &mut P) {
+    fn news<P: Network>(&mut self, now: Nanos, berth: ConnectionId, ports: &mut P) {
         let (mut news, fence, ready) = (Vec::new(), self.mains.fence(), self.is_ready());
         let held = Gateway::held(&self.pinned, &self.pool, self.whole, ready);
         self.mains.came(now, berth, ports, &held, &mut news);
@@ -364,36 +369,36 @@
         }
     }
 
-    fn heard<P: Ports>(&mut self, now: Nanos, news: News, ports: &mut P) {
+    fn heard<P: Network>(&mut self, now: Nanos, news: Update, ports: &mut P) {
         match news {
-            News::Plan { order, plan } => self.take_plan(now, order, plan, ports),
-            News::Nodes(facts) => {
+            Update::Plan { order, plan } => self.take_plan(now, order, plan, ports),
+            Update::Nodes(facts) => {
                 // Only what is news here goes on, so that it never goes in a circle.
-                let is_news = |fact: &&NodeFact| {
+                let is_news = |fact: &&NodeRecord| {
                     let held = self.pool.get(&fact.id);
                     held.is_none_or(|held| held.state != fact.state || held.seq < fact.seq)
                 };
-                let fresh: Vec<NodeFact> = facts.iter().filter(is_news).cloned().collect();
+                let fresh: Vec<NodeRecord> = facts.iter().filter(is_news).cloned().collect();
                 self.pool.take(now, &facts);
                 self.mains.pass_nodes(ports, &fresh);
                 self.relist(now, ports);
             }
-            News::Whole { mark, share } => {
+            Update::Whole { mark, share } => {
                 let services = match &share {
-                    Share::All => None,
-                    Share::Services(names) => Some(&names[..]),
+                    Subscription::All => None,
+                    Subscription::Services(names) => Some(&names[..]),
                 };
                 self.pool.whole_told(mark, services);
                 if !std::mem::replace(&mut self.whole, true) {
                     self.mains.pass_whole(ports);
                 }
             }
-            News::Asked { berth, question } => {
+            Update::Asked { berth, question } => {
                 let text = match question {
-                    Question::Counters => self.count(now),
-                    Question::Nodes => {
-                        let line = |fact: &NodeFact| {
-                            let NodeFact { id, service, addr, zone, state, .. } = fact;
+                    InspectionTopic::Counters => self.count(now),
+                    InspectionTopic::Nodes => {
+                        let line = |fact: &NodeRecord| {
+                            let NodeRecord { id, service, addr, zone, state, .. } = fact;
                             format!("{id} {service} {addr} {zone} {state:?}\n")
                         };
                         self.pool.facts().map(line).collect()
@@ -402,7 +407,7 @@
                 };
                 self.mains.answer(ports, berth, text);
             }
-            News::Well => {
+            Update::Well => {
                 self.pool.teller_well(now);
                 let sharers = self.mains.shared_by(now);
                 if sharers != self.sharers {
@@ -422,7 +427,7 @@
         self.sharers.map_or(0.0, |sharers| self.facts.bounds.retry_slack / f64::from(sharers.max(1)))
     }
 
-    fn take_plan<P: Ports>(&mut self, now: Nanos, order: u64, plan: RoutingConfig, ports: &mut P) {
+    fn take_plan<P: Network>(&mut self, now: Nanos, order: u64, plan: RoutingConfig, ports: &mut P) {
         // Guards against going back: only what is later in the one order is ever taken.
         if self.pinned.as_ref().is_some_and(|held| held.order >= order) {
             return;
@@ -521,7 +526,7 @@
 
     // ---- Orders ----------------------------------------------------------------------------
 
-    fn pump<P: Ports>(&mut self, now: Nanos, ports: &mut P) {
+    fn pump<P: Network>(&mut self, now: Nanos, ports: &mut P) {
         loop {
             let Some(engine) = &mut self.engine else { return };
             let due = engine.due().is_some_and(|at| at <= now);
@@ -534,7 +539,7 @@
         }
     }
 
-    fn carry_out<P: Ports>(&mut self, now: Nanos, order: Order, ports: &mut P) {
+    fn carry_out<P: Network>(&mut self, now: Nanos, order: Order, ports: &mut P) {
         match order {
             Order::Send { part, no, node } => {
                 if let Err(outcome) = self.send(now, part, no, node, ports)
@@ -557,7 +562,7 @@
             }
             Order::Answer { asker, verdict, .. } => self.answer(now, asker, verdict, ports),
             Order::Renew { node } => {
-                if self.plant == Some(Plant::AgainAfterSilence) {
+                if self.plant == Some(SeededBug::AgainAfterSilence) {
                     for berth in self.lines.carrying(Some(node), Nanos(u64::MAX)) {
                         self.line_lost(now, berth, Outcome::NeverSent, ports);
                     }
@@ -570,7 +575,7 @@
 
     // ---- Now and then ----------------------------------------------------------------------
 
-    fn tidy<P: Ports>(&mut self, now: Nanos, ports: &mut P) {
+    fn tidy<P: Network>(&mut self, now: Nanos, ports: &mut P) {
         self.tidy_at = now + Nanos::from_millis(500.0);
         for berth in self.lines.stale(now) {
             ports.close(berth);
@@ -629,22 +634,22 @@
 }
 
 /// The module's number for a zone.
-fn zone_of(facts: &ProcessFacts, name: &str) -> ZoneId {
+fn zone_of(facts: &ProcessSettings, name: &str) -> ZoneId {
     let place = facts.zones.keys().position(|zone| zone == name);
     ZoneId(place.map_or(u32::MAX, |place| place as u32))
 }
 
 /// Connections that a gateway with these settings may have at once, of all kinds.
-pub fn links(facts: &ProcessFacts) -> usize {
+pub fn links(facts: &ProcessSettings) -> usize {
     (facts.limits.fd_limit as usize).saturating_sub(RESERVE).max(64)
 }
 
 /// Where a gateway with these settings is spoken to by other processes of the system.
-pub fn inner_addr(facts: &ProcessFacts) -> SocketAddrV4 {
+pub fn inner_addr(facts: &ProcessSettings) -> SocketAddrV4 {
     SocketAddrV4::new(facts.ip, facts.port_range.0)
 }
 
 /// The inner addresses of the registrars that the settings name.
-pub fn seeds(facts: &ProcessFacts) -> Vec<SocketAddrV4> {
+pub fn seeds(facts: &ProcessSettings) -> Vec<SocketAddrV4> {
     facts.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), facts.port_range.0 + 1)).collect()
 }
--- a/crates/fernknot-gateway/src/gateway/downstream.rs
+++ b/crates/fernknot-gateway/src/gateway/downstream.rs
@@ -1,18 +1,18 @@
 //! The clients' side of a gateway: requests as they come, and the answers to them.
 
-use super::{Gateway, Plant, TICK_MS};
-use crate::asks::{Ask, Final, wire};
-use crate::clients::Door;
+use super::{Gateway, SeededBug, TICK_MS};
+use crate::asks::{FinalResponse, PendingRequest, wire};
+use crate::clients::ListenAddress;
 use fernknot::decide::FIRST_WAIT;
 use fernknot::interface::*;
 use fernknot_engine::{AskerId, Verdict};
-use fernknot_net::{Berth, Ports};
+use fernknot_net::{ConnectionId, Network};
 use fernknot_protocol::http::{Answer, GO_ON, Request};
 use fernknot_protocol::multiget::{Asked, AskedPart};
-use fernknot_schema::Target;
+use fernknot_schema::RouteTarget;
 
 impl Gateway {
-    pub(super) fn client_gone<P: Ports>(&mut self, now: Nanos, berth: Berth, ports: &mut P) {
+    pub(super) fn client_gone<P: Network>(&mut self, now: Nanos, berth: ConnectionId, ports: &mut P) {
         ports.close(berth);
         let Some(client) = self.clients.remove(berth) else { return };
         let Some(ask) = client.asker.and_then(|asker| self.asks.remove(&asker)) else { return };
@@ -22,11 +22,11 @@
         }
     }
 
-    pub(super) fn client_came<P: Ports>(&mut self, now: Nanos, berth: Berth, ports: &mut P) {
+    pub(super) fn client_came<P: Network>(&mut self, now: Nanos, berth: ConnectionId, ports: &mut P) {
         loop {
             let Some(client) = self.clients.get_mut(berth) else { return };
             // One after the other: what comes behind a request waits for its answer.
-            if client.asker.is_some() && self.plant != Some(Plant::PipelinedAtOnce) {
+            if client.asker.is_some() && self.plant != Some(SeededBug::PipelinedAtOnce) {
                 return;
             }
             let Some(input) = ports.input(berth) else { return };
@@ -69,17 +69,17 @@
             (client.keep, client.old) = (request.keep, request.old);
             client.bodiless = request.method == "HEAD";
             match client.door {
-                Door::Ready => self.own(now, berth, &request, ports),
-                Door::Front => self.request(now, berth, request, ports),
+                ListenAddress::Ready => self.own(now, berth, &request, ports),
+                ListenAddress::Front => self.request(now, berth, request, ports),
             }
         }
     }
 
     /// An answer of our own, at either door.
-    pub(super) fn say<P: Ports>(
+    pub(super) fn say<P: Network>(
         &mut self,
         now: Nanos,
-        berth: Berth,
+        berth: ConnectionId,
         status: u16,
         wait: Option<f64>,
         body: &[u8],
@@ -101,7 +101,7 @@
         }
     }
 
-    fn own<P: Ports>(&mut self, now: Nanos, berth: Berth, request: &Request, ports: &mut P) {
+    fn own<P: Network>(&mut self, now: Nanos, berth: ConnectionId, request: &Request, ports: &mut P) {
         match (request.method.as_str(), request.path()) {
             ("GET", "/-/readiness") if self.is_ready() => self.say(now, berth, 200, None, b"ready\n", ports),
             ("GET", "/-/readiness") => self.say(now, berth, 503, None, b"not ready\n", ports),
@@ -112,7 +112,7 @@
             _ => self.say(now, berth, 404, None, b"unknown\n", ports),
         }
     }
-    fn request<P: Ports>(&mut self, now: Nanos, berth: Berth, request: Request, ports: &mut P) {
+    fn request<P: Network>(&mut self, now: Nanos, berth: ConnectionId, request: Request, ports: &mut P) {
         self.counters.requests += 1;
         let Some(pinned) = self.pinned.clone() else {
             self.counters.unplanned += 1;
@@ -137,9 +137,9 @@
         let wait = told.unwrap_or(u64::MAX).min(route.deadline_ms);
         let wait = Nanos(wait.saturating_mul(1_000_000));
         let services: Vec<&str> = match &route.to {
-            Target::Backend(service) => vec![service],
-            Target::Shares(shares) => vec![self.drawn(shares)],
-            Target::Fanout { shards, .. } => shards.iter().map(String::as_str).collect(),
+            RouteTarget::Backend(service) => vec![service],
+            RouteTarget::Shares(shares) => vec![self.drawn(shares)],
+            RouteTarget::Fanout { shards, .. } => shards.iter().map(String::as_str).collect(),
         };
         let weight = 1.0 / services.len().max(1) as f64;
         let part = |service: &str| AskedPart { shard: self.names.shard(service), weight, effort: None };
@@ -158,7 +158,7 @@
         };
         let client_end = now + wait;
         let count = asked.parts.len();
-        let mut ask = Ask::new(berth, pinned, index, attempt, client_end, request, count);
+        let mut ask = PendingRequest::new(berth, pinned, index, attempt, client_end, request, count);
         let Some(engine) = &mut self.engine else { return };
         ask.multiget = engine.take(now, asker, client_end, asked);
         self.by_multiget.insert(ask.multiget, asker);
@@ -182,12 +182,18 @@
     /// Whether a request that the module breaks off never went out, and never will. Guards against a 502 or 504 where
     /// nothing can have run, and against a promise where something may: only a connection that never came up counts
     /// as one on which nothing was sent, and it is closed before the promise is made.
-    fn withdrawn<P: Ports>(&mut self, now: Nanos, asker: AskerId, verdict: &Verdict, ports: &mut P) -> bool {
+    fn withdrawn<P: Network>(
+        &mut self,
+        now: Nanos,
+        asker: AskerId,
+        verdict: &Verdict,
+        ports: &mut P,
+    ) -> bool {
         let Some(ask) = self.asks.get(&asker).filter(|_| *verdict == Verdict::BrokenOff) else {
             return false;
         };
-        let planted = self.plant == Some(Plant::PromiseAfterGone);
-        let never_up = |berth: &Berth| ports.is_opening(*berth) || planted && !ports.is_open(*berth);
+        let planted = self.plant == Some(SeededBug::PromiseAfterGone);
+        let never_up = |berth: &ConnectionId| ports.is_opening(*berth) || planted && !ports.is_open(*berth);
         if ask.offered || !ask.opening.iter().all(never_up) {
             return false;
         }
@@ -196,7 +202,7 @@
         true
     }
 
-    pub(super) fn answer<P: Ports>(&mut self, now: Nanos, asker: AskerId, verdict: Verdict, ports: &mut P) {
+    pub(super) fn answer<P: Network>(&mut self, now: Nanos, asker: AskerId, verdict: Verdict, ports: &mut P) {
         let never_sent = self.withdrawn(now, asker, &verdict, ports);
         let Some(ask) = self.asks.remove(&asker) else { return };
         self.by_multiget.remove(&ask.multiget);
@@ -205,7 +211,7 @@
         let keep = client.keep && !client.old && self.stopping.is_none();
         (client.asker, client.since, client.bodiless) = (None, now, false);
         let verdict = match (verdict, self.plant) {
-            (Verdict::BrokenOff, Some(Plant::PromiseAfterHandOff)) => Verdict::Dismissed { wait: None },
+            (Verdict::BrokenOff, Some(SeededBug::PromiseAfterHandOff)) => Verdict::Dismissed { wait: None },
             (Verdict::BrokenOff, _) if never_sent => Verdict::Dismissed { wait: None },
             (verdict, _) => verdict,
         };
@@ -217,7 +223,7 @@
                 let wait = wait.unwrap_or(Nanos::from_millis(TICK_MS)).as_millis() / 1e3;
                 let headers =
                     vec![(wire::ATTEMPT, ask.attempt.clone()), ("Retry-After", format!("{wait:.3}"))];
-                Final { status: 503, headers, body: b"", length: None }
+                FinalResponse { status: 503, headers, body: b"", length: None }
             }
             Verdict::BrokenOff => ask.failed(late),
         };
--- a/crates/fernknot-gateway/src/gateway/upstream.rs
+++ b/crates/fernknot-gateway/src/gateway/upstream.rs
@@ -1,27 +1,32 @@
 //! The nodes' side of a gateway: which nodes there are, what is handed to them, and what comes back.
 
-use super::{Gateway, Plant, zone_of};
-use crate::asks::{Verdict, judge, wire};
-use crate::lines::Heard;
+use super::{Gateway, SeededBug, zone_of};
+use crate::asks::{ResponseClass, judge, wire};
+use crate::lines::ReadOutcome;
 use fernknot::interface::*;
-use fernknot_net::{Berth, Ports};
+use fernknot_net::{ConnectionId, Network};
 use fernknot_protocol::http::Response;
-use fernknot_registry::{NodeFact, NodeState};
+use fernknot_registry::{NodeRecord, NodeState};
 use std::collections::BTreeMap;
 
 impl Gateway {
-    pub(super) fn relist_all<P: Ports>(&mut self, now: Nanos, ports: &mut P) {
+    pub(super) fn relist_all<P: Network>(&mut self, now: Nanos, ports: &mut P) {
         let services: Vec<String> = self.pool.services().map(str::to_string).collect();
         self.relist_of(now, services, ports);
     }
 
-    pub(super) fn relist<P: Ports>(&mut self, now: Nanos, ports: &mut P) {
+    pub(super) fn relist<P: Network>(&mut self, now: Nanos, ports: &mut P) {
         let services = self.pool.take_changed();
         self.relist_of(now, services, ports);
     }
 
     /// Tells the module what differs in the lists of these services.
-    fn relist_of<P: Ports>(&mut self, now: Nanos, services: impl IntoIterator<Item = String>, ports: &mut P) {
+    fn relist_of<P: Network>(
+        &mut self,
+        now: Nanos,
+        services: impl IntoIterator<Item = String>,
+        ports: &mut P,
+    ) {
         if self.engine.is_none() {
             return;
         }
@@ -93,16 +98,27 @@
 
     /// Gives up connections that are not up yet. Nothing of what they carry has been sent. Guards against taking one
     /// that was up and is gone, of which this turn has still to tell, for one that never was.
-    pub(super) fn give_up_unopened<P: Ports>(&mut self, now: Nanos, lines: Vec<Berth>, ports: &mut P) {
+    pub(super) fn give_up_unopened<P: Network>(
+        &mut self,
+        now: Nanos,
+        lines: Vec<ConnectionId>,
+        ports: &mut P,
+    ) {
         for berth in lines {
-            let planted = self.plant == Some(Plant::GoneIsUnopened) && !ports.is_open(berth);
+            let planted = self.plant == Some(SeededBug::GoneIsUnopened) && !ports.is_open(berth);
             if ports.is_opening(berth) || planted {
                 self.line_lost(now, berth, Outcome::Unreachable, ports);
             }
         }
     }
 
-    pub(super) fn line_lost<P: Ports>(&mut self, now: Nanos, berth: Berth, outcome: Outcome, ports: &mut P) {
+    pub(super) fn line_lost<P: Network>(
+        &mut self,
+        now: Nanos,
+        berth: ConnectionId,
+        outcome: Outcome,
+        ports: &mut P,
+    ) {
         ports.close(berth);
         let Some((part, no)) = self.lines.lost(berth) else { return };
         if outcome == Outcome::Unreachable {
@@ -114,56 +130,64 @@
     }
 
     /// A connection that was begun for this part never came up, and is closed.
-    pub(super) fn never_opened(&mut self, part: PartId, berth: Berth) {
+    pub(super) fn never_opened(&mut self, part: PartId, berth: ConnectionId) {
         let ask = self.by_multiget.get(&part.of).and_then(|asker| self.asks.get_mut(asker));
         ask.into_iter().for_each(|ask| ask.opening.retain(|opening| *opening != berth));
     }
 
-    pub(super) fn line_came<P: Ports>(&mut self, now: Nanos, berth: Berth, ended: bool, ports: &mut P) {
+    pub(super) fn line_came<P: Network>(
+        &mut self,
+        now: Nanos,
+        berth: ConnectionId,
+        ended: bool,
+        ports: &mut P,
+    ) {
         let Some(input) = ports.input(berth) else { return };
         match self.lines.read(berth, input, ended, &self.limits) {
-            Heard::Nothing => {}
-            Heard::Spoilt => {
+            ReadOutcome::Nothing => {}
+            ReadOutcome::Spoilt => {
                 self.counters.spoilt += 1;
                 self.line_lost(now, berth, Outcome::Broken, ports);
             }
-            Heard::Answer { part, no, node, response } => {
+            ReadOutcome::Answer { part, no, node, response } => {
                 self.answered(now, berth, (part, no), node, response, ports)
             }
         }
     }
 
     /// Takes the answer that had come whole when a connection went.
-    pub(super) fn line_rest<P: Ports>(&mut self, now: Nanos, berth: Berth, ports: &mut P) {
+    pub(super) fn line_rest<P: Network>(&mut self, now: Nanos, berth: ConnectionId, ports: &mut P) {
         let Some(rest) = ports.take_rest(berth) else { return };
-        if let Heard::Answer { part, no, node, response } = self.lines.read_rest(berth, rest, &self.limits) {
+        if let ReadOutcome::Answer { part, no, node, response } =
+            self.lines.read_rest(berth, rest, &self.limits)
+        {
             self.answered(now, berth, (part, no), node, response, ports);
         }
     }
 
-    fn answered<P: Ports>(
+    fn answered<P: Network>(
         &mut self,
         now: Nanos,
-        berth: Berth,
+        berth: ConnectionId,
         (part, no): (PartId, HandOffNo),
         node: NodeId,
         mut response: Response,
         ports: &mut P,
     ) {
-        response.framed |= self.plant == Some(Plant::CutShortIsWhole);
+        response.framed |= self.plant == Some(SeededBug::CutShortIsWhole);
         if let Some(told) = response.header("keep-alive").and_then(timeout) {
             // Closed a little before the node would, so that nothing is sent into a closing line.
             self.line_idle = Nanos::from_millis(told as f64 * 1e3).times(0.75);
         }
         let ask = self.by_multiget.get(&part.of).and_then(|asker| self.asks.get_mut(asker));
         let verdict = match &ask {
-            Some(_) if self.plant == Some(Plant::MatchByConnection) => {
+            Some(_) if self.plant == Some(SeededBug::MatchByConnection) => {
                 judge(&response, response.header(wire::ATTEMPT).unwrap_or_default())
             }
             Some(ask) => judge(&response, &ask.attempt),
-            None => Verdict::Failed,
+            None => ResponseClass::Failed,
         };
-        if verdict == Verdict::Stray {
+        if verdict == ResponseClass::Stray {
             self.counters.strays += 1;
             self.lines.lost(berth);
             ports.close(berth);
@@ -173,40 +197,40 @@
         let Some(engine) = &mut self.engine else { return };
         let report = LoadReport::default();
         match verdict {
-            Verdict::Part => {
+            ResponseClass::Part => {
                 if let Some(ask) = ask {
                     ask.keep(part.index, response);
                 }
                 engine.answered(now, part, no, String::new(), report);
             }
-            Verdict::NotRun { stranger } => {
+            ResponseClass::NotRun { stranger } => {
                 engine.ended(now, part, no, Outcome::TurnedAway, report);
                 if stranger {
                     self.counters.strangers += 1;
                     self.stranger(now, node, ports);
                 }
             }
-            Verdict::Failed => {
+            ResponseClass::Failed => {
                 if let Some(ask) = ask {
                     ask.keep_failure(response);
                 }
                 engine.ended(now, part, no, Outcome::Error, report);
             }
-            Verdict::Stray => engine.ended(now, part, no, Outcome::Broken, report),
+            ResponseClass::Stray => engine.ended(now, part, no, Outcome::Broken, report),
         }
     }
 
     /// Another life answers at this address: the one that was meant is gone.
-    fn stranger<P: Ports>(&mut self, now: Nanos, node: NodeId, ports: &mut P) {
+    fn stranger<P: Network>(&mut self, now: Nanos, node: NodeId, ports: &mut P) {
         let Some(life) = self.lines.place(node).map(|place| place.life.clone()) else { return };
         if let Some(fact) = self.pool.get(&life).cloned() {
-            let gone = NodeFact { state: NodeState::Lost, ..fact };
+            let gone = NodeRecord { state: NodeState::Lost, ..fact };
             self.pool.take(now, &[gone]);
             self.relist(now, ports);
         }
     }
 
-    pub(super) fn send<P: Ports>(
+    pub(super) fn send<P: Network>(
         &mut self,
         now: Nanos,
         part: PartId,
@@ -233,7 +257,7 @@
                 berth
             }
         };
-        if self.plant != Some(Plant::SameLineAgain) {
+        if self.plant != Some(SeededBug::SameLineAgain) {
             ask.used.push(berth);
         }
         self.lines.bodiless(berth, ask.bodiless);
--- a/crates/fernknot-gateway/src/host.rs
+++ b/crates/fernknot-gateway/src/host.rs
@@ -1,9 +1,9 @@
 //! The program's host: sockets, clock, signals and the settings file around one [`Gateway`].
 
-use crate::gateway::{Doors, Gateway, inner_addr, links, seeds};
+use crate::gateway::{Gateway, ListenerIds, inner_addr, links, seeds};
 use fernknot::interface::Nanos;
-use fernknot_net::{Dock, DockFacts, NetError, Signals};
-use fernknot_schema::ProcessFacts;
+use fernknot_net::{EventLoop, EventLoopSettings, NetError, Signals};
+use fernknot_schema::ProcessSettings;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use thiserror::Error;
@@ -29,7 +29,7 @@
     name: String,
     zone: String,
     path: PathBuf,
-    dock: Dock,
+    dock: EventLoop,
     signals: Signals,
     start: Instant,
     brain: Gateway,
@@ -40,18 +40,19 @@
     ///
     /// # Errors
     /// Where the settings miss what a gateway needs, or the system refuses it.
-    pub fn new(facts: ProcessFacts, path: PathBuf, seed: u64) -> Result<Host, HostError> {
+    pub fn new(facts: ProcessSettings, path: PathBuf, seed: u64) -> Result<Host, HostError> {
         let system = |step| move |why| HostError::System { step, why };
         let silence = Duration::from_nanos((facts.bounds.apply_ms * 1e6) as u64);
-        let mut dock =
-            Dock::new(DockFacts { links: links(&facts), ahead: AHEAD, silence }).map_err(system("poll"))?;
+        let mut dock = EventLoop::new(EventLoopSettings { links: links(&facts), ahead: AHEAD, silence })
+            .map_err(system("poll"))?;
         let missing = |name: &str| HostError::Facts(format!("bind_addrs.{name} is missing"));
         let front = dock.listen(facts.bind_addrs.front_addr.ok_or_else(|| missing("front_addr"))?)?;
         let ready = dock.listen(facts.bind_addrs.ready_addr.ok_or_else(|| missing("ready_addr"))?)?;
         let inner = dock.listen(inner_addr(&facts))?;
         dock.listen_datagrams(inner_addr(&facts))?;
         let (name, zone) = (facts.node_name.clone(), facts.zone.clone());
-        let brain = Gateway::new(facts, Doors { front, ready, inner }, seed).map_err(HostError::Facts)?;
+        let brain =
+            Gateway::new(facts, ListenerIds { front, ready, inner }, seed).map_err(HostError::Facts)?;
         let signals = Signals::watch().map_err(system("watch for signals"))?;
         Ok(Host { name, zone, path, dock, signals, start: Instant::now(), brain })
     }
@@ -90,7 +91,7 @@
 
     fn reread(&mut self) {
         let Ok(bytes) = std::fs::read(&self.path) else { return };
-        match ProcessFacts::read(&bytes) {
+        match ProcessSettings::read(&bytes) {
             Ok(facts) => self.brain.seeds(&seeds(&facts)),
             Err(faults) => faults
                 .iter()
--- a/crates/fernknot-gateway/src/lines.rs
+++ b/crates/fernknot-gateway/src/lines.rs
@@ -1,14 +1,14 @@
 //! Connections to nodes: one request at a time on each, kept while they are sound.
 
 use fernknot::interface::*;
-use fernknot_net::{Berth, Buffer};
+use fernknot_net::{Buffer, ConnectionId};
 use fernknot_protocol::http::{Response, ResponseReader};
 use fernknot_router_config::Limits;
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
 /// A connection to a node.
-pub struct Line {
+pub struct NodeConnection {
     pub node: NodeId,
     /// The hand-off that it carries.
     pub carries: Option<(PartId, HandOffNo)>,
@@ -24,15 +24,15 @@
 }
 
 /// A life of a node as hand-offs need it.
-pub struct Place {
+pub struct NodeEndpoint {
     pub life: String,
     pub addr: SocketAddrV4,
-    idle: Vec<Berth>,
+    idle: Vec<ConnectionId>,
     open: usize,
 }
 
 /// What came on a line.
-pub enum Heard {
+pub enum ReadOutcome {
     /// Nothing whole yet.
     Nothing,
     Answer {
@@ -47,25 +47,25 @@
 
 /// All lines of a gateway.
 #[derive(Default)]
-pub struct Lines {
-    lines: HashMap<Berth, Line>,
-    places: HashMap<NodeId, Place>,
-    by_hand_off: HashMap<(PartId, HandOffNo), Berth>,
+pub struct NodeConnections {
+    lines: HashMap<ConnectionId, NodeConnection>,
+    places: HashMap<NodeId, NodeEndpoint>,
+    by_hand_off: HashMap<(PartId, HandOffNo), ConnectionId>,
 }
 
-impl Lines {
+impl NodeConnections {
     /// A life of a node that may be handed something.
     pub fn know(&mut self, node: NodeId, life: &str, addr: SocketAddrV4) {
-        let place = || Place { life: life.to_string(), addr, idle: Vec::new(), open: 0 };
+        let place = || NodeEndpoint { life: life.to_string(), addr, idle: Vec::new(), open: 0 };
         self.places.entry(node).or_insert_with(place).addr = addr;
     }
 
-    pub fn place(&self, node: NodeId) -> Option<&Place> {
+    pub fn place(&self, node: NodeId) -> Option<&NodeEndpoint> {
         self.places.get(&node)
     }
 
     /// A life that is gone: its idle lines come back, to be closed. What is under way goes on.
-    pub fn forget(&mut self, node: NodeId) -> Vec<Berth> {
+    pub fn forget(&mut self, node: NodeId) -> Vec<ConnectionId> {
         let idle = self.places.remove(&node).map(|place| place.idle).unwrap_or_default();
         idle.iter().for_each(|berth| _ = self.lines.remove(berth));
         self.lines.values_mut().filter(|line| line.node == node).for_each(|line| line.spent = true);
@@ -73,7 +73,7 @@
     }
 
     /// Idle lines of a node come back, to be closed; those in use are not used again.
-    pub fn renew(&mut self, node: NodeId) -> Vec<Berth> {
+    pub fn renew(&mut self, node: NodeId) -> Vec<ConnectionId> {
         let Some(place) = self.places.get_mut(&node) else { return Vec::new() };
         let idle = std::mem::take(&mut place.idle);
         place.open -= idle.len().min(place.open);
@@ -97,7 +97,12 @@
 
     /// An idle line to a node, the one used last; those past their time come back too, to be closed. Lines in `used`
     /// stay idle.
-    pub fn idle(&mut self, now: Nanos, node: NodeId, used: &[Berth]) -> (Option<Berth>, Vec<Berth>) {
+    pub fn idle(
+        &mut self,
+        now: Nanos,
+        node: NodeId,
+        used: &[ConnectionId],
+    ) -> (Option<ConnectionId>, Vec<ConnectionId>) {
         let mut past = Vec::new();
         let Some(place) = self.places.get_mut(&node) else { return (None, past) };
         while let Some(at) = place.idle.iter().rposition(|berth| !used.contains(berth)) {
@@ -116,30 +121,30 @@
     }
 
     /// Lines that have been idle for too long, to be closed.
-    pub fn stale(&mut self, now: Nanos) -> Vec<Berth> {
-        let is_stale = |line: &Line| line.carries.is_none() && line.until <= now;
+    pub fn stale(&mut self, now: Nanos) -> Vec<ConnectionId> {
+        let is_stale = |line: &NodeConnection| line.carries.is_none() && line.until <= now;
         let stale = self.sorted(is_stale);
         stale.iter().for_each(|berth| _ = self.lost(*berth));
         stale
     }
 
     /// Lines that carry something to one node, or to any, and were begun so long ago.
-    pub fn carrying(&self, node: Option<NodeId>, before: Nanos) -> Vec<Berth> {
-        let meant = |line: &Line| node.is_none_or(|node| line.node == node) && line.since <= before;
+    pub fn carrying(&self, node: Option<NodeId>, before: Nanos) -> Vec<ConnectionId> {
+        let meant = |line: &NodeConnection| node.is_none_or(|node| line.node == node) && line.since <= before;
         self.sorted(|line| line.carries.is_some() && meant(line))
     }
 
     /// In the order in which they were begun, so that a run can be played again.
-    fn sorted(&self, wanted: impl Fn(&Line) -> bool) -> Vec<Berth> {
+    fn sorted(&self, wanted: impl Fn(&NodeConnection) -> bool) -> Vec<ConnectionId> {
         let wanted = self.lines.iter().filter(|(_, line)| wanted(line));
-        let mut berths: Vec<Berth> = wanted.map(|(berth, _)| *berth).collect();
+        let mut berths: Vec<ConnectionId> = wanted.map(|(berth, _)| *berth).collect();
         berths.sort();
         berths
     }
 
     /// A new line, which carries a hand-off.
-    pub fn add(&mut self, now: Nanos, berth: Berth, node: NodeId, part: PartId, no: HandOffNo) {
-        let line = Line {
+    pub fn add(&mut self, now: Nanos, berth: ConnectionId, node: NodeId, part: PartId, no: HandOffNo) {
+        let line = NodeConnection {
             node,
             carries: Some((part, no)),
             reader: ResponseReader::default(),
@@ -156,7 +161,7 @@
     }
 
     /// An idle line takes a hand-off.
-    pub fn carry(&mut self, berth: Berth, part: PartId, no: HandOffNo) {
+    pub fn carry(&mut self, berth: ConnectionId, part: PartId, no: HandOffNo) {
         if let Some(line) = self.lines.get_mut(&berth) {
             line.carries = Some((part, no));
             self.by_hand_off.insert((part, no), berth);
@@ -164,22 +169,22 @@
     }
 
     /// Whether the answer to what this line carries has no body.
-    pub fn bodiless(&mut self, berth: Berth, bodiless: bool) {
+    pub fn bodiless(&mut self, berth: ConnectionId, bodiless: bool) {
         if let Some(line) = self.lines.get_mut(&berth) {
             line.bodiless = bodiless;
         }
     }
 
-    pub fn carrier(&self, part: PartId, no: HandOffNo) -> Option<Berth> {
+    pub fn carrier(&self, part: PartId, no: HandOffNo) -> Option<ConnectionId> {
         self.by_hand_off.get(&(part, no)).copied()
     }
 
-    pub fn is_line(&self, berth: Berth) -> bool {
+    pub fn is_line(&self, berth: ConnectionId) -> bool {
         self.lines.contains_key(&berth)
     }
 
     /// The line is gone or to be closed; what it carried comes back.
-    pub fn lost(&mut self, berth: Berth) -> Option<(PartId, HandOffNo)> {
+    pub fn lost(&mut self, berth: ConnectionId) -> Option<(PartId, HandOffNo)> {
         let line = self.lines.remove(&berth)?;
         if let Some(place) = self.places.get_mut(&line.node) {
             place.idle.retain(|idle| *idle != berth);
@@ -189,10 +194,16 @@
     }
 
     /// Reads what came. Guards against bytes that belong to no request: a line that shows any is spoilt.
-    pub fn read(&mut self, berth: Berth, input: &mut Buffer, ended: bool, limits: &Limits) -> Heard {
-        let Some(line) = self.lines.get_mut(&berth) else { return Heard::Nothing };
+    pub fn read(
+        &mut self,
+        berth: ConnectionId,
+        input: &mut Buffer,
+        ended: bool,
+        limits: &Limits,
+    ) -> ReadOutcome {
+        let Some(line) = self.lines.get_mut(&berth) else { return ReadOutcome::Nothing };
         let Some((part, no)) = line.carries else {
-            return if input.is_empty() && !ended { Heard::Nothing } else { Heard::Spoilt };
+            return if input.is_empty() && !ended { ReadOutcome::Nothing } else { ReadOutcome::Spoilt };
         };
         let read = match line.bodiless {
             true => line.reader.read_bodiless(input, limits),
@@ -203,25 +214,25 @@
                 line.spent |= !response.keep || !input.is_empty() || ended;
                 line.carries = None;
                 self.by_hand_off.remove(&(part, no));
-                Heard::Answer { part, no, node: line.node, response }
+                ReadOutcome::Answer { part, no, node: line.node, response }
             }
-            Ok(None) if !ended => Heard::Nothing,
-            _ => Heard::Spoilt,
+            Ok(None) if !ended => ReadOutcome::Nothing,
+            _ => ReadOutcome::Spoilt,
         }
     }
 
     /// A line that is gone: a whole answer that had come before. Guards against one that is whole and thrown away, and
     /// against taking the connection's end for an answer's. The line serves no further.
-    pub fn read_rest(&mut self, berth: Berth, mut rest: Buffer, limits: &Limits) -> Heard {
+    pub fn read_rest(&mut self, berth: ConnectionId, mut rest: Buffer, limits: &Limits) -> ReadOutcome {
         let Some(line) = self.lines.get_mut(&berth).filter(|line| line.carries.is_some()) else {
-            return Heard::Nothing;
+            return ReadOutcome::Nothing;
         };
         line.spent = true;
         self.read(berth, &mut rest, false, limits)
     }
 
     /// After an answer: the line waits for the next hand-off until then, or is to be closed.
-    pub fn rest(&mut self, berth: Berth, until: Nanos) -> bool {
+    pub fn rest(&mut self, berth: ConnectionId, until: Nanos) -> bool {
         let Some(line) = self.lines.get_mut(&berth) else { return false };
         let place = self.places.get_mut(&line.node).filter(|_| !line.spent);
         match place {
--- a/crates/fernknot-gateway/src/main.rs
+++ b/crates/fernknot-gateway/src/main.rs
@@ -1,6 +1,6 @@
 //! `fernknot-gateway`: one gateway of the system's data plane.
 
-use fernknot_schema::ProcessFacts;
+use fernknot_schema::ProcessSettings;
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -48,7 +48,7 @@
             return ExitCode::from(2);
         }
     };
-    let facts = match ProcessFacts::read(&bytes) {
+    let facts = match ProcessSettings::read(&bytes) {
         Ok(facts) => facts,
         Err(faults) => {
             faults.iter().for_each(|fault| eprintln!("settings: {}: {}", fault.place, fault.why));
--- a/crates/fernknot-gateway/src/routes.rs
+++ b/crates/fernknot-gateway/src/routes.rs
@@ -2,18 +2,18 @@
 
 use fernknot::decide::{LATE_SHARE, earnings};
 use fernknot::interface::*;
-use fernknot_schema::{Class, Route, RouteTable, RoutingConfig, Target};
+use fernknot_schema::{Route, RouteTable, RouteTarget, RoutingConfig, TrafficClass};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// One version, with the module's names for what it names.
-pub struct Pinned {
+pub struct ConfigSnapshot {
     pub order: u64,
     pub plan: RoutingConfig,
     table: RouteTable,
     use_cases: Vec<UseCaseId>,
 }
 
-impl Pinned {
+impl ConfigSnapshot {
     /// The route of a request, by its place in the plan.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         self.table.find(host, path)
@@ -30,16 +30,16 @@
     /// The services that its routes name, some of them more than once.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.plan.routes.iter().flat_map(|route| match &route.to {
-            Target::Backend(service) => vec![service.as_str()],
-            Target::Shares(shares) => shares.iter().map(|(service, _)| service.as_str()).collect(),
-            Target::Fanout { shards, .. } => shards.iter().map(String::as_str).collect(),
+            RouteTarget::Backend(service) => vec![service.as_str()],
+            RouteTarget::Shares(shares) => shares.iter().map(|(service, _)| service.as_str()).collect(),
+            RouteTarget::Fanout { shards, .. } => shards.iter().map(String::as_str).collect(),
         })
     }
 }
 
 /// The module's numbers for services and routes, over all versions of the configuration.
 #[derive(Default)]
-pub struct Names {
+pub struct EngineIds {
     shards: HashMap<String, ShardId>,
     /// Since when the services that have a number and are not in use were seen not to be.
     unused: HashMap<String, Nanos>,
@@ -49,7 +49,7 @@
     /// Of shards that one route gathers from, whose work is alike, the first.
     groups: HashMap<ShardId, u32>,
     /// What was measured of a route holds while its key does.
-    cases: HashMap<Key, UseCaseId>,
+    cases: HashMap<UseCaseKey, UseCaseId>,
     free: Vec<UseCaseId>,
     /// Those of routes that are gone, until nothing of them can be in hand any more.
     leaving: BTreeMap<(Nanos, UseCaseId), ()>,
@@ -58,11 +58,11 @@
 
 /// Host, prefix, class and quorum. Guards what is open by an earlier version: the module judges it by the facts of
 /// its number, so that other needs or effects have another number.
-type Key = (String, String, Class, u64);
+type UseCaseKey = (String, String, TrafficClass, u64);
 
-fn key_of(route: &Route) -> Key {
+fn key_of(route: &Route) -> UseCaseKey {
     let quorum = match &route.to {
-        Target::Fanout { quorum, .. } => quorum.to_bits(),
+        RouteTarget::Fanout { quorum, .. } => quorum.to_bits(),
         _ => 1.0f64.to_bits(),
     };
     (route.authority.clone(), route.path_prefix.clone(), route.traffic_class, quorum)
@@ -71,16 +71,17 @@
 /// What a route asks of the module.
 pub fn facts_of(route: &Route) -> UseCaseFacts {
     let floor = match &route.to {
-        Target::Fanout { quorum, .. } => *quorum,
+        RouteTarget::Fanout { quorum, .. } => *quorum,
         _ => 1.0,
     };
-    let effect = if route.traffic_class == Class::Mutating { Effect::SingleUse } else { Effect::Replayable };
+    let effect =
+        if route.traffic_class == TrafficClass::Mutating { Effect::SingleUse } else { Effect::Replayable };
     UseCaseFacts {
         goal: Nanos::from_millis(route.target_ms as f64),
         hard_limit: Nanos::from_millis(route.deadline_ms as f64),
         earnings: earnings(route.rank),
         late_share: LATE_SHARE,
-        squared: matches!(route.to, Target::Fanout { .. }),
+        squared: matches!(route.to, RouteTarget::Fanout { .. }),
         effect,
         stretch: 0.0,
         need: 1.0,
@@ -90,7 +91,7 @@
     }
 }
 
-impl Names {
+impl EngineIds {
     pub fn shard(&mut self, service: &str) -> ShardId {
         if let Some(shard) = self.shards.get(service) {
             return *shard;
@@ -133,7 +134,7 @@
         order: u64,
         plan: RoutingConfig,
         keep: Nanos,
-    ) -> (Pinned, Vec<(UseCaseId, UseCaseFacts)>, Vec<UseCaseId>) {
+    ) -> (ConfigSnapshot, Vec<(UseCaseId, UseCaseFacts)>, Vec<UseCaseId>) {
         let mut freed = Vec::new();
         while let Some(((at, case), ())) = self.leaving.first_key_value() {
             if *at > now {
@@ -165,13 +166,13 @@
         facts.sort_by_key(|(case, _)| *case);
         self.groups.clear();
         for route in &plan.routes {
-            if let Target::Fanout { shards, .. } = &route.to {
+            if let RouteTarget::Fanout { shards, .. } = &route.to {
                 let shards: Vec<ShardId> = shards.iter().map(|name| self.shard(name)).collect();
                 let first = shards.iter().min().map_or(0, |shard| shard.0 + 1);
                 shards.into_iter().for_each(|shard| _ = self.groups.entry(shard).or_insert(first));
             }
         }
         let table = RouteTable::new(&plan);
-        (Pinned { order, plan, table, use_cases }, facts, freed)
+        (ConfigSnapshot { order, plan, table, use_cases }, facts, freed)
     }
 }
--- a/crates/fernknot-gateway/tests/answers.rs
+++ b/crates/fernknot-gateway/tests/answers.rs
@@ -4,27 +4,27 @@
 
 use common::{buffer, limits, request, response};
 use fernknot::interface::*;
-use fernknot_gateway::asks::{Ask, Verdict, judge};
-use fernknot_gateway::lines::{Heard, Lines};
-use fernknot_gateway::routes::{Names, Pinned};
-use fernknot_net::{Berth, Buffer};
-use fernknot_schema::{Class, ClientLimits, Route, RoutingConfig, Target};
+use fernknot_gateway::asks::{PendingRequest, ResponseClass, judge};
+use fernknot_gateway::lines::{NodeConnections, ReadOutcome};
+use fernknot_gateway::routes::{ConfigSnapshot, EngineIds};
+use fernknot_net::{Buffer, ConnectionId};
+use fernknot_schema::{ClientLimits, Route, RouteTarget, RoutingConfig, TrafficClass};
 use std::rc::Rc;
 use test_case::test_case;
 
 const OWN: &str = "Attempt-Id: a1\r\n";
 const SEALED: &str = "Attempt-Id: a1\r\nAnswer-Seal: s\r\n";
 
-#[test_case("200 OK", SEALED, Verdict::Part; "a success with its seal")]
-#[test_case("200 OK", OWN, Verdict::Failed; "a success without a seal")]
-#[test_case("200 OK", "Attempt-Id: a1\r\nAnswer-Seal: s\r\nContent-Encoding: gzip\r\n", Verdict::Failed; "coded bytes")]
-#[test_case("200 OK", "Attempt-Id: a0\r\nAnswer-Seal: s\r\n", Verdict::Stray; "the late answer to another try")]
-#[test_case("200 OK", "Answer-Seal: s\r\n", Verdict::Stray; "an answer to nobody knows what")]
-#[test_case("500 Oops", SEALED, Verdict::Failed; "a failure that bears a seal")]
-#[test_case("503 Full", "Attempt-Id: a1\r\nNot-Executed: 1\r\n", Verdict::NotRun { stranger: false }; "turned away")]
-#[test_case("503 Full", OWN, Verdict::Failed; "a 503 that does not say so may have run")]
-#[test_case("421 Other", OWN, Verdict::NotRun { stranger: true }; "another life at the address")]
-fn given_a_head_then_its_worth_is(status: &str, headers: &str, wanted: Verdict) {
+#[test_case("200 OK", SEALED, ResponseClass::Part; "a success with its seal")]
+#[test_case("200 OK", OWN, ResponseClass::Failed; "a success without a seal")]
+#[test_case("200 OK", "Attempt-Id: a1\r\nAnswer-Seal: s\r\nContent-Encoding: gzip\r\n", ResponseClass::Failed; "coded bytes")]
+#[test_case("200 OK", "Attempt-Id: a0\r\nAnswer-Seal: s\r\n", ResponseClass::Stray; "the late answer to another try")]
+#[test_case("200 OK", "Answer-Seal: s\r\n", ResponseClass::Stray; "an answer to nobody knows what")]
+#[test_case("500 Oops", SEALED, ResponseClass::Failed; "a failure that bears a seal")]
+#[test_case("503 Full", "Attempt-Id: a1\r\nNot-Executed: 1\r\n", ResponseClass::NotRun { stranger: false }; "turned away")]
+#[test_case("503 Full", OWN, ResponseClass::Failed; "a 503 that does not say so may have run")]
+#[test_case("421 Other", OWN, ResponseClass::NotRun { stranger: true }; "another life at the address")]
+fn given_a_head_then_its_worth_is(status: &str, headers: &str, wanted: ResponseClass) {
     let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 2\r\n\r\nok");
     assert_eq!(judge(&response(&text), "a1"), wanted);
 }
@@ -32,15 +32,15 @@
 #[test]
 fn given_a_success_whose_end_no_head_tells_then_it_is_no_part() {
     let text = format!("HTTP/1.1 200 OK\r\n{SEALED}\r\ncut sho");
-    assert_eq!(judge(&response(&text), "a1"), Verdict::Failed);
+    assert_eq!(judge(&response(&text), "a1"), ResponseClass::Failed);
 }
 
-fn plan(to: Target) -> RoutingConfig {
+fn plan(to: RouteTarget) -> RoutingConfig {
     let route = Route {
         name: "r".into(),
         authority: "h.example".into(),
         path_prefix: "/a/".into(),
-        traffic_class: Class::Idempotent,
+        traffic_class: TrafficClass::Idempotent,
         deadline_ms: 600,
         target_ms: 60,
         rank: 0,
@@ -50,16 +50,16 @@
     RoutingConfig { epoch: 1, routes: vec![route], services: Vec::new(), limits: ClientLimits::default() }
 }
 
-fn pinned(to: Target) -> Rc<Pinned> {
-    Rc::new(Names::default().pin(Nanos(0), 1, plan(to), Nanos(0)).0)
+fn pinned(to: RouteTarget) -> Rc<ConfigSnapshot> {
+    Rc::new(EngineIds::default().pin(Nanos(0), 1, plan(to), Nanos(0)).0)
 }
 
-fn ask(to: Target, text: &str, parts: usize) -> Ask {
-    Ask::new(Berth(7), pinned(to), 0, "a1".into(), Nanos(600), request(text), parts)
+fn ask(to: RouteTarget, text: &str, parts: usize) -> PendingRequest {
+    PendingRequest::new(ConnectionId(7), pinned(to), 0, "a1".into(), Nanos(600), request(text), parts)
 }
 
-fn shards(count: usize, quorum: f64) -> Target {
-    Target::Fanout { shards: (0..count).map(|shard| format!("s{shard}")).collect(), top_k: 2, quorum }
+fn shards(count: usize, quorum: f64) -> RouteTarget {
+    RouteTarget::Fanout { shards: (0..count).map(|shard| format!("s{shard}")).collect(), top_k: 2, quorum }
 }
 
 fn part(seal: &str, records: &str) -> String {
@@ -73,7 +73,7 @@
 fn given_a_request_then_nodes_get_all_of_it_but_what_concerns_one_connection() {
     let text = "POST /a/b?c=d HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a1\r\nDeadline-Ms: 600\r\n\
                 Connection: close\r\nTarget-Node: forged\r\nX-Own: kept\r\nContent-Length: 4\r\n\r\nbody";
-    let ask = ask(Target::Backend("s".into()), text, 1);
+    let ask = ask(RouteTarget::Backend("s".into()), text, 1);
     let mut out = Buffer::default();
     ask.send(&mut out, "i-1", Nanos(42_900_000));
     let sent = String::from_utf8(out.data().to_vec()).unwrap();
@@ -114,14 +114,15 @@
 #[test_case(429, 502; "nor is this one")]
 fn given_a_node_that_failed_then_the_client_gets(node: u16, client: u16) {
     let text = "GET /a/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a1\r\n\r\n";
-    let mut ask = ask(Target::Backend("s".into()), text, 1);
+    let mut ask = ask(RouteTarget::Backend("s".into()), text, 1);
     ask.keep_failure(response(&format!("HTTP/1.1 {node} Oops\r\n{SEALED}Content-Length: 2\r\n\r\nno")));
     assert_eq!(ask.failed(502).status, client);
 }
 
 /// A line that carries the first hand-off of a part.
-fn line() -> (Lines, Berth, PartId) {
-    let (mut lines, berth, part) = (Lines::default(), Berth(3), PartId { of: MultigetId(1), index: 0 });
+fn line() -> (NodeConnections, ConnectionId, PartId) {
+    let (mut lines, berth, part) =
+        (NodeConnections::default(), ConnectionId(3), PartId { of: MultigetId(1), index: 0 });
     lines.know(NodeId(1), "i-1", "10.0.0.1:80".parse().unwrap());
     lines.add(Nanos(0), berth, NodeId(1), part, HandOffNo(0));
     (lines, berth, part)
@@ -131,7 +132,7 @@
 fn given_a_whole_answer_then_the_line_serves_again() {
     let (mut lines, berth, _) = line();
     let mut input = buffer(&part("s", "0000000000000001"));
-    assert!(matches!(lines.read(berth, &mut input, false, &limits()), Heard::Answer { .. }));
+    assert!(matches!(lines.read(berth, &mut input, false, &limits()), ReadOutcome::Answer { .. }));
     assert!(lines.rest(berth, Nanos(10)));
     assert_eq!(lines.idle(Nanos(5), NodeId(1), &[]).0, Some(berth));
 }
@@ -142,14 +143,14 @@
     lines.read(berth, &mut buffer(&part("s", "0000000000000001")), false, &limits());
     assert!(lines.rest(berth, Nanos(10)));
     assert_eq!(lines.idle(Nanos(5), NodeId(1), &[berth]), (None, vec![]));
-    assert_eq!(lines.idle(Nanos(5), NodeId(1), &[Berth(4)]).0, Some(berth));
+    assert_eq!(lines.idle(Nanos(5), NodeId(1), &[ConnectionId(4)]).0, Some(berth));
 }
 
 #[test]
 fn given_bytes_behind_an_answer_then_the_line_is_not_used_again() {
     let (mut lines, berth, _) = line();
     let mut input = buffer(&(part("s", "0000000000000001") + "HTTP/1.1 200 OK\r\n"));
-    assert!(matches!(lines.read(berth, &mut input, false, &limits()), Heard::Answer { .. }));
+    assert!(matches!(lines.read(berth, &mut input, false, &limits()), ReadOutcome::Answer { .. }));
     assert!(!lines.rest(berth, Nanos(10)));
 }
 
@@ -157,7 +158,7 @@
 #[test_case("not an answer at all\r\n\r\n", false; "bytes that form none")]
 fn given_no_answer_then_the_line_is_spoilt(text: &str, ended: bool) {
     let (mut lines, berth, part) = line();
-    assert!(matches!(lines.read(berth, &mut buffer(text), ended, &limits()), Heard::Spoilt));
+    assert!(matches!(lines.read(berth, &mut buffer(text), ended, &limits()), ReadOutcome::Spoilt));
     assert_eq!(lines.lost(berth), Some((part, HandOffNo(0))));
 }
 
@@ -168,13 +169,13 @@
     lines.read(berth, &mut input, false, &limits());
     lines.rest(berth, Nanos(10));
     let mut late = buffer(&part("s", "0000000000000001"));
-    assert!(matches!(lines.read(berth, &mut late, false, &limits()), Heard::Spoilt));
+    assert!(matches!(lines.read(berth, &mut late, false, &limits()), ReadOutcome::Spoilt));
 }
 
 #[test]
 fn given_a_life_that_is_gone_then_its_idle_lines_are_closed_and_others_not_used_again() {
     let (mut lines, berth, _) = line();
-    let other = Berth(4);
+    let other = ConnectionId(4);
     lines.add(Nanos(0), other, NodeId(1), PartId { of: MultigetId(2), index: 0 }, HandOffNo(0));
     lines.read(other, &mut buffer(&part("s", "0000000000000001")), false, &limits());
     lines.rest(other, Nanos(10));
@@ -189,7 +190,7 @@
     next: RoutingConfig,
     stays: bool,
 ) {
-    let mut names = Names::default();
+    let mut names = EngineIds::default();
     let (first, _, _) = names.pin(Nanos(0), 1, plan(shards(4, 0.75)), Nanos(100));
     let (second, _, _) = names.pin(Nanos(10), 2, next, Nanos(100));
     assert_eq!(first.use_case(0) == second.use_case(0), stays);
@@ -197,7 +198,7 @@
 
 #[test]
 fn given_a_service_out_of_use_for_long_when_it_comes_back_then_its_number_is_another() {
-    let mut names = Names::default();
+    let mut names = EngineIds::default();
     let keep = Nanos(100);
     let first = names.shard("s");
     names.give_up(Nanos(10), keep, |_| false);
@@ -211,7 +212,7 @@
 
 #[test]
 fn given_a_service_used_again_in_time_then_its_number_stays() {
-    let mut names = Names::default();
+    let mut names = EngineIds::default();
     let keep = Nanos(100);
     let first = names.shard("s");
     names.give_up(Nanos(10), keep, |_| false);
@@ -223,11 +224,11 @@
 
 #[test]
 fn given_a_version_that_drops_a_route_then_its_number_is_free_only_once_nothing_of_it_is_in_hand() {
-    let mut names = Names::default();
+    let mut names = EngineIds::default();
     let keep = Nanos(100);
-    let (first, _, _) = names.pin(Nanos(0), 1, plan(Target::Backend("s".into())), keep);
+    let (first, _, _) = names.pin(Nanos(0), 1, plan(RouteTarget::Backend("s".into())), keep);
     let with = |prefix: &str| {
-        let mut plan = plan(Target::Backend("s".into()));
+        let mut plan = plan(RouteTarget::Backend("s".into()));
         plan.routes[0].path_prefix = prefix.into();
         plan
     };
--- a/crates/fernknot-gateway/tests/callers.rs
+++ b/crates/fernknot-gateway/tests/callers.rs
@@ -4,7 +4,7 @@
 mod stage;
 mod stories;
 
-use fernknot_gateway::Plant;
+use fernknot_gateway::SeededBug;
 use stage::Report;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -50,7 +50,7 @@
 }
 
 /// Plays seeds on several threads; what each gave comes back in their order.
-fn played(seeds: std::ops::Range<u64>, plant: Option<Plant>, logs: bool) -> Vec<(u64, Report)> {
+fn played(seeds: std::ops::Range<u64>, plant: Option<SeededBug>, logs: bool) -> Vec<(u64, Report)> {
     let next = AtomicU64::new(seeds.start);
     let play = || {
         let mut reports = Vec::new();
@@ -106,16 +106,16 @@
     }
 }
 
-#[test_case(Plant::MatchByConnection; "an answer is matched by its connection")]
-#[test_case(Plant::AgainAfterReset; "what may not be repeated is sent again after a reset")]
-#[test_case(Plant::AgainAfterSilence; "what may not be repeated is sent again after a silence")]
-#[test_case(Plant::PromiseAfterHandOff; "a promise is made though a node may have run it")]
-#[test_case(Plant::SameLineAgain; "a request goes again over a connection that carried it")]
-#[test_case(Plant::GoneIsUnopened; "a connection that is gone counts as one that never came up")]
-#[test_case(Plant::PromiseAfterGone; "a promise is made though the connection was up")]
-#[test_case(Plant::CutShortIsWhole; "an answer cut short counts as whole")]
-#[test_case(Plant::PipelinedAtOnce; "pipelined requests are answered in any order")]
-fn given_a_planted_break_when_seeds_are_played_then_it_is_found(plant: Plant) {
+#[test_case(SeededBug::MatchByConnection; "an answer is matched by its connection")]
+#[test_case(SeededBug::AgainAfterReset; "what may not be repeated is sent again after a reset")]
+#[test_case(SeededBug::AgainAfterSilence; "what may not be repeated is sent again after a silence")]
+#[test_case(SeededBug::PromiseAfterHandOff; "a promise is made though a node may have run it")]
+#[test_case(SeededBug::SameLineAgain; "a request goes again over a connection that carried it")]
+#[test_case(SeededBug::GoneIsUnopened; "a connection that is gone counts as one that never came up")]
+#[test_case(SeededBug::PromiseAfterGone; "a promise is made though the connection was up")]
+#[test_case(SeededBug::CutShortIsWhole; "an answer cut short counts as whole")]
+#[test_case(SeededBug::PipelinedAtOnce; "pipelined requests are answered in any order")]
+fn given_a_planted_break_when_seeds_are_played_then_it_is_found(plant: SeededBug) {
     let mut reports = played(0..WITHIN, Some(plant), false).into_iter();
     let found = reports.find(|(_, report)| !report.faults.is_empty());
     let found = found.map(|(seed, report)| (seed, report.faults[0].clone()));
--- a/crates/fernknot-gateway/tests/stage/checker.rs
+++ b/crates/fernknot-gateway/tests/stage/checker.rs
@@ -2,7 +2,7 @@
 //! and ran. It shares no code with what it judges.
 
 use fernknot::interface::Nanos;
-use fernknot_net::Berth;
+use fernknot_net::ConnectionId;
 use fernknot_simulator::wire::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -65,7 +65,7 @@
     promised: BTreeMap<usize, u16>,
     /// Hand-offs seen to leave the gateway over a connection that is up, and whether the node's word that it did not
     /// run it has come back.
-    offers: BTreeMap<usize, Vec<(Berth, bool)>>,
+    offers: BTreeMap<usize, Vec<(ConnectionId, bool)>>,
     /// Offered again although an earlier offer may have run.
     again: BTreeSet<usize>,
     /// Sets of shards that versions named, and services that versions let each kind go to.
@@ -95,7 +95,7 @@
     }
 
     /// A whole request left the gateway on a connection to a node that is up.
-    pub fn offered(&mut self, now: Nanos, berth: Berth, message: &Message) {
+    pub fn offered(&mut self, now: Nanos, berth: ConnectionId, message: &Message) {
         let Some(no) = self.find(message) else {
             return self.fault(format!("UNASKED: {} at {}", message.first, now.as_millis()));
         };
@@ -113,7 +113,7 @@
     }
 
     /// A node's own word that it did not run an offer has come back over its connection.
-    pub fn refused(&mut self, attempt: &str, berth: Berth) {
+    pub fn refused(&mut self, attempt: &str, berth: ConnectionId) {
         let Some(no) = self.by_attempt.get(attempt) else { return };
         let offers = self.offers.entry(*no).or_default();
         if let Some(offer) = offers.iter_mut().rev().find(|(at, refused)| *at == berth && !refused) {
--- a/crates/fernknot-gateway/tests/stage/clients.rs
+++ b/crates/fernknot-gateway/tests/stage/clients.rs
@@ -3,7 +3,7 @@
 use super::checker::{Asked, Kind};
 use super::{Arrival, Due, SENDING, Side, Stage, plans};
 use fernknot::interface::Nanos;
-use fernknot_net::Berth;
+use fernknot_net::ConnectionId;
 use fernknot_simulator::wire;
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
 }
 
 struct Conn {
-    berth: Berth,
+    berth: ConnectionId,
     input: Vec<u8>,
     /// Requests that wait for their answers, oldest first, and where on the connection each ends.
     waiting: VecDeque<(usize, usize)>,
@@ -86,7 +86,7 @@
         (self.checker.sends(asked), bytes)
     }
 
-    fn opens(&mut self, client: usize) -> Berth {
+    fn opens(&mut self, client: usize) -> ConnectionId {
         let berth = self.ports.name();
         self.sides.insert(berth, Side::Client(client));
         self.clients[client].conn = Some(Conn {
@@ -163,12 +163,12 @@
         }
     }
 
-    fn cut(&mut self, client: usize, berth: Berth, (from, to): (f64, f64), cut: Cut) {
+    fn cut(&mut self, client: usize, berth: ConnectionId, (from, to): (f64, f64), cut: Cut) {
         let wait = self.chance.millis(from, to);
         self.at(self.now + wait, Due::Cut(client, berth, cut));
     }
 
-    pub fn client_cuts(&mut self, client: usize, berth: Berth, cut: Cut) {
+    pub fn client_cuts(&mut self, client: usize, berth: ConnectionId, cut: Cut) {
         let Some(conn) = self.clients[client].conn.as_mut().filter(|conn| conn.berth == berth) else {
             return;
         };
@@ -190,7 +190,7 @@
     }
 
     /// The client leaves its connection, and goes on with a new one later.
-    fn client_ends(&mut self, client: usize, berth: Berth, how: Arrival) {
+    fn client_ends(&mut self, client: usize, berth: ConnectionId, how: Arrival) {
         self.clients[client].conn = None;
         let wait = self.chance.millis(0.1, 3.0);
         self.arrives(berth, wait, how);
@@ -205,7 +205,7 @@
         self.at(self.now + wait, Due::Client(client));
     }
 
-    pub fn client_gets(&mut self, client: usize, berth: Berth, bytes: &[u8]) {
+    pub fn client_gets(&mut self, client: usize, berth: ConnectionId, bytes: &[u8]) {
         let Some(conn) = self.clients[client].conn.as_mut().filter(|conn| conn.berth == berth) else {
             return;
         };
@@ -249,7 +249,7 @@
         }
     }
 
-    pub fn client_sees_end(&mut self, client: usize, berth: Berth) {
+    pub fn client_sees_end(&mut self, client: usize, berth: ConnectionId) {
         if self.clients[client].conn.as_ref().is_some_and(|conn| conn.berth == berth) {
             self.clients[client].conn = None;
             self.client_soon(client);
@@ -258,7 +258,7 @@
 
     // ---- Under which versions the gateway may have taken what was sent -----------------------
 
-    pub fn client_reached(&mut self, client: usize, berth: Berth, count: usize) {
+    pub fn client_reached(&mut self, client: usize, berth: ConnectionId, count: usize) {
         if let Some(conn) = self.clients[client].conn.as_mut().filter(|conn| conn.berth == berth) {
             conn.reached += count;
         }
--- a/crates/fernknot-gateway/tests/stage/mod.rs
+++ b/crates/fernknot-gateway/tests/stage/mod.rs
@@ -12,10 +12,10 @@
 use checker::{Checker, Seen};
 use clients::Client;
 use fernknot::interface::Nanos;
-use fernknot_gateway::{Doors, Gateway, Plant};
-use fernknot_net::{Berth, Event, NetError};
-use fernknot_schema::{ProcessFacts, RoutingConfig};
-use fernknot_simulator::ports::{Did, SimPorts};
+use fernknot_gateway::{Gateway, ListenerIds, SeededBug};
+use fernknot_net::{ConnectionId, Event, NetError};
+use fernknot_schema::{ProcessSettings, RoutingConfig};
+use fernknot_simulator::ports::{PortAction, SimulatedPorts};
 use fernknot_simulator::wire;
 use nodes::{Host, Job};
 use registrar::Teller;
@@ -36,7 +36,7 @@
 }
 
 /// Plays one run.
-pub fn play(seed: u64, plant: Option<Plant>, logs: bool) -> Report {
+pub fn play(seed: u64, plant: Option<SeededBug>, logs: bool) -> Report {
     let mut stage = Stage::new(seed, plant, logs);
     stage.run();
     Report { faults: stage.checker.faults, seen: stage.checker.seen, log: stage.log }
@@ -52,7 +52,7 @@
 
 /// What reaches the gateway on one connection.
 enum Arrival {
-    Accepted { at: Berth },
+    Accepted { at: ConnectionId },
     Up,
     Refused,
     Bytes(Vec<u8>, Option<Mark>),
@@ -71,13 +71,13 @@
 
 enum Due {
     Turn,
-    Arrives(Berth, Arrival),
-    Gets(Berth, Vec<u8>),
-    SeesEnd(Berth),
+    Arrives(ConnectionId, Arrival),
+    Gets(ConnectionId, Vec<u8>),
+    SeesEnd(ConnectionId),
     Client(usize),
     /// A client does something to its connection, if it is still the same.
-    Cut(usize, Berth, clients::Cut),
-    Node(usize, u64, Berth, Job),
+    Cut(usize, ConnectionId, clients::Cut),
+    Node(usize, u64, ConnectionId, Job),
     Pulse {
         again: bool,
     },
@@ -117,7 +117,7 @@
 struct Stage {
     now: Nanos,
     chance: Chance,
-    plant: Option<Plant>,
+    plant: Option<SeededBug>,
     queue: BTreeMap<(Nanos, u64), Due>,
     next: u64,
     gateway: Option<Gateway>,
@@ -125,16 +125,16 @@
     born: Nanos,
     stopping: bool,
     frozen: Nanos,
-    ports: SimPorts,
-    doors: Doors,
+    ports: SimulatedPorts,
+    doors: ListenerIds,
     events: Vec<Event>,
     turn_at: Option<Nanos>,
-    sides: BTreeMap<Berth, Side>,
+    sides: BTreeMap<ConnectionId, Side>,
     /// When what was sent last arrives, at the gateway and at the other end: bytes stay in order.
-    arrives: BTreeMap<Berth, Nanos>,
-    gets: BTreeMap<Berth, Nanos>,
+    arrives: BTreeMap<ConnectionId, Nanos>,
+    gets: BTreeMap<ConnectionId, Nanos>,
     /// What left the gateway towards nodes, as far as it is no whole request yet.
-    leaving: BTreeMap<Berth, Vec<u8>>,
+    leaving: BTreeMap<ConnectionId, Vec<u8>>,
     clients: Vec<Client>,
     hosts: Vec<Host>,
     teller: Teller,
@@ -152,7 +152,7 @@
 }
 
 /// Settings of a process with so much memory.
-pub fn facts(memory_mb: u64) -> ProcessFacts {
+pub fn facts(memory_mb: u64) -> ProcessSettings {
     let text = format!(
         r#"{{"node_name": "edge-1", "role": "gate", "machine_class": "edge", "serves": ["edge"], "ip": "10.1.0.29",
         "zone": "north", "region": "windhoek", "zones": {{"north": "windhoek"}},
@@ -163,13 +163,13 @@
                     "retry_ratio": 0.5, "retry_window_s": 0.8, "retry_slack": 30}}}}"#,
         registrar::APPLY_MS
     );
-    ProcessFacts::read(text.as_bytes()).map_err(|faults| faults[0].place.clone()).unwrap()
+    ProcessSettings::read(text.as_bytes()).map_err(|faults| faults[0].place.clone()).unwrap()
 }
 
 impl Stage {
-    fn new(seed: u64, plant: Option<Plant>, logs: bool) -> Stage {
-        let mut ports = SimPorts::default();
-        let doors = Doors { front: ports.name(), ready: ports.name(), inner: ports.name() };
+    fn new(seed: u64, plant: Option<SeededBug>, logs: bool) -> Stage {
+        let mut ports = SimulatedPorts::default();
+        let doors = ListenerIds { front: ports.name(), ready: ports.name(), inner: ports.name() };
         let mut stage = Stage {
             now: Nanos(0),
             chance: Chance(seed),
@@ -337,7 +337,7 @@
         (self.version, self.settled) = (None, None);
         self.events.clear();
         self.ports.rests.clear();
-        let links: Vec<Berth> = std::mem::take(&mut self.ports.links).into_keys().collect();
+        let links: Vec<ConnectionId> = std::mem::take(&mut self.ports.links).into_keys().collect();
         links.into_iter().for_each(|berth| self.sees_end(berth));
         self.ports.dirty.clear();
         let pause = self.chance.millis(20.0, 300.0);
@@ -348,9 +348,9 @@
     fn flush(&mut self) {
         for did in std::mem::take(&mut self.ports.did) {
             match did {
-                Did::Connect(berth, to) => self.connected(berth, to),
-                Did::Close(berth) => self.sees_end(berth),
-                Did::StopListening => self.stopping = true,
+                PortAction::Connect(berth, to) => self.connected(berth, to),
+                PortAction::Close(berth) => self.sees_end(berth),
+                PortAction::StopListening => self.stopping = true,
             }
         }
         for berth in std::mem::take(&mut self.ports.dirty) {
@@ -358,7 +358,7 @@
         }
     }
 
-    fn flush_link(&mut self, berth: Berth) {
+    fn flush_link(&mut self, berth: ConnectionId) {
         let Some(link) = self.ports.links.get_mut(&berth).filter(|link| link.open) else { return };
         let bytes = link.output.data().to_vec();
         link.output.consume(bytes.len());
@@ -375,7 +375,7 @@
         }
     }
 
-    fn leaves(&mut self, berth: Berth, bytes: &[u8]) {
+    fn leaves(&mut self, berth: ConnectionId, bytes: &[u8]) {
         let mut held = self.leaving.remove(&berth).unwrap_or_default();
         held.extend(bytes);
         loop {
@@ -397,21 +397,21 @@
         self.leaving.insert(berth, held);
     }
 
-    fn goes_out(&mut self, berth: Berth, bytes: Vec<u8>) {
+    fn goes_out(&mut self, berth: ConnectionId, bytes: Vec<u8>) {
         let at = self.now + self.chance.millis(0.1, 3.0);
         let at = at.max(self.gets.get(&berth).copied().unwrap_or_default());
         self.gets.insert(berth, at);
         self.at(at, Due::Gets(berth, bytes));
     }
 
-    fn sees_end(&mut self, berth: Berth) {
+    fn sees_end(&mut self, berth: ConnectionId) {
         let at = self.now + self.chance.millis(0.1, 3.0);
         let at = at.max(self.gets.get(&berth).copied().unwrap_or_default());
         self.gets.insert(berth, at);
         self.at(at, Due::SeesEnd(berth));
     }
 
-    fn connected(&mut self, berth: Berth, to: SocketAddrV4) {
+    fn connected(&mut self, berth: ConnectionId, to: SocketAddrV4) {
         let wait = match self.chance.under(100) {
             0..3 => self.chance.millis(50.0, 1500.0),
             _ => self.chance.millis(0.2, 4.0),
@@ -431,14 +431,14 @@
     }
 
     /// Sends something towards the gateway, in order.
-    fn arrives(&mut self, berth: Berth, wait: Nanos, arrival: Arrival) {
+    fn arrives(&mut self, berth: ConnectionId, wait: Nanos, arrival: Arrival) {
         let at = (self.now + wait).max(self.arrives.get(&berth).copied().unwrap_or_default());
         self.arrives.insert(berth, at);
         self.at(at, Due::Arrives(berth, arrival));
     }
 
     /// Sends bytes, in one piece or several.
-    fn sends(&mut self, berth: Berth, bytes: Vec<u8>, mark: Option<Mark>) {
+    fn sends(&mut self, berth: ConnectionId, bytes: Vec<u8>, mark: Option<Mark>) {
         let mut rest = &bytes[..];
         while self.chance.odds(250) && rest.len() > 1 {
             let (piece, more) = rest.split_at(1 + self.chance.under(rest.len() - 1));
@@ -450,7 +450,7 @@
         self.arrives(berth, wait, Arrival::Bytes(rest.to_vec(), mark));
     }
 
-    fn arrive(&mut self, berth: Berth, arrival: Arrival) {
+    fn arrive(&mut self, berth: ConnectionId, arrival: Arrival) {
         if self.gateway.is_none() {
             if let Arrival::Accepted { .. } = arrival {
                 self.sees_end(berth);
