--- a/crates/fernknot-gateway/tests/stage/nodes.rs
+++ b/crates/fernknot-gateway/tests/stage/nodes.rs
@@ -2,8 +2,8 @@
 
 use super::{Arrival, Due, Mark, Stage, plans};
 use fernknot::interface::Nanos;
-use fernknot_net::Berth;
-use fernknot_registry::{NodeFact, NodeState};
+use fernknot_net::ConnectionId;
+use fernknot_registry::{NodeRecord, NodeState};
 use fernknot_simulator::wire::{self, Message};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -14,10 +14,10 @@
     pub up: bool,
     service: &'static str,
     no: u64,
-    conns: BTreeMap<Berth, Conn>,
+    conns: BTreeMap<ConnectionId, Conn>,
     state: NodeState,
     /// What was told of the life before.
-    before: Option<NodeFact>,
+    before: Option<NodeRecord>,
 }
 
 impl Host {
@@ -25,8 +25,8 @@
         format!("i-{}-{}", self.addr.ip().octets()[3], self.no)
     }
 
-    fn fact(&self) -> NodeFact {
-        NodeFact {
+    fn fact(&self) -> NodeRecord {
+        NodeRecord {
             id: self.life(),
             service: self.service.into(),
             addr: self.addr,
@@ -56,7 +56,7 @@
     Finish(Box<Message>),
     Surplus(Vec<u8>),
     /// Words about this life reach the registrar.
-    Told(Vec<NodeFact>),
+    Told(Vec<NodeRecord>),
     Goes,
 }
 
@@ -71,13 +71,13 @@
         }
     }
 
-    pub fn facts_of_nodes(&self) -> Vec<NodeFact> {
+    pub fn facts_of_nodes(&self) -> Vec<NodeRecord> {
         let before = self.hosts.iter().filter_map(|host| host.before.clone());
         before.chain(self.hosts.iter().map(Host::fact)).collect()
     }
 
     /// The answer to an attempt to connect, or none where it hangs.
-    pub fn node_connected(&mut self, host: usize, berth: Berth) -> Option<Arrival> {
+    pub fn node_connected(&mut self, host: usize, berth: ConnectionId) -> Option<Arrival> {
         match self.chance.under(200) {
             0 => None,
             1..4 => Some(Arrival::Refused),
@@ -88,11 +88,11 @@
         }
     }
 
-    pub fn node_sees_end(&mut self, host: usize, berth: Berth) {
+    pub fn node_sees_end(&mut self, host: usize, berth: ConnectionId) {
         self.hosts[host].conns.remove(&berth);
     }
 
-    pub fn node_gets(&mut self, host: usize, berth: Berth, bytes: &[u8]) {
+    pub fn node_gets(&mut self, host: usize, berth: ConnectionId, bytes: &[u8]) {
         let Some(conn) = self.hosts[host].conns.get_mut(&berth) else {
             // Nobody knows this connection any more.
             return self.arrives(berth, Nanos(1_000_000), Arrival::Reset);
@@ -111,7 +111,7 @@
         self.node_next(host, berth);
     }
 
-    fn node_next(&mut self, host: usize, berth: Berth) {
+    fn node_next(&mut self, host: usize, berth: ConnectionId) {
         let life = self.hosts[host].life();
         let no = self.hosts[host].no;
         let Some(conn) = self.hosts[host].conns.get_mut(&berth).filter(|conn| !conn.busy) else { return };
@@ -136,7 +136,7 @@
         self.at(self.now + wait, Due::Node(host, no, berth, Job::Start(Box::new(message))));
     }
 
-    pub fn node_works(&mut self, host: usize, life: u64, berth: Berth, job: Job) {
+    pub fn node_works(&mut self, host: usize, life: u64, berth: ConnectionId, job: Job) {
         let is_same = self.hosts[host].no == life;
         let has_conn = self.hosts[host].conns.contains_key(&berth);
         match job {
@@ -177,7 +177,7 @@
         }
     }
 
-    fn node_finishes(&mut self, host: usize, berth: Berth, message: &Message) {
+    fn node_finishes(&mut self, host: usize, berth: ConnectionId, message: &Message) {
         let (service, life) = (self.hosts[host].service, self.hosts[host].life());
         let attempt = message.header("Attempt-Id").unwrap_or_default().to_string();
         let seal = format!("{attempt}.{life}.{}", self.chance.draw() % 100_000);
@@ -247,7 +247,7 @@
     }
 
     /// Ends a connection with a reset or in order.
-    fn ends_conn(&mut self, host: usize, berth: Berth) {
+    fn ends_conn(&mut self, host: usize, berth: ConnectionId) {
         self.hosts[host].conns.remove(&berth);
         self.checker.seen.add("connections broken by nodes");
         let end = if self.chance.odds(500) { Arrival::Reset } else { Arrival::Fin };
@@ -256,7 +256,7 @@
     }
 
     /// Sends an answer, at times with another one before it or the same behind it.
-    fn node_says(&mut self, host: usize, berth: Berth, mut bytes: Vec<u8>, mark: Option<Mark>) {
+    fn node_says(&mut self, host: usize, berth: ConnectionId, mut bytes: Vec<u8>, mark: Option<Mark>) {
         let no = self.hosts[host].no;
         let closes = self.hosts[host].state == NodeState::Draining && self.chance.odds(300);
         let Some(conn) = self.hosts[host].conns.get_mut(&berth) else { return };
@@ -314,7 +314,7 @@
     /// A life ends, and another one, of this service or another, has its address.
     pub fn restart(&mut self, host: usize, silent: bool, reuse: bool) {
         self.checker.seen.add("restarts of nodes");
-        let old = NodeFact { state: NodeState::Lost, ..self.hosts[host].fact() };
+        let old = NodeRecord { state: NodeState::Lost, ..self.hosts[host].fact() };
         self.drop_conns(host, silent);
         let service = plans::SERVICES[self.chance.under(plans::SERVICES.len())];
         let at = &mut self.hosts[host];
@@ -327,7 +327,7 @@
         // At times the words are as quick as the end of the connections.
         let longest = if self.chance.odds(300) { 4.0 } else { 400.0 };
         let wait = self.chance.millis(0.0, longest);
-        self.at(self.now + wait, Due::Node(host, no, Berth(0), Job::Told(vec![old, fact])));
+        self.at(self.now + wait, Due::Node(host, no, ConnectionId(0), Job::Told(vec![old, fact])));
     }
 
     /// A node says that it leaves, and goes after a while.
@@ -338,8 +338,8 @@
         self.hosts[host].state = NodeState::Draining;
         let (fact, no) = (self.hosts[host].fact(), self.hosts[host].no);
         let wait = self.chance.millis(0.0, 100.0);
-        self.at(self.now + wait, Due::Node(host, no, Berth(0), Job::Told(vec![fact])));
+        self.at(self.now + wait, Due::Node(host, no, ConnectionId(0), Job::Told(vec![fact])));
         let wait = self.chance.millis(300.0, 900.0);
-        self.at(self.now + wait, Due::Node(host, no, Berth(0), Job::Goes));
+        self.at(self.now + wait, Due::Node(host, no, ConnectionId(0), Job::Goes));
     }
 }
--- a/crates/fernknot-gateway/tests/stage/plans.rs
+++ b/crates/fernknot-gateway/tests/stage/plans.rs
@@ -2,7 +2,7 @@
 
 use super::checker::{Kind, QUORUM, TOP};
 use super::{Due, Stage};
-use fernknot_schema::{Class, ClientLimits, Route, RoutingConfig, Service, Target};
+use fernknot_schema::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass};
 
 pub const HOST: &str = "h.example";
 /// One service of one node, two of two, and the shards of two cuts of an index.
@@ -21,15 +21,15 @@
 /// Whether this version lets requests of a kind be repeated; where it has no route for them they don't go out.
 pub fn is_once(plan: &RoutingConfig, kind: Kind) -> bool {
     let route = plan.routes.iter().find(|route| route.path_prefix == prefix(kind));
-    route.is_none_or(|route| route.traffic_class == Class::Mutating)
+    route.is_none_or(|route| route.traffic_class == TrafficClass::Mutating)
 }
 
 impl Stage {
     pub fn begin_plans(&mut self) {
-        self.add_plan(1, "lone", Some(Class::Mutating), false);
+        self.add_plan(1, "lone", Some(TrafficClass::Mutating), false);
     }
 
-    fn add_plan(&mut self, epoch: u64, to: &str, flips: Option<Class>, cut: bool) {
+    fn add_plan(&mut self, epoch: u64, to: &str, flips: Option<TrafficClass>, cut: bool) {
         let tries = 1 + self.chance.under(3) as u32;
         let route = |kind: Kind, traffic_class, to| Route {
             name: prefix(kind).into(),
@@ -42,16 +42,20 @@
             to,
             tries,
         };
-        let backend = |name: &str| Target::Backend(name.to_string());
+        let backend = |name: &str| RouteTarget::Backend(name.to_string());
         let shards: Vec<String> =
             if cut { vec!["t0".into(), "t1".into()] } else { vec!["s0".into(), "s1".into(), "s2".into()] };
         self.checker.sets.push(shards.iter().cloned().collect());
-        let shares = Target::Shares(vec![("pair".into(), 2.0), ("other".into(), 1.0)]);
+        let shares = RouteTarget::Shares(vec![("pair".into(), 2.0), ("other".into(), 1.0)]);
         let mut routes = vec![
-            route(Kind::Mutating, Class::Mutating, backend(to)),
-            route(Kind::Idempotent, Class::Idempotent, backend("pair")),
-            route(Kind::Shared, Class::Mutating, shares),
-            route(Kind::Gathered, Class::Idempotent, Target::Fanout { shards, top_k: TOP, quorum: QUORUM }),
+            route(Kind::Mutating, TrafficClass::Mutating, backend(to)),
+            route(Kind::Idempotent, TrafficClass::Idempotent, backend("pair")),
+            route(Kind::Shared, TrafficClass::Mutating, shares),
+            route(
+                Kind::Gathered,
+                TrafficClass::Idempotent,
+                RouteTarget::Fanout { shards, top_k: TOP, quorum: QUORUM },
+            ),
         ];
         routes.extend(flips.map(|class| route(Kind::Flips, class, backend("lone"))));
         let kinds = [Kind::Mutating, Kind::Idempotent, Kind::Shared, Kind::Gathered, Kind::Flips];
@@ -59,9 +63,9 @@
             let named = routes.iter().filter(|route| route.path_prefix == prefix(kind));
             for route in named {
                 let services: Vec<String> = match &route.to {
-                    Target::Backend(name) => vec![name.clone()],
-                    Target::Shares(shares) => shares.iter().map(|(name, _)| name.clone()).collect(),
-                    Target::Fanout { shards, .. } => shards.clone(),
+                    RouteTarget::Backend(name) => vec![name.clone()],
+                    RouteTarget::Shares(shares) => shares.iter().map(|(name, _)| name.clone()).collect(),
+                    RouteTarget::Fanout { shards, .. } => shards.clone(),
                 };
                 self.checker.ways.entry(kind).or_default().extend(services);
             }
@@ -82,7 +86,8 @@
     pub fn change(&mut self) {
         let epoch = self.plans.len() as u64 + 1;
         let to = ["lone", "pair", "other"][self.chance.under(3)];
-        let flips = [None, Some(Class::Mutating), Some(Class::Idempotent)][self.chance.under(3)];
+        let flips =
+            [None, Some(TrafficClass::Mutating), Some(TrafficClass::Idempotent)][self.chance.under(3)];
         let cut = self.chance.odds(300);
         self.add_plan(epoch, to, flips, cut);
         self.checker.seen.add("changes");
--- a/crates/fernknot-gateway/tests/stage/registrar.rs
+++ b/crates/fernknot-gateway/tests/stage/registrar.rs
@@ -2,10 +2,10 @@
 
 use super::{Due, Mark, REGISTRAR, SENDING, SETTLING, Stage, addr};
 use fernknot::interface::Nanos;
-use fernknot_net::{Berth, Buffer};
-use fernknot_ownership::{Cut, Fence, Gateway};
-use fernknot_registry::NodeFact;
-use fernknot_rpc::{Inward, Outward, Registrar, pull, push};
+use fernknot_net::{Buffer, ConnectionId};
+use fernknot_ownership::{Assignment, FencingToken, GatewayRecord};
+use fernknot_registry::NodeRecord;
+use fernknot_rpc::{ControllerEndpoint, ControllerToGateway, GatewayToController, pull, push};
 use std::collections::BTreeMap;
 
 pub const APPLY_MS: f64 = 1500.0;
@@ -13,7 +13,7 @@
 
 #[derive(Default)]
 pub struct Teller {
-    ears: BTreeMap<Berth, Ear>,
+    ears: BTreeMap<ConnectionId, Ear>,
     /// The fence of the newest cut.
     fence: u64,
 }
@@ -21,39 +21,39 @@
 #[derive(Default)]
 struct Ear {
     input: Buffer,
-    who: Option<Gateway>,
+    who: Option<GatewayRecord>,
     /// Versions told.
     told: usize,
 }
 
 impl Teller {
-    pub fn gone(&mut self, berth: Berth) {
+    pub fn gone(&mut self, berth: ConnectionId) {
         self.ears.remove(&berth);
     }
 }
 
 impl Stage {
-    fn tells(&mut self, berth: Berth, word: &Outward, mark: Option<Mark>) {
+    fn tells(&mut self, berth: ConnectionId, word: &ControllerToGateway, mark: Option<Mark>) {
         let mut out = Buffer::default();
         push(&mut out, word);
         self.sends(berth, out.data().to_vec(), mark);
     }
 
-    pub fn registrar_gets(&mut self, berth: Berth, bytes: &[u8]) {
+    pub fn registrar_gets(&mut self, berth: ConnectionId, bytes: &[u8]) {
         self.teller.ears.entry(berth).or_default().input.push(bytes);
         loop {
             let Some(ear) = self.teller.ears.get_mut(&berth) else { return };
-            match pull::<Inward>(&mut ear.input, 1 << 20) {
-                Ok(Some(Inward::Attach { who, .. })) => {
+            match pull::<GatewayToController>(&mut ear.input, 1 << 20) {
+                Ok(Some(GatewayToController::Attach { who, .. })) => {
                     ear.who = Some(who.clone());
                     self.teller.fence += 1;
-                    let fence = Fence::of(1, self.teller.fence as u32);
-                    let cut = Cut { fence, live: vec![who], may_be_alive: 1 };
-                    self.tells(berth, &Outward::Cut(cut), None);
+                    let fence = FencingToken::of(1, self.teller.fence as u32);
+                    let cut = Assignment { fence, live: vec![who], may_be_alive: 1 };
+                    self.tells(berth, &ControllerToGateway::Cut(cut), None);
                     let facts = self.facts_of_nodes();
-                    self.tells(berth, &Outward::Nodes(facts), None);
+                    self.tells(berth, &ControllerToGateway::Nodes(facts), None);
                     self.tell_plan(berth);
-                    self.tells(berth, &Outward::Whole, None);
+                    self.tells(berth, &ControllerToGateway::Whole, None);
                     self.tell_pulse(berth);
                 }
                 Ok(Some(_)) => {}
@@ -63,23 +63,27 @@
         }
     }
 
-    fn tell_plan(&mut self, berth: Berth) {
+    fn tell_plan(&mut self, berth: ConnectionId) {
         let newest = self.plans.len();
         let Some(ear) = self.teller.ears.get_mut(&berth).filter(|ear| ear.told < newest) else { return };
         ear.told = newest;
         let plan = self.plans[newest - 1].clone();
-        self.tells(berth, &Outward::Plan { order: newest as u64, plan }, Some(Mark::Plan(newest - 1)));
+        self.tells(
+            berth,
+            &ControllerToGateway::Plan { order: newest as u64, plan },
+            Some(Mark::Plan(newest - 1)),
+        );
     }
 
-    fn tell_pulse(&mut self, berth: Berth) {
-        let registrars = vec![Registrar { addr: addr(REGISTRAR), zone: "north".into() }];
-        let fence = Fence::of(1, self.teller.fence as u32).0;
+    fn tell_pulse(&mut self, berth: ConnectionId) {
+        let registrars = vec![ControllerEndpoint { addr: addr(REGISTRAR), zone: "north".into() }];
+        let fence = FencingToken::of(1, self.teller.fence as u32).0;
         let order = self.plans.len() as u64;
-        let pulse = Outward::Pulse { teller: 1, order, lease: true, hops: 0, fence, registrars };
+        let pulse = ControllerToGateway::Pulse { teller: 1, order, lease: true, hops: 0, fence, registrars };
         self.tells(berth, &pulse, None);
     }
 
-    fn listeners(&self) -> Vec<Berth> {
+    fn listeners(&self) -> Vec<ConnectionId> {
         self.teller.ears.iter().filter(|(_, ear)| ear.who.is_some()).map(|(berth, _)| *berth).collect()
     }
 
@@ -95,9 +99,9 @@
     }
 
     /// Tells of nodes, now or after a while.
-    pub fn tell_nodes(&mut self, facts: &[NodeFact]) {
+    pub fn tell_nodes(&mut self, facts: &[NodeRecord]) {
         for berth in self.listeners() {
-            self.tells(berth, &Outward::Nodes(facts.to_vec()), None);
+            self.tells(berth, &ControllerToGateway::Nodes(facts.to_vec()), None);
         }
     }
 }
--- a/crates/fernknot-gateway/tests/stories/bodies.rs
+++ b/crates/fernknot-gateway/tests/stories/bodies.rs
@@ -2,7 +2,7 @@
 
 use super::{Story, plan};
 use fernknot::interface::Nanos;
-use fernknot_net::{Berth, Event, NetError};
+use fernknot_net::{ConnectionId, Event, NetError};
 use fernknot_schema::ClientLimits;
 use test_case::test_case;
 
@@ -16,20 +16,20 @@
 }
 
 /// A client whose body has begun to come.
-fn begins(story: &mut Story, id: &str) -> Berth {
+fn begins(story: &mut Story, id: &str) -> ConnectionId {
     let client = story.client();
     story.comes(client, &head(id, &format!("Content-Length: {BODY}\r\n")));
     story.comes(client, "some");
     client
 }
 
-fn full() -> (Story, Vec<Berth>) {
+fn full() -> (Story, Vec<ConnectionId>) {
     let mut story = Story::begin(MEMORY_MB, plan(ClientLimits::default()));
     let clients = (0..FIT).map(|client| begins(&mut story, &format!("a{client}"))).collect();
     (story, clients)
 }
 
-fn is_refused(story: &mut Story, client: Berth) -> bool {
+fn is_refused(story: &mut Story, client: ConnectionId) -> bool {
     let text = story.got(client);
     let refused = text.starts_with("HTTP/1.1 503 ");
     let told = text.contains("Connection: close\r\n") && text.contains("Retry-After: ");
@@ -46,7 +46,7 @@
 }
 
 /// Like `begins`, for one that may be refused at its head.
-fn begins_one_more(story: &mut Story) -> Berth {
+fn begins_one_more(story: &mut Story) -> ConnectionId {
     let client = story.client();
     story.comes(client, &head("over", &format!("Content-Length: {BODY}\r\n")));
     client
@@ -96,7 +96,7 @@
 #[test]
 fn given_bodies_in_chunks_that_grow_when_there_is_no_room_then_those_that_fit_go_on() {
     let mut story = Story::begin(MEMORY_MB, plan(ClientLimits::default()));
-    let clients: Vec<Berth> = (0..2 * FIT).map(|_| story.client()).collect();
+    let clients: Vec<ConnectionId> = (0..2 * FIT).map(|_| story.client()).collect();
     for (no, client) in clients.iter().enumerate() {
         story.comes(*client, &head(&format!("c{no}"), "Transfer-Encoding: chunked\r\n"));
     }
--- a/crates/fernknot-gateway/tests/stories/mod.rs
+++ b/crates/fernknot-gateway/tests/stories/mod.rs
@@ -2,13 +2,13 @@
 
 use crate::stage::{REGISTRAR, facts};
 use fernknot::interface::Nanos;
-use fernknot_gateway::{Doors, Gateway};
-use fernknot_net::{Berth, Event, NetError};
-use fernknot_ownership::Cut;
-use fernknot_registry::{NodeFact, NodeState};
-use fernknot_rpc::{Outward, Registrar, push};
-use fernknot_schema::{Class, ClientLimits, Route, RoutingConfig, Service, Target};
-use fernknot_simulator::ports::{Did, SimPorts};
+use fernknot_gateway::{Gateway, ListenerIds};
+use fernknot_net::{ConnectionId, Event, NetError};
+use fernknot_ownership::Assignment;
+use fernknot_registry::{NodeRecord, NodeState};
+use fernknot_rpc::{ControllerEndpoint, ControllerToGateway, push};
+use fernknot_schema::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass};
+use fernknot_simulator::ports::{PortAction, SimulatedPorts};
 
 mod bodies;
 mod names;
@@ -24,12 +24,12 @@
 pub struct Story {
     now: Nanos,
     gateway: Gateway,
-    ports: SimPorts,
-    doors: Doors,
-    registrar: Berth,
+    ports: SimulatedPorts,
+    doors: ListenerIds,
+    registrar: ConnectionId,
     /// Connections to the node that were begun, oldest first.
-    lines: Vec<Berth>,
-    closed: Vec<Berth>,
+    lines: Vec<ConnectionId>,
+    closed: Vec<ConnectionId>,
     order: u64,
 }
 
@@ -39,11 +39,11 @@
         name: "m".into(),
         authority: "h.example".into(),
         path_prefix: "/m/".into(),
-        traffic_class: Class::Mutating,
+        traffic_class: TrafficClass::Mutating,
         deadline_ms: 900,
         target_ms: 150,
         rank: 0,
-        to: Target::Backend("lone".into()),
+        to: RouteTarget::Backend("lone".into()),
         tries: 1,
     };
     let service = Service {
@@ -59,17 +59,17 @@
 impl Story {
     /// A gateway with so much memory that holds this version and knows the node.
     pub fn begin(memory_mb: u64, plan: RoutingConfig) -> Story {
-        let mut ports = SimPorts::default();
-        let doors = Doors { front: ports.name(), ready: ports.name(), inner: ports.name() };
+        let mut ports = SimulatedPorts::default();
+        let doors = ListenerIds { front: ports.name(), ready: ports.name(), inner: ports.name() };
         let gateway = Gateway::new(facts(memory_mb), doors, 7).unwrap();
         let (lines, closed) = (Vec::new(), Vec::new());
-        let registrar = Berth(0);
+        let registrar = ConnectionId(0);
         let mut story = Story { now: Nanos(0), gateway, ports, doors, registrar, lines, closed, order: 0 };
         story.turn(Vec::new());
-        story.tells(&Outward::Cut(Cut::default()));
-        story.tells(&Outward::Nodes(vec![node("lone", NodeState::Ready)]));
+        story.tells(&ControllerToGateway::Cut(Assignment::default()));
+        story.tells(&ControllerToGateway::Nodes(vec![node("lone", NodeState::Ready)]));
         story.takes(plan);
-        story.tells(&Outward::Whole);
+        story.tells(&ControllerToGateway::Whole);
         story.pulses();
         story
     }
@@ -77,9 +77,16 @@
     /// The registrar is well, and says so.
     pub fn pulses(&mut self) {
         let addr = REGISTRAR.parse().unwrap();
-        let registrars = vec![Registrar { addr, zone: "north".into() }];
+        let registrars = vec![ControllerEndpoint { addr, zone: "north".into() }];
         let order = self.order;
-        self.tells(&Outward::Pulse { teller: 1, order, lease: true, hops: 0, fence: 0, registrars });
+        self.tells(&ControllerToGateway::Pulse {
+            teller: 1,
+            order,
+            lease: true,
+            hops: 0,
+            fence: 0,
+            registrars,
+        });
     }
 
     /// Time goes by under pulses.
@@ -92,7 +99,7 @@
     }
 
     /// The stream of the registrar breaks, and it tells anew all that it knows of nodes.
-    pub fn hears_anew(&mut self, nodes: Vec<NodeFact>) {
+    pub fn hears_anew(&mut self, nodes: Vec<NodeRecord>) {
         let berth = self.registrar;
         self.ports.links.remove(&berth);
         let (peer, why) = (REGISTRAR.parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
@@ -101,13 +108,13 @@
         while self.registrar == berth {
             self.waits(TURN);
         }
-        self.tells(&Outward::Nodes(nodes));
-        self.tells(&Outward::Whole);
+        self.tells(&ControllerToGateway::Nodes(nodes));
+        self.tells(&ControllerToGateway::Whole);
         self.pulses();
     }
 
     /// The registrar says this.
-    pub fn tells(&mut self, word: &Outward) {
+    pub fn tells(&mut self, word: &ControllerToGateway) {
         push(&mut self.ports.links.get_mut(&self.registrar).unwrap().input, word);
         let berth = self.registrar;
         self.turn(vec![Event::Came { berth }]);
@@ -116,7 +123,10 @@
     /// The next version.
     pub fn takes(&mut self, plan: RoutingConfig) {
         self.order += 1;
-        self.tells(&Outward::Plan { order: self.order, plan: RoutingConfig { epoch: self.order, ..plan } });
+        self.tells(&ControllerToGateway::Plan {
+            order: self.order,
+            plan: RoutingConfig { epoch: self.order, ..plan },
+        });
     }
 
     /// A turn of the loop with this news.
@@ -124,13 +134,13 @@
         self.gateway.turn(self.now, events, &mut self.ports);
         for did in std::mem::take(&mut self.ports.did) {
             match did {
-                Did::Connect(berth, to) if to == REGISTRAR.parse().unwrap() => {
+                PortAction::Connect(berth, to) if to == REGISTRAR.parse().unwrap() => {
                     self.registrar = berth;
                     self.ports.links.get_mut(&berth).unwrap().open = true;
                 }
-                Did::Connect(berth, _) => self.lines.push(berth),
-                Did::Close(berth) => self.closed.push(berth),
-                Did::StopListening => {}
+                PortAction::Connect(berth, _) => self.lines.push(berth),
+                PortAction::Close(berth) => self.closed.push(berth),
+                PortAction::StopListening => {}
             }
         }
     }
@@ -145,7 +155,7 @@
     }
 
     /// A client connects.
-    pub fn client(&mut self) -> Berth {
+    pub fn client(&mut self) -> ConnectionId {
         let berth = self.ports.name();
         self.ports.add(berth, true);
         let peer = "10.9.0.1:999".parse().unwrap();
@@ -154,7 +164,7 @@
     }
 
     /// The platform connects, and sends this.
-    pub fn asks_ready(&mut self, text: &str) -> Berth {
+    pub fn asks_ready(&mut self, text: &str) -> ConnectionId {
         let berth = self.ports.name();
         self.ports.add(berth, true);
         let peer = "10.9.0.1:999".parse().unwrap();
@@ -164,13 +174,13 @@
     }
 
     /// Bytes come on a connection.
-    pub fn comes(&mut self, berth: Berth, text: &str) {
+    pub fn comes(&mut self, berth: ConnectionId, text: &str) {
         self.ports.links.get_mut(&berth).unwrap().input.push(text.as_bytes());
         self.turn(vec![Event::Came { berth }]);
     }
 
     /// Bytes and a reset come on a connection, and both are told in one turn.
-    pub fn comes_and_resets(&mut self, berth: Berth, text: &str) {
+    pub fn comes_and_resets(&mut self, berth: ConnectionId, text: &str) {
         let mut rest = self.ports.links.remove(&berth).unwrap().input;
         rest.push(text.as_bytes());
         self.ports.rests.insert(berth, rest);
@@ -181,7 +191,7 @@
     }
 
     /// What the gateway has written on a connection since the last call.
-    pub fn got(&mut self, berth: Berth) -> String {
+    pub fn got(&mut self, berth: ConnectionId) -> String {
         let Some(link) = self.ports.links.get_mut(&berth) else { return String::new() };
         let text = String::from_utf8_lossy(link.output.data()).into_owned();
         link.output.consume(text.len());
@@ -189,7 +199,7 @@
     }
 
     /// The connection to the node that was begun last comes up; what goes out on it.
-    pub fn line_opens(&mut self) -> (Berth, String) {
+    pub fn line_opens(&mut self) -> (ConnectionId, String) {
         let berth = *self.lines.last().expect("no connection was begun");
         self.ports.links.get_mut(&berth).unwrap().open = true;
         self.turn(vec![Event::Opened { berth }]);
@@ -197,14 +207,14 @@
     }
 
     /// Whether the gateway has ended a connection, or does so once all is written.
-    pub fn is_closed(&self, berth: Berth) -> bool {
+    pub fn is_closed(&self, berth: ConnectionId) -> bool {
         self.ports.links.get(&berth).is_none_or(|link| link.closing)
     }
 }
 
 /// The one node, as it is told.
-pub fn node(service: &str, state: NodeState) -> NodeFact {
-    NodeFact {
+pub fn node(service: &str, state: NodeState) -> NodeRecord {
+    NodeRecord {
         id: format!("i-{service}"),
         service: service.into(),
         addr: NODE.parse().unwrap(),
--- a/crates/fernknot-http-api/src/call.rs
+++ b/crates/fernknot-http-api/src/call.rs
@@ -6,14 +6,14 @@
 
 /// What a call is read from: the request, and the segments of its path that stand where the pattern has `*`.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct MatchedRequest<'a> {
     pub request: &'a Request,
     /// The first such segment; empty where the pattern has none.
     pub segment: &'a str,
 }
 
 /// One kind of call, paired with the type of its answer.
-pub trait Call: Sized {
+pub trait Endpoint: Sized {
     type Answer: Into<Reply>;
     const METHOD: &'static str;
     /// `*` stands for any one segment that is not empty.
@@ -21,7 +21,7 @@
 
     /// # Errors
     /// The answer to a call that is none of this kind: every fault of it, in words for the caller.
-    fn read(asked: Asked<'_>) -> Result<Self, Reply>;
+    fn read(asked: MatchedRequest<'_>) -> Result<Self, Reply>;
 }
 
 /// An answer as it goes out.
--- a/crates/fernknot-http-api/src/desk.rs
+++ b/crates/fernknot-http-api/src/desk.rs
@@ -1,46 +1,50 @@
 //! The one handler: finds the pair that a request belongs to and has it served.
 
-use crate::call::{Asked, Call, Reply};
+use crate::call::{Endpoint, MatchedRequest, Reply};
 use fernknot_protocol::http::Request;
 
 /// Serves one pair. `S` names the caller who waits, for answers that come later.
-pub trait Serve<C: Call, S> {
+pub trait Handler<C: Endpoint, S> {
     /// The answer, or none where it comes later.
     fn serve(&mut self, call: C, slot: S) -> Option<C::Answer>;
 }
 
 /// What became of a request.
 #[derive(Debug)]
-pub enum Served {
+pub enum DispatchOutcome {
     Now(Reply),
     /// The answer comes by the slot that the request was handed in with.
     Later,
 }
 
-type Take<H, S> = fn(&mut H, Asked<'_>, S) -> Served;
+type HandleFn<H, S> = fn(&mut H, MatchedRequest<'_>, S) -> DispatchOutcome;
 
-struct Pair<H, S> {
+struct Route<H, S> {
     method: &'static str,
     path: &'static str,
-    take: Take<H, S>,
+    take: HandleFn<H, S>,
 }
 
 /// All pairs that `H` serves.
-pub struct Desk<H, S> {
-    pairs: Vec<Pair<H, S>>,
+pub struct Dispatcher<H, S> {
+    pairs: Vec<Route<H, S>>,
 }
 
-impl<H, S> Default for Desk<H, S> {
-    fn default() -> Desk<H, S> {
-        Desk { pairs: Vec::new() }
+impl<H, S> Default for Dispatcher<H, S> {
+    fn default() -> Dispatcher<H, S> {
+        Dispatcher { pairs: Vec::new() }
     }
 }
 
-fn take<C: Call, H: Serve<C, S>, S>(host: &mut H, asked: Asked<'_>, slot: S) -> Served {
+fn take<C: Endpoint, H: Handler<C, S>, S>(
+    host: &mut H,
+    asked: MatchedRequest<'_>,
+    slot: S,
+) -> DispatchOutcome {
     match C::read(asked).map(|call| host.serve(call, slot)) {
-        Ok(Some(answer)) => Served::Now(answer.into()),
-        Ok(None) => Served::Later,
-        Err(refusal) => Served::Now(refusal),
+        Ok(Some(answer)) => DispatchOutcome::Now(answer.into()),
+        Ok(None) => DispatchOutcome::Later,
+        Err(refusal) => DispatchOutcome::Now(refusal),
     }
 }
 
@@ -51,28 +55,28 @@
     (!segment.is_empty() && !segment.contains('/')).then_some(segment)
 }
 
-impl<H, S> Desk<H, S> {
+impl<H, S> Dispatcher<H, S> {
     /// Serves this pair too.
-    pub fn on<C: Call>(mut self) -> Desk<H, S>
+    pub fn on<C: Endpoint>(mut self) -> Dispatcher<H, S>
     where
-        H: Serve<C, S>,
+        H: Handler<C, S>,
     {
-        self.pairs.push(Pair { method: C::METHOD, path: C::PATH, take: take::<C, H, S> });
+        self.pairs.push(Route { method: C::METHOD, path: C::PATH, take: take::<C, H, S> });
         self
     }
 
     /// Reads a request and has it served; 404 and 405 where there is no pair for it.
-    pub fn serve(&self, host: &mut H, request: &Request, slot: S) -> Served {
+    pub fn serve(&self, host: &mut H, request: &Request, slot: S) -> DispatchOutcome {
         let path = request.path();
         let mut known = false;
         for pair in &self.pairs {
             let Some(segment) = matched(pair.path, path) else { continue };
             known = true;
             if pair.method == request.method {
-                return (pair.take)(host, Asked { request, segment }, slot);
+                return (pair.take)(host, MatchedRequest { request, segment }, slot);
             }
         }
-        Served::Now(match known {
+        DispatchOutcome::Now(match known {
             true => Reply::refused(405, "this path has no such method"),
             false => Reply::refused(404, "no such path"),
         })
--- a/crates/fernknot-http-api/src/lib.rs
+++ b/crates/fernknot-http-api/src/lib.rs
@@ -6,7 +6,7 @@
 mod desk;
 mod tap;
 
-pub use call::{Asked, Body, Call, Reply};
-pub use desk::{Desk, Serve, Served};
+pub use call::{Body, Endpoint, MatchedRequest, Reply};
+pub use desk::{DispatchOutcome, Dispatcher, Handler};
 pub use fernknot_protocol::http::Request;
-pub use tap::{Plant, Pulled, Tap, TapFacts};
+pub use tap::{HttpServerConnection, HttpServerSettings, ReadOutcome, SeededBug};
--- a/crates/fernknot-http-api/src/tap.rs
+++ b/crates/fernknot-http-api/src/tap.rs
@@ -8,16 +8,16 @@
 
 /// What callers may send.
 #[derive(Clone, Debug)]
-pub struct TapFacts {
+pub struct HttpServerSettings {
     limits: Limits,
 }
 
-impl TapFacts {
+impl HttpServerSettings {
     /// Bodies of at most so many bytes, for a process with so many connections and so much memory, in megabytes.
     ///
     /// # Errors
     /// Fewer connections, or less memory, than anything can be done with.
-    pub fn new(links: usize, memory_mb: f64, body: usize) -> Result<TapFacts, String> {
+    pub fn new(links: usize, memory_mb: f64, body: usize) -> Result<HttpServerSettings, String> {
         // Only sizes are taken from these limits; the times and numbers of them are of other programs.
         let sockets = SocketFacts {
             use_cases: Vec::new(),
@@ -34,13 +34,13 @@
         };
         let mut limits = Limits::new(links, memory_mb, &sockets)?;
         limits.body = body;
-        Ok(TapFacts { limits })
+        Ok(HttpServerSettings { limits })
     }
 }
 
 /// What came of the bytes that are there.
 #[derive(Debug)]
-pub enum Pulled {
+pub enum ReadOutcome {
     /// Nothing whole yet, or the one before is unanswered.
     Nothing,
     Call(Request),
@@ -51,26 +51,26 @@
 /// Breaks planted for the checkers, which must find each one.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum SeededBug {
     /// An answer goes to whatever waits on its connection.
     AnswerByConnection,
 }
 
 /// One connection: reads a request only once the one before is answered.
 #[derive(Debug, Default)]
-pub struct Tap {
+pub struct HttpServerConnection {
     reader: RequestReader,
     /// Whether the connection goes on, and the caller's older HTTP, of the request that waits for its answer.
     waits: Option<(bool, bool)>,
     calls: u64,
-    plant: Option<Plant>,
+    plant: Option<SeededBug>,
 }
 
-impl Tap {
+impl HttpServerConnection {
     /// One with a break in it.
     #[doc(hidden)]
-    pub fn planted(plant: Plant) -> Tap {
-        Tap { plant: Some(plant), ..Tap::default() }
+    pub fn planted(plant: SeededBug) -> HttpServerConnection {
+        HttpServerConnection { plant: Some(plant), ..HttpServerConnection::default() }
     }
 
     /// The number on this connection of the call that came last, from 1; 0 before the first.
@@ -89,25 +89,25 @@
     }
 
     /// The next request, once all of it has come.
-    pub fn pull(&mut self, input: &mut Buffer, out: &mut Buffer, facts: &TapFacts) -> Pulled {
+    pub fn pull(&mut self, input: &mut Buffer, out: &mut Buffer, facts: &HttpServerSettings) -> ReadOutcome {
         if self.waits.is_some() || (input.is_empty() && !self.reader.is_open()) {
-            return Pulled::Nothing;
+            return ReadOutcome::Nothing;
         }
         match self.reader.read(input, &facts.limits) {
             Ok(Some(request)) => {
                 self.waits = Some((request.keep, request.old));
                 self.calls += 1;
-                Pulled::Call(request)
+                ReadOutcome::Call(request)
             }
             Ok(None) => {
                 if self.reader.wants_leave() {
                     out.push(GO_ON);
                 }
-                Pulled::Nothing
+                ReadOutcome::Nothing
             }
             Err(bad) => {
                 write(out, &Reply::refused(bad.status, bad.why), false, false);
-                Pulled::Bad
+                ReadOutcome::Bad
             }
         }
     }
@@ -116,7 +116,7 @@
     /// after it; `last` ends it. Guards against an answer that comes when its call has been answered otherwise, and
     /// another one waits on the connection.
     pub fn answer(&mut self, out: &mut Buffer, call: u64, reply: &Reply, last: bool) -> bool {
-        if call != self.calls && self.plant != Some(Plant::AnswerByConnection) {
+        if call != self.calls && self.plant != Some(SeededBug::AnswerByConnection) {
             return true;
         }
         let Some((keep, old)) = self.waits.take() else { return true };
--- a/crates/fernknot-http-api/tests/callers.rs
+++ b/crates/fernknot-http-api/tests/callers.rs
@@ -1,7 +1,7 @@
 //! Callers on many connections from one seed each: pipelined calls in pieces, answers that come later, twice or never,
 //! callers that have gone, and connections used again. `FERNKNOT_SEEDS` sets how many seeds are played.
 
-use fernknot_http_api::{Plant, Pulled, Reply, Tap, TapFacts};
+use fernknot_http_api::{HttpServerConnection, HttpServerSettings, ReadOutcome, Reply, SeededBug};
 use fernknot_protocol::buffer::Buffer;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -24,7 +24,7 @@
 }
 
 struct Line {
-    tap: Tap,
+    tap: HttpServerConnection,
     input: Buffer,
     out: Buffer,
     /// What its caller has still to send, and the calls that wait for their answers.
@@ -50,8 +50,8 @@
 
 struct Callers {
     chance: Chance,
-    plant: Option<Plant>,
-    facts: TapFacts,
+    plant: Option<SeededBug>,
+    facts: HttpServerSettings,
     lines: BTreeMap<u64, Line>,
     next: u64,
     owed: Vec<Owed>,
@@ -65,7 +65,7 @@
 impl Callers {
     fn opens(&mut self) {
         self.next += 1;
-        let tap = self.plant.map_or_else(Tap::default, Tap::planted);
+        let tap = self.plant.map_or_else(HttpServerConnection::default, HttpServerConnection::planted);
         let (input, out) = (Buffer::default(), Buffer::default());
         let line =
             Line { tap, input, out, to_send: VecDeque::new(), waiting: VecDeque::new(), closing: false };
@@ -94,7 +94,7 @@
 
     fn pulls(&mut self, at: u64) {
         let Some(line) = self.lines.get_mut(&at) else { return };
-        let Pulled::Call(request) = line.tap.pull(&mut line.input, &mut line.out, &self.facts) else {
+        let ReadOutcome::Call(request) = line.tap.pull(&mut line.input, &mut line.out, &self.facts) else {
             return;
         };
         let (name, call) = (request.target[1..].to_string(), line.tap.call());
@@ -164,8 +164,8 @@
     }
 }
 
-fn play(seed: u64, plant: Option<Plant>) -> Told {
-    let facts = TapFacts::new(100, 64.0, 1000).expect("enough of all");
+fn play(seed: u64, plant: Option<SeededBug>) -> Told {
+    let facts = HttpServerSettings::new(100, 64.0, 1000).expect("enough of all");
     let (lines, owed) = (BTreeMap::new(), Vec::new());
     let mut callers =
         Callers { chance: Chance(seed), plant, facts, lines, next: 0, owed, told: Told::default() };
@@ -188,7 +188,7 @@
 
 #[test]
 fn given_answers_by_connection_alone_when_seeds_are_played_then_that_is_found() {
-    let found = (0..WITHIN).find(|seed| !play(*seed, Some(Plant::AnswerByConnection)).faults.is_empty());
+    let found = (0..WITHIN).find(|seed| !play(*seed, Some(SeededBug::AnswerByConnection)).faults.is_empty());
     println!("found first by {found:?}");
     assert!(found.is_some());
 }
--- a/crates/fernknot-http-api/tests/calls.rs
+++ b/crates/fernknot-http-api/tests/calls.rs
@@ -1,7 +1,10 @@
 //! Pairs of calls and answers behind the one handler, and the requests of one connection.
 
 use assert_matches::assert_matches;
-use fernknot_http_api::{Asked, Call, Desk, Pulled, Reply, Serve, Served, Tap, TapFacts};
+use fernknot_http_api::{
+    DispatchOutcome, Dispatcher, Endpoint, Handler, HttpServerConnection, HttpServerSettings, MatchedRequest,
+    ReadOutcome, Reply,
+};
 use fernknot_protocol::buffer::Buffer;
 use test_case::test_case;
 
@@ -15,12 +18,12 @@
     }
 }
 
-impl Call for Greet {
+impl Endpoint for Greet {
     type Answer = Greeted;
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/people/*/greet";
 
-    fn read(asked: Asked<'_>) -> Result<Greet, Reply> {
+    fn read(asked: MatchedRequest<'_>) -> Result<Greet, Reply> {
         match asked.request.body.is_empty() {
             true => Err(Reply::refused(400, "say something")),
             false => Ok(Greet(asked.segment.to_string())),
@@ -33,7 +36,7 @@
     later: Vec<u64>,
 }
 
-impl Serve<Greet, u64> for Host {
+impl Handler<Greet, u64> for Host {
     fn serve(&mut self, call: Greet, slot: u64) -> Option<Greeted> {
         if call.0 == "shy" {
             self.later.push(slot);
@@ -43,8 +46,8 @@
     }
 }
 
-fn facts() -> TapFacts {
-    TapFacts::new(100, 64.0, 1000).expect("enough of all")
+fn facts() -> HttpServerSettings {
+    HttpServerSettings::new(100, 64.0, 1000).expect("enough of all")
 }
 
 fn input(text: &str) -> Buffer {
@@ -53,12 +56,12 @@
     input
 }
 
-fn served(method: &str, path: &str, body: &str) -> (Host, Served) {
+fn served(method: &str, path: &str, body: &str) -> (Host, DispatchOutcome) {
     let text = format!("{method} {path} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let (mut host, mut out) = (Host::default(), Buffer::default());
-    let pulled = Tap::default().pull(&mut input(&text), &mut out, &facts());
-    let Pulled::Call(request) = pulled else { panic!("no request: {pulled:?}") };
-    let served = Desk::default().on::<Greet>().serve(&mut host, &request, 5);
+    let pulled = HttpServerConnection::default().pull(&mut input(&text), &mut out, &facts());
+    let ReadOutcome::Call(request) = pulled else { panic!("no request: {pulled:?}") };
+    let served = Dispatcher::default().on::<Greet>().serve(&mut host, &request, 5);
     (host, served)
 }
 
@@ -75,24 +78,24 @@
     body: &str,
     status: u16,
 ) {
-    assert_matches!(served(method, path, body).1, Served::Now(reply) if reply.status == status);
+    assert_matches!(served(method, path, body).1, DispatchOutcome::Now(reply) if reply.status == status);
 }
 
 #[test]
 fn given_a_host_that_needs_time_when_a_request_comes_then_its_slot_is_kept_for_the_answer() {
     let (host, served) = served("POST", "/people/shy/greet", "hi");
-    assert_matches!(served, Served::Later);
+    assert_matches!(served, DispatchOutcome::Later);
     assert_eq!(host.later, [5]);
 }
 
 #[test]
 fn given_two_requests_at_once_when_the_first_waits_then_the_second_is_read_after_its_answer() {
     let mut input = input("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n");
-    let (mut tap, mut out) = (Tap::default(), Buffer::default());
-    assert_matches!(tap.pull(&mut input, &mut out, &facts()), Pulled::Call(request) if request.target == "/a");
-    assert_matches!(tap.pull(&mut input, &mut out, &facts()), Pulled::Nothing);
+    let (mut tap, mut out) = (HttpServerConnection::default(), Buffer::default());
+    assert_matches!(tap.pull(&mut input, &mut out, &facts()), ReadOutcome::Call(request) if request.target == "/a");
+    assert_matches!(tap.pull(&mut input, &mut out, &facts()), ReadOutcome::Nothing);
     assert!(tap.answer(&mut out, 1, &Reply::done(), false), "it goes on");
-    assert_matches!(tap.pull(&mut input, &mut out, &facts()), Pulled::Call(request) if request.target == "/b");
+    assert_matches!(tap.pull(&mut input, &mut out, &facts()), ReadOutcome::Call(request) if request.target == "/b");
     assert!(!tap.answer(&mut out, 2, &Reply::done(), false), "the caller wanted it closed");
 }
 
@@ -100,7 +103,7 @@
 fn given_a_body_over_the_bound_when_it_is_announced_then_it_is_refused_before_it_comes() {
     let mut input = input("POST /a HTTP/1.1\r\nContent-Length: 1001\r\n\r\n");
     let mut out = Buffer::default();
-    assert_matches!(Tap::default().pull(&mut input, &mut out, &facts()), Pulled::Bad);
+    assert_matches!(HttpServerConnection::default().pull(&mut input, &mut out, &facts()), ReadOutcome::Bad);
     let text = String::from_utf8_lossy(out.data()).into_owned();
     assert!(text.starts_with("HTTP/1.1 413 "), "{text}");
 }
--- a/crates/fernknot-merge/src/lib.rs
+++ b/crates/fernknot-merge/src/lib.rs
@@ -6,14 +6,14 @@
 
 /// A part that is in: the seal of the answer that brought it, and its bytes.
 #[derive(Clone, Copy, Debug)]
-pub struct Part<'a> {
+pub struct ShardAnswer<'a> {
     pub seal: &'a str,
     pub body: &'a [u8],
 }
 
 /// What a gathered answer says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Gathered {
+pub struct MergedAnswer {
     /// The seals of the parts that are in, joined by commas.
     pub seals: String,
     pub missing: usize,
@@ -23,7 +23,7 @@
 /// Joins the parts of an answer that was asked of `shards` shards, with the greatest `top` records. Every
 /// equal record counts. `None` where fewer than the share `quorum` is in, nothing is in at all, or two parts
 /// bear one seal: such an answer would be no success, or a wrong one.
-pub fn gather(parts: &[Part], shards: usize, top: usize, quorum: f64) -> Option<Gathered> {
+pub fn gather(parts: &[ShardAnswer], shards: usize, top: usize, quorum: f64) -> Option<MergedAnswer> {
     // Shares are fractions of whole numbers; the slack is for those that binary cannot hold.
     let enough = parts.len() as f64 + 1e-9 >= quorum * shards as f64;
     let twice =
@@ -47,5 +47,5 @@
     records.sort_unstable_by(|one, other| other.cmp(one));
     let body = records.iter().flat_map(|record| record.to_be_bytes()).collect();
     let seals: Vec<&str> = parts.iter().map(|part| part.seal).collect();
-    Some(Gathered { seals: seals.join(", "), missing: shards - parts.len(), body })
+    Some(MergedAnswer { seals: seals.join(", "), missing: shards - parts.len(), body })
 }
--- a/crates/fernknot-merge/tests/gather.rs
+++ b/crates/fernknot-merge/tests/gather.rs
@@ -1,4 +1,4 @@
-use fernknot_merge::{Gathered, Part, RECORD, gather};
+use fernknot_merge::{MergedAnswer, RECORD, ShardAnswer, gather};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -9,8 +9,8 @@
 #[test]
 fn given_parts_out_of_order_then_the_greatest_come_first_and_equals_all_count() {
     let (one, other) = (body(&[3, 9, 1]), body(&[9, 4]));
-    let parts = [Part { seal: "a", body: &one }, Part { seal: "b", body: &other }];
-    let wanted = Gathered { seals: "a, b".into(), missing: 0, body: body(&[9, 9, 4]) };
+    let parts = [ShardAnswer { seal: "a", body: &one }, ShardAnswer { seal: "b", body: &other }];
+    let wanted = MergedAnswer { seals: "a, b".into(), missing: 0, body: body(&[9, 9, 4]) };
     assert_eq!(gather(&parts, 2, 3, 1.0), Some(wanted));
 }
 
@@ -18,7 +18,7 @@
 fn given_a_remainder_shorter_than_a_record_then_it_is_none() {
     let mut cut = body(&[5]);
     cut.extend([255; RECORD - 1]);
-    let got = gather(&[Part { seal: "a", body: &cut }], 1, 10, 1.0).map(|got| got.body);
+    let got = gather(&[ShardAnswer { seal: "a", body: &cut }], 1, 10, 1.0).map(|got| got.body);
     assert_eq!(got, Some(body(&[5])));
 }
 
@@ -34,13 +34,13 @@
     is: bool,
 ) {
     let seals: Vec<String> = (0..parts).map(|part| part.to_string()).collect();
-    let parts: Vec<Part> = seals.iter().map(|seal| Part { seal, body: b"" }).collect();
+    let parts: Vec<ShardAnswer> = seals.iter().map(|seal| ShardAnswer { seal, body: b"" }).collect();
     assert_eq!(gather(&parts, shards, 5, quorum).is_some(), is);
 }
 
 #[test]
 fn given_one_seal_twice_then_there_is_no_answer() {
-    let parts = [Part { seal: "a", body: b"" }, Part { seal: "a", body: b"" }];
+    let parts = [ShardAnswer { seal: "a", body: b"" }, ShardAnswer { seal: "a", body: b"" }];
     assert_eq!(gather(&parts, 2, 5, 0.5), None);
 }
 
@@ -51,8 +51,8 @@
         top in 0usize..40,
     ) {
         let seals: Vec<String> = (0..bodies.len()).map(|part| part.to_string()).collect();
-        let parts: Vec<Part> =
-            bodies.iter().zip(&seals).map(|(body, seal)| Part { seal, body }).collect();
+        let parts: Vec<ShardAnswer> =
+            bodies.iter().zip(&seals).map(|(body, seal)| ShardAnswer { seal, body }).collect();
         let mut all: Vec<&[u8]> = bodies.iter().flat_map(|body| body.chunks_exact(RECORD)).collect();
         all.sort_by(|one, other| other.cmp(one));
         all.truncate(top);
--- a/crates/fernknot-net/src/dock.rs
+++ b/crates/fernknot-net/src/dock.rs
@@ -22,11 +22,11 @@
 
 /// One connection or listening socket; its name is never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Berth(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// What bounds the loop.
 #[derive(Clone, Debug)]
-pub struct DockFacts {
+pub struct EventLoopSettings {
     /// Connections at once, of all kinds.
     pub links: usize,
     /// Bytes read ahead of what is done with them, for each connection.
@@ -38,22 +38,22 @@
 #[derive(Debug)]
 pub enum Event {
     /// A connection came in at a listening socket.
-    Accepted { berth: Berth, at: Berth, peer: SocketAddrV4 },
+    Accepted { berth: ConnectionId, at: ConnectionId, peer: SocketAddrV4 },
     /// A connection that was asked for is up.
-    Opened { berth: Berth },
+    Opened { berth: ConnectionId },
     /// Bytes came; `input` has them.
-    Came { berth: Berth },
+    Came { berth: ConnectionId },
     /// The other side sends nothing further; what it sent before is in `input`.
-    Ended { berth: Berth },
+    Ended { berth: ConnectionId },
     /// The connection is gone, whatever its input still holds; `opened` if it ever was up.
-    Gone { berth: Berth, opened: bool, why: NetError },
+    Gone { berth: ConnectionId, opened: bool, why: NetError },
     /// A datagram came to a socket of `datagrams`.
     Datagram { from: SocketAddrV4, bytes: Vec<u8> },
     /// Another thread asked for a turn.
     Woken,
 }
 
-struct Link {
+struct Connection {
     stream: TcpStream,
     peer: SocketAddrV4,
     open: bool,
@@ -67,22 +67,22 @@
 }
 
 /// All sockets of a process.
-pub struct Dock {
+pub struct EventLoop {
     poll: Poll,
     events: Events,
-    facts: DockFacts,
-    links: HashMap<Berth, Link>,
-    listeners: HashMap<Berth, TcpListener>,
-    datagrams: Option<(Berth, UdpSocket)>,
+    facts: EventLoopSettings,
+    links: HashMap<ConnectionId, Connection>,
+    listeners: HashMap<ConnectionId, TcpListener>,
+    datagrams: Option<(ConnectionId, UdpSocket)>,
     next: u64,
     /// To be written at the end of the turn.
-    dirty: BTreeSet<Berth>,
+    dirty: BTreeSet<ConnectionId>,
     /// Sockets that may have more than was read for want of room.
-    more: BTreeSet<Berth>,
+    more: BTreeSet<ConnectionId>,
     /// Listening sockets that were left unaccepted for want of room.
-    held_back: BTreeSet<Berth>,
+    held_back: BTreeSet<ConnectionId>,
     /// What had come over connections whose `Gone` the last turn told.
-    rests: HashMap<Berth, Buffer>,
+    rests: HashMap<ConnectionId, Buffer>,
     waker: Arc<Waker>,
 }
 
@@ -99,13 +99,13 @@
     }
 }
 
-impl Dock {
+impl EventLoop {
     /// # Errors
     /// Where the system gives no poll.
-    pub fn new(facts: DockFacts) -> std::io::Result<Dock> {
+    pub fn new(facts: EventLoopSettings) -> std::io::Result<EventLoop> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-        Ok(Dock {
+        Ok(EventLoop {
             poll,
             events: Events::with_capacity(256),
             facts,
@@ -135,14 +135,14 @@
         self.links.is_empty()
     }
 
-    fn name(&mut self) -> Berth {
+    fn name(&mut self) -> ConnectionId {
         self.next += 1;
-        Berth(self.next)
+        ConnectionId(self.next)
     }
 
     /// # Errors
     /// Where the address cannot be had.
-    pub fn listen(&mut self, addr: SocketAddrV4) -> Result<Berth, NetError> {
+    pub fn listen(&mut self, addr: SocketAddrV4) -> Result<ConnectionId, NetError> {
         let fail = |why| NetError { step: "listen at", peer: addr, why };
         let mut listener = TcpListener::bind(addr.into()).map_err(fail)?;
         let berth = self.name();
@@ -192,7 +192,7 @@
     }
 
     /// Takes no further connections there.
-    pub fn stop_listening(&mut self, berth: Berth) {
+    pub fn stop_listening(&mut self, berth: ConnectionId) {
         if let Some(mut listener) = self.listeners.remove(&berth) {
             let _ = listener.deregister(self.poll.registry());
         }
@@ -202,7 +202,7 @@
     ///
     /// # Errors
     /// Where none can be begun: no descriptors, no route, too many connections.
-    pub fn connect(&mut self, peer: SocketAddrV4) -> Result<Berth, NetError> {
+    pub fn connect(&mut self, peer: SocketAddrV4) -> Result<ConnectionId, NetError> {
         let fail = |why| NetError { step: "connect to", peer, why };
         if self.links.len() >= self.facts.links {
             return Err(fail(ErrorKind::QuotaExceeded.into()));
@@ -211,14 +211,19 @@
         self.add(stream, peer, false).map_err(fail)
     }
 
-    fn add(&mut self, mut stream: TcpStream, peer: SocketAddrV4, open: bool) -> std::io::Result<Berth> {
+    fn add(
+        &mut self,
+        mut stream: TcpStream,
+        peer: SocketAddrV4,
+        open: bool,
+    ) -> std::io::Result<ConnectionId> {
         let _ = stream.set_nodelay(true);
         // Guards against peers that fall silent without a reset, behind a cut or without power.
         let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(self.facts.silence));
         let berth = self.name();
         let both = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(berth.0 as usize), both)?;
-        let link = Link {
+        let link = Connection {
             stream,
             peer,
             open,
@@ -232,44 +237,44 @@
         Ok(berth)
     }
 
-    pub fn peer(&self, berth: Berth) -> Option<SocketAddrV4> {
+    pub fn peer(&self, berth: ConnectionId) -> Option<SocketAddrV4> {
         self.links.get(&berth).map(|link| link.peer)
     }
 
     /// Whether the connection is there and up.
-    pub fn is_open(&self, berth: Berth) -> bool {
+    pub fn is_open(&self, berth: ConnectionId) -> bool {
         self.links.get(&berth).is_some_and(|link| link.open)
     }
 
     /// Whether the connection is there and not yet up: nothing that was written has gone out.
-    pub fn is_opening(&self, berth: Berth) -> bool {
+    pub fn is_opening(&self, berth: ConnectionId) -> bool {
         self.links.get(&berth).is_some_and(|link| !link.open)
     }
 
     /// What came and is not yet consumed.
-    pub fn input(&mut self, berth: Berth) -> Option<&mut Buffer> {
+    pub fn input(&mut self, berth: ConnectionId) -> Option<&mut Buffer> {
         self.links.get_mut(&berth).map(|link| &mut link.input)
     }
 
     /// What had come and was not consumed over a connection whose `Gone` the last turn told; once.
-    pub fn take_rest(&mut self, berth: Berth) -> Option<Buffer> {
+    pub fn take_rest(&mut self, berth: ConnectionId) -> Option<Buffer> {
         self.rests.remove(&berth)
     }
 
     /// Where to write; it goes out at the end of the turn.
-    pub fn output(&mut self, berth: Berth) -> Option<&mut Buffer> {
+    pub fn output(&mut self, berth: ConnectionId) -> Option<&mut Buffer> {
         let link = self.links.get_mut(&berth).filter(|link| !link.closing)?;
         self.dirty.insert(berth);
         Some(&mut link.output)
     }
 
     /// Bytes that wait to be written.
-    pub fn waiting(&self, berth: Berth) -> usize {
+    pub fn waiting(&self, berth: ConnectionId) -> usize {
         self.links.get(&berth).map_or(0, |link| link.output.len())
     }
 
     /// Closes at once. Nothing further is told of it.
-    pub fn close(&mut self, berth: Berth) {
+    pub fn close(&mut self, berth: ConnectionId) {
         if let Some(mut link) = self.links.remove(&berth) {
             let _ = link.stream.deregister(self.poll.registry());
         }
@@ -278,7 +283,7 @@
     }
 
     /// Closes once all is written. Nothing further is told of it.
-    pub fn close_after(&mut self, berth: Berth) {
+    pub fn close_after(&mut self, berth: ConnectionId) {
         let Some(link) = self.links.get_mut(&berth) else { return };
         if link.output.is_empty() && !self.dirty.contains(&berth) {
             return self.close(berth);
@@ -288,7 +293,7 @@
     }
 
     /// Closes with a reset, so that the other side cannot take what it got for whole.
-    pub fn reset(&mut self, berth: Berth) {
+    pub fn reset(&mut self, berth: ConnectionId) {
         if let Some(link) = self.links.get(&berth) {
             let _ = socket2::SockRef::from(&link.stream).set_linger(Some(Duration::ZERO));
         }
@@ -301,8 +306,8 @@
         self.flush(news);
         // What nobody takes is not read on, and keeps no loop awake.
         let ahead = self.facts.ahead;
-        let roomy = |berth: &Berth| self.links.get(berth).is_none_or(|link| link.input.len() < ahead);
-        let again: Vec<Berth> = self.more.iter().copied().filter(roomy).collect();
+        let roomy = |berth: &ConnectionId| self.links.get(berth).is_none_or(|link| link.input.len() < ahead);
+        let again: Vec<ConnectionId> = self.more.iter().copied().filter(roomy).collect();
         again.iter().for_each(|berth| _ = self.more.remove(berth));
         let wait = if news.is_empty() && again.is_empty() { wait } else { Some(Duration::ZERO) };
         if self.poll.poll(&mut self.events, wait).is_err() {
@@ -314,7 +319,7 @@
         };
         let seen: Vec<(u64, bool, bool, bool)> = self.events.iter().map(seen).collect();
         for (token, readable, writable, hung) in seen {
-            let berth = Berth(token);
+            let berth = ConnectionId(token);
             if token == WAKER.0 as u64 {
                 news.push(Event::Woken);
             } else if self.listeners.contains_key(&berth) {
@@ -341,7 +346,7 @@
         }
     }
 
-    fn accept(&mut self, at: Berth, news: &mut Vec<Event>) {
+    fn accept(&mut self, at: ConnectionId, news: &mut Vec<Event>) {
         loop {
             if self.links.len() >= self.facts.links {
                 self.held_back.insert(at);
@@ -366,7 +371,7 @@
         }
     }
 
-    fn gone(&mut self, berth: Berth, step: &'static str, why: std::io::Error, news: &mut Vec<Event>) {
+    fn gone(&mut self, berth: ConnectionId, step: &'static str, why: std::io::Error, news: &mut Vec<Event>) {
         let Some(link) = self.links.get_mut(&berth) else { return };
         let (opened, peer, told) = (link.open, link.peer, !link.closing);
         let rest = std::mem::take(&mut link.input);
@@ -379,7 +384,7 @@
         }
     }
 
-    fn writable(&mut self, berth: Berth, news: &mut Vec<Event>) {
+    fn writable(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
         let Some(link) = self.links.get_mut(&berth) else { return };
         if !link.open {
             match link.stream.take_error() {
@@ -402,7 +407,7 @@
         }
     }
 
-    fn write(&mut self, berth: Berth, news: &mut Vec<Event>) {
+    fn write(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
         let Some(link) = self.links.get_mut(&berth).filter(|link| link.open) else { return };
         while !link.output.is_empty() {
             match link.stream.write(link.output.data()) {
@@ -419,7 +424,7 @@
         }
     }
 
-    fn read(&mut self, berth: Berth, news: &mut Vec<Event>) {
+    fn read(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
         let ahead = self.facts.ahead;
         let Some(link) = self.links.get_mut(&berth) else { return };
         if !link.open || link.ended {
--- a/crates/fernknot-net/src/lib.rs
+++ b/crates/fernknot-net/src/lib.rs
@@ -8,7 +8,7 @@
 mod ports;
 mod signals;
 
-pub use dock::{Berth, Dock, DockFacts, Event, NetError};
+pub use dock::{ConnectionId, Event, EventLoop, EventLoopSettings, NetError};
 pub use fernknot_protocol::buffer::Buffer;
-pub use ports::Ports;
+pub use ports::Network;
 pub use signals::Signals;
--- a/crates/fernknot-net/tests/dock.rs
+++ b/crates/fernknot-net/tests/dock.rs
@@ -1,6 +1,6 @@
 //! The loop's connections over loopback: what is told of bytes with which a connection ends.
 
-use fernknot_net::{Berth, Dock, DockFacts, Event};
+use fernknot_net::{ConnectionId, Event, EventLoop, EventLoopSettings};
 use std::io::Write;
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
@@ -10,9 +10,9 @@
 const LONG: Duration = Duration::from_secs(10);
 
 /// A loop with one connection that came in, and its other end.
-fn dock() -> (Dock, Berth, TcpStream) {
-    let facts = DockFacts { links: 10, ahead: 64 * 1024, silence: LONG };
-    let mut dock = Dock::new(facts).unwrap();
+fn dock() -> (EventLoop, ConnectionId, TcpStream) {
+    let facts = EventLoopSettings { links: 10, ahead: 64 * 1024, silence: LONG };
+    let mut dock = EventLoop::new(facts).unwrap();
     // A port that nobody has: the system gives one, which the loop then takes.
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let SocketAddr::V4(addr) = free else { unreachable!("an address of another family") };
@@ -31,7 +31,7 @@
 }
 
 /// Turns until the end of the connection is told; whether bytes were, and which end it was.
-fn until_end(dock: &mut Dock) -> (bool, Option<Event>) {
+fn until_end(dock: &mut EventLoop) -> (bool, Option<Event>) {
     let (mut news, mut came, began) = (Vec::new(), false, Instant::now());
     while began.elapsed() < LONG {
         dock.turn(Some(Duration::from_millis(100)), &mut news);
--- a/crates/fernknot-ownership/src/holder.rs
+++ b/crates/fernknot-ownership/src/holder.rs
@@ -1,12 +1,12 @@
 //! A gateway's side of its duties.
 
-use crate::cut::{Cut, Fence, Gateway, LifeId};
+use crate::cut::{Assignment, FencingToken, GatewayRecord, IncarnationId};
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a gateway may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct HolderBounds {
+pub struct OwnedKeysSettings {
     /// Keys watched at once.
     pub most_keys: usize,
     /// The old holder serves on for so long at most, until the new one says that it has the key.
@@ -20,7 +20,7 @@
 
 /// What became of a cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ApplyOutcome {
     Newer,
     Same,
     /// Under an older fence; refused.
@@ -29,36 +29,36 @@
 
 /// How this gateway stands to a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing<'a> {
+pub enum OwnershipState<'a> {
     Mine,
     /// Another has it by the newest cut; this one serves on until then.
     Handing {
-        to: &'a Gateway,
+        to: &'a GatewayRecord,
         until: Nanos,
     },
-    Other(&'a Gateway),
+    Other(&'a GatewayRecord),
     /// No gateway of the zone lives, as far as is known.
     Nobody,
 }
 
 /// What the host has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Action {
     /// Take up a key; where `from` is known, it serves until told ([`Order::SayTaken`]).
-    Start { key: String, fence: Fence, from: Option<Gateway> },
+    Start { key: String, fence: FencingToken, from: Option<GatewayRecord> },
     /// Tell the earlier holder that this one has the key now.
-    SayTaken { to: Gateway, key: String, fence: Fence },
+    SayTaken { to: GatewayRecord, key: String, fence: FencingToken },
     /// Put a key down.
-    Stop { key: String, fence: Fence },
+    Stop { key: String, fence: FencingToken },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Held {
-    owner: Option<LifeId>,
+struct KeyState {
+    owner: Option<IncarnationId>,
     /// The host was told to take it up and not yet to put it down.
     started: bool,
     /// Whose it was by the cut before; serves until told.
-    from: Option<Gateway>,
+    from: Option<GatewayRecord>,
     /// The host has taken it up: `from` is to be told.
     say: bool,
     /// Set while this gateway serves on for another.
@@ -67,12 +67,12 @@
 
 /// The duties of one gateway by the newest cut, for the keys it watches.
 #[derive(Clone, Debug)]
-pub struct Holder {
-    me: LifeId,
+pub struct OwnedKeys {
+    me: IncarnationId,
     zone: Option<String>,
-    bounds: HolderBounds,
-    cut: Cut,
-    keys: BTreeMap<String, Held>,
+    bounds: OwnedKeysSettings,
+    cut: Assignment,
+    keys: BTreeMap<String, KeyState>,
     /// Keys for which something may have to be done.
     due: BTreeSet<String>,
     /// Keys that are there no more and have to be put down.
@@ -87,14 +87,14 @@
     leaving: bool,
 }
 
-impl Holder {
+impl OwnedKeys {
     /// Holds nothing yet. With a zone, a key has a holder in each zone; without, one in all.
-    pub fn new(me: LifeId, zone: Option<String>, bounds: HolderBounds) -> Holder {
-        Holder {
+    pub fn new(me: IncarnationId, zone: Option<String>, bounds: OwnedKeysSettings) -> OwnedKeys {
+        OwnedKeys {
             me,
             zone,
             bounds,
-            cut: Cut::default(),
+            cut: Assignment::default(),
             keys: BTreeMap::new(),
             due: BTreeSet::new(),
             stops: VecDeque::new(),
@@ -107,19 +107,19 @@
     }
 
     /// The life whose duties these are.
-    pub fn me(&self) -> LifeId {
+    pub fn me(&self) -> IncarnationId {
         self.me
     }
 
     /// The newest cut taken.
-    pub fn cut(&self) -> &Cut {
+    pub fn cut(&self) -> &Assignment {
         &self.cut
     }
 
     /// A cut came, from a registrar or by way of a home.
-    pub fn take(&mut self, now: Nanos, cut: Cut) -> Taken {
+    pub fn take(&mut self, now: Nanos, cut: Assignment) -> ApplyOutcome {
         if cut.fence <= self.cut.fence {
-            return if cut.fence == self.cut.fence { Taken::Same } else { Taken::Older };
+            return if cut.fence == self.cut.fence { ApplyOutcome::Same } else { ApplyOutcome::Older };
         }
         let old = std::mem::replace(&mut self.cut, cut.sorted());
         let until = now + self.bounds.hand_over;
@@ -140,18 +140,18 @@
             self.due.insert(key.clone());
         }
         self.confirm(now, self.cut.fence);
-        Taken::Newer
+        ApplyOutcome::Newer
     }
 
     /// One who is in touch with the registrars says that this is the newest fence.
-    pub fn confirm(&mut self, now: Nanos, fence: Fence) {
-        if fence != self.cut.fence || fence == Fence::default() {
+    pub fn confirm(&mut self, now: Nanos, fence: FencingToken) {
+        if fence != self.cut.fence || fence == FencingToken::default() {
             return;
         }
         let gap = self.confirmed.is_none_or(|at| now - at > self.bounds.unconfirmed);
         // Views and the cuts in one are counted from 1, and either number is given once.
         let named = self.cut.find(self.me).is_some();
-        self.founding = named && (fence == Fence::of(1, 1) || self.founding && !gap);
+        self.founding = named && (fence == FencingToken::of(1, 1) || self.founding && !gap);
         if !named {
             self.counted_since = None;
         } else if gap || self.counted_since.is_none() {
@@ -161,7 +161,7 @@
     }
 
     /// Refuses what comes under a fence older than the newest cut's.
-    pub fn allows(&self, fence: Fence) -> bool {
+    pub fn allows(&self, fence: FencingToken) -> bool {
         fence >= self.cut.fence
     }
 
@@ -192,7 +192,7 @@
             let held = before.remove(key).unwrap_or_else(|| {
                 self.due.insert(key.to_string());
                 let owner = self.cut.owner(self.zone.as_deref(), key).map(|gateway| gateway.life);
-                Held { owner, ..Held::default() }
+                KeyState { owner, ..KeyState::default() }
             });
             self.keys.insert(key.to_string(), held);
         }
@@ -200,27 +200,27 @@
     }
 
     /// How this gateway stands to a key, watched or not.
-    pub fn standing(&self, now: Nanos, key: &str) -> Standing<'_> {
+    pub fn standing(&self, now: Nanos, key: &str) -> OwnershipState<'_> {
         let held = self.keys.get(key);
         let owner = match held {
             Some(held) => held.owner.and_then(|life| self.cut.find(life)),
             None => self.cut.owner(self.zone.as_deref(), key),
         };
         match (owner, held.and_then(|held| held.handing)) {
-            (Some(owner), _) if owner.life == self.me => Standing::Mine,
-            (Some(to), Some(until)) if now < until => Standing::Handing { to, until },
-            (Some(owner), _) => Standing::Other(owner),
-            (None, _) => Standing::Nobody,
+            (Some(owner), _) if owner.life == self.me => OwnershipState::Mine,
+            (Some(to), Some(until)) if now < until => OwnershipState::Handing { to, until },
+            (Some(owner), _) => OwnershipState::Other(owner),
+            (None, _) => OwnershipState::Nobody,
         }
     }
 
     /// True where this gateway answers for a key now: it has it, or serves on until the new holder has it.
     pub fn serves(&self, now: Nanos, key: &str) -> bool {
-        matches!(self.standing(now, key), Standing::Mine | Standing::Handing { .. })
+        matches!(self.standing(now, key), OwnershipState::Mine | OwnershipState::Handing { .. })
     }
 
     /// The new holder of a key says that it has it.
-    pub fn taken_over(&mut self, by: LifeId, key: &str, fence: Fence) {
+    pub fn taken_over(&mut self, by: IncarnationId, key: &str, fence: FencingToken) {
         if fence < self.cut.fence {
             return;
         }
@@ -243,23 +243,23 @@
     }
 
     /// The next thing to do, until there is none.
-    pub fn next(&mut self, now: Nanos) -> Option<Order> {
+    pub fn next(&mut self, now: Nanos) -> Option<Action> {
         let fence = self.cut.fence;
         if let Some(key) = self.stops.pop_front() {
             // Named again in between: it is taken up anew after this.
-            return Some(Order::Stop { key, fence });
+            return Some(Action::Stop { key, fence });
         }
         while let Some(key) = self.due.pop_first() {
             let Some(held) = self.keys.get_mut(&key) else { continue };
             let mine = held.owner == Some(self.me);
             if mine && !held.started {
                 held.started = true;
-                return Some(Order::Start { key, fence, from: held.from.clone() });
+                return Some(Action::Start { key, fence, from: held.from.clone() });
             }
             if mine && held.say {
                 held.say = false;
                 if let Some(to) = held.from.take() {
-                    return Some(Order::SayTaken { to, key, fence });
+                    return Some(Action::SayTaken { to, key, fence });
                 }
             }
             if !mine && held.started {
@@ -269,8 +269,8 @@
                         self.check_at = Some(at);
                     }
                     _ => {
-                        *held = Held { owner: held.owner, ..Held::default() };
-                        return Some(Order::Stop { key, fence });
+                        *held = KeyState { owner: held.owner, ..KeyState::default() };
+                        return Some(Action::Stop { key, fence });
                     }
                 }
             }
--- a/crates/fernknot-ownership/src/keeper.rs
+++ b/crates/fernknot-ownership/src/keeper.rs
@@ -1,6 +1,6 @@
 //! A registrar's view of which gateways live; the sequencer makes the cuts from it.
 
-use crate::cut::{Cut, Fence, Gateway, LifeId};
+use crate::cut::{Assignment, FencingToken, GatewayRecord, IncarnationId};
 use fernknot::interface::Nanos;
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 
 /// What a registrar may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct KeeperBounds {
+pub struct AssignerSettings {
     /// Gateways known at once.
     pub most_gateways: usize,
     /// How long a gateway that is unheard, or has left, counts for a budget; [`crate::HolderBounds::unconfirmed`] and
@@ -36,8 +36,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
-    gateway: Gateway,
+struct KnownGateway {
+    gateway: GatewayRecord,
     heard: Nanos,
     /// Heard here since the other registrars were last told.
     fresh: bool,
@@ -45,25 +45,25 @@
 
 /// Which gateways live, by their beats here and at other registrars.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct Assigner {
     beat: Nanos,
-    bounds: KeeperBounds,
-    known: BTreeMap<LifeId, Known>,
+    bounds: AssignerSettings,
+    known: BTreeMap<IncarnationId, KnownGateway>,
     /// Those that stopped as planned, and when: a beat still on its way doesn't bring them back.
-    left: BTreeMap<LifeId, Nanos>,
+    left: BTreeMap<IncarnationId, Nanos>,
     listening_since: Option<Nanos>,
     changed_since: Option<Nanos>,
     cut_at: Option<Nanos>,
-    last: Cut,
+    last: Assignment,
     /// Counted by the last cut of another registrar, and until when that is the least.
     floor: (u32, Nanos),
     now: Nanos,
 }
 
-impl Keeper {
+impl Assigner {
     /// Knows nobody yet; `beat` is the time between two beats of a gateway.
-    pub fn new(beat: Nanos, bounds: KeeperBounds) -> Keeper {
-        Keeper {
+    pub fn new(beat: Nanos, bounds: AssignerSettings) -> Assigner {
+        Assigner {
             beat: Nanos(beat.0.max(1)),
             bounds,
             known: BTreeMap::new(),
@@ -71,14 +71,14 @@
             listening_since: None,
             changed_since: None,
             cut_at: None,
-            last: Cut::default(),
+            last: Assignment::default(),
             floor: (0, Nanos(0)),
             now: Nanos(0),
         }
     }
 
     /// A beat of a gateway came here. Returns false where there is no room for it or it has left.
-    pub fn alive(&mut self, now: Nanos, gateway: Gateway) -> bool {
+    pub fn alive(&mut self, now: Nanos, gateway: GatewayRecord) -> bool {
         let life = gateway.life;
         let taken = self.told_one(now, gateway);
         if let Some(known) = self.known.get_mut(&life) {
@@ -88,14 +88,14 @@
     }
 
     /// Another registrar told of gateways whose beats it hears.
-    pub fn told(&mut self, now: Nanos, gateways: &[Gateway]) {
+    pub fn told(&mut self, now: Nanos, gateways: &[GatewayRecord]) {
         for gateway in gateways {
             self.told_one(now, gateway.clone());
         }
     }
 
     /// Another registrar hears beats of these lives. Returns those that are not known here: to be asked for.
-    pub fn heard_elsewhere(&mut self, now: Nanos, lives: &[LifeId]) -> Vec<LifeId> {
+    pub fn heard_elsewhere(&mut self, now: Nanos, lives: &[IncarnationId]) -> Vec<IncarnationId> {
         self.tick(now);
         let mut unknown = Vec::new();
         for life in lives {
@@ -109,7 +109,7 @@
     }
 
     /// Lives whose beats came here since the last call.
-    pub fn heard_lately(&mut self, now: Nanos) -> Vec<LifeId> {
+    pub fn heard_lately(&mut self, now: Nanos) -> Vec<IncarnationId> {
         self.tick(now);
         let fresh = self.known.iter_mut().filter(|(_, known)| known.fresh);
         fresh
@@ -121,12 +121,12 @@
     }
 
     /// What is known of these lives.
-    pub fn gateways_of(&self, lives: &[LifeId]) -> Vec<Gateway> {
+    pub fn gateways_of(&self, lives: &[IncarnationId]) -> Vec<GatewayRecord> {
         lives.iter().filter_map(|life| self.known.get(life)).map(|known| known.gateway.clone()).collect()
     }
 
     /// A gateway stops as planned; also told on by other registrars.
-    pub fn left(&mut self, now: Nanos, life: LifeId) {
+    pub fn left(&mut self, now: Nanos, life: IncarnationId) {
         self.tick(now);
         self.known.remove(&life);
         if self.left.len() < self.bounds.most_gateways {
@@ -151,7 +151,7 @@
 
     /// A cut was made by another registrar, or before a restart: fences go on from it, and who lives by it does so
     /// here until found silent.
-    pub fn learn(&mut self, now: Nanos, cut: &Cut) {
+    pub fn learn(&mut self, now: Nanos, cut: &Assignment) {
         self.tick(now);
         if cut.fence <= self.last.fence {
             return;
@@ -166,13 +166,13 @@
     }
 
     /// The newest cut that is known here.
-    pub fn last(&self) -> &Cut {
+    pub fn last(&self) -> &Assignment {
         &self.last
     }
 
     /// A new cut, if this registrar is the sequencer of the view and who lives differs from the last cut, or the last
     /// one is of an earlier view.
-    pub fn recut(&mut self, now: Nanos, view: u32, is_sequencer: bool) -> Option<Cut> {
+    pub fn recut(&mut self, now: Nanos, view: u32, is_sequencer: bool) -> Option<Assignment> {
         self.tick(now);
         if !is_sequencer || view < self.last.fence.view() {
             return None;
@@ -180,9 +180,9 @@
         let listening = *self.listening_since.get_or_insert(self.now);
         let span = self.beat.times(BEATS_TO_LOSE);
         let live = self.known.values().filter(|known| self.now - known.heard <= span);
-        let live: Vec<Gateway> = live.map(|known| known.gateway.clone()).collect();
+        let live: Vec<GatewayRecord> = live.map(|known| known.gateway.clone()).collect();
         let may_be_alive = self.may_be_alive(now) as u32;
-        let in_view = self.last.fence.view() == view && self.last.fence != Fence::default();
+        let in_view = self.last.fence.view() == view && self.last.fence != FencingToken::default();
         if in_view && live == self.last.live && may_be_alive == self.last.may_be_alive {
             self.changed_since = None;
             return None;
@@ -195,13 +195,13 @@
             return None;
         }
         let count = if in_view { self.last.fence.count().checked_add(1)? } else { 1 };
-        self.last = Cut { fence: Fence::of(view, count), live, may_be_alive };
+        self.last = Assignment { fence: FencingToken::of(view, count), live, may_be_alive };
         self.cut_at = Some(self.now);
         self.changed_since = None;
         Some(self.last.clone())
     }
 
-    fn told_one(&mut self, now: Nanos, gateway: Gateway) -> bool {
+    fn told_one(&mut self, now: Nanos, gateway: GatewayRecord) -> bool {
         self.tick(now);
         if self.left.contains_key(&gateway.life) {
             return false;
@@ -213,9 +213,9 @@
                 return false;
             }
         }
-        let known = Known { heard: self.now, fresh: false, gateway };
+        let known = KnownGateway { heard: self.now, fresh: false, gateway };
         let fresh = self.known.get(&known.gateway.life).is_some_and(|known| known.fresh);
-        self.known.insert(known.gateway.life, Known { fresh, ..known });
+        self.known.insert(known.gateway.life, KnownGateway { fresh, ..known });
         true
     }
 
--- a/crates/fernknot-ownership/src/lib.rs
+++ b/crates/fernknot-ownership/src/lib.rs
@@ -9,6 +9,6 @@
 mod holder;
 mod keeper;
 
-pub use cut::{Cut, CutChange, Fence, Gateway, LifeId, key_hash, scatter};
-pub use holder::{Holder, HolderBounds, Order, Standing, Taken};
-pub use keeper::{Keeper, KeeperBounds, doubt, unconfirmed};
+pub use cut::{Assignment, AssignmentChange, FencingToken, GatewayRecord, IncarnationId, key_hash, scatter};
+pub use holder::{Action, ApplyOutcome, OwnedKeys, OwnedKeysSettings, OwnershipState};
+pub use keeper::{Assigner, AssignerSettings, doubt, unconfirmed};
--- a/crates/fernknot-ownership/tests/common/mod.rs
+++ b/crates/fernknot-ownership/tests/common/mod.rs
@@ -1,7 +1,10 @@
 //! Gateways and times for the stories of this package.
 
 use fernknot::interface::Nanos;
-use fernknot_ownership::{Cut, Fence, Gateway, Holder, HolderBounds, Keeper, KeeperBounds, LifeId};
+use fernknot_ownership::{
+    Assigner, AssignerSettings, Assignment, FencingToken, GatewayRecord, IncarnationId, OwnedKeys,
+    OwnedKeysSettings,
+};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 pub const BEAT: Nanos = Nanos(1_000_000_000);
@@ -14,21 +17,26 @@
     BEAT.times(beats)
 }
 
-pub fn gateway(life: u64) -> Gateway {
+pub fn gateway(life: u64) -> GatewayRecord {
     let addr = SocketAddrV4::new(Ipv4Addr::new(10, 0, (life >> 8) as u8, life as u8), 7120);
-    Gateway { life: LifeId(life), addr, zone: ["north", "south", "east"][life as usize % 3].to_string() }
+    GatewayRecord {
+        life: IncarnationId(life),
+        addr,
+        zone: ["north", "south", "east"][life as usize % 3].to_string(),
+    }
 }
 
-pub fn cut(view: u32, count: u32, lives: impl IntoIterator<Item = u64>) -> Cut {
-    let live: Vec<Gateway> = lives.into_iter().map(gateway).collect();
-    Cut { fence: Fence::of(view, count), may_be_alive: live.len() as u32, live }.sorted()
+pub fn cut(view: u32, count: u32, lives: impl IntoIterator<Item = u64>) -> Assignment {
+    let live: Vec<GatewayRecord> = lives.into_iter().map(gateway).collect();
+    Assignment { fence: FencingToken::of(view, count), may_be_alive: live.len() as u32, live }.sorted()
 }
 
-pub fn keeper() -> Keeper {
-    Keeper::new(BEAT, KeeperBounds { most_gateways: 5_000, doubt: at(15.0) })
+pub fn keeper() -> Assigner {
+    Assigner::new(BEAT, AssignerSettings { most_gateways: 5_000, doubt: at(15.0) })
 }
 
-pub fn holder(life: u64) -> Holder {
-    let bounds = HolderBounds { most_keys: 500, hand_over: at(2.0), unconfirmed: at(5.0), window: WINDOW };
-    Holder::new(LifeId(life), None, bounds)
+pub fn holder(life: u64) -> OwnedKeys {
+    let bounds =
+        OwnedKeysSettings { most_keys: 500, hand_over: at(2.0), unconfirmed: at(5.0), window: WINDOW };
+    OwnedKeys::new(IncarnationId(life), None, bounds)
 }
--- a/crates/fernknot-ownership/tests/duties.rs
+++ b/crates/fernknot-ownership/tests/duties.rs
@@ -5,17 +5,21 @@
 use assert_matches::assert_matches;
 use common::{WINDOW, at, cut, gateway, holder, keeper};
 use fernknot::interface::Nanos;
-use fernknot_ownership::{Cut, CutChange, Fence, Holder, LifeId, Order, Standing, Taken};
+use fernknot_ownership::{
+    Action, ApplyOutcome, Assignment, AssignmentChange, FencingToken, IncarnationId, OwnedKeys,
+    OwnershipState,
+};
 use proptest::prelude::*;
 
-fn orders(holder: &mut Holder, beats: f64) -> Vec<Order> {
+fn orders(holder: &mut OwnedKeys, beats: f64) -> Vec<Action> {
     std::iter::from_fn(|| holder.next(at(beats))).collect()
 }
 
 /// A key that the cut gives to this life.
-fn key_of(cut: &Cut, life: u64) -> String {
+fn key_of(cut: &Assignment, life: u64) -> String {
     let keys = (0..10_000).map(|number| format!("service-{number}"));
-    let mut keys = keys.filter(|key| cut.owner(None, key).map(|owner| owner.life) == Some(LifeId(life)));
+    let mut keys =
+        keys.filter(|key| cut.owner(None, key).map(|owner| owner.life) == Some(IncarnationId(life)));
     keys.next().expect("one of many keys is its own")
 }
 
@@ -49,7 +53,7 @@
 #[test]
 fn given_a_silent_gateway_when_beats_are_missed_then_it_holds_nothing_but_is_still_counted() {
     let mut keeper = keeper();
-    let mut cuts: Vec<Cut> = Vec::new();
+    let mut cuts: Vec<Assignment> = Vec::new();
     for half in 0..60 {
         let now = at(half as f64 / 2.0);
         keeper.alive(now, gateway(1));
@@ -70,7 +74,7 @@
     let before = old.recut(at(2.5), 3, true).unwrap();
     let mut new = keeper();
     new.learn(at(2.5), &before);
-    new.left(at(2.6), LifeId(4));
+    new.left(at(2.6), IncarnationId(4));
     assert_eq!(new.recut(at(3.0), 4, true), None);
     let after = new.recut(at(5.1), 4, true).unwrap();
     assert!(after.fence > before.fence);
@@ -96,27 +100,27 @@
     let (mut old, mut new) = (holder(1), holder(2));
     for holder in [&mut old, &mut new] {
         holder.watch([key.as_str()]);
-        assert_eq!(holder.take(at(0.0), first.clone()), Taken::Newer);
+        assert_eq!(holder.take(at(0.0), first.clone()), ApplyOutcome::Newer);
     }
-    assert_eq!(orders(&mut old, 0.0), [Order::Start { key: key.clone(), fence: first.fence, from: None }]);
+    assert_eq!(orders(&mut old, 0.0), [Action::Start { key: key.clone(), fence: first.fence, from: None }]);
     old.started(&key);
     assert_eq!(orders(&mut new, 0.0), []);
 
     old.take(at(1.0), second.clone());
     new.take(at(1.0), second.clone());
-    assert_eq!(old.take(at(1.0), first.clone()), Taken::Older);
+    assert_eq!(old.take(at(1.0), first.clone()), ApplyOutcome::Older);
     assert!(!old.allows(first.fence) && old.allows(second.fence));
-    assert_matches!(old.standing(at(1.0), &key), Standing::Handing { to, .. } if to.life == LifeId(2));
+    assert_matches!(old.standing(at(1.0), &key), OwnershipState::Handing { to, .. } if to.life == IncarnationId(2));
     assert_eq!(orders(&mut old, 1.0), []);
     let from = Some(gateway(1));
-    assert_eq!(orders(&mut new, 1.0), [Order::Start { key: key.clone(), fence: second.fence, from }]);
+    assert_eq!(orders(&mut new, 1.0), [Action::Start { key: key.clone(), fence: second.fence, from }]);
     new.started(&key);
-    let said = Order::SayTaken { to: gateway(1), key: key.clone(), fence: second.fence };
+    let said = Action::SayTaken { to: gateway(1), key: key.clone(), fence: second.fence };
     assert_eq!(orders(&mut new, 1.0), [said]);
-    old.taken_over(LifeId(2), &key, first.fence);
+    old.taken_over(IncarnationId(2), &key, first.fence);
     assert!(old.serves(at(1.5), &key), "a word under an older fence is refused");
-    old.taken_over(LifeId(2), &key, second.fence);
-    assert_eq!(orders(&mut old, 1.5), [Order::Stop { key: key.clone(), fence: second.fence }]);
+    old.taken_over(IncarnationId(2), &key, second.fence);
+    assert_eq!(orders(&mut old, 1.5), [Action::Stop { key: key.clone(), fence: second.fence }]);
     assert!(!old.serves(at(1.5), &key));
 }
 
@@ -132,9 +136,9 @@
     assert_eq!(orders(&mut old, 1.0), []);
     assert_eq!(old.wakes_at(), Some(at(3.0)));
     assert!(old.serves(at(2.9), &key) && !old.serves(at(3.0), &key));
-    assert_matches!(&orders(&mut old, 3.0)[..], [Order::Stop { .. }]);
+    assert_matches!(&orders(&mut old, 3.0)[..], [Action::Stop { .. }]);
     old.take(at(4.0), cut(1, 3, [1]));
-    assert_matches!(&orders(&mut old, 4.0)[..], [Order::Start { from: Some(_), .. }]);
+    assert_matches!(&orders(&mut old, 4.0)[..], [Action::Start { from: Some(_), .. }]);
 }
 
 #[test]
@@ -148,9 +152,9 @@
     old.take(at(1.0), second);
     orders(&mut old, 1.0);
     old.take(at(1.5), cut(1, 3, [1]));
-    assert_matches!(&orders(&mut old, 1.5)[..], [Order::SayTaken { to, .. }] if to.life == LifeId(2));
+    assert_matches!(&orders(&mut old, 1.5)[..], [Action::SayTaken { to, .. }] if to.life == IncarnationId(2));
     old.watch([]);
-    assert_matches!(&orders(&mut old, 1.5)[..], [Order::Stop { .. }]);
+    assert_matches!(&orders(&mut old, 1.5)[..], [Action::Stop { .. }]);
 }
 
 proptest! {
@@ -165,7 +169,7 @@
         for number in 0..50 {
             let key = format!("k{number}");
             let (before, after) = (with.owner(None, &key).unwrap(), without.owner(None, &key).unwrap());
-            prop_assert!(before.life == LifeId(gone) || before == after);
+            prop_assert!(before.life == IncarnationId(gone) || before == after);
         }
     }
 
@@ -179,8 +183,8 @@
         let change = new.change_since(&old);
         prop_assert_eq!(old.changed_by(&change), Some(new.clone()));
         prop_assert_eq!(new.changed_by(&change), None);
-        prop_assert_eq!(bitcode::decode::<CutChange>(&bitcode::encode(&change)).unwrap(), change);
-        let _ = bitcode::decode::<Cut>(&bytes);
+        prop_assert_eq!(bitcode::decode::<AssignmentChange>(&bitcode::encode(&change)).unwrap(), change);
+        let _ = bitcode::decode::<Assignment>(&bytes);
     }
 
     /// Gateways start, die, leave, are cut off either way and come back; the sequencer restarts. Each spends all that it
@@ -192,10 +196,10 @@
         #[derive(Clone, Copy, PartialEq)]
         enum Link { Dead, Up, Deaf, Mute, Cut }
         let mut keeper = keeper();
-        let mut holders: Vec<Holder> = (0..8).map(holder).collect();
+        let mut holders: Vec<OwnedKeys> = (0..8).map(holder).collect();
         let mut links = [Link::Up; 8];
         let (mut lives, mut view) = (8, 1);
-        let mut spent: Vec<(Nanos, LifeId, f64)> = Vec::new();
+        let mut spent: Vec<(Nanos, IncarnationId, f64)> = Vec::new();
         for (tick, (which, what)) in events.into_iter().enumerate() {
             let change = [Link::Dead, Link::Up, Link::Deaf, Link::Mute, Link::Cut, Link::Dead][what as usize];
             if what == 5 && links[which] == Link::Up {
@@ -229,7 +233,7 @@
                     }
                 }
                 let taking = holders.iter().zip(&links).filter(|(_, link)| **link != Link::Dead);
-                let shares: Vec<(LifeId, f64)> = taking
+                let shares: Vec<(IncarnationId, f64)> = taking
                     .filter_map(|(holder, _)| Some((holder.me(), 1.0 / holder.shared_by(now)? as f64)))
                     .collect();
                 let sum: f64 = shares.iter().map(|(_, share)| share).sum();
@@ -248,6 +252,6 @@
 
 #[test]
 fn given_fences_of_views_then_a_later_view_is_above_all_of_an_earlier_one() {
-    assert!(Fence::of(2, 1) > Fence::of(1, u32::MAX));
-    assert_eq!((Fence::of(7, 9).view(), Fence::of(7, 9).count()), (7, 9));
+    assert!(FencingToken::of(2, 1) > FencingToken::of(1, u32::MAX));
+    assert_eq!((FencingToken::of(7, 9).view(), FencingToken::of(7, 9).count()), (7, 9));
 }
--- a/crates/fernknot-peer-sampling/src/descriptor.rs
+++ b/crates/fernknot-peer-sampling/src/descriptor.rs
@@ -12,7 +12,7 @@
 
 /// A process as it was known `age` ago.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Descriptor {
+pub struct PeerDescriptor {
     /// Where other processes of the system reach it.
     pub addr: SocketAddrV4,
     pub role: Role,
@@ -23,9 +23,9 @@
     pub age: u32,
 }
 
-impl Descriptor {
+impl PeerDescriptor {
     /// Takes in what is known of the same address: the younger word counts. Returns whether it did.
-    pub(crate) fn renew(&mut self, other: &Descriptor) -> bool {
+    pub(crate) fn renew(&mut self, other: &PeerDescriptor) -> bool {
         let younger = other.age < self.age;
         if younger {
             self.clone_from(other);
--- a/crates/fernknot-peer-sampling/src/lib.rs
+++ b/crates/fernknot-peer-sampling/src/lib.rs
@@ -7,5 +7,5 @@
 mod descriptor;
 mod overlay;
 
-pub use descriptor::{Descriptor, Role};
-pub use overlay::{Order, Overlay, OverlayBounds};
+pub use descriptor::{PeerDescriptor, Role};
+pub use overlay::{Action, PeerSampler, PeerSamplerSettings};
--- a/crates/fernknot-peer-sampling/src/overlay.rs
+++ b/crates/fernknot-peer-sampling/src/overlay.rs
@@ -1,6 +1,6 @@
 //! One process's part of the whole.
 
-use crate::descriptor::{Descriptor, Role};
+use crate::descriptor::{PeerDescriptor, Role};
 use fernknot::interface::Nanos;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -26,7 +26,7 @@
 
 /// What a process may hold and tell.
 #[derive(Clone, Copy, Debug)]
-pub struct OverlayBounds {
+pub struct PeerSamplerSettings {
     /// Entries of the view that is shuffled.
     pub view: usize,
     /// Entries of it that are told with a shuffle.
@@ -37,53 +37,53 @@
     pub seeds: usize,
 }
 
-impl Default for OverlayBounds {
+impl Default for PeerSamplerSettings {
     fn default() -> Self {
-        OverlayBounds { view: 20, sample: 6, registrars: 12, seeds: 12 }
+        PeerSamplerSettings { view: 20, sample: 6, registrars: 12, seeds: 12 }
     }
 }
 
 /// What the host has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Action {
     /// Send this to a process; its answer goes to [`Overlay::answered`].
-    Shuffle { to: SocketAddrV4, sample: Vec<Descriptor> },
+    Shuffle { to: SocketAddrV4, sample: Vec<PeerDescriptor> },
 }
 
-struct Asked {
+struct PendingShuffle {
     to: SocketAddrV4,
     sent: Vec<SocketAddrV4>,
 }
 
 /// Which processes this one knows.
-pub struct Overlay {
-    me: Descriptor,
+pub struct PeerSampler {
+    me: PeerDescriptor,
     period: Nanos,
-    bounds: OverlayBounds,
-    view: Vec<Descriptor>,
-    registrars: Vec<Descriptor>,
+    bounds: PeerSamplerSettings,
+    view: Vec<PeerDescriptor>,
+    registrars: Vec<PeerDescriptor>,
     seeds: Vec<SocketAddrV4>,
     /// Seeds not asked yet since they were told.
     to_ask: Vec<SocketAddrV4>,
-    asked: Option<Asked>,
+    asked: Option<PendingShuffle>,
     now: Option<Nanos>,
     chance: ChaCha8Rng,
     due: Option<Nanos>,
 }
 
-impl Overlay {
+impl PeerSampler {
     /// Knows its seeds only. The first shuffle is due within a period of the first [`Self::next`].
     pub fn new(
-        me: Descriptor,
+        me: PeerDescriptor,
         seeds: &[SocketAddrV4],
         period: Nanos,
-        bounds: OverlayBounds,
+        bounds: PeerSamplerSettings,
         seed: u64,
-    ) -> Overlay {
-        let mut overlay = Overlay {
-            me: Descriptor { age: 0, ..me },
+    ) -> PeerSampler {
+        let mut overlay = PeerSampler {
+            me: PeerDescriptor { age: 0, ..me },
             period: Nanos(period.0.max(1)),
-            bounds: OverlayBounds { view: bounds.view.max(1), sample: bounds.sample.max(1), ..bounds },
+            bounds: PeerSamplerSettings { view: bounds.view.max(1), sample: bounds.sample.max(1), ..bounds },
             view: Vec::new(),
             registrars: Vec::new(),
             seeds: Vec::new(),
@@ -112,17 +112,17 @@
     }
 
     /// All processes known here, the youngest word first.
-    pub fn know(&self) -> Vec<&Descriptor> {
+    pub fn know(&self) -> Vec<&PeerDescriptor> {
         let kept = self.registrars.iter();
         let others =
             self.view.iter().filter(|entry| self.registrars.iter().all(|kept| kept.addr != entry.addr));
-        let mut all: Vec<&Descriptor> = kept.chain(others).collect();
+        let mut all: Vec<&PeerDescriptor> = kept.chain(others).collect();
         all.sort_by_key(|entry| (entry.age, entry.addr));
         all
     }
 
     /// Processes of a role, in a zone or in all, the youngest word first.
-    pub fn peers(&self, role: Role, zone: Option<&str>) -> Vec<&Descriptor> {
+    pub fn peers(&self, role: Role, zone: Option<&str>) -> Vec<&PeerDescriptor> {
         let mut peers = self.know();
         peers.retain(|entry| entry.role == role && zone.is_none_or(|zone| entry.zone == zone));
         peers
@@ -139,7 +139,12 @@
     }
 
     /// Another process shuffles with this one: the answer to send back.
-    pub fn heard(&mut self, now: Nanos, from: SocketAddrV4, sample: &[Descriptor]) -> Vec<Descriptor> {
+    pub fn heard(
+        &mut self,
+        now: Nanos,
+        from: SocketAddrV4,
+        sample: &[PeerDescriptor],
+    ) -> Vec<PeerDescriptor> {
         self.tick(now);
         let answer = self.sample(from);
         let sent: Vec<SocketAddrV4> = answer.iter().map(|entry| entry.addr).collect();
@@ -148,12 +153,12 @@
     }
 
     /// The answer to a shuffle came.
-    pub fn answered(&mut self, now: Nanos, from: SocketAddrV4, sample: &[Descriptor]) {
+    pub fn answered(&mut self, now: Nanos, from: SocketAddrV4, sample: &[PeerDescriptor]) {
         self.tick(now);
         let Some(asked) = self.asked.take_if(|asked| asked.to == from) else { return };
         // Who answers was just given up: it is taken back only where there is room, else the known would get more so.
         let room = self.view.len() < self.bounds.view / 2;
-        let others: Vec<Descriptor> =
+        let others: Vec<PeerDescriptor> =
             sample.iter().filter(|entry| room || entry.addr != from).cloned().collect();
         self.merge(&others, &asked.sent);
         sample.iter().filter(|entry| entry.addr == from).for_each(|entry| self.keep_registrar(entry));
@@ -177,7 +182,7 @@
     }
 
     /// The next thing to do, until there is none.
-    pub fn next(&mut self, now: Nanos) -> Option<Order> {
+    pub fn next(&mut self, now: Nanos) -> Option<Action> {
         self.tick(now);
         let spread = self.period.times(0.9 + 0.2 * self.chance.random::<f64>());
         let Some(due) = self.due else {
@@ -197,8 +202,8 @@
         self.view.retain(|entry| entry.addr != to);
         let sample = self.sample(to);
         let sent = sample.iter().map(|entry| entry.addr).collect();
-        self.asked = Some(Asked { to, sent });
-        Some(Order::Shuffle { to, sample })
+        self.asked = Some(PendingShuffle { to, sent });
+        Some(Action::Shuffle { to, sample })
     }
 
     /// When to ask again though nothing came.
@@ -235,21 +240,21 @@
             }
         }
         let own_zone = self.chance.random_bool(OWN_ZONE);
-        let here = |entry: &&Descriptor| !own_zone || entry.zone == self.me.zone;
+        let here = |entry: &&PeerDescriptor| !own_zone || entry.zone == self.me.zone;
         let oldest = self.view.iter().filter(here).max_by_key(|entry| entry.age);
         let oldest = oldest.or_else(|| self.view.iter().max_by_key(|entry| entry.age));
         oldest.or(self.registrars.first()).map(|entry| entry.addr)
     }
 
     /// This process, a few of the view and a few registrars.
-    fn sample(&mut self, to: SocketAddrV4) -> Vec<Descriptor> {
+    fn sample(&mut self, to: SocketAddrV4) -> Vec<PeerDescriptor> {
         let mut sample = vec![self.me.clone()];
-        let mut others: Vec<Descriptor> =
+        let mut others: Vec<PeerDescriptor> =
             self.view.iter().filter(|entry| entry.addr != to).cloned().collect();
         others.shuffle(&mut self.chance);
         others.truncate(self.bounds.sample);
         sample.extend(others);
-        let mut registrars: Vec<Descriptor> = self
+        let mut registrars: Vec<PeerDescriptor> = self
             .registrars
             .iter()
             .filter(|entry| entry.addr != to && entry.age < self.periods(OLD) / 2)
@@ -264,7 +269,7 @@
         sample
     }
 
-    fn merge(&mut self, told: &[Descriptor], sent: &[SocketAddrV4]) {
+    fn merge(&mut self, told: &[PeerDescriptor], sent: &[SocketAddrV4]) {
         // What was sent is given up first for what came.
         let mut sent: Vec<SocketAddrV4> = sent.to_vec();
         for entry in told.iter().take(1 + self.bounds.sample + REGISTRARS_TOLD) {
@@ -293,7 +298,7 @@
     }
 
     /// The oldest entry of the zone with the most, if the new one is of a zone with too few.
-    fn place_of_crowd(&self, entry: &Descriptor) -> Option<usize> {
+    fn place_of_crowd(&self, entry: &PeerDescriptor) -> Option<usize> {
         let of = |zone: &str| self.view.iter().filter(|known| known.zone == zone).count();
         let most = self.view.iter().map(|known| of(&known.zone)).max().unwrap_or(0);
         if of(&entry.zone) >= KEPT_A_ZONE || most <= KEPT_A_ZONE {
@@ -303,7 +308,7 @@
         crowd.max_by_key(|(_, known)| known.age).map(|(at, _)| at)
     }
 
-    fn keep_registrar(&mut self, entry: &Descriptor) {
+    fn keep_registrar(&mut self, entry: &PeerDescriptor) {
         if entry.role != Role::Registrar || entry.addr == self.me.addr || entry.zone.len() > LONGEST_ZONE {
             return;
         }
--- a/crates/fernknot-peer-sampling/tests/common/mod.rs
+++ b/crates/fernknot-peer-sampling/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Some hundred processes in memory; a shuffle takes no time, and the dead don't answer.
 
 use fernknot::interface::Nanos;
-use fernknot_peer_sampling::{Descriptor, Order, Overlay, OverlayBounds, Role};
+use fernknot_peer_sampling::{Action, PeerDescriptor, PeerSampler, PeerSamplerSettings, Role};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -14,7 +14,7 @@
 
 pub struct World {
     pub now: Nanos,
-    pub alive: BTreeMap<u32, Overlay>,
+    pub alive: BTreeMap<u32, PeerSampler>,
     pub longest: usize,
 }
 
@@ -30,9 +30,9 @@
 
     pub fn start(&mut self, number: u32, role: Role, seeds: &[u32]) {
         let zone = ZONES[number as usize % 3].to_string();
-        let me = Descriptor { addr: addr(number), role, zone, life: number as u64 + 1, age: 0 };
+        let me = PeerDescriptor { addr: addr(number), role, zone, life: number as u64 + 1, age: 0 };
         let seeds: Vec<SocketAddrV4> = seeds.iter().map(|seed| addr(*seed)).collect();
-        let overlay = Overlay::new(me, &seeds, PERIOD, OverlayBounds::default(), number as u64);
+        let overlay = PeerSampler::new(me, &seeds, PERIOD, PeerSamplerSettings::default(), number as u64);
         self.alive.insert(number, overlay);
     }
 
@@ -40,7 +40,7 @@
         for _ in 0..periods * 10 {
             self.now = self.now + PERIOD.times(0.1);
             for number in self.alive.keys().copied().collect::<Vec<_>>() {
-                while let Some(Order::Shuffle { to, sample }) =
+                while let Some(Action::Shuffle { to, sample }) =
                     self.alive.get_mut(&number).unwrap().next(self.now)
                 {
                     let other = u32::from(*to.ip()) - 0x0a00_0000;
--- a/crates/fernknot-peer-sampling/tests/overlay.rs
+++ b/crates/fernknot-peer-sampling/tests/overlay.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{PERIOD, World, ZONES, addr};
-use fernknot_peer_sampling::{Descriptor, Overlay, OverlayBounds, Role};
+use fernknot_peer_sampling::{PeerDescriptor, PeerSampler, PeerSamplerSettings, Role};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -76,7 +76,7 @@
         world.start(number, role, &[number / 30 * 30]);
     }
     world.run(20);
-    let other = |overlay: &Overlay| overlay.know().iter().filter(|entry| entry.addr >= addr(30)).count();
+    let other = |overlay: &PeerSampler| overlay.know().iter().filter(|entry| entry.addr >= addr(30)).count();
     assert!((0..30).all(|number| other(&world.alive[&number]) == 0));
     world.alive.get_mut(&5).unwrap().seeds(&[addr(30)]);
     world.run(60);
@@ -91,11 +91,11 @@
         ),
         bytes in prop::collection::vec(any::<u8>(), 0..100),
     ) {
-        let me = Descriptor { addr: addr(0), role: Role::Registrar, zone: "north".into(), life: 1, age: 0 };
-        let bounds = OverlayBounds::default();
-        let mut overlay = Overlay::new(me, &[addr(1)], PERIOD, bounds, 7);
+        let me = PeerDescriptor { addr: addr(0), role: Role::Registrar, zone: "north".into(), life: 1, age: 0 };
+        let bounds = PeerSamplerSettings::default();
+        let mut overlay = PeerSampler::new(me, &[addr(1)], PERIOD, bounds, 7);
         for (at, chunk) in told.chunks(9).enumerate() {
-            let sample: Vec<Descriptor> = chunk.iter().map(|&(number, registrar, zone, life, age, _)| Descriptor {
+            let sample: Vec<PeerDescriptor> = chunk.iter().map(|&(number, registrar, zone, life, age, _)| PeerDescriptor {
                 addr: addr(number),
                 role: if registrar { Role::Registrar } else { Role::Gateway },
                 zone: ["north", "south", "east", "a zone that is new"][zone].into(),
@@ -112,6 +112,6 @@
             prop_assert_eq!(places.len(), known.len());
             prop_assert!(!places.contains(&addr(0)));
         }
-        let _ = bitcode::decode::<Vec<Descriptor>>(&bytes);
+        let _ = bitcode::decode::<Vec<PeerDescriptor>>(&bytes);
     }
 }
--- a/crates/fernknot-registry/src/fact.rs
+++ b/crates/fernknot-registry/src/fact.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddrV4;
 
 /// The hash of a life's id, short enough to be told with every beat.
-pub type LifeHash = u64;
+pub type IncarnationHash = u64;
 
 /// The hash by which registrars tell each other of a life (FNV-1a, 64 bits).
-pub fn life_hash(id: &str) -> LifeHash {
+pub fn life_hash(id: &str) -> IncarnationHash {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ byte as u64).wrapping_mul(0x0100_0000_01b3))
 }
 
@@ -26,7 +26,7 @@
 
 /// One life of a node as its beats tell it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct NodeFact {
+pub struct NodeRecord {
     /// The id of this life; a restart has another.
     pub id: String,
     pub service: String,
@@ -41,10 +41,10 @@
     pub seq: u64,
 }
 
-impl NodeFact {
+impl NodeRecord {
     /// What a word about a life that this process never heard of leaves behind.
-    pub fn gone(id: &str) -> NodeFact {
-        NodeFact {
+    pub fn gone(id: &str) -> NodeRecord {
+        NodeRecord {
             id: id.to_string(),
             service: String::new(),
             addr: SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0),
@@ -68,7 +68,7 @@
 
     /// Takes in another telling of the same life; any order of tellings ends alike. Returns whether something that
     /// a gateway acts on differs now (the number of the call and the time to warm up don't count).
-    pub fn join(&mut self, other: &NodeFact) -> bool {
+    pub fn join(&mut self, other: &NodeRecord) -> bool {
         let state = join_states((self.state, self.seq), (other.state, other.seq));
         let mut changed = state != self.state;
         self.state = state;
--- a/crates/fernknot-registry/src/lib.rs
+++ b/crates/fernknot-registry/src/lib.rs
@@ -9,6 +9,6 @@
 mod pool;
 mod registry;
 
-pub use fact::{LifeHash, NodeFact, NodeState, life_hash};
-pub use pool::{Pool, PoolBounds};
-pub use registry::{Noted, Registry, RegistryBounds};
+pub use fact::{IncarnationHash, NodeRecord, NodeState, life_hash};
+pub use pool::{NodeDirectory, NodeDirectoryLimits};
+pub use registry::{CallOutcome, Registry, RegistryLimits};
--- a/crates/fernknot-registry/src/pool.rs
+++ b/crates/fernknot-registry/src/pool.rs
@@ -1,6 +1,6 @@
 //! A gateway's list of nodes, as tellers told it.
 
-use crate::fact::{NodeFact, NodeState};
+use crate::fact::{NodeRecord, NodeState};
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -12,22 +12,22 @@
 
 /// What a gateway may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct PoolBounds {
+pub struct NodeDirectoryLimits {
     /// Lives known at once, those that are out included.
     pub most_lives: usize,
     /// How long a life that is out is remembered, so that a stale teller doesn't bring it back.
     pub keep_gone: Nanos,
 }
 
-impl Default for PoolBounds {
+impl Default for NodeDirectoryLimits {
     fn default() -> Self {
-        PoolBounds { most_lives: 50_000, keep_gone: Nanos(120_000_000_000) }
+        NodeDirectoryLimits { most_lives: 50_000, keep_gone: Nanos(120_000_000_000) }
     }
 }
 
 #[derive(Clone, Debug)]
-struct Held {
-    fact: NodeFact,
+struct DirectoryEntry {
+    fact: NodeRecord,
     /// It said that it is leaving; kept apart, so that a loss in between doesn't undo it.
     drains: bool,
     /// The telling that last named it.
@@ -39,10 +39,10 @@
 
 /// Nodes by service, as told. Words that a node is leaving or out are never undone within its life.
 #[derive(Clone, Debug)]
-pub struct Pool {
+pub struct NodeDirectory {
     beat: Nanos,
-    bounds: PoolBounds,
-    lives: HashMap<String, Held>,
+    bounds: NodeDirectoryLimits,
+    lives: HashMap<String, DirectoryEntry>,
     by_service: BTreeMap<String, BTreeSet<String>>,
     by_addr: HashMap<SocketAddrV4, String>,
     changed: BTreeSet<String>,
@@ -54,12 +54,12 @@
     now: Nanos,
 }
 
-impl Pool {
+impl NodeDirectory {
     /// An empty list; `beat` is the time between two beats of a node.
-    pub fn new(beat: Nanos, bounds: PoolBounds) -> Pool {
-        Pool {
+    pub fn new(beat: Nanos, bounds: NodeDirectoryLimits) -> NodeDirectory {
+        NodeDirectory {
             beat: Nanos(beat.0.max(1)),
-            bounds: PoolBounds { most_lives: bounds.most_lives.max(1), ..bounds },
+            bounds: NodeDirectoryLimits { most_lives: bounds.most_lives.max(1), ..bounds },
             lives: HashMap::new(),
             by_service: BTreeMap::new(),
             by_addr: HashMap::new(),
@@ -72,10 +72,10 @@
     }
 
     /// Changes came from a teller.
-    pub fn take(&mut self, now: Nanos, facts: &[NodeFact]) {
+    pub fn take(&mut self, now: Nanos, facts: &[NodeRecord]) {
         self.now = self.now.max(now);
         self.takes += 1;
-        let (up, out): (Vec<&NodeFact>, Vec<&NodeFact>) = facts.iter().partition(|fact| fact.is_up());
+        let (up, out): (Vec<&NodeRecord>, Vec<&NodeRecord>) = facts.iter().partition(|fact| fact.is_up());
         for fact in out.into_iter().chain(up) {
             self.take_one(fact);
         }
@@ -99,7 +99,7 @@
     }
 
     /// A whole list came at once; see [`Self::whole_told`].
-    pub fn take_whole(&mut self, now: Nanos, services: Option<&[String]>, facts: &[NodeFact]) {
+    pub fn take_whole(&mut self, now: Nanos, services: Option<&[String]>, facts: &[NodeRecord]) {
         let since = self.mark();
         self.take(now, facts);
         self.whole_told(since, services);
@@ -120,8 +120,9 @@
         self.now = self.now.max(now);
         let long = self.beat.times(BEATS_TO_DROP);
         let (well, keep, now) = (self.well, self.bounds.keep_gone, self.now);
-        let unnamed = |held: &Held| held.fact.is_up() && held.doubted.is_some_and(|at| well - at >= long);
-        let old = |held: &Held| held.out_since.is_some_and(|since| now - since > keep);
+        let unnamed =
+            |held: &DirectoryEntry| held.fact.is_up() && held.doubted.is_some_and(|at| well - at >= long);
+        let old = |held: &DirectoryEntry| held.out_since.is_some_and(|since| now - since > keep);
         let drop: Vec<String> =
             self.lives.iter().filter(|(_, held)| unnamed(held)).map(|(id, _)| id.clone()).collect();
         let forget: Vec<String> =
@@ -133,18 +134,18 @@
     }
 
     /// Nodes of a service that requests may be sent to, in the order of their ids.
-    pub fn running<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a NodeFact> {
+    pub fn running<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a NodeRecord> {
         self.of(service).filter(|fact| fact.runs())
     }
 
     /// All lives known of a service, those draining or out included.
-    pub fn of<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a NodeFact> {
+    pub fn of<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a NodeRecord> {
         let ids = self.by_service.get(service).into_iter().flatten();
         ids.filter_map(|id| self.lives.get(id)).map(|held| &held.fact)
     }
 
     /// What is known of a life.
-    pub fn get(&self, id: &str) -> Option<&NodeFact> {
+    pub fn get(&self, id: &str) -> Option<&NodeRecord> {
         self.lives.get(id).map(|held| &held.fact)
     }
 
@@ -159,7 +160,7 @@
     }
 
     /// Everything held, to tell another: a registrar that has just restarted, or a gateway of this zone.
-    pub fn facts(&self) -> impl Iterator<Item = &NodeFact> {
+    pub fn facts(&self) -> impl Iterator<Item = &NodeRecord> {
         self.lives.values().map(|held| &held.fact)
     }
 
@@ -173,15 +174,20 @@
         self.lives.is_empty()
     }
 
-    fn take_one(&mut self, told: &NodeFact) {
+    fn take_one(&mut self, told: &NodeRecord) {
         let id = &told.id;
         if !self.lives.contains_key(id) && !self.make_room() {
             return;
         }
         let (before, changed) = match self.lives.get_mut(id) {
             None => {
-                let held =
-                    Held { fact: told.clone(), drains: false, named: 0, doubted: None, out_since: None };
+                let held = DirectoryEntry {
+                    fact: told.clone(),
+                    drains: false,
+                    named: 0,
+                    doubted: None,
+                    out_since: None,
+                };
                 self.lives.insert(id.clone(), held);
                 (None, true)
             }
--- a/crates/fernknot-registry/src/registry.rs
+++ b/crates/fernknot-registry/src/registry.rs
@@ -1,6 +1,6 @@
 //! A registrar's list of nodes.
 
-use crate::fact::{LifeHash, NodeFact, NodeState, life_hash};
+use crate::fact::{IncarnationHash, NodeRecord, NodeState, life_hash};
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
@@ -14,22 +14,22 @@
 
 /// What a registrar may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct RegistryBounds {
+pub struct RegistryLimits {
     /// Lives known at once, those that are out included.
     pub most_lives: usize,
     /// How long a life that is out is remembered, so that those who hear late are told of its end.
     pub keep_gone: Nanos,
 }
 
-impl Default for RegistryBounds {
+impl Default for RegistryLimits {
     fn default() -> Self {
-        RegistryBounds { most_lives: 50_000, keep_gone: Nanos(120_000_000_000) }
+        RegistryLimits { most_lives: 50_000, keep_gone: Nanos(120_000_000_000) }
     }
 }
 
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Noted {
+pub enum CallOutcome {
     /// The first word of this life.
     New,
     /// Something that gateways act on differs now.
@@ -42,16 +42,16 @@
     Refused,
 }
 
-impl Noted {
+impl CallOutcome {
     /// True where gateways have to be told.
     pub fn is_news(self) -> bool {
-        matches!(self, Noted::New | Noted::Changed)
+        matches!(self, CallOutcome::New | CallOutcome::Changed)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Life {
-    fact: NodeFact,
+struct Incarnation {
+    fact: NodeRecord,
     /// It said that it is leaving; kept apart, so that a loss in between doesn't undo it.
     drains: bool,
     /// When a beat of it was last heard here, or said to be heard elsewhere.
@@ -69,24 +69,24 @@
 #[derive(Clone, Debug)]
 pub struct Registry {
     beat: Nanos,
-    bounds: RegistryBounds,
-    lives: HashMap<String, Life>,
-    by_hash: HashMap<LifeHash, String>,
+    bounds: RegistryLimits,
+    lives: HashMap<String, Incarnation>,
+    by_hash: HashMap<IncarnationHash, String>,
     by_addr: HashMap<SocketAddrV4, String>,
     by_version: BTreeMap<u64, String>,
     version: u64,
     /// Changes up to here include some of lives that are no longer remembered.
     forgotten: u64,
-    fresh: Vec<LifeHash>,
+    fresh: Vec<IncarnationHash>,
     now: Nanos,
 }
 
 impl Registry {
     /// An empty list; `beat` is the time between two beats of a node.
-    pub fn new(beat: Nanos, bounds: RegistryBounds) -> Registry {
+    pub fn new(beat: Nanos, bounds: RegistryLimits) -> Registry {
         Registry {
             beat: Nanos(beat.0.max(1)),
-            bounds: RegistryBounds { most_lives: bounds.most_lives.max(1), ..bounds },
+            bounds: RegistryLimits { most_lives: bounds.most_lives.max(1), ..bounds },
             lives: HashMap::new(),
             by_hash: HashMap::new(),
             by_addr: HashMap::new(),
@@ -99,20 +99,20 @@
     }
 
     /// A beat came here from the node itself.
-    pub fn beat(&mut self, now: Nanos, fact: NodeFact) -> Noted {
+    pub fn beat(&mut self, now: Nanos, fact: NodeRecord) -> CallOutcome {
         self.tick(now);
         if !fits(&fact) || fact.service.is_empty() {
-            return Noted::Refused;
+            return CallOutcome::Refused;
         }
         let id = fact.id.clone();
         let hash = life_hash(&id);
         let noted = match self.lives.get_mut(&id) {
             None => {
                 if !self.make_room() {
-                    return Noted::Refused;
+                    return CallOutcome::Refused;
                 }
                 self.insert(fact);
-                Noted::New
+                CallOutcome::New
             }
             Some(life) => {
                 let repeated = fact.seq == life.fact.seq;
@@ -120,9 +120,9 @@
                     || fact.seq < life.fact.seq
                     || (repeated && life.fact.state == NodeState::Lost)
                 {
-                    return Noted::Stale;
+                    return CallOutcome::Stale;
                 }
-                if self.join(&id, &fact) { Noted::Changed } else { Noted::Same }
+                if self.join(&id, &fact) { CallOutcome::Changed } else { CallOutcome::Same }
             }
         };
         if let Some(life) = self.lives.get_mut(&id) {
@@ -139,35 +139,35 @@
 
     /// A node said that it is out (deregister). Remembered also where the life was not known here: another registrar
     /// may tell of it later.
-    pub fn leave(&mut self, now: Nanos, id: &str) -> Noted {
+    pub fn leave(&mut self, now: Nanos, id: &str) -> CallOutcome {
         self.tick(now);
-        let gone = NodeFact::gone(id);
+        let gone = NodeRecord::gone(id);
         if !fits(&gone) {
-            return Noted::Refused;
+            return CallOutcome::Refused;
         }
         match self.lives.get(id).map(|life| life.fact.state) {
-            Some(NodeState::Gone) => Noted::Same,
+            Some(NodeState::Gone) => CallOutcome::Same,
             Some(_) => {
                 self.join(id, &gone);
-                Noted::Changed
+                CallOutcome::Changed
             }
             None if self.make_room() => {
                 self.insert(gone);
-                Noted::New
+                CallOutcome::New
             }
-            None => Noted::Refused,
+            None => CallOutcome::Refused,
         }
     }
 
     /// Another registrar, or a gateway, told what it knows. Returns how many lives differ now.
-    pub fn told(&mut self, now: Nanos, facts: &[NodeFact]) -> usize {
+    pub fn told(&mut self, now: Nanos, facts: &[NodeRecord]) -> usize {
         self.tick(now);
         // Ends first: an address is free for the life that follows in the same telling.
-        let (up, out): (Vec<&NodeFact>, Vec<&NodeFact>) = facts.iter().partition(|fact| fact.is_up());
+        let (up, out): (Vec<&NodeRecord>, Vec<&NodeRecord>) = facts.iter().partition(|fact| fact.is_up());
         out.into_iter().chain(up).filter(|fact| fits(fact) && self.told_one(fact)).count()
     }
 
-    fn told_one(&mut self, fact: &NodeFact) -> bool {
+    fn told_one(&mut self, fact: &NodeRecord) -> bool {
         if fact.is_up() && self.is_held_by_other(fact) {
             return false;
         }
@@ -205,7 +205,7 @@
 
     /// Another registrar hears beats of these lives: they don't expire here. Returns those that are not known here, or
     /// thought lost: their facts are to be asked for.
-    pub fn heard_elsewhere(&mut self, now: Nanos, hashes: &[LifeHash]) -> Vec<LifeHash> {
+    pub fn heard_elsewhere(&mut self, now: Nanos, hashes: &[IncarnationHash]) -> Vec<IncarnationHash> {
         self.tick(now);
         let mut unknown = Vec::new();
         for hash in hashes {
@@ -219,7 +219,7 @@
     }
 
     /// Lives whose beats came here since the last call, to be told to the other registrars.
-    pub fn heard_lately(&mut self, now: Nanos) -> Vec<LifeHash> {
+    pub fn heard_lately(&mut self, now: Nanos) -> Vec<IncarnationHash> {
         self.tick(now);
         let fresh = std::mem::take(&mut self.fresh);
         for hash in &fresh {
@@ -231,7 +231,7 @@
     }
 
     /// The facts of these lives, as far as known.
-    pub fn facts_of(&self, hashes: &[LifeHash]) -> Vec<NodeFact> {
+    pub fn facts_of(&self, hashes: &[IncarnationHash]) -> Vec<NodeRecord> {
         let lives =
             hashes.iter().filter_map(|hash| self.by_hash.get(hash)).filter_map(|id| self.lives.get(id));
         lives.map(|life| self.fact_now(life)).collect()
@@ -250,14 +250,14 @@
     pub fn expire(&mut self, now: Nanos) -> usize {
         self.tick(now);
         let span = self.beat.times(BEATS_TO_LOSE);
-        let late = |life: &Life| life.fact.is_up() && self.now - life.heard > span;
+        let late = |life: &Incarnation| life.fact.is_up() && self.now - life.heard > span;
         let lost: Vec<String> =
             self.lives.iter().filter(|(_, life)| late(life)).map(|(id, _)| id.clone()).collect();
         for id in &lost {
             self.lose(id);
         }
         let keep = self.bounds.keep_gone;
-        let old = |life: &Life| life.out_since.is_some_and(|since| self.now - since > keep);
+        let old = |life: &Incarnation| life.out_since.is_some_and(|since| self.now - since > keep);
         let forget: Vec<String> =
             self.lives.iter().filter(|(_, life)| old(life)).map(|(id, _)| id.clone()).collect();
         for id in &forget {
@@ -273,7 +273,7 @@
 
     /// The lives that differ since a version, oldest change first, and the version they lead to. None where some of
     /// the changes are no longer remembered, or the version is not one of this process: take a [`Self::snapshot`].
-    pub fn changes_since(&self, version: u64) -> Option<(u64, Vec<NodeFact>)> {
+    pub fn changes_since(&self, version: u64) -> Option<(u64, Vec<NodeRecord>)> {
         if version < self.forgotten || version > self.version {
             return None;
         }
@@ -282,13 +282,13 @@
     }
 
     /// All lives remembered, and the version this is.
-    pub fn snapshot(&self) -> (u64, Vec<NodeFact>) {
+    pub fn snapshot(&self) -> (u64, Vec<NodeRecord>) {
         let all = self.by_version.values().filter_map(|id| self.lives.get(id));
         (self.version, all.map(|life| self.fact_now(life)).collect())
     }
 
     /// What is known of a life.
-    pub fn get(&self, id: &str) -> Option<&NodeFact> {
+    pub fn get(&self, id: &str) -> Option<&NodeRecord> {
         self.lives.get(id).map(|life| &life.fact)
     }
 
@@ -311,23 +311,24 @@
         self.now = self.now.max(now);
     }
 
-    fn fact_now(&self, life: &Life) -> NodeFact {
-        NodeFact { warm_left_ms: (life.warm_until - self.now).0 / 1_000_000, ..life.fact.clone() }
+    fn fact_now(&self, life: &Incarnation) -> NodeRecord {
+        NodeRecord { warm_left_ms: (life.warm_until - self.now).0 / 1_000_000, ..life.fact.clone() }
     }
 
-    fn insert(&mut self, fact: NodeFact) {
+    fn insert(&mut self, fact: NodeRecord) {
         let id = fact.id.clone();
         self.by_hash.insert(life_hash(&id), id.clone());
         let out_since = (!fact.is_up()).then_some(self.now);
         let warm_until = self.now + Nanos(fact.warm_left_ms.saturating_mul(1_000_000));
         let drains = fact.state == NodeState::Draining;
-        let life = Life { fact, drains, heard: self.now, version: 0, warm_until, out_since, fresh: false };
+        let life =
+            Incarnation { fact, drains, heard: self.now, version: 0, warm_until, out_since, fresh: false };
         self.lives.insert(id.clone(), life);
         self.renumber(&id);
     }
 
     /// Joins a telling into a known life and numbers the change, if it is one.
-    fn join(&mut self, id: &str, fact: &NodeFact) -> bool {
+    fn join(&mut self, id: &str, fact: &NodeRecord) -> bool {
         let Some(life) = self.lives.get_mut(id) else { return false };
         let (old_addr, old_seq) = (life.fact.addr, life.fact.seq);
         let old_state = life.fact.state;
@@ -363,7 +364,7 @@
         self.by_version.insert(self.version, id.to_string());
     }
 
-    fn is_held_by_other(&self, fact: &NodeFact) -> bool {
+    fn is_held_by_other(&self, fact: &NodeRecord) -> bool {
         let holder = self.by_addr.get(&fact.addr).filter(|holder| **holder != fact.id);
         holder
             .and_then(|id| self.lives.get(id))
@@ -414,7 +415,7 @@
     }
 }
 
-fn fits(fact: &NodeFact) -> bool {
+fn fits(fact: &NodeRecord) -> bool {
     let fits = |name: &str| name.len() <= LONGEST_NAME;
     !fact.id.is_empty() && fits(&fact.id) && fits(&fact.service) && fits(&fact.zone)
 }
--- a/crates/fernknot-registry/tests/common/mod.rs
+++ b/crates/fernknot-registry/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Facts and times for the stories of this package.
 
 use fernknot::interface::Nanos;
-use fernknot_registry::{NodeFact, NodeState, Registry, RegistryBounds};
+use fernknot_registry::{NodeRecord, NodeState, Registry, RegistryLimits};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 pub const BEAT: Nanos = Nanos(1_000_000_000);
@@ -12,8 +12,8 @@
 }
 
 /// A life at the address `place`.
-pub fn fact(id: &str, place: u8, state: NodeState, seq: u64) -> NodeFact {
-    NodeFact {
+pub fn fact(id: &str, place: u8, state: NodeState, seq: u64) -> NodeRecord {
+    NodeRecord {
         id: id.to_string(),
         service: "gallery".to_string(),
         addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, place), 8080),
@@ -26,5 +26,5 @@
 }
 
 pub fn registry() -> Registry {
-    Registry::new(BEAT, RegistryBounds { most_lives: 16, keep_gone: at(100.0) })
+    Registry::new(BEAT, RegistryLimits { most_lives: 16, keep_gone: at(100.0) })
 }
--- a/crates/fernknot-registry/tests/registry.rs
+++ b/crates/fernknot-registry/tests/registry.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use common::{BEAT, at, fact, registry};
 use fernknot_registry::NodeState::{Draining, Gone, Lost, Ready};
-use fernknot_registry::{NodeFact, NodeState, Noted, Pool, PoolBounds, life_hash};
+use fernknot_registry::{CallOutcome, NodeDirectory, NodeDirectoryLimits, NodeRecord, NodeState, life_hash};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -13,20 +13,20 @@
     registry.get(id).map(|fact| fact.state)
 }
 
-#[test_case(Draining, 2, Ready, 3, Noted::Same, Draining; "draining is never taken back")]
-#[test_case(Ready, 3, Draining, 4, Noted::Changed, Draining; "a newer call counts")]
-#[test_case(Ready, 3, Draining, 2, Noted::Stale, Ready; "an older call changes nothing")]
-#[test_case(Ready, 3, Ready, 3, Noted::Same, Ready; "a call heard twice is the same")]
+#[test_case(Draining, 2, Ready, 3, CallOutcome::Same, Draining; "draining is never taken back")]
+#[test_case(Ready, 3, Draining, 4, CallOutcome::Changed, Draining; "a newer call counts")]
+#[test_case(Ready, 3, Draining, 2, CallOutcome::Stale, Ready; "an older call changes nothing")]
+#[test_case(Ready, 3, Ready, 3, CallOutcome::Same, Ready; "a call heard twice is the same")]
 fn given_a_life_when_it_beats_again(
     first: NodeState,
     seq: u64,
     then: NodeState,
     later: u64,
-    noted: Noted,
+    noted: CallOutcome,
     left: NodeState,
 ) {
     let mut registry = registry();
-    assert_eq!(registry.beat(at(0.0), fact("a", 1, first, seq)), Noted::New);
+    assert_eq!(registry.beat(at(0.0), fact("a", 1, first, seq)), CallOutcome::New);
     assert_eq!(registry.beat(at(1.0), fact("a", 1, then, later)), noted);
     assert_eq!(state(&registry, "a"), Some(left));
 }
@@ -35,9 +35,9 @@
 fn given_a_deregistered_life_when_a_late_beat_or_another_registrar_names_it_then_it_stays_gone() {
     let mut registry = registry();
     registry.beat(at(0.0), fact("a", 1, Ready, 1));
-    assert_eq!(registry.leave(at(0.5), "a"), Noted::Changed);
-    assert_eq!(registry.leave(at(0.6), "never-heard"), Noted::New);
-    assert_eq!(registry.beat(at(1.0), fact("a", 1, Ready, 9)), Noted::Stale);
+    assert_eq!(registry.leave(at(0.5), "a"), CallOutcome::Changed);
+    assert_eq!(registry.leave(at(0.6), "never-heard"), CallOutcome::New);
+    assert_eq!(registry.beat(at(1.0), fact("a", 1, Ready, 9)), CallOutcome::Stale);
     registry.told(at(1.0), &[fact("a", 1, Ready, 10), fact("never-heard", 2, Ready, 10)]);
     assert_eq!(state(&registry, "a"), Some(Gone));
     assert_eq!(state(&registry, "never-heard"), Some(Gone));
@@ -50,8 +50,8 @@
     assert_eq!(registry.expire(at(3.4)), 0);
     assert_eq!(registry.expire(at(3.6)), 1);
     assert_eq!(state(&registry, "a"), Some(Lost));
-    assert_eq!(registry.beat(at(4.0), fact("a", 1, Draining, 1)), Noted::Stale);
-    assert_eq!(registry.beat(at(5.0), fact("a", 1, Ready, 2)), Noted::Changed);
+    assert_eq!(registry.beat(at(4.0), fact("a", 1, Draining, 1)), CallOutcome::Stale);
+    assert_eq!(registry.beat(at(5.0), fact("a", 1, Ready, 2)), CallOutcome::Changed);
     assert_eq!(state(&registry, "a"), Some(Draining), "the word before the loss still holds");
 }
 
@@ -74,7 +74,7 @@
     here.told(at(0.0), &there.facts_of(&unknown));
     for turn in 1..20 {
         let now = at(turn as f64);
-        assert_eq!(there.beat(now, fact("a", 1, Ready, 1 + turn)), Noted::Same);
+        assert_eq!(there.beat(now, fact("a", 1, Ready, 1 + turn)), CallOutcome::Same);
         assert!(here.heard_elsewhere(now, &there.heard_lately(now)).is_empty());
         here.expire(now);
         assert_eq!(state(&here, "a"), Some(Ready));
@@ -145,15 +145,15 @@
     for place in 0..16 {
         registry.beat(at(0.0), fact(&format!("n{place}"), place, Ready, 1));
     }
-    assert_eq!(registry.beat(at(0.0), fact("late", 100, Ready, 1)), Noted::Refused);
+    assert_eq!(registry.beat(at(0.0), fact("late", 100, Ready, 1)), CallOutcome::Refused);
     registry.leave(at(0.0), "n3");
-    assert_eq!(registry.beat(at(0.0), fact("late", 100, Ready, 1)), Noted::New);
+    assert_eq!(registry.beat(at(0.0), fact("late", 100, Ready, 1)), CallOutcome::New);
     assert_eq!((registry.len(), registry.get("n3")), (16, None));
 }
 
 #[test]
 fn given_a_pool_when_a_restarted_registrar_names_few_then_the_rest_stays_until_it_was_well_for_long() {
-    let mut pool = Pool::new(BEAT, PoolBounds::default());
+    let mut pool = NodeDirectory::new(BEAT, NodeDirectoryLimits::default());
     pool.take_whole(at(0.0), None, &[fact("a", 1, Ready, 1), fact("b", 2, Ready, 1)]);
     pool.take_whole(at(1.0), None, &[fact("a", 1, Ready, 2)]);
     pool.expire(at(60.0));
@@ -167,7 +167,7 @@
     assert_eq!(pool.running("gallery").count(), 2);
 }
 
-fn any_fact() -> impl Strategy<Value = NodeFact> {
+fn any_fact() -> impl Strategy<Value = NodeRecord> {
     let state = prop::sample::select(vec![Ready, Draining, Lost, Gone]);
     // One life says what it says: the call's number decides all but the state.
     (0..4u8, state, 0..6u64).prop_map(|(life, state, seq)| fact(&format!("n{life}"), life, state, seq))
@@ -179,8 +179,8 @@
         facts in prop::collection::vec(any_fact(), 0..24),
         turn in any::<prop::sample::Index>(),
     ) {
-        let join = |facts: &[NodeFact]| {
-            let mut joined = std::collections::BTreeMap::<String, NodeFact>::new();
+        let join = |facts: &[NodeRecord]| {
+            let mut joined = std::collections::BTreeMap::<String, NodeRecord>::new();
             for fact in facts {
                 joined.entry(fact.id.clone()).and_modify(|known| { known.join(fact); }).or_insert(fact.clone());
             }
@@ -201,7 +201,7 @@
         calls in prop::collection::vec((any_fact(), 0..4u8, 0..3u64), 1..60),
     ) {
         let mut registry = registry();
-        let mut pool = Pool::new(BEAT, PoolBounds::default());
+        let mut pool = NodeDirectory::new(BEAT, NodeDirectoryLimits::default());
         let mut leaving = std::collections::BTreeSet::new();
         let (mut now, mut seen) = (0, 0);
         for (fact, how, later) in calls {
@@ -222,12 +222,12 @@
             seen = version;
             pool.take(now, &changed);
             for id in &leaving {
-                prop_assert!(!registry.get(id).is_some_and(NodeFact::runs), "{id} in the registry");
-                prop_assert!(!pool.get(id).is_some_and(NodeFact::runs), "{id} in the pool");
+                prop_assert!(!registry.get(id).is_some_and(NodeRecord::runs), "{id} in the registry");
+                prop_assert!(!pool.get(id).is_some_and(NodeRecord::runs), "{id} in the pool");
             }
             // What is told as changes amounts to the whole.
             for fact in registry.snapshot().1 {
-                prop_assert_eq!(pool.get(&fact.id).map(NodeFact::runs), Some(fact.runs()));
+                prop_assert_eq!(pool.get(&fact.id).map(NodeRecord::runs), Some(fact.runs()));
             }
         }
     }
@@ -236,6 +236,6 @@
     fn whatever_bytes_come_reading_them_as_facts_does_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
-        let _ = bitcode::decode::<Vec<NodeFact>>(&bytes);
+        let _ = bitcode::decode::<Vec<NodeRecord>>(&bytes);
     }
 }
--- a/crates/fernknot-rpc/src/lib.rs
+++ b/crates/fernknot-rpc/src/lib.rs
@@ -6,8 +6,11 @@
 mod shuffles;
 mod words;
 
-pub use shuffles::{Shuffle, Shuffles};
-pub use words::{Inward, Outward, PeerWord, Question, Registrar, Share};
+pub use shuffles::{ShuffleDatagram, ShuffleProtocol};
+pub use words::{
+    ControllerEndpoint, ControllerMessage, ControllerToGateway, GatewayToController, InspectionTopic,
+    Subscription,
+};
 
 use bitcode::{DecodeOwned, Encode};
 use fernknot_protocol::buffer::Buffer;
@@ -18,7 +21,7 @@
 
 /// What came is no word.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum BadWord {
+pub enum DecodeError {
     #[error("a word of {length} bytes is over {most}")]
     TooLong { length: usize, most: usize },
     #[error("a word of {length} bytes cannot be read")]
@@ -36,16 +39,16 @@
 ///
 /// # Errors
 /// A word that is too long or cannot be read.
-pub fn pull<W: DecodeOwned>(input: &mut Buffer, most: usize) -> Result<Option<W>, BadWord> {
+pub fn pull<W: DecodeOwned>(input: &mut Buffer, most: usize) -> Result<Option<W>, DecodeError> {
     let Some(head) = input.data().first_chunk::<HEAD>() else { return Ok(None) };
     let length = u32::from_le_bytes(*head) as usize;
     if length > most {
-        return Err(BadWord::TooLong { length, most });
+        return Err(DecodeError::TooLong { length, most });
     }
     if input.len() < HEAD + length {
         return Ok(None);
     }
     let word = bitcode::decode(&input.data()[HEAD..HEAD + length]);
     input.consume(HEAD + length);
-    word.map(Some).map_err(|_| BadWord::Unreadable { length })
+    word.map(Some).map_err(|_| DecodeError::Unreadable { length })
 }
--- a/crates/fernknot-rpc/src/shuffles.rs
+++ b/crates/fernknot-rpc/src/shuffles.rs
@@ -2,7 +2,7 @@
 
 use bitcode::{Decode, Encode};
 use fernknot::interface::Nanos;
-use fernknot_peer_sampling::{Descriptor, Order, Overlay, OverlayBounds, Role};
+use fernknot_peer_sampling::{Action, PeerDescriptor, PeerSampler, PeerSamplerSettings, Role};
 use std::net::SocketAddrV4;
 
 /// Descriptors that one datagram may bring; more is refused.
@@ -10,20 +10,20 @@
 
 /// One datagram of a shuffle.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Shuffle {
+pub struct ShuffleDatagram {
     /// It answers one of ours.
     pub answer: bool,
-    pub sample: Vec<Descriptor>,
+    pub sample: Vec<PeerDescriptor>,
 }
 
 /// An overlay and its datagrams. The host sends what comes out and hands in what came; nothing here waits.
-pub struct Shuffles {
-    overlay: Overlay,
+pub struct ShuffleProtocol {
+    overlay: PeerSampler,
 }
 
-impl Shuffles {
-    pub fn new(me: Descriptor, seeds: &[SocketAddrV4], period: Nanos, seed: u64) -> Shuffles {
-        Shuffles { overlay: Overlay::new(me, seeds, period, OverlayBounds::default(), seed) }
+impl ShuffleProtocol {
+    pub fn new(me: PeerDescriptor, seeds: &[SocketAddrV4], period: Nanos, seed: u64) -> ShuffleProtocol {
+        ShuffleProtocol { overlay: PeerSampler::new(me, seeds, period, PeerSamplerSettings::default(), seed) }
     }
 
     /// The settings name other seeds now.
@@ -33,7 +33,7 @@
 
     /// A datagram came. The answer to it, if it wants one; what cannot be read is passed over.
     pub fn came(&mut self, now: Nanos, from: SocketAddrV4, bytes: &[u8]) -> Option<Vec<u8>> {
-        let shuffle: Shuffle = bitcode::decode(bytes).ok()?;
+        let shuffle: ShuffleDatagram = bitcode::decode(bytes).ok()?;
         if shuffle.sample.len() > MOST {
             return None;
         }
@@ -42,13 +42,13 @@
             return None;
         }
         let sample = self.overlay.heard(now, from, &shuffle.sample);
-        Some(bitcode::encode(&Shuffle { answer: true, sample }))
+        Some(bitcode::encode(&ShuffleDatagram { answer: true, sample }))
     }
 
     /// The next datagram to be sent, if one is due.
     pub fn next(&mut self, now: Nanos) -> Option<(SocketAddrV4, Vec<u8>)> {
-        let Order::Shuffle { to, sample } = self.overlay.next(now)?;
-        Some((to, bitcode::encode(&Shuffle { answer: false, sample })))
+        let Action::Shuffle { to, sample } = self.overlay.next(now)?;
+        Some((to, bitcode::encode(&ShuffleDatagram { answer: false, sample })))
     }
 
     pub fn wakes_at(&self) -> Option<Nanos> {
--- a/crates/fernknot-rpc/src/words.rs
+++ b/crates/fernknot-rpc/src/words.rs
@@ -2,8 +2,8 @@
 //! hears [`Outward`] ones.
 
 use bitcode::{Decode, Encode};
-use fernknot_ownership::{Cut, Gateway};
-use fernknot_registry::NodeFact;
+use fernknot_ownership::{Assignment, GatewayRecord};
+use fernknot_registry::NodeRecord;
 use fernknot_schema::RoutingConfig;
 use std::net::SocketAddrV4;
 
@@ -11,7 +11,7 @@
 /// works out of which services it is home; the teller only filters by what is named here. Said again over the
 /// same connection, it replaces what was said before; the teller then tells those services whole.)
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Share {
+pub enum Subscription {
     /// The nodes of all services.
     All,
     /// The nodes of these services, by name.
@@ -20,20 +20,20 @@
 
 /// Said by who opens a connection to an inner port.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Inward {
+pub enum GatewayToController {
     /// A gateway wants news from here on. `order` is that of the plan that it holds, 0 for none.
-    Attach { who: Gateway, ready: bool, share: Share, order: u64 },
+    Attach { who: GatewayRecord, ready: bool, share: Subscription, order: u64 },
     /// Said now and then over a stream of news: the listener lives.
     Alive { ready: bool },
     /// Said with `Alive` by a home: the gateways that live and listen to it, and to no registrar. For a registrar
     /// each counts as if it had said `Alive` itself.
-    Below(Vec<Gateway>),
+    Below(Vec<GatewayRecord>),
     /// The listener is about to stop by order.
     Leaving,
     /// Between registrars.
-    Peer(PeerWord),
+    Peer(ControllerMessage),
     /// An operator's question: what is held here?
-    Ask(Question),
+    Ask(InspectionTopic),
     /// An operator's order: the disks of these registrars, named as `Views` shows them, are gone for good; make a
     /// view without them.
     Force { lost: Vec<SocketAddrV4> },
@@ -41,27 +41,27 @@
 
 /// From one registrar to another, over a connection that the first one opened.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum PeerWord {
+pub enum ControllerMessage {
     /// Who speaks: the inner address at which it listens, and its zone.
     Hello {
         addr: SocketAddrV4,
         zone: String,
     },
-    Views(fernknot_consensus::Word),
+    Views(fernknot_consensus::Message),
     /// Changes of nodes that were first told to the speaker.
-    Nodes(Vec<NodeFact>),
+    Nodes(Vec<NodeRecord>),
     /// Lives whose beats came to the speaker lately, by their hashes.
     Heard(Vec<u64>),
     /// The hearer does not know these lives; the speaker of `Heard` is to tell them.
     Want(Vec<u64>),
     /// Gateways that are attached to the speaker.
-    Gateways(Vec<Gateway>),
+    Gateways(Vec<GatewayRecord>),
     /// One of them has stopped by order.
     GatewayLeft {
         life: u64,
     },
     /// The cut of duties that the sequencer made.
-    Cut(Cut),
+    Cut(Assignment),
     /// An operator's call, handed to the sequencer: the configuration and the epoch on which it builds.
     Replace {
         /// The life of the registrar that was called, and its number for the call; the end names both.
@@ -83,20 +83,20 @@
 
 /// A registrar as gateways are told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Registrar {
+pub struct ControllerEndpoint {
     pub addr: SocketAddrV4,
     pub zone: String,
 }
 
 /// News, from a teller to a listener.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Outward {
+pub enum ControllerToGateway {
     /// A configuration that is in force, and its place in the one order.
     Plan {
         order: u64,
         plan: RoutingConfig,
     },
-    Nodes(Vec<NodeFact>),
+    Nodes(Vec<NodeRecord>),
     /// All that the teller holds has been told.
     Whole,
     /// Said every so often: who tells, how far it is, and whether it hears a majority of its view. `hops` counts
@@ -107,9 +107,9 @@
         lease: bool,
         hops: u8,
         fence: u64,
-        registrars: Vec<Registrar>,
+        registrars: Vec<ControllerEndpoint>,
     },
-    Cut(Cut),
+    Cut(Assignment),
     /// The answer to an operator's question, for a person to read.
     Answer(String),
     /// The end of an order to force a view: its number, or why it is refused.
@@ -118,7 +118,7 @@
 
 /// What an operator may ask of a running process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Question {
+pub enum InspectionTopic {
     Nodes,
     Views,
     Homes,
--- a/crates/fernknot-schema/src/beat.rs
+++ b/crates/fernknot-schema/src/beat.rs
@@ -4,11 +4,11 @@
 
 use bitcode::{Decode, Encode};
 
-use crate::walk::{Fault, Walk, parse};
+use crate::walk::{ObjectReader, ValidationError, parse};
 
 /// The body of a heartbeat. The node's id is in the path of the call.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Beat {
+pub struct NodeHeartbeat {
     /// The service that the node belongs to.
     pub backend: String,
     pub address: SocketAddrV4,
@@ -17,7 +17,7 @@
     pub epoch: String,
     /// How many requests it works on at once.
     pub capacity: u32,
-    pub state: NodeState,
+    pub state: ReportedNodeState,
     /// How much longer it stays slow from its start, in milliseconds.
     pub warmup_left_ms: u64,
     /// Rises with every call of a node's life, so that a late call can be known.
@@ -25,32 +25,32 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub enum NodeState {
+pub enum ReportedNodeState {
     Ready,
     Draining,
 }
 
-impl Beat {
+impl NodeHeartbeat {
     /// Reads the body of a beat. Unknown keys pass; only what nothing can be done without must be
     /// there, since a node whose beats are refused gets no work.
     ///
     /// # Errors
     ///
     /// Every fault of the body at once; the call wants a 4xx.
-    pub fn read(bytes: &[u8]) -> Result<Beat, Vec<Fault>> {
+    pub fn read(bytes: &[u8]) -> Result<NodeHeartbeat, Vec<ValidationError>> {
         let value = parse(bytes)?;
-        let top = Walk::whole(&value);
+        let top = ObjectReader::whole(&value);
         let mut faults = Vec::new();
         let f = &mut faults;
         for key in ["backend", "address", "state"] {
             top.need(f, key);
         }
         let state = match top.text(f, "state").as_deref() {
-            Some("draining") => NodeState::Draining,
-            Some("ready") | None => NodeState::Ready,
+            Some("draining") => ReportedNodeState::Draining,
+            Some("ready") | None => ReportedNodeState::Ready,
             Some(_) => {
                 top.fault(f, "state", "is neither `ready` nor `draining`");
-                NodeState::Ready
+                ReportedNodeState::Ready
             }
         };
         // A software epoch is a name, but a number names one as well.
@@ -60,7 +60,7 @@
         };
         let address = top.parsed(f, "address", "an IPv4 address with a port");
         let capacity = top.whole_number(f, "capacity").unwrap_or(1);
-        let beat = Beat {
+        let beat = NodeHeartbeat {
             backend: top.text(f, "backend").unwrap_or_default(),
             address: address.unwrap_or(SocketAddrV4::new([0, 0, 0, 0].into(), 0)),
             zone: top.text(f, "zone").unwrap_or_default(),
--- a/crates/fernknot-schema/src/lib.rs
+++ b/crates/fernknot-schema/src/lib.rs
@@ -15,8 +15,8 @@
 pub mod routes;
 mod walk;
 
-pub use beat::{Beat, NodeState};
-pub use plan::{Class, ClientLimits, Route, RoutingConfig, Service, Target, digest};
-pub use process::{BindAddrs, Bounds, FaultBudget, Limits, ProcessFacts};
+pub use beat::{NodeHeartbeat, ReportedNodeState};
+pub use plan::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass, digest};
+pub use process::{BindAddrs, FaultBudget, InvariantBounds, ProcessSettings, ResourceLimits};
 pub use routes::RouteTable;
-pub use walk::Fault;
+pub use walk::ValidationError;
--- a/crates/fernknot-schema/src/paper.rs
+++ b/crates/fernknot-schema/src/paper.rs
@@ -7,33 +7,33 @@
 use schematic::{Config, ConfigError, ConfigLoader, Schematic, ValidateError, ValidateResult};
 use serde::{Deserialize, Deserializer, Serialize, de};
 
-use crate::plan::{Class, ClientLimits};
-use crate::walk::Fault;
+use crate::plan::{ClientLimits, TrafficClass};
+use crate::walk::ValidationError;
 
 /// A number of 0 or more that may come as `600` or as `600.0`; a fraction is rounded up, so that a
 /// short time never turns into none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub(crate) struct Whole(pub u64);
+pub(crate) struct NonNegativeInteger(pub u64);
 
-impl Schematic for Whole {}
+impl Schematic for NonNegativeInteger {}
 
-impl<'de> Deserialize<'de> for Whole {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Whole, D::Error> {
+impl<'de> Deserialize<'de> for NonNegativeInteger {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<NonNegativeInteger, D::Error> {
         struct Number;
         impl de::Visitor<'_> for Number {
-            type Value = Whole;
+            type Value = NonNegativeInteger;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str("a number of 0 or more")
             }
-            fn visit_u64<E: de::Error>(self, number: u64) -> Result<Whole, E> {
-                Ok(Whole(number))
+            fn visit_u64<E: de::Error>(self, number: u64) -> Result<NonNegativeInteger, E> {
+                Ok(NonNegativeInteger(number))
             }
-            fn visit_i64<E: de::Error>(self, number: i64) -> Result<Whole, E> {
-                u64::try_from(number).map(Whole).map_err(|_| E::custom("is below 0"))
+            fn visit_i64<E: de::Error>(self, number: i64) -> Result<NonNegativeInteger, E> {
+                u64::try_from(number).map(NonNegativeInteger).map_err(|_| E::custom("is below 0"))
             }
-            fn visit_f64<E: de::Error>(self, number: f64) -> Result<Whole, E> {
+            fn visit_f64<E: de::Error>(self, number: f64) -> Result<NonNegativeInteger, E> {
                 match number >= 0.0 && number < u64::MAX as f64 {
-                    true => Ok(Whole(number.ceil() as u64)),
+                    true => Ok(NonNegativeInteger(number.ceil() as u64)),
                     false => Err(E::custom("is below 0 or too large")),
                 }
             }
@@ -44,43 +44,43 @@
 
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
-pub(crate) struct Paper {
+pub(crate) struct RawConfig {
     #[setting(required)]
-    pub epoch: Option<Whole>,
+    pub epoch: Option<NonNegativeInteger>,
     #[setting(nested, required)]
-    pub routes: Option<Vec<PaperRoute>>,
+    pub routes: Option<Vec<RawRoute>>,
     #[setting(nested, required)]
-    pub backends: Option<Vec<PaperService>>,
+    pub backends: Option<Vec<RawService>>,
     #[setting(nested)]
-    pub limits: PaperLimits,
+    pub limits: RawClientLimits,
 }
 
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
-pub(crate) struct PaperRoute {
+pub(crate) struct RawRoute {
     pub name: String,
     #[setting(required)]
     pub authority: Option<String>,
     #[setting(required, validate = between_slashes)]
     pub path_prefix: Option<String>,
-    pub traffic_class: Option<PaperClass>,
+    pub traffic_class: Option<RawTrafficClass>,
     #[setting(validate = not_nothing)]
-    pub deadline_ms: Option<Whole>,
-    pub target_ms: Option<Whole>,
-    pub rank: Whole,
+    pub deadline_ms: Option<NonNegativeInteger>,
+    pub target_ms: Option<NonNegativeInteger>,
+    pub rank: NonNegativeInteger,
     pub backend: Option<String>,
     #[setting(nested)]
-    pub shares: Option<Vec<PaperShare>>,
+    pub shares: Option<Vec<RawWeightedService>>,
     pub fanout: Option<Vec<String>>,
-    pub top_k: Option<Whole>,
+    pub top_k: Option<NonNegativeInteger>,
     #[setting(validate = a_share)]
     pub quorum: Option<f64>,
-    pub tries: Option<Whole>,
+    pub tries: Option<NonNegativeInteger>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum PaperClass {
+pub(crate) enum RawTrafficClass {
     Idempotent,
     #[default]
     Mutating,
@@ -88,7 +88,7 @@
 
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
-pub(crate) struct PaperShare {
+pub(crate) struct RawWeightedService {
     #[setting(required)]
     pub backend: Option<String>,
     #[setting(required, validate = a_weight)]
@@ -97,12 +97,12 @@
 
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
-pub(crate) struct PaperService {
+pub(crate) struct RawService {
     #[setting(required)]
     pub name: Option<String>,
     #[setting(default = "/health")]
     pub probe_path: String,
-    pub max_conns: Option<Whole>,
+    pub max_conns: Option<NonNegativeInteger>,
     #[setting(default = "h1")]
     pub protocol: String,
     pub tls: bool,
@@ -110,17 +110,17 @@
 
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
-pub(crate) struct PaperLimits {
-    pub header_bytes: Option<Whole>,
-    pub body_bytes: Option<Whole>,
-    pub header_ms: Option<Whole>,
-    pub idle_ms: Option<Whole>,
+pub(crate) struct RawClientLimits {
+    pub header_bytes: Option<NonNegativeInteger>,
+    pub body_bytes: Option<NonNegativeInteger>,
+    pub header_ms: Option<NonNegativeInteger>,
+    pub idle_ms: Option<NonNegativeInteger>,
 }
 
-impl PaperLimits {
+impl RawClientLimits {
     pub(crate) fn read(&self) -> ClientLimits {
         let absent = ClientLimits::default();
-        let or = |given: Option<Whole>, absent| given.map_or(absent, |given| given.0);
+        let or = |given: Option<NonNegativeInteger>, absent| given.map_or(absent, |given| given.0);
         ClientLimits {
             header_bytes: or(self.header_bytes, absent.header_bytes),
             body_bytes: or(self.body_bytes, absent.body_bytes),
@@ -130,13 +130,13 @@
     }
 }
 
-impl Schematic for PaperClass {}
+impl Schematic for RawTrafficClass {}
 
-impl From<PaperClass> for Class {
-    fn from(class: PaperClass) -> Class {
+impl From<RawTrafficClass> for TrafficClass {
+    fn from(class: RawTrafficClass) -> TrafficClass {
         match class {
-            PaperClass::Idempotent => Class::Idempotent,
-            PaperClass::Mutating => Class::Mutating,
+            RawTrafficClass::Idempotent => TrafficClass::Idempotent,
+            RawTrafficClass::Mutating => TrafficClass::Mutating,
         }
     }
 }
@@ -148,7 +148,7 @@
     }
 }
 
-fn not_nothing<D, C>(number: &Whole, _: &D, _: &C, _: bool) -> ValidateResult {
+fn not_nothing<D, C>(number: &NonNegativeInteger, _: &D, _: &C, _: bool) -> ValidateResult {
     if number.0 == 0 { Err(ValidateError::new("is 0")) } else { Ok(()) }
 }
 
@@ -167,18 +167,20 @@
 }
 
 /// Reads the text, which is known to be JSON.
-pub(crate) fn load(text: &str) -> Result<Paper, Vec<Fault>> {
-    let mut loader = ConfigLoader::<Paper>::new();
+pub(crate) fn load(text: &str) -> Result<RawConfig, Vec<ValidationError>> {
+    let mut loader = ConfigLoader::<RawConfig>::new();
     let loaded = loader.code(text, "plan.json").and_then(|loader| loader.load());
     loaded.map(|loaded| loaded.config).map_err(faults)
 }
 
-fn faults(error: ConfigError) -> Vec<Fault> {
+fn faults(error: ConfigError) -> Vec<ValidationError> {
     match error {
-        ConfigError::Validator { error, .. } => {
-            error.errors.iter().map(|error| Fault::new(error.path.to_string(), &*error.message)).collect()
-        }
-        ConfigError::Parser { error, .. } => vec![Fault::new(error.path, error.message)],
-        error => vec![Fault::new("", error.to_string())],
+        ConfigError::Validator { error, .. } => error
+            .errors
+            .iter()
+            .map(|error| ValidationError::new(error.path.to_string(), &*error.message))
+            .collect(),
+        ConfigError::Parser { error, .. } => vec![ValidationError::new(error.path, error.message)],
+        error => vec![ValidationError::new("", error.to_string())],
     }
 }
--- a/crates/fernknot-schema/src/plan.rs
+++ b/crates/fernknot-schema/src/plan.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::paper::{self, PaperRoute, PaperService};
+use crate::paper::{self, RawRoute, RawService};
 use crate::routes::bare_host;
-use crate::walk::Fault;
+use crate::walk::ValidationError;
 
 /// What stands for settings that a configuration leaves out.
 const ABSENT_DEADLINE_MS: u64 = 10_000;
@@ -31,28 +31,28 @@
     pub authority: String,
     /// Begins and ends with a slash.
     pub path_prefix: String,
-    pub traffic_class: Class,
+    pub traffic_class: TrafficClass,
     /// The longest that the operator wants a request held, in milliseconds; never 0.
     pub deadline_ms: u64,
     /// Within this an answer earns its full worth, in milliseconds.
     pub target_ms: u64,
     /// 0 is the highest.
     pub rank: u32,
-    pub to: Target,
+    pub to: RouteTarget,
     /// The largest number of nodes that one try of a client may be sent to; at least 1.
     pub tries: u32,
 }
 
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub enum Class {
+pub enum TrafficClass {
     Idempotent,
     Mutating,
 }
 
 /// Where the requests of a route go.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Target {
+pub enum RouteTarget {
     Backend(String),
     /// Services with their weights; the weights do not add up to 0.
     Shares(Vec<(String, f64)>),
@@ -97,9 +97,10 @@
     /// # Errors
     ///
     /// What makes it invalid; the call wants a 400.
-    pub fn read(bytes: &[u8]) -> Result<RoutingConfig, Vec<Fault>> {
-        let whole =
-            |why: &dyn std::fmt::Display| vec![Fault::new("", format!("cannot be read whole: {why}"))];
+    pub fn read(bytes: &[u8]) -> Result<RoutingConfig, Vec<ValidationError>> {
+        let whole = |why: &dyn std::fmt::Display| {
+            vec![ValidationError::new("", format!("cannot be read whole: {why}"))]
+        };
         // Strict first: what `schematic` reads may hold comments and trailing commas.
         serde_json::from_slice::<serde::de::IgnoredAny>(bytes).map_err(|error| whole(&error))?;
         let text = std::str::from_utf8(bytes).map_err(|error| whole(&error))?;
@@ -114,11 +115,11 @@
             let place = format!("routes[{at}]");
             let route = read_route(route, &place, &mut faults);
             for name in route.to.services().filter(|name| !known.contains(name)) {
-                faults.push(Fault::new(&place, format!("names the unknown service {name:?}")));
+                faults.push(ValidationError::new(&place, format!("names the unknown service {name:?}")));
             }
             let host = bare_host(&route.authority).to_ascii_lowercase();
             if !taken.insert((host, route.path_prefix.clone())) {
-                faults.push(Fault::new(&place, "has the host and prefix of another route"));
+                faults.push(ValidationError::new(&place, "has the host and prefix of another route"));
             }
             routes.push(route);
         }
@@ -138,35 +139,37 @@
     /// # Errors
     ///
     /// The epoch is not above the current one.
-    pub fn check_after(&self, current_epoch: u64) -> Result<(), Fault> {
+    pub fn check_after(&self, current_epoch: u64) -> Result<(), ValidationError> {
         match self.epoch > current_epoch {
             true => Ok(()),
-            false => Err(Fault::new("epoch", format!("{} is not above {current_epoch}", self.epoch))),
+            false => {
+                Err(ValidationError::new("epoch", format!("{} is not above {current_epoch}", self.epoch)))
+            }
         }
     }
 }
 
-impl Target {
+impl RouteTarget {
     /// Every service that requests may be sent to, in the order given.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         let (one, shares, shards) = match self {
-            Target::Backend(name) => (Some(name), &[][..], &[][..]),
-            Target::Shares(shares) => (None, &shares[..], &[][..]),
-            Target::Fanout { shards, .. } => (None, &[][..], &shards[..]),
+            RouteTarget::Backend(name) => (Some(name), &[][..], &[][..]),
+            RouteTarget::Shares(shares) => (None, &shares[..], &[][..]),
+            RouteTarget::Fanout { shards, .. } => (None, &[][..], &shards[..]),
         };
         let shares = shares.iter().map(|(name, _)| name);
         one.into_iter().chain(shares).chain(shards).map(String::as_str)
     }
 }
 
-fn services(papers: Vec<PaperService>, faults: &mut Vec<Fault>) -> Vec<Service> {
+fn services(papers: Vec<RawService>, faults: &mut Vec<ValidationError>) -> Vec<Service> {
     let mut taken = HashSet::new();
     let mut services = Vec::with_capacity(papers.len());
     for (at, paper) in papers.into_iter().enumerate() {
         let name = paper.name.unwrap_or_default();
         if !taken.insert(name.clone()) {
             let why = format!("has the name of another service, {name:?}");
-            faults.push(Fault::new(format!("backends[{at}]"), why));
+            faults.push(ValidationError::new(format!("backends[{at}]"), why));
         }
         services.push(Service {
             name,
@@ -179,17 +182,17 @@
     services
 }
 
-fn read_route(paper: PaperRoute, place: &str, faults: &mut Vec<Fault>) -> Route {
+fn read_route(paper: RawRoute, place: &str, faults: &mut Vec<ValidationError>) -> Route {
     let to = if let Some(shards) = paper.fanout {
         let mut taken = HashSet::new();
         if shards.is_empty() {
-            faults.push(Fault::new(place, "has a fanout of no service"));
+            faults.push(ValidationError::new(place, "has a fanout of no service"));
         }
         if !shards.iter().all(|shard| taken.insert(shard.as_str())) {
-            faults.push(Fault::new(place, "has a fanout that names a service twice"));
+            faults.push(ValidationError::new(place, "has a fanout that names a service twice"));
         }
         let top_k = paper.top_k.map_or(ABSENT_TOP_K, |top_k| small(top_k.0) as usize);
-        Target::Fanout { shards, top_k, quorum: paper.quorum.unwrap_or(0.0) }
+        RouteTarget::Fanout { shards, top_k, quorum: paper.quorum.unwrap_or(0.0) }
     } else if let Some(shares) = paper.shares {
         let shares: Vec<(String, f64)> = shares
             .into_iter()
@@ -197,18 +200,18 @@
             .collect();
         let sum: f64 = shares.iter().map(|(_, weight)| weight).sum();
         if sum <= 0.0 || !sum.is_finite() {
-            faults.push(Fault::new(place, "has weights that add up to 0"));
+            faults.push(ValidationError::new(place, "has weights that add up to 0"));
         }
-        Target::Shares(shares)
+        RouteTarget::Shares(shares)
     } else {
         if paper.backend.is_none() {
-            faults.push(Fault::new(place, "names no service"));
+            faults.push(ValidationError::new(place, "names no service"));
         }
-        Target::Backend(paper.backend.unwrap_or_default())
+        RouteTarget::Backend(paper.backend.unwrap_or_default())
     };
     // What is gathered may be repeated whatever the class says; without a word on it nothing may.
     let traffic_class = match (&to, paper.traffic_class) {
-        (Target::Fanout { .. }, _) => Class::Idempotent,
+        (RouteTarget::Fanout { .. }, _) => TrafficClass::Idempotent,
         (_, class) => class.unwrap_or_default().into(),
     };
     let deadline_ms = paper.deadline_ms.map_or(ABSENT_DEADLINE_MS, |ms| ms.0);
--- a/crates/fernknot-schema/src/process.rs
+++ b/crates/fernknot-schema/src/process.rs
@@ -4,11 +4,11 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-use crate::walk::{Fault, Walk, parse};
+use crate::walk::{ObjectReader, ValidationError, parse};
 
 /// The settings file, read and checked. Unknown keys are passed over.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ProcessFacts {
+pub struct ProcessSettings {
     pub node_name: String,
     pub role: String,
     pub machine_class: String,
@@ -28,7 +28,7 @@
     pub bootstrap: bool,
     /// This machine counts towards the fault budget.
     pub counted: bool,
-    pub limits: Limits,
+    pub limits: ResourceLimits,
     pub data_dir: Option<PathBuf>,
     pub discovery: String,
     pub entry: String,
@@ -37,7 +37,7 @@
     /// Names of the parts of the rules that are in force.
     pub invariants: Vec<String>,
     pub fault_budget: FaultBudget,
-    pub bounds: Bounds,
+    pub bounds: InvariantBounds,
 }
 
 /// Where the process listens, by what it serves.
@@ -50,7 +50,7 @@
 
 /// What the machine gives the process. A limit that was not given has the default.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
+pub struct ResourceLimits {
     /// Share of a core.
     pub cpu_share: f64,
     /// How many times as fast that core is.
@@ -62,9 +62,9 @@
     pub disk_mb: f64,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
+impl Default for ResourceLimits {
+    fn default() -> ResourceLimits {
+        ResourceLimits {
             cpu_share: 0.2,
             cores: 1.0,
             memory_mb: 256.0,
@@ -85,7 +85,7 @@
 
 /// Figures of the rules in force. A bound that was not given has the default.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
+pub struct InvariantBounds {
     pub seed_lag_s: f64,
     pub reuse_after_s: f64,
     pub contact_ms: f64,
@@ -105,9 +105,9 @@
     pub recover_s: f64,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
+impl Default for InvariantBounds {
+    fn default() -> InvariantBounds {
+        InvariantBounds {
             seed_lag_s: 3.0,
             reuse_after_s: 2.0,
             contact_ms: 4000.0,
@@ -127,15 +127,15 @@
     }
 }
 
-impl ProcessFacts {
+impl ProcessSettings {
     /// Reads the settings file.
     ///
     /// # Errors
     ///
     /// Every fault of the file at once, so that one look is enough to mend it.
-    pub fn read(bytes: &[u8]) -> Result<ProcessFacts, Vec<Fault>> {
+    pub fn read(bytes: &[u8]) -> Result<ProcessSettings, Vec<ValidationError>> {
         let value = parse(bytes)?;
-        let top = Walk::whole(&value);
+        let top = ObjectReader::whole(&value);
         let mut faults = Vec::new();
         let f = &mut faults;
 
@@ -179,7 +179,7 @@
         // Without a region of its own the process takes that of its zone.
         let region = top.text(f, "region").or_else(|| zones.get(&zone).cloned()).unwrap_or_default();
 
-        let facts = ProcessFacts {
+        let facts = ProcessSettings {
             node_name: top.text(f, "node_name").unwrap_or_default(),
             role: top.text(f, "role").unwrap_or_default(),
             machine_class: top.text(f, "machine_class").unwrap_or_default(),
@@ -217,7 +217,7 @@
 }
 
 /// A number that others are divided by or paced with: 0 is a fault.
-fn above_nothing(walk: &Walk<'_>, f: &mut Vec<Fault>, key: &str, absent: f64) -> f64 {
+fn above_nothing(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>, key: &str, absent: f64) -> f64 {
     let number = walk.number(f, key).unwrap_or(absent);
     if number == 0.0 {
         walk.fault(f, key, "is 0");
@@ -225,9 +225,9 @@
     number
 }
 
-fn read_limits(walk: &Walk<'_>, f: &mut Vec<Fault>) -> Limits {
-    let absent = Limits::default();
-    Limits {
+fn read_limits(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> ResourceLimits {
+    let absent = ResourceLimits::default();
+    ResourceLimits {
         cpu_share: above_nothing(walk, f, "cpu_share", absent.cpu_share),
         cores: above_nothing(walk, f, "cores", absent.cores),
         memory_mb: above_nothing(walk, f, "memory_mb", absent.memory_mb),
@@ -237,10 +237,10 @@
     }
 }
 
-fn read_bounds(walk: &Walk<'_>, f: &mut Vec<Fault>) -> Bounds {
-    let absent = Bounds::default();
+fn read_bounds(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> InvariantBounds {
+    let absent = InvariantBounds::default();
     let mut read = |key, absent| walk.number(f, key).unwrap_or(absent);
-    Bounds {
+    InvariantBounds {
         seed_lag_s: read("seed_lag_s", absent.seed_lag_s),
         reuse_after_s: read("reuse_after_s", absent.reuse_after_s),
         contact_ms: read("contact_ms", absent.contact_ms),
@@ -259,7 +259,7 @@
     }
 }
 
-fn read_ports(top: &Walk<'_>, f: &mut Vec<Fault>) -> (u16, u16) {
+fn read_ports(top: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> (u16, u16) {
     let Some(value) = top.get("port_range") else { return (0, 0) };
     let ports: Option<Vec<u16>> = value.as_array().and_then(|ports| {
         ports.iter().map(|port| port.as_u64().and_then(|port| u16::try_from(port).ok())).collect()
--- a/crates/fernknot-schema/src/routes.rs
+++ b/crates/fernknot-schema/src/routes.rs
@@ -7,13 +7,13 @@
 /// The routes of one plan, laid out for finding.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    hosts: HashMap<Vec<u8>, Prefixes>,
+    hosts: HashMap<Vec<u8>, HostRoutes>,
 }
 
 /// The prefixes of one host. A look-up costs one probe for each length that occurs, however many
 /// prefixes there are and however long the path is.
 #[derive(Clone, Debug, Default)]
-struct Prefixes {
+struct HostRoutes {
     /// Longest first, each once.
     lengths: Vec<usize>,
     routes: HashMap<Vec<u8>, usize>,
--- a/crates/fernknot-schema/src/walk.rs
+++ b/crates/fernknot-schema/src/walk.rs
@@ -7,19 +7,19 @@
 
 /// What is wrong with something that was read, and where.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub struct Fault {
+pub struct ValidationError {
     /// A path such as `limits.cpu_share`; empty for the whole.
     pub place: String,
     pub why: String,
 }
 
-impl Fault {
-    pub fn new(place: impl Into<String>, why: impl Into<String>) -> Fault {
-        Fault { place: place.into(), why: why.into() }
+impl ValidationError {
+    pub fn new(place: impl Into<String>, why: impl Into<String>) -> ValidationError {
+        ValidationError { place: place.into(), why: why.into() }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.place.is_empty() {
             true => f.write_str(&self.why),
@@ -29,23 +29,23 @@
 }
 
 /// One object being read. A missing or null key is no fault unless it is asked for with `need`.
-pub(crate) struct Walk<'a> {
+pub(crate) struct ObjectReader<'a> {
     place: String,
     map: Option<&'a Map<String, Value>>,
 }
 
 /// The whole of the bytes as one object, or the one fault that leaves nothing to read.
-pub(crate) fn parse(bytes: &[u8]) -> Result<Value, Vec<Fault>> {
+pub(crate) fn parse(bytes: &[u8]) -> Result<Value, Vec<ValidationError>> {
     match serde_json::from_slice::<Value>(bytes) {
         Ok(value) if value.is_object() => Ok(value),
-        Ok(_) => Err(vec![Fault::new("", "is not a JSON object")]),
-        Err(error) => Err(vec![Fault::new("", format!("cannot be read whole: {error}"))]),
+        Ok(_) => Err(vec![ValidationError::new("", "is not a JSON object")]),
+        Err(error) => Err(vec![ValidationError::new("", format!("cannot be read whole: {error}"))]),
     }
 }
 
-impl<'a> Walk<'a> {
-    pub(crate) fn whole(value: &'a Value) -> Walk<'a> {
-        Walk { place: String::new(), map: value.as_object() }
+impl<'a> ObjectReader<'a> {
+    pub(crate) fn whole(value: &'a Value) -> ObjectReader<'a> {
+        ObjectReader { place: String::new(), map: value.as_object() }
     }
 
     pub(crate) fn place(&self, key: &str) -> String {
@@ -55,8 +55,8 @@
         }
     }
 
-    pub(crate) fn fault(&self, faults: &mut Vec<Fault>, key: &str, why: &str) {
-        faults.push(Fault::new(self.place(key), why));
+    pub(crate) fn fault(&self, faults: &mut Vec<ValidationError>, key: &str, why: &str) {
+        faults.push(ValidationError::new(self.place(key), why));
     }
 
     pub(crate) fn get(&self, key: &str) -> Option<&'a Value> {
@@ -64,26 +64,26 @@
     }
 
     /// Says so where a key is not there.
-    pub(crate) fn need(&self, faults: &mut Vec<Fault>, key: &str) {
+    pub(crate) fn need(&self, faults: &mut Vec<ValidationError>, key: &str) {
         if self.get(key).is_none() {
             self.fault(faults, key, "is missing");
         }
     }
 
     /// The object under a key; an empty one where there is none.
-    pub(crate) fn inner(&self, faults: &mut Vec<Fault>, key: &str) -> Walk<'a> {
+    pub(crate) fn inner(&self, faults: &mut Vec<ValidationError>, key: &str) -> ObjectReader<'a> {
         let value = self.get(key);
         if value.is_some_and(|value| !value.is_object()) {
             self.fault(faults, key, "is not an object");
         }
-        Walk { place: self.place(key), map: value.and_then(Value::as_object) }
+        ObjectReader { place: self.place(key), map: value.and_then(Value::as_object) }
     }
 
     pub(crate) fn entries(&self) -> impl Iterator<Item = (&'a String, &'a Value)> {
         self.map.into_iter().flatten()
     }
 
-    pub(crate) fn text(&self, faults: &mut Vec<Fault>, key: &str) -> Option<String> {
+    pub(crate) fn text(&self, faults: &mut Vec<ValidationError>, key: &str) -> Option<String> {
         let value = self.get(key)?;
         if let Some(text) = value.as_str() {
             return Some(text.to_string());
@@ -92,7 +92,7 @@
         None
     }
 
-    pub(crate) fn flag(&self, faults: &mut Vec<Fault>, key: &str) -> Option<bool> {
+    pub(crate) fn flag(&self, faults: &mut Vec<ValidationError>, key: &str) -> Option<bool> {
         let value = self.get(key)?;
         if value.as_bool().is_none() {
             self.fault(faults, key, "is not true or false");
@@ -101,7 +101,7 @@
     }
 
     /// A number of 0 or more, whole or a fraction.
-    pub(crate) fn number(&self, faults: &mut Vec<Fault>, key: &str) -> Option<f64> {
+    pub(crate) fn number(&self, faults: &mut Vec<ValidationError>, key: &str) -> Option<f64> {
         let number = self.get(key)?.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
         if number.is_none() {
             self.fault(faults, key, "is not a number of 0 or more");
@@ -110,7 +110,7 @@
     }
 
     /// A number of 0 or more, rounded up: a time or an amount is never cut to nothing.
-    pub(crate) fn whole_number(&self, faults: &mut Vec<Fault>, key: &str) -> Option<u64> {
+    pub(crate) fn whole_number(&self, faults: &mut Vec<ValidationError>, key: &str) -> Option<u64> {
         if let Some(whole) = self.get(key)?.as_u64() {
             return Some(whole);
         }
@@ -118,7 +118,12 @@
         self.number(faults, key).map(|number| number.ceil() as u64)
     }
 
-    pub(crate) fn parsed<T: FromStr>(&self, faults: &mut Vec<Fault>, key: &str, what: &str) -> Option<T> {
+    pub(crate) fn parsed<T: FromStr>(
+        &self,
+        faults: &mut Vec<ValidationError>,
+        key: &str,
+        what: &str,
+    ) -> Option<T> {
         let text = self.text(faults, key)?;
         let parsed = text.parse().ok();
         if parsed.is_none() {
@@ -128,7 +133,12 @@
     }
 
     /// A list of strings that all read as `T`; what does not is a fault with its index.
-    pub(crate) fn list<T: FromStr>(&self, faults: &mut Vec<Fault>, key: &str, what: &str) -> Vec<T> {
+    pub(crate) fn list<T: FromStr>(
+        &self,
+        faults: &mut Vec<ValidationError>,
+        key: &str,
+        what: &str,
+    ) -> Vec<T> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let Some(items) = value.as_array() else {
             self.fault(faults, key, "is not a list");
@@ -138,9 +148,10 @@
         for (at, item) in items.iter().enumerate() {
             match item.as_str().and_then(|text| text.parse().ok()) {
                 Some(item) => read.push(item),
-                None => {
-                    faults.push(Fault::new(format!("{}[{at}]", self.place(key)), format!("is not {what}")))
-                }
+                None => faults.push(ValidationError::new(
+                    format!("{}[{at}]", self.place(key)),
+                    format!("is not {what}"),
+                )),
             }
         }
         read
--- a/crates/fernknot-schema/tests/common/mod.rs
+++ b/crates/fernknot-schema/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Bodies that are right, for tests to break.
 #![allow(dead_code)]
 
-use fernknot_schema::{Fault, RoutingConfig};
+use fernknot_schema::{RoutingConfig, ValidationError};
 use serde_json::{Value, json};
 
 pub fn plan_json() -> Value {
@@ -36,7 +36,7 @@
     json
 }
 
-pub fn read_plan(json: &Value) -> Result<RoutingConfig, Vec<Fault>> {
+pub fn read_plan(json: &Value) -> Result<RoutingConfig, Vec<ValidationError>> {
     RoutingConfig::read(json.to_string().as_bytes())
 }
 
@@ -55,6 +55,6 @@
       "bounds": {"seed_lag_s": 3, "apply_ms": 3000.5, "retry_ratio": 0.2, "fenced": true}})
 }
 
-pub fn places(faults: Vec<Fault>) -> Vec<String> {
+pub fn places(faults: Vec<ValidationError>) -> Vec<String> {
     faults.into_iter().map(|fault| fault.place).collect()
 }
--- a/crates/fernknot-schema/tests/plan.rs
+++ b/crates/fernknot-schema/tests/plan.rs
@@ -1,7 +1,7 @@
 mod common;
 
 use common::{changed, places, plan_json, read_plan, without};
-use fernknot_schema::{Class, RoutingConfig, Target, digest};
+use fernknot_schema::{RouteTarget, RoutingConfig, TrafficClass, digest};
 use proptest::prelude::*;
 use serde_json::json;
 use test_case::test_case;
@@ -14,9 +14,9 @@
     assert_eq!(plan.services[2].max_conns, 100);
     let [gather, plain, split] = &plan.routes[..] else { panic!("three routes") };
     let shards = vec!["a".to_string(), "b".to_string()];
-    assert_eq!(gather.to, Target::Fanout { shards, top_k: 200, quorum: 0.6 });
-    assert_eq!((plain.traffic_class, plain.deadline_ms, plain.tries), (Class::Mutating, 5000, 2));
-    assert_eq!(split.to, Target::Shares(vec![("a".into(), 1.0), ("c".into(), 2.5)]));
+    assert_eq!(gather.to, RouteTarget::Fanout { shards, top_k: 200, quorum: 0.6 });
+    assert_eq!((plain.traffic_class, plain.deadline_ms, plain.tries), (TrafficClass::Mutating, 5000, 2));
+    assert_eq!(split.to, RouteTarget::Shares(vec![("a".into(), 1.0), ("c".into(), 2.5)]));
     assert_eq!(plan, bitcode::decode::<RoutingConfig>(&bitcode::encode(&plan)).unwrap());
 }
 
--- a/crates/fernknot-simulator/src/callers.rs
+++ b/crates/fernknot-simulator/src/callers.rs
@@ -1,14 +1,14 @@
 //! Operators and nodes, as the users' pages describe them: any registrar will do, another one after a failure, a 5xx,
 //! 408 or 429 or a second of silence, 307 is followed twice, and a call without a clear end is sent again as it was.
 
-use crate::chance::Chance;
-use crate::judge::{Drain, OrderSeen};
-use crate::play::{Facts, Plant};
-use crate::register::{Call, Op, Ret, Version};
+use crate::chance::Rng;
+use crate::judge::{ChangeRecord, DrainRecord};
+use crate::play::{SeededBug, Settings};
+use crate::register::{Call, Operation, OperationResult, Version};
 use crate::troubles::Trigger;
-use crate::world::{Event as All, Input, World, ms};
+use crate::world::{Event as All, Input, Simulation, ms};
 use fernknot::interface::Nanos;
-use fernknot_http_api::{Pulled, Reply, Request, Tap, TapFacts};
+use fernknot_http_api::{HttpServerConnection, HttpServerSettings, ReadOutcome, Reply, Request};
 use fernknot_protocol::buffer::Buffer;
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
 }
 
 /// One call with all its tries.
-struct Errand {
+struct ControlRequest {
     purpose: Purpose,
     request: Request,
     /// The only machine that is asked, if it is one.
@@ -59,7 +59,7 @@
     until: Option<Nanos>,
 }
 
-struct Try {
+struct Attempt {
     errand: u64,
     at: usize,
     /// The life of the process that has it; 0 before.
@@ -69,7 +69,7 @@
 }
 
 struct Operator {
-    chance: Chance,
+    chance: Rng,
     /// What it takes for the newest, by its own calls.
     newest: u64,
     reads_next: bool,
@@ -79,12 +79,12 @@
 struct Node {
     life: u64,
     seq: u64,
-    state: Life,
+    state: NodePhase,
     ends: Nanos,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Life {
+enum NodePhase {
     Ready,
     Draining,
     Leaving,
@@ -106,27 +106,27 @@
 }
 
 /// All who call.
-pub struct Callers {
-    errands: BTreeMap<u64, Errand>,
-    tries: BTreeMap<u64, Try>,
+pub struct ControlClients {
+    errands: BTreeMap<u64, ControlRequest>,
+    tries: BTreeMap<u64, Attempt>,
     operators: Vec<Operator>,
     nodes: Vec<Node>,
-    tap: TapFacts,
+    tap: HttpServerSettings,
     calm_since: Option<Nanos>,
     pub closing: bool,
 }
 
 /// A request as the sockets bring it; none where it is no request.
 pub fn request(head: &str, body: &str) -> Option<Request> {
-    let tap = TapFacts::new(100, 256.0, 1 << 20).ok()?;
+    let tap = HttpServerSettings::new(100, 256.0, 1 << 20).ok()?;
     read_request(&tap, head, body)
 }
 
-fn read_request(tap: &TapFacts, head: &str, body: &str) -> Option<Request> {
+fn read_request(tap: &HttpServerSettings, head: &str, body: &str) -> Option<Request> {
     let (mut input, mut out) = (Buffer::default(), Buffer::default());
     input.push(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
-    match Tap::default().pull(&mut input, &mut out, tap) {
-        Pulled::Call(request) => Some(request),
+    match HttpServerConnection::default().pull(&mut input, &mut out, tap) {
+        ReadOutcome::Call(request) => Some(request),
         _ => None,
     }
 }
@@ -146,21 +146,21 @@
     Some(Version { epoch: paper.get("epoch")?.as_u64()?, body: path.trim_matches('/').parse().ok()? })
 }
 
-impl Callers {
-    pub fn new(facts: &Facts) -> Callers {
+impl ControlClients {
+    pub fn new(facts: &Settings) -> ControlClients {
         let operators = (0..2).map(|at| Operator {
-            chance: Chance::new(facts.seed ^ (0x0be0 + at) << 40),
+            chance: Rng::new(facts.seed ^ (0x0be0 + at) << 40),
             newest: 0,
             reads_next: false,
             hurry: false,
         });
-        let nodes = (0..facts.nodes).map(|_| Node { life: 0, seq: 0, state: Life::Out, ends: Nanos(0) });
-        Callers {
+        let nodes = (0..facts.nodes).map(|_| Node { life: 0, seq: 0, state: NodePhase::Out, ends: Nanos(0) });
+        ControlClients {
             errands: BTreeMap::new(),
             tries: BTreeMap::new(),
             operators: operators.collect(),
             nodes: nodes.collect(),
-            tap: TapFacts::new(100, 256.0, 1 << 20).expect("far more than it needs"),
+            tap: HttpServerSettings::new(100, 256.0, 1 << 20).expect("far more than it needs"),
             calm_since: None,
             closing: false,
         }
@@ -174,7 +174,7 @@
 
     /// The life that a node's address has now, if it has one that serves.
     pub fn node_life(&self, at: usize) -> Option<String> {
-        let node = self.nodes.get(at).filter(|node| node.state != Life::Out)?;
+        let node = self.nodes.get(at).filter(|node| node.state != NodePhase::Out)?;
         Some(name(node.life))
     }
 
@@ -188,7 +188,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn begin_callers(&mut self) {
         for at in 0..self.callers.operators.len() {
             self.later(ms(700), All::Caller(Event::Operator(at)));
@@ -220,7 +220,7 @@
     fn errand(&mut self, purpose: Purpose, head: &str, body: &str, only: Option<usize>) {
         let Some(request) = read_request(&self.callers.tap, head, body) else { return };
         let id = self.moment();
-        let errand = Errand {
+        let errand = ControlRequest {
             purpose,
             request,
             only,
@@ -246,7 +246,7 @@
         if let Some(errand) = self.callers.errands.get_mut(&id) {
             errand.last = at;
         }
-        self.callers.tries.insert(from, Try { errand: id, at, life: 0, from, answered: false });
+        self.callers.tries.insert(from, Attempt { errand: id, at, life: 0, from, answered: false });
         self.say(|| format!("call {from}: {purpose:?} to {at}"));
         let wait = self.delay(0, at) + self.delay(at, 0) + self.delay(0, at);
         self.later(wait, All::Caller(Event::Arrives(from)));
@@ -273,7 +273,7 @@
     /// The process has answered.
     pub fn answer(&mut self, at: usize, call: u64, reply: &Reply) {
         let mut call = call;
-        if self.facts.plant == Some(Plant::SwapsAnswers) {
+        if self.facts.plant == Some(SeededBug::SwapsAnswers) {
             // To another who waits here, if there is one.
             let waits = self
                 .callers
@@ -290,11 +290,11 @@
         let mut body = reply.body.bytes().to_vec();
         let replaces = matches!(purpose, Purpose::Replace(_) | Purpose::Resend(_));
         match self.facts.plant {
-            Some(Plant::ClearsUnclear) if replaces && status == 503 => status = 200,
-            Some(Plant::RefusesRepeats) if status == 200 && matches!(purpose, Purpose::Resend(_)) => {
+            Some(SeededBug::ClearsUnclear) if replaces && status == 503 => status = 200,
+            Some(SeededBug::RefusesRepeats) if status == 200 && matches!(purpose, Purpose::Resend(_)) => {
                 status = 412
             }
-            Some(Plant::StaleReads) if status == 200 && matches!(purpose, Purpose::Read { .. }) => {
+            Some(SeededBug::StaleReads) if status == 200 && matches!(purpose, Purpose::Read { .. }) => {
                 let kept = self.seen.kept.entry(at).or_insert_with(|| body.clone());
                 let new = std::mem::replace(&mut body, kept.clone());
                 if self.chance.one_in(4) {
@@ -388,7 +388,7 @@
         self.later(pause, All::Caller(Event::Again(id)));
     }
 
-    fn ended(&mut self, id: u64, tried: &Try, status: u16, body: &[u8]) {
+    fn ended(&mut self, id: u64, tried: &Attempt, status: u16, body: &[u8]) {
         let Some(errand) = self.callers.errands.remove(&id) else { return };
         let done = (200..300).contains(&status);
         let to = self.moment();
@@ -396,7 +396,7 @@
             Purpose::Replace(order) => {
                 let seen = &mut self.seen.orders[order];
                 let (new, by) = (seen.version, seen.by);
-                seen.to = Some((to, if done { Ret::Taken } else { Ret::Refused }));
+                seen.to = Some((to, if done { OperationResult::Taken } else { OperationResult::Refused }));
                 let base = seen.base;
                 self.say(|| format!("order {order} ({base} to {new:?}): {status}"));
                 if done {
@@ -429,7 +429,11 @@
                 if done && found.is_none() {
                     self.found("CONFIG", format!("{} hands out what nobody sent", tried.at));
                 }
-                let call = Call { op: Op::Read, from: tried.from, to: Some((to, Ret::Found(found))) };
+                let call = Call {
+                    op: Operation::Read,
+                    from: tried.from,
+                    to: Some((to, OperationResult::Found(found))),
+                };
                 self.seen.reads.push(call);
                 if let Some(version) = found {
                     self.sighted(version, to);
@@ -447,15 +451,15 @@
                 let touched = self.machines[tried.at].touched;
                 if done && self.in_touch(tried.at, touched) {
                     self.seen.drains_seen += 1;
-                    self.seen.drains.push(Drain { node: name(life), at: self.now, by: tried.at });
+                    self.seen.drains.push(DrainRecord { node: name(life), at: self.now, by: tried.at });
                 }
                 let cutoff = self.facts.bounds.drain_cutoff;
                 let wait = cutoff + self.chance.between(ms(0), ms(2000));
                 let node = &mut self.callers.nodes[at];
-                (node.state, node.ends) = (Life::Leaving, self.now + wait);
+                (node.state, node.ends) = (NodePhase::Leaving, self.now + wait);
             }
             Purpose::Leave(at) => {
-                self.callers.nodes[at].state = Life::Out;
+                self.callers.nodes[at].state = NodePhase::Out;
                 self.node_ends(at);
             }
         }
@@ -478,7 +482,8 @@
         if reads {
             return self.read(Some(at), None);
         }
-        let acknowledged: Vec<usize> = self.orders_where(|seen| matches!(seen.to, Some((_, Ret::Taken))));
+        let acknowledged: Vec<usize> =
+            self.orders_where(|seen| matches!(seen.to, Some((_, OperationResult::Taken))));
         match dice {
             0..3 => {
                 // Mostly the last one, at times an older one.
@@ -496,7 +501,7 @@
         }
     }
 
-    fn orders_where(&self, which: impl Fn(&OrderSeen) -> bool) -> Vec<usize> {
+    fn orders_where(&self, which: impl Fn(&ChangeRecord) -> bool) -> Vec<usize> {
         (0..self.seen.orders.len()).filter(|at| which(&self.seen.orders[*at])).collect()
     }
 
@@ -526,7 +531,7 @@
         }
         let from = self.moment();
         let version = Version { epoch, body: self.seen.orders.len() as u64 };
-        self.seen.orders.push(OrderSeen { base, version, from, to: None, by });
+        self.seen.orders.push(ChangeRecord { base, version, from, to: None, by });
         self.send_order(Purpose::Replace(self.seen.orders.len() - 1));
         if self.chance.one_in(12)
             && !self.callers.closing
@@ -538,7 +543,7 @@
 
     fn send_order(&mut self, purpose: Purpose) {
         let (Purpose::Replace(order) | Purpose::Resend(order)) = purpose else { return };
-        let OrderSeen { base, version, .. } = self.seen.orders[order];
+        let ChangeRecord { base, version, .. } = self.seen.orders[order];
         let more = if self.facts.gateways > 0 { MORE_ROUTES } else { "" };
         let mut body = paper(version, more);
         // The same by its value: operators format as they like.
@@ -577,7 +582,7 @@
         match self.chance.below(6) {
             0 => self.order(0, known, known + 1),
             1 => {
-                let taken = self.orders_where(|seen| matches!(seen.to, Some((_, Ret::Taken))));
+                let taken = self.orders_where(|seen| matches!(seen.to, Some((_, OperationResult::Taken))));
                 if let Some(order) = taken.last().copied() {
                     self.send_order(Purpose::Resend(order));
                 }
@@ -605,33 +610,33 @@
         let ready_for = self.chance.between(ms(3000), ms(9000));
         let node = &mut self.callers.nodes[at];
         node.seq += 1;
-        if node.state == Life::Out {
-            *node = Node { life: fresh, seq: 1, state: Life::Ready, ends: now + ready_for };
+        if node.state == NodePhase::Out {
+            *node = Node { life: fresh, seq: 1, state: NodePhase::Ready, ends: now + ready_for };
         }
         let (life, seq) = (node.life, node.seq);
         let mut state = "ready";
         let mut purpose = Purpose::Beat(at);
         match node.state {
             // A crash says nothing.
-            Life::Ready if node.ends < now && dice == 0 => {
-                node.state = Life::Out;
+            NodePhase::Ready if node.ends < now && dice == 0 => {
+                node.state = NodePhase::Out;
                 if self.facts.gateways > 0 {
                     self.node_ends(at);
                     return self.later(beat, All::Caller(Event::Node(at)));
                 }
             }
-            Life::Ready if node.ends < now => {
-                node.state = Life::Draining;
+            NodePhase::Ready if node.ends < now => {
+                node.state = NodePhase::Draining;
                 (state, purpose) = ("draining", Purpose::Drain(at));
             }
-            Life::Draining => state = "draining",
-            Life::Leaving if node.ends < now => {
+            NodePhase::Draining => state = "draining",
+            NodePhase::Leaving if node.ends < now => {
                 node.ends = Nanos(u64::MAX);
                 let head = format!("POST /-/nodes/{}/deregister HTTP/1.1\r\nHost: x\r\n", name(life));
                 self.errand(Purpose::Leave(at), &head, "", None);
                 return self.later(beat, All::Caller(Event::Node(at)));
             }
-            Life::Leaving => state = "draining",
+            NodePhase::Leaving => state = "draining",
             _ => {}
         }
         // A beat without an answer by the time of the next is forgotten.
--- a/crates/fernknot-simulator/src/chance.rs
+++ b/crates/fernknot-simulator/src/chance.rs
@@ -5,7 +5,7 @@
 
 /// Draws in turn; which thread gets which draw is the system's business.
 #[derive(Debug)]
-pub struct Chance(AtomicU64);
+pub struct Rng(AtomicU64);
 
 /// Spreads a number over all bits (splitmix64, public domain).
 pub fn mixed(state: u64) -> u64 {
@@ -17,9 +17,9 @@
 /// The step from one state to the next.
 pub const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-impl Chance {
-    pub fn new(seed: u64) -> Chance {
-        Chance(AtomicU64::new(mixed(seed)))
+impl Rng {
+    pub fn new(seed: u64) -> Rng {
+        Rng(AtomicU64::new(mixed(seed)))
     }
 
     pub fn draw(&self) -> u64 {
