--- a/crates/fernknot-simulator/src/gateways.rs
+++ b/crates/fernknot-simulator/src/gateways.rs
@@ -1,15 +1,15 @@
 //! The real gateways, and the connections that bear their bytes: to registrars, to each other, to nodes and from
 //! clients. A connection is in order; a reset or a cut loses what is on its way.
 
-use crate::play::{Facts, Plant};
-use crate::ports::{Did, SimPorts};
-use crate::world::{Event as All, FIRST_LISTENER, Input, World, addr, ms};
+use crate::play::{SeededBug, Settings};
+use crate::ports::{PortAction, SimulatedPorts};
+use crate::world::{Event as All, FIRST_LISTENER, Input, Simulation, addr, ms};
 use fernknot::interface::Nanos;
-use fernknot_controller::Ear;
-use fernknot_gateway::{Doors, Gateway};
-use fernknot_net::{Berth, Buffer, Event as Happened, NetError};
-use fernknot_rpc::{Inward, Outward, pull, push};
-use fernknot_schema::{ProcessFacts, RoutingConfig};
+use fernknot_controller::SubscriberId;
+use fernknot_gateway::{Gateway, ListenerIds};
+use fernknot_net::{Buffer, ConnectionId, Event as Happened, NetError};
+use fernknot_rpc::{ControllerToGateway, GatewayToController, pull, push};
+use fernknot_schema::{ProcessSettings, RoutingConfig};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -28,11 +28,11 @@
 
 /// Who is at one end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Endpoint {
     Gateway {
         at: usize,
         life: u64,
-        berth: Berth,
+        berth: ConnectionId,
     },
     Registrar {
         at: usize,
@@ -47,8 +47,8 @@
 }
 
 /// One connection; the first end opened it.
-pub struct Pipe {
-    pub ends: [End; 2],
+pub struct ByteConnection {
+    pub ends: [Endpoint; 2],
     /// When what was sent last arrives at each end.
     last: [Nanos; 2],
     /// Nothing passes any more.
@@ -74,25 +74,25 @@
 }
 
 /// One gateway's process.
-pub struct Process {
+pub struct GatewayProcess {
     brain: Option<Gateway>,
     pub life: u64,
     born: Nanos,
     deaf: bool,
     frozen: bool,
-    ports: SimPorts,
-    doors: Doors,
+    ports: SimulatedPorts,
+    doors: ListenerIds,
     inbox: Vec<Happened>,
     turn_at: Option<Nanos>,
-    pipes: BTreeMap<Berth, u64>,
+    pipes: BTreeMap<ConnectionId, u64>,
     /// The last moment of anything that puts it out of touch.
     pub touched: Nanos,
 }
 
 /// All of them, and their connections.
 pub struct Gateways {
-    pub list: Vec<Process>,
-    pub pipes: BTreeMap<u64, Pipe>,
+    pub list: Vec<GatewayProcess>,
+    pub pipes: BTreeMap<u64, ByteConnection>,
     /// The plan told last, for a plant.
     older: Option<RoutingConfig>,
 }
@@ -107,11 +107,11 @@
 }
 
 /// A gateway's settings; none where they are not sound.
-fn settings(at: usize, seeds: &[usize], facts: &Facts) -> Option<ProcessFacts> {
+fn settings(at: usize, seeds: &[usize], facts: &Settings) -> Option<ProcessSettings> {
     let bounds = &facts.bounds;
     let seeds: Vec<String> = seeds.iter().map(|at| format!("\"{}:8729\"", addr(*at).ip())).collect();
     let ip = gateway_addr(at);
-    let free = if facts.plant == Some(Plant::FreeRetries) { 100.0 } else { 1.0 };
+    let free = if facts.plant == Some(SeededBug::FreeRetries) { 100.0 } else { 1.0 };
     let text = format!(
         r#"{{"node_name": "edge-{at}", "role": "gate", "machine_class": "edge", "serves": ["edge"], "ip": "{ip}",
         "zone": "zone-{zone}", "region": "r", "zones": {{"zone-0": "r", "zone-1": "r", "zone-2": "r"}},
@@ -131,15 +131,15 @@
         slack = RETRY_SLACK * free,
         window = RETRY_WINDOW.as_millis() / 1e3,
     );
-    ProcessFacts::read(text.as_bytes()).ok()
+    ProcessSettings::read(text.as_bytes()).ok()
 }
 
 impl Gateways {
-    pub fn new(facts: &Facts) -> Gateways {
+    pub fn new(facts: &Settings) -> Gateways {
         let list = (0..facts.gateways).map(|_| {
-            let mut ports = SimPorts::default();
-            let doors = Doors { front: ports.name(), ready: ports.name(), inner: ports.name() };
-            Process {
+            let mut ports = SimulatedPorts::default();
+            let doors = ListenerIds { front: ports.name(), ready: ports.name(), inner: ports.name() };
+            GatewayProcess {
                 brain: None,
                 life: 0,
                 born: Nanos(0),
@@ -164,22 +164,25 @@
 }
 
 /// Where cuts find an end; nodes and clients stand where no cut is.
-fn place(end: End) -> Option<usize> {
+fn place(end: Endpoint) -> Option<usize> {
     match end {
-        End::Gateway { at, .. } => Some(FIRST_GATEWAY + at),
-        End::Registrar { at, .. } => Some(at),
-        End::Node { .. } | End::Client(_) | End::Nobody => None,
+        Endpoint::Gateway { at, .. } => Some(FIRST_GATEWAY + at),
+        Endpoint::Registrar { at, .. } => Some(at),
+        Endpoint::Node { .. } | Endpoint::Client(_) | Endpoint::Nobody => None,
     }
 }
 
-fn zone(end: End) -> usize {
+fn zone(end: Endpoint) -> usize {
     match end {
-        End::Gateway { at, .. } | End::Registrar { at, .. } | End::Node { at } | End::Client(at) => at % 3,
-        End::Nobody => 0,
+        Endpoint::Gateway { at, .. }
+        | Endpoint::Registrar { at, .. }
+        | Endpoint::Node { at }
+        | Endpoint::Client(at) => at % 3,
+        Endpoint::Nobody => 0,
     }
 }
 
-impl World {
+impl Simulation {
     pub fn begin_gateways(&mut self) {
         for at in 0..self.gateways.list.len() {
             self.later(ms(400 + 50 * at as u64), All::System(Event::Begin(at)));
@@ -230,7 +233,7 @@
             Err(why) => return self.found("SETTINGS", format!("gateway {at}: {why}")),
         };
         process.brain = Some(match self.facts.plant {
-            Some(Plant::Gateway(plant)) => brain.planted(plant),
+            Some(SeededBug::Gateway(plant)) => brain.planted(plant),
             _ => brain,
         });
         (process.life, process.born, process.touched) = (life, self.now, self.now);
@@ -250,7 +253,7 @@
         process.ports.dirty.clear();
         process.ports.did.clear();
         for id in std::mem::take(&mut process.pipes).into_values() {
-            self.pipe_close(id, End::Gateway { at, life: 0, berth: Berth(0) }, true);
+            self.pipe_close(id, Endpoint::Gateway { at, life: 0, berth: ConnectionId(0) }, true);
         }
         self.say(|| format!("gateway {at} ends"));
         let wait = self.chance.between(ms(100), ms(2000));
@@ -292,13 +295,13 @@
     fn flush_gateway(&mut self, at: usize) {
         for did in std::mem::take(&mut self.gateways.list[at].ports.did) {
             match did {
-                Did::Connect(berth, to) => {
+                PortAction::Connect(berth, to) => {
                     let life = self.gateways.list[at].life;
-                    let id = self.pipe(End::Gateway { at, life, berth }, to);
+                    let id = self.pipe(Endpoint::Gateway { at, life, berth }, to);
                     self.gateways.list[at].pipes.insert(berth, id);
                 }
-                Did::Close(berth) => self.gateway_closes(at, berth),
-                Did::StopListening => self.gateways.list[at].deaf = true,
+                PortAction::Close(berth) => self.gateway_closes(at, berth),
+                PortAction::StopListening => self.gateways.list[at].deaf = true,
             }
         }
         for berth in std::mem::take(&mut self.gateways.list[at].ports.dirty) {
@@ -306,20 +309,20 @@
         }
     }
 
-    fn gateway_closes(&mut self, at: usize, berth: Berth) {
+    fn gateway_closes(&mut self, at: usize, berth: ConnectionId) {
         if let Some(id) = self.gateways.list[at].pipes.remove(&berth) {
-            self.pipe_close(id, End::Gateway { at, life: 0, berth }, false);
+            self.pipe_close(id, Endpoint::Gateway { at, life: 0, berth }, false);
         }
     }
 
-    fn flush_link(&mut self, at: usize, berth: Berth) {
+    fn flush_link(&mut self, at: usize, berth: ConnectionId) {
         let process = &mut self.gateways.list[at];
         let Some(link) = process.ports.links.get_mut(&berth).filter(|link| link.open) else { return };
         let bytes = link.output.data().to_vec();
         link.output.consume(bytes.len());
         let closing = link.closing;
         if let Some(id) = process.pipes.get(&berth).copied().filter(|_| !bytes.is_empty()) {
-            self.pipe_send(id, End::Gateway { at, life: 0, berth }, bytes);
+            self.pipe_send(id, Endpoint::Gateway { at, life: 0, berth }, bytes);
         }
         if closing {
             self.gateways.list[at].ports.links.remove(&berth);
@@ -339,19 +342,21 @@
     // Connections.
 
     /// Begins a connection from this end.
-    pub fn pipe(&mut self, from: End, to: SocketAddrV4) -> u64 {
+    pub fn pipe(&mut self, from: Endpoint, to: SocketAddrV4) -> u64 {
         let octets = to.ip().octets();
         let (net, third, last) = (octets[1], octets[2] as usize, (octets[3] as usize).wrapping_sub(1));
         let to = match net {
-            0 if last < self.machines.len() => End::Registrar { at: last, life: 0 },
-            1 if last < self.gateways.list.len() => End::Gateway { at: last, life: 0, berth: Berth(0) },
-            9 if third < self.facts.nodes && to == node_addr(third) => End::Node { at: third },
-            _ => End::Nobody,
+            0 if last < self.machines.len() => Endpoint::Registrar { at: last, life: 0 },
+            1 if last < self.gateways.list.len() => {
+                Endpoint::Gateway { at: last, life: 0, berth: ConnectionId(0) }
+            }
+            9 if third < self.facts.nodes && to == node_addr(third) => Endpoint::Node { at: third },
+            _ => Endpoint::Nobody,
         };
         self.count += 1;
         let id = self.count;
         let (last, done) = ([self.now; 2], [false; 2]);
-        let pipe = Pipe { ends: [from, to], last, lost: false, done, read: Buffer::default() };
+        let pipe = ByteConnection { ends: [from, to], last, lost: false, done, read: Buffer::default() };
         self.gateways.pipes.insert(id, pipe);
         let wait = self.delay(zone(from), zone(to));
         self.later(wait, All::System(Event::Syn(id)));
@@ -360,10 +365,10 @@
 
     /// From a client to a gateway's front.
     pub fn pipe_to_gateway(&mut self, client: usize, at: usize) -> u64 {
-        self.pipe(End::Client(client), gateway_addr(at))
+        self.pipe(Endpoint::Client(client), gateway_addr(at))
     }
 
-    fn is_apart(&self, a: End, b: End) -> bool {
+    fn is_apart(&self, a: Endpoint, b: Endpoint) -> bool {
         let (Some(a), Some(b)) = (place(a), place(b)) else { return false };
         self.is_cut(a, b) || self.is_cut(b, a)
     }
@@ -375,17 +380,17 @@
             return;
         }
         let [from, to] = pipe.ends;
-        let is_dark = matches!(to, End::Registrar { at, .. } if !self.machines[at].powered || self.machines[at].removed);
+        let is_dark = matches!(to, Endpoint::Registrar { at, .. } if !self.machines[at].powered || self.machines[at].removed);
         if is_dark || self.is_apart(from, to) {
             return self.later(AGAIN, All::System(Event::Syn(id)));
         }
         let accepted = match to {
-            End::Registrar { at, .. } => {
+            Endpoint::Registrar { at, .. } => {
                 let machine = &self.machines[at];
-                machine.is_up().then_some(End::Registrar { at, life: machine.life })
+                machine.is_up().then_some(Endpoint::Registrar { at, life: machine.life })
             }
-            End::Gateway { at, .. } => {
-                let is_client = matches!(from, End::Client(_));
+            Endpoint::Gateway { at, .. } => {
+                let is_client = matches!(from, Endpoint::Client(_));
                 let process = &mut self.gateways.list[at];
                 if process.brain.is_none() || (is_client && process.deaf) {
                     None
@@ -396,11 +401,11 @@
                     let door = if is_client { process.doors.front } else { process.doors.inner };
                     let life = process.life;
                     self.happened(at, Happened::Accepted { berth, at: door, peer: gateway_addr(at) });
-                    Some(End::Gateway { at, life, berth })
+                    Some(Endpoint::Gateway { at, life, berth })
                 }
             }
-            End::Node { at } => (self.node_is_up(at) && !self.chance.one_in(100)).then_some(to),
-            End::Client(_) | End::Nobody => None,
+            Endpoint::Node { at } => (self.node_is_up(at) && !self.chance.one_in(100)).then_some(to),
+            Endpoint::Client(_) | Endpoint::Nobody => None,
         };
         let wait = self.delay(zone(to), zone(from));
         let Some(pipe) = self.gateways.pipes.get_mut(&id) else { return };
@@ -420,34 +425,34 @@
     fn pipe_up(&mut self, id: u64) {
         let Some(pipe) = self.gateways.pipes.get(&id).filter(|pipe| !pipe.done[0]) else { return };
         match pipe.ends[0] {
-            End::Gateway { at, life, berth } if self.gateways.list[at].life == life => {
+            Endpoint::Gateway { at, life, berth } if self.gateways.list[at].life == life => {
                 if let Some(link) = self.gateways.list[at].ports.links.get_mut(&berth) {
                     link.open = true;
                     self.happened(at, Happened::Opened { berth });
                     self.flush_link(at, berth);
                 }
             }
-            End::Client(client) => self.client_is_up(client, id),
+            Endpoint::Client(client) => self.client_is_up(client, id),
             _ => {}
         }
     }
 
     /// Which of its two ends this is.
-    fn side(pipe: &Pipe, end: End) -> usize {
-        let same = |other: End| match (other, end) {
-            (End::Gateway { at, berth, .. }, End::Gateway { at: mine, berth: named, .. }) => {
-                at == mine && (named == Berth(0) || berth == named)
+    fn side(pipe: &ByteConnection, end: Endpoint) -> usize {
+        let same = |other: Endpoint| match (other, end) {
+            (Endpoint::Gateway { at, berth, .. }, Endpoint::Gateway { at: mine, berth: named, .. }) => {
+                at == mine && (named == ConnectionId(0) || berth == named)
             }
-            (End::Registrar { at, .. }, End::Registrar { at: mine, .. }) => at == mine,
+            (Endpoint::Registrar { at, .. }, Endpoint::Registrar { at: mine, .. }) => at == mine,
             (other, end) => other == end,
         };
         usize::from(!same(pipe.ends[0]))
     }
 
     /// One end says something.
-    pub fn pipe_send(&mut self, id: u64, from: End, bytes: Vec<u8>) {
+    pub fn pipe_send(&mut self, id: u64, from: Endpoint, bytes: Vec<u8>) {
         let Some(pipe) = self.gateways.pipes.get(&id) else { return };
-        let (ends, to) = (pipe.ends, 1 - World::side(pipe, from));
+        let (ends, to) = (pipe.ends, 1 - Simulation::side(pipe, from));
         if pipe.lost || pipe.done[1 - to] {
             return;
         }
@@ -470,10 +475,10 @@
     }
 
     /// One end closes it; the other sees that after all that was said before.
-    pub fn pipe_close(&mut self, id: u64, from: End, reset: bool) {
+    pub fn pipe_close(&mut self, id: u64, from: Endpoint, reset: bool) {
         let now = self.now;
         let Some(pipe) = self.gateways.pipes.get_mut(&id) else { return };
-        let side = World::side(pipe, from);
+        let side = Simulation::side(pipe, from);
         pipe.done[side] = true;
         if pipe.done[1 - side] {
             self.gateways.pipes.remove(&id);
@@ -493,7 +498,7 @@
             return;
         }
         match pipe.ends[to] {
-            End::Gateway { at, life, berth } => {
+            Endpoint::Gateway { at, life, berth } => {
                 let process = &mut self.gateways.list[at];
                 if process.life == life
                     && let Some(link) = process.ports.links.get_mut(&berth)
@@ -502,13 +507,13 @@
                     self.happened(at, Happened::Came { berth });
                 }
             }
-            End::Registrar { at, life } => {
+            Endpoint::Registrar { at, life } => {
                 pipe.read.push(bytes);
                 loop {
                     let Some(pipe) = self.gateways.pipes.get_mut(&id) else { return };
-                    match pull::<Inward>(&mut pipe.read, MOST) {
+                    match pull::<GatewayToController>(&mut pipe.read, MOST) {
                         Ok(Some(word)) if self.machines[at].life == life && self.machines[at].is_up() => {
-                            self.input(at, Input::Inward(Ear(id), word));
+                            self.input(at, Input::Inward(SubscriberId(id), word));
                         }
                         Ok(Some(_)) => {}
                         Ok(None) => return,
@@ -516,9 +521,9 @@
                     }
                 }
             }
-            End::Node { at } => self.node_gets(at, id, bytes),
-            End::Client(client) => self.client_gets(client, id, bytes),
-            End::Nobody => {}
+            Endpoint::Node { at } => self.node_gets(at, id, bytes),
+            Endpoint::Client(client) => self.client_gets(client, id, bytes),
+            Endpoint::Nobody => {}
         }
     }
 
@@ -529,13 +534,13 @@
         }
         let end = pipe.ends[to];
         // A gateway that sees an end in order still has to close.
-        let stays = !reset && matches!(end, End::Gateway { .. });
+        let stays = !reset && matches!(end, Endpoint::Gateway { .. });
         pipe.done[to] = !stays;
         if pipe.done == [true; 2] {
             self.gateways.pipes.remove(&id);
         }
         match end {
-            End::Gateway { at, life, berth } if self.gateways.list[at].life == life => {
+            Endpoint::Gateway { at, life, berth } if self.gateways.list[at].life == life => {
                 let process = &mut self.gateways.list[at];
                 if stays {
                     return self.happened(at, Happened::Ended { berth });
@@ -550,11 +555,13 @@
                     self.happened(at, Happened::Gone { berth, opened, why });
                 }
             }
-            End::Registrar { at, life } if self.machines[at].life == life && self.machines[at].is_up() => {
-                self.input(at, Input::EarGone(Ear(id)));
+            Endpoint::Registrar { at, life }
+                if self.machines[at].life == life && self.machines[at].is_up() =>
+            {
+                self.input(at, Input::EarGone(SubscriberId(id)));
             }
-            End::Node { at } => self.node_loses(at, id),
-            End::Client(client) => self.client_loses(client, id),
+            Endpoint::Node { at } => self.node_loses(at, id),
+            Endpoint::Client(client) => self.client_loses(client, id),
             _ => {}
         }
     }
@@ -568,32 +575,32 @@
         }
     }
 
-    fn pipes_where(&self, which: impl Fn(&Pipe) -> bool) -> Vec<u64> {
+    fn pipes_where(&self, which: impl Fn(&ByteConnection) -> bool) -> Vec<u64> {
         self.gateways.pipes.iter().filter(|(_, pipe)| which(pipe)).map(|(id, _)| *id).collect()
     }
 
     /// A registrar tells a gateway.
-    pub fn tell_gateway(&mut self, from: usize, ear: Ear, word: &Outward) {
+    pub fn tell_gateway(&mut self, from: usize, ear: SubscriberId, word: &ControllerToGateway) {
         let mut out = Buffer::default();
         push(&mut out, word);
-        if self.facts.plant == Some(Plant::GoesBack)
-            && let Outward::Plan { order, plan } = word
+        if self.facts.plant == Some(SeededBug::GoesBack)
+            && let ControllerToGateway::Plan { order, plan } = word
         {
             // An older plan comes again, as if it were the newest.
             if let Some(old) = self.gateways.older.replace(plan.clone()) {
-                push(&mut out, &Outward::Plan { order: order + 1, plan: old });
+                push(&mut out, &ControllerToGateway::Plan { order: order + 1, plan: old });
             }
         }
-        self.pipe_send(ear.0, End::Registrar { at: from, life: 0 }, out.data().to_vec());
+        self.pipe_send(ear.0, Endpoint::Registrar { at: from, life: 0 }, out.data().to_vec());
     }
 
     /// Gateways at a registrar that ended, or whose connections were reset.
     pub fn gateways_lose(&mut self, at: usize, life: u64, dark: bool) {
         let after = if dark { self.facts.bounds.suspect() } else { ms(5) };
         let resets = self.machines[at].is_up();
-        for id in self.pipes_where(|pipe| pipe.ends[1] == End::Registrar { at, life }) {
+        for id in self.pipes_where(|pipe| pipe.ends[1] == Endpoint::Registrar { at, life }) {
             self.pipe_breaks(id, after);
-            if let (true, Some(End::Gateway { at, .. })) =
+            if let (true, Some(Endpoint::Gateway { at, .. })) =
                 (resets, self.gateways.pipes.get(&id).map(|pipe| pipe.ends[0]))
             {
                 self.gateways.list[at].touched = self.now;
@@ -604,7 +611,7 @@
     /// A cut between a place and another: connections of gateways don't survive it.
     pub fn gateways_cut(&mut self, from: usize, to: usize) {
         let after = self.facts.bounds.suspect();
-        let between = |pipe: &Pipe| {
+        let between = |pipe: &ByteConnection| {
             let ends = (place(pipe.ends[0]), place(pipe.ends[1]));
             ends == (Some(from), Some(to)) || ends == (Some(to), Some(from))
         };
--- a/crates/fernknot-simulator/src/judge.rs
+++ b/crates/fernknot-simulator/src/judge.rs
@@ -1,24 +1,24 @@
 //! What was seen on the simulated wire, and the rules that it is held against.
 
-use crate::register::{self, Call, Op, Ret, Verdict, Version};
-use crate::world::World;
+use crate::register::{self, Call, Operation, OperationResult, Verdict, Version};
+use crate::world::Simulation;
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One order of an operator, over all its tries.
 #[derive(Clone, Copy, Debug)]
-pub struct OrderSeen {
+pub struct ChangeRecord {
     pub base: u64,
     pub version: Version,
     pub from: u64,
     /// Its clear end, if it had one.
-    pub to: Option<(u64, Ret)>,
+    pub to: Option<(u64, OperationResult)>,
     pub by: usize,
 }
 
 /// A node's word that it leaves, acknowledged by a machine in touch.
 #[derive(Clone, Debug)]
-pub struct Drain {
+pub struct DrainRecord {
     pub node: String,
     pub at: Nanos,
     pub by: usize,
@@ -26,7 +26,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Finding {
+pub struct Violation {
     pub rule: &'static str,
     pub at: Nanos,
     pub text: String,
@@ -34,17 +34,17 @@
 
 /// All that was seen.
 #[derive(Debug, Default)]
-pub struct Seen {
-    pub orders: Vec<OrderSeen>,
+pub struct Observations {
+    pub orders: Vec<ChangeRecord>,
     pub reads: Vec<Call>,
     /// When a version was first seen in force, by anybody.
     pub sightings: BTreeMap<Version, u64>,
     pub by_order: BTreeMap<u64, Version>,
     pub acknowledged: Vec<(Version, Nanos)>,
-    pub drains: Vec<Drain>,
+    pub drains: Vec<DrainRecord>,
     pub drains_seen: usize,
     pub last_reads: BTreeMap<usize, Option<Version>>,
-    pub findings: Vec<Finding>,
+    pub findings: Vec<Violation>,
     /// Old answers, for a plant.
     pub kept: BTreeMap<usize, Vec<u8>>,
 }
@@ -54,7 +54,7 @@
 /// Findings of one play that are kept.
 const MOST_FINDINGS: usize = 20;
 
-impl World {
+impl Simulation {
     /// Notes that a rule is broken; each rule's first few times.
     pub fn found(&mut self, rule: &'static str, text: String) {
         // Where more is lost than may be, all may stand still; what is said must be true all the same.
@@ -64,7 +64,7 @@
         self.say(|| format!("FOUND {rule}: {text}"));
         let again = self.seen.findings.iter().filter(|finding| finding.rule == rule).count();
         if again < 3 && self.seen.findings.len() < MOST_FINDINGS {
-            self.seen.findings.push(Finding { rule, at: self.now, text });
+            self.seen.findings.push(Violation { rule, at: self.now, text });
         }
     }
 
@@ -77,16 +77,17 @@
     /// force by some moment was taken by then; any other stays in flight.
     pub fn history(&self) -> Vec<Call> {
         let orders = self.seen.orders.iter().map(|order| {
-            let sighted = self.seen.sightings.get(&order.version).map(|moment| (*moment, Ret::Taken));
+            let sighted =
+                self.seen.sightings.get(&order.version).map(|moment| (*moment, OperationResult::Taken));
             let to = match order.to {
                 // Seen before it was acknowledged: it was in force by then.
-                Some((moment, Ret::Taken)) => {
-                    Some((sighted.map_or(moment, |(seen, _)| seen.min(moment)), Ret::Taken))
+                Some((moment, OperationResult::Taken)) => {
+                    Some((sighted.map_or(moment, |(seen, _)| seen.min(moment)), OperationResult::Taken))
                 }
                 Some(end) => Some(end),
                 None => sighted,
             };
-            Call { op: Op::Replace { base: order.base, new: order.version }, from: order.from, to }
+            Call { op: Operation::Replace { base: order.base, new: order.version }, from: order.from, to }
         });
         orders.chain(self.seen.reads.iter().cloned()).collect()
     }
@@ -95,7 +96,7 @@
     pub fn judge(&mut self) {
         for (at, order) in self.seen.orders.clone().into_iter().enumerate() {
             let sighted = self.seen.sightings.contains_key(&order.version);
-            if matches!(order.to, Some((_, Ret::Refused))) && sighted {
+            if matches!(order.to, Some((_, OperationResult::Refused))) && sighted {
                 let text = format!("order {at} ({:?}) was refused and is seen in force", order.version);
                 self.found("CONFIG", text);
             }
@@ -122,11 +123,11 @@
 fn listed(calls: &[Call]) -> String {
     let lines = calls.iter().map(|call| {
         let op = match call.op {
-            Op::Read => "read".to_string(),
-            Op::Replace { base, new } => format!("{base}->{}#{}", new.epoch, new.body),
+            Operation::Read => "read".to_string(),
+            Operation::Replace { base, new } => format!("{base}->{}#{}", new.epoch, new.body),
         };
         let to = call.to.map_or("no end".to_string(), |(to, ret)| match ret {
-            Ret::Found(Some(found)) => format!("{to} {}#{}", found.epoch, found.body),
+            OperationResult::Found(Some(found)) => format!("{to} {}#{}", found.epoch, found.body),
             ret => format!("{to} {ret:?}"),
         });
         format!("[{op} {}..{to}]", call.from)
--- a/crates/fernknot-simulator/src/listeners.rs
+++ b/crates/fernknot-simulator/src/listeners.rs
@@ -1,14 +1,14 @@
 //! The control side of gateways: each listens to one registrar, moves on when that one is silent or hears no
 //! majority, and holds the newest plan and what it was told of nodes.
 
-use crate::play::{Facts, Plant};
+use crate::play::{SeededBug, Settings};
 use crate::register::Version;
-use crate::world::{Event as All, FIRST_LISTENER, Input, World, ms};
+use crate::world::{Event as All, FIRST_LISTENER, Input, Simulation, ms};
 use fernknot::interface::Nanos;
-use fernknot_controller::Ear;
-use fernknot_ownership::{Gateway, LifeId};
-use fernknot_registry::{NodeFact, NodeState};
-use fernknot_rpc::{Inward, Outward, Share};
+use fernknot_controller::SubscriberId;
+use fernknot_ownership::{GatewayRecord, IncarnationId};
+use fernknot_registry::{NodeRecord, NodeState};
+use fernknot_rpc::{ControllerToGateway, GatewayToController, Subscription};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -19,7 +19,7 @@
 const OPENS_WITHIN: Nanos = Nanos(300_000_000);
 
 /// One gateway's control side.
-pub struct Listener {
+pub struct Subscriber {
     ear: u64,
     at: usize,
     life: u64,
@@ -33,36 +33,36 @@
     lease: Nanos,
     pub order: u64,
     pub version: Option<Version>,
-    nodes: BTreeMap<String, NodeFact>,
+    nodes: BTreeMap<String, NodeRecord>,
     pub touched: Nanos,
     /// When each registrar failed it last.
     failed: BTreeMap<usize, Nanos>,
-    older: Option<Outward>,
+    older: Option<ControllerToGateway>,
 }
 
 /// What listeners do next.
 #[derive(Clone, Debug)]
 pub enum Event {
     Open(usize, u64),
-    Word(usize, u64, Outward),
+    Word(usize, u64, ControllerToGateway),
     Gone(usize, u64),
     Look(usize),
 }
 
 /// All of them.
-pub struct Listeners {
-    list: Vec<Listener>,
+pub struct Subscribers {
+    list: Vec<Subscriber>,
 }
 
-fn version_of(plan: &Outward) -> Option<(u64, Version)> {
-    let Outward::Plan { order, plan } = plan else { return None };
+fn version_of(plan: &ControllerToGateway) -> Option<(u64, Version)> {
+    let ControllerToGateway::Plan { order, plan } = plan else { return None };
     let path = &plan.routes.first()?.path_prefix;
     Some((*order, Version { epoch: plan.epoch, body: path.trim_matches('/').parse().ok()? }))
 }
 
-impl Listeners {
-    pub fn new(facts: &Facts) -> Listeners {
-        let list = (0..facts.listeners).map(|_| Listener {
+impl Subscribers {
+    pub fn new(facts: &Settings) -> Subscribers {
+        let list = (0..facts.listeners).map(|_| Subscriber {
             ear: 0,
             at: 0,
             life: 0,
@@ -78,7 +78,7 @@
             failed: BTreeMap::new(),
             older: None,
         });
-        Listeners { list: list.collect() }
+        Subscribers { list: list.collect() }
     }
 
     pub fn touch(&mut self, place: usize, now: Nanos) {
@@ -96,7 +96,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn begin_listeners(&mut self) {
         for at in 0..self.listeners.list.len() {
             self.later(ms(400 + 50 * at as u64), All::Listener(Event::Look(at)));
@@ -123,7 +123,7 @@
                 }
                 if life != 0 && !self.is_cut(FIRST_LISTENER + at, to) {
                     let wait = self.delay(at, to);
-                    let alive = Input::Inward(Ear(ear), Inward::Alive { ready: true });
+                    let alive = Input::Inward(SubscriberId(ear), GatewayToController::Alive { ready: true });
                     self.later(wait, All::Input(to, life, alive));
                 }
             }
@@ -138,7 +138,7 @@
         if ear != 0 && life != 0 {
             let cut = self.is_cut(place, old);
             let wait = if cut { PATIENCE } else { self.delay(at, old) };
-            self.later(wait, All::Input(old, life, Input::EarGone(Ear(ear))));
+            self.later(wait, All::Input(old, life, Input::EarGone(SubscriberId(ear))));
         }
         // Whoever failed it longest ago.
         let now = self.now;
@@ -181,15 +181,17 @@
         let listener = &mut self.listeners.list[at];
         listener.life = machine.life;
         let addr = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, at as u8 + 1), 7120);
-        let who = Gateway { life: LifeId(at as u64 + 1), addr, zone: format!("zone-{}", at % 3) };
-        let word = Inward::Attach { who, ready: true, share: Share::All, order: listener.order };
+        let who =
+            GatewayRecord { life: IncarnationId(at as u64 + 1), addr, zone: format!("zone-{}", at % 3) };
+        let word =
+            GatewayToController::Attach { who, ready: true, share: Subscription::All, order: listener.order };
         let wait = self.delay(at, to);
         let life = self.machines[to].life;
-        self.later(wait, All::Input(to, life, Input::Inward(Ear(ear), word)));
+        self.later(wait, All::Input(to, life, Input::Inward(SubscriberId(ear), word)));
     }
 
     /// A registrar tells one listener.
-    pub fn tell(&mut self, from: usize, life: u64, ear: Ear, word: &Outward) {
+    pub fn tell(&mut self, from: usize, life: u64, ear: SubscriberId, word: &ControllerToGateway) {
         let found =
             self.listeners.list.iter().position(|listener| listener.ear == ear.0 && listener.life == life);
         let Some(at) = found else { return };
@@ -202,21 +204,21 @@
         }
         listener.last = listener.last.max(self.now + wait);
         let wait = listener.last - self.now;
-        if self.facts.plant == Some(Plant::GoesBack)
-            && let Outward::Plan { order, plan } = word
+        if self.facts.plant == Some(SeededBug::GoesBack)
+            && let ControllerToGateway::Plan { order, plan } = word
         {
             // An older plan comes again, as if it were the newest.
-            if let Some(Outward::Plan { plan: old, .. }) = &listener.older {
-                let late = Outward::Plan { order: order + 1, plan: old.clone() };
+            if let Some(ControllerToGateway::Plan { plan: old, .. }) = &listener.older {
+                let late = ControllerToGateway::Plan { order: order + 1, plan: old.clone() };
                 self.later(wait + ms(100), All::Listener(Event::Word(at, ear.0, late)));
             }
-            let kept = Outward::Plan { order: *order, plan: plan.clone() };
+            let kept = ControllerToGateway::Plan { order: *order, plan: plan.clone() };
             self.listeners.list[at].older = Some(kept);
         }
         self.later(wait, All::Listener(Event::Word(at, ear.0, word.clone())));
     }
 
-    fn heard(&mut self, at: usize, ear: u64, word: Outward) {
+    fn heard(&mut self, at: usize, ear: u64, word: ControllerToGateway) {
         let now = self.now;
         let listener = &mut self.listeners.list[at];
         if listener.ear != ear {
@@ -224,7 +226,7 @@
         }
         (listener.heard, listener.spoken) = (now, true);
         match word {
-            Outward::Plan { order, .. } => {
+            ControllerToGateway::Plan { order, .. } => {
                 if order <= listener.order {
                     return;
                 }
@@ -246,7 +248,7 @@
                     self.found("CONFIG", format!("order {order} is {agreed:?} and {version:?}"));
                 }
             }
-            Outward::Nodes(facts) => {
+            ControllerToGateway::Nodes(facts) => {
                 if self.facts.trace {
                     let told = facts.iter().map(|fact| format!("{} {:?} {}", fact.id, fact.state, fact.seq));
                     let text = format!("listener {at} is told of {}", told.collect::<Vec<_>>().join(", "));
@@ -267,7 +269,7 @@
                     }
                 }
             }
-            Outward::Pulse { lease: true, .. } => listener.lease = now,
+            ControllerToGateway::Pulse { lease: true, .. } => listener.lease = now,
             _ => {}
         }
     }
@@ -285,7 +287,7 @@
             if self.machines[at].is_up() {
                 // A reset: both ends hear of it, and it is a trouble of the listener's links too.
                 self.listeners.list[which].touched = now;
-                self.input(at, Input::EarGone(Ear(ear)));
+                self.input(at, Input::EarGone(SubscriberId(ear)));
             }
             if !dark {
                 self.later(ms(5), All::Listener(Event::Gone(which, ear)));
--- a/crates/fernknot-simulator/src/main.rs
+++ b/crates/fernknot-simulator/src/main.rs
@@ -1,7 +1,7 @@
 //! `fernknot-simulator play --seeds FROM..TO` plays seeds side by side and names those where a rule broke;
 //! `fernknot-simulator replay SEED` prints one with its log, shrunk to the troubles that it needs.
 
-use fernknot_simulator::play::{Facts, play, play_with, shrink};
+use fernknot_simulator::play::{Settings, play, play_with, shrink};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
 /// Findings that are printed.
 const MOST_PRINTED: usize = 40;
 
-struct Asked {
+struct RequestRecord {
     verb: String,
     seed: u64,
     seeds: (u64, u64),
@@ -32,17 +32,20 @@
     system: bool,
 }
 
-impl Asked {
-    fn facts(&self, seed: u64) -> Facts {
-        let facts =
-            if self.system { Facts::system(seed, self.members) } else { Facts::new(seed, self.members) };
-        Facts { beyond: self.beyond, ..facts }
+impl RequestRecord {
+    fn facts(&self, seed: u64) -> Settings {
+        let facts = if self.system {
+            Settings::system(seed, self.members)
+        } else {
+            Settings::new(seed, self.members)
+        };
+        Settings { beyond: self.beyond, ..facts }
     }
 }
 
-fn asked() -> Result<Asked, lexopt::Error> {
+fn asked() -> Result<RequestRecord, lexopt::Error> {
     use lexopt::prelude::*;
-    let mut asked = Asked {
+    let mut asked = RequestRecord {
         verb: String::new(),
         seed: 0,
         seeds: (0, 0),
@@ -76,7 +79,7 @@
     Ok(asked)
 }
 
-fn play_all(asked: &Asked) -> ExitCode {
+fn play_all(asked: &RequestRecord) -> ExitCode {
     let begun = Instant::now();
     let next = AtomicU64::new(asked.seeds.0);
     let [orders, reads, drains, troubles] = [const { AtomicU64::new(0) }; 4];
@@ -138,7 +141,7 @@
     ExitCode::from(u8::from(!seeds.is_empty()))
 }
 
-fn replay(asked: &Asked) -> ExitCode {
+fn replay(asked: &RequestRecord) -> ExitCode {
     let mut facts = asked.facts(asked.seed);
     let troubles = if asked.whole { facts.troubles() } else { shrink(&facts).0 };
     facts.trace = true;
--- a/crates/fernknot-simulator/src/play.rs
+++ b/crates/fernknot-simulator/src/play.rs
@@ -1,11 +1,11 @@
 //! One seed played from its start to the judge.
 
-use crate::chance::Chance;
-use crate::judge::Finding;
-use crate::troubles::{Trouble, schedule};
-use crate::world::{World, ms};
+use crate::chance::Rng;
+use crate::judge::Violation;
+use crate::troubles::{Fault, schedule};
+use crate::world::{Simulation, ms};
 use fernknot::interface::Nanos;
-use fernknot_controller::{Registrar, RegistrarFacts};
+use fernknot_controller::{Controller, ControllerSettings};
 use std::collections::BTreeMap;
 
 /// What the users' pages promise and ask, as their deploy files give it.
@@ -44,7 +44,7 @@
 /// Breaks planted around the registrars, which the judge must find.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum SeededBug {
     /// A disk says that it has what it will have only later.
     DiskAcksEarly,
     /// A process starts with an older copy of its folder.
@@ -64,9 +64,9 @@
     /// Gateways are told that far more may be sent again than the rules allow.
     FreeRetries,
     /// One of the gateways' own.
-    Gateway(fernknot_gateway::Plant),
+    Gateway(fernknot_gateway::SeededBug),
     /// One of the registrars' own.
-    Registrar(fernknot_controller::Plant),
+    Registrar(fernknot_controller::SeededBug),
 }
 
 /// Machines that a system's settings name at its first start.
@@ -74,7 +74,7 @@
 
 /// One play.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct Settings {
     pub seed: u64,
     pub members: usize,
     pub losses: usize,
@@ -92,14 +92,14 @@
     pub trace: bool,
     pub bounds: Bounds,
     #[doc(hidden)]
-    pub plant: Option<Plant>,
+    pub plant: Option<SeededBug>,
 }
 
-impl Facts {
+impl Settings {
     /// A play of so many registrars, of which as many may be lost as leave a majority; two at most, as three seeds
     /// found the first view and a change lies on one disk more than may be lost.
-    pub fn new(seed: u64, members: usize) -> Facts {
-        Facts {
+    pub fn new(seed: u64, members: usize) -> Settings {
+        Settings {
             seed,
             members,
             losses: (members.saturating_sub(1) / 2).min(FOUNDERS - 1),
@@ -117,21 +117,21 @@
     }
 
     /// The whole system: real gateways among clients and nodes that answer.
-    pub fn system(seed: u64, members: usize) -> Facts {
-        let facts = Facts::new(seed, members);
-        Facts { listeners: 0, gateways: 2, clients: 4, nodes: 4, ..facts }
+    pub fn system(seed: u64, members: usize) -> Settings {
+        let facts = Settings::new(seed, members);
+        Settings { listeners: 0, gateways: 2, clients: 4, nodes: 4, ..facts }
     }
 
-    pub(crate) fn registrar(&self, facts: RegistrarFacts, now: Nanos) -> Registrar {
+    pub(crate) fn registrar(&self, facts: ControllerSettings, now: Nanos) -> Controller {
         match self.plant {
-            Some(Plant::Registrar(plant)) => Registrar::planted(facts, now, Some(plant)),
-            _ => Registrar::new(facts, now),
+            Some(SeededBug::Registrar(plant)) => Controller::planted(facts, now, Some(plant)),
+            _ => Controller::new(facts, now),
         }
     }
 
     /// The troubles of this seed.
-    pub fn troubles(&self) -> Vec<Trouble> {
-        let chance = Chance::new(self.seed ^ 0x7200_b1e5);
+    pub fn troubles(&self) -> Vec<Fault> {
+        let chance = Rng::new(self.seed ^ 0x7200_b1e5);
         schedule(&chance, ms(2500), self.troubled)
     }
 }
@@ -139,7 +139,7 @@
 /// What came of it.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    pub findings: Vec<Finding>,
+    pub findings: Vec<Violation>,
     pub orders: usize,
     pub reads: usize,
     /// Drains that a machine in touch acknowledged.
@@ -152,14 +152,14 @@
 }
 
 /// Plays it with the troubles of its seed.
-pub fn play(facts: &Facts) -> Outcome {
+pub fn play(facts: &Settings) -> Outcome {
     play_with(facts, facts.troubles())
 }
 
 /// Plays it with these troubles.
-pub fn play_with(facts: &Facts, troubles: Vec<Trouble>) -> Outcome {
+pub fn play_with(facts: &Settings, troubles: Vec<Fault>) -> Outcome {
     let bounds = facts.bounds;
-    let mut world = World::new(facts.clone(), troubles);
+    let mut world = Simulation::new(facts.clone(), troubles);
     world.run(facts.troubled);
     world.heal();
     // All are back, and then calm for as long as the rules say.
@@ -218,7 +218,7 @@
 }
 
 /// Drops troubles one at a time while the same rule still breaks, and returns what is left.
-pub fn shrink(facts: &Facts) -> (Vec<Trouble>, Outcome) {
+pub fn shrink(facts: &Settings) -> (Vec<Fault>, Outcome) {
     let mut troubles = facts.troubles();
     let mut outcome = play_with(facts, troubles.clone());
     let Some(rule) = outcome.findings.first().map(|finding| finding.rule) else { return (troubles, outcome) };
--- a/crates/fernknot-simulator/src/ports.rs
+++ b/crates/fernknot-simulator/src/ports.rs
@@ -1,12 +1,12 @@
 //! Ports without sockets, for a gateway in simulated time.
 
-use fernknot_net::{Berth, Buffer, NetError, Ports};
+use fernknot_net::{Buffer, ConnectionId, NetError, Network};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
 use std::net::SocketAddrV4;
 
 /// The gateway's end of one connection.
-pub struct Link {
+pub struct SimulatedConnection {
     pub open: bool,
     pub closing: bool,
     pub input: Buffer,
@@ -14,91 +14,92 @@
 }
 
 /// What the gateway did, for the stage to carry out.
-pub enum Did {
-    Connect(Berth, SocketAddrV4),
-    Close(Berth),
+pub enum PortAction {
+    Connect(ConnectionId, SocketAddrV4),
+    Close(ConnectionId),
     StopListening,
 }
 
 /// What a gateway is lent in place of sockets.
 #[derive(Default)]
-pub struct SimPorts {
+pub struct SimulatedPorts {
     next: u64,
-    pub links: BTreeMap<Berth, Link>,
-    pub dirty: BTreeSet<Berth>,
-    pub did: Vec<Did>,
+    pub links: BTreeMap<ConnectionId, SimulatedConnection>,
+    pub dirty: BTreeSet<ConnectionId>,
+    pub did: Vec<PortAction>,
     /// What had come over connections that were reset.
-    pub rests: BTreeMap<Berth, Buffer>,
+    pub rests: BTreeMap<ConnectionId, Buffer>,
     /// No connection can be begun.
     pub full: bool,
 }
 
-impl SimPorts {
+impl SimulatedPorts {
     /// A new name.
-    pub fn name(&mut self) -> Berth {
+    pub fn name(&mut self) -> ConnectionId {
         self.next += 1;
-        Berth(self.next)
+        ConnectionId(self.next)
     }
 
     /// A connection, up or still opening.
-    pub fn add(&mut self, berth: Berth, open: bool) {
-        let link = Link { open, closing: false, input: Buffer::default(), output: Buffer::default() };
+    pub fn add(&mut self, berth: ConnectionId, open: bool) {
+        let link =
+            SimulatedConnection { open, closing: false, input: Buffer::default(), output: Buffer::default() };
         self.links.insert(berth, link);
     }
 }
 
-impl Ports for SimPorts {
-    fn connect(&mut self, peer: SocketAddrV4) -> Result<Berth, NetError> {
+impl Network for SimulatedPorts {
+    fn connect(&mut self, peer: SocketAddrV4) -> Result<ConnectionId, NetError> {
         if self.full {
             return Err(NetError { step: "connect to", peer, why: ErrorKind::QuotaExceeded.into() });
         }
         let berth = self.name();
         self.add(berth, false);
-        self.did.push(Did::Connect(berth, peer));
+        self.did.push(PortAction::Connect(berth, peer));
         Ok(berth)
     }
 
-    fn is_open(&self, berth: Berth) -> bool {
+    fn is_open(&self, berth: ConnectionId) -> bool {
         self.links.get(&berth).is_some_and(|link| link.open)
     }
 
-    fn is_opening(&self, berth: Berth) -> bool {
+    fn is_opening(&self, berth: ConnectionId) -> bool {
         self.links.get(&berth).is_some_and(|link| !link.open)
     }
 
-    fn input(&mut self, berth: Berth) -> Option<&mut Buffer> {
+    fn input(&mut self, berth: ConnectionId) -> Option<&mut Buffer> {
         self.links.get_mut(&berth).map(|link| &mut link.input)
     }
 
-    fn take_rest(&mut self, berth: Berth) -> Option<Buffer> {
+    fn take_rest(&mut self, berth: ConnectionId) -> Option<Buffer> {
         self.rests.remove(&berth)
     }
 
-    fn output(&mut self, berth: Berth) -> Option<&mut Buffer> {
+    fn output(&mut self, berth: ConnectionId) -> Option<&mut Buffer> {
         let link = self.links.get_mut(&berth).filter(|link| !link.closing)?;
         self.dirty.insert(berth);
         Some(&mut link.output)
     }
 
-    fn waiting(&self, berth: Berth) -> usize {
+    fn waiting(&self, berth: ConnectionId) -> usize {
         self.links.get(&berth).map_or(0, |link| link.output.len())
     }
 
-    fn close(&mut self, berth: Berth) {
+    fn close(&mut self, berth: ConnectionId) {
         if self.links.remove(&berth).is_some() {
-            self.did.push(Did::Close(berth));
+            self.did.push(PortAction::Close(berth));
         }
     }
 
-    fn close_after(&mut self, berth: Berth) {
+    fn close_after(&mut self, berth: ConnectionId) {
         if let Some(link) = self.links.get_mut(&berth) {
             link.closing = true;
             self.dirty.insert(berth);
         }
     }
 
-    fn stop_listening(&mut self, _: Berth) {
-        self.did.push(Did::StopListening);
+    fn stop_listening(&mut self, _: ConnectionId) {
+        self.did.push(PortAction::StopListening);
     }
 
     fn send_datagram(&mut self, _: SocketAddrV4, _: &[u8]) {}
--- a/crates/fernknot-simulator/src/register.rs
+++ b/crates/fernknot-simulator/src/register.rs
@@ -14,7 +14,7 @@
 
 /// What an operator asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Op {
+pub enum Operation {
     /// On top of the version with the number `base`, 0 for none.
     Replace {
         base: u64,
@@ -25,7 +25,7 @@
 
 /// What it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ret {
+pub enum OperationResult {
     Taken,
     /// 412, or 400 for a number that is not above.
     Refused,
@@ -35,9 +35,9 @@
 /// One call. Its ends are places in the one sequence of all events; without a clear end it has none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    pub op: Op,
+    pub op: Operation,
     pub from: u64,
-    pub to: Option<(u64, Ret)>,
+    pub to: Option<(u64, OperationResult)>,
 }
 
 /// Steps after which a search is given up.
@@ -54,33 +54,33 @@
 
 impl SequentialSpec for Register {
     /// With the call's place among all, by when it began.
-    type Op = (usize, Op);
-    type Ret = Ret;
+    type Op = (usize, Operation);
+    type Ret = OperationResult;
 
-    fn invoke(&mut self, (_, op): &(usize, Op)) -> Ret {
+    fn invoke(&mut self, (_, op): &(usize, Operation)) -> OperationResult {
         match *op {
-            Op::Read => Ret::Found(self.newest),
-            Op::Replace { base, new } => {
+            Operation::Read => OperationResult::Found(self.newest),
+            Operation::Replace { base, new } => {
                 let epoch = self.newest.map_or(0, |newest| newest.epoch);
                 if base != epoch || new.epoch <= epoch {
-                    return Ret::Refused;
+                    return OperationResult::Refused;
                 }
                 (self.newest, self.idle) = (Some(new), None);
-                Ret::Taken
+                OperationResult::Taken
             }
         }
     }
 
     /// Calls that change nothing may trade places: of all their orders only that by their beginnings is tried. It
     /// breaks no order in time, as who ended before another began also began before it.
-    fn is_valid_step(&mut self, op: &(usize, Op), ret: &Ret) -> bool {
+    fn is_valid_step(&mut self, op: &(usize, Operation), ret: &OperationResult) -> bool {
         if self.steps.fetch_add(1, Ordering::Relaxed) > MOST_STEPS {
             return false;
         }
         if self.invoke(op) != *ret {
             return false;
         }
-        if *ret == Ret::Taken {
+        if *ret == OperationResult::Taken {
             return true;
         }
         let sorted = self.idle.is_none_or(|idle| idle < op.0);
@@ -125,7 +125,7 @@
         }
         // Taken ones rise in number, each on top of the one before.
         let taken = part.iter().filter_map(|call| match (call.op, call.to) {
-            (Op::Replace { new, .. }, Some((_, Ret::Taken))) => Some(new),
+            (Operation::Replace { new, .. }, Some((_, OperationResult::Taken))) => Some(new),
             _ => None,
         });
         on = taken.max().or(on);
@@ -138,26 +138,26 @@
 fn always_fits(call: &Call, all: &[Call]) -> bool {
     let Some((to, ret)) = call.to else { return false };
     let changes = |base: u64| {
-        all.iter().filter(move |other| matches!(other.op, Op::Replace { base: on, .. } if on == base))
+        all.iter().filter(move |other| matches!(other.op, Operation::Replace { base: on, .. } if on == base))
     };
-    let taken = |other: &&Call| matches!(other.to, Some((_, Ret::Taken)));
+    let taken = |other: &&Call| matches!(other.to, Some((_, OperationResult::Taken)));
     match (call.op, ret) {
         // At its end: what came on top of its base was taken before.
-        (Op::Replace { base, .. }, Ret::Refused) => {
+        (Operation::Replace { base, .. }, OperationResult::Refused) => {
             changes(base).filter(taken).any(|other| other.to.is_some_and(|(end, _)| end < to))
         }
         // At a moment after the version's own end and before anything on top of it could begin.
-        (Op::Read, Ret::Found(found)) => {
+        (Operation::Read, OperationResult::Found(found)) => {
             let since = match found {
                 None => Some(0),
                 Some(version) => all
                     .iter()
                     .filter(taken)
-                    .find(|other| matches!(other.op, Op::Replace { new, .. } if new == version))
+                    .find(|other| matches!(other.op, Operation::Replace { new, .. } if new == version))
                     .and_then(|other| other.to.map(|(end, _)| end)),
             };
             let epoch = found.map_or(0, |version| version.epoch);
-            let refused = |other: &&Call| matches!(other.to, Some((_, Ret::Refused)));
+            let refused = |other: &&Call| matches!(other.to, Some((_, OperationResult::Refused)));
             let until = changes(epoch).filter(|other| !refused(other)).map(|other| other.from).min();
             since.is_some_and(|since| since.max(call.from) < until.unwrap_or(u64::MAX).min(to))
         }
@@ -179,7 +179,7 @@
     let register = Register { newest: on, idle: None, steps: steps.clone() };
     let mut tester = LinearizabilityTester::new(register);
     // Each call is a thread of its own: order in time binds threads too, and a thread has one call in flight.
-    let mut events: Vec<(u64, usize, Option<Ret>)> = Vec::new();
+    let mut events: Vec<(u64, usize, Option<OperationResult>)> = Vec::new();
     for (at, call) in part.iter().enumerate() {
         events.push((call.from, at, None));
         events.extend(call.to.map(|(to, ret)| (to, at, Some(ret))));
--- a/crates/fernknot-simulator/src/traffic.rs
+++ b/crates/fernknot-simulator/src/traffic.rs
@@ -1,11 +1,11 @@
 //! Clients, and what nodes do with requests: turned away, answered late, twice or never, broken off.
 
-use crate::gateways::{End, FIRST_GATEWAY};
-use crate::play::Facts;
-use crate::register::{Ret, Version};
+use crate::gateways::{Endpoint, FIRST_GATEWAY};
+use crate::play::Settings;
+use crate::register::{OperationResult, Version};
 use crate::wire::{self, Message};
-use crate::wire_rules::{Broken, Kind, Rules};
-use crate::world::{Event as All, World, ms};
+use crate::wire_rules::{BrokenRule, RequestChecker, RequestKind};
+use crate::world::{Event as All, Simulation, ms};
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -33,7 +33,7 @@
     up: bool,
     input: Vec<u8>,
     /// The request in hand: its kind, and how often it may be tried still.
-    errand: Option<(Kind, usize)>,
+    errand: Option<(RequestKind, usize)>,
     gateway: usize,
     /// Its number among all that were asked.
     asked: Option<usize>,
@@ -54,17 +54,17 @@
     conns: BTreeMap<u64, Conn>,
     /// Until then nodes turn most away.
     crowded: Nanos,
-    pub rules: Rules,
+    pub rules: RequestChecker,
 }
 
 impl Traffic {
-    pub fn new(facts: &Facts) -> Traffic {
+    pub fn new(facts: &Settings) -> Traffic {
         let clients = (0..facts.clients).map(|_| Client::default()).collect();
-        Traffic { clients, conns: BTreeMap::new(), crowded: Nanos(0), rules: Rules::default() }
+        Traffic { clients, conns: BTreeMap::new(), crowded: Nanos(0), rules: RequestChecker::default() }
     }
 }
 
-impl World {
+impl Simulation {
     pub fn begin_traffic(&mut self) {
         for client in 0..self.traffic.clients.len() {
             self.later(ms(1500 + 37 * client as u64), All::Traffic(Event::Client(client)));
@@ -86,13 +86,13 @@
             }
             Event::Says(at, life, id, bytes) => {
                 if self.callers.node_life(at).as_deref() == Some(&life) {
-                    self.pipe_send(id, End::Node { at }, bytes);
+                    self.pipe_send(id, Endpoint::Node { at }, bytes);
                 }
             }
         }
     }
 
-    fn broke(&mut self, broken: Broken) {
+    fn broke(&mut self, broken: BrokenRule) {
         if let Some((rule, text)) = broken {
             self.found(rule, text);
         }
@@ -115,9 +115,9 @@
         if self.traffic.clients[client].errand.is_none() {
             let newest = self.seen.acknowledged.iter().map(|(version, _)| *version).max();
             let kind = match self.chance.below(5) {
-                0 | 1 => Kind::Mutating,
-                2 | 3 => Kind::Idempotent,
-                _ => Kind::Probe(newest.map_or(0, |version| version.body)),
+                0 | 1 => RequestKind::Mutating,
+                2 | 3 => RequestKind::Idempotent,
+                _ => RequestKind::Probe(newest.map_or(0, |version| version.body)),
             };
             self.traffic.clients[client].errand = Some((kind, TRIES));
         }
@@ -148,9 +148,9 @@
         let at = self.traffic.clients[client].gateway;
         let attempt = format!("{:016x}", self.chance.draw());
         let (method, target, body) = match kind {
-            Kind::Mutating => ("POST", format!("/m/{attempt}"), vec![b'x'; self.chance.below(300)]),
-            Kind::Idempotent => ("GET", format!("/i/{attempt}"), Vec::new()),
-            Kind::Probe(body) => ("GET", format!("/{body}/{attempt}"), Vec::new()),
+            RequestKind::Mutating => ("POST", format!("/m/{attempt}"), vec![b'x'; self.chance.below(300)]),
+            RequestKind::Idempotent => ("GET", format!("/i/{attempt}"), Vec::new()),
+            RequestKind::Probe(body) => ("GET", format!("/{body}/{attempt}"), Vec::new()),
         };
         let mut bytes = format!(
             "{method} {target} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {attempt}\r\nDeadline-Ms: {DEADLINE_MS}\r\n\
@@ -163,7 +163,7 @@
         let by = (at, self.gateways.list[at].life, self.gateway_in_touch(at));
         let asked = self.traffic.rules.asks((attempt, kind, target, body), self.now, by);
         self.traffic.clients[client].asked = Some(asked);
-        self.pipe_send(id, End::Client(client), bytes);
+        self.pipe_send(id, Endpoint::Client(client), bytes);
     }
 
     pub fn client_gets(&mut self, client: usize, id: u64, bytes: &[u8]) {
@@ -205,7 +205,7 @@
         let it = &mut self.traffic.clients[client];
         it.asked = None;
         if let Some(id) = it.pipe.take() {
-            self.pipe_close(id, End::Client(client), false);
+            self.pipe_close(id, Endpoint::Client(client), false);
         }
     }
 
@@ -227,7 +227,7 @@
         self.client_closes(client);
         let it = &mut self.traffic.clients[client];
         let again = it.errand.filter(|(kind, tries)| {
-            let may = promised || !sent || *kind != Kind::Mutating;
+            let may = promised || !sent || *kind != RequestKind::Mutating;
             may && *tries > 1
         });
         it.errand = again.map(|(kind, tries)| (kind, tries - 1));
@@ -244,7 +244,7 @@
     /// Whether a request that was handled so shows a version older than it may.
     fn judge_route(&mut self, asked: usize, status: u16) {
         let asked = &self.traffic.rules.asked[asked];
-        let (Kind::Probe(body), 404, true) = (asked.kind, status, asked.in_touch) else { return };
+        let (RequestKind::Probe(body), 404, true) = (asked.kind, status, asked.in_touch) else { return };
         let due = self.now_due(asked.sent);
         let newest = due.filter(|version| version.body == body);
         // Another version, sent by now, may be in force.
@@ -280,9 +280,9 @@
         let theirs: Vec<u64> = self.traffic.conns.keys().copied().collect();
         for id in theirs {
             let ends = self.gateways.pipes.get(&id).map(|pipe| pipe.ends[1]);
-            if ends == Some(End::Node { at }) {
+            if ends == Some(Endpoint::Node { at }) {
                 self.traffic.conns.remove(&id);
-                self.pipe_close(id, End::Node { at }, true);
+                self.pipe_close(id, Endpoint::Node { at }, true);
             }
         }
     }
@@ -313,7 +313,7 @@
         let Some(life) = self.callers.node_life(at) else { return };
         if message.word(1) == "/health" {
             let bytes = wire::answer(200, &[("Node-Id", &life)], b"");
-            return self.pipe_send(id, End::Node { at }, bytes);
+            return self.pipe_send(id, Endpoint::Node { at }, bytes);
         }
         conn.busy = true;
         let attempt = message.header("Attempt-Id").unwrap_or_default().to_string();
@@ -326,7 +326,7 @@
             return self.node_says(at, id, wire::answer(421, &own[..1], b"another"));
         }
         let by = self.gateways.pipes.get(&id).map(|pipe| pipe.ends[0]);
-        if let Some(End::Gateway { at: gateway, .. }) = by {
+        if let Some(Endpoint::Gateway { at: gateway, .. }) = by {
             self.judge_drain(gateway, &life);
         }
         let crowded = self.now < self.traffic.crowded && !self.chance.one_in(4);
@@ -361,10 +361,10 @@
     fn judge_version(&mut self, message: &Message) {
         let Some(no) = self.traffic.rules.find(message) else { return };
         let asked = self.traffic.rules.asked[no].clone();
-        let Kind::Probe(body) = asked.kind else { return };
+        let RequestKind::Probe(body) = asked.kind else { return };
         let Some(order) = self.seen.orders.get(body as usize) else { return };
         let version = order.version;
-        if matches!(order.to, Some((_, Ret::Refused))) {
+        if matches!(order.to, Some((_, OperationResult::Refused))) {
             self.found("CONFIG", format!("gateway {} serves {version:?}, which was refused", asked.gateway));
         }
         let moment = self.moment();
@@ -393,10 +393,10 @@
                 self.traffic.rules.add("broken off by nodes");
                 let part = bytes[..self.chance.below(bytes.len())].to_vec();
                 if !part.is_empty() {
-                    self.pipe_send(id, End::Node { at }, part);
+                    self.pipe_send(id, Endpoint::Node { at }, part);
                 }
                 self.traffic.conns.remove(&id);
-                return self.pipe_close(id, End::Node { at }, true);
+                return self.pipe_close(id, Endpoint::Node { at }, true);
             }
             1 => {
                 self.traffic.rules.add("surplus answers");
@@ -417,7 +417,7 @@
     fn node_says(&mut self, at: usize, id: u64, bytes: Vec<u8>) {
         let Some(conn) = self.traffic.conns.get_mut(&id) else { return };
         conn.busy = false;
-        self.pipe_send(id, End::Node { at }, bytes);
+        self.pipe_send(id, Endpoint::Node { at }, bytes);
         self.node_next(at, id);
     }
 }
--- a/crates/fernknot-simulator/src/troubles.rs
+++ b/crates/fernknot-simulator/src/troubles.rs
@@ -1,8 +1,8 @@
 //! What befalls the machines, and when: a schedule drawn from the seed before the play begins.
 
-use crate::chance::Chance;
+use crate::chance::Rng;
 use crate::play::FOUNDERS;
-use crate::world::{Event, FIRST_LISTENER, MOST_MACHINES, World, Writes, ms};
+use crate::world::{Event, FIRST_LISTENER, MOST_MACHINES, Simulation, WriteBehavior, ms};
 use fernknot::interface::Nanos;
 
 /// When a trouble that is due comes.
@@ -35,7 +35,7 @@
 
 /// Which way nothing goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     Both,
     In,
     Out,
@@ -43,7 +43,7 @@
 
 /// What happens. Spans are how long it lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum FaultKind {
     /// The process ends at once; writes under way may be kept or lost.
     Kill,
     /// The machine is without power for a while.
@@ -57,12 +57,12 @@
     Wipe,
     /// From the other registrars; with `listeners` also from the gateways. Operators and nodes reach either side.
     CutOff {
-        way: Way,
+        way: Direction,
         listeners: bool,
     },
     /// From one other registrar only.
     CutPair {
-        way: Way,
+        way: Direction,
     },
     /// All connections of the machine end.
     Reset,
@@ -87,23 +87,30 @@
 
 /// One trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct Fault {
     pub at: Nanos,
     pub trigger: Trigger,
     pub target: Target,
-    pub what: What,
+    pub what: FaultKind,
     pub lasts: Nanos,
 }
 
-impl What {
+impl FaultKind {
     /// Whether a machine counts as lost by it.
     pub fn loses(self) -> bool {
-        !matches!(self, What::Reset | What::AnswersLost | What::Race | What::Storm | What::Besiege)
+        !matches!(
+            self,
+            FaultKind::Reset
+                | FaultKind::AnswersLost
+                | FaultKind::Race
+                | FaultKind::Storm
+                | FaultKind::Besiege
+        )
     }
 }
 
 /// A schedule between two moments.
-pub fn schedule(chance: &Chance, from: Nanos, to: Nanos) -> Vec<Trouble> {
+pub fn schedule(chance: &Rng, from: Nanos, to: Nanos) -> Vec<Fault> {
     let mut list = Vec::new();
     let mut at = from;
     while at < to {
@@ -120,30 +127,32 @@
             3 => Target::LastAcknowledger,
             _ => Target::Any(chance.below(16)),
         };
-        let way = chance.pick(&[Way::Both, Way::Both, Way::In, Way::Out]).unwrap_or(Way::Both);
+        let way = chance
+            .pick(&[Direction::Both, Direction::Both, Direction::In, Direction::Out])
+            .unwrap_or(Direction::Both);
         let (what, longest) = match chance.below(26) {
-            0 => (What::Kill, 4000),
-            1 => (What::Power, 4000),
-            2 => (What::All { power: chance.one_in(2), wiped: chance.one_in(3) }, 1500),
-            3 => (What::Wipe, 3000),
-            4..8 => (What::CutOff { way, listeners: chance.one_in(2) }, 12_000),
-            8 => (What::CutPair { way }, 8000),
-            9 | 21..24 => (What::Reset, 10),
-            10 | 11 => (What::Freeze, 6000),
-            12 => (What::DiskFull, 4000),
-            13 => (What::DiskHangs, 4000),
-            14 => (What::DiskSlow, 4000),
-            15 => (What::LinkSlow, 4000),
-            16 => (What::AnswersLost, 8000),
-            17 => (What::Replace, 2000),
-            18 => (What::Restart, 500),
-            19 | 20 | 24 => (What::Besiege, 1500),
-            _ => (if chance.one_in(2) { What::Race } else { What::Storm }, 3000),
+            0 => (FaultKind::Kill, 4000),
+            1 => (FaultKind::Power, 4000),
+            2 => (FaultKind::All { power: chance.one_in(2), wiped: chance.one_in(3) }, 1500),
+            3 => (FaultKind::Wipe, 3000),
+            4..8 => (FaultKind::CutOff { way, listeners: chance.one_in(2) }, 12_000),
+            8 => (FaultKind::CutPair { way }, 8000),
+            9 | 21..24 => (FaultKind::Reset, 10),
+            10 | 11 => (FaultKind::Freeze, 6000),
+            12 => (FaultKind::DiskFull, 4000),
+            13 => (FaultKind::DiskHangs, 4000),
+            14 => (FaultKind::DiskSlow, 4000),
+            15 => (FaultKind::LinkSlow, 4000),
+            16 => (FaultKind::AnswersLost, 8000),
+            17 => (FaultKind::Replace, 2000),
+            18 => (FaultKind::Restart, 500),
+            19 | 20 | 24 => (FaultKind::Besiege, 1500),
+            _ => (if chance.one_in(2) { FaultKind::Race } else { FaultKind::Storm }, 3000),
         };
         // A third are short: who comes back soon meets answers to its earlier life.
         let longest = if chance.one_in(3) { ms(longest).min(SHORT) } else { ms(longest) };
         let lasts = chance.between(ms(5), longest);
-        list.push(Trouble { at, trigger, target, what, lasts });
+        list.push(Fault { at, trigger, target, what, lasts });
         at = at + chance.between(ms(100), ms(3500));
     }
     list
@@ -156,7 +165,7 @@
 /// A trouble that waits for its moment comes without it after this.
 const PATIENCE: Nanos = Nanos(5_000_000_000);
 
-impl World {
+impl Simulation {
     pub fn due(&mut self, at: usize) {
         if self.callers.closing || self.healing {
             return;
@@ -200,7 +209,7 @@
 
     /// It happens, unless more would be lost than the budget allows.
     pub fn fire(&mut self, no: usize) {
-        let Trouble { target, what, lasts, .. } = self.troubles[no];
+        let Fault { target, what, lasts, .. } = self.troubles[no];
         self.armed.remove(&no);
         if self.healing || !self.fired.insert(no) {
             return;
@@ -209,13 +218,13 @@
             Some(at) => at,
             None => return,
         };
-        if what == What::Besiege {
+        if what == FaultKind::Besiege {
             at = self.last_back.unwrap_or(at);
         }
         let lost = self.lost();
         if what.loses() {
             let others = lost.iter().filter(|other| **other != at).count();
-            let all = matches!(what, What::All { .. });
+            let all = matches!(what, FaultKind::All { .. });
             if !self.facts.beyond && (others >= self.facts.losses || all && !lost.is_empty()) {
                 return self.say(|| format!("({what:?} on {at} would lose too many)"));
             }
@@ -228,9 +237,9 @@
         self.fired_on.insert(no, at);
         self.later(lasts, Event::Over(no, at));
         match what {
-            What::Kill => self.end(at, false),
-            What::Power => self.end(at, true),
-            What::All { power, wiped } => {
+            FaultKind::Kill => self.end(at, false),
+            FaultKind::Power => self.end(at, true),
+            FaultKind::All { power, wiped } => {
                 for other in 0..self.machines.len() {
                     if other != at && !self.machines[other].removed {
                         self.machines[other].troubles += 1;
@@ -241,83 +250,83 @@
                     self.wipe(at);
                 }
             }
-            What::Wipe => {
+            FaultKind::Wipe => {
                 self.end(at, false);
                 self.wipe(at);
             }
-            What::CutOff { way, listeners } => self.cut_off(at, way, listeners, true),
-            What::CutPair { way } => self.cut_pair(at, way, true),
-            What::Reset => self.reset(at),
-            What::Freeze => self.freeze(at, true),
-            What::DiskFull => self.set_disk(at, Writes::Full),
-            What::DiskHangs => self.set_disk(at, Writes::Hang),
-            What::DiskSlow => {
+            FaultKind::CutOff { way, listeners } => self.cut_off(at, way, listeners, true),
+            FaultKind::CutPair { way } => self.cut_pair(at, way, true),
+            FaultKind::Reset => self.reset(at),
+            FaultKind::Freeze => self.freeze(at, true),
+            FaultKind::DiskFull => self.set_disk(at, WriteBehavior::Full),
+            FaultKind::DiskHangs => self.set_disk(at, WriteBehavior::Hang),
+            FaultKind::DiskSlow => {
                 self.slowed += 1;
-                self.set_disk(at, Writes::Slow);
+                self.set_disk(at, WriteBehavior::Slow);
             }
-            What::LinkSlow => {
+            FaultKind::LinkSlow => {
                 self.slowed += 1;
                 self.machines[at].slow_link = true;
             }
-            What::AnswersLost => {
+            FaultKind::AnswersLost => {
                 self.answers_lost += 1;
                 self.machines.iter_mut().for_each(|machine| machine.answers_lost = true);
             }
-            What::Replace => self.replace(at),
-            What::Restart => self.stop(at),
-            What::Race => self.race(),
-            What::Storm => self.hurry(true),
-            What::Besiege => self.besiege(at, lasts),
+            FaultKind::Replace => self.replace(at),
+            FaultKind::Restart => self.stop(at),
+            FaultKind::Race => self.race(),
+            FaultKind::Storm => self.hurry(true),
+            FaultKind::Besiege => self.besiege(at, lasts),
         }
-        if matches!(what, What::CutOff { .. } | What::CutPair { .. }) {
+        if matches!(what, FaultKind::CutOff { .. } | FaultKind::CutPair { .. }) {
             self.trigger(Trigger::Cut);
         }
     }
 
     /// The trouble ends.
     pub fn over(&mut self, no: usize, at: usize) {
-        let Trouble { what, .. } = self.troubles[no];
+        let Fault { what, .. } = self.troubles[no];
         if !self.over.insert(no) {
             return;
         }
         self.say(|| format!("trouble {no} is over: {what:?} on {at}"));
         let mut theirs = vec![at];
         match what {
-            What::Kill | What::Power | What::Wipe => self.start(at, false),
-            What::All { .. } => {
+            FaultKind::Kill | FaultKind::Power | FaultKind::Wipe => self.start(at, false),
+            FaultKind::All { .. } => {
                 theirs = (0..self.machines.len()).filter(|at| !self.machines[*at].removed).collect();
                 for other in theirs.clone() {
                     let wait = self.chance.between(ms(0), ms(300));
                     self.later(wait, Event::Begin(other));
                 }
             }
-            What::CutOff { way, listeners } => self.cut_off(at, way, listeners, false),
-            What::CutPair { way } => self.cut_pair(at, way, false),
-            What::Reset | What::Race | What::Besiege => {}
-            What::Freeze => self.freeze(at, false),
-            What::DiskFull | What::DiskHangs => self.set_disk(at, Writes::Well),
-            What::DiskSlow => {
+            FaultKind::CutOff { way, listeners } => self.cut_off(at, way, listeners, false),
+            FaultKind::CutPair { way } => self.cut_pair(at, way, false),
+            FaultKind::Reset | FaultKind::Race | FaultKind::Besiege => {}
+            FaultKind::Freeze => self.freeze(at, false),
+            FaultKind::DiskFull | FaultKind::DiskHangs => self.set_disk(at, WriteBehavior::Well),
+            FaultKind::DiskSlow => {
                 self.slowed -= 1;
                 self.core_event = self.now;
-                self.set_disk(at, Writes::Well);
+                self.set_disk(at, WriteBehavior::Well);
             }
-            What::LinkSlow => {
+            FaultKind::LinkSlow => {
                 self.slowed -= 1;
                 self.core_event = self.now;
                 self.machines[at].slow_link = false;
             }
-            What::AnswersLost => {
+            FaultKind::AnswersLost => {
                 self.answers_lost -= 1;
                 let lost = self.answers_lost > 0;
                 self.machines.iter_mut().for_each(|machine| machine.answers_lost = lost);
             }
-            What::Replace => theirs = vec![self.machines.len() - 1],
-            What::Restart => {
+            FaultKind::Replace => theirs = vec![self.machines.len() - 1],
+            FaultKind::Restart => {
                 // Whatever has not ended by itself within its grace is killed.
                 self.later(ms(1600), Event::Begin(at));
                 self.machines[at].lost_until = self.now + ms(1600) + self.facts.bounds.catch_up;
             }
-            What::Storm => self.hurry(false),
+            FaultKind::Storm => self.hurry(false),
         }
         if what.loses() {
             let until = self.now + self.facts.bounds.catch_up;
@@ -330,7 +339,7 @@
         }
     }
 
-    fn cut_off(&mut self, at: usize, way: Way, listeners: bool, cut: bool) {
+    fn cut_off(&mut self, at: usize, way: Direction, listeners: bool, cut: bool) {
         if !cut {
             self.last_back = Some(at);
             self.trigger(Trigger::Return);
@@ -343,18 +352,18 @@
         }
     }
 
-    fn cut_pair(&mut self, at: usize, way: Way, cut: bool) {
+    fn cut_pair(&mut self, at: usize, way: Direction, cut: bool) {
         let other = (at + 1) % self.facts.members;
         if other != at {
             self.cut_way(at, other, way, cut);
         }
     }
 
-    fn cut_way(&mut self, at: usize, other: usize, way: Way, cut: bool) {
-        if way != Way::Out {
+    fn cut_way(&mut self, at: usize, other: usize, way: Direction, cut: bool) {
+        if way != Direction::Out {
             self.set_cut(other, at, cut);
         }
-        if way != Way::In {
+        if way != Direction::In {
             self.set_cut(at, other, cut);
         }
     }
--- a/crates/fernknot-simulator/src/wire_rules.rs
+++ b/crates/fernknot-simulator/src/wire_rules.rs
@@ -8,7 +8,7 @@
 
 /// What a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     Mutating,
     Idempotent,
     /// On the route that only the version with this body has.
@@ -17,9 +17,9 @@
 
 /// One try of a client.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     pub attempt: String,
-    pub kind: Kind,
+    pub kind: RequestKind,
     pub target: String,
     pub body: Vec<u8>,
     pub sent: Nanos,
@@ -34,8 +34,8 @@
 
 /// All that was seen.
 #[derive(Debug, Default)]
-pub struct Rules {
-    pub asked: Vec<Asked>,
+pub struct RequestChecker {
+    pub asked: Vec<RequestRecord>,
     by_attempt: BTreeMap<String, usize>,
     /// Answers that nodes gave: seal to attempt and body.
     issued: BTreeMap<String, (String, Vec<u8>)>,
@@ -47,9 +47,9 @@
 }
 
 /// What broke.
-pub type Broken = Option<(&'static str, String)>;
+pub type BrokenRule = Option<(&'static str, String)>;
 
-impl Rules {
+impl RequestChecker {
     pub fn add(&mut self, what: &'static str) {
         *self.counts.entry(what).or_default() += 1;
     }
@@ -57,7 +57,7 @@
     /// A client sends a try.
     pub fn asks(
         &mut self,
-        asked: (String, Kind, String, Vec<u8>),
+        asked: (String, RequestKind, String, Vec<u8>),
         sent: Nanos,
         by: (usize, u64, bool),
     ) -> usize {
@@ -66,7 +66,7 @@
         self.add("requests");
         self.by_attempt.insert(attempt.clone(), self.asked.len());
         let (arrivals, runs, promised) = (0, 0, None);
-        self.asked.push(Asked {
+        self.asked.push(RequestRecord {
             attempt,
             kind,
             target,
@@ -87,7 +87,7 @@
     }
 
     /// A node has read a request.
-    pub fn arrives(&mut self, now: Nanos, message: &Message) -> Broken {
+    pub fn arrives(&mut self, now: Nanos, message: &Message) -> BrokenRule {
         self.add("arrivals");
         let Some(no) = self.find(message) else {
             return Some(("UNASKED", format!("a node got {}", message.first)));
@@ -102,17 +102,17 @@
     }
 
     /// A node begins to work on it.
-    pub fn runs(&mut self, message: &Message) -> Broken {
+    pub fn runs(&mut self, message: &Message) -> BrokenRule {
         self.add("runs");
         let no = self.find(message)?;
         let asked = &mut self.asked[no];
         asked.runs += 1;
-        let method = if asked.kind == Kind::Mutating { "POST" } else { "GET" };
+        let method = if asked.kind == RequestKind::Mutating { "POST" } else { "GET" };
         let got = (message.word(0), message.word(1), &message.body);
         if got != (method, asked.target.as_str(), &asked.body) {
             return Some(("UNASKED", format!("{} ran as {}", asked.attempt, message.first)));
         }
-        let twice = asked.kind == Kind::Mutating && asked.runs > 1;
+        let twice = asked.kind == RequestKind::Mutating && asked.runs > 1;
         let text = format!("{} ran {} times", asked.attempt, asked.runs);
         twice.then_some(("TWICE", text))
     }
@@ -124,7 +124,7 @@
 
     /// A version was seen in force by a request through a gateway's life: none that was sent `slack` after a newer one
     /// was seen there may show an older one.
-    pub fn sees(&mut self, now: Nanos, no: usize, epoch: u64, slack: Nanos) -> Broken {
+    pub fn sees(&mut self, now: Nanos, no: usize, epoch: u64, slack: Nanos) -> BrokenRule {
         let asked = &self.asked[no];
         let (gateway, sent) = (asked.gateway, asked.sent);
         let seen = self.newest.entry((gateway, asked.life)).or_default();
@@ -137,7 +137,7 @@
     }
 
     /// A client got a whole answer in the place of this request.
-    pub fn answered(&mut self, no: usize, message: &Message) -> Broken {
+    pub fn answered(&mut self, no: usize, message: &Message) -> BrokenRule {
         let asked = &self.asked[no];
         let (attempt, kind) = (asked.attempt.clone(), asked.kind);
         let status: u16 = message.word(1).parse().unwrap_or(0);
@@ -156,7 +156,7 @@
                 self.asked[no].promised = Some(status);
                 None
             }
-            404 if matches!(kind, Kind::Probe(_)) => {
+            404 if matches!(kind, RequestKind::Probe(_)) => {
                 self.add("no route");
                 None
             }
@@ -172,7 +172,7 @@
     pub fn end(&self) -> Vec<(&'static str, String)> {
         let mut broken = Vec::new();
         for asked in &self.asked {
-            if let (Kind::Mutating, Some(status), 1..) = (asked.kind, asked.promised, asked.runs) {
+            if let (RequestKind::Mutating, Some(status), 1..) = (asked.kind, asked.promised, asked.runs) {
                 broken.push(("REFUSED", format!("{} got {status} and ran", asked.attempt)));
             }
         }
--- a/crates/fernknot-simulator/src/world.rs
+++ b/crates/fernknot-simulator/src/world.rs
@@ -1,18 +1,18 @@
 //! The clock, the links, the disks and the processes of the registrars.
 
-use crate::callers::Callers;
-use crate::chance::Chance;
+use crate::callers::ControlClients;
+use crate::chance::Rng;
 use crate::gateways::Gateways;
-use crate::judge::Seen;
-use crate::listeners::Listeners;
-use crate::play::{FOUNDERS, Facts, Plant};
+use crate::judge::Observations;
+use crate::listeners::Subscribers;
+use crate::play::{FOUNDERS, SeededBug, Settings};
 use crate::traffic::Traffic;
-use crate::troubles::{Trigger, Trouble};
+use crate::troubles::{Fault, Trigger};
 use fernknot::interface::Nanos;
-use fernknot_consensus::{PersistentState, Ticket};
-use fernknot_controller::{Ear, Order, Registrar, RegistrarFacts, Slot};
+use fernknot_consensus::{PersistentState, WriteId};
+use fernknot_controller::{Action, Controller, ControllerSettings, PendingCall, SubscriberId};
 use fernknot_http_api::Reply;
-use fernknot_rpc::{Inward, PeerWord};
+use fernknot_rpc::{ControllerMessage, GatewayToController};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -24,12 +24,12 @@
 const AGAIN: Nanos = Nanos(1_000_000_000);
 
 /// The caller who asks for the timeline.
-const NOBODY: Slot = Slot { line: u64::MAX, call: u64::MAX };
+const NOBODY: PendingCall = PendingCall { line: u64::MAX, call: u64::MAX };
 /// Connections of callers at one process: each is used again by others.
 const LINES: u64 = 8;
 
-fn slot(call: u64) -> Slot {
-    Slot { line: call % LINES, call }
+fn slot(call: u64) -> PendingCall {
+    PendingCall { line: call % LINES, call }
 }
 
 /// So many milliseconds.
@@ -48,7 +48,7 @@
 
 /// How a disk takes writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Writes {
+pub enum WriteBehavior {
     Well,
     /// They wait until it is well again.
     Hang,
@@ -60,18 +60,18 @@
 /// What reaches a process.
 #[derive(Clone, Debug)]
 pub enum Input {
-    Peer(SocketAddrV4, PeerWord),
+    Peer(SocketAddrV4, ControllerMessage),
     /// With the connection: one that was given up meanwhile is nobody's any more.
     Opened(SocketAddrV4, u64),
     Closed(SocketAddrV4),
     DiskRead,
-    Stored(Ticket, bool),
+    Stored(WriteId, bool),
     /// Is this write still out?
-    DiskLook(Ticket),
+    DiskLook(WriteId),
     Call(u64),
     CallGone(u64),
-    Inward(Ear, Inward),
-    EarGone(Ear),
+    Inward(SubscriberId, GatewayToController),
+    EarGone(SubscriberId),
 }
 
 /// What is to happen.
@@ -79,13 +79,13 @@
 pub enum Event {
     /// For the process with this life on that machine.
     Input(usize, u64, Input),
-    Word(u64, PeerWord),
+    Word(u64, ControllerMessage),
     Flush(u64),
     /// The first packet of a connection arrives.
     Syn(u64),
     /// Has nothing passed for as long as a connection bears?
     Silent(u64, u64),
-    Written(usize, u64, Ticket, PersistentState),
+    Written(usize, u64, WriteId, PersistentState),
     /// A full disk may have room.
     Reopen(usize, u64),
     Caller(crate::callers::Event),
@@ -110,7 +110,7 @@
     open: bool,
     last: Nanos,
     /// Words that a cut holds back.
-    held: VecDeque<PeerWord>,
+    held: VecDeque<ControllerMessage>,
     held_since: u64,
 }
 
@@ -120,14 +120,14 @@
     /// Older copies, for a plant.
     older: VecDeque<PersistentState>,
     known: Vec<SocketAddrV4>,
-    writes: Writes,
-    under_way: Vec<(Ticket, PersistentState, Nanos)>,
+    writes: WriteBehavior,
+    under_way: Vec<(WriteId, PersistentState, Nanos)>,
     sound: bool,
 }
 
 /// One machine of the core.
 pub struct Machine {
-    brain: Option<Registrar>,
+    brain: Option<Controller>,
     pub life: u64,
     started: Nanos,
     wake: Nanos,
@@ -161,10 +161,10 @@
 }
 
 /// All of it.
-pub struct World {
+pub struct Simulation {
     pub now: Nanos,
-    pub facts: Facts,
-    pub chance: Chance,
+    pub facts: Settings,
+    pub chance: Rng,
     pub machines: Vec<Machine>,
     events: BTreeMap<(Nanos, u64), Event>,
     pub count: u64,
@@ -183,11 +183,11 @@
     pub core_event: Nanos,
     pub slowed: usize,
     pub answers_lost: usize,
-    pub callers: Callers,
-    pub listeners: Listeners,
+    pub callers: ControlClients,
+    pub listeners: Subscribers,
     pub gateways: Gateways,
     pub traffic: Traffic,
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
     pub armed: BTreeSet<usize>,
     pub fired: BTreeSet<usize>,
     pub fired_on: BTreeMap<usize, usize>,
@@ -196,14 +196,14 @@
     /// The machine that came back last, after a start, a thaw or a cut.
     pub last_back: Option<usize>,
     /// What was seen, for the judge.
-    pub seen: Seen,
+    pub seen: Observations,
     pub log: Vec<String>,
     delays: [Nanos; 9],
 }
 
-impl World {
-    pub fn new(facts: Facts, troubles: Vec<Trouble>) -> World {
-        let chance = Chance::new(facts.seed);
+impl Simulation {
+    pub fn new(facts: Settings, troubles: Vec<Fault>) -> Simulation {
+        let chance = Rng::new(facts.seed);
         let mut delays = [ms(0); 9];
         for a in 0..3 {
             for b in 0..a {
@@ -212,7 +212,7 @@
             }
             delays[a * 4] = chance.between(Nanos(100_000), ms(1));
         }
-        let mut world = World {
+        let mut world = Simulation {
             now: ms(1),
             chance,
             machines: Vec::new(),
@@ -230,8 +230,8 @@
             core_event: ms(1),
             slowed: 0,
             answers_lost: 0,
-            callers: Callers::new(&facts),
-            listeners: Listeners::new(&facts),
+            callers: ControlClients::new(&facts),
+            listeners: Subscribers::new(&facts),
             gateways: Gateways::new(&facts),
             traffic: Traffic::new(&facts),
             troubles,
@@ -241,7 +241,7 @@
             over: BTreeSet::new(),
             healing: false,
             last_back: None,
-            seen: Seen::default(),
+            seen: Observations::default(),
             log: Vec::new(),
             delays,
             facts,
@@ -275,7 +275,7 @@
                 saved: None,
                 older: VecDeque::new(),
                 known: Vec::new(),
-                writes: Writes::Well,
+                writes: WriteBehavior::Well,
                 under_way: Vec::new(),
                 sound: true,
             },
@@ -380,7 +380,7 @@
         self.count += 1;
         let life = self.count;
         let bounds = self.facts.bounds;
-        let facts = RegistrarFacts {
+        let facts = ControllerSettings {
             addr: addr(at),
             zone: format!("zone-{}", at % 3),
             seeds: self.seeds.iter().map(|at| addr(*at)).collect(),
@@ -429,7 +429,7 @@
         machine.touched = now;
         // Writes under way: some came whole onto the disk, though nobody was told.
         for (_, saved, due) in std::mem::take(&mut machine.disk.under_way) {
-            let early = self.facts.plant == Some(Plant::DiskAcksEarly);
+            let early = self.facts.plant == Some(SeededBug::DiskAcksEarly);
             if keep && !early && due != Nanos(u64::MAX) {
                 machine.disk.saved = Some(saved);
             }
@@ -533,7 +533,7 @@
             Input::Opened(..) | Input::Closed(_) => {}
             Input::DiskRead => {
                 let disk = &machine.disk;
-                let old = disk.older.front().filter(|_| self.facts.plant == Some(Plant::OldFolder));
+                let old = disk.older.front().filter(|_| self.facts.plant == Some(SeededBug::OldFolder));
                 let saved = old.or(disk.saved.as_ref()).cloned();
                 let fresh = saved.is_none();
                 let text = format!("{at} has read its disk, {}", if fresh { "empty" } else { "not empty" });
@@ -584,13 +584,13 @@
         }
     }
 
-    fn obey(&mut self, at: usize, order: Order) {
+    fn obey(&mut self, at: usize, order: Action) {
         let life = self.machines[at].life;
         match order {
-            Order::Answer { slot, reply } => self.answered(at, slot, reply),
-            Order::Say { to, word } => {
-                let dropped =
-                    self.facts.plant == Some(Plant::KeepsDrains) && matches!(word, PeerWord::Nodes(_));
+            Action::Answer { slot, reply } => self.answered(at, slot, reply),
+            Action::Say { to, word } => {
+                let dropped = self.facts.plant == Some(SeededBug::KeepsDrains)
+                    && matches!(word, ControllerMessage::Nodes(_));
                 let Some(id) = self.out.get(&(at, machine_at(to))).copied().filter(|_| !dropped) else {
                     return;
                 };
@@ -600,7 +600,7 @@
                 let wait = conn.last - self.now;
                 self.later(wait, Event::Word(id, word));
             }
-            Order::Tell { to, word } => {
+            Action::Tell { to, word } => {
                 for ear in to {
                     match self.gateways.pipes.contains_key(&ear.0) {
                         true => self.tell_gateway(at, ear, &word),
@@ -608,7 +608,7 @@
                     }
                 }
             }
-            Order::Connect { to } => {
+            Action::Connect { to } => {
                 let to = machine_at(to);
                 if let Some(old) = self.out.remove(&(at, to)) {
                     self.conns.remove(&old);
@@ -630,14 +630,14 @@
                 let wait = self.delay(at, to) + self.delay(to, at);
                 self.later(wait, Event::Syn(id));
             }
-            Order::GiveUp { to } => {
+            Action::GiveUp { to } => {
                 if let Some(id) = self.out.remove(&(at, machine_at(to))) {
                     self.conns.remove(&id);
                 }
             }
-            Order::Store { ticket, saved } => self.store(at, ticket, saved),
-            Order::Remember { addrs } => self.machines[at].disk.known = addrs,
-            Order::Note { text, .. } => self.noted(at, &text),
+            Action::Store { ticket, saved } => self.store(at, ticket, saved),
+            Action::Remember { addrs } => self.machines[at].disk.known = addrs,
+            Action::Note { text, .. } => self.noted(at, &text),
         }
     }
 
@@ -687,13 +687,13 @@
 
     // Disks.
 
-    fn store(&mut self, at: usize, ticket: Ticket, saved: PersistentState) {
+    fn store(&mut self, at: usize, ticket: WriteId, saved: PersistentState) {
         let life = self.machines[at].life;
         let wait = match self.machines[at].disk.writes {
-            Writes::Well => self.chance.between(ms(1), ms(5)),
-            Writes::Slow => self.chance.between(ms(30), ms(300)),
-            Writes::Hang => Nanos(u64::MAX),
-            Writes::Full => {
+            WriteBehavior::Well => self.chance.between(ms(1), ms(5)),
+            WriteBehavior::Slow => self.chance.between(ms(30), ms(300)),
+            WriteBehavior::Hang => Nanos(u64::MAX),
+            WriteBehavior::Full => {
                 self.machines[at].disk.sound = false;
                 self.later(ms(1), Event::Input(at, life, Input::Stored(ticket, false)));
                 self.later(ms(2), Event::Input(at, life, Input::DiskLook(ticket)));
@@ -702,7 +702,7 @@
                 return;
             }
         };
-        let early = self.facts.plant == Some(Plant::DiskAcksEarly);
+        let early = self.facts.plant == Some(SeededBug::DiskAcksEarly);
         if early {
             self.later(Nanos(0), Event::Input(at, life, Input::Stored(ticket, true)));
         }
@@ -719,8 +719,8 @@
     }
 
     /// The disk has it, also where the process is frozen.
-    fn written(&mut self, at: usize, life: u64, ticket: Ticket, saved: PersistentState) {
-        let early = self.facts.plant == Some(Plant::DiskAcksEarly);
+    fn written(&mut self, at: usize, life: u64, ticket: WriteId, saved: PersistentState) {
+        let early = self.facts.plant == Some(SeededBug::DiskAcksEarly);
         let machine = &mut self.machines[at];
         if machine.life != life || machine.brain.is_none() {
             return;
@@ -743,7 +743,7 @@
         if machine.life != life || machine.brain.is_none() {
             return;
         }
-        if machine.disk.writes == Writes::Full {
+        if machine.disk.writes == WriteBehavior::Full {
             return self.later(ms(200), Event::Reopen(at, life));
         }
         machine.disk.sound = true;
@@ -758,11 +758,11 @@
         }
     }
 
-    pub fn set_disk(&mut self, at: usize, writes: Writes) {
+    pub fn set_disk(&mut self, at: usize, writes: WriteBehavior) {
         let life = self.machines[at].life;
         let was = std::mem::replace(&mut self.machines[at].disk.writes, writes);
-        if was == Writes::Hang && writes != Writes::Hang {
-            let held: Vec<(Ticket, PersistentState)> = self.machines[at]
+        if was == WriteBehavior::Hang && writes != WriteBehavior::Hang {
+            let held: Vec<(WriteId, PersistentState)> = self.machines[at]
                 .disk
                 .under_way
                 .iter()
@@ -810,7 +810,7 @@
         self.later(Nanos(0), Event::Input(from, life, Input::Opened(addr(to), id)));
     }
 
-    fn word(&mut self, id: u64, word: PeerWord) {
+    fn word(&mut self, id: u64, word: ControllerMessage) {
         let Some(conn) = self.conns.get(&id) else { return };
         let (from, to, to_life) = (conn.from, conn.to, conn.to_life);
         let machine = &self.machines[to];
@@ -827,7 +827,7 @@
             return conn.held.push_back(word);
         }
         if machine.life == to_life && machine.is_up() {
-            if let PeerWord::Nodes(facts) = &word {
+            if let ControllerMessage::Nodes(facts) = &word {
                 let told = facts.iter().map(|fact| format!("{} {:?} {}", fact.id, fact.state, fact.seq));
                 let text = told.collect::<Vec<_>>().join(", ");
                 self.say(|| format!("{to} is told by {from} of {text}"));
@@ -961,7 +961,7 @@
     }
 
     /// An answer of a process goes to its caller.
-    fn answered(&mut self, at: usize, slot: Slot, reply: Reply) {
+    fn answered(&mut self, at: usize, slot: PendingCall, reply: Reply) {
         if slot == NOBODY {
             return self.looked_at(at, &reply);
         }
--- a/crates/fernknot-simulator/tests/register.rs
+++ b/crates/fernknot-simulator/tests/register.rs
@@ -1,27 +1,27 @@
 //! The judge of the operators' history, by histories whose verdict is known.
 
-use fernknot_simulator::register::{Call, Op, Ret, Verdict, Version, judge};
+use fernknot_simulator::register::{Call, Operation, OperationResult, Verdict, Version, judge};
 use test_case::test_case;
 
 fn version(epoch: u64) -> Version {
     Version { epoch, body: epoch }
 }
 
-fn replace(base: u64, epoch: u64, from: u64, to: Option<(u64, Ret)>) -> Call {
-    Call { op: Op::Replace { base, new: version(epoch) }, from, to }
+fn replace(base: u64, epoch: u64, from: u64, to: Option<(u64, OperationResult)>) -> Call {
+    Call { op: Operation::Replace { base, new: version(epoch) }, from, to }
 }
 
 fn read(epoch: u64, from: u64, to: u64) -> Call {
     let found = (epoch > 0).then(|| version(epoch));
-    Call { op: Op::Read, from, to: Some((to, Ret::Found(found))) }
+    Call { op: Operation::Read, from, to: Some((to, OperationResult::Found(found))) }
 }
 
-fn taken(at: u64) -> Option<(u64, Ret)> {
-    Some((at, Ret::Taken))
+fn taken(at: u64) -> Option<(u64, OperationResult)> {
+    Some((at, OperationResult::Taken))
 }
 
-fn refused(at: u64) -> Option<(u64, Ret)> {
-    Some((at, Ret::Refused))
+fn refused(at: u64) -> Option<(u64, OperationResult)> {
+    Some((at, OperationResult::Refused))
 }
 
 #[test_case(vec![replace(0, 1, 1, taken(2)), read(1, 3, 4), replace(1, 2, 5, taken(6)), read(2, 7, 8)]; "one by one")]
@@ -49,7 +49,12 @@
 #[test]
 fn given_eight_orders_at_once_when_one_is_taken_then_the_search_is_short() {
     let orders = (1..=8).map(|epoch| {
-        replace(0, epoch, epoch, Some((100, if epoch == 5 { Ret::Taken } else { Ret::Refused })))
+        replace(
+            0,
+            epoch,
+            epoch,
+            Some((100, if epoch == 5 { OperationResult::Taken } else { OperationResult::Refused })),
+        )
     });
     let reads = (0..8).map(|at| read(if at < 4 { 0 } else { 5 }, 10 + at, 90 + at));
     let calls: Vec<Call> = orders.chain(reads).collect();
@@ -64,7 +69,7 @@
 
 #[test]
 fn given_forty_orders_that_overlap_when_each_is_refused_after_its_base_went_then_it_is_decided() {
-    let orders = (1..=40).map(|at| replace(7, 8 + at % 3, at, Some((1000 + at, Ret::Refused))));
+    let orders = (1..=40).map(|at| replace(7, 8 + at % 3, at, Some((1000 + at, OperationResult::Refused))));
     let chain = [replace(0, 7, 0, taken(500)), replace(7, 11, 2, taken(600)), read(11, 601, 2000)];
     let calls: Vec<Call> = orders.chain(chain).collect();
     assert_eq!(judge(&calls), Verdict::Linearizable);
--- a/crates/fernknot-simulator/tests/seeds.rs
+++ b/crates/fernknot-simulator/tests/seeds.rs
@@ -1,13 +1,13 @@
 //! Whole plays from seeds.
 
-use fernknot_simulator::judge::Finding;
-use fernknot_simulator::play::{Facts, Plant, play, play_with, shrink};
+use fernknot_simulator::judge::Violation;
+use fernknot_simulator::play::{SeededBug, Settings, play, play_with, shrink};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use test_case::test_case;
 
 /// Plays side by side; what was found, by seed.
-fn play_all(plays: Vec<Facts>) -> Vec<(u64, Finding)> {
+fn play_all(plays: Vec<Settings>) -> Vec<(u64, Violation)> {
     let (next, found) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..4 {
@@ -30,14 +30,14 @@
 #[test_case(9, false, 5)]
 #[test_case(3, true, 40; "more lost than the budget")]
 fn given_troubles_when_seeds_are_played_then_no_rule_breaks(members: usize, beyond: bool, seeds: u64) {
-    let plays = (0..seeds).map(|seed| Facts { beyond, ..Facts::new(seed, members) });
+    let plays = (0..seeds).map(|seed| Settings { beyond, ..Settings::new(seed, members) });
     assert_eq!(play_all(plays.collect()), Vec::new());
 }
 
 #[test]
 fn given_one_seed_when_it_is_played_twice_then_the_logs_are_alike() {
     for seed in [3, 17] {
-        let facts = Facts { trace: true, ..Facts::new(seed, 3) };
+        let facts = Settings { trace: true, ..Settings::new(seed, 3) };
         let (first, second) = (play(&facts), play(&facts));
         assert!(first.log.len() > 100);
         assert_eq!(first.log, second.log);
@@ -47,8 +47,8 @@
 
 #[test]
 fn given_a_log_when_it_is_written_then_the_play_is_the_same_as_without_it() {
-    let quiet = play(&Facts::new(5, 3));
-    let told = play(&Facts { trace: true, ..Facts::new(5, 3) });
+    let quiet = play(&Settings::new(5, 3));
+    let told = play(&Settings { trace: true, ..Settings::new(5, 3) });
     assert_eq!((quiet.orders, quiet.reads, quiet.findings), (told.orders, told.reads, told.findings));
 }
 
@@ -57,7 +57,7 @@
 #[test_case(5)]
 fn given_no_troubles_when_seeds_are_played_then_nothing_is_found(members: usize) {
     for seed in 0..20 {
-        let outcome = play_with(&Facts::new(seed, members), Vec::new());
+        let outcome = play_with(&Settings::new(seed, members), Vec::new());
         assert_eq!(outcome.findings, Vec::new(), "seed {seed}");
         assert!(outcome.orders > 5 && outcome.reads > 5 && outcome.drains > 2, "{outcome:?}");
     }
@@ -65,7 +65,7 @@
 
 #[test]
 fn given_a_seed_that_breaks_a_rule_when_it_is_shrunk_then_the_rule_still_breaks() {
-    let planted = |seed| Facts { plant: Some(Plant::OldFolder), ..Facts::new(seed, 3) };
+    let planted = |seed| Settings { plant: Some(SeededBug::OldFolder), ..Settings::new(seed, 3) };
     let facts = (0..10).map(planted).find(|facts| !play(facts).findings.is_empty());
     let facts = facts.expect("an old folder shows in ten seeds");
     let rule = play(&facts).findings[0].rule;
--- a/crates/fernknot-simulator/tests/system.rs
+++ b/crates/fernknot-simulator/tests/system.rs
@@ -1,7 +1,7 @@
 //! The whole system: real registrars and real gateways among operators, nodes that answer and clients, from one seed.
 
-use fernknot_gateway::Plant as Own;
-use fernknot_simulator::play::{Facts, Outcome, Plant, play};
+use fernknot_gateway::SeededBug as Own;
+use fernknot_simulator::play::{Outcome, SeededBug, Settings, play};
 use fernknot_simulator::world::ms;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -13,12 +13,12 @@
 /// Troubles come for so long: less than in a play of the program, as this is played in debug builds too.
 const TROUBLED_MS: u64 = 8000;
 
-fn system(seed: u64, plant: Option<Plant>) -> Facts {
-    Facts { troubled: ms(TROUBLED_MS), plant, ..Facts::system(seed, 3) }
+fn system(seed: u64, plant: Option<SeededBug>) -> Settings {
+    Settings { troubled: ms(TROUBLED_MS), plant, ..Settings::system(seed, 3) }
 }
 
 /// Plays seeds side by side; what each gave comes back in their order.
-fn played(seeds: Range<u64>, plant: Option<Plant>) -> Vec<(u64, Outcome)> {
+fn played(seeds: Range<u64>, plant: Option<SeededBug>) -> Vec<(u64, Outcome)> {
     let next = AtomicU64::new(seeds.start);
     let play_some = || {
         let mut outcomes = Vec::new();
@@ -71,22 +71,26 @@
 #[test]
 fn given_a_seed_of_the_whole_system_when_it_is_played_twice_then_all_happens_alike() {
     for seed in 0..3 {
-        let [one, other] = [(); 2].map(|()| play(&Facts { trace: true, ..system(seed, None) }));
+        let [one, other] = [(); 2].map(|()| play(&Settings { trace: true, ..system(seed, None) }));
         let differs = one.log.iter().zip(&other.log).find(|(one, other)| one != other);
         assert_eq!(differs, None, "seed {seed}");
         assert_eq!((one.log.len(), one.counts), (other.log.len(), other.counts), "seed {seed}");
     }
 }
 
-#[test_case(Plant::Gateway(Own::AgainAfterReset), "TWICE", 4; "what may not be repeated goes again after a reset")]
-#[test_case(Plant::Gateway(Own::AgainAfterSilence), "TWICE", 4; "what may not be repeated goes again after a silence")]
-#[test_case(Plant::Gateway(Own::PromiseAfterHandOff), "REFUSED", 4; "a promise is made though a node may have run it")]
-#[test_case(Plant::Gateway(Own::PromiseAfterGone), "REFUSED", 8; "a promise is made though the connection was up")]
-#[test_case(Plant::Gateway(Own::MatchByConnection), "MIXED", 16; "an answer is matched by its connection")]
-#[test_case(Plant::KeepsDrains, "DRAIN", 16; "registrars that don't tell each other of nodes")]
-#[test_case(Plant::GoesBack, "CONFIG", 16; "an older plan told as the newest")]
-#[test_case(Plant::FreeRetries, "BUDGET", 16; "gateways that are told of a larger budget")]
-fn given_a_break_when_the_whole_system_is_played_then_its_rule_breaks(plant: Plant, rule: &str, within: u64) {
+#[test_case(SeededBug::Gateway(Own::AgainAfterReset), "TWICE", 4; "what may not be repeated goes again after a reset")]
+#[test_case(SeededBug::Gateway(Own::AgainAfterSilence), "TWICE", 4; "what may not be repeated goes again after a silence")]
+#[test_case(SeededBug::Gateway(Own::PromiseAfterHandOff), "REFUSED", 4; "a promise is made though a node may have run it")]
+#[test_case(SeededBug::Gateway(Own::PromiseAfterGone), "REFUSED", 8; "a promise is made though the connection was up")]
+#[test_case(SeededBug::Gateway(Own::MatchByConnection), "MIXED", 16; "an answer is matched by its connection")]
+#[test_case(SeededBug::KeepsDrains, "DRAIN", 16; "registrars that don't tell each other of nodes")]
+#[test_case(SeededBug::GoesBack, "CONFIG", 16; "an older plan told as the newest")]
+#[test_case(SeededBug::FreeRetries, "BUDGET", 16; "gateways that are told of a larger budget")]
+fn given_a_break_when_the_whole_system_is_played_then_its_rule_breaks(
+    plant: SeededBug,
+    rule: &str,
+    within: u64,
+) {
     let breaks = |outcome: &Outcome| outcome.findings.iter().any(|finding| finding.rule == rule);
     let found = (0..within).step_by(THREADS).find_map(|from| {
         let outcomes = played(from..from + THREADS as u64, Some(plant));
--- a/crates/fernknot-storage/src/cistern.rs
+++ b/crates/fernknot-storage/src/cistern.rs
@@ -8,13 +8,13 @@
 
 use fernknot::interface::Nanos;
 
-use crate::error::{Step, StoreError};
-use crate::folder::Folder;
-use crate::keeper::{Keeper, Measures, Values};
+use crate::error::{Operation, StorageError};
+use crate::folder::StoreDirectory;
+use crate::keeper::{GenerationManager, Limits, Values};
 
 /// What a cistern may take up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Space {
+pub struct Capacity {
     /// How many writes may wait at once, those that ended and were not fetched included.
     pub slots: usize,
     /// The bytes that the disk gives; bounds in the folder are ratios to it.
@@ -24,7 +24,7 @@
 /// No slot is free: the disk is behind. Nothing of the write was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no slot is free: the disk is behind")]
-pub struct Full;
+pub struct QueueFull;
 
 /// Called on the cistern's thread.
 pub type Waker = Box<dyn Fn() + Send>;
@@ -32,7 +32,7 @@
 /// What lies on disk, and the thread that keeps it. Dropping it asks the thread to end and does not
 /// wait: a disk that hangs must not hold up the end of the process.
 #[derive(Debug)]
-pub struct Cistern {
+pub struct Storage {
     shared: Arc<Shared>,
     slots: usize,
     thread: Option<JoinHandle<()>>,
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    state: Mutex<State>,
+    state: Mutex<SharedState>,
     /// Something was handed over, or the end is asked for.
     handed: Condvar,
     /// The folder was read, or could not be.
@@ -48,14 +48,14 @@
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct SharedState {
     queue: VecDeque<(u64, String, Vec<u8>)>,
     /// By the order of handing over: ticket and time.
     waiting: BTreeMap<u64, (u64, Instant)>,
     taken: u64,
-    done: Vec<(u64, Result<(), StoreError>)>,
+    done: Vec<(u64, Result<(), StorageError>)>,
     /// Whether the folder was read, once that was tried.
-    loaded: Option<Result<(), StoreError>>,
+    loaded: Option<Result<(), StorageError>>,
     kept: Values,
     sound: bool,
     ending: bool,
@@ -63,12 +63,12 @@
 
 impl Shared {
     /// No code that can panic runs under this lock, so a poisoned one is as good as any.
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, SharedState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Cistern {
+impl Storage {
     /// Starts the thread, which opens the folder. `waker` is called on that thread whenever a write
     /// has come to its end and whenever [`Cistern::loaded`] or [`Cistern::sound`] changes.
     ///
@@ -76,15 +76,15 @@
     ///
     /// The thread could not be started. A folder that does not open is no error here: the thread
     /// goes on trying, and until then writes are refused.
-    pub fn open(dir: PathBuf, space: Space, waker: Option<Waker>) -> Result<Cistern, StoreError> {
+    pub fn open(dir: PathBuf, space: Capacity, waker: Option<Waker>) -> Result<Storage, StorageError> {
         let shared = Arc::new(Shared::default());
         let theirs = shared.clone();
-        let keeper = Keeper::new(Measures::of_disk(space.disk_bytes));
+        let keeper = GenerationManager::new(Limits::of_disk(space.disk_bytes));
         let thread = std::thread::Builder::new()
             .name("cistern".into())
-            .spawn(move || run(&theirs, keeper, Folder::new(dir), waker))
-            .map_err(StoreError::at(Step::Open))?;
-        Ok(Cistern { shared, slots: space.slots, thread: Some(thread) })
+            .spawn(move || run(&theirs, keeper, StoreDirectory::new(dir), waker))
+            .map_err(StorageError::at(Operation::Open))?;
+        Ok(Storage { shared, slots: space.slots, thread: Some(thread) })
     }
 
     /// The value last stored under a key. Blocks until the folder was read or could not be; meant
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// The folder could not be opened or read yet: nothing is known of what lies there.
-    pub fn load(&self, key: &str) -> Result<Option<Vec<u8>>, StoreError> {
+    pub fn load(&self, key: &str) -> Result<Option<Vec<u8>>, StorageError> {
         let mut state = self.shared.lock();
         loop {
             match &state.loaded {
@@ -106,7 +106,7 @@
 
     /// Whether [`Cistern::load`] has an answer, and which; never blocks. An error may turn into `Ok`
     /// later, when the folder opens after all.
-    pub fn loaded(&self) -> Option<Result<(), StoreError>> {
+    pub fn loaded(&self) -> Option<Result<(), StorageError>> {
         self.shared.lock().loaded.clone()
     }
 
@@ -116,10 +116,10 @@
     /// # Errors
     ///
     /// No slot is free.
-    pub fn submit(&self, ticket: u64, key: impl Into<String>, value: Vec<u8>) -> Result<(), Full> {
+    pub fn submit(&self, ticket: u64, key: impl Into<String>, value: Vec<u8>) -> Result<(), QueueFull> {
         let mut state = self.shared.lock();
         if state.waiting.len() + state.done.len() >= self.slots {
-            return Err(Full);
+            return Err(QueueFull);
         }
         let number = state.taken;
         state.taken += 1;
@@ -133,7 +133,7 @@
     /// What has come to its end since the last call. `Ok` means that the value, or a newer one that
     /// was handed over under the same key, is written and synced. After an error it may be there or
     /// not.
-    pub fn done(&self) -> Vec<(u64, Result<(), StoreError>)> {
+    pub fn done(&self) -> Vec<(u64, Result<(), StorageError>)> {
         std::mem::take(&mut self.shared.lock().done)
     }
 
@@ -167,13 +167,13 @@
     }
 }
 
-impl Drop for Cistern {
+impl Drop for Storage {
     fn drop(&mut self) {
         self.end();
     }
 }
 
-fn run(shared: &Shared, mut keeper: Keeper, mut folder: Folder, waker: Option<Waker>) {
+fn run(shared: &Shared, mut keeper: GenerationManager, mut folder: StoreDirectory, waker: Option<Waker>) {
     let start = Instant::now();
     let now = || Nanos(u64::try_from(start.elapsed().as_nanos()).unwrap_or(u64::MAX));
     loop {
@@ -206,14 +206,14 @@
     }
 }
 
-fn take(state: &mut State, keeper: &mut Keeper) {
+fn take(state: &mut SharedState, keeper: &mut GenerationManager) {
     for (number, key, value) in state.queue.drain(..) {
         keeper.submit(number, key, value);
     }
 }
 
 /// Makes what the keeper knows visible, and wakes the host where that changed something.
-fn show(shared: &Shared, keeper: &mut Keeper, waker: Option<&Waker>) {
+fn show(shared: &Shared, keeper: &mut GenerationManager, waker: Option<&Waker>) {
     let reports = keeper.reports();
     let mut state = shared.lock();
     let mut changed = !reports.is_empty() || state.sound != keeper.sound();
--- a/crates/fernknot-storage/src/error.rs
+++ b/crates/fernknot-storage/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Where in the work with the folder it went wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum Operation {
     Open,
     Insert,
     Sync,
@@ -14,15 +14,15 @@
     Remove,
 }
 
-impl fmt::Display for Step {
+impl fmt::Display for Operation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Step::Open => "open",
-            Step::Insert => "insert",
-            Step::Sync => "sync",
-            Step::Read => "read",
-            Step::Seal => "seal",
-            Step::Remove => "remove",
+            Operation::Open => "open",
+            Operation::Insert => "insert",
+            Operation::Sync => "sync",
+            Operation::Read => "read",
+            Operation::Seal => "seal",
+            Operation::Remove => "remove",
         })
     }
 }
@@ -30,18 +30,18 @@
 /// A step that failed. Nothing is known of a write that ended so: it may be there or not.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("disk: {step}: {why}")]
-pub struct StoreError {
-    pub step: Step,
+pub struct StorageError {
+    pub step: Operation,
     pub why: String,
 }
 
-impl StoreError {
-    pub fn new(step: Step, why: impl fmt::Display) -> StoreError {
-        StoreError { step, why: why.to_string() }
+impl StorageError {
+    pub fn new(step: Operation, why: impl fmt::Display) -> StorageError {
+        StorageError { step, why: why.to_string() }
     }
 
     /// Turns any error of a step into this one.
-    pub(crate) fn at<E: fmt::Display>(step: Step) -> impl Fn(E) -> StoreError {
-        move |why| StoreError::new(step, why)
+    pub(crate) fn at<E: fmt::Display>(step: Operation) -> impl Fn(E) -> StorageError {
+        move |why| StorageError::new(step, why)
     }
 }
--- a/crates/fernknot-storage/src/folder.rs
+++ b/crates/fernknot-storage/src/folder.rs
@@ -8,9 +8,9 @@
 
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
 
-use crate::error::{Step, StoreError};
+use crate::error::{Operation, StorageError};
 use crate::journal;
-use crate::keeper::{Generation, Order, Outcome, Values};
+use crate::keeper::{Action, Generation, Outcome, Values};
 
 const KEYSPACE: &str = "kept";
 const SEAL: &str = "sealed";
@@ -24,7 +24,7 @@
 
 /// The folder, and the stores that are open.
 #[derive(Debug)]
-pub struct Folder {
+pub struct StoreDirectory {
     dir: PathBuf,
     open: Option<(Generation, Store)>,
     built: Option<(Generation, Store)>,
@@ -42,9 +42,9 @@
     }
 }
 
-impl Folder {
-    pub fn new(dir: PathBuf) -> Folder {
-        Folder { dir, open: None, built: None }
+impl StoreDirectory {
+    pub fn new(dir: PathBuf) -> StoreDirectory {
+        StoreDirectory { dir, open: None, built: None }
     }
 
     /// Carries an order out. Blocks for as long as the disk does.
@@ -53,18 +53,18 @@
     ///
     /// The step that failed. A store in which a write failed is closed for good, and so is one in
     /// which `fjall` panicked.
-    pub fn carry_out(&mut self, order: Order) -> Result<Outcome, StoreError> {
+    pub fn carry_out(&mut self, order: Action) -> Result<Outcome, StorageError> {
         let step = match order {
-            Order::List | Order::Read(_) => Step::Read,
-            Order::Build(..) => Step::Open,
-            Order::Seal(_) => Step::Seal,
-            Order::Write(..) => Step::Insert,
-            Order::Remove(_) => Step::Remove,
+            Action::List | Action::Read(_) => Operation::Read,
+            Action::Build(..) => Operation::Open,
+            Action::Seal(_) => Operation::Seal,
+            Action::Write(..) => Operation::Insert,
+            Action::Remove(_) => Operation::Remove,
         };
-        let spoils = matches!(order, Order::Write(..) | Order::Seal(_));
+        let spoils = matches!(order, Action::Write(..) | Action::Seal(_));
         // What `fjall` holds to be impossible it panics on; here that is one more failed step.
         let end = catch_unwind(AssertUnwindSafe(|| self.attempt(order)))
-            .unwrap_or_else(|_| Err(StoreError::new(step, "the store panicked")));
+            .unwrap_or_else(|_| Err(StorageError::new(step, "the store panicked")));
         if end.is_err() {
             self.built = None;
             if spoils {
@@ -74,23 +74,23 @@
         end
     }
 
-    fn attempt(&mut self, order: Order) -> Result<Outcome, StoreError> {
+    fn attempt(&mut self, order: Action) -> Result<Outcome, StorageError> {
         match order {
-            Order::List => self.list().map(Outcome::Listed),
-            Order::Read(generation) => Store::open(&self.path(generation))?.values().map(Outcome::Held),
-            Order::Build(generation, values) => self.build(generation, &values),
-            Order::Seal(generation) => self.seal(generation),
-            Order::Write(generation, items) => match &self.open {
+            Action::List => self.list().map(Outcome::Listed),
+            Action::Read(generation) => Store::open(&self.path(generation))?.values().map(Outcome::Held),
+            Action::Build(generation, values) => self.build(generation, &values),
+            Action::Seal(generation) => self.seal(generation),
+            Action::Write(generation, items) => match &self.open {
                 Some((open, store)) if *open == generation => {
                     store.write(items.iter().map(|(key, value)| (key.as_str(), &**value)))?;
                     Ok(Outcome::Done)
                 }
-                _ => Err(StoreError::new(Step::Insert, "this generation is not open")),
+                _ => Err(StorageError::new(Operation::Insert, "this generation is not open")),
             },
-            Order::Remove(generation) => {
+            Action::Remove(generation) => {
                 let path = self.path(generation);
-                remove(&path, DEPTH).map_err(StoreError::at(Step::Remove))?;
-                sync_folder(&self.dir).map_err(StoreError::at(Step::Remove))?;
+                remove(&path, DEPTH).map_err(StorageError::at(Operation::Remove))?;
+                sync_folder(&self.dir).map_err(StorageError::at(Operation::Remove))?;
                 Ok(Outcome::Done)
             }
         }
@@ -100,8 +100,8 @@
         self.dir.join(generation.0.to_string())
     }
 
-    fn list(&self) -> Result<Vec<(Generation, bool)>, StoreError> {
-        let at = StoreError::at(Step::Open);
+    fn list(&self) -> Result<Vec<(Generation, bool)>, StorageError> {
+        let at = StorageError::at(Operation::Open);
         if !self.dir.try_exists().map_err(&at)? {
             fs::create_dir_all(&self.dir).map_err(&at)?;
             // A folder whose own name is lost takes all that was synced in it along.
@@ -121,7 +121,7 @@
         Ok(generations)
     }
 
-    fn sealed(&self, generation: Generation) -> Result<bool, StoreError> {
+    fn sealed(&self, generation: Generation) -> Result<bool, StorageError> {
         match fs::read(self.path(generation).join(SEAL)) {
             // A torn seal is none: nothing is reported as stored before it is synced.
             Ok(bytes) => Ok(bytes == seal(generation)),
@@ -129,11 +129,11 @@
                 Ok(false)
             }
             // To take a seal that cannot be read for none would lose what it seals.
-            Err(error) => Err(StoreError::new(Step::Read, error)),
+            Err(error) => Err(StorageError::new(Operation::Read, error)),
         }
     }
 
-    fn build(&mut self, generation: Generation, values: &Values) -> Result<Outcome, StoreError> {
+    fn build(&mut self, generation: Generation, values: &Values) -> Result<Outcome, StorageError> {
         let path = self.path(generation);
         self.built = None;
         let store = Store::create(&path)?;
@@ -146,10 +146,10 @@
         Ok(Outcome::Held(held))
     }
 
-    fn seal(&mut self, generation: Generation) -> Result<Outcome, StoreError> {
-        let at = StoreError::at(Step::Seal);
+    fn seal(&mut self, generation: Generation) -> Result<Outcome, StorageError> {
+        let at = StorageError::at(Operation::Seal);
         let Some(built) = self.built.take().filter(|(built, _)| *built == generation) else {
-            return Err(StoreError::new(Step::Seal, "this generation was not built"));
+            return Err(StorageError::new(Operation::Seal, "this generation was not built"));
         };
         let path = self.path(generation);
         // The names first: once the seal is there, all that it speaks for must be.
@@ -165,9 +165,9 @@
 }
 
 impl Store {
-    fn create(path: &Path) -> Result<Store, StoreError> {
-        let at = StoreError::at(Step::Open);
-        fs::create_dir_all(path).map_err(StoreError::at(Step::Open))?;
+    fn create(path: &Path) -> Result<Store, StorageError> {
+        let at = StorageError::at(Operation::Open);
+        fs::create_dir_all(path).map_err(StorageError::at(Operation::Open))?;
         let database = Store::database(path)?;
         let options = || KeyspaceCreateOptions::default().manual_journal_persist(true);
         let kept = database.keyspace(KEYSPACE, options).map_err(&at)?;
@@ -175,11 +175,11 @@
     }
 
     /// Opens a store that is there.
-    fn open(path: &Path) -> Result<Store, StoreError> {
-        let at = StoreError::at(Step::Open);
-        let io = StoreError::at(Step::Open);
+    fn open(path: &Path) -> Result<Store, StorageError> {
+        let at = StorageError::at(Operation::Open);
+        let io = StorageError::at(Operation::Open);
         if !path.join(VERSION).try_exists().map_err(&io)? {
-            return Err(StoreError::new(Step::Open, "the store is not whole"));
+            return Err(StorageError::new(Operation::Open, "the store is not whole"));
         }
         for entry in fs::read_dir(path).map_err(&io)? {
             let file = entry.map_err(&io)?.path();
@@ -189,13 +189,13 @@
         }
         let database = Store::database(path)?;
         if !database.keyspace_exists(KEYSPACE) {
-            return Err(StoreError::new(Step::Open, "the store lacks its keyspace"));
+            return Err(StorageError::new(Operation::Open, "the store lacks its keyspace"));
         }
         let kept = database.keyspace(KEYSPACE, KeyspaceCreateOptions::default).map_err(&at)?;
         Ok(Store { kept, database })
     }
 
-    fn database(path: &Path) -> Result<Database, StoreError> {
+    fn database(path: &Path) -> Result<Database, StorageError> {
         // One thread, which has nothing to do: a generation ends before its values leave memory.
         Database::builder(path)
             .worker_threads(1)
@@ -203,24 +203,24 @@
             .max_cached_files(Some(CACHED_FILES))
             .manual_journal_persist(true)
             .open()
-            .map_err(StoreError::at(Step::Open))
+            .map_err(StorageError::at(Operation::Open))
     }
 
-    fn values(&self) -> Result<Values, StoreError> {
+    fn values(&self) -> Result<Values, StorageError> {
         let mut values = Values::new();
         for guard in self.kept.iter() {
-            let (key, value) = guard.into_inner().map_err(StoreError::at(Step::Read))?;
-            let key = String::from_utf8(key.to_vec()).map_err(StoreError::at(Step::Read))?;
+            let (key, value) = guard.into_inner().map_err(StorageError::at(Operation::Read))?;
+            let key = String::from_utf8(key.to_vec()).map_err(StorageError::at(Operation::Read))?;
             values.insert(key, value.to_vec().into());
         }
         Ok(values)
     }
 
-    fn write<'a>(&self, items: impl Iterator<Item = (&'a str, &'a [u8])>) -> Result<(), StoreError> {
+    fn write<'a>(&self, items: impl Iterator<Item = (&'a str, &'a [u8])>) -> Result<(), StorageError> {
         for (key, value) in items {
-            self.kept.insert(key, value).map_err(StoreError::at(Step::Insert))?;
+            self.kept.insert(key, value).map_err(StorageError::at(Operation::Insert))?;
         }
-        self.database.persist(PersistMode::SyncAll).map_err(StoreError::at(Step::Sync))
+        self.database.persist(PersistMode::SyncAll).map_err(StorageError::at(Operation::Sync))
     }
 }
 
--- a/crates/fernknot-storage/src/journal.rs
+++ b/crates/fernknot-storage/src/journal.rs
@@ -38,7 +38,7 @@
 
 /// How many bytes from the start form whole batches.
 fn whole(file: &File, length: u64) -> io::Result<u64> {
-    let mut reader = Reader { from: BufReader::with_capacity(1 << 16, file), left: length };
+    let mut reader = JournalReader { from: BufReader::with_capacity(1 << 16, file), left: length };
     let mut whole = 0;
     loop {
         match reader.batch() {
@@ -51,12 +51,12 @@
     }
 }
 
-struct Reader<R> {
+struct JournalReader<R> {
     from: R,
     left: u64,
 }
 
-impl<R: Read> Reader<R> {
+impl<R: Read> JournalReader<R> {
     /// Reads one batch; false where there is no whole one.
     fn batch(&mut self) -> io::Result<bool> {
         let Some([START]) = self.take()? else { return Ok(false) };
--- a/crates/fernknot-storage/src/keeper.rs
+++ b/crates/fernknot-storage/src/keeper.rs
@@ -13,7 +13,7 @@
 
 use fernknot::interface::Nanos;
 
-use crate::error::{Step, StoreError};
+use crate::error::{Operation, StorageError};
 
 /// Newest value by key.
 pub type Values = BTreeMap<String, Arc<[u8]>>;
@@ -25,7 +25,7 @@
 
 /// What the host is asked to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Action {
     /// Say which generations there are, and which of them are sealed.
     List,
     /// Say what a sealed generation holds, without keeping it open.
@@ -51,7 +51,7 @@
 
 /// How much may be kept, and how long to rest after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Measures {
+pub struct Limits {
     /// Keys and values together that may be kept at once.
     pub live_bytes: u64,
     /// A journal that is larger ends its generation.
@@ -61,13 +61,13 @@
     pub longest_pause: Nanos,
 }
 
-impl Measures {
+impl Limits {
     /// By the bytes that the disk gives.
-    pub fn of_disk(disk_bytes: u64) -> Measures {
+    pub fn of_disk(disk_bytes: u64) -> Limits {
         // A store sets 64 MB aside for its journal while it is being built, so what lies beside it
         // has half of a small disk: a journal at its bound, and as much again of values.
         let journal_bytes = (disk_bytes / 16).clamp(4 * MIB, LARGEST_JOURNAL / 2);
-        Measures {
+        Limits {
             live_bytes: journal_bytes / 2,
             journal_bytes,
             first_pause: Nanos::from_millis(20.0),
@@ -97,17 +97,17 @@
 }
 
 #[derive(Clone, Debug)]
-enum InHand {
+enum InFlight {
     List,
     Read(Generation),
     Build(Generation),
     Seal(Generation),
-    Write(Vec<Submitted>, u64),
+    Write(Vec<PendingWrite>, u64),
     Remove(Generation),
 }
 
 #[derive(Clone, Debug)]
-struct Submitted {
+struct PendingWrite {
     ticket: u64,
     key: String,
     value: Arc<[u8]>,
@@ -115,10 +115,10 @@
 
 /// See the head of this module.
 #[derive(Debug)]
-pub struct Keeper {
-    measures: Measures,
+pub struct GenerationManager {
+    measures: Limits,
     phase: Phase,
-    in_hand: Option<InHand>,
+    in_hand: Option<InFlight>,
     /// Built and read back, not sealed.
     built: Option<Generation>,
     /// The highest number that was ever seen or given.
@@ -129,18 +129,18 @@
     kept: Option<Values>,
     /// Bytes in the journal of the open store.
     journal: u64,
-    queue: VecDeque<Submitted>,
-    reports: Vec<(u64, Result<(), StoreError>)>,
+    queue: VecDeque<PendingWrite>,
+    reports: Vec<(u64, Result<(), StorageError>)>,
     /// Why writes are refused.
-    trouble: Option<StoreError>,
+    trouble: Option<StorageError>,
     pause: Nanos,
     /// No order but writes to a sound store before this.
     rest_until: Nanos,
 }
 
-impl Keeper {
-    pub fn new(measures: Measures) -> Keeper {
-        Keeper {
+impl GenerationManager {
+    pub fn new(measures: Limits) -> GenerationManager {
+        GenerationManager {
             measures,
             phase: Phase::Unlisted,
             in_hand: None,
@@ -164,7 +164,7 @@
             self.reports.push((ticket, Err(trouble.clone())));
             return;
         }
-        self.queue.push_back(Submitted { ticket, key, value: value.into() });
+        self.queue.push_back(PendingWrite { ticket, key, value: value.into() });
     }
 
     /// Whether there is an open store that is trusted.
@@ -178,13 +178,13 @@
     }
 
     /// Why writes are refused at this moment.
-    pub fn trouble(&self) -> Option<&StoreError> {
+    pub fn trouble(&self) -> Option<&StorageError> {
         self.trouble.as_ref()
     }
 
     /// What has ended since the last call. `Ok` means that the value, or a newer one that was handed
     /// over under the same key, is stored.
-    pub fn reports(&mut self) -> Vec<(u64, Result<(), StoreError>)> {
+    pub fn reports(&mut self) -> Vec<(u64, Result<(), StorageError>)> {
         std::mem::take(&mut self.reports)
     }
 
@@ -195,19 +195,19 @@
     }
 
     /// The next order, one at a time.
-    pub fn next(&mut self, now: Nanos) -> Option<Order> {
+    pub fn next(&mut self, now: Nanos) -> Option<Action> {
         if self.in_hand.is_some() {
             return None;
         }
         let rested = now >= self.rest_until;
         // Nothing comes between the building of a store and its seal: it must hold all there is.
         if let Some(built) = self.built.take() {
-            return self.hand_out(InHand::Seal(built), Order::Seal(built));
+            return self.hand_out(InFlight::Seal(built), Action::Seal(built));
         }
         match self.phase {
-            Phase::Unlisted if rested => self.hand_out(InHand::List, Order::List),
+            Phase::Unlisted if rested => self.hand_out(InFlight::List, Action::List),
             Phase::Unread(generation) if rested => {
-                self.hand_out(InHand::Read(generation), Order::Read(generation))
+                self.hand_out(InFlight::Read(generation), Action::Read(generation))
             }
             Phase::Shut if rested => self.build(),
             Phase::Sound(_) if rested && self.grown() => self.build(),
@@ -216,7 +216,7 @@
                     return Some(order);
                 }
                 let stale = self.stale.first().copied().filter(|_| rested)?;
-                self.hand_out(InHand::Remove(stale), Order::Remove(stale))
+                self.hand_out(InFlight::Remove(stale), Action::Remove(stale))
             }
             _ => None,
         }
@@ -224,24 +224,24 @@
 
     /// Takes in how the order in hand ended. An outcome of another kind than the order's counts as
     /// a failure.
-    pub fn ended(&mut self, end: Result<Outcome, StoreError>, now: Nanos) {
+    pub fn ended(&mut self, end: Result<Outcome, StorageError>, now: Nanos) {
         let Some(in_hand) = self.in_hand.take() else { return };
         match (in_hand, end) {
-            (InHand::List, Ok(Outcome::Listed(generations))) => self.listed(&generations),
-            (InHand::Read(generation), Ok(Outcome::Held(values))) => {
+            (InFlight::List, Ok(Outcome::Listed(generations))) => self.listed(&generations),
+            (InFlight::Read(generation), Ok(Outcome::Held(values))) => {
                 self.kept = Some(values);
                 self.stale.insert(generation);
                 self.phase = Phase::Shut;
             }
-            (InHand::Build(generation), Ok(Outcome::Held(values))) => {
+            (InFlight::Build(generation), Ok(Outcome::Held(values))) => {
                 if self.kept.as_ref() == Some(&values) {
                     self.built = Some(generation);
                 } else {
                     let why = "a store that was just built holds something else";
-                    self.not_built(generation, StoreError::new(Step::Read, why), now);
+                    self.not_built(generation, StorageError::new(Operation::Read, why), now);
                 }
             }
-            (InHand::Seal(generation), Ok(Outcome::Done)) => {
+            (InFlight::Seal(generation), Ok(Outcome::Done)) => {
                 if let Phase::Sound(before) = self.phase {
                     self.stale.insert(before);
                 }
@@ -250,16 +250,16 @@
                 self.trouble = None;
                 self.pause = self.measures.first_pause;
             }
-            (InHand::Write(group, bytes), Ok(Outcome::Done)) => {
+            (InFlight::Write(group, bytes), Ok(Outcome::Done)) => {
                 self.journal += bytes;
-                for Submitted { ticket, key, value } in group {
+                for PendingWrite { ticket, key, value } in group {
                     self.kept.get_or_insert_default().insert(key, value);
                     self.reports.push((ticket, Ok(())));
                 }
             }
-            (InHand::Remove(generation), Ok(Outcome::Done)) => drop(self.stale.remove(&generation)),
+            (InFlight::Remove(generation), Ok(Outcome::Done)) => drop(self.stale.remove(&generation)),
             (in_hand, Ok(_)) => {
-                self.failed(in_hand, StoreError::new(Step::Read, "an answer to another order"), now)
+                self.failed(in_hand, StorageError::new(Operation::Read, "an answer to another order"), now)
             }
             (in_hand, Err(error)) => self.failed(in_hand, error, now),
         }
@@ -284,33 +284,33 @@
         };
     }
 
-    fn failed(&mut self, in_hand: InHand, error: StoreError, now: Nanos) {
+    fn failed(&mut self, in_hand: InFlight, error: StorageError, now: Nanos) {
         match in_hand {
-            InHand::List | InHand::Read(_) => {
+            InFlight::List | InFlight::Read(_) => {
                 // What is there may have changed; the look begins anew.
                 self.phase = Phase::Unlisted;
                 self.stale.clear();
                 self.refuse(error, now);
             }
-            InHand::Build(generation) => self.not_built(generation, error, now),
-            InHand::Seal(generation) => {
+            InFlight::Build(generation) => self.not_built(generation, error, now),
+            InFlight::Seal(generation) => {
                 // It may be sealed or not: were the one before it written to, a start could find the
                 // newer seal and miss those writes. So neither is.
                 self.stale.insert(generation);
                 self.distrust();
                 self.refuse(error, now);
             }
-            InHand::Write(group, _) => {
+            InFlight::Write(group, _) => {
                 self.reports.extend(group.into_iter().map(|write| (write.ticket, Err(error.clone()))));
                 self.distrust();
                 self.refuse(error, now);
             }
-            InHand::Remove(_) => self.rest(now),
+            InFlight::Remove(_) => self.rest(now),
         }
     }
 
     /// Nothing points at a store without a seal, so one that is sound beside it stays so.
-    fn not_built(&mut self, generation: Generation, error: StoreError, now: Nanos) {
+    fn not_built(&mut self, generation: Generation, error: StorageError, now: Nanos) {
         self.stale.insert(generation);
         match self.sound() {
             true => self.rest(now),
@@ -326,7 +326,7 @@
     }
 
     /// Ends all that waits with the error, and what comes until a store is sound again.
-    fn refuse(&mut self, error: StoreError, now: Nanos) {
+    fn refuse(&mut self, error: StorageError, now: Nanos) {
         let waiting = std::mem::take(&mut self.queue);
         self.reports.extend(waiting.into_iter().map(|write| (write.ticket, Err(error.clone()))));
         self.trouble = Some(error);
@@ -338,16 +338,16 @@
         self.pause = self.pause.times(2.0).min(self.measures.longest_pause);
     }
 
-    fn hand_out(&mut self, in_hand: InHand, order: Order) -> Option<Order> {
+    fn hand_out(&mut self, in_hand: InFlight, order: Action) -> Option<Action> {
         self.in_hand = Some(in_hand);
         Some(order)
     }
 
-    fn build(&mut self) -> Option<Order> {
+    fn build(&mut self) -> Option<Action> {
         self.highest += 1;
         let generation = Generation(self.highest);
         let values = self.kept.clone().unwrap_or_default();
-        self.hand_out(InHand::Build(generation), Order::Build(generation, values))
+        self.hand_out(InFlight::Build(generation), Action::Build(generation, values))
     }
 
     fn grown(&self) -> bool {
@@ -355,8 +355,8 @@
     }
 
     /// The next writes that one sync covers; of several values for a key only the newest is written.
-    fn write(&mut self, generation: Generation) -> Option<Order> {
-        let mut group: Vec<Submitted> = Vec::new();
+    fn write(&mut self, generation: Generation) -> Option<Action> {
+        let mut group: Vec<PendingWrite> = Vec::new();
         let mut newest = Values::new();
         while let Some(write) = self.queue.pop_front() {
             if let Err(error) = self.check(&write, &newest) {
@@ -375,12 +375,12 @@
             return None;
         }
         let sum = size(&newest);
-        self.hand_out(InHand::Write(group, sum), Order::Write(generation, newest.into_iter().collect()))
+        self.hand_out(InFlight::Write(group, sum), Action::Write(generation, newest.into_iter().collect()))
     }
 
     /// Refuses what would not fit, before any of it is written.
-    fn check(&self, write: &Submitted, newest: &Values) -> Result<(), StoreError> {
-        let refuse = |why: &str| Err(StoreError::new(Step::Insert, why));
+    fn check(&self, write: &PendingWrite, newest: &Values) -> Result<(), StorageError> {
+        let refuse = |why: &str| Err(StorageError::new(Operation::Insert, why));
         if write.key.is_empty() || write.key.len() > KEY_BYTES {
             return refuse("the key is empty or too long");
         }
--- a/crates/fernknot-storage/src/lib.rs
+++ b/crates/fernknot-storage/src/lib.rs
@@ -14,5 +14,5 @@
 pub mod journal;
 pub mod keeper;
 
-pub use cistern::{Cistern, Full, Space};
-pub use error::{Step, StoreError};
+pub use cistern::{Capacity, QueueFull, Storage};
+pub use error::{Operation, StorageError};
--- a/crates/fernknot-storage/tests/common/mod.rs
+++ b/crates/fernknot-storage/tests/common/mod.rs
@@ -6,23 +6,23 @@
 use std::sync::Arc;
 
 use fernknot::interface::Nanos;
-use fernknot_storage::folder::Folder;
-use fernknot_storage::keeper::{Generation, Keeper, Measures, Order, Outcome, Values};
-use fernknot_storage::{Step, StoreError};
+use fernknot_storage::folder::StoreDirectory;
+use fernknot_storage::keeper::{Action, Generation, GenerationManager, Limits, Outcome, Values};
+use fernknot_storage::{Operation, StorageError};
 
 pub const SMALL_DISK: u64 = 64 << 20;
 
 /// Real files, each order carried out as soon as it is given.
 pub struct OnFiles {
-    pub keeper: Keeper,
-    pub folder: Folder,
+    pub keeper: GenerationManager,
+    pub folder: StoreDirectory,
     pub now: Nanos,
 }
 
 impl OnFiles {
     pub fn start(dir: &Path) -> OnFiles {
-        let keeper = Keeper::new(Measures::of_disk(SMALL_DISK));
-        let mut host = OnFiles { keeper, folder: Folder::new(dir.into()), now: Nanos(0) };
+        let keeper = GenerationManager::new(Limits::of_disk(SMALL_DISK));
+        let mut host = OnFiles { keeper, folder: StoreDirectory::new(dir.into()), now: Nanos(0) };
         host.settle();
         host
     }
@@ -34,7 +34,7 @@
         }
     }
 
-    pub fn store(&mut self, key: &str, value: &[u8]) -> Result<(), StoreError> {
+    pub fn store(&mut self, key: &str, value: &[u8]) -> Result<(), StorageError> {
         self.keeper.submit(0, key.into(), value.into());
         self.settle();
         let mut reports = self.keeper.reports();
@@ -108,7 +108,7 @@
 /// What stops a step.
 pub enum Stop {
     Crash,
-    Fails(StoreError),
+    Fails(StorageError),
 }
 
 /// A disk made of small steps, each of which may fail or be the last before a loss of power.
@@ -124,7 +124,7 @@
 }
 
 impl StandIn {
-    fn step(&mut self, chance: &mut Chance, step: Step) -> Result<(), Stop> {
+    fn step(&mut self, chance: &mut Chance, step: Operation) -> Result<(), Stop> {
         if let Some(power) = &mut self.power {
             if *power == 0 {
                 return Err(Stop::Crash);
@@ -132,26 +132,26 @@
             *power -= 1;
         }
         match self.fails > 0 && chance.below(self.fails) == 0 {
-            true => Err(Stop::Fails(StoreError::new(step, "refused"))),
+            true => Err(Stop::Fails(StorageError::new(step, "refused"))),
             false => Ok(()),
         }
     }
 
-    fn held(&self, generation: u64) -> Result<Values, StoreError> {
+    fn held(&self, generation: u64) -> Result<Values, StorageError> {
         let store = self.stores.get(&generation).filter(|store| !store.leaving);
-        let store = store.ok_or_else(|| StoreError::new(Step::Open, "is not there"))?;
+        let store = store.ok_or_else(|| StorageError::new(Operation::Open, "is not there"))?;
         Ok(store.batches.iter().map(|(key, value, _)| (key.clone(), value.clone())).collect())
     }
 
     fn add(&mut self, at: u64, items: Vec<(String, Arc<[u8]>)>, chance: &mut Chance) -> Result<(), Stop> {
         for (key, value) in items {
             // The step comes before and after the write: it may fail with the bytes there or not.
-            self.step(chance, Step::Insert)?;
+            self.step(chance, Operation::Insert)?;
             let batches = &mut self.stores.get_mut(&at).expect("built before").batches;
             batches.push((key, value, Safe::NotYet));
-            self.step(chance, Step::Insert)?;
+            self.step(chance, Operation::Insert)?;
         }
-        let end = self.step(chance, Step::Sync);
+        let end = self.step(chance, Operation::Sync);
         for (.., safe) in &mut self.stores.get_mut(&at).expect("built before").batches {
             match (&end, *safe) {
                 (Ok(()), Safe::NotYet) => *safe = Safe::Yes,
@@ -162,33 +162,33 @@
         end
     }
 
-    pub fn carry_out(&mut self, order: Order, chance: &mut Chance) -> Result<Outcome, Stop> {
+    pub fn carry_out(&mut self, order: Action, chance: &mut Chance) -> Result<Outcome, Stop> {
         match order {
-            Order::List => {
-                self.step(chance, Step::Open)?;
+            Action::List => {
+                self.step(chance, Operation::Open)?;
                 let seen = |(at, store): (&u64, &Store)| (Generation(*at), store.seal.is_some());
                 Ok(Outcome::Listed(self.stores.iter().map(seen).collect()))
             }
-            Order::Read(Generation(at)) => {
-                self.step(chance, Step::Read)?;
+            Action::Read(Generation(at)) => {
+                self.step(chance, Operation::Read)?;
                 self.held(at).map(Outcome::Held).map_err(Stop::Fails)
             }
-            Order::Build(Generation(at), values) => {
+            Action::Build(Generation(at), values) => {
                 assert!(!self.stores.contains_key(&at), "no number is given twice");
-                self.step(chance, Step::Open)?;
+                self.step(chance, Operation::Open)?;
                 let store = Store { batches: vec![], name: Safe::NotYet, seal: None, leaving: false };
                 self.stores.insert(at, store);
                 self.add(at, values.into_iter().collect(), chance)?;
                 self.held(at).map(Outcome::Held).map_err(Stop::Fails)
             }
-            Order::Seal(Generation(at)) => {
+            Action::Seal(Generation(at)) => {
                 let end = self.seal(at, chance);
                 if end.is_err() {
                     self.spoilt.extend(self.stores.keys());
                 }
                 end.map(|()| Outcome::Done)
             }
-            Order::Write(Generation(at), items) => {
+            Action::Write(Generation(at), items) => {
                 assert!(!self.spoilt.contains(&at), "a store in which a write failed is written to again");
                 let end = self.add(at, items, chance);
                 if end.is_err() {
@@ -196,10 +196,10 @@
                 }
                 end.map(|()| Outcome::Done)
             }
-            Order::Remove(Generation(at)) => {
-                self.step(chance, Step::Remove)?;
+            Action::Remove(Generation(at)) => {
+                self.step(chance, Operation::Remove)?;
                 self.stores.get_mut(&at).into_iter().for_each(|store| store.leaving = true);
-                self.step(chance, Step::Remove)?;
+                self.step(chance, Operation::Remove)?;
                 self.stores.remove(&at);
                 Ok(Outcome::Done)
             }
@@ -207,11 +207,11 @@
     }
 
     fn seal(&mut self, at: u64, chance: &mut Chance) -> Result<(), Stop> {
-        self.step(chance, Step::Seal)?;
+        self.step(chance, Operation::Seal)?;
         self.stores.get_mut(&at).expect("built before").name = Safe::Yes;
-        self.step(chance, Step::Seal)?;
+        self.step(chance, Operation::Seal)?;
         self.stores.get_mut(&at).expect("built before").seal = Some(Safe::NotYet);
-        let end = self.step(chance, Step::Seal);
+        let end = self.step(chance, Operation::Seal);
         let seal = match &end {
             Ok(()) => Safe::Yes,
             Err(Stop::Crash) => Safe::NotYet,
--- a/crates/fernknot-storage/tests/files.rs
+++ b/crates/fernknot-storage/tests/files.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::{OnFiles, SMALL_DISK, copy, files};
-use fernknot_storage::{Cistern, Full, Space};
+use fernknot_storage::{Capacity, QueueFull, Storage};
 use tempfile::TempDir;
 use test_case::test_case;
 
@@ -139,14 +139,14 @@
     assert!(named < SMALL_DISK / 5, "no room stays set aside: {named}");
 }
 
-const SPACE: Space = Space { slots: 2, disk_bytes: SMALL_DISK };
+const SPACE: Capacity = Capacity { slots: 2, disk_bytes: SMALL_DISK };
 
 #[test]
 fn given_a_cistern_when_closed_and_opened_then_its_values_are_there() {
     let dir = TempDir::new().unwrap();
     let (woken, wakes) = mpsc::channel();
     let waker = Box::new(move || woken.send(()).unwrap_or(()));
-    let cistern = Cistern::open(dir.path().join("new"), SPACE, Some(waker)).unwrap();
+    let cistern = Storage::open(dir.path().join("new"), SPACE, Some(waker)).unwrap();
     assert_eq!(cistern.load("plan"), Ok(None));
     cistern.submit(41, "plan", value(1)).unwrap();
     let mut done = cistern.done();
@@ -157,7 +157,7 @@
     assert_eq!(done, [(41, Ok(()))]);
     assert_eq!((cistern.waiting(), cistern.oldest_wait(Instant::now())), (0, None));
     cistern.close();
-    let cistern = Cistern::open(dir.path().join("new"), SPACE, None).unwrap();
+    let cistern = Storage::open(dir.path().join("new"), SPACE, None).unwrap();
     assert_eq!(cistern.load("plan"), Ok(Some(value(1))));
     cistern.close();
 }
@@ -168,16 +168,16 @@
     let (go, held) = mpsc::channel::<()>();
     // The thread stands in its waker until the other end is let go.
     let waker = Box::new(move || held.recv().unwrap_or(()));
-    let cistern = Cistern::open(dir.path().into(), SPACE, Some(waker)).unwrap();
+    let cistern = Storage::open(dir.path().into(), SPACE, Some(waker)).unwrap();
     assert_eq!(cistern.load("plan"), Ok(None));
     cistern.submit(1, "plan", value(1)).unwrap();
     cistern.submit(2, "plan", value(2)).unwrap();
-    assert_eq!(cistern.submit(3, "plan", value(3)), Err(Full));
+    assert_eq!(cistern.submit(3, "plan", value(3)), Err(QueueFull));
     let later = Instant::now() + Duration::from_secs(5);
     assert!(cistern.oldest_wait(later).unwrap() >= Duration::from_secs(5));
     drop(go);
     cistern.close();
-    let cistern = Cistern::open(dir.path().into(), SPACE, None).unwrap();
+    let cistern = Storage::open(dir.path().into(), SPACE, None).unwrap();
     assert_eq!(cistern.load("plan"), Ok(Some(value(2))));
     cistern.close();
 }
@@ -187,7 +187,7 @@
     let dir = TempDir::new().unwrap();
     let file = dir.path().join("file");
     fs::write(&file, b"in the way").unwrap();
-    let cistern = Cistern::open(file, SPACE, None).unwrap();
+    let cistern = Storage::open(file, SPACE, None).unwrap();
     assert!(cistern.load("plan").is_err());
     assert!(!cistern.sound());
     cistern.close();
--- a/crates/fernknot-storage/tests/keeper.rs
+++ b/crates/fernknot-storage/tests/keeper.rs
@@ -4,15 +4,15 @@
 
 use common::{Chance, StandIn, Stop};
 use fernknot::interface::Nanos;
-use fernknot_storage::keeper::{Generation, Keeper, Measures, Order, Outcome, Values};
-use fernknot_storage::{Step, StoreError};
+use fernknot_storage::keeper::{Action, Generation, GenerationManager, Limits, Outcome, Values};
+use fernknot_storage::{Operation, StorageError};
 use proptest::prelude::*;
 
 const KEYS: [&str; 3] = ["epoch", "plan", "vote"];
 
-fn measures() -> Measures {
+fn measures() -> Limits {
     let ms = Nanos::from_millis;
-    Measures { live_bytes: 1000, journal_bytes: 600, first_pause: ms(20.0), longest_pause: ms(1000.0) }
+    Limits { live_bytes: 1000, journal_bytes: 600, first_pause: ms(20.0), longest_pause: ms(1000.0) }
 }
 
 /// What was handed over and what was reported, for one key.
@@ -37,7 +37,7 @@
 }
 
 struct Life<'a> {
-    keeper: Keeper,
+    keeper: GenerationManager,
     now: Nanos,
     disk: &'a mut StandIn,
     chance: &'a mut Chance,
@@ -69,11 +69,12 @@
         // The power could be lost at this very moment, and take all that was not synced.
         let mut copy = self.disk.clone();
         copy.lose_power(&mut Chance(0), true);
-        let (mut keeper, mut chance) = (Keeper::new(measures()), Chance(0));
+        let (mut keeper, mut chance) = (GenerationManager::new(measures()), Chance(0));
         copy.fails = 0;
         while keeper.kept().is_none() {
             let order = keeper.next(Nanos(0)).expect("a folder that can be read");
-            let end = copy.carry_out(order, &mut chance).map_err(|_| StoreError::new(Step::Read, "lost"));
+            let end =
+                copy.carry_out(order, &mut chance).map_err(|_| StorageError::new(Operation::Read, "lost"));
             keeper.ended(end, Nanos(0));
         }
         check(keeper.kept().unwrap(), self.told);
@@ -94,7 +95,7 @@
         for _ in 0..lives {
             disk.power = Some(power + chance.below(60));
             disk.fails = fails;
-            let keeper = Keeper::new(measures());
+            let keeper = GenerationManager::new(measures());
             let (disk, chance) = (&mut disk, &mut chance);
             let mut life = Life { keeper, now: Nanos(0), disk, chance, told: &mut told };
             for _ in 0..60 {
@@ -118,7 +119,7 @@
         // With the disk well again a start gets through and takes writes.
         disk.fails = 0;
         let mut life = Life {
-            keeper: Keeper::new(measures()), now: Nanos(0), disk: &mut disk, chance: &mut chance, told: &mut told,
+            keeper: GenerationManager::new(measures()), now: Nanos(0), disk: &mut disk, chance: &mut chance, told: &mut told,
         };
         prop_assert!(life.settle());
         check(life.keeper.kept().unwrap(), life.told);
@@ -131,13 +132,13 @@
 }
 
 /// A keeper that was given an empty folder and has a sound store.
-fn sound() -> Keeper {
-    let mut keeper = Keeper::new(measures());
-    assert_eq!(keeper.next(Nanos(0)), Some(Order::List));
+fn sound() -> GenerationManager {
+    let mut keeper = GenerationManager::new(measures());
+    assert_eq!(keeper.next(Nanos(0)), Some(Action::List));
     keeper.ended(Ok(Outcome::Listed(vec![])), Nanos(0));
-    assert_eq!(keeper.next(Nanos(0)), Some(Order::Build(Generation(1), Values::new())));
+    assert_eq!(keeper.next(Nanos(0)), Some(Action::Build(Generation(1), Values::new())));
     keeper.ended(Ok(Outcome::Held(Values::new())), Nanos(0));
-    assert_eq!(keeper.next(Nanos(0)), Some(Order::Seal(Generation(1))));
+    assert_eq!(keeper.next(Nanos(0)), Some(Action::Seal(Generation(1))));
     keeper.ended(Ok(Outcome::Done), Nanos(0));
     assert!(keeper.sound());
     keeper
@@ -146,9 +147,9 @@
 #[test]
 fn given_a_full_disk_when_writes_fail_then_they_are_refused_until_there_is_room() {
     let mut keeper = sound();
-    let full = StoreError::new(Step::Insert, "no room");
+    let full = StorageError::new(Operation::Insert, "no room");
     keeper.submit(1, "plan".into(), vec![1]);
-    assert!(matches!(keeper.next(Nanos(0)), Some(Order::Write(Generation(1), _))));
+    assert!(matches!(keeper.next(Nanos(0)), Some(Action::Write(Generation(1), _))));
     keeper.submit(2, "plan".into(), vec![2]);
     keeper.ended(Err(full.clone()), Nanos(0));
     // The one that failed, the one behind it, and one that comes while nothing is trusted.
@@ -163,18 +164,18 @@
         let woken = keeper.wake_at().unwrap();
         pauses.push((woken - now).as_millis());
         now = woken;
-        assert_eq!(keeper.next(now), Some(Order::Build(Generation(at), Values::new())));
-        keeper.ended(Err(StoreError::new(Step::Open, "no room")), now);
+        assert_eq!(keeper.next(now), Some(Action::Build(Generation(at), Values::new())));
+        keeper.ended(Err(StorageError::new(Operation::Open, "no room")), now);
     }
     assert!(pauses.is_sorted() && pauses[0] == 20.0 && pauses[9] == 1000.0, "{pauses:?}");
 
     now = keeper.wake_at().unwrap();
-    assert!(matches!(keeper.next(now), Some(Order::Build(..))));
+    assert!(matches!(keeper.next(now), Some(Action::Build(..))));
     keeper.ended(Ok(Outcome::Held(Values::new())), now);
-    assert!(matches!(keeper.next(now), Some(Order::Seal(_))));
+    assert!(matches!(keeper.next(now), Some(Action::Seal(_))));
     keeper.ended(Ok(Outcome::Done), now);
     keeper.submit(4, "plan".into(), vec![4]);
-    assert!(matches!(keeper.next(now), Some(Order::Write(Generation(12), _))));
+    assert!(matches!(keeper.next(now), Some(Action::Write(Generation(12), _))));
     keeper.ended(Ok(Outcome::Done), now);
     assert_eq!(keeper.reports(), [(4, Ok(()))]);
 }
@@ -183,27 +184,27 @@
 fn given_a_disk_that_hangs_when_more_is_handed_over_then_it_waits_for_one_sync() {
     let mut keeper = sound();
     keeper.submit(1, "plan".into(), vec![1]);
-    assert!(matches!(keeper.next(Nanos(0)), Some(Order::Write(..))));
+    assert!(matches!(keeper.next(Nanos(0)), Some(Action::Write(..))));
     for ticket in 2..6 {
         keeper.submit(ticket, "plan".into(), vec![ticket as u8]);
     }
     assert_eq!(keeper.next(Nanos(u64::MAX / 2)), None, "one order at a time, however long it takes");
     keeper.ended(Ok(Outcome::Done), Nanos(u64::MAX / 2));
     let newest = vec![("plan".to_string(), [5u8][..].into())];
-    assert_eq!(keeper.next(Nanos(u64::MAX / 2)), Some(Order::Write(Generation(1), newest)));
+    assert_eq!(keeper.next(Nanos(u64::MAX / 2)), Some(Action::Write(Generation(1), newest)));
     keeper.ended(Ok(Outcome::Done), Nanos(u64::MAX / 2));
     assert_eq!(keeper.reports().len(), 5);
 }
 
 #[test]
 fn given_a_store_that_holds_something_else_than_it_was_given_then_it_is_not_trusted() {
-    let mut keeper = Keeper::new(measures());
+    let mut keeper = GenerationManager::new(measures());
     keeper.next(Nanos(0));
     keeper.ended(Ok(Outcome::Listed(vec![(Generation(3), true), (Generation(9), false)])), Nanos(0));
-    assert_eq!(keeper.next(Nanos(0)), Some(Order::Read(Generation(3))));
+    assert_eq!(keeper.next(Nanos(0)), Some(Action::Read(Generation(3))));
     let values = Values::from([("plan".to_string(), [7u8][..].into())]);
     keeper.ended(Ok(Outcome::Held(values.clone())), Nanos(0));
-    assert_eq!(keeper.next(Nanos(0)), Some(Order::Build(Generation(10), values)));
+    assert_eq!(keeper.next(Nanos(0)), Some(Action::Build(Generation(10), values)));
     keeper.ended(Ok(Outcome::Held(Values::new())), Nanos(0));
     assert!(!keeper.sound());
     assert_eq!(keeper.next(Nanos(0)), None);
@@ -216,7 +217,7 @@
     keeper.submit(2, String::new(), vec![0]);
     keeper.submit(3, "k".repeat(1000), vec![0]);
     keeper.submit(4, "plan".into(), vec![0; 100]);
-    assert!(matches!(keeper.next(Nanos(0)), Some(Order::Write(..))));
+    assert!(matches!(keeper.next(Nanos(0)), Some(Action::Write(..))));
     keeper.ended(Ok(Outcome::Done), Nanos(0));
     let told: Vec<_> = keeper.reports().into_iter().map(|(ticket, end)| (ticket, end.is_ok())).collect();
     assert_eq!(told, [(1, false), (2, false), (3, false), (4, true)]);
--- a/crates/fernknot-testbed/src/checker.rs
+++ b/crates/fernknot-testbed/src/checker.rs
@@ -1,6 +1,6 @@
 //! Judges what clients saw by what nodes ran. It merges records by code of its own.
 
-use crate::nodes::Ledger;
+use crate::nodes::ExecutionLog;
 use std::collections::{BTreeSet, HashMap};
 
 /// What a client asks for.
@@ -28,7 +28,7 @@
 
 /// How one try ended for the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum AttemptOutcome {
     /// A whole answer: its status, and what it says of its parts or its seal.
     Answer { status: u16, seals: Vec<String>, missing: usize, body: Vec<u8> },
     /// No connection, or one that ended before any of the answer came.
@@ -39,11 +39,11 @@
 
 /// One try.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     pub attempt: String,
     /// The whole request was written.
     pub sent: bool,
-    pub seen: Seen,
+    pub seen: AttemptOutcome,
 }
 
 /// One request of a client with all its tries.
@@ -51,19 +51,21 @@
 pub struct Request {
     pub kind: Kind,
     pub target: String,
-    pub tries: Vec<Try>,
+    pub tries: Vec<Attempt>,
     pub took_ms: f64,
 }
 
 impl Request {
     pub fn served(&self) -> bool {
-        self.tries.last().is_some_and(|last| matches!(last.seen, Seen::Answer { status: 200..=299, .. }))
+        self.tries
+            .last()
+            .is_some_and(|last| matches!(last.seen, AttemptOutcome::Answer { status: 200..=299, .. }))
     }
 }
 
 /// What the configurations allow.
 #[derive(Clone, Debug)]
-pub struct Allowed {
+pub struct Expectations {
     /// The shards of the gathered route in any version sent so far.
     pub sets: Vec<Vec<String>>,
     pub top_k: usize,
@@ -73,20 +75,20 @@
 
 /// A rule that was broken, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Break {
+pub struct Violation {
     pub rule: &'static str,
     pub what: String,
 }
 
 /// Every break that clients and nodes saw between them.
-pub fn check(requests: &[Request], ledger: &Ledger, allowed: &Allowed) -> Vec<Break> {
+pub fn check(requests: &[Request], ledger: &ExecutionLog, allowed: &Expectations) -> Vec<Violation> {
     let mut breaks = Vec::new();
     let mut tries: HashMap<&str, &Request> = HashMap::new();
     for request in requests {
         for tried in &request.tries {
             tries.insert(&tried.attempt, request);
             let found = judge(request, tried, ledger, allowed);
-            breaks.extend(found.into_iter().map(|(rule, why)| Break {
+            breaks.extend(found.into_iter().map(|(rule, why)| Violation {
                 rule,
                 what: format!("{:?} {}: {why}", request.kind, tried.attempt),
             }));
@@ -94,7 +96,7 @@
     }
     for (attempt, runs) in &ledger.runs {
         let Some(request) = tries.get(attempt.as_str()) else {
-            breaks.push(Break { rule: "UNASKED", what: format!("{attempt} ran, and no client sent it") });
+            breaks.push(Violation { rule: "UNASKED", what: format!("{attempt} ran, and no client sent it") });
             continue;
         };
         for run in runs {
@@ -103,14 +105,14 @@
                 _ => run.service == allowed.single,
             };
             if !at_home {
-                breaks.push(Break { rule: "ROUTE", what: format!("{attempt} ran at {}", run.service) });
+                breaks.push(Violation { rule: "ROUTE", what: format!("{attempt} ran at {}", run.service) });
             }
             if run.target != request.target {
-                breaks.push(Break { rule: "UNASKED", what: format!("{attempt} ran as {}", run.target) });
+                breaks.push(Violation { rule: "UNASKED", what: format!("{attempt} ran as {}", run.target) });
             }
         }
         if !request.kind.repeats() && runs.len() > 1 {
-            breaks.push(Break { rule: "TWICE", what: format!("{attempt} ran {} times", runs.len()) });
+            breaks.push(Violation { rule: "TWICE", what: format!("{attempt} ran {} times", runs.len()) });
         }
     }
     breaks
@@ -118,17 +120,17 @@
 
 fn judge(
     request: &Request,
-    tried: &Try,
-    ledger: &Ledger,
-    allowed: &Allowed,
+    tried: &Attempt,
+    ledger: &ExecutionLog,
+    allowed: &Expectations,
 ) -> Option<(&'static str, String)> {
     let runs = ledger.runs.get(&tried.attempt).map(Vec::as_slice).unwrap_or_default();
     let (status, seals, missing, body) = match &tried.seen {
-        Seen::Answer { status, seals, missing, body } => (*status, seals, *missing, body),
-        Seen::Cut(why) => {
+        AttemptOutcome::Answer { status, seals, missing, body } => (*status, seals, *missing, body),
+        AttemptOutcome::Cut(why) => {
             return (!runs.is_empty()).then(|| ("LOST", format!("it ran, and the client got: {why}")));
         }
-        Seen::Broken(why) => return Some(("MIXED", why.clone())),
+        AttemptOutcome::Broken(why) => return Some(("MIXED", why.clone())),
     };
     if matches!(status, 408 | 421 | 429 | 503) && !request.kind.repeats() && !runs.is_empty() {
         return Some(("REFUSED", format!("{status}, and it ran")));
--- a/crates/fernknot-testbed/src/inner.rs
+++ b/crates/fernknot-testbed/src/inner.rs
@@ -1,8 +1,8 @@
 //! What is said to a running process at its inner port.
 
-use fernknot_ownership::{Gateway, LifeId};
+use fernknot_ownership::{GatewayRecord, IncarnationId};
 use fernknot_protocol::buffer::Buffer;
-use fernknot_rpc::{Inward, Outward, Question, Share, pull, push};
+use fernknot_rpc::{ControllerToGateway, GatewayToController, InspectionTopic, Subscription, pull, push};
 use std::io::{Error, ErrorKind, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
@@ -23,12 +23,12 @@
 ///
 /// # Errors
 /// Where it can't be reached, or says nothing within the time.
-pub fn ask(peer: SocketAddrV4, question: Question, within: Duration) -> Result<String, WireError> {
+pub fn ask(peer: SocketAddrV4, question: InspectionTopic, within: Duration) -> Result<String, WireError> {
     let text = |word| match word {
-        Outward::Answer(text) => Some(text),
+        ControllerToGateway::Answer(text) => Some(text),
         _ => None,
     };
-    exchange(peer, &Inward::Ask(question), within, text)
+    exchange(peer, &GatewayToController::Ask(question), within, text)
 }
 
 /// Orders a registrar to make a view without those whose disks are lost: its number, or why it refuses.
@@ -41,18 +41,18 @@
     within: Duration,
 ) -> Result<Result<u64, String>, WireError> {
     let end = |word| match word {
-        Outward::Forced(end) => Some(end),
+        ControllerToGateway::Forced(end) => Some(end),
         _ => None,
     };
-    exchange(peer, &Inward::Force { lost }, within, end)
+    exchange(peer, &GatewayToController::Force { lost }, within, end)
 }
 
 /// Says a word, and waits for the one that answers it.
 fn exchange<T>(
     peer: SocketAddrV4,
-    word: &Inward,
+    word: &GatewayToController,
     within: Duration,
-    answer: impl Fn(Outward) -> Option<T>,
+    answer: impl Fn(ControllerToGateway) -> Option<T>,
 ) -> Result<T, WireError> {
     let until = Instant::now() + within;
     let mut stream = open(peer, within)?;
@@ -78,7 +78,7 @@
             Err(why) => return Err(fail("read from")(why)),
         }
         let bad = |why| WireError { step: "read from", peer, why: Error::new(ErrorKind::InvalidData, why) };
-        while let Some(word) = pull::<Outward>(&mut input, MOST).map_err(bad)? {
+        while let Some(word) = pull::<ControllerToGateway>(&mut input, MOST).map_err(bad)? {
             if let Some(answer) = answer(word) {
                 return Ok(answer);
             }
@@ -88,7 +88,7 @@
 
 /// What a listener got.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct SubscriptionTraffic {
     /// Bytes of all it was told at first, up to the word that it is whole.
     pub whole: usize,
     /// Bytes and words after that, and for how long.
@@ -104,19 +104,27 @@
 ///
 /// # Errors
 /// Where it can't be reached, or tells no whole within the time.
-pub fn listen(peer: SocketAddrV4, zone: &str, life: u64, span: Duration) -> Result<Told, WireError> {
+pub fn listen(
+    peer: SocketAddrV4,
+    zone: &str,
+    life: u64,
+    span: Duration,
+) -> Result<SubscriptionTraffic, WireError> {
     let mut stream = open(peer, span)?;
     let fail = |step| move |why| WireError { step, peer, why };
-    let who =
-        Gateway { life: LifeId(life), addr: SocketAddrV4::new([127, 0, 0, 1].into(), 9), zone: zone.into() };
+    let who = GatewayRecord {
+        life: IncarnationId(life),
+        addr: SocketAddrV4::new([127, 0, 0, 1].into(), 9),
+        zone: zone.into(),
+    };
     let mut out = Buffer::default();
-    push(&mut out, &Inward::Attach { who, ready: false, share: Share::All, order: 0 });
+    push(&mut out, &GatewayToController::Attach { who, ready: false, share: Subscription::All, order: 0 });
     stream.write_all(out.data()).map_err(fail("write to"))?;
     out.consume(out.len());
-    push(&mut out, &Inward::Alive { ready: false });
+    push(&mut out, &GatewayToController::Alive { ready: false });
     let mut input = Buffer::default();
     let (begun, mut alive) = (Instant::now(), Instant::now());
-    let mut told = Told::default();
+    let mut told = SubscriptionTraffic::default();
     let mut whole_at: Option<Instant> = None;
     loop {
         let now = Instant::now();
@@ -146,14 +154,14 @@
             let before = input.len();
             let bad =
                 |why| WireError { step: "listen to", peer, why: Error::new(ErrorKind::InvalidData, why) };
-            let Some(word) = pull::<Outward>(&mut input, MOST).map_err(bad)? else { break };
+            let Some(word) = pull::<ControllerToGateway>(&mut input, MOST).map_err(bad)? else { break };
             let size = before - input.len();
             if whole_at.is_some() {
                 told.bytes += size;
                 told.words += 1;
             } else {
                 told.whole += size;
-                if matches!(word, Outward::Whole) {
+                if matches!(word, ControllerToGateway::Whole) {
                     whole_at = Some(Instant::now());
                     told.whole_s = begun.elapsed().as_secs_f64();
                 }
--- a/crates/fernknot-testbed/src/load.rs
+++ b/crates/fernknot-testbed/src/load.rs
@@ -1,10 +1,10 @@
 //! Clients, and the platform that sends them to gateways that are ready.
 
-use crate::checker::{Kind, Request, Seen, Try};
+use crate::checker::{Attempt, AttemptOutcome, Kind, Request};
 use crate::nodes::held;
 use crate::paper::HOST;
-use crate::wire::{self, Line, Message};
-use fernknot_simulator::chance::Chance;
+use crate::wire::{self, Connection, Message};
+use fernknot_simulator::chance::Rng;
 use std::net::SocketAddrV4;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -17,33 +17,33 @@
 const MISSES: u32 = 2;
 
 /// Asks each gateway whether it is ready, and tells clients where to connect.
-pub struct Platform {
-    doors: Arc<Doors>,
+pub struct LoadBalancer {
+    doors: Arc<GatewayList>,
     over: Arc<AtomicBool>,
 }
 
-struct Doors {
-    list: Mutex<Vec<Door>>,
-    chance: Chance,
+struct GatewayList {
+    list: Mutex<Vec<GatewayEntry>>,
+    chance: Rng,
 }
 
 #[derive(Clone, Copy)]
-struct Door {
+struct GatewayEntry {
     front: SocketAddrV4,
     ready: SocketAddrV4,
     missed: u32,
 }
 
-impl Platform {
+impl LoadBalancer {
     /// `doors`: where clients connect and where readiness is asked, for each gateway.
-    pub fn new(doors: &[(SocketAddrV4, SocketAddrV4)], every: Duration, seed: u64) -> Platform {
-        let door = |(front, ready): &(SocketAddrV4, SocketAddrV4)| Door {
+    pub fn new(doors: &[(SocketAddrV4, SocketAddrV4)], every: Duration, seed: u64) -> LoadBalancer {
+        let door = |(front, ready): &(SocketAddrV4, SocketAddrV4)| GatewayEntry {
             front: *front,
             ready: *ready,
             missed: MISSES,
         };
         let list = Mutex::new(doors.iter().map(door).collect());
-        let doors = Arc::new(Doors { list, chance: Chance::new(seed) });
+        let doors = Arc::new(GatewayList { list, chance: Rng::new(seed) });
         let over = Arc::new(AtomicBool::new(false));
         let (seen, end) = (doors.clone(), over.clone());
         thread::spawn(move || {
@@ -56,11 +56,11 @@
                 thread::sleep(every);
             }
         });
-        Platform { doors, over }
+        LoadBalancer { doors, over }
     }
 
     /// Gateways that get new connections. With none in, all do.
-    fn open(doors: &Doors) -> Vec<SocketAddrV4> {
+    fn open(doors: &GatewayList) -> Vec<SocketAddrV4> {
         let doors = held(&doors.list);
         let fronts = |all: bool| {
             doors.iter().filter(|door| all || door.missed < MISSES).map(|door| door.front).collect::<Vec<_>>()
@@ -70,7 +70,7 @@
     }
 }
 
-impl Drop for Platform {
+impl Drop for LoadBalancer {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
     }
@@ -85,7 +85,7 @@
 
 /// What clients do.
 #[derive(Clone, Debug)]
-pub struct LoadFacts {
+pub struct LoadSettings {
     pub clients: usize,
     /// Requests a second of all of them together.
     pub per_s: f64,
@@ -104,7 +104,7 @@
 }
 
 impl Load {
-    pub fn start(platform: &Platform, facts: &LoadFacts) -> Load {
+    pub fn start(platform: &LoadBalancer, facts: &LoadSettings) -> Load {
         let over = Arc::new(AtomicBool::new(false));
         let done: Arc<Mutex<Vec<Request>>> = Arc::default();
         let begun = Instant::now();
@@ -126,7 +126,7 @@
                     let mut request = ask(&doors, &facts, &mut line, kind);
                     if !facts.judged {
                         request.tries.iter_mut().for_each(|tried| {
-                            if let Seen::Answer { seals, body, .. } = &mut tried.seen {
+                            if let AttemptOutcome::Answer { seals, body, .. } = &mut tried.seen {
                                 (*seals, *body) = (Vec::new(), Vec::new());
                             }
                         });
@@ -162,7 +162,7 @@
     }
 }
 
-fn ask(doors: &Doors, facts: &LoadFacts, line: &mut Option<Line>, kind: Kind) -> Request {
+fn ask(doors: &GatewayList, facts: &LoadSettings, line: &mut Option<Connection>, kind: Kind) -> Request {
     let target = format!("{}{:08x}", kind.prefix(), doors.chance.draw() as u32);
     let begun = Instant::now();
     let until = begun + facts.deadline;
@@ -170,10 +170,11 @@
     loop {
         let tried = one_try(doors, facts, line, kind, &target, until);
         let again = match &tried.0.seen {
-            Seen::Answer { status: 200..=299 | 400 | 401 | 404 | 413 | 431, .. } | Seen::Broken(_) => false,
-            Seen::Answer { status: 408 | 421 | 429 | 503, .. } => true,
-            Seen::Answer { .. } => kind.repeats(),
-            Seen::Cut(_) => kind.repeats() || !tried.0.sent,
+            AttemptOutcome::Answer { status: 200..=299 | 400 | 401 | 404 | 413 | 431, .. }
+            | AttemptOutcome::Broken(_) => false,
+            AttemptOutcome::Answer { status: 408 | 421 | 429 | 503, .. } => true,
+            AttemptOutcome::Answer { .. } => kind.repeats(),
+            AttemptOutcome::Cut(_) => kind.repeats() || !tried.0.sent,
         };
         let wait = tried.1;
         tries.push(tried.0);
@@ -190,25 +191,25 @@
 
 /// One try, and when the gateway said to come back.
 fn one_try(
-    doors: &Doors,
-    facts: &LoadFacts,
-    line: &mut Option<Line>,
+    doors: &GatewayList,
+    facts: &LoadSettings,
+    line: &mut Option<Connection>,
     kind: Kind,
     target: &str,
     until: Instant,
-) -> (Try, Option<Duration>) {
+) -> (Attempt, Option<Duration>) {
     let attempt = format!("{:016x}", doors.chance.draw());
-    let end = |sent, seen| (Try { attempt: attempt.clone(), sent, seen }, None);
+    let end = |sent, seen| (Attempt { attempt: attempt.clone(), sent, seen }, None);
     let mut used = match line.take() {
         Some(line) => line,
         None => {
-            let open = Platform::open(doors);
+            let open = LoadBalancer::open(doors);
             let Some(door) = open.get(doors.chance.below(open.len())) else {
-                return end(false, Seen::Cut("no gateway".into()));
+                return end(false, AttemptOutcome::Cut("no gateway".into()));
             };
-            match Line::open(*door, CONNECT) {
+            match Connection::open(*door, CONNECT) {
                 Ok(line) => line,
-                Err(why) => return end(false, Seen::Cut(why.to_string())),
+                Err(why) => return end(false, AttemptOutcome::Cut(why.to_string())),
             }
         }
     };
@@ -219,28 +220,28 @@
     let body: &[u8] = if kind.repeats() { b"" } else { b"{\"prints\":3}" };
     let bytes = wire::request(method, target, &lines, body);
     if let Err(why) = used.send(&bytes, until) {
-        return end(false, Seen::Cut(why.to_string()));
+        return end(false, AttemptOutcome::Cut(why.to_string()));
     }
     let answer = match used.answer(until + facts.deadline.mul_f64(0.1)) {
         Ok(answer) => answer,
-        Err(why) if used.ahead() > 0 => return end(true, Seen::Broken(why.to_string())),
-        Err(why) => return end(true, Seen::Cut(why.to_string())),
+        Err(why) if used.ahead() > 0 => return end(true, AttemptOutcome::Broken(why.to_string())),
+        Err(why) => return end(true, AttemptOutcome::Cut(why.to_string())),
     };
     if used.ahead() > 0 {
-        return end(true, Seen::Broken("bytes that no request waits for".into()));
+        return end(true, AttemptOutcome::Broken("bytes that no request waits for".into()));
     }
     let wait = answer.header("retry-after").and_then(|wait| wait.parse::<f64>().ok());
     let wait = wait.filter(|wait| (0.0..1e6).contains(wait)).map(Duration::from_secs_f64);
     if !answer.closes() {
         *line = Some(used);
     }
-    (Try { attempt, sent: true, seen: seen(kind, answer) }, wait)
+    (Attempt { attempt, sent: true, seen: seen(kind, answer) }, wait)
 }
 
-fn seen(kind: Kind, answer: Message) -> Seen {
+fn seen(kind: Kind, answer: Message) -> AttemptOutcome {
     let named = if kind == Kind::Gather { "part-seals" } else { "answer-seal" };
     let seals = answer.joined(named);
     let seals = seals.split(',').map(str::trim).filter(|seal| !seal.is_empty()).map(String::from).collect();
     let missing = answer.header("parts-missing").and_then(|count| count.parse().ok()).unwrap_or(0);
-    Seen::Answer { status: answer.status(), seals, missing, body: answer.body }
+    AttemptOutcome::Answer { status: answer.status(), seals, missing, body: answer.body }
 }
--- a/crates/fernknot-testbed/src/measure.rs
+++ b/crates/fernknot-testbed/src/measure.rs
@@ -2,11 +2,11 @@
 
 use crate::checker::Kind;
 use crate::inner;
-use crate::load::{Load, LoadFacts, Platform};
-use crate::nodes::{Facts, Nodes};
-use crate::operator::{End, Operator};
-use crate::paper::{Draft, shard};
-use crate::rig::{Layout, Rig, RigError, Role, until};
+use crate::load::{Load, LoadBalancer, LoadSettings};
+use crate::nodes::{NodeSettings, Nodes};
+use crate::operator::{CallOutcome, Operator};
+use crate::paper::{ConfigDraft, shard};
+use crate::rig::{Cluster, ClusterError, ClusterSettings, Role, until};
 use crate::usage::Usage;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 
 /// What is varied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Dimension {
     Gateways,
     Nodes,
     Routes,
@@ -30,7 +30,7 @@
 
 /// One setting of an experiment.
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct Workload {
     pub gateways: usize,
     pub zones: usize,
     pub nodes: usize,
@@ -40,10 +40,10 @@
     pub shards: usize,
 }
 
-impl Size {
+impl Workload {
     /// What stays as it is while one figure is varied.
-    pub fn of(what: What, count: usize) -> Size {
-        let mut size = Size {
+    pub fn of(what: Dimension, count: usize) -> Workload {
+        let mut size = Workload {
             gateways: 4,
             zones: 3,
             nodes: 50,
@@ -53,13 +53,13 @@
             shards: 4,
         };
         match what {
-            What::Gateways => size.gateways = count,
-            What::Nodes => size.nodes = count,
-            What::Routes => (size.routes, size.changes_per_min) = (count, 30),
-            What::Changes => (size.routes, size.changes_per_min) = (100, count),
-            What::Queries => (size.gateways, size.queries_per_s) = (1, count),
+            Dimension::Gateways => size.gateways = count,
+            Dimension::Nodes => size.nodes = count,
+            Dimension::Routes => (size.routes, size.changes_per_min) = (count, 30),
+            Dimension::Changes => (size.routes, size.changes_per_min) = (100, count),
+            Dimension::Queries => (size.gateways, size.queries_per_s) = (1, count),
             // Two nodes a shard: a shard without any would be waited for.
-            What::Shards => {
+            Dimension::Shards => {
                 (size.gateways, size.queries_per_s, size.shards) = (1, 40, count);
                 size.nodes = 2 * (count + 1);
             }
@@ -97,18 +97,22 @@
 ///
 /// # Errors
 /// Where the system is not up in time or takes no configuration.
-pub fn play(size: &Size, span: Duration) -> Result<Cost, RigError> {
-    let rig =
-        Rig::start(Layout { gateways: size.gateways, zones: size.zones, log: "warn", ..Layout::default() })?;
+pub fn play(size: &Workload, span: Duration) -> Result<Cost, ClusterError> {
+    let rig = Cluster::start(ClusterSettings {
+        gateways: size.gateways,
+        zones: size.zones,
+        log: "warn",
+        ..ClusterSettings::default()
+    })?;
     rig.await_registrars(PATIENCE)?;
     let nodes = Nodes::new(rig.nodes_ip(), rig.control(), rig.layout().beat, rig.layout().seed);
-    let fail = |step, why| RigError::Step { step, who: "the rig".into(), why };
+    let fail = |step, why| ClusterError::Step { step, who: "the rig".into(), why };
     for number in 0..size.nodes {
         let service = match number % (size.shards + 1) {
             0 => "single".to_string(),
             number => shard(number - 1),
         };
-        let facts = Facts {
+        let facts = NodeSettings {
             service,
             zone: rig.zone(number / (size.shards + 1)),
             capacity: 64,
@@ -120,20 +124,24 @@
         nodes.start(facts).map_err(|why| fail("start a node of", why))?;
     }
     let operator = Operator { addrs: rig.control(), within: PATIENCE };
-    let mut draft =
-        Draft { shards: size.shards, fillers: size.routes.saturating_sub(3), top_k: 200, ..Draft::default() };
+    let mut draft = ConfigDraft {
+        shards: size.shards,
+        fillers: size.routes.saturating_sub(3),
+        top_k: 200,
+        ..ConfigDraft::default()
+    };
     replace(&operator, &draft, 0)?;
     rig.await_gateways(PATIENCE)?;
     until("all nodes beat", PATIENCE, || nodes.beats().0 >= size.nodes)?;
     let everywhere = |epoch: u64| (0..size.gateways).all(|at| rig.version(at) >= epoch);
     until("the first version everywhere", PATIENCE, || everywhere(1))?;
 
-    let platform = Platform::new(&rig.doors(), Duration::from_millis(500), rig.layout().seed + 1);
+    let platform = LoadBalancer::new(&rig.doors(), Duration::from_millis(500), rig.layout().seed + 1);
     until("the platform sees the gateways", PATIENCE, || {
         rig.doors().iter().all(|(_, ready)| crate::load::is_ready(*ready))
     })?;
     let load = (size.queries_per_s > 0).then(|| {
-        let facts = LoadFacts {
+        let facts = LoadSettings {
             clients: (size.queries_per_s / 5).clamp(4, 64),
             per_s: size.queries_per_s as f64,
             mix: vec![Kind::Gather],
@@ -216,11 +224,12 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-fn replace(operator: &Operator, draft: &Draft, base: u64) -> Result<(), RigError> {
+fn replace(operator: &Operator, draft: &ConfigDraft, base: u64) -> Result<(), ClusterError> {
     match operator.replace(&draft.bytes(), base) {
-        End::Answered { status: 200, .. } => Ok(()),
-        end => {
-            Err(RigError::Waited { what: format!("version {} taken: {end:?}", draft.epoch), seconds: 0.0 })
-        }
+        CallOutcome::Answered { status: 200, .. } => Ok(()),
+        end => Err(ClusterError::Waited {
+            what: format!("version {} taken: {end:?}", draft.epoch),
+            seconds: 0.0,
+        }),
     }
 }
--- a/crates/fernknot-testbed/src/nodes.rs
+++ b/crates/fernknot-testbed/src/nodes.rs
@@ -1,8 +1,8 @@
 //! Stand-in nodes, as PROTOCOL says of the routers of a service: each life has an id of its own, beats, works on so
 //! many requests at once, turns the rest away, drains before a planned end and says nothing before a crash.
 
-use crate::wire::{self, Line, Message};
-use fernknot_simulator::chance::{Chance, STEP, mixed};
+use crate::wire::{self, Connection, Message};
+use fernknot_simulator::chance::{Rng, STEP, mixed};
 use serde_json::json;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -21,7 +21,7 @@
 
 /// What a node is.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct NodeSettings {
     pub service: String,
     pub zone: String,
     /// Requests at work at once, and more that wait.
@@ -37,7 +37,7 @@
 
 /// One run of a request at a node.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct Execution {
     pub service: String,
     pub target: String,
     /// The seal of its answer and the bytes that went with it; none where it failed.
@@ -47,8 +47,8 @@
 
 /// What nodes ran, by the ids of requests. What they turned away is only counted.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    pub runs: HashMap<String, Vec<Ran>>,
+pub struct ExecutionLog {
+    pub runs: HashMap<String, Vec<Execution>>,
     pub turned_away: u64,
     pub strangers: u64,
 }
@@ -61,7 +61,7 @@
 struct Node {
     id: String,
     addr: SocketAddrV4,
-    facts: Facts,
+    facts: NodeSettings,
     /// At work, and waiting.
     slots: Mutex<(usize, usize)>,
     freed: Condvar,
@@ -72,11 +72,11 @@
     seq: AtomicU64,
     links: Mutex<Vec<TcpStream>>,
     /// To the registrar that took its last call.
-    line: Mutex<Option<Line>>,
+    line: Mutex<Option<Connection>>,
 }
 
 struct Shared {
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<ExecutionLog>,
     control: Mutex<Vec<SocketAddrV4>>,
     nodes: Mutex<Vec<Arc<Node>>>,
     beat: Duration,
@@ -85,7 +85,7 @@
     /// Beats that nobody acknowledged.
     unheard: AtomicUsize,
     over: AtomicBool,
-    chance: Chance,
+    chance: Rng,
 }
 
 /// All stand-in nodes of a rig.
@@ -119,7 +119,7 @@
             beats: AtomicUsize::new(0),
             unheard: AtomicUsize::new(0),
             over: AtomicBool::new(false),
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
         });
         for part in 0..BEATERS {
             let shared = shared.clone();
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// Where the system gives no port or no thread.
-    pub fn start(&self, facts: Facts) -> std::io::Result<usize> {
+    pub fn start(&self, facts: NodeSettings) -> std::io::Result<usize> {
         let id = format!("i-{:016x}", self.shared.chance.draw());
         let listener = match facts.serves {
             true => Some(TcpListener::bind((self.ip, 0))?),
@@ -201,7 +201,7 @@
     }
 
     /// What they ran so far.
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
+    pub fn ledger(&self) -> MutexGuard<'_, ExecutionLog> {
         held(&self.shared.ledger)
     }
 
@@ -278,7 +278,7 @@
     let path = format!("/-/nodes/{}/{what}", node.id);
     let lines = ["Content-Type: application/json".to_string()];
     let bytes = wire::request("POST", &path, &lines, body.to_string().as_bytes());
-    let mut tell = |line: &mut Line| {
+    let mut tell = |line: &mut Connection| {
         let until = Instant::now() + CALL;
         let answer = line.send(&bytes, until).and_then(|()| line.answer(until));
         answer.is_ok_and(|answer| answer.status() / 100 == 2 && answer.body.len() <= 4096)
@@ -289,7 +289,7 @@
     let from = shared.chance.below(control.len());
     for at in 0..control.len() {
         let addr = control[(from + at) % control.len()];
-        *line = Line::open(addr, CALL).ok();
+        *line = Connection::open(addr, CALL).ok();
         if line.as_mut().is_some_and(&mut tell) {
             return true;
         }
@@ -314,14 +314,14 @@
         links.push(twin);
         drop(links);
         let (shared, node) = (shared.clone(), node.clone());
-        let serve = move || serve(&shared, &node, Line::over(stream, from));
+        let serve = move || serve(&shared, &node, Connection::over(stream, from));
         if thread::Builder::new().stack_size(STACK).spawn(serve).is_err() {
             return;
         }
     }
 }
 
-fn serve(shared: &Shared, node: &Node, mut line: Line) {
+fn serve(shared: &Shared, node: &Node, mut line: Connection) {
     while !node.ended.load(Ordering::Relaxed) {
         let Ok(Some(request)) = line.request(Instant::now() + IDLE) else { break };
         let (status, mut lines, body) = run(shared, node, &request);
@@ -336,14 +336,14 @@
     }
 }
 
-type Answer = (u16, Vec<String>, Vec<u8>);
+type HandlerResponse = (u16, Vec<String>, Vec<u8>);
 
-fn not_run(shared: &Shared, status: u16, why: &str) -> Answer {
+fn not_run(shared: &Shared, status: u16, why: &str) -> HandlerResponse {
     held(&shared.ledger).turned_away += 1;
     (status, vec![format!("Not-Executed: {why}")], Vec::new())
 }
 
-fn run(shared: &Shared, node: &Node, request: &Message) -> Answer {
+fn run(shared: &Shared, node: &Node, request: &Message) -> HandlerResponse {
     let begun = Instant::now();
     let (method, target) = &request.first;
     let probes = method == "GET" && target == "/health";
@@ -385,14 +385,14 @@
     answer
 }
 
-fn work(shared: &Shared, node: &Node, attempt: &str, target: &str, until: Instant) -> Answer {
+fn work(shared: &Shared, node: &Node, attempt: &str, target: &str, until: Instant) -> HandlerResponse {
     let left = until.saturating_duration_since(Instant::now());
     let late = node.facts.work > left;
     let service = node.facts.service.clone();
     let body = if late { Vec::new() } else { records(&service, target, node.facts.records) };
     let number = shared.seals.fetch_add(1, Ordering::Relaxed);
     let seal = (!late).then(|| format!("{number:08x}.{:08x}", shared.chance.draw() as u32));
-    let ran = Ran { service, target: target.to_string(), seal: seal.clone(), body: body.clone() };
+    let ran = Execution { service, target: target.to_string(), seal: seal.clone(), body: body.clone() };
     // Noted before the work: what was begun has run, whatever comes of it.
     held(&shared.ledger).runs.entry(attempt.to_string()).or_default().push(ran);
     thread::sleep(node.facts.work.min(left));
--- a/crates/fernknot-testbed/src/operator.rs
+++ b/crates/fernknot-testbed/src/operator.rs
@@ -18,7 +18,7 @@
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CallOutcome {
     /// A final answer: the status, its body, and who gave it.
     Answered { status: u16, body: Vec<u8>, by: SocketAddrV4 },
     /// No clear answer in time; what each said last. A change may be in force or not.
@@ -36,17 +36,17 @@
 
 impl Operator {
     /// Sends a configuration that builds on the version `base`, 0 for the first.
-    pub fn replace(&self, body: &[u8], base: u64) -> End {
+    pub fn replace(&self, body: &[u8], base: u64) -> CallOutcome {
         let lines = [format!("Base-Epoch: {base}"), "Content-Type: application/json".into()];
         self.call("POST", "/-/config/replace", &lines, body)
     }
 
     /// Asks for the newest configuration.
-    pub fn read(&self) -> End {
+    pub fn read(&self) -> CallOutcome {
         self.call("GET", "/-/config/read", &[], b"")
     }
 
-    fn call(&self, method: &str, path: &str, lines: &[String], body: &[u8]) -> End {
+    fn call(&self, method: &str, path: &str, lines: &[String], body: &[u8]) -> CallOutcome {
         let begun = Instant::now();
         let mut said: Vec<String> = vec![String::new(); self.addrs.len()];
         let mut refusals = 0;
@@ -59,7 +59,7 @@
                     refusals += usize::from(matches!(status, 400..500) && !matches!(status, 408 | 429));
                     let clear = matches!(status, 200..300 | 400 | 409 | 412 | 413 | 422);
                     if clear || refusals >= REFUSALS {
-                        return End::Answered { status, body: answer.body, by };
+                        return CallOutcome::Answered { status, body: answer.body, by };
                     }
                     said[at] = format!("{by} says {status} {}", String::from_utf8_lossy(&answer.body).trim());
                 }
@@ -72,7 +72,7 @@
             pause = pause.mul_f64(1.6).min(LONGEST_PAUSE);
         }
         said.retain(|said| !said.is_empty());
-        End::Unclear(said)
+        CallOutcome::Unclear(said)
     }
 
     fn ask(
--- a/crates/fernknot-testbed/src/paper.rs
+++ b/crates/fernknot-testbed/src/paper.rs
@@ -7,7 +7,7 @@
 
 /// What a configuration is to hold.
 #[derive(Clone, Debug)]
-pub struct Draft {
+pub struct ConfigDraft {
     pub epoch: u64,
     /// Shards of the gathered route, services `shard-0` and on.
     pub shards: usize,
@@ -20,9 +20,9 @@
     pub deadline_ms: u64,
 }
 
-impl Default for Draft {
-    fn default() -> Draft {
-        Draft {
+impl Default for ConfigDraft {
+    fn default() -> ConfigDraft {
+        ConfigDraft {
             epoch: 1,
             shards: 4,
             fillers: 0,
@@ -40,7 +40,7 @@
     format!("shard-{number}")
 }
 
-impl Draft {
+impl ConfigDraft {
     /// The services of the gathered route.
     pub fn fanout(&self) -> Vec<String> {
         (0..self.shards).map(shard).collect()
