--- a/crates/fernknot-cli/src/check.rs
+++ b/crates/fernknot-cli/src/check.rs
@@ -1,20 +1,20 @@
 //! `fernknot check`: every fault of a file at once.
 
-use crate::{Arguments, CliError, say};
+use crate::{Arguments, CliError, print_line};
 use fernknot_schema::{ProcessSettings, RoutingConfig, ValidationError};
 use std::path::Path;
 
 pub fn run(words: &Arguments) -> Result<(), CliError> {
-    let [file] = words.exactly("check [--settings] FILE")?;
+    let [file] = words.expect_positional("check [--settings] FILE")?;
     let path = Path::new(file);
     let bytes = read(path)?;
     if words.flag("settings") {
-        let facts = ProcessSettings::read(&bytes).map_err(|faults| named(path, &faults))?;
-        say(format!("{}: sound; {} in {}", path.display(), facts.node_name, facts.zone));
+        let facts = ProcessSettings::parse(&bytes).map_err(|faults| config_faults(path, &faults))?;
+        print_line(format!("{}: sound; {} in {}", path.display(), facts.node_name, facts.zone));
     } else {
-        let plan = RoutingConfig::read(&bytes).map_err(|faults| named(path, &faults))?;
+        let plan = RoutingConfig::parse(&bytes).map_err(|faults| config_faults(path, &faults))?;
         let (routes, services) = (plan.routes.len(), plan.services.len());
-        say(format!(
+        print_line(format!(
             "{}: sound; version {}, {routes} routes, {services} services",
             path.display(),
             plan.epoch
@@ -28,7 +28,7 @@
 }
 
 /// A line for each fault, with its place in the file.
-pub fn named(path: &Path, faults: &[ValidationError]) -> CliError {
+pub fn config_faults(path: &Path, faults: &[ValidationError]) -> CliError {
     let lines: Vec<String> = faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect();
     CliError::Usage(lines.join("\n"))
 }
--- a/crates/fernknot-cli/src/main.rs
+++ b/crates/fernknot-cli/src/main.rs
@@ -61,7 +61,7 @@
 }
 
 /// Prints a line. A reader that has gone is none of our faults, and ends the command quietly.
-fn say(text: impl Display) {
+fn print_line(text: impl Display) {
     if writeln!(std::io::stdout(), "{text}").is_err() {
         std::process::exit(0);
     }
@@ -69,17 +69,17 @@
 
 /// The words of a command: those without a dash, and options with their values.
 struct Arguments {
-    plain: Vec<OsString>,
+    positional: Vec<OsString>,
     options: Vec<(String, Option<String>)>,
 }
 
 impl Arguments {
     /// `valued` are options that take a value, `flags` those that don't.
-    fn read(parser: &mut lexopt::Parser, valued: &[&str], flags: &[&str]) -> Result<Arguments, CliError> {
-        let mut words = Arguments { plain: Vec::new(), options: Vec::new() };
+    fn parse(parser: &mut lexopt::Parser, valued: &[&str], flags: &[&str]) -> Result<Arguments, CliError> {
+        let mut words = Arguments { positional: Vec::new(), options: Vec::new() };
         while let Some(arg) = parser.next()? {
             match arg {
-                lexopt::Arg::Value(word) => words.plain.push(word),
+                lexopt::Arg::Value(word) => words.positional.push(word),
                 lexopt::Arg::Long(name) if valued.contains(&name) => {
                     let name = name.to_string();
                     let value = parser.value()?.to_string_lossy().into_owned();
@@ -109,13 +109,13 @@
     }
 
     /// The words without a dash, which must be so many.
-    fn exactly<const COUNT: usize>(&self, wanted: &str) -> Result<[&OsString; COUNT], CliError> {
-        let words: Vec<&OsString> = self.plain.iter().collect();
+    fn expect_positional<const COUNT: usize>(&self, wanted: &str) -> Result<[&OsString; COUNT], CliError> {
+        let words: Vec<&OsString> = self.positional.iter().collect();
         words.try_into().map_err(|_| CliError::Usage(format!("wanted: {wanted}")))
     }
 }
 
-fn addrs(text: &OsStr) -> Result<Vec<SocketAddrV4>, CliError> {
+fn parse_addrs(text: &OsStr) -> Result<Vec<SocketAddrV4>, CliError> {
     let text = text.to_string_lossy();
     let read = |word: &str| {
         word.trim()
@@ -130,29 +130,29 @@
         Some(lexopt::Arg::Value(word)) => word.to_string_lossy().into_owned(),
         Some(lexopt::Arg::Long("help") | lexopt::Arg::Short('h')) => "help".into(),
         Some(lexopt::Arg::Long("version") | lexopt::Arg::Short('V')) => {
-            say(format!("fernknot {}", env!("CARGO_PKG_VERSION")));
+            print_line(format!("fernknot {}", env!("CARGO_PKG_VERSION")));
             return Ok(());
         }
         Some(other) => return Err(other.unexpected().into()),
         None => return Err(CliError::Usage("no command".into())),
     };
     match command.as_str() {
-        "help" => say(HELP),
-        "check" => return check::run(&Arguments::read(&mut parser, &[], &["settings"])?),
-        "config" => return talk::config(&Arguments::read(&mut parser, &["base"], &[])?),
-        "show" => return talk::show(&Arguments::read(&mut parser, &[], &[])?),
+        "help" => print_line(HELP),
+        "check" => return check::run(&Arguments::parse(&mut parser, &[], &["settings"])?),
+        "config" => return talk::config(&Arguments::parse(&mut parser, &["base"], &[])?),
+        "show" => return talk::show(&Arguments::parse(&mut parser, &[], &[])?),
         "views" => {
-            return talk::views(&Arguments::read(&mut parser, &["lost"], &["yes-the-others-are-lost"])?);
+            return talk::views(&Arguments::parse(&mut parser, &["lost"], &["yes-the-others-are-lost"])?);
         }
-        "demo" => return demo::run(&Arguments::read(&mut parser, &["gateways", "seconds"], &[])?),
+        "demo" => return demo::run(&Arguments::parse(&mut parser, &["gateways", "seconds"], &[])?),
         "measure" => {
-            return measure::run(&Arguments::read(
+            return measure::run(&Arguments::parse(
                 &mut parser,
                 &["sizes", "seconds", "gateways", "zones"],
                 &["json"],
             )?);
         }
-        "plan-capacity" => return capacity::run(&Arguments::read(&mut parser, &capacity::OPTIONS, &[])?),
+        "plan-capacity" => return capacity::run(&Arguments::parse(&mut parser, &capacity::OPTIONS, &[])?),
         other => return Err(CliError::Usage(format!("{other}: is no command"))),
     }
     Ok(())
--- a/crates/fernknot-cli/src/measure.rs
+++ b/crates/fernknot-cli/src/measure.rs
@@ -1,12 +1,12 @@
 //! `fernknot measure`: one table for each thing that is varied.
 
-use crate::{Arguments, CliError, failed, say};
-use fernknot_testbed::measure::{Dimension, Workload, play};
+use crate::{Arguments, CliError, failed, print_line};
+use fernknot_testbed::measure::{Dimension, Workload, measure};
 use serde_json::json;
 use std::time::Duration;
 
 pub fn run(words: &Arguments) -> Result<(), CliError> {
-    let [what] = words.exactly("measure gateways|nodes|routes|changes|queries|shards")?;
+    let [what] = words.expect_positional("measure gateways|nodes|routes|changes|queries|shards")?;
     let name = what.to_string_lossy().into_owned();
     let (what, sizes) = match name.as_str() {
         "gateways" => (Dimension::Gateways, vec![2, 4, 8, 16, 32]),
@@ -38,48 +38,48 @@
     }
     let json = words.flag("json");
     if !json {
-        say(format!(
+        print_line(format!(
             "{name:>8} | registrar: core %, most, MB | gateway: core %, most, MB | told: whole B, B/s | \
              apply ms, most, ack ms | queries, served, p50 ms, p99 ms | beats"
         ));
     }
     for count in sizes {
-        let mut size = Workload::of(what, count);
+        let mut size = Workload::varying(what, count);
         size.gateways = words.number("gateways")?.unwrap_or(size.gateways);
         size.zones = words.number("zones")?.unwrap_or(size.zones);
-        let cost = play(&size, Duration::from_secs_f64(seconds)).map_err(failed)?;
+        let cost = measure(&size, Duration::from_secs_f64(seconds)).map_err(failed)?;
         let mb = |bytes: f64| bytes / 1e6;
         if json {
-            say(json!({
+            print_line(json!({
                 "experiment": name, "variant": count, "seed": 1, "seconds": seconds,
-                "registrar_cpu_share": cost.registrar_cpu, "registrar_cpu_most_share": cost.registrar_cpu_most,
-                "registrar_resident_bytes": cost.registrar_resident, "gateway_cpu_share": cost.gateway_cpu,
-                "gateway_cpu_most_share": cost.gateway_cpu_most, "gateway_resident_bytes": cost.gateway_resident,
-                "told_whole_bytes": cost.told_whole, "told_bytes_per_s": cost.told_per_s,
-                "apply_mean_ms": cost.apply_mean_ms, "apply_most_ms": cost.apply_most_ms,
-                "ack_mean_ms": cost.acks_mean_ms, "changes": cost.changes, "queries": cost.queries,
+                "registrar_cpu_share": cost.controller_cpu, "registrar_cpu_most_share": cost.controller_cpu_max,
+                "registrar_resident_bytes": cost.controller_resident_bytes, "gateway_cpu_share": cost.gateway_cpu,
+                "gateway_cpu_most_share": cost.gateway_cpu_max, "gateway_resident_bytes": cost.gateway_resident_bytes,
+                "told_whole_bytes": cost.snapshot_bytes, "told_bytes_per_s": cost.update_bytes_per_s,
+                "apply_mean_ms": cost.apply_mean_ms, "apply_most_ms": cost.apply_max_ms,
+                "ack_mean_ms": cost.ack_mean_ms, "changes": cost.changes, "queries": cost.queries,
                 "served": cost.served, "query_p50_ms": cost.query_p50_ms, "query_p99_ms": cost.query_p99_ms,
-                "beats": cost.beats,
+                "beats": cost.heartbeats,
             }));
         } else {
-            say(format!(
+            print_line(format!(
                 "{count:>8} | {:.2} {:.2} {:.1} | {:.2} {:.2} {:.1} | {:.0} {:.0} | {:.0} {:.0} {:.0} | {} {} {:.1} {:.1} | {}",
-                cost.registrar_cpu * 100.0,
-                cost.registrar_cpu_most * 100.0,
-                mb(cost.registrar_resident),
+                cost.controller_cpu * 100.0,
+                cost.controller_cpu_max * 100.0,
+                mb(cost.controller_resident_bytes),
                 cost.gateway_cpu * 100.0,
-                cost.gateway_cpu_most * 100.0,
-                mb(cost.gateway_resident),
-                cost.told_whole,
-                cost.told_per_s,
+                cost.gateway_cpu_max * 100.0,
+                mb(cost.gateway_resident_bytes),
+                cost.snapshot_bytes,
+                cost.update_bytes_per_s,
                 cost.apply_mean_ms,
-                cost.apply_most_ms,
-                cost.acks_mean_ms,
+                cost.apply_max_ms,
+                cost.ack_mean_ms,
                 cost.queries,
                 cost.served,
                 cost.query_p50_ms,
                 cost.query_p99_ms,
-                cost.beats
+                cost.heartbeats
             ));
         }
     }
--- a/crates/fernknot-consensus/src/ballots.rs
+++ b/crates/fernknot-consensus/src/ballots.rs
@@ -10,16 +10,16 @@
 use fernknot::interface::Nanos;
 
 use crate::types::*;
-use crate::views::{Consensus, MOST_FLOORS, MOST_MEMBERS, Peer, is_member, same, voters};
+use crate::views::{Consensus, MAX_MEMBERS, MAX_VIEW_STARTS, Peer, is_member, is_same_member, voters};
 
 /// Candidates for the next view that are weighed, at most.
-const MOST_CANDIDATES: usize = 12;
+const MAX_CANDIDATES: usize = 12;
 
 /// What a next view would be and begin with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct NextView {
-    next: ChosenView,
-    no: Revision,
+    chosen: ChosenView,
+    revision: Revision,
     state: Arc<[u8]>,
     /// Taken over from another ballot: it may have been chosen.
     adopted: bool,
@@ -27,68 +27,71 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Stop,
+    Prepare,
     /// On the disks of those who join, before anybody's vote binds: else a view could be chosen
     /// that too few have.
-    Prime,
-    Vote,
+    Join,
+    Accept,
 }
 
 /// An attempt of this member to change the view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ViewChangeAttempt {
-    ballot: ProposalNumber,
-    step: Phase,
-    since: Nanos,
-    resend_at: Nanos,
-    pause: Nanos,
-    majority_at: Option<Nanos>,
+    proposal: ProposalNumber,
+    phase: Phase,
+    phase_started_at: Nanos,
+    retry_at: Nanos,
+    backoff: Nanos,
+    majority_reached_at: Option<Nanos>,
     /// By place among the voters: who answered, and the newest it holds.
-    answers: BTreeMap<usize, (Member, Option<Revision>)>,
-    tail: Option<(Revision, Arc<[u8]>)>,
-    best: Option<(ProposalNumber, NextView)>,
-    value: Option<NextView>,
-    installed: BTreeMap<MemberId, Member>,
+    prepared: BTreeMap<usize, (Member, Option<Revision>)>,
+    latest_state: Option<(Revision, Arc<[u8]>)>,
+    highest_accepted: Option<(ProposalNumber, NextView)>,
+    next_view: Option<NextView>,
+    accepted: BTreeMap<MemberId, Member>,
     chosen_at: Option<Nanos>,
-    outer_asked: bool,
-    grace: Nanos,
+    former_members_asked: bool,
+    straggler_timeout: Nanos,
 }
 
 impl ViewChangeAttempt {
-    pub(crate) fn due(&self) -> Nanos {
-        let grace = self.majority_at.map(|at| at + self.grace).filter(|_| self.step == Phase::Stop);
-        grace.map_or(self.resend_at, |at| at.min(self.resend_at))
+    pub(crate) fn next_deadline(&self) -> Nanos {
+        let grace = self
+            .majority_reached_at
+            .map(|at| at + self.straggler_timeout)
+            .filter(|_| self.phase == Phase::Prepare);
+        grace.map_or(self.retry_at, |at| at.min(self.retry_at))
     }
 }
 
-fn seat(view: &View, who: &Member) -> Option<usize> {
-    voters(view).position(|seat| same(view.number, seat, who))
+fn voter_index(view: &View, who: &Member) -> Option<usize> {
+    voters(view).position(|seat| is_same_member(view.number, seat, who))
 }
 
 impl Consensus {
     // Who belongs to the next view.
 
     /// Well and in touch, so that a view with it could take changes.
-    fn fit(&self, peer: &Peer) -> bool {
-        self.fresh(peer)
-            && peer.told.well
-            && peer.slow_until <= self.now
-            && !self.asks_long(peer)
-            && !self.replaced(&peer.told.who)
+    fn is_eligible(&self, peer: &Peer) -> bool {
+        self.is_reachable(peer)
+            && peer.heartbeat.disk_healthy
+            && peer.excluded_until <= self.now
+            && !self.recovers_too_long(peer)
+            && !self.is_replaced(&peer.heartbeat.sender)
     }
 
     /// The largest set that has this member in it and in which all are in touch with all. `from`:
     /// of the last view only those, where given.
-    fn plan(&self, from: Option<&BTreeSet<MemberId>>) -> Vec<Member> {
-        let view = &self.cur.base.view;
+    fn plan_members(&self, from: Option<&BTreeSet<MemberId>>) -> Vec<Member> {
+        let view = &self.persistent.chosen.view;
         let mut inside: Vec<&Peer> = Vec::new();
         let mut joining: Vec<&Peer> = Vec::new();
         for (id, peer) in &self.peers {
-            let votes = seat(view, &peer.told.who).is_some();
-            if !self.fit(peer) || (votes && from.is_some_and(|from| !from.contains(id))) {
+            let votes = voter_index(view, &peer.heartbeat.sender).is_some();
+            if !self.is_eligible(peer) || (votes && from.is_some_and(|from| !from.contains(id))) {
                 continue;
             }
-            if is_member(view, &peer.told.who) {
+            if is_member(view, &peer.heartbeat.sender) {
                 inside.push(peer);
             } else if view.number > ViewNumber(0) {
                 joining.push(peer);
@@ -97,13 +100,13 @@
         let insiders = inside.len();
         let mut all = inside;
         all.append(&mut joining);
-        all.truncate(MOST_CANDIDATES);
+        all.truncate(MAX_CANDIDATES);
         let linked = |a: usize, b: usize| {
-            let (one, two) = (&all[a].told, &all[b].told);
+            let (one, two) = (&all[a].heartbeat, &all[b].heartbeat);
             if a < insiders && b < insiders {
-                return !one.deaf.contains(&two.who.id) && !two.deaf.contains(&one.who.id);
+                return !one.suspected.contains(&two.sender.id) && !two.suspected.contains(&one.sender.id);
             }
-            one.hears.contains(&two.who.id) && two.hears.contains(&one.who.id)
+            one.reachable.contains(&two.sender.id) && two.reachable.contains(&one.sender.id)
         };
         let links: Vec<u32> = (0..all.len())
             .map(|a| (0..all.len()).filter(|b| *b == a || linked(a, *b)).fold(0, |mask, b| mask | (1 << b)))
@@ -114,255 +117,279 @@
         let worth = |set: u32| (set.count_ones(), (set & inner).count_ones(), !set);
         for set in (0..=full).rev() {
             let whole = (0..all.len()).all(|a| set & (1 << a) == 0 || links[a] & set == set);
-            if whole && set.count_ones() < MOST_MEMBERS as u32 && (best == 0 || worth(set) > worth(best)) {
+            if whole && set.count_ones() < MAX_MEMBERS as u32 && (best == 0 || worth(set) > worth(best)) {
                 best = set;
                 if set == full {
                     break;
                 }
             }
         }
-        let mut members: Vec<Member> =
-            (0..all.len()).filter(|a| best & (1 << a) != 0).map(|a| all[a].told.who.clone()).collect();
-        members.push(self.facts.me.clone());
+        let mut members: Vec<Member> = (0..all.len())
+            .filter(|a| best & (1 << a) != 0)
+            .map(|a| all[a].heartbeat.sender.clone())
+            .collect();
+        members.push(self.settings.me.clone());
         // Who was first stays first, so that the sequencer changes only where it must.
         members.sort_by_key(|member| {
-            let place = view.members.iter().position(|seat| same(view.number, seat, member));
+            let place = view.members.iter().position(|seat| is_same_member(view.number, seat, member));
             (place.unwrap_or(usize::MAX), member.id)
         });
         members
     }
 
     /// The next view with these members. Dropped ones keep their vote while the members are few.
-    fn next_base(&self, members: Vec<Member>, no: Revision) -> ChosenView {
-        let base = &self.cur.base;
+    fn plan_next_view(&self, members: Vec<Member>, no: Revision) -> ChosenView {
+        let base = &self.persistent.chosen;
         let number = ViewNumber(base.view.number.0.saturating_add(1));
         let mut absent: Vec<Member> = Vec::new();
-        let seats = self.facts.losses.saturating_mul(2).saturating_add(1);
+        let seats = self.settings.fault_tolerance.saturating_mul(2).saturating_add(1);
         for member in voters(&base.view) {
             let out = base.view.number > ViewNumber(0) && members.iter().all(|other| other.id != member.id);
-            if out && !self.replaced(member) && members.len() + absent.len() < seats.min(MOST_MEMBERS) {
+            if out && !self.is_replaced(member) && members.len() + absent.len() < seats.min(MAX_MEMBERS) {
                 absent.push(member.clone());
             }
         }
-        let mut floors = base.floors.clone();
+        let mut floors = base.view_starts.clone();
         floors.push((number, no));
-        if floors.len() > MOST_FLOORS {
+        if floors.len() > MAX_VIEW_STARTS {
             floors.remove(0);
         }
-        ChosenView { view: View { number: number, members, absent }, floors }
+        ChosenView { view: View { number: number, members, former_voters: absent }, view_starts: floors }
     }
 
     /// Members of the next view, at least: those that a change needs. The first view may have fewer where fewer founders
     /// were named: it takes no change, and lets the others in. Guards a large system with few seeds against never being
     /// founded.
-    fn fewest(&self) -> usize {
-        let view = &self.cur.base.view;
-        let needed = self.facts.losses.saturating_add(1);
+    fn min_members(&self) -> usize {
+        let view = &self.persistent.chosen.view;
+        let needed = self.settings.fault_tolerance.saturating_add(1);
         if view.number == ViewNumber(0) { needed.min(view.members.len()).max(1) } else { needed }
     }
 
     // When.
 
     /// Begins to change the view where it must be, and can be, changed.
-    pub(crate) fn consider(&mut self) {
-        let wait = self.wanted();
+    pub(crate) fn start_attempt_when_due(&mut self) {
+        let wait = self.attempt_due_at();
         let Some(wait) = wait else {
-            self.reason = None;
+            self.scheduled_attempt = None;
             return;
         };
-        let (since, delay) = match self.reason {
+        let (since, delay) = match self.scheduled_attempt {
             Some(reason) => reason,
             None => {
-                let delay = self.delay();
-                self.reason = Some((self.now, delay));
+                let delay = self.start_delay();
+                self.scheduled_attempt = Some((self.now, delay));
                 (self.now, delay)
             }
         };
         if self.now >= (since + delay).max(wait).max(self.backoff_until) {
-            self.reason = None;
-            self.start_run();
+            self.scheduled_attempt = None;
+            self.start_attempt();
         }
     }
 
     /// Those first in the view begin first, so that ballots seldom meet.
-    fn delay(&mut self) -> Nanos {
-        let view = &self.cur.base.view;
-        let before = view.members.iter().take_while(|seat| !same(view.number, seat, &self.facts.me));
-        let rank = before.filter(|member| self.in_touch(member)).count();
+    fn start_delay(&mut self) -> Nanos {
+        let view = &self.persistent.chosen.view;
+        let before =
+            view.members.iter().take_while(|seat| !is_same_member(view.number, seat, &self.settings.me));
+        let rank = before.filter(|member| self.is_eligible_member(member)).count();
         if rank == 0 {
             return Nanos(0);
         }
-        let pulse = self.facts.pulse_every;
-        pulse.times(rank as f64) + self.part_of(pulse.times(0.5))
+        let pulse = self.settings.heartbeat_interval;
+        pulse.times(rank as f64) + self.random_part_of(pulse.times(0.5))
     }
 
-    fn in_touch(&self, seat: &Member) -> bool {
-        let view = self.cur.base.view.number;
-        let fit = |peer: &Peer| self.fit(peer) && same(view, seat, &peer.told.who);
+    fn is_eligible_member(&self, seat: &Member) -> bool {
+        let view = self.persistent.chosen.view.number;
+        let fit = |peer: &Peer| self.is_eligible(peer) && is_same_member(view, seat, &peer.heartbeat.sender);
         self.peers.values().any(fit)
     }
 
     /// The time from which the view is to be changed; none: it can't or needn't be.
-    fn wanted(&self) -> Option<Nanos> {
-        let base = &self.cur.base;
+    fn attempt_due_at(&self) -> Option<Nanos> {
+        let base = &self.persistent.chosen;
         let view = &base.view;
-        if self.run.is_some() || !self.past.proven || !self.well() || !is_member(view, &self.facts.me) {
+        if self.attempt.is_some()
+            || !self.recovery.complete
+            || !self.disk_healthy()
+            || !is_member(view, &self.settings.me)
+        {
             return None;
         }
-        let settled = self.force && !self.stopped();
-        let headless = self.force
-            && view.members.first().is_some_and(|first| first.id == self.me())
-            && !self.is_sequencer();
-        let lost = view.members.iter().any(|member| self.lost(member));
+        let settled = self.view_active && !self.is_changing_view();
+        let headless = self.view_active
+            && view.members.first().is_some_and(|first| first.id == self.member_id())
+            && !self.is_leader();
+        let lost = view.members.iter().any(|member| self.is_lost(member));
         let heard_stopped = view.members.iter().any(|member| {
-            self.peers.get(&member.id).is_some_and(|peer| peer.told.view == view.number && peer.told.stopped)
+            self.peers
+                .get(&member.id)
+                .is_some_and(|peer| peer.heartbeat.view == view.number && peer.heartbeat.stopped)
         });
-        let knocked = self.peers.values().any(|peer| !is_member(view, &peer.told.who) && self.fit(peer));
+        let knocked = self
+            .peers
+            .values()
+            .any(|peer| !is_member(view, &peer.heartbeat.sender) && self.is_eligible(peer));
         if settled && !headless && !lost && !heard_stopped && !knocked {
             return None;
         }
-        let plan = self.plan(None);
+        let plan = self.plan_members(None);
         let empty = |seat: &Member| {
-            self.plant == Some(SeededBug::EmptyVotes)
-                && self.peers.values().any(|peer| peer.told.who.addr == seat.addr && self.fit(peer))
+            self.seeded_bug == Some(SeededBug::EmptyDiskVotes)
+                && self
+                    .peers
+                    .values()
+                    .any(|peer| peer.heartbeat.sender.addr == seat.addr && self.is_eligible(peer))
         };
-        let voting = voters(view)
-            .filter(|seat| same(view.number, seat, &self.facts.me) || self.in_touch(seat) || empty(seat));
-        if plan.len() < self.fewest() || voting.count() <= voters(view).count() / 2 {
+        let voting = voters(view).filter(|seat| {
+            is_same_member(view.number, seat, &self.settings.me)
+                || self.is_eligible_member(seat)
+                || empty(seat)
+        });
+        if plan.len() < self.min_members() || voting.count() <= voters(view).count() / 2 {
             return None;
         }
-        let patience = self.facts.suspect_after;
-        let in_plan = |seat: &Member| plan.iter().any(|member| same(view.number, seat, member));
+        let patience = self.settings.suspicion_timeout;
+        let in_plan = |seat: &Member| plan.iter().any(|member| is_same_member(view.number, seat, member));
         if settled && !headless {
             let grown = plan.len() > view.members.len() && view.members.iter().all(in_plan);
             if lost || grown {
                 return Some(self.now);
             }
             // Another has stopped, and the ballot that it stopped for has not come here.
-            let seen = self.reason.map_or(self.now, |(since, _)| since);
+            let seen = self.scheduled_attempt.map_or(self.now, |(since, _)| since);
             return heard_stopped.then(|| seen + patience.times(0.5));
         }
         // While another's ballot is under way, its turn.
-        let turn = self.ballot_heard.map_or(Nanos(0), |at| at + patience.times(0.5));
+        let turn = self.competing_proposal_at.map_or(Nanos(0), |at| at + patience.times(0.5));
         // Nobody is left out who may only not have been heard yet.
-        let all_known = view.members.iter().all(|seat| in_plan(seat) || self.lost(seat));
+        let all_known = view.members.iter().all(|seat| in_plan(seat) || self.is_lost(seat));
         // A first member that may sequence waits for all to have the view on disk; the others wait
         // for the first.
         let first = view.members.first();
         let first_at_it = match first {
-            Some(first) if same(view.number, first, &self.facts.me) => self.leads(),
-            Some(first) => self.in_touch(first),
+            Some(first) if is_same_member(view.number, first, &self.settings.me) => self.may_lead(),
+            Some(first) => self.is_eligible_member(first),
             None => false,
         };
-        let at_once = all_known && (self.stopped() || !first_at_it);
-        Some(turn.max(if at_once { self.now } else { self.unsettled + patience }))
+        let at_once = all_known && (self.is_changing_view() || !first_at_it);
+        Some(turn.max(if at_once { self.now } else { self.unstable_since + patience }))
     }
 
-    fn lost(&self, seat: &Member) -> bool {
-        if seat.id == self.me() {
+    fn is_lost(&self, seat: &Member) -> bool {
+        if seat.id == self.member_id() {
             return false;
         }
-        let unfit = |peer: &Peer| !peer.told.well || peer.slow_until > self.now || self.asks_long(peer);
-        self.suspected(seat) || self.peers.get(&seat.id).is_some_and(unfit)
+        let unfit = |peer: &Peer| {
+            !peer.heartbeat.disk_healthy || peer.excluded_until > self.now || self.recovers_too_long(peer)
+        };
+        self.is_suspected(seat) || self.peers.get(&seat.id).is_some_and(unfit)
     }
 
     // Ballots: the proposer.
 
-    fn start_run(&mut self) {
-        let round = self.cur.promise.round.max(self.seen_round).saturating_add(1);
-        let ballot = ProposalNumber { round, id: self.me() };
-        self.seen_round = round;
-        if !self.stopped() {
-            self.unsettled = self.now;
-        }
-        self.cur.promise = ballot;
-        self.touch();
-        let pulse = self.facts.pulse_every;
-        self.run = Some(ViewChangeAttempt {
-            ballot,
-            step: Phase::Stop,
-            since: self.now,
-            resend_at: self.now + pulse,
-            pause: pulse,
-            majority_at: None,
-            answers: BTreeMap::new(),
-            tail: None,
-            best: None,
-            value: None,
-            installed: BTreeMap::new(),
+    fn start_attempt(&mut self) {
+        let round = self.persistent.prepared.term.max(self.highest_term).saturating_add(1);
+        let ballot = ProposalNumber { term: round, proposer: self.member_id() };
+        self.highest_term = round;
+        if !self.is_changing_view() {
+            self.unstable_since = self.now;
+        }
+        self.persistent.prepared = ballot;
+        self.mark_dirty();
+        let pulse = self.settings.heartbeat_interval;
+        self.attempt = Some(ViewChangeAttempt {
+            proposal: ballot,
+            phase: Phase::Prepare,
+            phase_started_at: self.now,
+            retry_at: self.now + pulse,
+            backoff: pulse,
+            majority_reached_at: None,
+            prepared: BTreeMap::new(),
+            latest_state: None,
+            highest_accepted: None,
+            next_view: None,
+            accepted: BTreeMap::new(),
             chosen_at: None,
-            outer_asked: false,
-            grace: pulse,
+            former_members_asked: false,
+            straggler_timeout: pulse,
         });
         // Nobody hears of the ballot before it is on disk: after a restart its number must not be
         // given out again.
-        self.ask();
+        self.send_phase_requests();
     }
 
     /// Where the voter at this seat listens now.
-    fn seat_addr(&self, seat: &Member) -> SocketAddrV4 {
-        if seat.id == MemberId(0) { seat.addr } else { self.addr(seat) }
+    fn voter_address(&self, seat: &Member) -> SocketAddrV4 {
+        if seat.id == MemberId(0) { seat.addr } else { self.address_of(seat) }
     }
 
     /// Sends the words of the step that the run is in to those who have not answered.
-    fn ask(&mut self) {
-        let Some(run) = self.run.clone() else { return };
-        let base = self.cur.base.clone();
-        let mine = self.holds().then_some(self.cur.no);
-        match run.step {
-            Phase::Stop => {
+    fn send_phase_requests(&mut self) {
+        let Some(run) = self.attempt.clone() else { return };
+        let base = self.persistent.chosen.clone();
+        let mine = self.has_view_state().then_some(self.persistent.revision);
+        match run.phase {
+            Phase::Prepare => {
                 for (place, seat) in voters(&base.view).enumerate() {
-                    if !run.answers.contains_key(&place) {
-                        let word = Message::Stop { ballot: run.ballot, base: base.clone(), no: mine };
-                        self.say_safely(self.seat_addr(seat), word);
+                    if !run.prepared.contains_key(&place) {
+                        let word = Message::Prepare {
+                            proposal: run.proposal,
+                            current: base.clone(),
+                            revision: mine,
+                        };
+                        self.send_when_durable(self.voter_address(seat), word);
                     }
                 }
             }
-            Phase::Prime | Phase::Vote => {
-                let Some(value) = &run.value else { return };
-                let next = &value.next.view;
+            Phase::Join | Phase::Accept => {
+                let Some(value) = &run.next_view else { return };
+                let next = &value.chosen.view;
                 let inside = |who: &Member| next.members.iter().any(|member| member.id == who.id);
                 let mut to: Vec<Member> = next.members.clone();
                 let mut answered = BTreeMap::new();
-                for (who, holds) in run.answers.values() {
+                for (who, holds) in run.prepared.values() {
                     answered.insert(who.id, *holds);
                     // Those who will not be in the view are asked last: the state is to be on the
                     // disks of those who will.
-                    if !inside(who) && (self.inner_installed(&run) || self.late(&run, 0.5)) {
+                    if !inside(who) && (self.all_members_accepted(&run) || self.phase_exceeds(&run, 0.5)) {
                         to.push(who.clone());
                     }
                 }
                 for member in to {
-                    let votes = seat(&base.view, &member).is_some();
-                    if run.installed.contains_key(&member.id) || (run.step == Phase::Prime && votes) {
+                    let votes = voter_index(&base.view, &member).is_some();
+                    if run.accepted.contains_key(&member.id) || (run.phase == Phase::Join && votes) {
                         continue;
                     }
-                    let has = answered.get(&member.id).is_some_and(|holds| *holds == Some(value.no));
-                    let word = Message::Install {
-                        ballot: run.ballot,
-                        base: base.clone(),
-                        next: value.next.clone(),
-                        no: value.no,
+                    let has = answered.get(&member.id).is_some_and(|holds| *holds == Some(value.revision));
+                    let word = Message::Accept {
+                        proposal: run.proposal,
+                        current: base.clone(),
+                        next: value.chosen.clone(),
+                        revision: value.revision,
                         state: (!has).then(|| value.state.clone()),
                     };
-                    let to = self.addr(&member);
-                    self.say(to, word);
+                    let to = self.address_of(&member);
+                    self.send(to, word);
                 }
             }
         }
     }
 
-    fn late(&self, run: &ViewChangeAttempt, times: f64) -> bool {
-        self.now - run.since > self.facts.suspect_after.times(times)
+    fn phase_exceeds(&self, run: &ViewChangeAttempt, times: f64) -> bool {
+        self.now - run.phase_started_at > self.settings.suspicion_timeout.times(times)
     }
 
-    fn inner_installed(&self, run: &ViewChangeAttempt) -> bool {
-        run.value.as_ref().is_some_and(|value| {
-            value.next.view.members.iter().all(|member| run.installed.contains_key(&member.id))
+    fn all_members_accepted(&self, run: &ViewChangeAttempt) -> bool {
+        run.next_view.as_ref().is_some_and(|value| {
+            value.chosen.view.members.iter().all(|member| run.accepted.contains_key(&member.id))
         })
     }
 
-    pub(crate) fn hear_stopped(
+    pub(crate) fn handle_prepared(
         &mut self,
         who: Member,
         ballot: ProposalNumber,
@@ -372,24 +399,24 @@
         vouched: Option<AcceptedView>,
     ) {
         let held = holds.map_or_else(Default::default, |no| (base, no));
-        self.note_mark(
+        self.record_progress(
             who.id,
-            DurableProgress { promise: (base, ballot), held, ..DurableProgress::default() },
+            DurableProgress { prepared: (base, ballot), state: held, ..DurableProgress::default() },
         );
-        if base != self.cur.base.view.number {
+        if base != self.persistent.chosen.view.number {
             return;
         }
-        let mine = self.holds().then(|| (self.cur.no, self.cur.state.clone()));
-        let place = self.seat_of(&who);
-        let Some(run) = &mut self.run else { return };
+        let mine = self.has_view_state().then(|| (self.persistent.revision, self.persistent.state.clone()));
+        let place = self.voter_index_of(&who);
+        let Some(run) = &mut self.attempt else { return };
         let Some(place) = place else { return };
-        if run.ballot != ballot || run.step != Phase::Stop {
+        if run.proposal != ballot || run.phase != Phase::Prepare {
             return;
         }
         let same_as_mine =
             |no: Revision| mine.as_ref().filter(|(held, _)| *held == no).map(|(_, state)| state.clone());
         let tail = match holds {
-            Some(no) if run.tail.as_ref().is_some_and(|(held, _)| *held >= no) => None,
+            Some(no) if run.latest_state.as_ref().is_some_and(|(held, _)| *held >= no) => None,
             Some(no) => match state.or_else(|| same_as_mine(no)) {
                 Some(state) => Some((no, state)),
                 // Less than mine, which comes with my own answer.
@@ -400,285 +427,312 @@
         };
         let vouched = match vouched {
             Some(vouched) => {
-                let Some(state) = vouched.state.clone().or_else(|| same_as_mine(vouched.no)) else { return };
-                Some((vouched.ballot, NextView { next: vouched.next, no: vouched.no, state, adopted: true }))
+                let Some(state) = vouched.state.clone().or_else(|| same_as_mine(vouched.revision)) else {
+                    return;
+                };
+                Some((
+                    vouched.proposal,
+                    NextView { chosen: vouched.next, revision: vouched.revision, state, adopted: true },
+                ))
             }
             None => None,
         };
         if tail.is_some() {
-            run.tail = tail;
+            run.latest_state = tail;
         }
         if let Some((ballot, value)) = vouched
-            && run.best.as_ref().is_none_or(|(best, _)| *best < ballot)
+            && run.highest_accepted.as_ref().is_none_or(|(best, _)| *best < ballot)
         {
-            run.best = Some((ballot, value));
+            run.highest_accepted = Some((ballot, value));
         }
-        run.answers.insert(place, (who, holds));
-        self.trim();
+        run.prepared.insert(place, (who, holds));
+        self.finish_prepare();
     }
 
-    fn seat_of(&self, who: &Member) -> Option<usize> {
-        let view = &self.cur.base.view;
+    fn voter_index_of(&self, who: &Member) -> Option<usize> {
+        let view = &self.persistent.chosen.view;
         let empty = || voters(view).position(|seat| seat.addr == who.addr);
-        seat(view, who).or_else(|| (self.plant == Some(SeededBug::EmptyVotes)).then(empty).flatten())
+        voter_index(view, who)
+            .or_else(|| (self.seeded_bug == Some(SeededBug::EmptyDiskVotes)).then(empty).flatten())
     }
 
     /// Once enough have stopped: what the next view is, and what it begins with.
-    fn trim(&mut self) {
-        let view = &self.cur.base.view;
-        let Some(run) = &self.run else { return };
-        if run.step != Phase::Stop {
+    fn finish_prepare(&mut self) {
+        let view = &self.persistent.chosen.view;
+        let Some(run) = &self.attempt else { return };
+        if run.phase != Phase::Prepare {
             return;
         }
-        let majority = run.answers.len() > voters(view).count() / 2;
+        let majority = run.prepared.len() > voters(view).count() / 2;
         // All that was taken is with every member, so one member that holds is enough to know it.
-        let mut known = run.answers.values().any(|(_, holds)| holds.is_some());
-        known |= run.best.is_some() || self.plant == Some(SeededBug::EmptyVotes);
+        let mut known = run.prepared.values().any(|(_, holds)| holds.is_some());
+        known |= run.highest_accepted.is_some() || self.seeded_bug == Some(SeededBug::EmptyDiskVotes);
         if !majority || !known {
             return;
         }
-        let at = run.majority_at.unwrap_or(self.now);
+        let at = run.majority_reached_at.unwrap_or(self.now);
         let waits = voters(view)
             .enumerate()
-            .any(|(place, seat)| !run.answers.contains_key(&place) && self.in_touch(seat));
-        let in_time = self.now < at + run.grace;
-        if let Some(run) = &mut self.run {
-            run.majority_at = Some(at);
+            .any(|(place, seat)| !run.prepared.contains_key(&place) && self.is_eligible_member(seat));
+        let in_time = self.now < at + run.straggler_timeout;
+        if let Some(run) = &mut self.attempt {
+            run.majority_reached_at = Some(at);
         }
         if waits && in_time {
             return;
         }
-        let Some(run) = &self.run else { return };
-        let best = run.best.clone().filter(|_| self.plant != Some(SeededBug::ForgetVouched));
+        let Some(run) = &self.attempt else { return };
+        let best =
+            run.highest_accepted.clone().filter(|_| self.seeded_bug != Some(SeededBug::ForgetAcceptedView));
         let value = match best {
             Some((_, value)) => value,
             None => {
-                let answered: BTreeSet<MemberId> = run.answers.values().map(|(who, _)| who.id).collect();
-                let members = self.plan(Some(&answered));
-                let Some((no, state)) = run.tail.clone() else { return self.give_up() };
-                if members.len() < self.fewest() {
-                    return self.give_up();
+                let answered: BTreeSet<MemberId> = run.prepared.values().map(|(who, _)| who.id).collect();
+                let members = self.plan_members(Some(&answered));
+                let Some((no, state)) = run.latest_state.clone() else { return self.abandon_attempt() };
+                if members.len() < self.min_members() {
+                    return self.abandon_attempt();
                 }
-                NextView { next: self.next_base(members, no), no, state, adopted: false }
+                NextView { chosen: self.plan_next_view(members, no), revision: no, state, adopted: false }
             }
         };
-        let joining =
-            value.next.view.members.iter().any(|member| seat(&self.cur.base.view, member).is_none());
-        let (now, pulse) = (self.now, self.facts.pulse_every);
-        if let Some(run) = &mut self.run {
-            run.step = if joining { Phase::Prime } else { Phase::Vote };
-            run.value = Some(value);
-            (run.since, run.resend_at, run.pause) = (now, now + pulse, pulse);
-        }
-        self.ask();
+        let joining = value
+            .chosen
+            .view
+            .members
+            .iter()
+            .any(|member| voter_index(&self.persistent.chosen.view, member).is_none());
+        let (now, pulse) = (self.now, self.settings.heartbeat_interval);
+        if let Some(run) = &mut self.attempt {
+            run.phase = if joining { Phase::Join } else { Phase::Accept };
+            run.next_view = Some(value);
+            (run.phase_started_at, run.retry_at, run.backoff) = (now, now + pulse, pulse);
+        }
+        self.send_phase_requests();
     }
 
     /// Ends the attempt; the next one comes after a random while, for two may be at it.
-    fn give_up(&mut self) {
-        self.run = None;
-        let pulse = self.facts.pulse_every;
-        self.backoff_until = self.now + pulse + self.part_of(self.facts.suspect_after.times(0.5));
+    fn abandon_attempt(&mut self) {
+        self.attempt = None;
+        let pulse = self.settings.heartbeat_interval;
+        self.backoff_until =
+            self.now + pulse + self.random_part_of(self.settings.suspicion_timeout.times(0.5));
     }
 
-    pub(crate) fn hear_outdone(&mut self, base: ViewNumber, promise: ProposalNumber) {
-        if base != self.cur.base.view.number {
+    pub(crate) fn handle_rejected(&mut self, base: ViewNumber, promise: ProposalNumber) {
+        if base != self.persistent.chosen.view.number {
             return;
         }
-        self.seen_round = self.seen_round.max(promise.round);
-        if self.run.as_ref().is_some_and(|run| run.ballot < promise) {
-            self.ballot_heard = Some(self.now);
-            self.give_up();
+        self.highest_term = self.highest_term.max(promise.term);
+        if self.attempt.as_ref().is_some_and(|run| run.proposal < promise) {
+            self.competing_proposal_at = Some(self.now);
+            self.abandon_attempt();
         }
     }
 
-    pub(crate) fn hear_installed(&mut self, who: Member, ballot: ProposalNumber, base: ViewNumber) {
-        self.note_mark(
+    pub(crate) fn handle_accepted(&mut self, who: Member, ballot: ProposalNumber, base: ViewNumber) {
+        self.record_progress(
             who.id,
             DurableProgress {
-                promise: (base, ballot),
-                vouched: (base, ballot),
+                prepared: (base, ballot),
+                accepted: (base, ballot),
                 ..DurableProgress::default()
             },
         );
-        let here = base == self.cur.base.view.number;
-        let Some(run) = &mut self.run else { return };
-        if !here || run.ballot != ballot || run.step == Phase::Stop {
+        let here = base == self.persistent.chosen.view.number;
+        let Some(run) = &mut self.attempt else { return };
+        if !here || run.proposal != ballot || run.phase == Phase::Prepare {
             return;
         }
-        run.installed.insert(who.id, who);
-        self.count();
+        run.accepted.insert(who.id, who);
+        self.advance_accept();
     }
 
     /// Goes on to the vote once those who join have the state, and ends once the view is chosen.
-    fn count(&mut self) {
-        let Some(run) = &self.run else { return };
-        let Some(value) = &run.value else { return };
-        let view = self.cur.base.view.clone();
-        let next = &value.next.view;
+    fn advance_accept(&mut self) {
+        let Some(run) = &self.attempt else { return };
+        let Some(value) = &run.next_view else { return };
+        let view = self.persistent.chosen.view.clone();
+        let next = &value.chosen.view;
         let primed = next
             .members
             .iter()
-            .all(|member| seat(&view, member).is_some() || run.installed.contains_key(&member.id));
-        let primed = primed || self.plant == Some(SeededBug::JoinerCounts);
-        let late = self.late(run, 0.5);
-        if run.step == Phase::Prime {
+            .all(|member| voter_index(&view, member).is_some() || run.accepted.contains_key(&member.id));
+        let primed = primed || self.seeded_bug == Some(SeededBug::JoinerCountsWithoutState);
+        let late = self.phase_exceeds(run, 0.5);
+        if run.phase == Phase::Join {
             let go_on = primed || (value.adopted && late);
             if go_on {
-                let (now, pulse) = (self.now, self.facts.pulse_every);
-                if let Some(run) = &mut self.run {
-                    run.step = Phase::Vote;
-                    (run.since, run.resend_at, run.pause) = (now, now + pulse, pulse);
+                let (now, pulse) = (self.now, self.settings.heartbeat_interval);
+                if let Some(run) = &mut self.attempt {
+                    run.phase = Phase::Accept;
+                    (run.phase_started_at, run.retry_at, run.backoff) = (now, now + pulse, pulse);
                 }
-                self.ask();
+                self.send_phase_requests();
             }
             return;
         }
-        let votes: BTreeSet<usize> = run.installed.values().filter_map(|who| self.seat_of(who)).collect();
+        let votes: BTreeSet<usize> =
+            run.accepted.values().filter_map(|who| self.voter_index_of(who)).collect();
         let majority = votes.len() > voters(&view).count() / 2;
-        let all = self.inner_installed(run) || self.plant == Some(SeededBug::JoinerCounts);
+        let all =
+            self.all_members_accepted(run) || self.seeded_bug == Some(SeededBug::JoinerCountsWithoutState);
         if !majority {
             // Now those who will not be in the view; after that at the pace of asking again.
-            if all && !run.outer_asked {
-                if let Some(run) = &mut self.run {
-                    run.outer_asked = true;
+            if all && !run.former_members_asked {
+                if let Some(run) = &mut self.attempt {
+                    run.former_members_asked = true;
                 }
-                self.ask();
+                self.send_phase_requests();
             }
             return;
         }
         let chosen_at = run.chosen_at.unwrap_or(self.now);
-        let missing = next.members.iter().filter(|member| !run.installed.contains_key(&member.id));
-        let hopeless = missing.clone().all(|member| self.suspected(member));
-        let patience = self.facts.suspect_after.times(0.5);
+        let missing = next.members.iter().filter(|member| !run.accepted.contains_key(&member.id));
+        let hopeless = missing.clone().all(|member| self.is_suspected(member));
+        let patience = self.settings.suspicion_timeout.times(0.5);
         if !all && !hopeless && self.now - chosen_at <= patience {
-            if let Some(run) = &mut self.run {
+            if let Some(run) = &mut self.attempt {
                 run.chosen_at = Some(chosen_at);
             }
             return;
         }
-        let word = Message::Chosen { ballot: run.ballot, base: view.number, force: all };
-        let mut to: BTreeSet<SocketAddrV4> = next.members.iter().map(|member| self.addr(member)).collect();
-        to.extend(voters(&view).map(|seat| self.seat_addr(seat)));
-        to.insert(self.facts.me.addr);
-        self.run = None;
+        let word = Message::Chosen { proposal: run.proposal, view: view.number, view_active: all };
+        let mut to: BTreeSet<SocketAddrV4> =
+            next.members.iter().map(|member| self.address_of(member)).collect();
+        to.extend(voters(&view).map(|seat| self.voter_address(seat)));
+        to.insert(self.settings.me.addr);
+        self.attempt = None;
         for to in to {
-            self.say(to, word.clone());
+            self.send(to, word.clone());
         }
     }
 
     /// Asks again what got no answer, and gives up what has no end in sight.
-    pub(crate) fn tick_run(&mut self) {
-        let Some(run) = &self.run else { return };
-        let step = run.step;
+    pub(crate) fn tick_attempt(&mut self) {
+        let Some(run) = &self.attempt else { return };
+        let step = run.phase;
         match step {
-            Phase::Stop => self.trim(),
-            Phase::Prime | Phase::Vote => self.count(),
+            Phase::Prepare => self.finish_prepare(),
+            Phase::Join | Phase::Accept => self.advance_accept(),
         }
-        let Some(run) = &self.run else { return };
-        if run.step == step && self.late(run, if step == Phase::Vote { 2.0 } else { 1.0 }) {
+        let Some(run) = &self.attempt else { return };
+        if run.phase == step && self.phase_exceeds(run, if step == Phase::Accept { 2.0 } else { 1.0 }) {
             // One that can't be reached to join is left out for a while.
-            if let (Phase::Prime, Some(value)) = (step, &run.value) {
-                let until = self.now + self.facts.suspect_after.times(2.0);
-                let view = self.cur.base.view.clone();
+            if let (Phase::Join, Some(value)) = (step, &run.next_view) {
+                let until = self.now + self.settings.suspicion_timeout.times(2.0);
+                let view = self.persistent.chosen.view.clone();
                 let slow: Vec<MemberId> = value
-                    .next
+                    .chosen
                     .view
                     .members
                     .iter()
-                    .filter(|member| seat(&view, member).is_none() && !run.installed.contains_key(&member.id))
+                    .filter(|member| {
+                        voter_index(&view, member).is_none() && !run.accepted.contains_key(&member.id)
+                    })
                     .map(|member| member.id)
                     .collect();
                 for id in slow {
                     if let Some(peer) = self.peers.get_mut(&id) {
-                        peer.slow_until = until;
+                        peer.excluded_until = until;
                     }
                 }
             }
-            return self.give_up();
+            return self.abandon_attempt();
         }
-        if self.now >= run.resend_at {
-            let (now, limit) = (self.now, self.facts.suspect_after);
-            if let Some(run) = &mut self.run {
-                run.pause = run.pause.times(2.0).min(limit);
-                run.resend_at = now + run.pause;
+        if self.now >= run.retry_at {
+            let (now, limit) = (self.now, self.settings.suspicion_timeout);
+            if let Some(run) = &mut self.attempt {
+                run.backoff = run.backoff.times(2.0).min(limit);
+                run.retry_at = now + run.backoff;
             }
-            self.ask();
+            self.send_phase_requests();
         }
     }
 
     // Ballots: those who vote, and those who join.
 
     /// Takes part in the change of `base` only if it is the last view that this member knows.
-    fn at_base(&mut self, from: SocketAddrV4, base: &ChosenView) -> bool {
-        if base.view.number < self.cur.base.view.number {
-            let base = self.cur.base.clone();
-            if self.may_tell() {
-                self.say(from, Message::Told { base });
+    fn is_at_view(&mut self, from: SocketAddrV4, base: &ChosenView) -> bool {
+        if base.view.number < self.persistent.chosen.view.number {
+            let base = self.persistent.chosen.clone();
+            if self.may_announce_view() {
+                self.send(from, Message::NewerView { chosen: base });
             }
             return false;
         }
-        if base.view.number > self.cur.base.view.number {
-            self.move_to(base.clone());
+        if base.view.number > self.persistent.chosen.view.number {
+            self.adopt_view(base.clone());
         }
-        *base == self.cur.base
+        *base == self.persistent.chosen
     }
 
     /// Whether the ballot may go on here; a higher one ends what this member was at itself.
-    fn bow_to(&mut self, from: SocketAddrV4, ballot: ProposalNumber) -> bool {
-        if ballot < self.cur.promise {
-            let (base, promise) = (self.cur.base.view.number, self.cur.promise);
-            self.say(from, Message::Outdone { base, promise });
+    fn prepare_for(&mut self, from: SocketAddrV4, ballot: ProposalNumber) -> bool {
+        if ballot < self.persistent.prepared {
+            let (base, promise) = (self.persistent.chosen.view.number, self.persistent.prepared);
+            self.send(from, Message::Rejected { view: base, prepared: promise });
             return false;
         }
-        self.seen_round = self.seen_round.max(ballot.round);
-        if ballot.id != self.me() {
-            self.ballot_heard = Some(self.now);
-            if self.run.is_some() {
-                self.give_up();
+        self.highest_term = self.highest_term.max(ballot.term);
+        if ballot.proposer != self.member_id() {
+            self.competing_proposal_at = Some(self.now);
+            if self.attempt.is_some() {
+                self.abandon_attempt();
             }
         }
-        if ballot > self.cur.promise {
-            if !self.stopped() {
-                self.unsettled = self.now;
+        if ballot > self.persistent.prepared {
+            if !self.is_changing_view() {
+                self.unstable_since = self.now;
             }
-            self.cur.promise = ballot;
-            self.touch();
+            self.persistent.prepared = ballot;
+            self.mark_dirty();
         }
         true
     }
 
-    pub(crate) fn hear_stop(
+    pub(crate) fn handle_prepare(
         &mut self,
         from: SocketAddrV4,
         ballot: ProposalNumber,
         base: ChosenView,
         no: Option<Revision>,
     ) {
-        if self.plant == Some(SeededBug::EmptyVotes) && self.cur.base == ChosenView::default() {
-            self.cur.base = base.clone();
+        if self.seeded_bug == Some(SeededBug::EmptyDiskVotes)
+            && self.persistent.chosen == ChosenView::default()
+        {
+            self.persistent.chosen = base.clone();
         }
-        if !self.at_base(from, &base) || self.seat_of(&self.facts.me.clone()).is_none() {
+        if !self.is_at_view(from, &base) || self.voter_index_of(&self.settings.me.clone()).is_none() {
             return;
         }
-        if !self.bow_to(from, ballot) {
+        if !self.prepare_for(from, ballot) {
             return;
         }
-        let holds = self.holds().then_some(self.cur.no);
-        let state = holds.filter(|mine| no.is_none_or(|no| no < *mine)).map(|_| self.cur.state.clone());
-        let vouched = self.cur.vouched.clone().map(|mut vouched| {
-            if no != Some(vouched.no) && vouched.state.is_none() {
-                vouched.state = Some(self.cur.state.clone());
+        let holds = self.has_view_state().then_some(self.persistent.revision);
+        let state =
+            holds.filter(|mine| no.is_none_or(|no| no < *mine)).map(|_| self.persistent.state.clone());
+        let vouched = self.persistent.accepted.clone().map(|mut vouched| {
+            if no != Some(vouched.revision) && vouched.state.is_none() {
+                vouched.state = Some(self.persistent.state.clone());
             }
             vouched
         });
-        let who = self.facts.me.clone();
-        self.say_safely(
+        let who = self.settings.me.clone();
+        self.send_when_durable(
             from,
-            Message::Stopped { who, ballot, base: base.view.number, holds, state, vouched },
+            Message::Prepared {
+                sender: who,
+                proposal: ballot,
+                view: base.view.number,
+                revision: holds,
+                state,
+                accepted: vouched,
+            },
         );
     }
 
-    pub(crate) fn hear_install(
+    pub(crate) fn handle_accept(
         &mut self,
         from: SocketAddrV4,
         ballot: ProposalNumber,
@@ -688,34 +742,38 @@
         state: Option<Arc<[u8]>>,
     ) {
         let follows = next.view.number.0 == base.view.number.0.saturating_add(1);
-        if !follows || !self.at_base(from, &base) {
+        if !follows || !self.is_at_view(from, &base) {
             return;
         }
-        let known = self.cur.held == base.view.number && self.cur.no == no;
-        if (!known && state.is_none()) || !self.bow_to(from, ballot) {
+        let known = self.persistent.state_view == base.view.number && self.persistent.revision == no;
+        if (!known && state.is_none()) || !self.prepare_for(from, ballot) {
             return;
         }
-        let vouched = AcceptedView { ballot, next, no, state: if known { None } else { state } };
-        if self.cur.vouched.as_ref() != Some(&vouched) {
-            self.cur.vouched = Some(vouched);
-            self.touch();
+        let vouched =
+            AcceptedView { proposal: ballot, next, revision: no, state: if known { None } else { state } };
+        if self.persistent.accepted.as_ref() != Some(&vouched) {
+            self.persistent.accepted = Some(vouched);
+            self.mark_dirty();
         }
-        let who = self.facts.me.clone();
-        self.say_safely(from, Message::Installed { who, ballot, base: base.view.number });
+        let who = self.settings.me.clone();
+        self.send_when_durable(
+            from,
+            Message::Accepted { sender: who, proposal: ballot, view: base.view.number },
+        );
     }
 
-    pub(crate) fn hear_chosen(&mut self, ballot: ProposalNumber, base: ViewNumber, force: bool) {
-        let vouched = self.cur.vouched.as_ref().filter(|vouched| vouched.ballot == ballot);
-        if base == self.cur.base.view.number
+    pub(crate) fn handle_chosen(&mut self, ballot: ProposalNumber, base: ViewNumber, force: bool) {
+        let vouched = self.persistent.accepted.as_ref().filter(|vouched| vouched.proposal == ballot);
+        if base == self.persistent.chosen.view.number
             && let Some(vouched) = vouched
         {
             let next = vouched.next.clone();
-            self.move_to(next);
-        } else if base.0.saturating_add(1) != self.cur.base.view.number.0 {
+            self.adopt_view(next);
+        } else if base.0.saturating_add(1) != self.persistent.chosen.view.number.0 {
             return;
         }
-        if force && !self.stopped() {
-            self.go_in_force();
+        if force && !self.is_changing_view() {
+            self.activate_view();
         }
     }
 }
--- a/crates/fernknot-consensus/src/types.rs
+++ b/crates/fernknot-consensus/src/types.rs
@@ -43,7 +43,7 @@
     pub members: Vec<Member>,
     /// Dropped members that still vote on the next view, kept only while the members are fewer
     /// than two times the losses to be borne and one. They store no changes.
-    pub absent: Vec<Member>,
+    pub former_voters: Vec<Member>,
 }
 
 /// A view that is known to be chosen, and the order numbers at which the last views began.
@@ -51,23 +51,23 @@
 pub struct ChosenView {
     pub view: View,
     /// Oldest first. What an earlier view stored above the floor of its next was never taken.
-    pub floors: Vec<(ViewNumber, Revision)>,
+    pub view_starts: Vec<(ViewNumber, Revision)>,
 }
 
 /// Number of an attempt to change a view: higher rounds win, ids part equal ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ProposalNumber {
-    pub round: u64,
-    pub id: MemberId,
+    pub term: u64,
+    pub proposer: MemberId,
 }
 
 /// A next view that this member has accepted under a ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct AcceptedView {
-    pub ballot: ProposalNumber,
+    pub proposal: ProposalNumber,
     pub next: ChosenView,
     /// Order number that the next view begins with.
-    pub no: Revision,
+    pub revision: Revision,
     /// Absent where it is the state that the member holds as its newest.
     pub state: Option<Arc<[u8]>>,
 }
@@ -77,55 +77,55 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct DurableProgress {
     /// What it promised, and in the change of which view.
-    pub promise: (ViewNumber, ProposalNumber),
+    pub prepared: (ViewNumber, ProposalNumber),
     /// The ballot under which it accepted a next view, and in the change of which view.
-    pub vouched: (ViewNumber, ProposalNumber),
+    pub accepted: (ViewNumber, ProposalNumber),
     /// The newest state.
-    pub held: (ViewNumber, Revision),
+    pub state: (ViewNumber, Revision),
 }
 
 impl DurableProgress {
     /// The later of both, part by part.
-    pub fn join(self, other: DurableProgress) -> DurableProgress {
+    pub fn merge(self, other: DurableProgress) -> DurableProgress {
         DurableProgress {
-            promise: self.promise.max(other.promise),
-            vouched: self.vouched.max(other.vouched),
-            held: self.held.max(other.held),
+            prepared: self.prepared.max(other.prepared),
+            accepted: self.accepted.max(other.accepted),
+            state: self.state.max(other.state),
         }
     }
 
     /// Nothing of the other is missing here.
     pub fn covers(self, other: DurableProgress) -> bool {
-        self.join(other) == self
+        self.merge(other) == self
     }
 }
 
 /// All that a member keeps on disk. The host writes it whole and hands it back at the next start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct PersistentState {
-    pub me: MemberId,
+    pub member_id: MemberId,
     /// The last view known to be chosen.
-    pub base: ChosenView,
+    pub chosen: ChosenView,
     /// Nothing below this ballot counts any more for the change of `base`; not 0: stopped.
-    pub promise: ProposalNumber,
-    pub vouched: Option<AcceptedView>,
+    pub prepared: ProposalNumber,
+    pub accepted: Option<AcceptedView>,
     /// The view that `no` and `state` belong to; below `base`, they only remember.
-    pub held: ViewNumber,
-    pub no: Revision,
+    pub state_view: ViewNumber,
+    pub revision: Revision,
     pub state: Arc<[u8]>,
     /// How far the disks of the voters had come when this was written, as far as they had said.
-    pub marks: Vec<(MemberId, DurableProgress)>,
+    pub known_progress: Vec<(MemberId, DurableProgress)>,
 }
 
 impl PersistentState {
     /// What whoever has this on disk may have vouched for.
-    pub fn mark(&self) -> DurableProgress {
-        let view = self.base.view.number;
-        let vouched = self.vouched.as_ref().map_or(ProposalNumber::default(), |vouched| vouched.ballot);
+    pub fn progress(&self) -> DurableProgress {
+        let view = self.chosen.view.number;
+        let vouched = self.accepted.as_ref().map_or(ProposalNumber::default(), |vouched| vouched.proposal);
         DurableProgress {
-            promise: (view, self.promise),
-            vouched: (view, vouched),
-            held: (self.held, self.no),
+            prepared: (view, self.prepared),
+            accepted: (view, vouched),
+            state: (self.state_view, self.revision),
         }
     }
 }
@@ -133,122 +133,122 @@
 /// What a member tells of itself, at every pulse and at once where something has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct PeerHeartbeat {
-    pub who: Member,
+    pub sender: Member,
     /// What is safely on disk: the view, the view of the newest state, its order number.
     pub view: ViewNumber,
-    pub held: ViewNumber,
-    pub no: Revision,
+    pub state_view: ViewNumber,
+    pub revision: Revision,
     /// What is safely promised and vouched for in the change of `view`.
-    pub promise: ProposalNumber,
-    pub vouched: ProposalNumber,
+    pub prepared: ProposalNumber,
+    pub accepted: ProposalNumber,
     /// Started from a disk, and nobody has said enough yet of what came from it before.
-    pub asks: bool,
+    pub recovering: bool,
     /// The newest order number known to be taken in `view`.
-    pub commit: Revision,
-    pub force: bool,
+    pub commit_revision: Revision,
+    pub view_active: bool,
     pub stopped: bool,
-    pub well: bool,
+    pub disk_healthy: bool,
     /// The sender's life and clock, and the receiver's as last heard by the sender.
-    pub life: u64,
-    pub at: u64,
+    pub incarnation: u64,
+    pub sent_at: u64,
     pub echo: (u64, u64),
     /// Those with whom the sender is in touch both ways.
-    pub hears: Vec<MemberId>,
+    pub reachable: Vec<MemberId>,
     /// Members of the view with whom it is certainly not.
-    pub deaf: Vec<MemberId>,
+    pub suspected: Vec<MemberId>,
 }
 
 /// A message between registrars. May be lost, doubled or late.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
-    Pulse(PeerHeartbeat),
+    Heartbeat(PeerHeartbeat),
     /// To one who asks: how far the disk of the life `of` had come, as far as `who` ever heard. `life` is the
     /// asking process as it named itself.
-    Recall {
-        who: Member,
-        of: MemberId,
-        life: u64,
-        mark: DurableProgress,
+    RecoveryResponse {
+        sender: Member,
+        member_id: MemberId,
+        incarnation: u64,
+        progress: DurableProgress,
     },
     /// A later view, to one who isn't in it or votes in an older one.
-    Told {
-        base: ChosenView,
+    NewerView {
+        chosen: ChosenView,
     },
     /// The newest state, to a member of the view that lacks it.
-    Whole {
-        base: ChosenView,
-        no: Revision,
+    StateTransfer {
+        chosen: ChosenView,
+        revision: Revision,
         state: Arc<[u8]>,
     },
     /// The sequencer's next change.
-    Change {
+    Replicate {
         view: ViewNumber,
-        no: Revision,
+        revision: Revision,
         state: Arc<[u8]>,
     },
     /// `who` has the change on disk.
-    Have {
-        who: MemberId,
+    ReplicateAck {
+        sender: MemberId,
         view: ViewNumber,
-        no: Revision,
+        revision: Revision,
     },
     /// All members have it on disk.
     Commit {
         view: ViewNumber,
-        no: Revision,
+        revision: Revision,
     },
     /// Stop `base` under this ballot; `no` is the newest that the proposer holds.
-    Stop {
-        ballot: ProposalNumber,
-        base: ChosenView,
-        no: Option<Revision>,
+    Prepare {
+        proposal: ProposalNumber,
+        current: ChosenView,
+        revision: Option<Revision>,
     },
     /// Stopped. `holds` is the newest order number, `state` goes with it where the proposer lacks it.
-    Stopped {
-        who: Member,
-        ballot: ProposalNumber,
-        base: ViewNumber,
-        holds: Option<Revision>,
+    Prepared {
+        sender: Member,
+        proposal: ProposalNumber,
+        view: ViewNumber,
+        revision: Option<Revision>,
         state: Option<Arc<[u8]>>,
-        vouched: Option<AcceptedView>,
+        accepted: Option<AcceptedView>,
     },
     /// A higher ballot has been promised.
-    Outdone {
-        base: ViewNumber,
-        promise: ProposalNumber,
+    Rejected {
+        view: ViewNumber,
+        prepared: ProposalNumber,
     },
     /// The next view, and what it begins with; no state where the receiver holds it.
-    Install {
-        ballot: ProposalNumber,
-        base: ChosenView,
+    Accept {
+        proposal: ProposalNumber,
+        current: ChosenView,
         next: ChosenView,
-        no: Revision,
+        revision: Revision,
         state: Option<Arc<[u8]>>,
     },
     /// On disk with the view's number.
-    Installed {
-        who: Member,
-        ballot: ProposalNumber,
-        base: ViewNumber,
+    Accepted {
+        sender: Member,
+        proposal: ProposalNumber,
+        view: ViewNumber,
     },
     /// The next view is chosen; `force`: all its members have it on disk.
     Chosen {
-        ballot: ProposalNumber,
-        base: ViewNumber,
-        force: bool,
+        proposal: ProposalNumber,
+        view: ViewNumber,
+        view_active: bool,
     },
     /// Does the hearer stand in this view, not stopped? `life` is that of the speaker's process.
-    Confirm {
+    ReadIndexRequest {
         view: ViewNumber,
-        life: u64,
-        round: u64,
+        incarnation: u64,
+        sequence: u64,
     },
     /// `who` does, and said so after the round had begun.
-    Confirmed {
-        who: MemberId,
+    ReadIndexResponse {
+        sender: MemberId,
         view: ViewNumber,
-        life: u64,
-        round: u64,
+        incarnation: u64,
+        sequence: u64,
     },
 }
 
@@ -261,34 +261,34 @@
     /// Only true when the whole system starts for the first time.
     pub bootstrap: bool,
     /// How many disks may be lost at once.
-    pub losses: usize,
+    pub fault_tolerance: usize,
     /// A member that was not heard for this long is dropped.
-    pub suspect_after: Nanos,
+    pub suspicion_timeout: Nanos,
     /// How often members tell of themselves; well below `suspect_after`.
-    pub pulse_every: Nanos,
+    pub heartbeat_interval: Nanos,
     /// How old word from a majority may be for a claim of freshness; three pulses at least.
-    pub lease: Nanos,
+    pub lease_duration: Nanos,
 }
 
 /// Why a registrar does not count in the view now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ineligibility {
     /// Not heard for `suspect_after`, or it does not hear this one.
-    Silent,
+    Unreachable,
     /// Another life of a disk speaks at its address.
     Replaced,
     /// Its disk hangs or refuses, by its own word.
-    DiskNotWell,
+    DiskUnhealthy,
     /// It did not store in time what it was sent.
-    TooSlow,
+    SlowDisk,
     /// It started from a disk, and waits for word of what had come from it before.
-    Asks,
+    Recovering,
     /// Its disk is an older copy of itself, or not well.
-    OlderCopy,
+    OutdatedDisk,
     /// It has not yet what the view holds.
     CatchingUp,
     /// It is in touch with this one, but not with all in the view.
-    NotWithAll,
+    PartiallyConnected,
 }
 
 /// A registrar's place in the view or beside it.
@@ -296,89 +296,89 @@
 pub struct ReplicaStatus {
     pub member: Member,
     /// Stores every change.
-    pub inside: bool,
+    pub is_member: bool,
     /// Votes on the next view.
-    pub votes: bool,
+    pub is_voter: bool,
     /// None: it counts.
-    pub lack: Option<Ineligibility>,
+    pub ineligibility: Option<Ineligibility>,
 }
 
 /// How the view stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ViewStatus {
-    pub no: ViewNumber,
+    pub number: ViewNumber,
     /// Changes are taken in it.
-    pub in_force: bool,
-    pub seats: Vec<ReplicaStatus>,
+    pub active: bool,
+    pub replicas: Vec<ReplicaStatus>,
     /// So many disks more may be lost for good, at once and now, with nothing acknowledged lost and no order of an
     /// operator needed to go on.
-    pub losses_borne: usize,
+    pub remaining_fault_tolerance: usize,
 }
 
 /// Why a view is not forced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ForceViewError {
     #[error("a majority of the voters is heard: the view changes by itself")]
-    MajorityHeard,
+    MajorityReachable,
     #[error("{0} is named as lost, and is heard")]
-    Heard(SocketAddrV4),
+    LostMemberReachable(SocketAddrV4),
     #[error("{0} votes, is not heard, and is not named as lost")]
-    NotNamed(SocketAddrV4),
+    UnreachableNotNamed(SocketAddrV4),
     #[error("{0} knows more: force the view there")]
-    KnowsMore(SocketAddrV4),
+    PeerMoreRecent(SocketAddrV4),
     #[error("this registrar was never in a view, or has lost its disk")]
-    HoldsNothing,
+    NoState,
     #[error("the disk of this registrar is not well")]
-    DiskNotWell,
+    DiskUnhealthy,
     #[error("this registrar has not listened for long enough yet")]
-    Listening,
+    StillListening,
     #[error("no numbers are left for another forced view")]
-    NoNumber,
+    ViewNumbersExhausted,
 }
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    Say {
+    Send {
         to: SocketAddrV4,
-        word: Message,
+        message: Message,
     },
     /// Write and sync, then call `stored`. Only one is out at a time, except after a failure.
-    Store {
-        ticket: WriteId,
-        saved: PersistentState,
+    Persist {
+        write_id: WriteId,
+        state: PersistentState,
     },
     /// In force, in one order, on every member; also once after a start, when the view is in force.
     Deliver {
         view: ViewNumber,
-        no: Revision,
+        revision: Revision,
         state: Arc<[u8]>,
     },
     /// On disk with every member of its view: nothing within the losses to be borne can undo it.
-    Taken {
-        proposal: u64,
-        no: Revision,
+    Committed {
+        change_id: u64,
+        revision: Revision,
     },
     /// Certainly not taken, now or later. A proposal that gets neither word is not known yet.
-    Refused {
-        proposal: u64,
+    Rejected {
+        change_id: u64,
     },
     /// This member is in the view, and the view is in force.
-    Entered {
+    ViewActivated {
         view: View,
     },
     /// This member is in no view any more; it asks to be let in again by itself.
-    Left,
+    ViewLeft,
     /// The disk was an older copy of itself, or a forced view has closed it out: this member goes on as a new one
     /// with an empty disk, and asks to be let in.
-    Renewed {
-        was: MemberId,
-        me: MemberId,
+    IdentityReplaced {
+        previous: MemberId,
+        current: MemberId,
     },
     /// A majority of the voters stood in the view, not stopped, after the inquiry was made, and all that was taken
     /// before it has been delivered here.
-    Confirmed {
-        inquiry: ReadIndexId,
+    ReadIndexConfirmed {
+        read_index: ReadIndexId,
     },
     /// Call `next` again after this long at the latest.
     Wake {
@@ -391,31 +391,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SeededBug {
     /// An empty disk at a member's address votes for it.
-    EmptyVotes,
+    EmptyDiskVotes,
     /// Words leave before what they vouch for is on disk.
-    WordBeforeDisk,
+    SendBeforePersist,
     /// The sequencer's own disk is enough.
-    OneDisk,
+    CommitOnOneDisk,
     /// What others may have chosen is not taken over.
-    ForgetVouched,
+    ForgetAcceptedView,
     /// A sequencer goes on after a restart as if it had sent nothing.
-    SequenceAgain,
+    LeadAgainAfterRestart,
     /// An older copy of a disk is taken for the disk.
-    OldCopyVotes,
+    OutdatedDiskVotes,
     /// An older copy gives itself up as soon as it hears that it is one.
-    GivesUpAtOnce,
+    ResetOnFirstConflict,
     /// One that joins counts before it has what the view begins with.
-    JoinerCounts,
+    JoinerCountsWithoutState,
     /// Where a view began is guessed when it is not remembered any more.
-    FloorGuessed,
+    GuessForgottenViewStart,
     /// A forced view has the next number, and closes nobody out.
-    UnfencedForce,
+    UnfencedForcedView,
     /// An inquiry is confirmed by the member's own state.
-    ConfirmAlone,
+    ReadIndexWithoutQuorum,
     /// One that has stopped confirms the view all the same.
-    ConfirmStopped,
+    ReadIndexDuringViewChange,
     /// An inquiry doesn't wait for what is stored here and not yet known as taken.
-    ReadDelivered,
+    ReadIndexIgnoresPendingChange,
     /// An inquiry doesn't wait for what the view began with.
-    ConfirmBelowFloor,
+    ReadIndexBelowViewStart,
 }
--- a/crates/fernknot-consensus/tests/common/mod.rs
+++ b/crates/fernknot-consensus/tests/common/mod.rs
@@ -178,14 +178,14 @@
             me: Member { id: machine.id, addr: machine.addr, zone: format!("z{at}") },
             founders: self.founders.clone(),
             bootstrap,
-            losses: self.losses,
-            suspect_after: Nanos(SUSPECT),
-            pulse_every: Nanos(PULSE),
-            lease: Nanos(4 * PULSE),
+            fault_tolerance: self.losses,
+            suspicion_timeout: Nanos(SUSPECT),
+            heartbeat_interval: Nanos(PULSE),
+            lease_duration: Nanos(4 * PULSE),
         };
         // What lies on disk goes through bytes, as with a real host.
         let saved = machine.saved.as_ref().map(|saved| bitcode::decode(&bitcode::encode(saved)).unwrap());
-        machine.views = Some(Consensus::planted(seed, facts, saved, Nanos(self.now), self.plant));
+        machine.views = Some(Consensus::with_seeded_bug(seed, facts, saved, Nanos(self.now), self.plant));
         self.serve(at);
     }
 
@@ -219,7 +219,7 @@
 
     fn keep(&mut self, at: usize, saved: PersistentState) {
         let machine = &mut self.machines[at];
-        machine.copies.retain(|copy| copy.me == saved.me);
+        machine.copies.retain(|copy| copy.member_id == saved.member_id);
         machine.copies.push(saved.clone());
         machine.saved = Some(saved);
     }
@@ -270,11 +270,11 @@
                 self.keep(at, saved);
             }
             if let Some(views) = &mut self.machines[at].views {
-                views.stored(now, ticket, ok);
+                views.handle_write_result(now, ticket, ok);
             }
         }
         if let Some(views) = &mut self.machines[at].views {
-            views.disk_ok(now, disk.writes());
+            views.set_disk_healthy(now, disk.writes());
         }
         self.serve(at);
     }
@@ -307,7 +307,7 @@
             let life = self.machines[at].life;
             assert!(orders < 5_000, "no end of orders at machine {at}: {order:?}");
             match order {
-                Action::Say { to, word } => {
+                Action::Send { to, message: word } => {
                     self.words += 1;
                     let from = self.machines[at].addr;
                     let bytes = bitcode::encode(&word);
@@ -324,7 +324,7 @@
                         self.push(after, Event::Word { from, to, bytes: bytes.clone() });
                     }
                 }
-                Action::Store { ticket, saved } => {
+                Action::Persist { write_id: ticket, state: saved } => {
                     self.syncs += 1;
                     match self.machines[at].disk {
                         Disk::Well | Disk::Slow => {
@@ -336,12 +336,12 @@
                         Disk::Hangs => self.machines[at].held_writes.push((ticket, saved)),
                         Disk::Full => {
                             if let Some(views) = &mut self.machines[at].views {
-                                views.stored(now, ticket, false);
+                                views.handle_write_result(now, ticket, false);
                             }
                         }
                     }
                 }
-                Action::Deliver { view, no, state } => {
+                Action::Deliver { view, revision: no, state } => {
                     if before.is_some_and(|before| before > no) {
                         self.break_rule(format!("machine {at} went back from {before:?} to {no:?}"));
                     }
@@ -362,14 +362,14 @@
                     // A member that enters a view begins with all that was acknowledged before.
                     let entered = self.views.contains_key(&view.0);
                     if entered && self.views.keys().next_back() == Some(&view.0) && no < newest {
-                        let first = self.machines[at].views.as_ref().is_some_and(|v| v.is_sequencer());
+                        let first = self.machines[at].views.as_ref().is_some_and(|v| v.is_leader());
                         if first {
                             let what = format!("{view:?} goes on from {no:?}, acknowledged was {newest:?}");
                             self.break_rule(what);
                         }
                     }
                 }
-                Action::Taken { proposal, no } => {
+                Action::Committed { change_id: proposal, revision: no } => {
                     self.taken.insert(proposal, no);
                     let of: Arc<[u8]> = self.proposals[&proposal].clone().into();
                     let known = self.states.entry(no.0).or_insert_with(|| of.clone());
@@ -380,20 +380,20 @@
                         self.break_rule(format!("{proposal} was refused and taken"));
                     }
                 }
-                Action::Refused { proposal } => {
+                Action::Rejected { change_id: proposal } => {
                     self.refused.insert(proposal);
                     if self.taken.contains_key(&proposal) {
                         self.break_rule(format!("{proposal} was taken and refused"));
                     }
                 }
-                Action::Entered { view } => {
+                Action::ViewActivated { view } => {
                     let known = self.views.entry(view.number.0).or_insert_with(|| view.clone());
                     if *known != view {
                         let what = format!("two views {:?}", view.number);
                         self.break_rule(what);
                     }
                 }
-                Action::Confirmed { inquiry } => {
+                Action::ReadIndexConfirmed { read_index: inquiry } => {
                     let Some((by, newest)) = self.asked.remove(&inquiry.0) else {
                         self.break_rule(format!("{inquiry:?} was confirmed and not asked, or twice"));
                         continue;
@@ -407,8 +407,8 @@
                         ));
                     }
                 }
-                Action::Left => {}
-                Action::Renewed { was, me } => {
+                Action::ViewLeft => {}
+                Action::IdentityReplaced { previous: was, current: me } => {
                     self.machines[at].id = me;
                     self.machines[at].renewed.push(was);
                 }
@@ -444,7 +444,7 @@
                     return self.push(50 * MS, Event::Word { from, to, bytes });
                 }
                 if let Some(views) = &mut self.machines[at].views {
-                    views.heard(now, from, bitcode::decode(&bytes).unwrap());
+                    views.handle_message(now, from, bitcode::decode(&bytes).unwrap());
                     self.serve(at);
                 }
             }
@@ -463,7 +463,7 @@
                     self.keep(at, *saved);
                 }
                 if let Some(views) = &mut self.machines[at].views {
-                    views.stored(now, ticket, ok);
+                    views.handle_write_result(now, ticket, ok);
                 }
                 self.serve(at);
             }
@@ -492,7 +492,7 @@
     }
 
     pub fn sequencer(&self) -> Option<usize> {
-        let leads = |machine: &Machine| machine.views.as_ref().is_some_and(|views| views.is_sequencer());
+        let leads = |machine: &Machine| machine.views.as_ref().is_some_and(|views| views.is_leader());
         let newest =
             |at: &usize| self.machines[*at].views.as_ref().and_then(|v| v.view()).map(|view| view.number);
         (0..self.machines.len()).filter(|at| leads(&self.machines[*at])).max_by_key(newest)
@@ -506,7 +506,7 @@
     /// Proposes at this machine, if it thinks that it leads.
     pub fn propose_at(&mut self, at: usize) -> Option<u64> {
         let frozen = self.machines[at].frozen;
-        let views = self.machines[at].views.as_mut().filter(|views| views.is_sequencer() && !frozen)?;
+        let views = self.machines[at].views.as_mut().filter(|views| views.is_leader() && !frozen)?;
         let (base, _) = views.delivered()?;
         let proposal = self.proposals.len() as u64 + 1;
         let mut state = proposal.to_be_bytes().to_vec();
@@ -526,7 +526,7 @@
             let Some(views) = self.machines[at].views.as_mut().filter(|_| !frozen) else { continue };
             self.inquiries += 1;
             self.asked.insert(self.inquiries, (at, newest));
-            views.inquire(now, ReadIndexId(self.inquiries));
+            views.read_index(now, ReadIndexId(self.inquiries));
             self.serve(at);
         }
     }
--- a/crates/fernknot-consensus/tests/faults.rs
+++ b/crates/fernknot-consensus/tests/faults.rs
@@ -112,7 +112,7 @@
     fleet.machines[first].frozen = true;
     fleet.goes_on(3 * SUSPECT).expect("goes on without it");
     let now = fernknot::interface::Nanos(fleet.now);
-    assert!(!fleet.machines[first].views.as_ref().unwrap().holds_lease(now));
+    assert!(!fleet.machines[first].views.as_ref().unwrap().has_lease(now));
     fleet.machines[first].frozen = false;
     fleet.play(5 * PULSE);
     assert_eq!(fleet.members().len(), 3);
@@ -155,7 +155,7 @@
     for at in 0..fleet.machines.len() {
         let others: Vec<_> = fleet.machines.iter().map(|machine| machine.addr).collect();
         let views = fleet.machines[at].views.as_mut().expect("it runs");
-        others.into_iter().for_each(|other| views.know(Nanos(fleet.now), other));
+        others.into_iter().for_each(|other| views.add_address(Nanos(fleet.now), other));
         fleet.serve(at);
     }
     fleet.goes_on(8 * SUSPECT).expect("founded");
--- a/crates/fernknot-consensus/tests/forced.rs
+++ b/crates/fernknot-consensus/tests/forced.rs
@@ -20,7 +20,7 @@
 fn force(fleet: &mut Fleet, at: usize, lost: &[usize]) -> Result<ViewNumber, ForceViewError> {
     let lost: Vec<SocketAddrV4> = lost.iter().map(|at| fleet.machines[*at].addr).collect();
     let now = Nanos(fleet.now);
-    let end = fleet.machines[at].views.as_mut().unwrap().force(now, &lost);
+    let end = fleet.machines[at].views.as_mut().unwrap().force_view(now, &lost);
     fleet.serve(at);
     end
 }
@@ -63,18 +63,18 @@
     let mut fleet = founded(3, 3, 1, None);
     fleet.kill(0);
     fleet.play(2 * SUSPECT);
-    assert_eq!(force(&mut fleet, 1, &[0]), Err(ForceViewError::MajorityHeard));
-    assert_eq!(force(&mut fleet, 1, &[0, 2]), Err(ForceViewError::Heard(addr(3))));
+    assert_eq!(force(&mut fleet, 1, &[0]), Err(ForceViewError::MajorityReachable));
+    assert_eq!(force(&mut fleet, 1, &[0, 2]), Err(ForceViewError::LostMemberReachable(addr(3))));
     fleet.kill(2);
     fleet.play(2 * SUSPECT);
-    assert_eq!(force(&mut fleet, 1, &[0]), Err(ForceViewError::NotNamed(addr(3))));
+    assert_eq!(force(&mut fleet, 1, &[0]), Err(ForceViewError::UnreachableNotNamed(addr(3))));
     fleet.kill(1);
     fleet.restart(1);
-    assert_eq!(force(&mut fleet, 1, &[0, 2]), Err(ForceViewError::Listening));
+    assert_eq!(force(&mut fleet, 1, &[0, 2]), Err(ForceViewError::StillListening));
     fleet.play(2 * SUSPECT);
     assert_matches!(force(&mut fleet, 1, &[0, 2]), Ok(_));
     let empty = fleet.add(addr(50), false);
-    assert_eq!(force(&mut fleet, empty, &[0, 2]), Err(ForceViewError::HoldsNothing));
+    assert_eq!(force(&mut fleet, empty, &[0, 2]), Err(ForceViewError::NoState));
 }
 
 /// The others were only cut off, and changed views and states meanwhile; then all meet.
@@ -132,7 +132,7 @@
 #[test]
 fn given_a_forced_view_without_its_fence_when_the_old_majority_returns_then_it_is_found() {
     let broken = |seed: &u64| {
-        let mut fleet = the_others_come_back(*seed, Some(SeededBug::UnfencedForce));
+        let mut fleet = the_others_come_back(*seed, Some(SeededBug::UnfencedForcedView));
         fleet.heal();
         fleet.goes_on(8 * SUSPECT);
         fleet.play(4 * SUSPECT);
--- a/crates/fernknot-consensus/tests/hundreds.rs
+++ b/crates/fernknot-consensus/tests/hundreds.rs
@@ -182,5 +182,5 @@
 
 #[test]
 fn given_a_forgotten_floor_that_is_guessed_when_a_proposal_was_taken_then_it_is_found() {
-    assert_eq!(said_after(0, 45, true, Some(SeededBug::FloorGuessed)), (false, true));
+    assert_eq!(said_after(0, 45, true, Some(SeededBug::GuessForgottenViewStart)), (false, true));
 }
--- a/crates/fernknot-consensus/tests/model.rs
+++ b/crates/fernknot-consensus/tests/model.rs
@@ -86,48 +86,50 @@
             me: Member { id, addr: addr(at), zone: String::new() },
             founders: (0..COUNT).map(addr).collect(),
             bootstrap: first,
-            losses: 1,
-            suspect_after: Nanos(SUSPECT),
-            pulse_every: Nanos(PULSE),
-            lease: Nanos(SUSPECT),
+            fault_tolerance: 1,
+            suspicion_timeout: Nanos(SUSPECT),
+            heartbeat_interval: Nanos(PULSE),
+            lease_duration: Nanos(SUSPECT),
         };
-        Consensus::planted(world.now + id.0, facts, saved, Nanos(world.now), self.plant)
+        Consensus::with_seeded_bug(world.now + id.0, facts, saved, Nanos(world.now), self.plant)
     }
 
     fn serve(&self, world: &mut World, at: usize) {
         let now = Nanos(world.now);
         while let Some(order) = world.nodes[at].views.poll_action(now) {
             match order {
-                Action::Say { to, word } => {
+                Action::Send { to, message: word } => {
                     let Some(to) = (0..COUNT).find(|other| addr(*other) == to) else { continue };
                     let cut = world.cut.is_some_and(|cut| cut == at || cut == to);
-                    if !matches!(word, Message::Pulse(_)) {
+                    if !matches!(word, Message::Heartbeat(_)) {
                         world.words.insert((at, to, bitcode::encode(&word)));
                     } else if !cut {
-                        world.nodes[to].views.heard(now, addr(at), word);
+                        world.nodes[to].views.handle_message(now, addr(at), word);
                     }
                 }
-                Action::Store { ticket, saved } => world.nodes[at].writing = Some((ticket, saved)),
-                Action::Deliver { no, state, .. } => self.state(world, no.0, state),
-                Action::Taken { proposal, no } => {
+                Action::Persist { write_id: ticket, state: saved } => {
+                    world.nodes[at].writing = Some((ticket, saved))
+                }
+                Action::Deliver { revision: no, state, .. } => self.state(world, no.0, state),
+                Action::Committed { change_id: proposal, revision: no } => {
                     world.acknowledged = world.acknowledged.max(no.0);
                     if self.disks_with(world, no) < 2 {
                         world.broken = Some("acknowledged on fewer disks than may be lost and one");
                     }
                     self.state(world, no.0, Arc::from(proposal.to_be_bytes()));
                 }
-                Action::Entered { view } if !self.on_disk(world, &view) => {
+                Action::ViewActivated { view } if !self.on_disk(world, &view) => {
                     world.broken = Some("a view in force before it is on its members' disks");
                 }
-                Action::Entered { view } => {
+                Action::ViewActivated { view } => {
                     match world.views.iter().find(|known| known.number == view.number) {
                         Some(known) if *known != view => world.broken = Some("two views of one number"),
                         Some(_) => {}
                         None => world.views.push(view),
                     }
                 }
-                Action::Renewed { me, .. } => world.nodes[at].id = me,
-                Action::Confirmed { inquiry } => {
+                Action::IdentityReplaced { current: me, .. } => world.nodes[at].id = me,
+                Action::ReadIndexConfirmed { read_index: inquiry } => {
                     let found = world.asked.iter().position(|(asked, ..)| *asked == inquiry);
                     let has = world.nodes[at].views.delivered().map(|(no, _)| no.0);
                     match found.map(|found| world.asked.remove(found)) {
@@ -135,12 +137,12 @@
                         _ => world.broken = Some("an inquiry confirmed that may not be"),
                     }
                 }
-                Action::Refused { .. } | Action::Left | Action::Wake { .. } => {}
+                Action::Rejected { .. } | Action::ViewLeft | Action::Wake { .. } => {}
             }
         }
         let views = &world.nodes[at].views;
         let newest = world.views.iter().map(|view| view.number).max();
-        let leads = views.is_sequencer() && views.view().map(|view| view.number) == newest;
+        let leads = views.is_leader() && views.view().map(|view| view.number) == newest;
         if leads && views.delivered().is_some_and(|(no, _)| no.0 < world.acknowledged) {
             world.broken = Some("an acknowledged state is not in the newest view");
         }
@@ -148,7 +150,7 @@
 
     fn disks_with(&self, world: &World, no: Revision) -> usize {
         let has = |saved: &PersistentState| {
-            saved.no >= no || saved.vouched.as_ref().is_some_and(|next| next.no >= no)
+            saved.revision >= no || saved.accepted.as_ref().is_some_and(|next| next.revision >= no)
         };
         world.nodes.iter().filter(|node| node.saved.as_ref().is_some_and(has)).count()
     }
@@ -156,8 +158,8 @@
     /// Members whose disk was emptied since don't count.
     fn on_disk(&self, world: &World, view: &View) -> bool {
         let has = |saved: &PersistentState| {
-            let vouched = saved.vouched.as_ref().map(|vouched| vouched.next.view.number);
-            saved.base.view.number >= view.number || vouched >= Some(view.number)
+            let vouched = saved.accepted.as_ref().map(|vouched| vouched.next.view.number);
+            saved.chosen.view.number >= view.number || vouched >= Some(view.number)
         };
         let inside = |node: &&Node| view.members.iter().any(|member| member.id == node.id);
         world.nodes.iter().filter(inside).all(|node| node.saved.as_ref().is_some_and(has))
@@ -178,14 +180,14 @@
     fn hear(&self, world: &mut World, word: &(usize, usize, Vec<u8>)) {
         let (from, to, bytes) = word;
         let now = Nanos(world.now);
-        world.nodes[*to].views.heard(now, addr(*from), bitcode::decode(bytes).unwrap());
+        world.nodes[*to].views.handle_message(now, addr(*from), bitcode::decode(bytes).unwrap());
         self.all_serve(world);
     }
 
     fn synced(&self, world: &mut World, at: usize) {
         if let Some((ticket, saved)) = world.nodes[at].writing.take() {
             world.nodes[at].older = world.nodes[at].saved.replace(saved);
-            world.nodes[at].views.stored(Nanos(world.now), ticket, true);
+            world.nodes[at].views.handle_write_result(Nanos(world.now), ticket, true);
             self.all_serve(world);
         }
     }
@@ -257,7 +259,7 @@
                     acts.push(Act::Older(at));
                 }
             }
-            if world.left[PROPOSE] > 0 && node.views.is_sequencer() {
+            if world.left[PROPOSE] > 0 && node.views.is_leader() {
                 acts.push(Act::Propose(at));
             }
             if world.left[ASK] > 0 && node.views.view().is_some() {
@@ -327,7 +329,7 @@
                 next.left[ASK] -= 1;
                 next.asked.push((inquiry, at, next.acknowledged));
                 let now = Nanos(next.now);
-                next.nodes[at].views.inquire(now, inquiry);
+                next.nodes[at].views.read_index(now, inquiry);
                 self.all_serve(&mut next);
             }
             Act::Propose(at) => {
@@ -370,9 +372,9 @@
     deep.assert_properties();
 }
 
-#[test_case::test_case(SeededBug::OneDisk, [1, 0, 0, 0, 1, 0])]
-#[test_case::test_case(SeededBug::WordBeforeDisk, [1, 0, 0, 0, 1, 0])]
-#[test_case::test_case(SeededBug::ReadDelivered, [0, 0, 0, 0, 1, 1])]
+#[test_case::test_case(SeededBug::CommitOnOneDisk, [1, 0, 0, 0, 1, 0])]
+#[test_case::test_case(SeededBug::SendBeforePersist, [1, 0, 0, 0, 1, 0])]
+#[test_case::test_case(SeededBug::ReadIndexIgnoresPendingChange, [0, 0, 0, 0, 1, 1])]
 fn given_a_planted_break_when_the_model_is_checked_then_it_is_found(plant: SeededBug, left: [u8; 6]) {
     let checker = Registrars { plant: Some(plant), left }.checker();
     let checker = checker.threads(2).target_state_count(4 * MOST_STATES).spawn_bfs().join();
--- a/crates/fernknot-consensus/tests/past.rs
+++ b/crates/fernknot-consensus/tests/past.rs
@@ -114,7 +114,7 @@
     }
     // What was on the lost writes may be lost; what is taken from here on may not.
     let newest =
-        fleet.machines.iter().filter_map(|machine| machine.saved.as_ref()).map(|saved| saved.no).max();
+        fleet.machines.iter().filter_map(|machine| machine.saved.as_ref()).map(|saved| saved.revision).max();
     fleet.taken.clear();
     fleet.states.retain(|no, _| Some(*no) <= newest.map(|newest| newest.0));
     (0..3).for_each(|at| fleet.restart(at));
@@ -127,7 +127,7 @@
     let now = fernknot::interface::Nanos(fleet.now);
     let mut done = 0;
     for at in 0..fleet.machines.len() {
-        done += fleet.machines[at].views.as_mut().unwrap().force(now, &[]).is_ok() as usize;
+        done += fleet.machines[at].views.as_mut().unwrap().force_view(now, &[]).is_ok() as usize;
         fleet.serve(at);
     }
     done
@@ -158,7 +158,7 @@
 #[test]
 fn given_older_copies_that_give_themselves_up_at_once_when_no_view_goes_on_then_it_is_found() {
     let lost = |seed: &u64| {
-        let (fleet, goes_on) = all_older(*seed, Some(SeededBug::GivesUpAtOnce));
+        let (fleet, goes_on) = all_older(*seed, Some(SeededBug::ResetOnFirstConflict));
         !goes_on && fleet.machines.iter().any(|machine| !machine.renewed.is_empty())
     };
     let found = (0..20).filter(lost).count();
@@ -189,7 +189,7 @@
         took.sort();
         took
     };
-    let (asked, before) = (sorted(None), sorted(Some(SeededBug::OldCopyVotes)));
+    let (asked, before) = (sorted(None), sorted(Some(SeededBug::OutdatedDiskVotes)));
     println!(
         "one returns: {} ms, {} at most; without questions {}, {}",
         asked[30], asked[59], before[30], before[59]
@@ -244,7 +244,7 @@
         let settled = fleet.agree() && fleet.members().len() == 3;
         lost.or_else(|| (!settled).then(|| format!("not settled: {:?}", fleet.members())))
     };
-    let found = (0..20).filter_map(|seed| play(seed, Some(SeededBug::OldCopyVotes))).collect::<Vec<_>>();
+    let found = (0..20).filter_map(|seed| play(seed, Some(SeededBug::OutdatedDiskVotes))).collect::<Vec<_>>();
     println!("OldCopyVotes: found by {} of 20 seeds, such as {:?}", found.len(), found.first());
     assert!(!found.is_empty());
     for seed in 0..60 * more_seeds() {
@@ -276,7 +276,7 @@
         took
     };
     // Without the questions that a disk's past asks: as it was before there were any.
-    let (asked, before) = (sorted(None), sorted(Some(SeededBug::OldCopyVotes)));
+    let (asked, before) = (sorted(None), sorted(Some(SeededBug::OutdatedDiskVotes)));
     let told = |took: &[u64]| {
         format!("{} ms in the middle, {} of 90 in 100, {} at most", took[50], took[90], took[99])
     };
--- a/crates/fernknot-consensus/tests/schedules.rs
+++ b/crates/fernknot-consensus/tests/schedules.rs
@@ -63,8 +63,8 @@
     })
 }
 
-#[test_case::test_case(SeededBug::SequenceAgain; "goes on after a restart")]
-#[test_case::test_case(SeededBug::ReadDelivered; "waits for nothing stored")]
+#[test_case::test_case(SeededBug::LeadAgainAfterRestart; "goes on after a restart")]
+#[test_case::test_case(SeededBug::ReadIndexIgnoresPendingChange; "waits for nothing stored")]
 fn given_a_planted_break_when_schedules_are_played_then_it_is_found(plant: SeededBug) {
     let schedules = found(plant);
     println!("{plant:?}: found by schedule {schedules:?}");
@@ -188,13 +188,13 @@
     fleet.play(2 * PULSE);
 }
 
-#[test_case::test_case(SeededBug::ConfirmBelowFloor, 3, back_with_a_change_under_way)]
-#[test_case::test_case(SeededBug::ConfirmAlone, 3, cut_off_and_asked)]
-#[test_case::test_case(SeededBug::ConfirmStopped, 5, stopped_and_asked)]
-#[test_case::test_case(SeededBug::OneDisk, 3, ack_on_too_few)]
-#[test_case::test_case(SeededBug::WordBeforeDisk, 3, ack_on_too_few)]
-#[test_case::test_case(SeededBug::EmptyVotes, 3, an_empty_disk_and_one_left_out)]
-#[test_case::test_case(SeededBug::ForgetVouched, 3, chosen_and_gone)]
+#[test_case::test_case(SeededBug::ReadIndexBelowViewStart, 3, back_with_a_change_under_way)]
+#[test_case::test_case(SeededBug::ReadIndexWithoutQuorum, 3, cut_off_and_asked)]
+#[test_case::test_case(SeededBug::ReadIndexDuringViewChange, 5, stopped_and_asked)]
+#[test_case::test_case(SeededBug::CommitOnOneDisk, 3, ack_on_too_few)]
+#[test_case::test_case(SeededBug::SendBeforePersist, 3, ack_on_too_few)]
+#[test_case::test_case(SeededBug::EmptyDiskVotes, 3, an_empty_disk_and_one_left_out)]
+#[test_case::test_case(SeededBug::ForgetAcceptedView, 3, chosen_and_gone)]
 fn given_a_planted_break_when_its_moment_is_played_then_only_it_is_found(
     plant: SeededBug,
     machines: u8,
--- a/crates/fernknot-consensus/tests/second_loss.rs
+++ b/crates/fernknot-consensus/tests/second_loss.rs
@@ -19,13 +19,15 @@
 
 fn standing(fleet: &Fleet) -> Option<ViewStatus> {
     let at = fleet.sequencer()?;
-    fleet.machines[at].views.as_ref().map(|views| views.standing())
+    fleet.machines[at].views.as_ref().map(|views| views.status())
 }
 
 /// Plays until the newest view is in force and bears so many losses; false: it does not come to it.
 fn bears(fleet: &mut Fleet, losses: usize, view: u64) -> bool {
     for step in 0..16 * SUSPECT / MS {
-        if standing(fleet).is_some_and(|it| it.in_force && it.no.0 > view && it.losses_borne >= losses) {
+        if standing(fleet)
+            .is_some_and(|it| it.active && it.number.0 > view && it.remaining_fault_tolerance >= losses)
+        {
             return true;
         }
         if step % 25 == 0 {
@@ -73,12 +75,12 @@
     let mut fleet = founded(seed, count, losses, plant);
     let first = FIRSTS[seed as usize % FIRSTS.len()];
     let one = fleet.chance.draw(count as u64) as usize;
-    let view = standing(&fleet).ok_or("no view")?.no.0;
+    let view = standing(&fleet).ok_or("no view")?.number.0;
     lose(&mut fleet, first, one);
     if matches!(first, First::Away | First::Leaves) {
         // Until it is back three bear nothing: it comes back once it has been left out.
         fleet.play(2 * SUSPECT);
-        if standing(&fleet).is_none_or(|it| it.losses_borne + 1 > count as usize / 2) {
+        if standing(&fleet).is_none_or(|it| it.remaining_fault_tolerance + 1 > count as usize / 2) {
             return Err(format!("{first:?} of {one} is not counted: {:?}", standing(&fleet)));
         }
         fleet.disk(one, Disk::Well);
@@ -162,7 +164,7 @@
 
 #[test]
 fn given_a_joiner_that_counts_early_when_schedules_are_played_then_it_is_found() {
-    let found = (0..200).find(|seed| play(*seed, 3, 1, Some(SeededBug::JoinerCounts)).is_err());
+    let found = (0..200).find(|seed| play(*seed, 3, 1, Some(SeededBug::JoinerCountsWithoutState)).is_err());
     println!("JoinerCounts: found by seed {found:?}");
     assert!(found.is_some());
 }
@@ -170,21 +172,21 @@
 #[test]
 fn given_one_that_is_out_when_it_is_asked_why_then_it_says_so_and_how_many_losses_are_borne() {
     let mut fleet = founded(7, 3, 1, None);
-    assert_matches!(standing(&fleet), Some(it) if it.losses_borne == 1 && it.seats.iter().all(|seat| seat.lack.is_none()));
+    assert_matches!(standing(&fleet), Some(it) if it.remaining_fault_tolerance == 1 && it.replicas.iter().all(|seat| seat.ineligibility.is_none()));
     fleet.kill(2);
     fleet.play(2 * SUSPECT);
     let it = standing(&fleet).unwrap();
-    let out = it.seats.iter().find(|seat| !seat.inside).unwrap();
-    assert!(out.votes && out.lack == Some(Ineligibility::Silent));
-    assert_eq!(it.losses_borne, 0);
+    let out = it.replicas.iter().find(|seat| !seat.is_member).unwrap();
+    assert!(out.is_voter && out.ineligibility == Some(Ineligibility::Unreachable));
+    assert_eq!(it.remaining_fault_tolerance, 0);
     fleet.restart(2);
     fleet.play(SUSPECT);
-    assert_eq!(standing(&fleet).unwrap().losses_borne, 1);
+    assert_eq!(standing(&fleet).unwrap().remaining_fault_tolerance, 1);
     fleet.disk(2, Disk::Hangs);
     fleet.play(SUSPECT);
     let it = standing(&fleet).unwrap();
-    assert_matches!(it.seats.iter().find(|seat| !seat.inside), Some(seat) if seat.lack == Some(Ineligibility::DiskNotWell));
-    assert_eq!(it.losses_borne, 0);
+    assert_matches!(it.replicas.iter().find(|seat| !seat.is_member), Some(seat) if seat.ineligibility == Some(Ineligibility::DiskUnhealthy));
+    assert_eq!(it.remaining_fault_tolerance, 0);
 }
 
 #[test_case::test_case(1, 0, 0)]
@@ -199,7 +201,7 @@
     borne: usize,
 ) {
     let fleet = founded(8, count, losses, None);
-    assert_eq!(standing(&fleet).unwrap().losses_borne, borne);
+    assert_eq!(standing(&fleet).unwrap().remaining_fault_tolerance, borne);
 }
 
 #[test_case::test_case(3, 1)]
@@ -213,7 +215,7 @@
         let mut fleet = founded(2000 + seed, count, losses, None);
         // An empty disk finds the others by its seeds: all of those that are named may be among the lost.
         fleet.founders = (1..=count).map(addr).collect();
-        let borne = standing(&fleet).unwrap().losses_borne;
+        let borne = standing(&fleet).unwrap().remaining_fault_tolerance;
         fleet.propose();
         let after = fleet.chance.draw(10 * MS);
         fleet.play(after);
@@ -231,6 +233,6 @@
     let mut fleet = founded(9, 3, 1, None);
     (0..2).for_each(|at| fleet.kill(at));
     assert_eq!(fleet.goes_on(10 * SUSPECT), None);
-    let it = fleet.machines[2].views.as_ref().unwrap().standing();
-    assert_eq!(it.losses_borne, 0);
+    let it = fleet.machines[2].views.as_ref().unwrap().status();
+    assert_eq!(it.remaining_fault_tolerance, 0);
 }
--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -2,45 +2,45 @@
 
 use crate::ground::QuorumEvidence;
 use fernknot_http_api::{Body, Endpoint, MatchedRequest, Reply};
-use fernknot_schema::{NodeHeartbeat, RoutingConfig, ValidationError, digest};
+use fernknot_schema::{NodeHeartbeat, RoutingConfig, ValidationError, json_digest};
 use std::sync::Arc;
 
 /// Longest name of a node's life, in bytes.
-const LONGEST_ID: usize = 200;
+const MAX_NODE_ID_BYTES: usize = 200;
 
-fn faults(faults: &[ValidationError]) -> Reply {
+fn bad_request(faults: &[ValidationError]) -> Reply {
     let lines: Vec<String> = faults.iter().map(ValidationError::to_string).collect();
-    Reply::refused(400, &lines.join("; "))
+    Reply::error(400, &lines.join("; "))
 }
 
-fn id(asked: MatchedRequest<'_>) -> Result<String, Reply> {
-    match asked.segment.len() <= LONGEST_ID {
+fn node_id(asked: MatchedRequest<'_>) -> Result<String, Reply> {
+    match asked.segment.len() <= MAX_NODE_ID_BYTES {
         true => Ok(asked.segment.to_string()),
-        false => Err(Reply::refused(400, "the id in the path is too long")),
+        false => Err(Reply::error(400, "the id in the path is too long")),
     }
 }
 
 /// A node lives, or says that it is about to leave.
 pub struct Heartbeat {
     pub id: String,
-    pub beat: NodeHeartbeat,
+    pub heartbeat: NodeHeartbeat,
 }
 
 /// What becomes of a node's call.
 pub enum NodeCallOutcome {
     /// A plain beat: noted here, which promises nothing.
-    Noted,
+    Recorded,
     /// That it leaves is known to a majority.
-    Leaves(QuorumEvidence),
+    DrainConfirmed(QuorumEvidence),
     /// Not noted: the node is to call another registrar.
-    No(&'static str),
+    Unavailable(&'static str),
 }
 
 impl From<NodeCallOutcome> for Reply {
     fn from(heard: NodeCallOutcome) -> Reply {
         match heard {
-            NodeCallOutcome::Noted | NodeCallOutcome::Leaves(_) => Reply::done(),
-            NodeCallOutcome::No(why) => Reply::refused(503, why),
+            NodeCallOutcome::Recorded | NodeCallOutcome::DrainConfirmed(_) => Reply::ok(),
+            NodeCallOutcome::Unavailable(why) => Reply::error(503, why),
         }
     }
 }
@@ -50,9 +50,9 @@
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/nodes/*/heartbeat";
 
-    fn read(asked: MatchedRequest<'_>) -> Result<Heartbeat, Reply> {
-        let beat = NodeHeartbeat::read(&asked.request.body).map_err(|bad| faults(&bad))?;
-        Ok(Heartbeat { id: id(asked)?, beat })
+    fn parse(asked: MatchedRequest<'_>) -> Result<Heartbeat, Reply> {
+        let beat = NodeHeartbeat::parse(&asked.request.body).map_err(|bad| bad_request(&bad))?;
+        Ok(Heartbeat { id: node_id(asked)?, heartbeat: beat })
     }
 }
 
@@ -66,14 +66,14 @@
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/nodes/*/deregister";
 
-    fn read(asked: MatchedRequest<'_>) -> Result<Deregister, Reply> {
-        Ok(Deregister { id: id(asked)? })
+    fn parse(asked: MatchedRequest<'_>) -> Result<Deregister, Reply> {
+        Ok(Deregister { id: node_id(asked)? })
     }
 }
 
 /// An operator's new configuration.
 pub struct ReplaceConfig {
-    pub base: u64,
+    pub base_epoch: u64,
     pub epoch: u64,
     pub digest: u64,
     pub body: Vec<u8>,
@@ -82,32 +82,32 @@
 /// The end of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    Taken(QuorumEvidence),
+    Committed(QuorumEvidence),
     /// Another version is in place.
-    Other(String, QuorumEvidence),
+    VersionConflict(String, QuorumEvidence),
     /// Its number is not above the one in force.
-    Invalid(String, QuorumEvidence),
+    StaleEpoch(String, QuorumEvidence),
     /// Not known: it may be in force or not, and may be repeated unchanged.
-    Unclear(&'static str),
+    Unknown(&'static str),
 }
 
 impl ChangeOutcome {
     /// As it is told between registrars.
-    pub fn status(&self) -> (u16, String) {
+    pub fn status_and_reason(&self) -> (u16, String) {
         match self {
-            ChangeOutcome::Taken(_) => (200, String::new()),
-            ChangeOutcome::Other(why, _) => (412, why.clone()),
-            ChangeOutcome::Invalid(why, _) => (400, why.clone()),
-            ChangeOutcome::Unclear(why) => (503, why.to_string()),
+            ChangeOutcome::Committed(_) => (200, String::new()),
+            ChangeOutcome::VersionConflict(why, _) => (412, why.clone()),
+            ChangeOutcome::StaleEpoch(why, _) => (400, why.clone()),
+            ChangeOutcome::Unknown(why) => (503, why.to_string()),
         }
     }
 }
 
 impl From<ChangeOutcome> for Reply {
     fn from(end: ChangeOutcome) -> Reply {
-        match end.status() {
-            (200, _) => Reply::done(),
-            (status, why) => Reply::refused(status, &why),
+        match end.status_and_reason() {
+            (200, _) => Reply::ok(),
+            (status, why) => Reply::error(status, &why),
         }
     }
 }
@@ -117,17 +117,17 @@
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/config/replace";
 
-    fn read(asked: MatchedRequest<'_>) -> Result<ReplaceConfig, Reply> {
+    fn parse(asked: MatchedRequest<'_>) -> Result<ReplaceConfig, Reply> {
         let base = asked.request.header("Base-Epoch").map(str::trim);
         let base = base.and_then(|base| base.parse().ok());
-        let plan = RoutingConfig::read(&asked.request.body);
+        let plan = RoutingConfig::parse(&asked.request.body);
         match (plan, base) {
             (Ok(plan), Some(base)) => {
                 let body = asked.request.body.clone();
-                Ok(ReplaceConfig { base, epoch: plan.epoch, digest: digest(&body), body })
+                Ok(ReplaceConfig { base_epoch: base, epoch: plan.epoch, digest: json_digest(&body), body })
             }
-            (Ok(_), None) => Err(Reply::refused(400, "Base-Epoch: is no whole number")),
-            (Err(bad), _) => Err(faults(&bad)),
+            (Ok(_), None) => Err(Reply::error(400, "Base-Epoch: is no whole number")),
+            (Err(bad), _) => Err(bad_request(&bad)),
         }
     }
 }
@@ -137,20 +137,20 @@
 
 /// The newest configuration, as far as this registrar may speak for it.
 pub enum ReadConfigOutcome {
-    Body(Arc<[u8]>, QuorumEvidence),
+    Current(Arc<[u8]>, QuorumEvidence),
     /// None was ever taken.
-    None(QuorumEvidence),
+    NeverConfigured(QuorumEvidence),
     /// A newer one may be known elsewhere.
-    Unsure,
+    Unavailable,
 }
 
 impl From<ReadConfigOutcome> for Reply {
     fn from(newest: ReadConfigOutcome) -> Reply {
         match newest {
-            ReadConfigOutcome::Body(body, _) => Reply::json(Body::Shared(body)),
-            ReadConfigOutcome::None(_) => Reply::refused(404, "no configuration has been taken yet"),
-            ReadConfigOutcome::Unsure => {
-                Reply::refused(503, "cut off from the others, who may know a newer one")
+            ReadConfigOutcome::Current(body, _) => Reply::json(Body::Shared(body)),
+            ReadConfigOutcome::NeverConfigured(_) => Reply::error(404, "no configuration has been taken yet"),
+            ReadConfigOutcome::Unavailable => {
+                Reply::error(503, "cut off from the others, who may know a newer one")
             }
         }
     }
@@ -161,7 +161,7 @@
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/-/config/read";
 
-    fn read(_: MatchedRequest<'_>) -> Result<ReadConfig, Reply> {
+    fn parse(_: MatchedRequest<'_>) -> Result<ReadConfig, Reply> {
         Ok(ReadConfig)
     }
 }
@@ -175,8 +175,8 @@
 impl From<ReadinessOutcome> for Reply {
     fn from(ready: ReadinessOutcome) -> Reply {
         match ready.0 {
-            Some(_) => Reply::done(),
-            None => Reply::refused(503, "not in touch with the others"),
+            Some(_) => Reply::ok(),
+            None => Reply::error(503, "not in touch with the others"),
         }
     }
 }
@@ -186,7 +186,7 @@
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/-/readiness";
 
-    fn read(_: MatchedRequest<'_>) -> Result<CheckReadiness, Reply> {
+    fn parse(_: MatchedRequest<'_>) -> Result<CheckReadiness, Reply> {
         Ok(CheckReadiness)
     }
 }
@@ -198,7 +198,7 @@
 
 impl From<CountersReport> for Reply {
     fn from(counted: CountersReport) -> Reply {
-        Reply::json(Body::Own(counted.0.into_bytes()))
+        Reply::json(Body::Owned(counted.0.into_bytes()))
     }
 }
 
@@ -207,7 +207,7 @@
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/-/counters";
 
-    fn read(_: MatchedRequest<'_>) -> Result<ReadCounters, Reply> {
+    fn parse(_: MatchedRequest<'_>) -> Result<ReadCounters, Reply> {
         Ok(ReadCounters)
     }
 }
--- a/crates/fernknot-controller/src/ears.rs
+++ b/crates/fernknot-controller/src/ears.rs
@@ -9,16 +9,16 @@
 /// One listener.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
-    pub who: GatewayRecord,
+    pub gateway: GatewayRecord,
     pub ready: bool,
-    pub share: Subscription,
+    pub subscription: Subscription,
     /// The order of the plan that it was told last.
-    pub order: u64,
+    pub sent_revision: u64,
 }
 
 impl Subscriber {
-    fn wants(&self, service: &str) -> bool {
-        match &self.share {
+    fn wants_service(&self, service: &str) -> bool {
+        match &self.subscription {
             Subscription::All => true,
             // A life that is known by its end alone has no service: its end is for all.
             Subscription::Services(named) => service.is_empty() || named.iter().any(|name| name == service),
@@ -26,25 +26,25 @@
     }
 
     /// What of these facts is for it.
-    pub fn share_of(&self, facts: &[NodeRecord]) -> Vec<NodeRecord> {
-        facts.iter().filter(|fact| self.wants(&fact.service)).cloned().collect()
+    pub fn select_records(&self, facts: &[NodeRecord]) -> Vec<NodeRecord> {
+        facts.iter().filter(|fact| self.wants_service(&fact.service)).cloned().collect()
     }
 
-    pub fn wants_all(&self) -> bool {
-        matches!(self.share, Subscription::All)
+    pub fn wants_all_services(&self) -> bool {
+        matches!(self.subscription, Subscription::All)
     }
 }
 
 /// All listeners by their connections.
 #[derive(Debug, Default)]
 pub struct Subscribers {
-    pub list: BTreeMap<SubscriberId, Subscriber>,
+    pub by_id: BTreeMap<SubscriberId, Subscriber>,
     /// Those that came while no majority was heard: they have not been told the configuration, nor that this is all.
-    pub partly: BTreeSet<SubscriberId>,
+    pub awaiting_snapshot: BTreeSet<SubscriberId>,
 }
 
 impl Subscribers {
-    pub fn all(&self) -> Vec<SubscriberId> {
-        self.list.keys().copied().collect()
+    pub fn ids(&self) -> Vec<SubscriberId> {
+        self.by_id.keys().copied().collect()
     }
 }
--- a/crates/fernknot-controller/src/ground.rs
+++ b/crates/fernknot-controller/src/ground.rs
@@ -13,39 +13,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EvidenceKind {
     /// The sequencer's own change lies on the disks of all members.
-    Stored,
+    StoredByAllMembers,
     /// It was taken earlier, as the history delivered here says; what is taken stays so for ever.
-    Known,
+    InHistory,
     /// A majority of the voters stood in the view after the call came.
-    Majority,
+    ConfirmedByMajority,
     /// Another registrar had one of these.
-    Relayed,
+    ReportedByPeer,
     /// A break planted for the checkers.
-    Planted,
+    SeededBug,
 }
 
 impl QuorumEvidence {
     /// That of an order of the views, where it has one.
-    pub fn of(order: &ViewOrder) -> Option<QuorumEvidence> {
+    pub fn from_consensus(order: &ViewOrder) -> Option<QuorumEvidence> {
         match order {
-            ViewOrder::Taken { .. } => Some(QuorumEvidence(EvidenceKind::Stored)),
-            ViewOrder::Confirmed { .. } => Some(QuorumEvidence(EvidenceKind::Majority)),
+            ViewOrder::Committed { .. } => Some(QuorumEvidence(EvidenceKind::StoredByAllMembers)),
+            ViewOrder::ReadIndexConfirmed { .. } => Some(QuorumEvidence(EvidenceKind::ConfirmedByMajority)),
             _ => None,
         }
     }
 
     /// The delivered history names this very configuration under this number.
-    pub fn known(control: &ControlState, epoch: u64, digest: u64) -> Option<QuorumEvidence> {
-        control.has_taken(epoch, digest).then_some(QuorumEvidence(EvidenceKind::Known))
+    pub fn from_history(control: &ControlState, epoch: u64, digest: u64) -> Option<QuorumEvidence> {
+        control.has_committed(epoch, digest).then_some(QuorumEvidence(EvidenceKind::InHistory))
     }
 
     /// The word of the registrar to which a call was handed; it can't say so without a ground of its own.
-    pub fn relayed() -> QuorumEvidence {
-        QuorumEvidence(EvidenceKind::Relayed)
+    pub fn from_peer() -> QuorumEvidence {
+        QuorumEvidence(EvidenceKind::ReportedByPeer)
     }
 
     #[doc(hidden)]
-    pub fn planted() -> QuorumEvidence {
-        QuorumEvidence(EvidenceKind::Planted)
+    pub fn from_seeded_bug() -> QuorumEvidence {
+        QuorumEvidence(EvidenceKind::SeededBug)
     }
 }
--- a/crates/fernknot-controller/tests/changes.rs
+++ b/crates/fernknot-controller/tests/changes.rs
@@ -176,9 +176,9 @@
     let mut fleet = Fleet::three();
     assert_eq!(fleet.replace(1, 0, &plan(7, "one")), 200);
     let now = fleet.now;
-    let first = (1..=3).find(|at| !fleet.brain(*at).may_end()).expect("one is the sequencer");
-    fleet.brain(first).stop(now);
-    while !fleet.brain(first).may_end() {
+    let first = (1..=3).find(|at| !fleet.brain(*at).can_exit()).expect("one is the sequencer");
+    fleet.brain(first).begin_shutdown(now);
+    while !fleet.brain(first).can_exit() {
         assert!(fleet.now - now < ms(1400), "a quarter of the grace is over");
         fleet.run(ms(20));
     }
--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -114,11 +114,11 @@
             zone: format!("zone-{at}"),
             seeds: self.seeds.clone(),
             bootstrap,
-            losses: self.losses,
-            beat: ms(1200),
-            apply: ms(3000),
-            contact: ms(4000),
-            window: ms(10_000),
+            tolerated_losses: self.losses,
+            heartbeat_interval: ms(1200),
+            apply_deadline: ms(3000),
+            contact_timeout: ms(4000),
+            budget_window: ms(10_000),
             seed: life * 1_000_003,
         };
         let machine = self.machines.entry(at).or_insert_with(|| Machine {
@@ -131,8 +131,8 @@
         });
         machine.life = life;
         machine.held.clear();
-        let mut brain = Controller::planted(facts, self.now, self.plant);
-        brain.disk_read(self.now, machine.disk.clone(), &machine.known, machine.disk.is_none());
+        let mut brain = Controller::with_seeded_bug(facts, self.now, self.plant);
+        brain.disk_loaded(self.now, machine.disk.clone(), &machine.known, machine.disk.is_none());
         machine.brain = Some(brain);
     }
 
@@ -207,7 +207,7 @@
     /// The one that sequences.
     pub fn first(&mut self) -> usize {
         let all: Vec<usize> = self.machines.keys().copied().collect();
-        all.into_iter().find(|at| !self.brain(*at).may_end()).expect("one is the sequencer")
+        all.into_iter().find(|at| !self.brain(*at).can_exit()).expect("one is the sequencer")
     }
 
     pub fn brain(&mut self, at: usize) -> &mut Controller {
@@ -219,7 +219,7 @@
         self.next += 1;
         let (caller, now) = (self.next, self.now);
         let request = request(head, body);
-        self.brain(at).call(now, PendingCall { line: caller, call: 1 }, &request);
+        self.brain(at).handle_call(now, PendingCall { connection: caller, call: 1 }, &request);
         self.follow(at);
         caller
     }
@@ -276,12 +276,17 @@
         self.next += 1;
         let (ear, now) = (self.next, self.now);
         let inner = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, ear as u8), 7120);
-        let who = GatewayRecord { life: IncarnationId(ear), addr: inner, zone: "zone-1".into() };
+        let who = GatewayRecord { incarnation: IncarnationId(ear), addr: inner, zone: "zone-1".into() };
         self.heard.insert(ear, VecDeque::new());
-        self.brain(at).inward(
+        self.brain(at).handle_gateway_message(
             now,
             SubscriberId(ear),
-            GatewayToController::Attach { who, ready: true, share, order },
+            GatewayToController::Subscribe {
+                gateway: who,
+                ready: true,
+                subscription: share,
+                revision: order,
+            },
         );
         self.follow(at);
         ear
@@ -292,7 +297,7 @@
         self.next += 1;
         let (ear, now) = (self.next, self.now);
         self.heard.insert(ear, VecDeque::new());
-        self.brain(at).inward(now, SubscriberId(ear), word);
+        self.brain(at).handle_gateway_message(now, SubscriberId(ear), word);
         self.follow(at);
         self.heard.remove(&ear)?.pop_front()
     }
@@ -300,7 +305,7 @@
     /// The epochs of the plans that a listener has heard.
     pub fn plans(&self, ear: u64) -> Vec<u64> {
         let plans = self.heard[&ear].iter().filter_map(|word| match word {
-            ControllerToGateway::Plan { plan, .. } => Some(plan.epoch),
+            ControllerToGateway::Config { config: plan, .. } => Some(plan.epoch),
             _ => None,
         });
         plans.collect()
@@ -317,8 +322,11 @@
         let all: Vec<usize> = self.machines.keys().copied().collect();
         all.iter().for_each(|at| self.follow(*at));
         loop {
-            let due =
-                self.machines.values().filter_map(|machine| machine.brain.as_ref()).map(Controller::due);
+            let due = self
+                .machines
+                .values()
+                .filter_map(|machine| machine.brain.as_ref())
+                .map(Controller::next_timeout);
             let news = self.news.keys().next().map(|(at, _)| *at);
             let Some(at) = due.chain(news).min().filter(|at| *at <= until) else { break };
             self.now = self.now.max(at);
@@ -338,7 +346,7 @@
                 if !self.cut.contains(&(from, to))
                     && let Some(brain) = self.machines.get_mut(&to).and_then(|machine| machine.brain.as_mut())
                 {
-                    brain.peer(now, addr(from), word);
+                    brain.handle_peer_message(now, addr(from), word);
                     self.follow(to);
                 }
             }
@@ -349,16 +357,16 @@
                 }
                 if let Some(brain) = self.machines.get_mut(&from).and_then(|machine| machine.brain.as_mut()) {
                     if there {
-                        brain.opened(now, addr(to))
+                        brain.peer_connected(now, addr(to))
                     } else {
-                        brain.closed(now, addr(to))
+                        brain.peer_disconnected(now, addr(to))
                     }
                     self.follow(from);
                 }
             }
             News::Closed(from, to) => {
                 if let Some(brain) = self.machines.get_mut(&from).and_then(|machine| machine.brain.as_mut()) {
-                    brain.closed(now, addr(to));
+                    brain.peer_disconnected(now, addr(to));
                 }
             }
             News::Stored(at, ticket, saved) => {
@@ -368,7 +376,7 @@
                     machine.disk = Some(saved);
                 }
                 if let Some(brain) = &mut machine.brain {
-                    brain.stored(now, ticket, ok);
+                    brain.write_completed(now, ticket, ok);
                 }
                 self.follow(at);
             }
@@ -382,30 +390,31 @@
             .machines
             .get_mut(&at)
             .and_then(|machine| machine.brain.as_mut())
-            .and_then(|brain| brain.next(now))
+            .and_then(|brain| brain.poll_action(now))
         {
             match order {
-                Action::Answer { slot, reply } => {
+                Action::Reply { call: slot, reply } => {
                     let text = String::from_utf8_lossy(reply.body.bytes()).into_owned();
-                    self.answers.insert(slot.line, (reply.status, text));
+                    self.answers.insert(slot.connection, (reply.status, text));
                 }
-                Action::Say { to, word } => {
+                Action::Send { to, message: word } => {
                     let lasting = !matches!(
                         &word,
-                        ControllerMessage::Views(Message::Pulse(_)) | ControllerMessage::Heard(_)
+                        ControllerMessage::Consensus(Message::Heartbeat(_))
+                            | ControllerMessage::RecentIncarnations(_)
                     );
                     self.words += lasting as u64;
                     self.later(WAY, News::Word(at, number(&to), word));
                 }
-                Action::Tell { to, word } => {
+                Action::Notify { to, message: word } => {
                     for ear in to {
                         self.heard.entry(ear.0).or_default().push_back(word.clone());
                     }
                 }
                 Action::Connect { to } if self.dark.contains(&number(&to)) => {}
                 Action::Connect { to } => self.later(WAY + WAY, News::Opened(at, number(&to))),
-                Action::GiveUp { .. } | Action::Note { .. } => {}
-                Action::Store { ticket, saved } => {
+                Action::AbortConnect { .. } | Action::Log { .. } => {}
+                Action::Store { ticket, state: saved } => {
                     let machine = self.machines.get_mut(&at).expect("it has just spoken");
                     if machine.writes == Writes::Hang {
                         machine.held.push((ticket, saved));
@@ -413,7 +422,7 @@
                         self.later(SYNC, News::Stored(at, ticket, saved));
                     }
                 }
-                Action::Remember { addrs } => {
+                Action::StoreKnownPeers { addrs } => {
                     self.machines.get_mut(&at).expect("it has just spoken").known = addrs;
                 }
             }
@@ -426,8 +435,8 @@
     let (mut input, mut out) = (Buffer::default(), Buffer::default());
     input.push(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
     let facts = HttpServerSettings::new(100, 256.0, 1 << 20).expect("enough of all");
-    match HttpServerConnection::default().pull(&mut input, &mut out, &facts) {
-        ReadOutcome::Call(request) => request,
+    match HttpServerConnection::default().read_request(&mut input, &mut out, &facts) {
+        ReadOutcome::Request(request) => request,
         other => panic!("no request: {other:?}"),
     }
 }
--- a/crates/fernknot-controller/tests/nodes.rs
+++ b/crates/fernknot-controller/tests/nodes.rs
@@ -11,7 +11,7 @@
 /// The last that a listener heard of a node.
 fn state(fleet: &Fleet, ear: u64, id: &str) -> Option<NodeState> {
     let words = fleet.heard[&ear].iter().filter_map(|word| match word {
-        ControllerToGateway::Nodes(facts) => Some(facts),
+        ControllerToGateway::NodeUpdates(facts) => Some(facts),
         _ => None,
     });
     words.flatten().rfind(|fact| fact.id == id).map(|fact| fact.state)
@@ -125,12 +125,16 @@
         fleet.run(ms(500));
         for (at, ear) in (1..=3).zip(&ears) {
             let now = fleet.now;
-            fleet.brain(at).inward(now, SubscriberId(*ear), GatewayToController::Alive { ready: true });
+            fleet.brain(at).handle_gateway_message(
+                now,
+                SubscriberId(*ear),
+                GatewayToController::Heartbeat { ready: true },
+            );
         }
     }
     let live = |fleet: &Fleet, ear: u64| {
         fleet.heard[&ear].iter().rev().find_map(|word| match word {
-            ControllerToGateway::Cut(cut) => Some((cut.fence, cut.live.len())),
+            ControllerToGateway::Assignment(cut) => Some((cut.fencing_token, cut.gateways.len())),
             _ => None,
         })
     };
@@ -138,7 +142,7 @@
     assert_eq!(before.1, 3);
     assert!(ears.iter().all(|ear| live(&fleet, *ear) == Some(before)), "all by one cut");
     let now = fleet.now;
-    fleet.brain(3).inward(now, SubscriberId(ears[2]), GatewayToController::Leaving);
+    fleet.brain(3).handle_gateway_message(now, SubscriberId(ears[2]), GatewayToController::ShuttingDown);
     fleet.run(ms(1500));
     let after = live(&fleet, ears[0]).expect("a cut was made");
     assert!(after.0 > before.0);
@@ -158,8 +162,9 @@
     assert_eq!(fleet.replace(other, 4, &plan(7, "two")), 200);
     let ear = fleet.listen(first, Subscription::All, 0);
     fleet.run(ms(1000));
-    let whole =
-        |fleet: &Fleet| fleet.heard[&ear].iter().any(|word| matches!(word, ControllerToGateway::Whole));
+    let whole = |fleet: &Fleet| {
+        fleet.heard[&ear].iter().any(|word| matches!(word, ControllerToGateway::SnapshotComplete))
+    };
     assert!(fleet.plans(ear).is_empty() && !whole(&fleet), "it would be ready with an old one");
     fleet.join_all();
     fleet.run(ms(6000));
--- a/crates/fernknot-controller/tests/views.rs
+++ b/crates/fernknot-controller/tests/views.rs
@@ -8,8 +8,8 @@
 use test_case::test_case;
 
 fn shown(fleet: &mut Fleet, at: usize) -> String {
-    match fleet.order(at, GatewayToController::Ask(InspectionTopic::Views)) {
-        Some(ControllerToGateway::Answer(text)) => text,
+    match fleet.order(at, GatewayToController::Inspect(InspectionTopic::Views)) {
+        Some(ControllerToGateway::InspectionReport(text)) => text,
         other => panic!("no answer: {other:?}"),
     }
 }
@@ -31,7 +31,7 @@
     assert!(shown(&mut fleet, 1).contains("bears 1 more losses now"));
     fleet.disk(3, Writes::Hang);
     let now = fleet.now;
-    fleet.brain(3).disk(now, false);
+    fleet.brain(3).set_disk_health(now, false);
     fleet.run(ms(3000));
     let text = shown(&mut fleet, 1);
     assert!(text.contains("its disk hangs or refuses"), "{text}");
@@ -43,13 +43,13 @@
     let mut fleet = Fleet::three();
     assert_eq!(fleet.replace(1, 0, &plan(7, "one")), 200);
     fleet.run(ms(50));
-    let order = || GatewayToController::Force { lost: vec![addr(1), addr(2)] };
-    assert_matches!(fleet.order(3, order()), Some(ControllerToGateway::Forced(Err(why))) if why.contains("is heard"));
+    let order = || GatewayToController::ForceView { lost: vec![addr(1), addr(2)] };
+    assert_matches!(fleet.order(3, order()), Some(ControllerToGateway::ForceViewResult(Err(why))) if why.contains("is heard"));
     fleet.power_off(1);
     fleet.power_off(2);
     fleet.run(ms(4000));
     assert_eq!(fleet.replace(3, 7, &plan(8, "two")), 503);
-    assert_matches!(fleet.order(3, order()), Some(ControllerToGateway::Forced(Ok(_))));
+    assert_matches!(fleet.order(3, order()), Some(ControllerToGateway::ForceViewResult(Ok(_))));
     fleet.run(ms(500));
     // One disk is not enough to acknowledge on: a new one is.
     assert_eq!(fleet.replace(3, 7, &plan(8, "two")), 503);
@@ -79,8 +79,8 @@
     assert_eq!(fleet.replace(1, 7, &plan(8, "two")), 200);
     let lost = vec![addr(1), addr(2)];
     assert_matches!(
-        fleet.order(3, GatewayToController::Force { lost }),
-        Some(ControllerToGateway::Forced(Ok(_)))
+        fleet.order(3, GatewayToController::ForceView { lost }),
+        Some(ControllerToGateway::ForceViewResult(Ok(_)))
     );
     fleet.run(ms(500));
     fleet.join_all();
--- a/crates/fernknot-controller/tests/worst_days.rs
+++ b/crates/fernknot-controller/tests/worst_days.rs
@@ -60,8 +60,8 @@
     assert_eq!(cut_off_sequencer(None), Ok(()));
 }
 
-#[test_case(SeededBug::OwnState; "own state")]
-#[test_case(SeededBug::Views(ViewsPlant::ConfirmAlone); "an inquiry that asks nobody")]
+#[test_case(SeededBug::AnswerFromLocalState; "own state")]
+#[test_case(SeededBug::Consensus(ViewsPlant::ReadIndexWithoutQuorum); "an inquiry that asks nobody")]
 fn given_a_planted_break_when_the_sequencer_is_cut_off_then_it_is_found(plant: SeededBug) {
     assert!(cut_off_sequencer(Some(plant)).is_err());
 }
@@ -87,8 +87,8 @@
     assert_eq!(read_at_the_moment(None), vec![(200, plan(7, "two")); 2]);
 }
 
-#[test_case(SeededBug::OwnState; "own state")]
-#[test_case(SeededBug::Views(ViewsPlant::ReadDelivered); "what is stored is not waited for")]
+#[test_case(SeededBug::AnswerFromLocalState; "own state")]
+#[test_case(SeededBug::Consensus(ViewsPlant::ReadIndexIgnoresPendingChange); "what is stored is not waited for")]
 fn given_a_planted_break_when_a_version_was_just_acknowledged_then_it_is_found(plant: SeededBug) {
     assert!(read_at_the_moment(Some(plant)).contains(&(200, plan(4, "one"))));
 }
@@ -110,7 +110,7 @@
         assert_eq!(fleet.answered(at, head, &heartbeat("draining", 2)), 200);
         let knows = ears.iter().filter(|ear| {
             fleet.heard[ear].iter().any(|word| match word {
-                ControllerToGateway::Nodes(facts) => {
+                ControllerToGateway::NodeUpdates(facts) => {
                     facts.iter().any(|fact| fact.state == NodeState::Draining)
                 }
                 _ => false,
@@ -229,7 +229,7 @@
 
 #[test]
 fn given_few_versions_remembered_and_what_lies_past_them_refused_when_it_comes_again_then_it_is_found() {
-    assert!([400, 412].contains(&repeat_after(4, Some(SeededBug::ForgetEarly))));
+    assert!([400, 412].contains(&repeat_after(4, Some(SeededBug::ForgetHistoryEarly))));
 }
 
 /// A registrar hands a call on, ends and comes back at its address while the sequencer has the call in hand. The end
@@ -264,7 +264,7 @@
 
 #[test]
 fn given_ends_that_name_no_life_when_one_comes_for_an_earlier_then_it_is_found() {
-    assert_eq!(an_end_for_an_earlier_life(Some(SeededBug::AnyLife)), (200, false));
+    assert_eq!(an_end_for_an_earlier_life(Some(SeededBug::AcceptAnyIncarnation)), (200, false));
 }
 
 /// What each call costs a calm fleet of three: milliseconds until its answer, and words between registrars. The lease
@@ -303,13 +303,13 @@
     let mut sizes = Vec::new();
     for version in 1..=10_000u64 {
         chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-        let taken = CommittedVersion { epoch: 3 * version, base: control.epoch, digest: chance };
-        control = control.with(taken, Vec::new());
+        let taken = CommittedVersion { epoch: 3 * version, base_epoch: control.epoch, digest: chance };
+        control = control.with_committed(taken, Vec::new());
         if [1, 100, 1_024, 10_000].contains(&version) {
-            sizes.push(control.write().len());
+            sizes.push(control.encode().len());
         }
     }
     println!("bytes of history after 1, 100, 1,024 and 10,000 versions: {sizes:?}");
     assert!(sizes[3] <= sizes[2] + 64 && sizes[3] < 25 * 1024);
-    assert_eq!(control.horizon(), 3 * (10_000 - 1_024));
+    assert_eq!(control.newest_forgotten_epoch(), 3 * (10_000 - 1_024));
 }
--- a/crates/fernknot-distribution/src/homes.rs
+++ b/crates/fernknot-distribution/src/homes.rs
@@ -1,6 +1,6 @@
 //! The state machine of one gateway.
 
-use crate::link::{MOST_HOPS, SourceHeartbeat, SourceKind, Subscription, Topic, ward_key};
+use crate::link::{MAX_HOPS, SourceHeartbeat, SourceKind, Subscription, Topic, group_key};
 use crate::registrars::{Backoff, ControllerEndpoint};
 use fernknot::interface::Nanos;
 use fernknot_ownership::{Assignment, GatewayRecord, IncarnationId};
@@ -8,32 +8,32 @@
 use std::net::SocketAddrV4;
 
 /// Time between two pulses, as a share of the time in which news has to be in force.
-const PULSE: f64 = 1.0 / 15.0;
+const HEARTBEAT_INTERVAL_SHARE: f64 = 1.0 / 15.0;
 /// A teller whose last fresh pulse is older is stale.
-const STALE: f64 = 1.0 / 6.0;
+const STALE_AFTER_SHARE: f64 = 1.0 / 6.0;
 /// A home that is well but says that its own registrar is silent gets so long to find another. With the attaching
 /// that follows, a home costs its zone less than a third.
-const PATIENCE: f64 = 1.0 / 4.0;
+const UNLEASED_RELAY_TIMEOUT_SHARE: f64 = 1.0 / 4.0;
 /// How long an earlier home serves on after a cut, for those who heard of it later.
-const HAND_OVER: f64 = 1.0 / 3.0;
+const HANDOVER_TIMEOUT_SHARE: f64 = 1.0 / 3.0;
 
 /// One ward of topics, with a home of its own, for so many gateways of a zone.
-const GATEWAYS_A_WARD: usize = 16;
-const MOST_WARDS: usize = 8;
+const GATEWAYS_PER_TOPIC_GROUP: usize = 16;
+const MAX_TOPIC_GROUPS: usize = 8;
 /// A gateway passes a ward's news on to so many at most; in larger zones these pass it on to theirs.
-const MOST_BELOW: usize = 12;
+const MAX_DOWNSTREAMS: usize = 12;
 
 /// What a gateway may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct RelaysLimits {
-    pub most_topics: usize,
-    pub most_subscribers: usize,
-    pub most_registrars: usize,
+    pub max_topics: usize,
+    pub max_subscribers: usize,
+    pub max_controllers: usize,
 }
 
 impl Default for RelaysLimits {
     fn default() -> Self {
-        RelaysLimits { most_topics: 4_096, most_subscribers: 4_096, most_registrars: 64 }
+        RelaysLimits { max_topics: 4_096, max_subscribers: 4_096, max_controllers: 64 }
     }
 }
 
@@ -41,222 +41,231 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Have a link to this process and take these topics on it, and no others. Given again when the topics change.
-    Attach { addr: SocketAddrV4, what: SourceKind, topics: Vec<Topic> },
+    Subscribe { addr: SocketAddrV4, kind: SourceKind, topics: Vec<Topic> },
     /// Close the link.
-    Detach { addr: SocketAddrV4, what: SourceKind },
+    Unsubscribe { addr: SocketAddrV4, kind: SourceKind },
     /// Pass a pulse on to these subscribers.
-    Relay { to: Vec<SocketAddrV4>, pulse: SourceHeartbeat },
+    ForwardHeartbeat { to: Vec<SocketAddrV4>, heartbeat: SourceHeartbeat },
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Subscriber {
     pub topics: BTreeSet<Topic>,
     /// When a pulse was last passed on to it.
-    pub passed_at: Option<Nanos>,
+    pub forwarded_at: Option<Nanos>,
 }
 
 /// Where one gateway gets each topic's news, and to whom it passes them on.
 #[derive(Clone, Debug)]
 pub struct Relays {
-    pub(crate) me: IncarnationId,
+    pub(crate) incarnation: IncarnationId,
     pub(crate) zone: String,
-    pub(crate) bounds: RelaysLimits,
-    pub(crate) pulse_every: Nanos,
-    pub(crate) stale: Nanos,
-    pub(crate) patience: Nanos,
-    pub(crate) hand_over: Nanos,
-    pub(crate) cut: Assignment,
+    pub(crate) limits: RelaysLimits,
+    pub(crate) heartbeat_interval: Nanos,
+    pub(crate) stale_after: Nanos,
+    pub(crate) unleased_relay_timeout: Nanos,
+    pub(crate) handover_timeout: Nanos,
+    pub(crate) assignment: Assignment,
     /// For each ward: from whom its topics come; see `topics`.
-    pub(crate) above: Vec<Option<SocketAddrV4>>,
+    pub(crate) upstream_by_group: Vec<Option<SocketAddrV4>>,
     /// For each topic the home, or the one between; None where this gateway is it, or no gateway of the zone lives.
-    pub(crate) topics: BTreeMap<Topic, Option<SocketAddrV4>>,
+    pub(crate) upstream_by_topic: BTreeMap<Topic, Option<SocketAddrV4>>,
     /// Topics of which this gateway was the home until a cut, and until when it serves on.
-    pub(crate) handing: BTreeMap<Topic, Nanos>,
+    pub(crate) handover_until: BTreeMap<Topic, Nanos>,
     /// Where a topic came from before a cut; held until the new source is fresh, or for a bounded while.
-    pub(crate) moving: BTreeMap<Topic, (SourceKind, SocketAddrV4, Nanos)>,
+    pub(crate) previous_sources: BTreeMap<Topic, (SourceKind, SocketAddrV4, Nanos)>,
     /// Homes that are stale.
-    pub(crate) fallen: BTreeSet<SocketAddrV4>,
-    pub(crate) links: BTreeMap<(SourceKind, SocketAddrV4), Subscription>,
-    pub(crate) registrars: Vec<ControllerEndpoint>,
-    pub(crate) current: Option<SocketAddrV4>,
-    pub(crate) trial: Option<SocketAddrV4>,
-    pub(crate) pauses: Backoff,
+    pub(crate) stale_relays: BTreeSet<SocketAddrV4>,
+    pub(crate) subscriptions: BTreeMap<(SourceKind, SocketAddrV4), Subscription>,
+    pub(crate) controllers: Vec<ControllerEndpoint>,
+    pub(crate) current_controller: Option<SocketAddrV4>,
+    pub(crate) candidate_controller: Option<SocketAddrV4>,
+    pub(crate) backoff: Backoff,
     pub(crate) subscribers: BTreeMap<SocketAddrV4, Subscriber>,
-    pub(crate) newest: SourceHeartbeat,
-    pub(crate) orders: VecDeque<Action>,
-    pub(crate) dirty: bool,
-    pub(crate) look_at: Nanos,
+    pub(crate) newest_seen: SourceHeartbeat,
+    pub(crate) actions: VecDeque<Action>,
+    pub(crate) needs_update: bool,
+    pub(crate) next_update_at: Nanos,
     /// Links on which a pulse with a lease came and was not passed on yet.
-    pub(crate) passed: BTreeSet<(SourceKind, SocketAddrV4)>,
-    pub(crate) relay_at: Nanos,
+    pub(crate) not_yet_forwarded: BTreeSet<(SourceKind, SocketAddrV4)>,
+    pub(crate) next_forward_at: Nanos,
 }
 
 impl Relays {
     /// `apply` is the time in which news has to be in force after its acknowledgement (the bound `apply_ms`). The
     /// configuration is a topic from the start.
     pub fn new(me: IncarnationId, zone: &str, apply: Nanos, bounds: RelaysLimits, seed: u64) -> Relays {
-        let stale = apply.times(STALE);
+        let stale = apply.times(STALE_AFTER_SHARE);
         Relays {
-            me,
+            incarnation: me,
             zone: zone.to_string(),
-            bounds,
-            pulse_every: apply.times(PULSE),
-            stale,
-            patience: apply.times(PATIENCE),
-            hand_over: apply.times(HAND_OVER),
-            cut: Assignment::default(),
-            above: vec![None],
-            topics: BTreeMap::from([(Topic::Configuration, None)]),
-            handing: BTreeMap::new(),
-            moving: BTreeMap::new(),
-            fallen: BTreeSet::new(),
-            links: BTreeMap::new(),
-            registrars: Vec::new(),
-            current: None,
-            trial: None,
-            pauses: Backoff::new(seed, stale, 256),
+            limits: bounds,
+            heartbeat_interval: apply.times(HEARTBEAT_INTERVAL_SHARE),
+            stale_after: stale,
+            unleased_relay_timeout: apply.times(UNLEASED_RELAY_TIMEOUT_SHARE),
+            handover_timeout: apply.times(HANDOVER_TIMEOUT_SHARE),
+            assignment: Assignment::default(),
+            upstream_by_group: vec![None],
+            upstream_by_topic: BTreeMap::from([(Topic::Configuration, None)]),
+            handover_until: BTreeMap::new(),
+            previous_sources: BTreeMap::new(),
+            stale_relays: BTreeSet::new(),
+            subscriptions: BTreeMap::new(),
+            controllers: Vec::new(),
+            current_controller: None,
+            candidate_controller: None,
+            backoff: Backoff::new(seed, stale, 256),
             subscribers: BTreeMap::new(),
-            newest: SourceHeartbeat::default(),
-            orders: VecDeque::new(),
-            dirty: true,
-            look_at: Nanos(0),
-            passed: BTreeSet::new(),
-            relay_at: Nanos(0),
+            newest_seen: SourceHeartbeat::default(),
+            actions: VecDeque::new(),
+            needs_update: true,
+            next_update_at: Nanos(0),
+            not_yet_forwarded: BTreeSet::new(),
+            next_forward_at: Nanos(0),
         }
     }
 
     /// The life whose news this is about.
-    pub fn life(&self) -> IncarnationId {
-        self.me
+    pub fn incarnation(&self) -> IncarnationId {
+        self.incarnation
     }
 
     /// Time between two pulses of a registrar, as this machine expects them.
-    pub fn pulse_every(apply: Nanos) -> Nanos {
-        apply.times(PULSE)
+    pub fn heartbeat_interval(apply: Nanos) -> Nanos {
+        apply.times(HEARTBEAT_INTERVAL_SHARE)
     }
 
     /// The services there are by the newest configuration.
-    pub fn services<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
-        let named = names.into_iter().map(Topic::service).take(self.bounds.most_topics);
+    pub fn set_services<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
+        let named = names.into_iter().map(Topic::service).take(self.limits.max_topics);
         let named: BTreeSet<Topic> = named.chain([Topic::Configuration]).collect();
-        if named.iter().eq(self.topics.keys()) {
+        if named.iter().eq(self.upstream_by_topic.keys()) {
             return;
         }
         let homes = named.into_iter().map(|topic| {
-            let home = self.above.get(topic.ward(self.above.len())).copied().flatten();
+            let home =
+                self.upstream_by_group.get(topic.group(self.upstream_by_group.len())).copied().flatten();
             (topic, home)
         });
-        self.topics = homes.collect();
-        self.handing.retain(|topic, _| self.topics.contains_key(topic));
-        self.moving.retain(|topic, _| self.topics.contains_key(topic));
-        self.dirty = true;
+        self.upstream_by_topic = homes.collect();
+        self.handover_until.retain(|topic, _| self.upstream_by_topic.contains_key(topic));
+        self.previous_sources.retain(|topic, _| self.upstream_by_topic.contains_key(topic));
+        self.needs_update = true;
     }
 
     /// The registrars there are, as the overlay or a view names them.
-    pub fn registrars(&mut self, registrars: &[ControllerEndpoint]) {
+    pub fn set_controllers(&mut self, registrars: &[ControllerEndpoint]) {
         let mut known: Vec<ControllerEndpoint> =
-            registrars.iter().take(self.bounds.most_registrars).cloned().collect();
+            registrars.iter().take(self.limits.max_controllers).cloned().collect();
         known.sort();
         known.dedup_by_key(|registrar| registrar.addr);
-        if known != self.registrars {
-            self.registrars = known;
-            self.dirty = true;
+        if known != self.controllers {
+            self.controllers = known;
+            self.needs_update = true;
         }
     }
 
     /// A cut came; an older one changes nothing.
-    pub fn cut(&mut self, now: Nanos, cut: &Assignment) {
-        if cut.fence <= self.cut.fence {
+    pub fn apply_assignment(&mut self, now: Nanos, cut: &Assignment) {
+        if cut.fencing_token <= self.assignment.fencing_token {
             return;
         }
-        let was_live = self.cut.find(self.me).is_some();
-        self.cut = cut.of_zone(&self.zone).sorted();
-        let until = now + self.hand_over;
-        self.above = self.above_me();
-        let wards = self.above.len();
-        let moved: Vec<(Topic, Option<SocketAddrV4>)> =
-            self.topics.keys().map(|topic| (topic.clone(), self.above[topic.ward(wards)])).collect();
+        let was_live = self.assignment.gateway(self.incarnation).is_some();
+        self.assignment = cut.for_zone(&self.zone).sorted();
+        let until = now + self.handover_timeout;
+        self.upstream_by_group = self.upstreams();
+        let wards = self.upstream_by_group.len();
+        let moved: Vec<(Topic, Option<SocketAddrV4>)> = self
+            .upstream_by_topic
+            .keys()
+            .map(|topic| (topic.clone(), self.upstream_by_group[topic.group(wards)]))
+            .collect();
         for (topic, home) in moved {
-            let before = self.topics.insert(topic.clone(), home).flatten();
+            let before = self.upstream_by_topic.insert(topic.clone(), home).flatten();
             if before == home {
                 continue;
             }
             match before {
                 Some(addr) => {
-                    self.moving.insert(topic, (SourceKind::Home, addr, until));
+                    self.previous_sources.insert(topic, (SourceKind::Relay, addr, until));
                 }
                 None if was_live => {
-                    self.handing.insert(topic, until);
+                    self.handover_until.insert(topic, until);
                 }
                 // No cut named this gateway before: nobody counts on it, but the news must not stop.
                 None => {
-                    if let Some(registrar) = self.current {
-                        self.moving.insert(topic, (SourceKind::Registrar, registrar, until));
+                    if let Some(registrar) = self.current_controller {
+                        self.previous_sources.insert(topic, (SourceKind::Controller, registrar, until));
                     }
                 }
             }
         }
-        let homes: BTreeSet<SocketAddrV4> = self.topics.values().flatten().copied().collect();
-        self.fallen.retain(|addr| homes.contains(addr));
-        self.dirty = true;
+        let homes: BTreeSet<SocketAddrV4> = self.upstream_by_topic.values().flatten().copied().collect();
+        self.stale_relays.retain(|addr| homes.contains(addr));
+        self.needs_update = true;
     }
 
     /// A pulse came on a link.
-    pub fn pulse(&mut self, now: Nanos, from: SocketAddrV4, what: SourceKind, pulse: SourceHeartbeat) {
-        let stale = self.stale;
-        let Some(link) = self.links.get_mut(&(what, from)) else { return };
-        let pulse = SourceHeartbeat { lease: pulse.lease && pulse.hops <= MOST_HOPS, ..pulse };
+    pub fn record_heartbeat(
+        &mut self,
+        now: Nanos,
+        from: SocketAddrV4,
+        what: SourceKind,
+        pulse: SourceHeartbeat,
+    ) {
+        let stale = self.stale_after;
+        let Some(link) = self.subscriptions.get_mut(&(what, from)) else { return };
+        let pulse = SourceHeartbeat { has_lease: pulse.has_lease && pulse.hops <= MAX_HOPS, ..pulse };
         let was_fresh = link.is_fresh(now, stale);
-        link.pulse(now, pulse.lease, pulse.hops, stale);
-        self.dirty |=
-            was_fresh != link.is_fresh(now, stale) || (what == SourceKind::Registrar && !pulse.lease);
-        if pulse.lease {
-            self.pauses.worked(from);
-            self.passed.insert((what, from));
+        link.record_heartbeat(now, pulse.has_lease, pulse.hops, stale);
+        self.needs_update |=
+            was_fresh != link.is_fresh(now, stale) || (what == SourceKind::Controller && !pulse.has_lease);
+        if pulse.has_lease {
+            self.backoff.record_success(from);
+            self.not_yet_forwarded.insert((what, from));
         }
-        if pulse.order >= self.newest.order {
-            self.newest.order = pulse.order;
+        if pulse.revision >= self.newest_seen.revision {
+            self.newest_seen.revision = pulse.revision;
         }
-        self.newest.fence = self.newest.fence.max(pulse.fence);
-        if what == SourceKind::Registrar && Some(from) == self.current {
-            self.newest.registry = pulse.registry;
+        self.newest_seen.fencing_token = self.newest_seen.fencing_token.max(pulse.fencing_token);
+        if what == SourceKind::Controller && Some(from) == self.current_controller {
+            self.newest_seen.registry_version = pulse.registry_version;
         }
     }
 
     /// News came on a link: its teller is well, which says nothing of a lease.
-    pub fn told(&mut self, now: Nanos, from: SocketAddrV4, what: SourceKind) {
-        if let Some(link) = self.links.get_mut(&(what, from)) {
-            link.well_at = link.well_at.max(now);
+    pub fn record_message(&mut self, now: Nanos, from: SocketAddrV4, what: SourceKind) {
+        if let Some(link) = self.subscriptions.get_mut(&(what, from)) {
+            link.last_message_at = link.last_message_at.max(now);
         }
     }
 
     /// A link broke, or could not be had.
-    pub fn lost(&mut self, now: Nanos, addr: SocketAddrV4, what: SourceKind) {
-        if self.links.remove(&(what, addr)).is_none() {
+    pub fn source_lost(&mut self, now: Nanos, addr: SocketAddrV4, what: SourceKind) {
+        if self.subscriptions.remove(&(what, addr)).is_none() {
             return;
         }
-        self.pauses.failed(now, addr);
+        self.backoff.record_failure(now, addr);
         match what {
-            SourceKind::Registrar => {
-                self.current = self.current.filter(|current| *current != addr);
-                self.trial = self.trial.filter(|trial| *trial != addr);
+            SourceKind::Controller => {
+                self.current_controller = self.current_controller.filter(|current| *current != addr);
+                self.candidate_controller = self.candidate_controller.filter(|trial| *trial != addr);
             }
-            SourceKind::Home => {
-                self.fallen.insert(addr);
+            SourceKind::Relay => {
+                self.stale_relays.insert(addr);
             }
         }
-        self.dirty = true;
+        self.needs_update = true;
     }
 
     /// Another gateway asks for topics, or for none any more. Returns false where there is no room for it.
-    pub fn subscribed(&mut self, from: SocketAddrV4, topics: impl IntoIterator<Item = Topic>) -> bool {
-        let topics: BTreeSet<Topic> = topics.into_iter().take(self.bounds.most_topics).collect();
+    pub fn subscribe(&mut self, from: SocketAddrV4, topics: impl IntoIterator<Item = Topic>) -> bool {
+        let topics: BTreeSet<Topic> = topics.into_iter().take(self.limits.max_topics).collect();
         if topics.is_empty() {
             self.subscribers.remove(&from);
-        } else if self.subscribers.len() < self.bounds.most_subscribers
-            || self.subscribers.contains_key(&from)
+        } else if self.subscribers.len() < self.limits.max_subscribers || self.subscribers.contains_key(&from)
         {
-            self.subscribers.insert(from, Subscriber { topics, passed_at: None });
+            self.subscribers.insert(from, Subscriber { topics, forwarded_at: None });
         } else {
             return false;
         }
@@ -264,64 +273,70 @@
     }
 
     /// This process was frozen: what did not come says nothing of the tellers.
-    pub fn was_away(&mut self, now: Nanos) {
-        for link in self.links.values_mut() {
-            (link.well_at, link.fresh_at, link.since) = (now, now, now);
+    pub fn reset_liveness(&mut self, now: Nanos) {
+        for link in self.subscriptions.values_mut() {
+            (link.last_message_at, link.last_leased_at, link.attached_at) = (now, now, now);
         }
     }
 
     /// The subscribers to whom a topic's news is to be passed on.
-    pub fn subscribers(&self, topic: &Topic) -> impl Iterator<Item = SocketAddrV4> {
+    pub fn subscribers_of(&self, topic: &Topic) -> impl Iterator<Item = SocketAddrV4> {
         self.subscribers.iter().filter(|(_, asks)| asks.topics.contains(topic)).map(|(addr, _)| *addr)
     }
 
     /// The newest place in the order and the newest fence that any teller spoke of: what is older here is to be
     /// asked for.
-    pub fn newest(&self) -> SourceHeartbeat {
-        self.newest
+    pub fn newest_seen(&self) -> SourceHeartbeat {
+        self.newest_seen
     }
 
     /// How long ago one that is in touch with the rest last spoke for a topic. None if none ever did on the links
     /// there are.
-    pub fn fresh_ago(&self, now: Nanos, topic: &Topic) -> Option<Nanos> {
-        let links = self.links.values().filter(|link| link.topics.contains(topic));
-        links.filter(|link| link.fresh_since.is_some()).map(|link| now - link.fresh_at).min()
+    pub fn time_since_lease(&self, now: Nanos, topic: &Topic) -> Option<Nanos> {
+        let links = self.subscriptions.values().filter(|link| link.topics.contains(topic));
+        links.filter(|link| link.leased_since.is_some()).map(|link| now - link.last_leased_at).min()
     }
 
     /// The registrar this gateway is with, if it needs one.
-    pub fn registrar(&self) -> Option<SocketAddrV4> {
-        self.current
+    pub fn controller(&self) -> Option<SocketAddrV4> {
+        self.current_controller
     }
 
     /// True where this gateway takes the topic from a registrar for others.
-    pub fn is_home(&self, topic: &Topic) -> bool {
-        self.topics.get(topic) == Some(&None) && self.cut.find(self.me).is_some()
+    pub fn is_relay(&self, topic: &Topic) -> bool {
+        self.upstream_by_topic.get(topic) == Some(&None)
+            && self.assignment.gateway(self.incarnation).is_some()
     }
 
     /// The next thing to do, until there is none.
-    pub fn next(&mut self, now: Nanos) -> Option<Action> {
-        if self.orders.is_empty() && (self.dirty || now >= self.look_at) {
-            self.look(now);
+    pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
+        if self.actions.is_empty() && (self.needs_update || now >= self.next_update_at) {
+            self.update_subscriptions(now);
         }
-        if self.orders.is_empty() && (!self.passed.is_empty() || now >= self.relay_at) {
-            self.relay(now);
+        if self.actions.is_empty() && (!self.not_yet_forwarded.is_empty() || now >= self.next_forward_at) {
+            self.forward_heartbeats(now);
         }
-        self.orders.pop_front()
+        self.actions.pop_front()
     }
 
     /// When to ask again though nothing came.
     pub fn wakes_at(&self) -> Nanos {
-        if self.subscribers.is_empty() { self.look_at } else { self.look_at.min(self.relay_at) }
+        if self.subscribers.is_empty() {
+            self.next_update_at
+        } else {
+            self.next_update_at.min(self.next_forward_at)
+        }
     }
 
     /// For each ward the gateway above this one: its home, or one that passes the home's news on.
-    fn above_me(&self) -> Vec<Option<SocketAddrV4>> {
-        let wards = self.cut.live.len().div_ceil(GATEWAYS_A_WARD).clamp(1, MOST_WARDS);
+    fn upstreams(&self) -> Vec<Option<SocketAddrV4>> {
+        let wards =
+            self.assignment.gateways.len().div_ceil(GATEWAYS_PER_TOPIC_GROUP).clamp(1, MAX_TOPIC_GROUPS);
         let above = |ward| {
-            let ranked = self.cut.ranked(Some(&self.zone), &ward_key(ward));
-            match ranked.iter().position(|gateway| gateway.life == self.me) {
+            let ranked = self.assignment.owners_ranked(Some(&self.zone), &group_key(ward));
+            match ranked.iter().position(|gateway| gateway.incarnation == self.incarnation) {
                 Some(0) => None,
-                Some(rank) => Some(ranked[(rank - 1) / MOST_BELOW].addr),
+                Some(rank) => Some(ranked[(rank - 1) / MAX_DOWNSTREAMS].addr),
                 // The cut doesn't count this gateway yet: it takes from the home meanwhile.
                 None => ranked.first().map(|gateway| gateway.addr),
             }
@@ -330,7 +345,7 @@
     }
 
     /// The home of a topic in this zone, by the newest cut.
-    pub fn home(&self, topic: &Topic) -> Option<&GatewayRecord> {
-        self.cut.owner(Some(&self.zone), &ward_key(topic.ward(self.above.len())))
+    pub fn relay_for(&self, topic: &Topic) -> Option<&GatewayRecord> {
+        self.assignment.owner(Some(&self.zone), &group_key(topic.group(self.upstream_by_group.len())))
     }
 }
--- a/crates/fernknot-distribution/src/link.rs
+++ b/crates/fernknot-distribution/src/link.rs
@@ -21,7 +21,7 @@
     }
 
     /// The ward it belongs to, of so many.
-    pub(crate) fn ward(&self, wards: usize) -> usize {
+    pub(crate) fn group(&self, wards: usize) -> usize {
         match self {
             Topic::Configuration => 0,
             Topic::Service(name) => (key_hash(name) >> 32) as usize % wards.max(1),
@@ -31,47 +31,47 @@
 
 /// The key of the duty to be home for the topics of a ward. One home for each topic would cost every gateway a pulse
 /// of each; so topics share homes, the more of them the larger the zone.
-pub(crate) fn ward_key(ward: usize) -> String {
+pub(crate) fn group_key(ward: usize) -> String {
     format!("home {ward}")
 }
 
 /// To whom a link leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SourceKind {
-    Registrar,
-    Home,
+    Controller,
+    Relay,
 }
 
 /// What a teller says at short intervals, also when there is no news.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceHeartbeat {
     /// The newest place in the order of configurations that it knows.
-    pub order: u64,
+    pub revision: u64,
     /// The version of its registry; compared only among pulses of one registrar.
-    pub registry: u64,
-    pub fence: FencingToken,
+    pub registry_version: u64,
+    pub fencing_token: FencingToken,
     /// It is in touch with the rest: what it says is new. A home says so only while its registrar does.
-    pub lease: bool,
+    pub has_lease: bool,
     /// How many passed it on since the registrar. One that runs in a circle, where two gateways hold different cuts,
     /// is soon no pulse of a lease any more.
     pub hops: u8,
 }
 
 /// More than any tree of homes is deep.
-pub(crate) const MOST_HOPS: u8 = 6;
+pub(crate) const MAX_HOPS: u8 = 6;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Subscription {
     pub topics: BTreeSet<Topic>,
-    pub since: Nanos,
+    pub attached_at: Nanos,
     /// The last pulse, with a lease or without; at first, when it was attached.
-    pub well_at: Nanos,
+    pub last_message_at: Nanos,
     /// The last pulse with a lease; at first, when it was attached.
-    pub fresh_at: Nanos,
+    pub last_leased_at: Nanos,
     /// Since when its pulses have come with a lease and without a gap.
-    pub fresh_since: Option<Nanos>,
+    pub leased_since: Option<Nanos>,
     /// A pulse has come at all.
-    pub heard: bool,
+    pub has_responded: bool,
     pub hops: u8,
 }
 
@@ -79,26 +79,26 @@
     pub fn new(now: Nanos, topics: BTreeSet<Topic>) -> Subscription {
         Subscription {
             topics,
-            since: now,
-            well_at: now,
-            fresh_at: now,
-            fresh_since: None,
-            heard: false,
+            attached_at: now,
+            last_message_at: now,
+            last_leased_at: now,
+            leased_since: None,
+            has_responded: false,
             hops: 0,
         }
     }
 
-    pub fn pulse(&mut self, now: Nanos, lease: bool, hops: u8, stale: Nanos) {
-        let gap = now - self.fresh_at > stale;
-        (self.well_at, self.heard) = (now, true);
+    pub fn record_heartbeat(&mut self, now: Nanos, lease: bool, hops: u8, stale: Nanos) {
+        let gap = now - self.last_leased_at > stale;
+        (self.last_message_at, self.has_responded) = (now, true);
         if lease {
-            (self.fresh_at, self.hops) = (now, hops);
-            self.fresh_since = self.fresh_since.filter(|_| !gap).or(Some(now));
+            (self.last_leased_at, self.hops) = (now, hops);
+            self.leased_since = self.leased_since.filter(|_| !gap).or(Some(now));
         }
     }
 
     /// Its last pulse with a lease is not too old.
     pub fn is_fresh(&self, now: Nanos, stale: Nanos) -> bool {
-        self.fresh_since.is_some() && now - self.fresh_at <= stale
+        self.leased_since.is_some() && now - self.last_leased_at <= stale
     }
 }
--- a/crates/fernknot-distribution/tests/common/mod.rs
+++ b/crates/fernknot-distribution/tests/common/mod.rs
@@ -30,12 +30,17 @@
 
 pub fn cut(count: u32, lives: impl IntoIterator<Item = u64>) -> Assignment {
     let gateway = |life| GatewayRecord {
-        life: IncarnationId(life),
+        incarnation: IncarnationId(life),
         addr: gateway_addr(life),
         zone: zone(life).to_string(),
     };
     let live: Vec<GatewayRecord> = lives.into_iter().map(gateway).collect();
-    Assignment { fence: FencingToken::of(1, count), may_be_alive: live.len() as u32, live }.sorted()
+    Assignment {
+        fencing_token: FencingToken::new(1, count),
+        presumed_alive: live.len() as u32,
+        gateways: live,
+    }
+    .sorted()
 }
 
 pub fn topics() -> Vec<Topic> {
@@ -94,12 +99,12 @@
     pub fn start(&mut self, life: u64) {
         let mut homes = Relays::new(IncarnationId(life), zone(life), APPLY, RelaysLimits::default(), life);
         let names: Vec<String> = (0..12).map(|number| format!("service-{number}")).collect();
-        homes.services(names.iter().map(String::as_str));
+        homes.set_services(names.iter().map(String::as_str));
         let known = self
             .tellers
             .iter()
             .map(|(addr, teller)| ControllerEndpoint { addr: *addr, zone: teller.zone.to_string() });
-        homes.registrars(&known.collect::<Vec<_>>());
+        homes.set_controllers(&known.collect::<Vec<_>>());
         let (has, links) = (BTreeMap::new(), BTreeMap::new());
         self.members.insert(life, Member { homes, has, silent: false, dead: false, links });
     }
@@ -109,14 +114,14 @@
         self.members
             .values_mut()
             .filter(|member| !member.silent)
-            .for_each(|member| member.homes.cut(now, cut));
+            .for_each(|member| member.homes.apply_assignment(now, cut));
     }
 
     /// The home of a topic in a zone.
     pub fn home(&self, zone_name: &str, topic: &Topic) -> u64 {
         let mut here =
             self.members.iter().filter(|(life, member)| zone(**life) == zone_name && !member.silent);
-        here.next().unwrap().1.homes.home(topic).unwrap().life.0
+        here.next().unwrap().1.homes.relay_for(topic).unwrap().incarnation.0
     }
 
     pub fn change(&mut self, topic: &Topic) {
@@ -127,7 +132,7 @@
             self.tellers.iter().filter(|(_, teller)| teller.lease && !teller.silent && !teller.dead);
         let tellers: Vec<(SocketAddrV4, &str)> = tellers.map(|(addr, teller)| (*addr, teller.zone)).collect();
         for (addr, from) in tellers {
-            for life in self.takers(SourceKind::Registrar, addr, topic) {
+            for life in self.takers(SourceKind::Controller, addr, topic) {
                 self.crossings += (zone(life) != from) as usize;
                 self.give(life, topic, news);
             }
@@ -147,7 +152,7 @@
     }
 
     pub fn run(&mut self, ms: u64) {
-        let pulses = Relays::pulse_every(APPLY).0 / 1_000_000 / STEP;
+        let pulses = Relays::heartbeat_interval(APPLY).0 / 1_000_000 / STEP;
         for _ in 0..ms.div_ceil(STEP) {
             self.ms += STEP;
             let now = millis(self.ms);
@@ -169,7 +174,7 @@
 
     fn order(&mut self, now: Nanos, life: u64) -> Option<Action> {
         let member = self.members.get_mut(&life)?;
-        if member.dead || member.silent { None } else { member.homes.next(now) }
+        if member.dead || member.silent { None } else { member.homes.poll_action(now) }
     }
 
     fn beat(&mut self, now: Nanos) {
@@ -178,13 +183,13 @@
                 continue;
             }
             let pulse = SourceHeartbeat {
-                lease: teller.lease,
-                fence: FencingToken::of(1, 1),
+                has_lease: teller.lease,
+                fencing_token: FencingToken::new(1, 1),
                 ..SourceHeartbeat::default()
             };
             for member in self.members.values_mut() {
-                if member.links.contains_key(&(SourceKind::Registrar, *addr)) && !member.silent {
-                    member.homes.pulse(now, *addr, SourceKind::Registrar, pulse);
+                if member.links.contains_key(&(SourceKind::Controller, *addr)) && !member.silent {
+                    member.homes.record_heartbeat(now, *addr, SourceKind::Controller, pulse);
                 }
             }
         }
@@ -203,7 +208,7 @@
             return;
         }
         member.has.insert(topic.clone(), news);
-        let to: Vec<SocketAddrV4> = member.homes.subscribers(topic).collect();
+        let to: Vec<SocketAddrV4> = member.homes.subscribers_of(topic).collect();
         let on: Vec<u64> =
             self.members.keys().copied().filter(|life| to.contains(&gateway_addr(*life))).collect();
         on.into_iter().for_each(|other| self.give(other, topic, news));
@@ -212,10 +217,10 @@
     fn obey(&mut self, now: Nanos, life: u64, order: Action) {
         let me = gateway_addr(life);
         match order {
-            Action::Attach { addr, what, topics } => {
+            Action::Subscribe { addr, kind: what, topics } => {
                 self.attaches += 1;
                 let has: BTreeMap<Topic, u64> = match what {
-                    SourceKind::Registrar => match self.tellers.get(&addr) {
+                    SourceKind::Controller => match self.tellers.get(&addr) {
                         Some(teller) if !teller.dead => {
                             if teller.silent || !teller.lease {
                                 BTreeMap::new()
@@ -225,14 +230,14 @@
                         }
                         _ => return self.break_link(now, life, addr, what),
                     },
-                    SourceKind::Home => {
+                    SourceKind::Relay => {
                         let at = self
                             .members
                             .values_mut()
                             .find(|member| gateway_addr(member.homes_life()) == addr);
                         match at {
                             Some(home) if !home.dead => {
-                                home.homes.subscribed(me, topics.iter().cloned());
+                                home.homes.subscribe(me, topics.iter().cloned());
                                 if home.silent { BTreeMap::new() } else { home.has.clone() }
                             }
                             _ => return self.break_link(now, life, addr, what),
@@ -247,18 +252,18 @@
                     }
                 }
             }
-            Action::Detach { addr, what } => {
+            Action::Unsubscribe { addr, kind: what } => {
                 self.members.get_mut(&life).unwrap().links.remove(&(what, addr));
                 if let Some(home) =
                     self.members.values_mut().find(|home| gateway_addr(home.homes_life()) == addr)
                 {
-                    home.homes.subscribed(me, []);
+                    home.homes.subscribe(me, []);
                 }
             }
-            Action::Relay { to, pulse } => {
+            Action::ForwardHeartbeat { to, heartbeat: pulse } => {
                 for member in self.members.values_mut().filter(|member| !member.silent) {
                     if to.contains(&gateway_addr(member.homes_life())) {
-                        member.homes.pulse(now, me, SourceKind::Home, pulse);
+                        member.homes.record_heartbeat(now, me, SourceKind::Relay, pulse);
                     }
                 }
             }
@@ -268,14 +273,14 @@
     fn break_link(&mut self, now: Nanos, life: u64, addr: SocketAddrV4, what: SourceKind) {
         let member = self.members.get_mut(&life).unwrap();
         member.links.remove(&(what, addr));
-        member.homes.lost(now, addr, what);
+        member.homes.source_lost(now, addr, what);
     }
 
     /// All links to an address break at once.
     pub fn reset(&mut self, addr: SocketAddrV4) {
         let now = millis(self.ms);
         for life in self.members.keys().copied().collect::<Vec<_>>() {
-            for what in [SourceKind::Registrar, SourceKind::Home] {
+            for what in [SourceKind::Controller, SourceKind::Relay] {
                 if self.members[&life].links.contains_key(&(what, addr)) {
                     self.break_link(now, life, addr, what);
                 }
@@ -286,6 +291,6 @@
 
 impl Member {
     fn homes_life(&self) -> u64 {
-        self.homes.life().0
+        self.homes.incarnation().0
     }
 }
--- a/crates/fernknot-distribution/tests/homes.rs
+++ b/crates/fernknot-distribution/tests/homes.rs
@@ -61,10 +61,10 @@
     let home = world.home("north", &service());
     let topic = service();
     let mut passing =
-        world.members.iter().filter(|(_, member)| member.homes.subscribers(&topic).next().is_some());
+        world.members.iter().filter(|(_, member)| member.homes.subscribers_of(&topic).next().is_some());
     let between =
         passing.find(|(life, _)| zone(**life) == "north" && **life != home).map(|(life, _)| *life).unwrap();
-    let teller = world.members[&home].homes.registrar().unwrap();
+    let teller = world.members[&home].homes.controller().unwrap();
     match trouble {
         Trouble::HomeHangs => world.members.get_mut(&home).unwrap().silent = true,
         Trouble::HomeDies => {
@@ -96,7 +96,7 @@
     let direct = |world: &World, life: u64| {
         let links = world.members[&life].links.iter();
         links
-            .filter(|((what, _), _)| *what == SourceKind::Registrar)
+            .filter(|((what, _), _)| *what == SourceKind::Controller)
             .any(|(_, taken)| taken.contains(&Topic::Configuration))
     };
     assert!(!direct(&world, other));
@@ -121,8 +121,8 @@
     let world = World::new(0..3);
     for (life, member) in &world.members {
         let links: Vec<_> = member.links.keys().copied().collect();
-        assert_eq!(links, [(SourceKind::Registrar, registrar_addr(*life as u8))]);
-        assert!(topics().iter().all(|topic| member.homes.is_home(topic)));
+        assert_eq!(links, [(SourceKind::Controller, registrar_addr(*life as u8))]);
+        assert!(topics().iter().all(|topic| member.homes.is_relay(topic)));
     }
 }
 
@@ -162,7 +162,7 @@
     world.run(5_000);
     let member = world.members.get_mut(&frozen).unwrap();
     member.silent = false;
-    member.homes.was_away(millis(world.ms));
+    member.homes.reset_liveness(millis(world.ms));
     for _ in 0..10 {
         world.run(100);
         assert_eq!(world.members[&frozen].links, links);
@@ -177,18 +177,18 @@
         [0, 3].map(|life| Relays::new(IncarnationId(life), zone(life), APPLY, RelaysLimits::default(), 1));
     let addrs = [0, 3].map(gateway_addr);
     for (at, other) in [(0, 3), (1, 0)] {
-        pair[at].cut(millis(0), &cut(1, [other]));
-        pair[at].subscribed(addrs[1 - at], [Topic::Configuration]);
-        while pair[at].next(millis(0)).is_some() {}
+        pair[at].apply_assignment(millis(0), &cut(1, [other]));
+        pair[at].subscribe(addrs[1 - at], [Topic::Configuration]);
+        while pair[at].poll_action(millis(0)).is_some() {}
     }
-    let mut pulse = SourceHeartbeat { lease: true, ..SourceHeartbeat::default() };
+    let mut pulse = SourceHeartbeat { has_lease: true, ..SourceHeartbeat::default() };
     let mut rounds = 0;
-    while pulse.lease && rounds < 100 {
+    while pulse.has_lease && rounds < 100 {
         let (at, now) = (rounds % 2, millis(150 * (rounds as u64 + 1)));
-        pair[at].pulse(now, addrs[1 - at], SourceKind::Home, pulse);
-        let orders: Vec<Action> = std::iter::from_fn(|| pair[at].next(now)).collect();
+        pair[at].record_heartbeat(now, addrs[1 - at], SourceKind::Relay, pulse);
+        let orders: Vec<Action> = std::iter::from_fn(|| pair[at].poll_action(now)).collect();
         let mut relayed = orders.iter().filter_map(|order| match order {
-            Action::Relay { pulse, .. } if pulse.lease => Some(*pulse),
+            Action::ForwardHeartbeat { heartbeat: pulse, .. } if pulse.has_lease => Some(*pulse),
             _ => None,
         });
         pulse = relayed.next_back().unwrap_or_default();
--- a/crates/fernknot-gateway/src/asks.rs
+++ b/crates/fernknot-gateway/src/asks.rs
@@ -2,7 +2,7 @@
 
 use crate::routes::ConfigSnapshot;
 use fernknot::interface::*;
-use fernknot_merge::{ShardAnswer, gather};
+use fernknot_merge::{ShardAnswer, merge_answers};
 use fernknot_net::{Buffer, ConnectionId};
 use fernknot_protocol::http::{Request, Response};
 use fernknot_schema::RouteTarget;
@@ -11,17 +11,17 @@
 
 /// Wire names of this system's requests and answers.
 pub mod wire {
-    pub const ATTEMPT: &str = "Attempt-Id";
-    pub const DEADLINE: &str = "Deadline-Ms";
-    pub const TARGET: &str = "Target-Node";
-    pub const SEAL: &str = "Answer-Seal";
-    pub const NOT_RUN: &str = "Not-Executed";
-    pub const PARTS: &str = "Part-Seals";
-    pub const MISSING: &str = "Parts-Missing";
+    pub const ATTEMPT_ID: &str = "Attempt-Id";
+    pub const DEADLINE_MS: &str = "Deadline-Ms";
+    pub const TARGET_NODE: &str = "Target-Node";
+    pub const ANSWER_SEAL: &str = "Answer-Seal";
+    pub const NOT_EXECUTED: &str = "Not-Executed";
+    pub const PART_SEALS: &str = "Part-Seals";
+    pub const PARTS_MISSING: &str = "Parts-Missing";
 }
 
 /// Lines of a head that concern one connection only, or that are written anew.
-const OWN: [&str; 12] = [
+const UNFORWARDED_HEADERS: [&str; 12] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -36,20 +36,21 @@
     "deadline-ms",
 ];
 
-fn passes(name: &str) -> bool {
-    !OWN.iter().any(|own| name.eq_ignore_ascii_case(own)) && !name.eq_ignore_ascii_case(wire::TARGET)
+fn is_forwarded_header(name: &str) -> bool {
+    !UNFORWARDED_HEADERS.iter().any(|own| name.eq_ignore_ascii_case(own))
+        && !name.eq_ignore_ascii_case(wire::TARGET_NODE)
 }
 
 /// A request that is owed an answer.
 pub struct PendingRequest {
     pub client: ConnectionId,
     pub multiget: MultigetId,
-    pub pinned: Rc<ConfigSnapshot>,
+    pub config: Rc<ConfigSnapshot>,
     pub route: usize,
-    pub attempt: String,
-    pub client_end: Nanos,
+    pub attempt_id: String,
+    pub deadline: Nanos,
     /// A `HEAD`: answers to it have no body.
-    pub bodiless: bool,
+    pub expects_no_body: bool,
     /// The head as nodes get it, but for what differs from one to the other.
     head: Vec<u8>,
     body: Vec<u8>,
@@ -59,12 +60,12 @@
     failure: Option<Response>,
     /// The connections that it went over, one for each hand-off. Guards against a late or doubled answer to one
     /// hand-off in the place of the answer to another: both bear the same id, so that only the connection tells.
-    pub used: Vec<ConnectionId>,
+    pub used_connections: Vec<ConnectionId>,
     /// It went out on a connection that was up.
-    pub offered: bool,
+    pub was_sent: bool,
     /// Connections begun for it that are not known to have failed before they were up: what was written on one has not
     /// gone out only while it is still opening.
-    pub opening: Vec<ConnectionId>,
+    pub opening_connections: Vec<ConnectionId>,
 }
 
 /// What a node's answer is worth.
@@ -72,27 +73,29 @@
 pub enum ResponseClass {
     Part,
     /// The node did not run it; it is another one where `stranger` is true.
-    NotRun {
-        stranger: bool,
+    NotExecuted {
+        wrong_node: bool,
     },
-    Failed,
+    Failure,
     /// It belongs to no request of this line.
-    Stray,
+    Mismatched,
 }
 
 /// Judges an answer by its head. Guards against a late answer in another's place, an answer cut short, and
 /// a failure that bears a seal.
-pub fn judge(response: &Response, attempt: &str) -> ResponseClass {
-    if response.header(wire::ATTEMPT) != Some(attempt) {
-        return ResponseClass::Stray;
+pub fn classify_response(response: &Response, attempt: &str) -> ResponseClass {
+    if response.header(wire::ATTEMPT_ID) != Some(attempt) {
+        return ResponseClass::Mismatched;
     }
-    let sealed = response.header(wire::SEAL).is_some_and(|seal| !seal.is_empty());
+    let sealed = response.header(wire::ANSWER_SEAL).is_some_and(|seal| !seal.is_empty());
     let coded = response.header("content-encoding").is_some();
     match response.status {
         200..300 if sealed && response.framed && !coded => ResponseClass::Part,
-        421 => ResponseClass::NotRun { stranger: true },
-        _ if response.header(wire::NOT_RUN).is_some() => ResponseClass::NotRun { stranger: false },
-        _ => ResponseClass::Failed,
+        421 => ResponseClass::NotExecuted { wrong_node: true },
+        _ if response.header(wire::NOT_EXECUTED).is_some() => {
+            ResponseClass::NotExecuted { wrong_node: false }
+        }
+        _ => ResponseClass::Failure,
     }
 }
 
@@ -102,10 +105,10 @@
     pub headers: Vec<(&'a str, String)>,
     pub body: &'a [u8],
     /// The length that the head tells where the body does not come: of an answer to a `HEAD`.
-    pub length: Option<&'a str>,
+    pub content_length: Option<&'a str>,
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -125,7 +128,7 @@
 impl FinalResponse<'_> {
     pub fn write(&self, out: &mut Buffer, keep: bool, idle_s: u64) {
         // Writing to a buffer does not fail.
-        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
             let _ = write!(out, "{name}: {value}\r\n");
         }
@@ -134,7 +137,7 @@
             true => Ok(()),
             false => write!(out, "Connection: close\r\n"),
         };
-        let _ = match self.length {
+        let _ = match self.content_length {
             Some(length) => write!(out, "Content-Length: {length}\r\n\r\n"),
             None => write!(out, "Content-Length: {}\r\n\r\n", self.body.len()),
         };
@@ -155,7 +158,7 @@
         let mut head = Vec::with_capacity(256);
         // Writing to a vector does not fail.
         let _ = write!(head, "{} {} HTTP/1.1\r\n", request.method, request.target);
-        for (name, value) in request.headers().iter().filter(|(name, _)| passes(name)) {
+        for (name, value) in request.headers().iter().filter(|(name, _)| is_forwarded_header(name)) {
             let _ = write!(head, "{name}: {value}\r\n");
         }
         if !request.body.is_empty() || matches!(request.method.as_str(), "POST" | "PUT" | "PATCH") {
@@ -164,76 +167,79 @@
         PendingRequest {
             client,
             multiget: MultigetId(0),
-            pinned,
+            config: pinned,
             route,
-            attempt,
-            client_end,
-            bodiless: request.method == "HEAD",
+            attempt_id: attempt,
+            deadline: client_end,
+            expects_no_body: request.method == "HEAD",
             head,
             body: request.body,
             parts: (0..parts).map(|_| None).collect(),
             failure: None,
-            used: Vec::new(),
-            offered: false,
-            opening: Vec::new(),
+            used_connections: Vec::new(),
+            was_sent: false,
+            opening_connections: Vec::new(),
         }
     }
 
     /// Writes the request for one node, which stops working on it when the time left is over.
-    pub fn send(&self, out: &mut Buffer, life: &str, left: Nanos) {
+    pub fn write_to_node(&self, out: &mut Buffer, life: &str, left: Nanos) {
         out.push(&self.head);
         let left = (left.0 / 1_000_000).max(1);
-        let _ = write!(out, "{}: {left}\r\n{}: {life}\r\n\r\n", wire::DEADLINE, wire::TARGET);
+        let _ = write!(out, "{}: {left}\r\n{}: {life}\r\n\r\n", wire::DEADLINE_MS, wire::TARGET_NODE);
         out.push(&self.body);
     }
 
     /// Keeps the first answer to a part.
-    pub fn keep(&mut self, index: usize, response: Response) {
+    pub fn add_part(&mut self, index: usize, response: Response) {
         if let Some(part) = self.parts.get_mut(index) {
             part.get_or_insert(response);
         }
     }
 
     /// Keeps a failure for want of a better answer, where it makes no promise that may be untrue.
-    pub fn keep_failure(&mut self, response: Response) {
+    pub fn record_failure(&mut self, response: Response) {
         let promises = matches!(response.status, 408 | 421 | 429 | 503);
         if self.parts.len() == 1 && response.framed && response.status >= 400 && !promises {
             self.failure = Some(response);
         }
     }
 
-    fn pass<'a>(&self, response: &'a Response) -> FinalResponse<'a> {
-        let kept = response.headers().iter().filter(|(name, _)| passes(name));
+    fn forward_response<'a>(&self, response: &'a Response) -> FinalResponse<'a> {
+        let kept = response.headers().iter().filter(|(name, _)| is_forwarded_header(name));
         let headers = kept.map(|(name, value)| (name.as_str(), value.clone())).collect();
-        let length = response.header("content-length").filter(|_| self.bodiless);
-        FinalResponse { status: response.status, headers, body: &response.body, length }
+        let length = response.header("content-length").filter(|_| self.expects_no_body);
+        FinalResponse { status: response.status, headers, body: &response.body, content_length: length }
     }
 
     /// The answer of what is in; a gathered one is written into `merged`.
-    pub fn settled<'a>(&'a self, merged: &'a mut Vec<u8>) -> Option<FinalResponse<'a>> {
-        let RouteTarget::Fanout { top_k, quorum, .. } = &self.pinned.route(self.route).to else {
-            return self.parts.first()?.as_ref().map(|part| self.pass(part));
+    pub fn merged_response<'a>(&'a self, merged: &'a mut Vec<u8>) -> Option<FinalResponse<'a>> {
+        let RouteTarget::Fanout { top_k, quorum, .. } = &self.config.route(self.route).target else {
+            return self.parts.first()?.as_ref().map(|part| self.forward_response(part));
         };
         let is_in = self.parts.iter().flatten();
         let parts: Vec<ShardAnswer> = is_in
-            .map(|part| ShardAnswer { seal: part.header(wire::SEAL).unwrap_or_default(), body: &part.body })
+            .map(|part| ShardAnswer {
+                seal: part.header(wire::ANSWER_SEAL).unwrap_or_default(),
+                body: &part.body,
+            })
             .collect();
-        let got = gather(&parts, self.parts.len(), *top_k, *quorum)?;
+        let got = merge_answers(&parts, self.parts.len(), *top_k, *quorum)?;
         *merged = got.body;
-        let mut headers = vec![(wire::ATTEMPT, self.attempt.clone()), (wire::PARTS, got.seals)];
-        if got.missing > 0 {
-            headers.push((wire::MISSING, got.missing.to_string()));
+        let mut headers = vec![(wire::ATTEMPT_ID, self.attempt_id.clone()), (wire::PART_SEALS, got.seals)];
+        if got.missing_shards > 0 {
+            headers.push((wire::PARTS_MISSING, got.missing_shards.to_string()));
         }
-        Some(FinalResponse { status: 200, headers, body: merged, length: None })
+        Some(FinalResponse { status: 200, headers, body: merged, content_length: None })
     }
 
     /// The answer where there is none: a node's own failure, or ours.
-    pub fn failed(&self, status: u16) -> FinalResponse<'_> {
+    pub fn error_response(&self, status: u16) -> FinalResponse<'_> {
         match &self.failure {
-            Some(failure) => self.pass(failure),
+            Some(failure) => self.forward_response(failure),
             None => {
-                let headers = vec![(wire::ATTEMPT, self.attempt.clone())];
-                FinalResponse { status, headers, body: b"", length: None }
+                let headers = vec![(wire::ATTEMPT_ID, self.attempt_id.clone())];
+                FinalResponse { status, headers, body: b"", content_length: None }
             }
         }
     }
