--- a/crates/fernknot-gateway/src/gateway/upstream.rs
+++ b/crates/fernknot-gateway/src/gateway/upstream.rs
@@ -1,7 +1,7 @@
 //! The nodes' side of a gateway: which nodes there are, what is handed to them, and what comes back.
 
-use super::{Gateway, SeededBug, zone_of};
-use crate::asks::{ResponseClass, judge, wire};
+use super::{Gateway, SeededBug, zone_id};
+use crate::asks::{ResponseClass, classify_response, wire};
 use crate::lines::ReadOutcome;
 use fernknot::interface::*;
 use fernknot_net::{ConnectionId, Network};
@@ -10,18 +10,18 @@
 use std::collections::BTreeMap;
 
 impl Gateway {
-    pub(super) fn relist_all<P: Network>(&mut self, now: Nanos, ports: &mut P) {
-        let services: Vec<String> = self.pool.services().map(str::to_string).collect();
-        self.relist_of(now, services, ports);
+    pub(super) fn refresh_all_nodes<P: Network>(&mut self, now: Nanos, ports: &mut P) {
+        let services: Vec<String> = self.node_list.services().map(str::to_string).collect();
+        self.refresh_nodes(now, services, ports);
     }
 
-    pub(super) fn relist<P: Network>(&mut self, now: Nanos, ports: &mut P) {
-        let services = self.pool.take_changed();
-        self.relist_of(now, services, ports);
+    pub(super) fn refresh_changed_nodes<P: Network>(&mut self, now: Nanos, ports: &mut P) {
+        let services = self.node_list.take_changed_services();
+        self.refresh_nodes(now, services, ports);
     }
 
     /// Tells the module what differs in the lists of these services.
-    fn relist_of<P: Network>(
+    fn refresh_nodes<P: Network>(
         &mut self,
         now: Nanos,
         services: impl IntoIterator<Item = String>,
@@ -34,12 +34,12 @@
         let mut close = Vec::new();
         let mut leaving = Vec::new();
         for service in services {
-            let shard = self.names.shard(&service);
+            let shard = self.engine_ids.shard(&service);
             if let Some(engine) = &mut self.engine {
-                engine.group(PlaceId(shard.0), self.names.group(shard));
+                engine.group(PlaceId(shard.0), self.engine_ids.group(shard));
             }
-            let told = self.nodes.entry(shard).or_default();
-            for fact in self.pool.of(&service) {
+            let told = self.known_nodes.entry(shard).or_default();
+            for fact in self.node_list.nodes_of(&service) {
                 let health = match fact.state {
                     NodeState::Ready => Health::Running,
                     NodeState::Draining => Health::Draining,
@@ -49,10 +49,10 @@
                 if known.is_none() && health == Health::Gone || known.is_some_and(|(_, was)| was == health) {
                     continue;
                 }
-                let node = known.map_or(NodeId(self.next_node), |(node, _)| node);
-                self.next_node = self.next_node.max(node.0 + 1);
+                let node = known.map_or(NodeId(self.next_node_id), |(node, _)| node);
+                self.next_node_id = self.next_node_id.max(node.0 + 1);
                 if health == Health::Gone {
-                    close.extend(self.lines.forget(node));
+                    close.extend(self.node_connections.remove_endpoint(node));
                     if fact.state == NodeState::Gone {
                         told.remove(&fact.id);
                     } else {
@@ -60,37 +60,37 @@
                     }
                 } else {
                     told.insert(fact.id.clone(), (node, health));
-                    self.lines.know(node, &fact.id, fact.addr);
+                    self.node_connections.add_endpoint(node, &fact.id, fact.addr);
                 }
                 if health != Health::Running {
                     leaving.push(node);
                 }
-                let zone = Some(zone_of(&self.facts, &fact.zone));
+                let zone = Some(zone_id(&self.settings, &fact.zone));
                 entries.push(NodeEntry { node, place: PlaceId(shard.0), zone, health, since: Nanos(0) });
             }
             // Guards against nodes that the list has dropped without a word that they are gone: no well teller names
             // them, and nothing further may be sent to them.
-            let pool = &self.pool;
+            let pool = &self.node_list;
             let is_held = |id: &str| pool.get(id).is_some_and(|fact| fact.service == service);
             let dropped = told.extract_if(.., |id, _| !is_held(id)).map(|(_, known)| known);
             for (node, _) in dropped.filter(|(_, health)| *health != Health::Gone) {
-                close.extend(self.lines.forget(node));
+                close.extend(self.node_connections.remove_endpoint(node));
                 leaving.push(node);
                 let (place, health) = (PlaceId(shard.0), Health::Gone);
                 entries.push(NodeEntry { node, place, zone: None, health, since: Nanos(0) });
             }
             if told.is_empty() {
-                self.nodes.remove(&shard);
+                self.known_nodes.remove(&shard);
             }
         }
         close.into_iter().for_each(|berth| ports.close(berth));
         // What has not gone out by now may not reach a node that leaves: the connection may take seconds.
         for node in leaving {
-            let waiting = self.lines.carrying(Some(node), Nanos(u64::MAX));
-            self.give_up_unopened(now, waiting, ports);
+            let waiting = self.node_connections.in_flight(Some(node), Nanos(u64::MAX));
+            self.abandon_unopened(now, waiting, ports);
         }
         if let Some(engine) = self.engine.as_mut().filter(|_| !entries.is_empty()) {
-            let known: usize = self.nodes.values().map(BTreeMap::len).sum();
+            let known: usize = self.known_nodes.values().map(BTreeMap::len).sum();
             log::info!(target: "nodes", "{} changes, {known} known", entries.len());
             engine.list(ListKind::Changes, &entries);
         }
@@ -98,21 +98,21 @@
 
     /// Gives up connections that are not up yet. Nothing of what they carry has been sent. Guards against taking one
     /// that was up and is gone, of which this turn has still to tell, for one that never was.
-    pub(super) fn give_up_unopened<P: Network>(
+    pub(super) fn abandon_unopened<P: Network>(
         &mut self,
         now: Nanos,
         lines: Vec<ConnectionId>,
         ports: &mut P,
     ) {
         for berth in lines {
-            let planted = self.plant == Some(SeededBug::GoneIsUnopened) && !ports.is_open(berth);
+            let planted = self.seeded_bug == Some(SeededBug::ClosedCountsAsUnopened) && !ports.is_open(berth);
             if ports.is_opening(berth) || planted {
-                self.line_lost(now, berth, Outcome::Unreachable, ports);
+                self.node_connection_failed(now, berth, Outcome::Unreachable, ports);
             }
         }
     }
 
-    pub(super) fn line_lost<P: Network>(
+    pub(super) fn node_connection_failed<P: Network>(
         &mut self,
         now: Nanos,
         berth: ConnectionId,
@@ -120,9 +120,9 @@
         ports: &mut P,
     ) {
         ports.close(berth);
-        let Some((part, no)) = self.lines.lost(berth) else { return };
+        let Some((part, no)) = self.node_connections.remove(berth) else { return };
         if outcome == Outcome::Unreachable {
-            self.never_opened(part, berth);
+            self.remove_opening_connection(part, berth);
         }
         if let Some(engine) = &mut self.engine {
             engine.ended(now, part, no, outcome, LoadReport::default());
@@ -130,12 +130,12 @@
     }
 
     /// A connection that was begun for this part never came up, and is closed.
-    pub(super) fn never_opened(&mut self, part: PartId, berth: ConnectionId) {
-        let ask = self.by_multiget.get(&part.of).and_then(|asker| self.asks.get_mut(asker));
-        ask.into_iter().for_each(|ask| ask.opening.retain(|opening| *opening != berth));
+    pub(super) fn remove_opening_connection(&mut self, part: PartId, berth: ConnectionId) {
+        let ask = self.request_by_multiget.get(&part.of).and_then(|asker| self.requests.get_mut(asker));
+        ask.into_iter().for_each(|ask| ask.opening_connections.retain(|opening| *opening != berth));
     }
 
-    pub(super) fn line_came<P: Network>(
+    pub(super) fn read_node<P: Network>(
         &mut self,
         now: Nanos,
         berth: ConnectionId,
@@ -143,29 +143,34 @@
         ports: &mut P,
     ) {
         let Some(input) = ports.input(berth) else { return };
-        match self.lines.read(berth, input, ended, &self.limits) {
-            ReadOutcome::Nothing => {}
-            ReadOutcome::Spoilt => {
-                self.counters.spoilt += 1;
-                self.line_lost(now, berth, Outcome::Broken, ports);
+        match self.node_connections.read(berth, input, ended, &self.http_limits) {
+            ReadOutcome::Incomplete => {}
+            ReadOutcome::Invalid => {
+                self.counters.invalid_responses += 1;
+                self.node_connection_failed(now, berth, Outcome::Broken, ports);
             }
-            ReadOutcome::Answer { part, no, node, response } => {
-                self.answered(now, berth, (part, no), node, response, ports)
+            ReadOutcome::Response { part, attempt: no, node, response } => {
+                self.handle_response(now, berth, (part, no), node, response, ports)
             }
         }
     }
 
     /// Takes the answer that had come whole when a connection went.
-    pub(super) fn line_rest<P: Network>(&mut self, now: Nanos, berth: ConnectionId, ports: &mut P) {
-        let Some(rest) = ports.take_rest(berth) else { return };
-        if let ReadOutcome::Answer { part, no, node, response } =
-            self.lines.read_rest(berth, rest, &self.limits)
+    pub(super) fn read_remaining_response<P: Network>(
+        &mut self,
+        now: Nanos,
+        berth: ConnectionId,
+        ports: &mut P,
+    ) {
+        let Some(rest) = ports.take_unread_input(berth) else { return };
+        if let ReadOutcome::Response { part, attempt: no, node, response } =
+            self.node_connections.read_remaining(berth, rest, &self.http_limits)
         {
-            self.answered(now, berth, (part, no), node, response, ports);
+            self.handle_response(now, berth, (part, no), node, response, ports);
         }
     }
 
-    fn answered<P: Network>(
+    fn handle_response<P: Network>(
         &mut self,
         now: Nanos,
         berth: ConnectionId,
@@ -174,24 +179,24 @@
         mut response: Response,
         ports: &mut P,
     ) {
-        response.framed |= self.plant == Some(SeededBug::CutShortIsWhole);
-        if let Some(told) = response.header("keep-alive").and_then(timeout) {
+        response.framed |= self.seeded_bug == Some(SeededBug::TruncatedIsComplete);
+        if let Some(told) = response.header("keep-alive").and_then(keep_alive_timeout_s) {
             // Closed a little before the node would, so that nothing is sent into a closing line.
-            self.line_idle = Nanos::from_millis(told as f64 * 1e3).times(0.75);
+            self.node_idle_timeout = Nanos::from_millis(told as f64 * 1e3).times(0.75);
         }
-        let ask = self.by_multiget.get(&part.of).and_then(|asker| self.asks.get_mut(asker));
+        let ask = self.request_by_multiget.get(&part.of).and_then(|asker| self.requests.get_mut(asker));
         let verdict = match &ask {
-            Some(_) if self.plant == Some(SeededBug::MatchByConnection) => {
-                judge(&response, response.header(wire::ATTEMPT).unwrap_or_default())
+            Some(_) if self.seeded_bug == Some(SeededBug::MatchByConnection) => {
+                classify_response(&response, response.header(wire::ATTEMPT_ID).unwrap_or_default())
             }
-            Some(ask) => judge(&response, &ask.attempt),
-            None => ResponseClass::Failed,
+            Some(ask) => classify_response(&response, &ask.attempt_id),
+            None => ResponseClass::Failure,
         };
-        if verdict == ResponseClass::Stray {
-            self.counters.strays += 1;
-            self.lines.lost(berth);
+        if verdict == ResponseClass::Mismatched {
+            self.counters.mismatched_responses += 1;
+            self.node_connections.remove(berth);
             ports.close(berth);
-        } else if !self.lines.rest(berth, now + self.line_idle) {
+        } else if !self.node_connections.release(berth, now + self.node_idle_timeout) {
             ports.close(berth);
         }
         let Some(engine) = &mut self.engine else { return };
@@ -199,38 +204,40 @@
         match verdict {
             ResponseClass::Part => {
                 if let Some(ask) = ask {
-                    ask.keep(part.index, response);
+                    ask.add_part(part.index, response);
                 }
                 engine.answered(now, part, no, String::new(), report);
             }
-            ResponseClass::NotRun { stranger } => {
+            ResponseClass::NotExecuted { wrong_node: stranger } => {
                 engine.ended(now, part, no, Outcome::TurnedAway, report);
                 if stranger {
-                    self.counters.strangers += 1;
-                    self.stranger(now, node, ports);
+                    self.counters.wrong_node_responses += 1;
+                    self.mark_node_lost(now, node, ports);
                 }
             }
-            ResponseClass::Failed => {
+            ResponseClass::Failure => {
                 if let Some(ask) = ask {
-                    ask.keep_failure(response);
+                    ask.record_failure(response);
                 }
                 engine.ended(now, part, no, Outcome::Error, report);
             }
-            ResponseClass::Stray => engine.ended(now, part, no, Outcome::Broken, report),
+            ResponseClass::Mismatched => engine.ended(now, part, no, Outcome::Broken, report),
         }
     }
 
     /// Another life answers at this address: the one that was meant is gone.
-    fn stranger<P: Network>(&mut self, now: Nanos, node: NodeId, ports: &mut P) {
-        let Some(life) = self.lines.place(node).map(|place| place.life.clone()) else { return };
-        if let Some(fact) = self.pool.get(&life).cloned() {
+    fn mark_node_lost<P: Network>(&mut self, now: Nanos, node: NodeId, ports: &mut P) {
+        let Some(life) = self.node_connections.endpoint(node).map(|place| place.incarnation.clone()) else {
+            return;
+        };
+        if let Some(fact) = self.node_list.get(&life).cloned() {
             let gone = NodeRecord { state: NodeState::Lost, ..fact };
-            self.pool.take(now, &[gone]);
-            self.relist(now, ports);
+            self.node_list.apply_updates(now, &[gone]);
+            self.refresh_changed_nodes(now, ports);
         }
     }
 
-    pub(super) fn send<P: Network>(
+    pub(super) fn send_attempt<P: Network>(
         &mut self,
         now: Nanos,
         part: PartId,
@@ -238,38 +245,38 @@
         node: NodeId,
         ports: &mut P,
     ) -> Result<(), Outcome> {
-        let asker = self.by_multiget.get(&part.of).ok_or(Outcome::NeverSent)?;
-        let ask = self.asks.get_mut(asker).ok_or(Outcome::NeverSent)?;
-        let (idle, past) = self.lines.idle(now, node, &ask.used);
+        let asker = self.request_by_multiget.get(&part.of).ok_or(Outcome::NeverSent)?;
+        let ask = self.requests.get_mut(asker).ok_or(Outcome::NeverSent)?;
+        let (idle, past) = self.node_connections.take_idle(now, node, &ask.used_connections);
         past.into_iter().for_each(|berth| ports.close(berth));
-        let place = self.lines.place(node).ok_or(Outcome::NeverSent)?;
+        let place = self.node_connections.endpoint(node).ok_or(Outcome::NeverSent)?;
         let berth = match idle.filter(|berth| ports.is_open(*berth)) {
             Some(berth) => {
-                self.lines.carry(berth, part, no);
-                ask.offered = true;
+                self.node_connections.assign(berth, part, no);
+                ask.was_sent = true;
                 berth
             }
             None => {
                 let berth = ports.connect(place.addr).map_err(|_| Outcome::Unreachable)?;
-                self.counters.lines_opened += 1;
-                self.lines.add(now, berth, node, part, no);
-                ask.opening.push(berth);
+                self.counters.connections_opened += 1;
+                self.node_connections.insert(now, berth, node, part, no);
+                ask.opening_connections.push(berth);
                 berth
             }
         };
-        if self.plant != Some(SeededBug::SameLineAgain) {
-            ask.used.push(berth);
+        if self.seeded_bug != Some(SeededBug::RetryOnSameConnection) {
+            ask.used_connections.push(berth);
         }
-        self.lines.bodiless(berth, ask.bodiless);
-        let place = self.lines.place(node).ok_or(Outcome::NeverSent)?;
+        self.node_connections.set_expects_no_body(berth, ask.expects_no_body);
+        let place = self.node_connections.endpoint(node).ok_or(Outcome::NeverSent)?;
         let out = ports.output(berth).ok_or(Outcome::NeverSent)?;
-        ask.send(out, &place.life, ask.client_end - now);
+        ask.write_to_node(out, &place.incarnation, ask.deadline - now);
         Ok(())
     }
 }
 
 /// The seconds that a `Keep-Alive` line tells.
-fn timeout(value: &str) -> Option<u64> {
+fn keep_alive_timeout_s(value: &str) -> Option<u64> {
     let told = value.split(',').find_map(|word| word.trim().strip_prefix("timeout="))?;
     told.trim().parse().ok()
 }
--- a/crates/fernknot-gateway/src/lib.rs
+++ b/crates/fernknot-gateway/src/lib.rs
@@ -17,4 +17,4 @@
 mod news;
 pub mod routes;
 
-pub use gateway::{Gateway, ListenerIds, SeededBug, inner_addr, links, seeds};
+pub use gateway::{Gateway, ListenerIds, SeededBug, controller_seeds, inner_addr, max_connections};
--- a/crates/fernknot-gateway/src/main.rs
+++ b/crates/fernknot-gateway/src/main.rs
@@ -48,10 +48,10 @@
             return ExitCode::from(2);
         }
     };
-    let facts = match ProcessSettings::read(&bytes) {
+    let facts = match ProcessSettings::parse(&bytes) {
         Ok(facts) => facts,
         Err(faults) => {
-            faults.iter().for_each(|fault| eprintln!("settings: {}: {}", fault.place, fault.why));
+            faults.iter().for_each(|fault| eprintln!("settings: {}: {}", fault.path, fault.reason));
             return ExitCode::from(2);
         }
     };
@@ -60,7 +60,7 @@
     }
     let level = std::env::var("FERNKNOT_LOG").ok().and_then(|level| level.parse().ok());
     // It fails only where a log has begun, and none has.
-    let _ = fernknot_telemetry::begin(level.unwrap_or(fernknot_telemetry::LevelFilter::Info));
+    let _ = fernknot_telemetry::init(level.unwrap_or(fernknot_telemetry::LevelFilter::Info));
     // A life's number and its chance: no two processes start at one place at one time.
     let time = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_nanos() as u64);
     let seed = time ^ (u64::from(u32::from(facts.ip)) << 32) ^ u64::from(std::process::id());
--- a/crates/fernknot-gateway/tests/callers.rs
+++ b/crates/fernknot-gateway/tests/callers.rs
@@ -107,14 +107,14 @@
 }
 
 #[test_case(SeededBug::MatchByConnection; "an answer is matched by its connection")]
-#[test_case(SeededBug::AgainAfterReset; "what may not be repeated is sent again after a reset")]
-#[test_case(SeededBug::AgainAfterSilence; "what may not be repeated is sent again after a silence")]
-#[test_case(SeededBug::PromiseAfterHandOff; "a promise is made though a node may have run it")]
-#[test_case(SeededBug::SameLineAgain; "a request goes again over a connection that carried it")]
-#[test_case(SeededBug::GoneIsUnopened; "a connection that is gone counts as one that never came up")]
-#[test_case(SeededBug::PromiseAfterGone; "a promise is made though the connection was up")]
-#[test_case(SeededBug::CutShortIsWhole; "an answer cut short counts as whole")]
-#[test_case(SeededBug::PipelinedAtOnce; "pipelined requests are answered in any order")]
+#[test_case(SeededBug::RetryAfterReset; "what may not be repeated is sent again after a reset")]
+#[test_case(SeededBug::RetryAfterTimeout; "what may not be repeated is sent again after a silence")]
+#[test_case(SeededBug::RejectAfterAttempt; "a promise is made though a node may have run it")]
+#[test_case(SeededBug::RetryOnSameConnection; "a request goes again over a connection that carried it")]
+#[test_case(SeededBug::ClosedCountsAsUnopened; "a connection that is gone counts as one that never came up")]
+#[test_case(SeededBug::RejectAfterClose; "a promise is made though the connection was up")]
+#[test_case(SeededBug::TruncatedIsComplete; "an answer cut short counts as whole")]
+#[test_case(SeededBug::ConcurrentPipelining; "pipelined requests are answered in any order")]
 fn given_a_planted_break_when_seeds_are_played_then_it_is_found(plant: SeededBug) {
     let mut reports = played(0..WITHIN, Some(plant), false).into_iter();
     let found = reports.find(|(_, report)| !report.faults.is_empty());
--- a/crates/fernknot-gateway/tests/stage/checker.rs
+++ b/crates/fernknot-gateway/tests/stage/checker.rs
@@ -97,7 +97,7 @@
     /// A whole request left the gateway on a connection to a node that is up.
     pub fn offered(&mut self, now: Nanos, berth: ConnectionId, message: &Message) {
         let Some(no) = self.find(message) else {
-            return self.fault(format!("UNASKED: {} at {}", message.first, now.as_millis()));
+            return self.fault(format!("UNASKED: {} at {}", message.start_line, now.as_millis()));
         };
         let before = self.offers.entry(no).or_default();
         let open = before.iter().any(|(_, refused)| !refused);
@@ -125,13 +125,13 @@
     pub fn runs(&mut self, service: &str, message: &Message) {
         self.seen.add("runs");
         let Some(no) = self.find(message) else {
-            return self.fault(format!("UNASKED: a run of {}", message.first));
+            return self.fault(format!("UNASKED: a run of {}", message.start_line));
         };
         let asked = &self.asked[no];
-        let same =
-            (message.word(0), message.word(1), &message.body) == (asked.method, &asked.target, &asked.body);
+        let same = (message.start_line_part(0), message.start_line_part(1), &message.body)
+            == (asked.method, &asked.target, &asked.body);
         if !same {
-            let text = format!("UNASKED: {} ran as {}", asked.attempt, message.first);
+            let text = format!("UNASKED: {} ran as {}", asked.attempt, message.start_line);
             return self.fault(text);
         }
         let kind = asked.kind;
@@ -151,7 +151,7 @@
     pub fn answered(&mut self, no: usize, message: &Message) {
         let asked = &self.asked[no];
         let (attempt, kind) = (asked.attempt.clone(), asked.kind);
-        let status: u16 = message.word(1).parse().unwrap_or(0);
+        let status: u16 = message.start_line_part(1).parse().unwrap_or(0);
         if message.header("Attempt-Id").is_some_and(|id| id != attempt) {
             self.fault(format!("MIXED: {attempt} got {:?}", message.header("Attempt-Id")));
         }
--- a/crates/fernknot-gateway/tests/stage/clients.rs
+++ b/crates/fernknot-gateway/tests/stage/clients.rs
@@ -75,7 +75,7 @@
         }
         if has_body && self.chance.odds(400) {
             bytes.extend(b"Transfer-Encoding: chunked\r\n\r\n");
-            bytes.extend(wire::chunked(&body, 1 + self.chance.under(80)));
+            bytes.extend(wire::encode_chunked(&body, 1 + self.chance.under(80)));
         } else if has_body {
             bytes.extend(format!("Content-Length: {}\r\n\r\n", body.len()).bytes());
             bytes.extend(&body);
@@ -87,7 +87,7 @@
     }
 
     fn opens(&mut self, client: usize) -> ConnectionId {
-        let berth = self.ports.name();
+        let berth = self.ports.new_id();
         self.sides.insert(berth, Side::Client(client));
         self.clients[client].conn = Some(Conn {
             berth,
@@ -215,8 +215,8 @@
             // What belongs to a `HEAD` has no body.
             let asked = conn.waiting.front().map(|(no, _)| &self.checker.asked[*no]);
             let read = match asked.is_some_and(|asked| asked.method == "HEAD") {
-                true => wire::bodiless(&conn.input),
-                false => wire::message(&conn.input),
+                true => wire::parse_head_response(&conn.input),
+                false => wire::parse_message(&conn.input),
             };
             let message = match read {
                 Ok(Some(message)) => message,
@@ -228,14 +228,14 @@
             };
             conn.input.drain(..message.length);
             let Some((no, end)) = conn.waiting.pop_front() else {
-                return self.checker.fault(format!("MIXED: {berth:?} got {} unasked", message.first));
+                return self.checker.fault(format!("MIXED: {berth:?} got {} unasked", message.start_line));
             };
             // An answer before the whole request says that it was not read: only a refusal may be.
-            if conn.reached < end && !matches!(message.word(1), "408" | "400" | "413" | "431") {
-                self.checker.fault(format!("MIXED: {berth:?} got {} too early", message.first));
+            if conn.reached < end && !matches!(message.start_line_part(1), "408" | "400" | "413" | "431") {
+                self.checker.fault(format!("MIXED: {berth:?} got {} too early", message.start_line));
             }
-            let closes = message.closes();
-            self.note(|| format!("{berth:?} got {} for request {no}", message.first));
+            let closes = message.closes_connection();
+            self.note(|| format!("{berth:?} got {} for request {no}", message.start_line));
             self.checker.answered(no, &message);
             if closes {
                 self.client_ends(client, berth, Arrival::Fin);
--- a/crates/fernknot-gateway/tests/stage/mod.rs
+++ b/crates/fernknot-gateway/tests/stage/mod.rs
@@ -163,13 +163,13 @@
                     "retry_ratio": 0.5, "retry_window_s": 0.8, "retry_slack": 30}}}}"#,
         registrar::APPLY_MS
     );
-    ProcessSettings::read(text.as_bytes()).map_err(|faults| faults[0].place.clone()).unwrap()
+    ProcessSettings::parse(text.as_bytes()).map_err(|faults| faults[0].path.clone()).unwrap()
 }
 
 impl Stage {
     fn new(seed: u64, plant: Option<SeededBug>, logs: bool) -> Stage {
         let mut ports = SimulatedPorts::default();
-        let doors = ListenerIds { front: ports.name(), ready: ports.name(), inner: ports.name() };
+        let doors = ListenerIds { front: ports.new_id(), ready: ports.new_id(), inner: ports.new_id() };
         let mut stage = Stage {
             now: Nanos(0),
             chance: Chance(seed),
@@ -237,7 +237,7 @@
         let gateway =
             Gateway::new(facts(260), self.doors, self.life * 7919 + self.chance.draw() % 1000).unwrap();
         self.gateway = Some(match self.plant {
-            Some(plant) => gateway.planted(plant),
+            Some(plant) => gateway.with_seeded_bug(plant),
             None => gateway,
         });
         self.turn_at(self.now);
@@ -317,11 +317,11 @@
         self.turn_at = None;
         let clock = self.clock();
         let Some(gateway) = &mut self.gateway else { return };
-        gateway.turn(clock, self.events.drain(..), &mut self.ports);
-        self.ports.rests.clear();
-        gateway.wants_seeds();
-        let is_out = gateway.is_out(clock, &mut self.ports);
-        let due = self.born + gateway.due();
+        gateway.step(clock, self.events.drain(..), &mut self.ports);
+        self.ports.unread_after_reset.clear();
+        gateway.take_settings_reload_request();
+        let is_out = gateway.poll_shutdown(clock, &mut self.ports);
+        let due = self.born + gateway.next_wakeup();
         self.flush();
         self.saw_turn();
         if is_out {
@@ -336,33 +336,33 @@
         self.gateway = None;
         (self.version, self.settled) = (None, None);
         self.events.clear();
-        self.ports.rests.clear();
-        let links: Vec<ConnectionId> = std::mem::take(&mut self.ports.links).into_keys().collect();
+        self.ports.unread_after_reset.clear();
+        let links: Vec<ConnectionId> = std::mem::take(&mut self.ports.connections).into_keys().collect();
         links.into_iter().for_each(|berth| self.sees_end(berth));
-        self.ports.dirty.clear();
+        self.ports.pending_output.clear();
         let pause = self.chance.millis(20.0, 300.0);
         self.at(self.now + pause, Due::Trouble(Trouble::Room));
     }
 
     /// What was written leaves, over connections that are up; what was done is done.
     fn flush(&mut self) {
-        for did in std::mem::take(&mut self.ports.did) {
+        for did in std::mem::take(&mut self.ports.actions) {
             match did {
                 PortAction::Connect(berth, to) => self.connected(berth, to),
                 PortAction::Close(berth) => self.sees_end(berth),
                 PortAction::StopListening => self.stopping = true,
             }
         }
-        for berth in std::mem::take(&mut self.ports.dirty) {
+        for berth in std::mem::take(&mut self.ports.pending_output) {
             self.flush_link(berth);
         }
     }
 
     fn flush_link(&mut self, berth: ConnectionId) {
-        let Some(link) = self.ports.links.get_mut(&berth).filter(|link| link.open) else { return };
+        let Some(link) = self.ports.connections.get_mut(&berth).filter(|link| link.is_open) else { return };
         let bytes = link.output.data().to_vec();
         link.output.consume(bytes.len());
-        let closing = link.closing;
+        let closing = link.is_closing;
         if !bytes.is_empty() {
             if matches!(self.sides.get(&berth), Some(Side::Host(_))) {
                 self.leaves(berth, &bytes);
@@ -370,7 +370,7 @@
             self.goes_out(berth, bytes);
         }
         if closing {
-            self.ports.links.remove(&berth);
+            self.ports.connections.remove(&berth);
             self.sees_end(berth);
         }
     }
@@ -379,11 +379,11 @@
         let mut held = self.leaving.remove(&berth).unwrap_or_default();
         held.extend(bytes);
         loop {
-            match wire::message(&held) {
+            match wire::parse_message(&held) {
                 Ok(Some(message)) => {
                     held.drain(..message.length);
                     self.note(|| {
-                        format!("{berth:?} offers {} {:?}", message.first, message.header("Attempt-Id"))
+                        format!("{berth:?} offers {} {:?}", message.start_line, message.header("Attempt-Id"))
                     });
                     self.checker.offered(self.now, berth, &message);
                 }
@@ -461,27 +461,27 @@
             if self.stopping {
                 return self.sees_end(berth);
             }
-            self.ports.add(berth, true);
-            self.events.push(Event::Accepted { berth, at, peer: addr("10.9.0.1:999") });
+            self.ports.add_connection(berth, true);
+            self.events.push(Event::Accepted { connection: berth, listener: at, peer: addr("10.9.0.1:999") });
             return self.soon();
         }
-        let Some(link) = self.ports.links.get_mut(&berth) else { return };
+        let Some(link) = self.ports.connections.get_mut(&berth) else { return };
         let lost = |step, kind: ErrorKind| NetError { step, peer: addr("10.9.0.1:999"), why: kind.into() };
         match arrival {
             Arrival::Accepted { .. } => {}
             Arrival::Up => {
-                link.open = true;
-                self.events.push(Event::Opened { berth });
+                link.is_open = true;
+                self.events.push(Event::Connected { connection: berth });
                 self.flush_link(berth);
             }
             Arrival::Refused => {
-                self.ports.links.remove(&berth);
+                self.ports.connections.remove(&berth);
                 let why = lost("connect to", ErrorKind::ConnectionRefused);
-                self.events.push(Event::Gone { berth, opened: false, why });
+                self.events.push(Event::Closed { connection: berth, was_open: false, error: why });
             }
             Arrival::Bytes(bytes, mark) => {
                 link.input.push(&bytes);
-                self.events.push(Event::Came { berth });
+                self.events.push(Event::Received { connection: berth });
                 match mark {
                     Some(Mark::NotRun(attempt)) => self.checker.refused(&attempt, berth),
                     Some(Mark::Plan(version)) => self.version = self.version.max(Some(version)),
@@ -491,14 +491,14 @@
                     self.client_reached(client, berth, bytes.len());
                 }
             }
-            Arrival::Fin => self.events.push(Event::Ended { berth }),
+            Arrival::Fin => self.events.push(Event::ReadClosed { connection: berth }),
             Arrival::Reset => {
-                let (opened, closing) = (link.open, link.closing);
-                let rest = self.ports.links.remove(&berth).map(|link| link.input).unwrap_or_default();
+                let (opened, closing) = (link.is_open, link.is_closing);
+                let rest = self.ports.connections.remove(&berth).map(|link| link.input).unwrap_or_default();
                 if !closing {
-                    self.ports.rests.insert(berth, rest);
+                    self.ports.unread_after_reset.insert(berth, rest);
                     let why = lost("read from", ErrorKind::ConnectionReset);
-                    self.events.push(Event::Gone { berth, opened, why });
+                    self.events.push(Event::Closed { connection: berth, was_open: opened, error: why });
                 }
             }
         }
@@ -535,12 +535,12 @@
                 self.stands_still(Nanos::from_millis(millis as f64));
             }
             Trouble::Full => {
-                self.ports.full = true;
+                self.ports.is_full = true;
                 let wait = self.chance.millis(20.0, 300.0);
                 self.at(self.now + wait, Due::Trouble(Trouble::Room));
             }
             Trouble::Room => {
-                self.ports.full = false;
+                self.ports.is_full = false;
                 if self.gateway.is_none() {
                     self.begin_life();
                 }
--- a/crates/fernknot-gateway/tests/stage/nodes.rs
+++ b/crates/fernknot-gateway/tests/stage/nodes.rs
@@ -33,8 +33,8 @@
             zone: "north".into(),
             state: self.state,
             capacity: 8,
-            warm_left_ms: 0,
-            seq: 1 + u64::from(self.state != NodeState::Ready),
+            warm_up_left_ms: 0,
+            sequence: 1 + u64::from(self.state != NodeState::Ready),
         }
     }
 }
@@ -99,7 +99,7 @@
         };
         conn.input.extend(bytes);
         loop {
-            match wire::message(&conn.input) {
+            match wire::parse_message(&conn.input) {
                 Ok(Some(message)) => {
                     conn.input.drain(..message.length);
                     conn.queue.push_back(message);
@@ -116,17 +116,17 @@
         let no = self.hosts[host].no;
         let Some(conn) = self.hosts[host].conns.get_mut(&berth).filter(|conn| !conn.busy) else { return };
         let Some(message) = conn.queue.pop_front() else { return };
-        (conn.busy, conn.bodiless) = (true, message.word(0) == "HEAD");
+        (conn.busy, conn.bodiless) = (true, message.start_line_part(0) == "HEAD");
         let attempt = message.header("Attempt-Id").unwrap_or_default().to_string();
         let own = [("Attempt-Id", &attempt[..]), ("Not-Executed", "1")];
         if message.header("Target-Node") != Some(&life) {
             self.checker.seen.add("meant for another life");
-            let bytes = wire::answer(421, &own[..1], b"another");
+            let bytes = wire::encode_response(421, &own[..1], b"another");
             return self.node_says(host, berth, bytes, Some(Mark::NotRun(attempt)));
         }
         if self.chance.odds(120) {
             self.checker.seen.add("turned away");
-            let bytes = wire::answer(503, &own, b"full");
+            let bytes = wire::encode_response(503, &own, b"full");
             return self.node_says(host, berth, bytes, Some(Mark::NotRun(attempt)));
         }
         let wait = match self.chance.under(10) {
@@ -155,7 +155,9 @@
                     return;
                 }
                 let service = self.hosts[host].service;
-                self.note(|| format!("{berth:?} runs {} {:?}", message.first, message.header("Attempt-Id")));
+                self.note(|| {
+                    format!("{berth:?} runs {} {:?}", message.start_line, message.header("Attempt-Id"))
+                });
                 self.checker.runs(service, &message);
                 let wait = match self.chance.under(100) {
                     0..85 => self.chance.millis(1.0, 30.0),
@@ -182,7 +184,7 @@
         let attempt = message.header("Attempt-Id").unwrap_or_default().to_string();
         let seal = format!("{attempt}.{life}.{}", self.chance.draw() % 100_000);
         // A `HEAD` is answered without a body, though with its length.
-        let bodiless = message.word(0) == "HEAD";
+        let bodiless = message.start_line_part(0) == "HEAD";
         let length = if bodiless { 0 } else { self.chance.under(100) };
         let body: Vec<u8> = (0..length).map(|_| b'a' + self.chance.under(20) as u8).collect();
         let sealed = [("Attempt-Id", &attempt[..]), ("Answer-Seal", &seal[..])];
@@ -196,32 +198,32 @@
                 } else if self.chance.odds(100) {
                     headers.push(("Keep-Alive", "timeout=1"));
                 }
-                let bytes = wire::answer(200, &headers, &body);
+                let bytes = wire::encode_response(200, &headers, &body);
                 self.node_says(host, berth, bytes, None);
             }
             70..75 => {
                 issue(200);
                 let head = format!("HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nAnswer-Seal: {seal}\r\n");
                 let mut bytes = format!("{head}Transfer-Encoding: chunked\r\n\r\n").into_bytes();
-                bytes.extend(wire::chunked(&body, 7));
+                bytes.extend(wire::encode_chunked(&body, 7));
                 self.node_says(host, berth, bytes, None);
             }
             75..79 => {
                 issue(500);
-                self.node_says(host, berth, wire::answer(500, &sealed, &body), None);
+                self.node_says(host, berth, wire::encode_response(500, &sealed, &body), None);
             }
             // It ran, whatever the status says.
-            79..82 => self.node_says(host, berth, wire::answer(503, &sealed, b"no"), None),
-            82..84 => self.node_says(host, berth, wire::answer(429, &sealed[..1], b"no"), None),
-            84..86 => self.node_says(host, berth, wire::answer(200, &sealed[..1], &body), None),
+            79..82 => self.node_says(host, berth, wire::encode_response(503, &sealed, b"no"), None),
+            82..84 => self.node_says(host, berth, wire::encode_response(429, &sealed[..1], b"no"), None),
+            84..86 => self.node_says(host, berth, wire::encode_response(200, &sealed[..1], &body), None),
             86..88 => {
                 let coded = [sealed[0], sealed[1], ("Content-Encoding", "gzip")];
-                self.node_says(host, berth, wire::answer(200, &coded, &body), None);
+                self.node_says(host, berth, wire::encode_response(200, &coded, &body), None);
             }
             // Cut short: by a reset, by an end, or without a length to tell.
             88..92 => {
                 issue(200);
-                let bytes = wire::answer(200, &sealed, b"a body that never comes whole");
+                let bytes = wire::encode_response(200, &sealed, b"a body that never comes whole");
                 let body = if bodiless { 29 } else { 0 };
                 let cut = 1 + self.chance.under(bytes.len() - body - 1);
                 self.sends(berth, bytes[..cut].to_vec(), None);
@@ -238,7 +240,7 @@
             96..98 => {
                 issue(200);
                 self.checker.seen.add("whole answers before a reset");
-                self.sends(berth, wire::answer(200, &sealed, &body), None);
+                self.sends(berth, wire::encode_response(200, &sealed, &body), None);
                 self.hosts[host].conns.remove(&berth);
                 self.arrives(berth, Nanos(0), Arrival::Reset);
             }
--- a/crates/fernknot-gateway/tests/stage/plans.rs
+++ b/crates/fernknot-gateway/tests/stage/plans.rs
@@ -39,14 +39,14 @@
             deadline_ms: 900,
             target_ms: 150,
             rank: 0,
-            to,
-            tries,
+            target: to,
+            max_attempts: tries,
         };
-        let backend = |name: &str| RouteTarget::Backend(name.to_string());
+        let backend = |name: &str| RouteTarget::Service(name.to_string());
         let shards: Vec<String> =
             if cut { vec!["t0".into(), "t1".into()] } else { vec!["s0".into(), "s1".into(), "s2".into()] };
         self.checker.sets.push(shards.iter().cloned().collect());
-        let shares = RouteTarget::Shares(vec![("pair".into(), 2.0), ("other".into(), 1.0)]);
+        let shares = RouteTarget::WeightedServices(vec![("pair".into(), 2.0), ("other".into(), 1.0)]);
         let mut routes = vec![
             route(Kind::Mutating, TrafficClass::Mutating, backend(to)),
             route(Kind::Idempotent, TrafficClass::Idempotent, backend("pair")),
@@ -62,9 +62,11 @@
         for kind in kinds {
             let named = routes.iter().filter(|route| route.path_prefix == prefix(kind));
             for route in named {
-                let services: Vec<String> = match &route.to {
-                    RouteTarget::Backend(name) => vec![name.clone()],
-                    RouteTarget::Shares(shares) => shares.iter().map(|(name, _)| name.clone()).collect(),
+                let services: Vec<String> = match &route.target {
+                    RouteTarget::Service(name) => vec![name.clone()],
+                    RouteTarget::WeightedServices(shares) => {
+                        shares.iter().map(|(name, _)| name.clone()).collect()
+                    }
                     RouteTarget::Fanout { shards, .. } => shards.clone(),
                 };
                 self.checker.ways.entry(kind).or_default().extend(services);
@@ -73,7 +75,7 @@
         let service = |name: &&str| Service {
             name: name.to_string(),
             probe_path: "/health".into(),
-            max_conns: 60,
+            max_connections: 60,
             protocol: "h1".into(),
             tls: false,
         };
--- a/crates/fernknot-gateway/tests/stage/registrar.rs
+++ b/crates/fernknot-gateway/tests/stage/registrar.rs
@@ -5,7 +5,9 @@
 use fernknot_net::{Buffer, ConnectionId};
 use fernknot_ownership::{Assignment, FencingToken, GatewayRecord};
 use fernknot_registry::NodeRecord;
-use fernknot_rpc::{ControllerEndpoint, ControllerToGateway, GatewayToController, pull, push};
+use fernknot_rpc::{
+    ControllerEndpoint, ControllerToGateway, GatewayToController, read_message, write_message,
+};
 use std::collections::BTreeMap;
 
 pub const APPLY_MS: f64 = 1500.0;
@@ -35,7 +37,7 @@
 impl Stage {
     fn tells(&mut self, berth: ConnectionId, word: &ControllerToGateway, mark: Option<Mark>) {
         let mut out = Buffer::default();
-        push(&mut out, word);
+        write_message(&mut out, word);
         self.sends(berth, out.data().to_vec(), mark);
     }
 
@@ -43,17 +45,17 @@
         self.teller.ears.entry(berth).or_default().input.push(bytes);
         loop {
             let Some(ear) = self.teller.ears.get_mut(&berth) else { return };
-            match pull::<GatewayToController>(&mut ear.input, 1 << 20) {
-                Ok(Some(GatewayToController::Attach { who, .. })) => {
+            match read_message::<GatewayToController>(&mut ear.input, 1 << 20) {
+                Ok(Some(GatewayToController::Subscribe { gateway: who, .. })) => {
                     ear.who = Some(who.clone());
                     self.teller.fence += 1;
-                    let fence = FencingToken::of(1, self.teller.fence as u32);
-                    let cut = Assignment { fence, live: vec![who], may_be_alive: 1 };
-                    self.tells(berth, &ControllerToGateway::Cut(cut), None);
+                    let fence = FencingToken::new(1, self.teller.fence as u32);
+                    let cut = Assignment { fencing_token: fence, gateways: vec![who], presumed_alive: 1 };
+                    self.tells(berth, &ControllerToGateway::Assignment(cut), None);
                     let facts = self.facts_of_nodes();
-                    self.tells(berth, &ControllerToGateway::Nodes(facts), None);
+                    self.tells(berth, &ControllerToGateway::NodeUpdates(facts), None);
                     self.tell_plan(berth);
-                    self.tells(berth, &ControllerToGateway::Whole, None);
+                    self.tells(berth, &ControllerToGateway::SnapshotComplete, None);
                     self.tell_pulse(berth);
                 }
                 Ok(Some(_)) => {}
@@ -70,16 +72,23 @@
         let plan = self.plans[newest - 1].clone();
         self.tells(
             berth,
-            &ControllerToGateway::Plan { order: newest as u64, plan },
+            &ControllerToGateway::Config { revision: newest as u64, config: plan },
             Some(Mark::Plan(newest - 1)),
         );
     }
 
     fn tell_pulse(&mut self, berth: ConnectionId) {
         let registrars = vec![ControllerEndpoint { addr: addr(REGISTRAR), zone: "north".into() }];
-        let fence = FencingToken::of(1, self.teller.fence as u32).0;
+        let fence = FencingToken::new(1, self.teller.fence as u32).0;
         let order = self.plans.len() as u64;
-        let pulse = ControllerToGateway::Pulse { teller: 1, order, lease: true, hops: 0, fence, registrars };
+        let pulse = ControllerToGateway::Heartbeat {
+            sender: 1,
+            revision: order,
+            holds_lease: true,
+            hops: 0,
+            fencing_token: fence,
+            controllers: registrars,
+        };
         self.tells(berth, &pulse, None);
     }
 
@@ -101,7 +110,7 @@
     /// Tells of nodes, now or after a while.
     pub fn tell_nodes(&mut self, facts: &[NodeRecord]) {
         for berth in self.listeners() {
-            self.tells(berth, &ControllerToGateway::Nodes(facts.to_vec()), None);
+            self.tells(berth, &ControllerToGateway::NodeUpdates(facts.to_vec()), None);
         }
     }
 }
--- a/crates/fernknot-gateway/tests/stories/bodies.rs
+++ b/crates/fernknot-gateway/tests/stories/bodies.rs
@@ -72,8 +72,8 @@
         "goes" => {
             let (peer, why) = ("10.9.0.1:999".parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
             let why = NetError { step: "read from", peer, why };
-            story.ports.links.remove(&berth);
-            story.turn(vec![Event::Gone { berth, opened: true, why }]);
+            story.ports.connections.remove(&berth);
+            story.turn(vec![Event::Closed { connection: berth, was_open: true, error: why }]);
         }
         "stalls" => story.waits(Nanos(7_000_000_000)),
         _ => {
--- a/crates/fernknot-gateway/tests/stories/mod.rs
+++ b/crates/fernknot-gateway/tests/stories/mod.rs
@@ -6,7 +6,7 @@
 use fernknot_net::{ConnectionId, Event, NetError};
 use fernknot_ownership::Assignment;
 use fernknot_registry::{NodeRecord, NodeState};
-use fernknot_rpc::{ControllerEndpoint, ControllerToGateway, push};
+use fernknot_rpc::{ControllerEndpoint, ControllerToGateway, write_message};
 use fernknot_schema::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass};
 use fernknot_simulator::ports::{PortAction, SimulatedPorts};
 
@@ -43,13 +43,13 @@
         deadline_ms: 900,
         target_ms: 150,
         rank: 0,
-        to: RouteTarget::Backend("lone".into()),
-        tries: 1,
+        target: RouteTarget::Service("lone".into()),
+        max_attempts: 1,
     };
     let service = Service {
         name: "lone".into(),
         probe_path: "/health".into(),
-        max_conns: 60,
+        max_connections: 60,
         protocol: "h1".into(),
         tls: false,
     };
@@ -60,16 +60,16 @@
     /// A gateway with so much memory that holds this version and knows the node.
     pub fn begin(memory_mb: u64, plan: RoutingConfig) -> Story {
         let mut ports = SimulatedPorts::default();
-        let doors = ListenerIds { front: ports.name(), ready: ports.name(), inner: ports.name() };
+        let doors = ListenerIds { front: ports.new_id(), ready: ports.new_id(), inner: ports.new_id() };
         let gateway = Gateway::new(facts(memory_mb), doors, 7).unwrap();
         let (lines, closed) = (Vec::new(), Vec::new());
         let registrar = ConnectionId(0);
         let mut story = Story { now: Nanos(0), gateway, ports, doors, registrar, lines, closed, order: 0 };
         story.turn(Vec::new());
-        story.tells(&ControllerToGateway::Cut(Assignment::default()));
-        story.tells(&ControllerToGateway::Nodes(vec![node("lone", NodeState::Ready)]));
+        story.tells(&ControllerToGateway::Assignment(Assignment::default()));
+        story.tells(&ControllerToGateway::NodeUpdates(vec![node("lone", NodeState::Ready)]));
         story.takes(plan);
-        story.tells(&ControllerToGateway::Whole);
+        story.tells(&ControllerToGateway::SnapshotComplete);
         story.pulses();
         story
     }
@@ -79,13 +79,13 @@
         let addr = REGISTRAR.parse().unwrap();
         let registrars = vec![ControllerEndpoint { addr, zone: "north".into() }];
         let order = self.order;
-        self.tells(&ControllerToGateway::Pulse {
-            teller: 1,
-            order,
-            lease: true,
+        self.tells(&ControllerToGateway::Heartbeat {
+            sender: 1,
+            revision: order,
+            holds_lease: true,
             hops: 0,
-            fence: 0,
-            registrars,
+            fencing_token: 0,
+            controllers: registrars,
         });
     }
 
@@ -101,42 +101,42 @@
     /// The stream of the registrar breaks, and it tells anew all that it knows of nodes.
     pub fn hears_anew(&mut self, nodes: Vec<NodeRecord>) {
         let berth = self.registrar;
-        self.ports.links.remove(&berth);
+        self.ports.connections.remove(&berth);
         let (peer, why) = (REGISTRAR.parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
         let why = NetError { step: "read from", peer, why };
-        self.turn(vec![Event::Gone { berth, opened: true, why }]);
+        self.turn(vec![Event::Closed { connection: berth, was_open: true, error: why }]);
         while self.registrar == berth {
             self.waits(TURN);
         }
-        self.tells(&ControllerToGateway::Nodes(nodes));
-        self.tells(&ControllerToGateway::Whole);
+        self.tells(&ControllerToGateway::NodeUpdates(nodes));
+        self.tells(&ControllerToGateway::SnapshotComplete);
         self.pulses();
     }
 
     /// The registrar says this.
     pub fn tells(&mut self, word: &ControllerToGateway) {
-        push(&mut self.ports.links.get_mut(&self.registrar).unwrap().input, word);
+        write_message(&mut self.ports.connections.get_mut(&self.registrar).unwrap().input, word);
         let berth = self.registrar;
-        self.turn(vec![Event::Came { berth }]);
+        self.turn(vec![Event::Received { connection: berth }]);
     }
 
     /// The next version.
     pub fn takes(&mut self, plan: RoutingConfig) {
         self.order += 1;
-        self.tells(&ControllerToGateway::Plan {
-            order: self.order,
-            plan: RoutingConfig { epoch: self.order, ..plan },
+        self.tells(&ControllerToGateway::Config {
+            revision: self.order,
+            config: RoutingConfig { epoch: self.order, ..plan },
         });
     }
 
     /// A turn of the loop with this news.
     pub fn turn(&mut self, events: Vec<Event>) {
-        self.gateway.turn(self.now, events, &mut self.ports);
-        for did in std::mem::take(&mut self.ports.did) {
+        self.gateway.step(self.now, events, &mut self.ports);
+        for did in std::mem::take(&mut self.ports.actions) {
             match did {
                 PortAction::Connect(berth, to) if to == REGISTRAR.parse().unwrap() => {
                     self.registrar = berth;
-                    self.ports.links.get_mut(&berth).unwrap().open = true;
+                    self.ports.connections.get_mut(&berth).unwrap().is_open = true;
                 }
                 PortAction::Connect(berth, _) => self.lines.push(berth),
                 PortAction::Close(berth) => self.closed.push(berth),
@@ -156,43 +156,46 @@
 
     /// A client connects.
     pub fn client(&mut self) -> ConnectionId {
-        let berth = self.ports.name();
-        self.ports.add(berth, true);
+        let berth = self.ports.new_id();
+        self.ports.add_connection(berth, true);
         let peer = "10.9.0.1:999".parse().unwrap();
-        self.turn(vec![Event::Accepted { berth, at: self.doors.front, peer }]);
+        self.turn(vec![Event::Accepted { connection: berth, listener: self.doors.front, peer }]);
         berth
     }
 
     /// The platform connects, and sends this.
     pub fn asks_ready(&mut self, text: &str) -> ConnectionId {
-        let berth = self.ports.name();
-        self.ports.add(berth, true);
+        let berth = self.ports.new_id();
+        self.ports.add_connection(berth, true);
         let peer = "10.9.0.1:999".parse().unwrap();
-        self.turn(vec![Event::Accepted { berth, at: self.doors.ready, peer }]);
+        self.turn(vec![Event::Accepted { connection: berth, listener: self.doors.ready, peer }]);
         self.comes(berth, text);
         berth
     }
 
     /// Bytes come on a connection.
     pub fn comes(&mut self, berth: ConnectionId, text: &str) {
-        self.ports.links.get_mut(&berth).unwrap().input.push(text.as_bytes());
-        self.turn(vec![Event::Came { berth }]);
+        self.ports.connections.get_mut(&berth).unwrap().input.push(text.as_bytes());
+        self.turn(vec![Event::Received { connection: berth }]);
     }
 
     /// Bytes and a reset come on a connection, and both are told in one turn.
     pub fn comes_and_resets(&mut self, berth: ConnectionId, text: &str) {
-        let mut rest = self.ports.links.remove(&berth).unwrap().input;
+        let mut rest = self.ports.connections.remove(&berth).unwrap().input;
         rest.push(text.as_bytes());
-        self.ports.rests.insert(berth, rest);
+        self.ports.unread_after_reset.insert(berth, rest);
         let (peer, why) = (NODE.parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
         let why = NetError { step: "read from", peer, why };
-        self.turn(vec![Event::Came { berth }, Event::Gone { berth, opened: true, why }]);
-        self.ports.rests.clear();
+        self.turn(vec![
+            Event::Received { connection: berth },
+            Event::Closed { connection: berth, was_open: true, error: why },
+        ]);
+        self.ports.unread_after_reset.clear();
     }
 
     /// What the gateway has written on a connection since the last call.
     pub fn got(&mut self, berth: ConnectionId) -> String {
-        let Some(link) = self.ports.links.get_mut(&berth) else { return String::new() };
+        let Some(link) = self.ports.connections.get_mut(&berth) else { return String::new() };
         let text = String::from_utf8_lossy(link.output.data()).into_owned();
         link.output.consume(text.len());
         text
@@ -201,14 +204,14 @@
     /// The connection to the node that was begun last comes up; what goes out on it.
     pub fn line_opens(&mut self) -> (ConnectionId, String) {
         let berth = *self.lines.last().expect("no connection was begun");
-        self.ports.links.get_mut(&berth).unwrap().open = true;
-        self.turn(vec![Event::Opened { berth }]);
+        self.ports.connections.get_mut(&berth).unwrap().is_open = true;
+        self.turn(vec![Event::Connected { connection: berth }]);
         (berth, self.got(berth))
     }
 
     /// Whether the gateway has ended a connection, or does so once all is written.
     pub fn is_closed(&self, berth: ConnectionId) -> bool {
-        self.ports.links.get(&berth).is_none_or(|link| link.closing)
+        self.ports.connections.get(&berth).is_none_or(|link| link.is_closing)
     }
 }
 
@@ -221,8 +224,8 @@
         zone: "north".into(),
         state,
         capacity: 8,
-        warm_left_ms: 0,
-        seq: 1 + u64::from(state != NodeState::Ready),
+        warm_up_left_ms: 0,
+        sequence: 1 + u64::from(state != NodeState::Ready),
     }
 }
 
--- a/crates/fernknot-gateway/tests/stories/names.rs
+++ b/crates/fernknot-gateway/tests/stories/names.rs
@@ -34,10 +34,10 @@
         let mut next = plan(ClientLimits::default());
         let shards = (0..4).map(|shard| format!("c{cut}-{shard}")).collect();
         next.routes[0].traffic_class = TrafficClass::Idempotent;
-        next.routes[0].to = RouteTarget::Fanout { shards, top_k: 5, quorum: 0.5 };
+        next.routes[0].target = RouteTarget::Fanout { shards, top_k: 5, quorum: 0.5 };
         story.takes(next);
-        story.tells(&ControllerToGateway::Nodes(vec![node(&format!("c{cut}-0"), NodeState::Ready)]));
-        story.tells(&ControllerToGateway::Nodes(vec![node(&format!("c{cut}-0"), NodeState::Gone)]));
+        story.tells(&ControllerToGateway::NodeUpdates(vec![node(&format!("c{cut}-0"), NodeState::Ready)]));
+        story.tells(&ControllerToGateway::NodeUpdates(vec![node(&format!("c{cut}-0"), NodeState::Gone)]));
         story.waits_well(Nanos(1_000_000_000));
     }
     // A service is kept while the list remembers a node of it: two minutes.
@@ -49,14 +49,14 @@
 fn given_a_service_that_was_given_up_when_it_comes_back_then_requests_reach_its_node() {
     let mut story = Story::begin(260, plan(ClientLimits::default()));
     let mut other = plan(ClientLimits::default());
-    other.routes[0].to = RouteTarget::Backend("other".into());
+    other.routes[0].target = RouteTarget::Service("other".into());
     story.takes(other);
-    story.tells(&ControllerToGateway::Nodes(vec![node("lone", NodeState::Gone)]));
+    story.tells(&ControllerToGateway::NodeUpdates(vec![node("lone", NodeState::Gone)]));
     story.waits_well(Nanos(130_000_000_000));
     // That of the version in force gets one with its first node or request.
     assert_eq!(numbers(&mut story), 0);
     story.takes(plan(ClientLimits::default()));
-    story.tells(&ControllerToGateway::Nodes(vec![NodeRecord {
+    story.tells(&ControllerToGateway::NodeUpdates(vec![NodeRecord {
         id: "i-new".into(),
         ..node("lone", NodeState::Ready)
     }]));
@@ -72,11 +72,11 @@
 fn given_a_request_in_hand_under_an_older_version_then_what_that_names_keeps_its_number() {
     let mut story = Story::begin(260, plan(ClientLimits::default()));
     let mut long = plan(ClientLimits::default());
-    long.routes[0].to = RouteTarget::Backend("empty".into());
+    long.routes[0].target = RouteTarget::Service("empty".into());
     long.routes[0].deadline_ms = 60_000;
     long.routes[0].target_ms = 60_000;
     story.takes(long);
-    story.tells(&ControllerToGateway::Nodes(vec![node("empty", NodeState::Ready)]));
+    story.tells(&ControllerToGateway::NodeUpdates(vec![node("empty", NodeState::Ready)]));
     let client = story.client();
     story.comes(client, &request("a", 60_000));
     story.line_opens();
--- a/crates/fernknot-gateway/tests/stories/offers.rs
+++ b/crates/fernknot-gateway/tests/stories/offers.rs
@@ -58,8 +58,8 @@
     story.comes(client, &request("a", 80));
     let berth = *story.lines.last().unwrap();
     // It was up, and is gone: of both the loop has still to tell.
-    story.ports.links.remove(&berth);
+    story.ports.connections.remove(&berth);
     story.waits(LONG);
     assert!(matches!(told(&story.got(client)), "HTTP/1.1 504 Gateway Timeout" | "HTTP/1.1 502 Bad Gateway"));
-    story.turn(vec![Event::Opened { berth }]);
+    story.turn(vec![Event::Connected { connection: berth }]);
 }
--- a/crates/fernknot-http-api/src/call.rs
+++ b/crates/fernknot-http-api/src/call.rs
@@ -21,32 +21,32 @@
 
     /// # Errors
     /// The answer to a call that is none of this kind: every fault of it, in words for the caller.
-    fn read(asked: MatchedRequest<'_>) -> Result<Self, Reply>;
+    fn parse(asked: MatchedRequest<'_>) -> Result<Self, Reply>;
 }
 
 /// An answer as it goes out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     pub status: u16,
-    pub kind: &'static str,
+    pub content_type: &'static str,
     pub body: Body,
     /// When to come back, in seconds.
-    pub wait: Option<f64>,
+    pub retry_after_s: Option<f64>,
 }
 
 /// Bytes that may be shared, so that a large one isn't copied for each caller.
 #[derive(Clone, Debug)]
 pub enum Body {
-    Fixed(&'static [u8]),
-    Own(Vec<u8>),
+    Static(&'static [u8]),
+    Owned(Vec<u8>),
     Shared(Arc<[u8]>),
 }
 
 impl Body {
     pub fn bytes(&self) -> &[u8] {
         match self {
-            Body::Fixed(bytes) => bytes,
-            Body::Own(bytes) => bytes,
+            Body::Static(bytes) => bytes,
+            Body::Owned(bytes) => bytes,
             Body::Shared(bytes) => bytes,
         }
     }
@@ -58,33 +58,38 @@
     }
 }
 
-const JSON: &str = "application/json";
+const CONTENT_TYPE_JSON: &str = "application/json";
 
 impl Reply {
     /// 200 with an empty object.
-    pub fn done() -> Reply {
-        Reply { status: 200, kind: JSON, body: Body::Fixed(b"{}"), wait: None }
+    pub fn ok() -> Reply {
+        Reply { status: 200, content_type: CONTENT_TYPE_JSON, body: Body::Static(b"{}"), retry_after_s: None }
     }
 
     /// 200 with this JSON.
     pub fn json(body: Body) -> Reply {
-        Reply { status: 200, kind: JSON, body, wait: None }
+        Reply { status: 200, content_type: CONTENT_TYPE_JSON, body, retry_after_s: None }
     }
 
     /// A refusal, with its reason as `{"error": ...}`.
-    pub fn refused(status: u16, why: &str) -> Reply {
-        let body = format!("{{\"error\":\"{}\"}}", escaped(why));
-        Reply { status, kind: JSON, body: Body::Own(body.into_bytes()), wait: None }
+    pub fn error(status: u16, why: &str) -> Reply {
+        let body = format!("{{\"error\":\"{}\"}}", escape_json(why));
+        Reply {
+            status,
+            content_type: CONTENT_TYPE_JSON,
+            body: Body::Owned(body.into_bytes()),
+            retry_after_s: None,
+        }
     }
 
     /// The same, with word of when to come back, in seconds.
-    pub fn after(self, seconds: f64) -> Reply {
-        Reply { wait: Some(seconds), ..self }
+    pub fn with_retry_after(self, seconds: f64) -> Reply {
+        Reply { retry_after_s: Some(seconds), ..self }
     }
 }
 
 /// A text as it stands in a JSON string.
-fn escaped(text: &str) -> Cow<'_, str> {
+fn escape_json(text: &str) -> Cow<'_, str> {
     if !text.contains(|letter: char| letter.is_control() || letter == '"' || letter == '\\') {
         return Cow::Borrowed(text);
     }
--- a/crates/fernknot-http-api/src/tap.rs
+++ b/crates/fernknot-http-api/src/tap.rs
@@ -42,10 +42,10 @@
 #[derive(Debug)]
 pub enum ReadOutcome {
     /// Nothing whole yet, or the one before is unanswered.
-    Nothing,
-    Call(Request),
+    Incomplete,
+    Request(Request),
     /// No request, or one too large: its answer is written, and the connection ends after it.
-    Bad,
+    Rejected,
 }
 
 /// Breaks planted for the checkers, which must find each one.
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
     /// An answer goes to whatever waits on its connection.
-    AnswerByConnection,
+    ReplyIgnoresCallNumber,
 }
 
 /// One connection: reads a request only once the one before is answered.
@@ -61,53 +61,58 @@
 pub struct HttpServerConnection {
     reader: RequestReader,
     /// Whether the connection goes on, and the caller's older HTTP, of the request that waits for its answer.
-    waits: Option<(bool, bool)>,
-    calls: u64,
-    plant: Option<SeededBug>,
+    pending_reply: Option<(bool, bool)>,
+    call_count: u64,
+    seeded_bug: Option<SeededBug>,
 }
 
 impl HttpServerConnection {
     /// One with a break in it.
     #[doc(hidden)]
-    pub fn planted(plant: SeededBug) -> HttpServerConnection {
-        HttpServerConnection { plant: Some(plant), ..HttpServerConnection::default() }
+    pub fn with_seeded_bug(plant: SeededBug) -> HttpServerConnection {
+        HttpServerConnection { seeded_bug: Some(plant), ..HttpServerConnection::default() }
     }
 
     /// The number on this connection of the call that came last, from 1; 0 before the first.
-    pub fn call(&self) -> u64 {
-        self.calls
+    pub fn last_call(&self) -> u64 {
+        self.call_count
     }
 
     /// A request waits for its answer.
-    pub fn waits(&self) -> bool {
-        self.waits.is_some()
+    pub fn has_pending_call(&self) -> bool {
+        self.pending_reply.is_some()
     }
 
     /// A request has begun to come.
-    pub fn is_open(&self) -> bool {
+    pub fn is_receiving(&self) -> bool {
         self.reader.is_open()
     }
 
     /// The next request, once all of it has come.
-    pub fn pull(&mut self, input: &mut Buffer, out: &mut Buffer, facts: &HttpServerSettings) -> ReadOutcome {
-        if self.waits.is_some() || (input.is_empty() && !self.reader.is_open()) {
-            return ReadOutcome::Nothing;
+    pub fn read_request(
+        &mut self,
+        input: &mut Buffer,
+        out: &mut Buffer,
+        facts: &HttpServerSettings,
+    ) -> ReadOutcome {
+        if self.pending_reply.is_some() || (input.is_empty() && !self.reader.is_open()) {
+            return ReadOutcome::Incomplete;
         }
         match self.reader.read(input, &facts.limits) {
             Ok(Some(request)) => {
-                self.waits = Some((request.keep, request.old));
-                self.calls += 1;
-                ReadOutcome::Call(request)
+                self.pending_reply = Some((request.keep, request.old));
+                self.call_count += 1;
+                ReadOutcome::Request(request)
             }
             Ok(None) => {
                 if self.reader.wants_leave() {
                     out.push(GO_ON);
                 }
-                ReadOutcome::Nothing
+                ReadOutcome::Incomplete
             }
             Err(bad) => {
-                write(out, &Reply::refused(bad.status, bad.why), false, false);
-                ReadOutcome::Bad
+                write_response(out, &Reply::error(bad.status, bad.why), false, false);
+                ReadOutcome::Rejected
             }
         }
     }
@@ -115,18 +120,18 @@
     /// Writes the answer to the call of this number, if that is the one that waits. True where the connection goes on
     /// after it; `last` ends it. Guards against an answer that comes when its call has been answered otherwise, and
     /// another one waits on the connection.
-    pub fn answer(&mut self, out: &mut Buffer, call: u64, reply: &Reply, last: bool) -> bool {
-        if call != self.calls && self.plant != Some(SeededBug::AnswerByConnection) {
+    pub fn write_reply(&mut self, out: &mut Buffer, call: u64, reply: &Reply, last: bool) -> bool {
+        if call != self.call_count && self.seeded_bug != Some(SeededBug::ReplyIgnoresCallNumber) {
             return true;
         }
-        let Some((keep, old)) = self.waits.take() else { return true };
+        let Some((keep, old)) = self.pending_reply.take() else { return true };
         let keep = keep && !last;
-        write(out, reply, keep, old);
+        write_response(out, reply, keep, old);
         keep
     }
 }
 
-fn write(out: &mut Buffer, reply: &Reply, keep: bool, old: bool) {
-    Answer { status: reply.status, kind: reply.kind, wait: reply.wait, keep, old }
+fn write_response(out: &mut Buffer, reply: &Reply, keep: bool, old: bool) {
+    Answer { status: reply.status, kind: reply.content_type, wait: reply.retry_after_s, keep, old }
         .write(out, reply.body.bytes());
 }
--- a/crates/fernknot-http-api/tests/callers.rs
+++ b/crates/fernknot-http-api/tests/callers.rs
@@ -59,13 +59,14 @@
 }
 
 fn reply(status: u16, name: &str) -> Reply {
-    Reply::refused(status, name)
+    Reply::error(status, name)
 }
 
 impl Callers {
     fn opens(&mut self) {
         self.next += 1;
-        let tap = self.plant.map_or_else(HttpServerConnection::default, HttpServerConnection::planted);
+        let tap =
+            self.plant.map_or_else(HttpServerConnection::default, HttpServerConnection::with_seeded_bug);
         let (input, out) = (Buffer::default(), Buffer::default());
         let line =
             Line { tap, input, out, to_send: VecDeque::new(), waiting: VecDeque::new(), closing: false };
@@ -94,10 +95,12 @@
 
     fn pulls(&mut self, at: u64) {
         let Some(line) = self.lines.get_mut(&at) else { return };
-        let ReadOutcome::Call(request) = line.tap.pull(&mut line.input, &mut line.out, &self.facts) else {
+        let ReadOutcome::Request(request) =
+            line.tap.read_request(&mut line.input, &mut line.out, &self.facts)
+        else {
             return;
         };
-        let (name, call) = (request.target[1..].to_string(), line.tap.call());
+        let (name, call) = (request.target[1..].to_string(), line.tap.last_call());
         match self.chance.under(10) {
             0..4 => self.answers(Owed { line: at, call, reply: reply(200, &name) }),
             4..7 => self.owed.push(Owed { line: at, call, reply: reply(200, &name) }),
@@ -116,7 +119,7 @@
             return;
         };
         let last = self.chance.under(60) == 0;
-        let goes_on = line.tap.answer(&mut line.out, owed.call, &owed.reply, last);
+        let goes_on = line.tap.write_reply(&mut line.out, owed.call, &owed.reply, last);
         line.closing = !goes_on;
         self.gets(owed.line);
         if goes_on {
@@ -188,7 +191,8 @@
 
 #[test]
 fn given_answers_by_connection_alone_when_seeds_are_played_then_that_is_found() {
-    let found = (0..WITHIN).find(|seed| !play(*seed, Some(SeededBug::AnswerByConnection)).faults.is_empty());
+    let found =
+        (0..WITHIN).find(|seed| !play(*seed, Some(SeededBug::ReplyIgnoresCallNumber)).faults.is_empty());
     println!("found first by {found:?}");
     assert!(found.is_some());
 }
--- a/crates/fernknot-http-api/tests/calls.rs
+++ b/crates/fernknot-http-api/tests/calls.rs
@@ -14,7 +14,7 @@
 
 impl From<Greeted> for Reply {
     fn from(greeted: Greeted) -> Reply {
-        Reply::refused(418, &greeted.0)
+        Reply::error(418, &greeted.0)
     }
 }
 
@@ -23,9 +23,9 @@
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/people/*/greet";
 
-    fn read(asked: MatchedRequest<'_>) -> Result<Greet, Reply> {
+    fn parse(asked: MatchedRequest<'_>) -> Result<Greet, Reply> {
         match asked.request.body.is_empty() {
-            true => Err(Reply::refused(400, "say something")),
+            true => Err(Reply::error(400, "say something")),
             false => Ok(Greet(asked.segment.to_string())),
         }
     }
@@ -37,7 +37,7 @@
 }
 
 impl Handler<Greet, u64> for Host {
-    fn serve(&mut self, call: Greet, slot: u64) -> Option<Greeted> {
+    fn handle(&mut self, call: Greet, slot: u64) -> Option<Greeted> {
         if call.0 == "shy" {
             self.later.push(slot);
             return None;
@@ -59,9 +59,9 @@
 fn served(method: &str, path: &str, body: &str) -> (Host, DispatchOutcome) {
     let text = format!("{method} {path} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let (mut host, mut out) = (Host::default(), Buffer::default());
-    let pulled = HttpServerConnection::default().pull(&mut input(&text), &mut out, &facts());
-    let ReadOutcome::Call(request) = pulled else { panic!("no request: {pulled:?}") };
-    let served = Dispatcher::default().on::<Greet>().serve(&mut host, &request, 5);
+    let pulled = HttpServerConnection::default().read_request(&mut input(&text), &mut out, &facts());
+    let ReadOutcome::Request(request) = pulled else { panic!("no request: {pulled:?}") };
+    let served = Dispatcher::default().with_endpoint::<Greet>().dispatch(&mut host, &request, 5);
     (host, served)
 }
 
@@ -78,13 +78,13 @@
     body: &str,
     status: u16,
 ) {
-    assert_matches!(served(method, path, body).1, DispatchOutcome::Now(reply) if reply.status == status);
+    assert_matches!(served(method, path, body).1, DispatchOutcome::Ready(reply) if reply.status == status);
 }
 
 #[test]
 fn given_a_host_that_needs_time_when_a_request_comes_then_its_slot_is_kept_for_the_answer() {
     let (host, served) = served("POST", "/people/shy/greet", "hi");
-    assert_matches!(served, DispatchOutcome::Later);
+    assert_matches!(served, DispatchOutcome::Pending);
     assert_eq!(host.later, [5]);
 }
 
@@ -92,24 +92,27 @@
 fn given_two_requests_at_once_when_the_first_waits_then_the_second_is_read_after_its_answer() {
     let mut input = input("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n");
     let (mut tap, mut out) = (HttpServerConnection::default(), Buffer::default());
-    assert_matches!(tap.pull(&mut input, &mut out, &facts()), ReadOutcome::Call(request) if request.target == "/a");
-    assert_matches!(tap.pull(&mut input, &mut out, &facts()), ReadOutcome::Nothing);
-    assert!(tap.answer(&mut out, 1, &Reply::done(), false), "it goes on");
-    assert_matches!(tap.pull(&mut input, &mut out, &facts()), ReadOutcome::Call(request) if request.target == "/b");
-    assert!(!tap.answer(&mut out, 2, &Reply::done(), false), "the caller wanted it closed");
+    assert_matches!(tap.read_request(&mut input, &mut out, &facts()), ReadOutcome::Request(request) if request.target == "/a");
+    assert_matches!(tap.read_request(&mut input, &mut out, &facts()), ReadOutcome::Incomplete);
+    assert!(tap.write_reply(&mut out, 1, &Reply::ok(), false), "it goes on");
+    assert_matches!(tap.read_request(&mut input, &mut out, &facts()), ReadOutcome::Request(request) if request.target == "/b");
+    assert!(!tap.write_reply(&mut out, 2, &Reply::ok(), false), "the caller wanted it closed");
 }
 
 #[test]
 fn given_a_body_over_the_bound_when_it_is_announced_then_it_is_refused_before_it_comes() {
     let mut input = input("POST /a HTTP/1.1\r\nContent-Length: 1001\r\n\r\n");
     let mut out = Buffer::default();
-    assert_matches!(HttpServerConnection::default().pull(&mut input, &mut out, &facts()), ReadOutcome::Bad);
+    assert_matches!(
+        HttpServerConnection::default().read_request(&mut input, &mut out, &facts()),
+        ReadOutcome::Rejected
+    );
     let text = String::from_utf8_lossy(out.data()).into_owned();
     assert!(text.starts_with("HTTP/1.1 413 "), "{text}");
 }
 
 #[test]
 fn given_words_with_quotes_when_a_call_is_refused_then_its_reason_is_sound_json() {
-    let reply = Reply::refused(400, "routes[0].name: \"a\\b\"\nis bad");
+    let reply = Reply::error(400, "routes[0].name: \"a\\b\"\nis bad");
     assert_eq!(reply.body.bytes(), br#"{"error":"routes[0].name: \"a\\b\"\nis bad"}"#);
 }
--- a/crates/fernknot-net/src/dock.rs
+++ b/crates/fernknot-net/src/dock.rs
@@ -28,25 +28,25 @@
 #[derive(Clone, Debug)]
 pub struct EventLoopSettings {
     /// Connections at once, of all kinds.
-    pub links: usize,
+    pub max_connections: usize,
     /// Bytes read ahead of what is done with them, for each connection.
-    pub ahead: usize,
+    pub read_ahead_bytes: usize,
     /// What has been sent and is not acknowledged for so long ends the connection.
-    pub silence: Duration,
+    pub unacknowledged_timeout: Duration,
 }
 
 #[derive(Debug)]
 pub enum Event {
     /// A connection came in at a listening socket.
-    Accepted { berth: ConnectionId, at: ConnectionId, peer: SocketAddrV4 },
+    Accepted { connection: ConnectionId, listener: ConnectionId, peer: SocketAddrV4 },
     /// A connection that was asked for is up.
-    Opened { berth: ConnectionId },
+    Connected { connection: ConnectionId },
     /// Bytes came; `input` has them.
-    Came { berth: ConnectionId },
+    Received { connection: ConnectionId },
     /// The other side sends nothing further; what it sent before is in `input`.
-    Ended { berth: ConnectionId },
+    ReadClosed { connection: ConnectionId },
     /// The connection is gone, whatever its input still holds; `opened` if it ever was up.
-    Gone { berth: ConnectionId, opened: bool, why: NetError },
+    Closed { connection: ConnectionId, was_open: bool, error: NetError },
     /// A datagram came to a socket of `datagrams`.
     Datagram { from: SocketAddrV4, bytes: Vec<u8> },
     /// Another thread asked for a turn.
@@ -56,10 +56,10 @@
 struct Connection {
     stream: TcpStream,
     peer: SocketAddrV4,
-    open: bool,
-    ended: bool,
+    is_open: bool,
+    read_closed: bool,
     /// The other side has ended or reset it: what is left to read ends with that.
-    hung: bool,
+    hung_up: bool,
     input: Buffer,
     output: Buffer,
     /// Close once the output is written.
@@ -70,29 +70,29 @@
 pub struct EventLoop {
     poll: Poll,
     events: Events,
-    facts: EventLoopSettings,
-    links: HashMap<ConnectionId, Connection>,
+    settings: EventLoopSettings,
+    connections: HashMap<ConnectionId, Connection>,
     listeners: HashMap<ConnectionId, TcpListener>,
-    datagrams: Option<(ConnectionId, UdpSocket)>,
-    next: u64,
+    datagram_socket: Option<(ConnectionId, UdpSocket)>,
+    last_id: u64,
     /// To be written at the end of the turn.
-    dirty: BTreeSet<ConnectionId>,
+    pending_writes: BTreeSet<ConnectionId>,
     /// Sockets that may have more than was read for want of room.
-    more: BTreeSet<ConnectionId>,
+    pending_reads: BTreeSet<ConnectionId>,
     /// Listening sockets that were left unaccepted for want of room.
-    held_back: BTreeSet<ConnectionId>,
+    pending_accepts: BTreeSet<ConnectionId>,
     /// What had come over connections whose `Gone` the last turn told.
-    rests: HashMap<ConnectionId, Buffer>,
+    unread_inputs: HashMap<ConnectionId, Buffer>,
     waker: Arc<Waker>,
 }
 
-const WAKER: Token = Token(0);
-const READ: usize = 16 * 1024;
+const WAKER_TOKEN: Token = Token(0);
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes of one datagram, and datagrams that one turn reads.
-const DATAGRAM: usize = 2048;
-const DATAGRAMS: usize = 256;
+const MAX_DATAGRAM_BYTES: usize = 2048;
+const MAX_DATAGRAMS_PER_POLL: usize = 256;
 
-fn v4(addr: SocketAddr) -> SocketAddrV4 {
+fn ipv4_addr(addr: SocketAddr) -> SocketAddrV4 {
     match addr {
         SocketAddr::V4(addr) => addr,
         SocketAddr::V6(_) => SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, addr.port()),
@@ -104,19 +104,19 @@
     /// Where the system gives no poll.
     pub fn new(facts: EventLoopSettings) -> std::io::Result<EventLoop> {
         let poll = Poll::new()?;
-        let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
+        let waker = Arc::new(Waker::new(poll.registry(), WAKER_TOKEN)?);
         Ok(EventLoop {
             poll,
             events: Events::with_capacity(256),
-            facts,
-            links: HashMap::new(),
+            settings: facts,
+            connections: HashMap::new(),
             listeners: HashMap::new(),
-            datagrams: None,
-            next: 1,
-            dirty: BTreeSet::new(),
-            more: BTreeSet::new(),
-            held_back: BTreeSet::new(),
-            rests: HashMap::new(),
+            datagram_socket: None,
+            last_id: 1,
+            pending_writes: BTreeSet::new(),
+            pending_reads: BTreeSet::new(),
+            pending_accepts: BTreeSet::new(),
+            unread_inputs: HashMap::new(),
             waker,
         })
     }
@@ -128,16 +128,16 @@
 
     /// Connections at present, of all kinds.
     pub fn len(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.links.is_empty()
+        self.connections.is_empty()
     }
 
-    fn name(&mut self) -> ConnectionId {
-        self.next += 1;
-        ConnectionId(self.next)
+    fn next_id(&mut self) -> ConnectionId {
+        self.last_id += 1;
+        ConnectionId(self.last_id)
     }
 
     /// # Errors
@@ -145,7 +145,7 @@
     pub fn listen(&mut self, addr: SocketAddrV4) -> Result<ConnectionId, NetError> {
         let fail = |why| NetError { step: "listen at", peer: addr, why };
         let mut listener = TcpListener::bind(addr.into()).map_err(fail)?;
-        let berth = self.name();
+        let berth = self.next_id();
         self.poll
             .registry()
             .register(&mut listener, Token(berth.0 as usize), Interest::READABLE)
@@ -161,28 +161,28 @@
     pub fn listen_datagrams(&mut self, addr: SocketAddrV4) -> Result<(), NetError> {
         let fail = |why| NetError { step: "listen for datagrams at", peer: addr, why };
         let mut socket = UdpSocket::bind(addr.into()).map_err(fail)?;
-        let berth = self.name();
+        let berth = self.next_id();
         let token = Token(berth.0 as usize);
         self.poll.registry().register(&mut socket, token, Interest::READABLE).map_err(fail)?;
-        self.datagrams = Some((berth, socket));
+        self.datagram_socket = Some((berth, socket));
         Ok(())
     }
 
     /// Sends a datagram, which may be lost; one that cannot be sent now is.
     pub fn send_datagram(&self, to: SocketAddrV4, bytes: &[u8]) {
-        if let Some((_, socket)) = &self.datagrams {
+        if let Some((_, socket)) = &self.datagram_socket {
             let _ = socket.send_to(bytes, to.into());
         }
     }
 
     fn read_datagrams(&mut self, news: &mut Vec<Event>) {
-        let Some((_, socket)) = &self.datagrams else { return };
-        let mut room = [0; DATAGRAM];
+        let Some((_, socket)) = &self.datagram_socket else { return };
+        let mut room = [0; MAX_DATAGRAM_BYTES];
         // What is left beyond that waits for the next one to come: a flood does not hold the loop.
-        for _ in 0..DATAGRAMS {
+        for _ in 0..MAX_DATAGRAMS_PER_POLL {
             match socket.recv_from(&mut room) {
                 Ok((count, from)) => {
-                    news.push(Event::Datagram { from: v4(from), bytes: room[..count].to_vec() });
+                    news.push(Event::Datagram { from: ipv4_addr(from), bytes: room[..count].to_vec() });
                 }
                 Err(why) if why.kind() == ErrorKind::WouldBlock => return,
                 // An earlier one met a closed port.
@@ -204,14 +204,14 @@
     /// Where none can be begun: no descriptors, no route, too many connections.
     pub fn connect(&mut self, peer: SocketAddrV4) -> Result<ConnectionId, NetError> {
         let fail = |why| NetError { step: "connect to", peer, why };
-        if self.links.len() >= self.facts.links {
+        if self.connections.len() >= self.settings.max_connections {
             return Err(fail(ErrorKind::QuotaExceeded.into()));
         }
         let stream = TcpStream::connect(peer.into()).map_err(fail)?;
-        self.add(stream, peer, false).map_err(fail)
+        self.register(stream, peer, false).map_err(fail)
     }
 
-    fn add(
+    fn register(
         &mut self,
         mut stream: TcpStream,
         peer: SocketAddrV4,
@@ -219,96 +219,98 @@
     ) -> std::io::Result<ConnectionId> {
         let _ = stream.set_nodelay(true);
         // Guards against peers that fall silent without a reset, behind a cut or without power.
-        let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(self.facts.silence));
-        let berth = self.name();
+        let _ =
+            socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(self.settings.unacknowledged_timeout));
+        let berth = self.next_id();
         let both = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(berth.0 as usize), both)?;
         let link = Connection {
             stream,
             peer,
-            open,
-            ended: false,
-            hung: false,
+            is_open: open,
+            read_closed: false,
+            hung_up: false,
             input: Buffer::default(),
             output: Buffer::default(),
             closing: false,
         };
-        self.links.insert(berth, link);
+        self.connections.insert(berth, link);
         Ok(berth)
     }
 
     pub fn peer(&self, berth: ConnectionId) -> Option<SocketAddrV4> {
-        self.links.get(&berth).map(|link| link.peer)
+        self.connections.get(&berth).map(|link| link.peer)
     }
 
     /// Whether the connection is there and up.
     pub fn is_open(&self, berth: ConnectionId) -> bool {
-        self.links.get(&berth).is_some_and(|link| link.open)
+        self.connections.get(&berth).is_some_and(|link| link.is_open)
     }
 
     /// Whether the connection is there and not yet up: nothing that was written has gone out.
     pub fn is_opening(&self, berth: ConnectionId) -> bool {
-        self.links.get(&berth).is_some_and(|link| !link.open)
+        self.connections.get(&berth).is_some_and(|link| !link.is_open)
     }
 
     /// What came and is not yet consumed.
     pub fn input(&mut self, berth: ConnectionId) -> Option<&mut Buffer> {
-        self.links.get_mut(&berth).map(|link| &mut link.input)
+        self.connections.get_mut(&berth).map(|link| &mut link.input)
     }
 
     /// What had come and was not consumed over a connection whose `Gone` the last turn told; once.
-    pub fn take_rest(&mut self, berth: ConnectionId) -> Option<Buffer> {
-        self.rests.remove(&berth)
+    pub fn take_unread_input(&mut self, berth: ConnectionId) -> Option<Buffer> {
+        self.unread_inputs.remove(&berth)
     }
 
     /// Where to write; it goes out at the end of the turn.
     pub fn output(&mut self, berth: ConnectionId) -> Option<&mut Buffer> {
-        let link = self.links.get_mut(&berth).filter(|link| !link.closing)?;
-        self.dirty.insert(berth);
+        let link = self.connections.get_mut(&berth).filter(|link| !link.closing)?;
+        self.pending_writes.insert(berth);
         Some(&mut link.output)
     }
 
     /// Bytes that wait to be written.
-    pub fn waiting(&self, berth: ConnectionId) -> usize {
-        self.links.get(&berth).map_or(0, |link| link.output.len())
+    pub fn pending_output_bytes(&self, berth: ConnectionId) -> usize {
+        self.connections.get(&berth).map_or(0, |link| link.output.len())
     }
 
     /// Closes at once. Nothing further is told of it.
     pub fn close(&mut self, berth: ConnectionId) {
-        if let Some(mut link) = self.links.remove(&berth) {
+        if let Some(mut link) = self.connections.remove(&berth) {
             let _ = link.stream.deregister(self.poll.registry());
         }
-        self.dirty.remove(&berth);
-        self.more.remove(&berth);
+        self.pending_writes.remove(&berth);
+        self.pending_reads.remove(&berth);
     }
 
     /// Closes once all is written. Nothing further is told of it.
-    pub fn close_after(&mut self, berth: ConnectionId) {
-        let Some(link) = self.links.get_mut(&berth) else { return };
-        if link.output.is_empty() && !self.dirty.contains(&berth) {
+    pub fn close_after_flush(&mut self, berth: ConnectionId) {
+        let Some(link) = self.connections.get_mut(&berth) else { return };
+        if link.output.is_empty() && !self.pending_writes.contains(&berth) {
             return self.close(berth);
         }
         link.closing = true;
-        self.dirty.insert(berth);
+        self.pending_writes.insert(berth);
     }
 
     /// Closes with a reset, so that the other side cannot take what it got for whole.
     pub fn reset(&mut self, berth: ConnectionId) {
-        if let Some(link) = self.links.get(&berth) {
+        if let Some(link) = self.connections.get(&berth) {
             let _ = socket2::SockRef::from(&link.stream).set_linger(Some(Duration::ZERO));
         }
         self.close(berth);
     }
 
     /// Writes what there is, waits for news until `until`, and gives what happened.
-    pub fn turn(&mut self, wait: Option<Duration>, news: &mut Vec<Event>) {
-        self.rests.clear();
+    pub fn poll(&mut self, wait: Option<Duration>, news: &mut Vec<Event>) {
+        self.unread_inputs.clear();
         self.flush(news);
         // What nobody takes is not read on, and keeps no loop awake.
-        let ahead = self.facts.ahead;
-        let roomy = |berth: &ConnectionId| self.links.get(berth).is_none_or(|link| link.input.len() < ahead);
-        let again: Vec<ConnectionId> = self.more.iter().copied().filter(roomy).collect();
-        again.iter().for_each(|berth| _ = self.more.remove(berth));
+        let ahead = self.settings.read_ahead_bytes;
+        let roomy =
+            |berth: &ConnectionId| self.connections.get(berth).is_none_or(|link| link.input.len() < ahead);
+        let again: Vec<ConnectionId> = self.pending_reads.iter().copied().filter(roomy).collect();
+        again.iter().for_each(|berth| _ = self.pending_reads.remove(berth));
         let wait = if news.is_empty() && again.is_empty() { wait } else { Some(Duration::ZERO) };
         if self.poll.poll(&mut self.events, wait).is_err() {
             return;
@@ -320,131 +322,141 @@
         let seen: Vec<(u64, bool, bool, bool)> = self.events.iter().map(seen).collect();
         for (token, readable, writable, hung) in seen {
             let berth = ConnectionId(token);
-            if token == WAKER.0 as u64 {
+            if token == WAKER_TOKEN.0 as u64 {
                 news.push(Event::Woken);
             } else if self.listeners.contains_key(&berth) {
                 self.accept(berth, news);
-            } else if self.datagrams.as_ref().is_some_and(|(own, _)| *own == berth) {
+            } else if self.datagram_socket.as_ref().is_some_and(|(own, _)| *own == berth) {
                 self.read_datagrams(news);
             } else {
                 if writable {
-                    self.writable(berth, news);
+                    self.handle_writable(berth, news);
                 }
-                if hung && let Some(link) = self.links.get_mut(&berth) {
-                    link.hung = true;
+                if hung && let Some(link) = self.connections.get_mut(&berth) {
+                    link.hung_up = true;
                 }
                 if readable {
-                    self.read(berth, news);
+                    self.read_input(berth, news);
                 }
             }
         }
         for berth in again {
-            self.read(berth, news);
+            self.read_input(berth, news);
         }
-        for berth in std::mem::take(&mut self.held_back) {
+        for berth in std::mem::take(&mut self.pending_accepts) {
             self.accept(berth, news);
         }
     }
 
     fn accept(&mut self, at: ConnectionId, news: &mut Vec<Event>) {
         loop {
-            if self.links.len() >= self.facts.links {
-                self.held_back.insert(at);
+            if self.connections.len() >= self.settings.max_connections {
+                self.pending_accepts.insert(at);
                 return;
             }
             let Some(listener) = self.listeners.get(&at) else { return };
             match listener.accept() {
                 Ok((stream, peer)) => {
-                    let peer = v4(peer);
-                    if let Ok(berth) = self.add(stream, peer, true) {
-                        news.push(Event::Accepted { berth, at, peer });
+                    let peer = ipv4_addr(peer);
+                    if let Ok(berth) = self.register(stream, peer, true) {
+                        news.push(Event::Accepted { connection: berth, listener: at, peer });
                     }
                 }
                 Err(why) if why.kind() == ErrorKind::WouldBlock => return,
                 Err(why) if why.kind() == ErrorKind::Interrupted => {}
                 // Descriptors are out, or the client has gone already: the next turn looks again.
                 Err(_) => {
-                    self.held_back.insert(at);
+                    self.pending_accepts.insert(at);
                     return;
                 }
             }
         }
     }
 
-    fn gone(&mut self, berth: ConnectionId, step: &'static str, why: std::io::Error, news: &mut Vec<Event>) {
-        let Some(link) = self.links.get_mut(&berth) else { return };
-        let (opened, peer, told) = (link.open, link.peer, !link.closing);
+    fn connection_failed(
+        &mut self,
+        berth: ConnectionId,
+        step: &'static str,
+        why: std::io::Error,
+        news: &mut Vec<Event>,
+    ) {
+        let Some(link) = self.connections.get_mut(&berth) else { return };
+        let (opened, peer, told) = (link.is_open, link.peer, !link.closing);
         let rest = std::mem::take(&mut link.input);
         self.close(berth);
         if told {
             if !rest.is_empty() {
-                self.rests.insert(berth, rest);
+                self.unread_inputs.insert(berth, rest);
             }
-            news.push(Event::Gone { berth, opened, why: NetError { step, peer, why } });
+            news.push(Event::Closed {
+                connection: berth,
+                was_open: opened,
+                error: NetError { step, peer, why },
+            });
         }
     }
 
-    fn writable(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
-        let Some(link) = self.links.get_mut(&berth) else { return };
-        if !link.open {
+    fn handle_writable(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
+        let Some(link) = self.connections.get_mut(&berth) else { return };
+        if !link.is_open {
             match link.stream.take_error() {
-                Ok(Some(why)) | Err(why) => return self.gone(berth, "connect to", why, news),
+                Ok(Some(why)) | Err(why) => return self.connection_failed(berth, "connect to", why, news),
                 Ok(None) if link.stream.peer_addr().is_err() => return,
                 Ok(None) => {
-                    link.open = true;
-                    news.push(Event::Opened { berth });
+                    link.is_open = true;
+                    news.push(Event::Connected { connection: berth });
                 }
             }
         }
-        if self.links.get(&berth).is_some_and(|link| !link.output.is_empty()) {
-            self.write(berth, news);
+        if self.connections.get(&berth).is_some_and(|link| !link.output.is_empty()) {
+            self.write_output(berth, news);
         }
     }
 
     fn flush(&mut self, news: &mut Vec<Event>) {
-        while let Some(berth) = self.dirty.pop_first() {
-            self.write(berth, news);
+        while let Some(berth) = self.pending_writes.pop_first() {
+            self.write_output(berth, news);
         }
     }
 
-    fn write(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
-        let Some(link) = self.links.get_mut(&berth).filter(|link| link.open) else { return };
+    fn write_output(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
+        let Some(link) = self.connections.get_mut(&berth).filter(|link| link.is_open) else { return };
         while !link.output.is_empty() {
             match link.stream.write(link.output.data()) {
-                Ok(0) => return self.gone(berth, "write to", ErrorKind::WriteZero.into(), news),
+                Ok(0) => return self.connection_failed(berth, "write to", ErrorKind::WriteZero.into(), news),
                 Ok(count) => link.output.consume(count),
                 Err(why) if why.kind() == ErrorKind::Interrupted => {}
                 Err(why) if why.kind() == ErrorKind::WouldBlock => return,
-                Err(why) => return self.gone(berth, "write to", why, news),
+                Err(why) => return self.connection_failed(berth, "write to", why, news),
             }
         }
-        link.output.shrink(READ);
+        link.output.shrink(READ_CHUNK_BYTES);
         if link.closing {
             self.close(berth);
         }
     }
 
-    fn read(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
-        let ahead = self.facts.ahead;
-        let Some(link) = self.links.get_mut(&berth) else { return };
-        if !link.open || link.ended {
+    fn read_input(&mut self, berth: ConnectionId, news: &mut Vec<Event>) {
+        let ahead = self.settings.read_ahead_bytes;
+        let Some(link) = self.connections.get_mut(&berth) else { return };
+        if !link.is_open || link.read_closed {
             return;
         }
         let mut came = false;
         loop {
             if link.input.len() >= ahead {
-                self.more.insert(berth);
+                self.pending_reads.insert(berth);
                 break;
             }
-            let room = link.input.space(READ.min(ahead));
+            let room = link.input.space(READ_CHUNK_BYTES.min(ahead));
             let size = room.len();
             match link.stream.read(room) {
                 Ok(0) => {
-                    link.ended = true;
+                    link.read_closed = true;
                     if came {
-                        news.push(Event::Came { berth });
+                        news.push(Event::Received { connection: berth });
                     }
-                    news.push(Event::Ended { berth });
+                    news.push(Event::ReadClosed { connection: berth });
                     return;
                 }
                 Ok(count) => {
@@ -452,7 +464,7 @@
                     came = true;
                     // A short read has emptied the socket; what comes later is told anew. Guards against an end or a
                     // reset that came with the bytes, of which nothing more is told.
-                    if count < size && !link.hung {
+                    if count < size && !link.hung_up {
                         break;
                     }
                 }
@@ -460,19 +472,19 @@
                 Err(why) if why.kind() == ErrorKind::WouldBlock => break,
                 Err(why) => {
                     if came {
-                        news.push(Event::Came { berth });
+                        news.push(Event::Received { connection: berth });
                     }
-                    return self.gone(berth, "read from", why, news);
+                    return self.connection_failed(berth, "read from", why, news);
                 }
             }
         }
         if came {
-            news.push(Event::Came { berth });
+            news.push(Event::Received { connection: berth });
         }
     }
 
     /// The time as the loop's clock has it.
-    pub fn clock(&self) -> Instant {
+    pub fn now(&self) -> Instant {
         Instant::now()
     }
 }
--- a/crates/fernknot-net/src/ports.rs
+++ b/crates/fernknot-net/src/ports.rs
@@ -24,19 +24,19 @@
     fn input(&mut self, berth: ConnectionId) -> Option<&mut Buffer>;
 
     /// What had come and was not consumed over a connection whose `Gone` this turn tells; once.
-    fn take_rest(&mut self, berth: ConnectionId) -> Option<Buffer>;
+    fn take_unread_input(&mut self, berth: ConnectionId) -> Option<Buffer>;
 
     /// Where to write; none once the connection closes.
     fn output(&mut self, berth: ConnectionId) -> Option<&mut Buffer>;
 
     /// Bytes that wait to be written.
-    fn waiting(&self, berth: ConnectionId) -> usize;
+    fn pending_output_bytes(&self, berth: ConnectionId) -> usize;
 
     /// Closes at once. What waits to be written is dropped.
     fn close(&mut self, berth: ConnectionId);
 
     /// Closes once all is written.
-    fn close_after(&mut self, berth: ConnectionId);
+    fn close_after_flush(&mut self, berth: ConnectionId);
 
     /// Takes no further connections at this listening socket.
     fn stop_listening(&mut self, berth: ConnectionId);
@@ -62,24 +62,24 @@
         EventLoop::input(self, berth)
     }
 
-    fn take_rest(&mut self, berth: ConnectionId) -> Option<Buffer> {
-        EventLoop::take_rest(self, berth)
+    fn take_unread_input(&mut self, berth: ConnectionId) -> Option<Buffer> {
+        EventLoop::take_unread_input(self, berth)
     }
 
     fn output(&mut self, berth: ConnectionId) -> Option<&mut Buffer> {
         EventLoop::output(self, berth)
     }
 
-    fn waiting(&self, berth: ConnectionId) -> usize {
-        EventLoop::waiting(self, berth)
+    fn pending_output_bytes(&self, berth: ConnectionId) -> usize {
+        EventLoop::pending_output_bytes(self, berth)
     }
 
     fn close(&mut self, berth: ConnectionId) {
         EventLoop::close(self, berth);
     }
 
-    fn close_after(&mut self, berth: ConnectionId) {
-        EventLoop::close_after(self, berth);
+    fn close_after_flush(&mut self, berth: ConnectionId) {
+        EventLoop::close_after_flush(self, berth);
     }
 
     fn stop_listening(&mut self, berth: ConnectionId) {
--- a/crates/fernknot-net/tests/dock.rs
+++ b/crates/fernknot-net/tests/dock.rs
@@ -11,7 +11,8 @@
 
 /// A loop with one connection that came in, and its other end.
 fn dock() -> (EventLoop, ConnectionId, TcpStream) {
-    let facts = EventLoopSettings { links: 10, ahead: 64 * 1024, silence: LONG };
+    let facts =
+        EventLoopSettings { max_connections: 10, read_ahead_bytes: 64 * 1024, unacknowledged_timeout: LONG };
     let mut dock = EventLoop::new(facts).unwrap();
     // A port that nobody has: the system gives one, which the loop then takes.
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -22,8 +23,8 @@
     let mut news = Vec::new();
     let began = Instant::now();
     while began.elapsed() < LONG {
-        dock.turn(Some(LONG), &mut news);
-        if let Some(Event::Accepted { berth, .. }) = news.pop() {
+        dock.poll(Some(LONG), &mut news);
+        if let Some(Event::Accepted { connection: berth, .. }) = news.pop() {
             return (dock, berth, other);
         }
     }
@@ -34,11 +35,11 @@
 fn until_end(dock: &mut EventLoop) -> (bool, Option<Event>) {
     let (mut news, mut came, began) = (Vec::new(), false, Instant::now());
     while began.elapsed() < LONG {
-        dock.turn(Some(Duration::from_millis(100)), &mut news);
+        dock.poll(Some(Duration::from_millis(100)), &mut news);
         for event in news.drain(..) {
             match event {
-                Event::Came { .. } => came = true,
-                Event::Ended { .. } | Event::Gone { .. } => return (came, Some(event)),
+                Event::Received { .. } => came = true,
+                Event::ReadClosed { .. } | Event::Closed { .. } => return (came, Some(event)),
                 _ => {}
             }
         }
@@ -52,7 +53,7 @@
     other.write_all(b"all of it").unwrap();
     drop(other);
     let (came, end) = until_end(&mut dock);
-    assert!(came && matches!(end, Some(Event::Ended { .. })), "{end:?}");
+    assert!(came && matches!(end, Some(Event::ReadClosed { .. })), "{end:?}");
     assert_eq!(dock.input(berth).unwrap().data(), b"all of it");
 }
 
@@ -65,10 +66,10 @@
     socket2::SockRef::from(&other).set_linger(Some(Duration::ZERO)).unwrap();
     drop(other);
     let (came, end) = until_end(&mut dock);
-    assert!(came && matches!(end, Some(Event::Gone { opened: true, .. })), "{end:?}");
+    assert!(came && matches!(end, Some(Event::Closed { was_open: true, .. })), "{end:?}");
     assert!(dock.input(berth).is_none());
-    assert_eq!(dock.take_rest(berth).map(|rest| rest.data().to_vec()), Some(bytes));
-    assert!(dock.take_rest(berth).is_none(), "it is given once");
+    assert_eq!(dock.take_unread_input(berth).map(|rest| rest.data().to_vec()), Some(bytes));
+    assert!(dock.take_unread_input(berth).is_none(), "it is given once");
 }
 
 #[test]
@@ -77,7 +78,7 @@
     other.write_all(b"late").unwrap();
     socket2::SockRef::from(&other).set_linger(Some(Duration::ZERO)).unwrap();
     drop(other);
-    assert!(matches!(until_end(&mut dock).1, Some(Event::Gone { .. })));
-    dock.turn(Some(Duration::ZERO), &mut Vec::new());
-    assert!(dock.take_rest(berth).is_none());
+    assert!(matches!(until_end(&mut dock).1, Some(Event::Closed { .. })));
+    dock.poll(Some(Duration::ZERO), &mut Vec::new());
+    assert!(dock.take_unread_input(berth).is_none());
 }
--- a/crates/fernknot-ownership/src/lib.rs
+++ b/crates/fernknot-ownership/src/lib.rs
@@ -9,6 +9,8 @@
 mod holder;
 mod keeper;
 
-pub use cut::{Assignment, AssignmentChange, FencingToken, GatewayRecord, IncarnationId, key_hash, scatter};
+pub use cut::{
+    Assignment, AssignmentChange, FencingToken, GatewayRecord, IncarnationId, key_hash, splitmix64,
+};
 pub use holder::{Action, ApplyOutcome, OwnedKeys, OwnedKeysSettings, OwnershipState};
-pub use keeper::{Assigner, AssignerSettings, doubt, unconfirmed};
+pub use keeper::{Assigner, AssignerSettings, confirmation_timeout, presumed_alive_timeout};
--- a/crates/fernknot-ownership/tests/common/mod.rs
+++ b/crates/fernknot-ownership/tests/common/mod.rs
@@ -20,7 +20,7 @@
 pub fn gateway(life: u64) -> GatewayRecord {
     let addr = SocketAddrV4::new(Ipv4Addr::new(10, 0, (life >> 8) as u8, life as u8), 7120);
     GatewayRecord {
-        life: IncarnationId(life),
+        incarnation: IncarnationId(life),
         addr,
         zone: ["north", "south", "east"][life as usize % 3].to_string(),
     }
@@ -28,15 +28,24 @@
 
 pub fn cut(view: u32, count: u32, lives: impl IntoIterator<Item = u64>) -> Assignment {
     let live: Vec<GatewayRecord> = lives.into_iter().map(gateway).collect();
-    Assignment { fence: FencingToken::of(view, count), may_be_alive: live.len() as u32, live }.sorted()
+    Assignment {
+        fencing_token: FencingToken::new(view, count),
+        presumed_alive: live.len() as u32,
+        gateways: live,
+    }
+    .sorted()
 }
 
 pub fn keeper() -> Assigner {
-    Assigner::new(BEAT, AssignerSettings { most_gateways: 5_000, doubt: at(15.0) })
+    Assigner::new(BEAT, AssignerSettings { max_gateways: 5_000, presumed_alive_timeout: at(15.0) })
 }
 
 pub fn holder(life: u64) -> OwnedKeys {
-    let bounds =
-        OwnedKeysSettings { most_keys: 500, hand_over: at(2.0), unconfirmed: at(5.0), window: WINDOW };
+    let bounds = OwnedKeysSettings {
+        max_keys: 500,
+        handover_timeout: at(2.0),
+        confirmation_timeout: at(5.0),
+        budget_window: WINDOW,
+    };
     OwnedKeys::new(IncarnationId(life), None, bounds)
 }
--- a/crates/fernknot-peer-sampling/src/descriptor.rs
+++ b/crates/fernknot-peer-sampling/src/descriptor.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Role {
     Gateway,
-    Registrar,
+    Controller,
 }
 
 /// A process as it was known `age` ago.
@@ -18,15 +18,15 @@
     pub role: Role,
     pub zone: String,
     /// Another after each start.
-    pub life: u64,
+    pub incarnation: u64,
     /// Milliseconds since it told this itself.
-    pub age: u32,
+    pub age_ms: u32,
 }
 
 impl PeerDescriptor {
     /// Takes in what is known of the same address: the younger word counts. Returns whether it did.
-    pub(crate) fn renew(&mut self, other: &PeerDescriptor) -> bool {
-        let younger = other.age < self.age;
+    pub(crate) fn merge_younger(&mut self, other: &PeerDescriptor) -> bool {
+        let younger = other.age_ms < self.age_ms;
         if younger {
             self.clone_from(other);
         }
--- a/crates/fernknot-peer-sampling/src/overlay.rs
+++ b/crates/fernknot-peer-sampling/src/overlay.rs
@@ -8,38 +8,38 @@
 use std::net::SocketAddrV4;
 
 /// A registrar of which nobody heard for so many periods is dropped, unless no other is known.
-const OLD: u32 = 40;
+const EXPIRY_PERIODS: u32 = 40;
 /// An unanswered shuffle, or a failed connection, ages a registrar by so many periods.
-const AGED_BY_SILENCE: u32 = 10;
+const FAILURE_AGING_PERIODS: u32 = 10;
 /// Registrars told with each shuffle.
-const REGISTRARS_TOLD: usize = 3;
+const CONTROLLERS_PER_SHUFFLE: usize = 3;
 /// How often the oldest of the own zone is asked instead of the oldest of all: bytes between zones are dear.
-const OWN_ZONE: f64 = 0.5;
+const OWN_ZONE_PROBABILITY: f64 = 0.5;
 /// How often a seed is asked, so that parts that lost each other meet again.
-const ASK_SEED: f64 = 1.0 / 16.0;
+const SEED_PROBABILITY: f64 = 1.0 / 16.0;
 /// Least entries kept for each zone, as long as the view has room for it.
-const KEPT_A_ZONE: usize = 2;
+const MIN_ENTRIES_PER_ZONE: usize = 2;
 /// A gap between two calls of the host counts as no more than so many periods: one that was frozen doesn't forget all.
-const MOST_GAP: f64 = 2.0;
+const MAX_GAP_PERIODS: f64 = 2.0;
 /// Longest name of a zone, in bytes.
-const LONGEST_ZONE: usize = 100;
+const MAX_ZONE_NAME_BYTES: usize = 100;
 
 /// What a process may hold and tell.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerSamplerSettings {
     /// Entries of the view that is shuffled.
-    pub view: usize,
+    pub view_size: usize,
     /// Entries of it that are told with a shuffle.
-    pub sample: usize,
+    pub sample_size: usize,
     /// Registrars kept besides.
-    pub registrars: usize,
+    pub max_controllers: usize,
     /// Addresses from the settings that are remembered, the newest first.
-    pub seeds: usize,
+    pub max_seeds: usize,
 }
 
 impl Default for PeerSamplerSettings {
     fn default() -> Self {
-        PeerSamplerSettings { view: 20, sample: 6, registrars: 12, seeds: 12 }
+        PeerSamplerSettings { view_size: 20, sample_size: 6, max_controllers: 12, max_seeds: 12 }
     }
 }
 
@@ -57,18 +57,18 @@
 
 /// Which processes this one knows.
 pub struct PeerSampler {
-    me: PeerDescriptor,
+    own_descriptor: PeerDescriptor,
     period: Nanos,
-    bounds: PeerSamplerSettings,
+    settings: PeerSamplerSettings,
     view: Vec<PeerDescriptor>,
-    registrars: Vec<PeerDescriptor>,
+    controllers: Vec<PeerDescriptor>,
     seeds: Vec<SocketAddrV4>,
     /// Seeds not asked yet since they were told.
-    to_ask: Vec<SocketAddrV4>,
-    asked: Option<PendingShuffle>,
+    unasked_seeds: Vec<SocketAddrV4>,
+    pending_shuffle: Option<PendingShuffle>,
     now: Option<Nanos>,
-    chance: ChaCha8Rng,
-    due: Option<Nanos>,
+    rng: ChaCha8Rng,
+    next_shuffle_at: Option<Nanos>,
 }
 
 impl PeerSampler {
@@ -81,30 +81,37 @@
         seed: u64,
     ) -> PeerSampler {
         let mut overlay = PeerSampler {
-            me: PeerDescriptor { age: 0, ..me },
+            own_descriptor: PeerDescriptor { age_ms: 0, ..me },
             period: Nanos(period.0.max(1)),
-            bounds: PeerSamplerSettings { view: bounds.view.max(1), sample: bounds.sample.max(1), ..bounds },
+            settings: PeerSamplerSettings {
+                view_size: bounds.view_size.max(1),
+                sample_size: bounds.sample_size.max(1),
+                ..bounds
+            },
             view: Vec::new(),
-            registrars: Vec::new(),
+            controllers: Vec::new(),
             seeds: Vec::new(),
-            to_ask: Vec::new(),
-            asked: None,
+            unasked_seeds: Vec::new(),
+            pending_shuffle: None,
             now: None,
-            chance: ChaCha8Rng::seed_from_u64(seed),
-            due: None,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            next_shuffle_at: None,
         };
-        overlay.seeds(seeds);
+        overlay.set_seeds(seeds);
         overlay
     }
 
     /// The settings name other seeds now. Earlier ones are remembered as long as there is room.
-    pub fn seeds(&mut self, seeds: &[SocketAddrV4]) {
+    pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         let earlier = std::mem::take(&mut self.seeds);
-        self.to_ask.truncate(self.bounds.seeds);
+        self.unasked_seeds.truncate(self.settings.max_seeds);
         for seed in seeds.iter().chain(&earlier) {
-            if self.seeds.len() < self.bounds.seeds && *seed != self.me.addr && !self.seeds.contains(seed) {
+            if self.seeds.len() < self.settings.max_seeds
+                && *seed != self.own_descriptor.addr
+                && !self.seeds.contains(seed)
+            {
                 if !earlier.contains(seed) {
-                    self.to_ask.push(*seed);
+                    self.unasked_seeds.push(*seed);
                 }
                 self.seeds.push(*seed);
             }
@@ -112,156 +119,157 @@
     }
 
     /// All processes known here, the youngest word first.
-    pub fn know(&self) -> Vec<&PeerDescriptor> {
-        let kept = self.registrars.iter();
+    pub fn known_processes(&self) -> Vec<&PeerDescriptor> {
+        let kept = self.controllers.iter();
         let others =
-            self.view.iter().filter(|entry| self.registrars.iter().all(|kept| kept.addr != entry.addr));
+            self.view.iter().filter(|entry| self.controllers.iter().all(|kept| kept.addr != entry.addr));
         let mut all: Vec<&PeerDescriptor> = kept.chain(others).collect();
-        all.sort_by_key(|entry| (entry.age, entry.addr));
+        all.sort_by_key(|entry| (entry.age_ms, entry.addr));
         all
     }
 
     /// Processes of a role, in a zone or in all, the youngest word first.
     pub fn peers(&self, role: Role, zone: Option<&str>) -> Vec<&PeerDescriptor> {
-        let mut peers = self.know();
+        let mut peers = self.known_processes();
         peers.retain(|entry| entry.role == role && zone.is_none_or(|zone| entry.zone == zone));
         peers
     }
 
     /// Addresses where a registrar may answer, the likeliest first: known ones, then every seed ever told.
-    pub fn where_registrars_may_be(&self) -> Vec<SocketAddrV4> {
+    pub fn controller_candidates(&self) -> Vec<SocketAddrV4> {
         let mut places: Vec<SocketAddrV4> =
-            self.peers(Role::Registrar, None).into_iter().map(|entry| entry.addr).collect();
+            self.peers(Role::Controller, None).into_iter().map(|entry| entry.addr).collect();
         places.extend(
-            self.seeds.iter().filter(|seed| self.registrars.iter().all(|entry| entry.addr != **seed)),
+            self.seeds.iter().filter(|seed| self.controllers.iter().all(|entry| entry.addr != **seed)),
         );
         places
     }
 
     /// Another process shuffles with this one: the answer to send back.
-    pub fn heard(
+    pub fn handle_shuffle(
         &mut self,
         now: Nanos,
         from: SocketAddrV4,
         sample: &[PeerDescriptor],
     ) -> Vec<PeerDescriptor> {
-        self.tick(now);
-        let answer = self.sample(from);
+        self.advance_clock(now);
+        let answer = self.draw_sample(from);
         let sent: Vec<SocketAddrV4> = answer.iter().map(|entry| entry.addr).collect();
         self.merge(sample, &sent);
         answer
     }
 
     /// The answer to a shuffle came.
-    pub fn answered(&mut self, now: Nanos, from: SocketAddrV4, sample: &[PeerDescriptor]) {
-        self.tick(now);
-        let Some(asked) = self.asked.take_if(|asked| asked.to == from) else { return };
+    pub fn handle_shuffle_reply(&mut self, now: Nanos, from: SocketAddrV4, sample: &[PeerDescriptor]) {
+        self.advance_clock(now);
+        let Some(asked) = self.pending_shuffle.take_if(|asked| asked.to == from) else { return };
         // Who answers was just given up: it is taken back only where there is room, else the known would get more so.
-        let room = self.view.len() < self.bounds.view / 2;
+        let room = self.view.len() < self.settings.view_size / 2;
         let others: Vec<PeerDescriptor> =
             sample.iter().filter(|entry| room || entry.addr != from).cloned().collect();
         self.merge(&others, &asked.sent);
-        sample.iter().filter(|entry| entry.addr == from).for_each(|entry| self.keep_registrar(entry));
+        sample.iter().filter(|entry| entry.addr == from).for_each(|entry| self.keep_controller(entry));
     }
 
     /// A process could not be reached, for whatever call.
-    pub fn failed(&mut self, addr: SocketAddrV4) {
-        let aged = self.periods(AGED_BY_SILENCE);
+    pub fn record_failure(&mut self, addr: SocketAddrV4) {
+        let aged = self.periods_as_age_ms(FAILURE_AGING_PERIODS);
         self.view.retain(|entry| entry.addr != addr);
-        for entry in self.registrars.iter_mut().filter(|entry| entry.addr == addr) {
-            entry.age = entry.age.saturating_add(aged);
+        for entry in self.controllers.iter_mut().filter(|entry| entry.addr == addr) {
+            entry.age_ms = entry.age_ms.saturating_add(aged);
         }
-        self.drop_old();
+        self.drop_expired();
     }
 
     /// A process answered a call of another kind: it lives.
-    pub fn lives(&mut self, addr: SocketAddrV4) {
-        for entry in self.registrars.iter_mut().filter(|entry| entry.addr == addr) {
-            entry.age = 0;
+    pub fn record_contact(&mut self, addr: SocketAddrV4) {
+        for entry in self.controllers.iter_mut().filter(|entry| entry.addr == addr) {
+            entry.age_ms = 0;
         }
     }
 
     /// The next thing to do, until there is none.
-    pub fn next(&mut self, now: Nanos) -> Option<Action> {
-        self.tick(now);
-        let spread = self.period.times(0.9 + 0.2 * self.chance.random::<f64>());
-        let Some(due) = self.due else {
+    pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
+        self.advance_clock(now);
+        let spread = self.period.times(0.9 + 0.2 * self.rng.random::<f64>());
+        let Some(due) = self.next_shuffle_at else {
             // Those that start at once don't all ask at once.
-            self.due = Some(now + self.period.times(0.5 * self.chance.random::<f64>()));
+            self.next_shuffle_at = Some(now + self.period.times(0.5 * self.rng.random::<f64>()));
             return None;
         };
         if now < due {
             return None;
         }
-        self.due = Some(now + spread);
-        if let Some(asked) = self.asked.take() {
-            self.failed(asked.to);
+        self.next_shuffle_at = Some(now + spread);
+        if let Some(asked) = self.pending_shuffle.take() {
+            self.record_failure(asked.to);
         }
-        self.drop_old();
-        let to = self.partner()?;
+        self.drop_expired();
+        let to = self.choose_partner()?;
         self.view.retain(|entry| entry.addr != to);
-        let sample = self.sample(to);
+        let sample = self.draw_sample(to);
         let sent = sample.iter().map(|entry| entry.addr).collect();
-        self.asked = Some(PendingShuffle { to, sent });
+        self.pending_shuffle = Some(PendingShuffle { to, sent });
         Some(Action::Shuffle { to, sample })
     }
 
     /// When to ask again though nothing came.
     pub fn wakes_at(&self) -> Option<Nanos> {
-        self.due
+        self.next_shuffle_at
     }
 
     /// So many periods in the milliseconds of ages.
-    fn periods(&self, count: u32) -> u32 {
+    fn periods_as_age_ms(&self, count: u32) -> u32 {
         (self.period.0 / 1_000_000).saturating_mul(count as u64).clamp(1, u32::MAX as u64) as u32
     }
 
-    fn tick(&mut self, now: Nanos) {
+    fn advance_clock(&mut self, now: Nanos) {
         let before = *self.now.get_or_insert(now);
         let millis = (now - before).0 / 1_000_000;
         // What is below a millisecond counts with the next call.
         self.now = Some(before + Nanos(millis * 1_000_000));
-        let aged = millis.min((self.period.times(MOST_GAP).0 / 1_000_000).max(1)).min(u32::MAX as u64) as u32;
-        for entry in self.view.iter_mut().chain(&mut self.registrars) {
-            entry.age = entry.age.saturating_add(aged);
+        let aged =
+            millis.min((self.period.times(MAX_GAP_PERIODS).0 / 1_000_000).max(1)).min(u32::MAX as u64) as u32;
+        for entry in self.view.iter_mut().chain(&mut self.controllers) {
+            entry.age_ms = entry.age_ms.saturating_add(aged);
         }
     }
 
-    fn partner(&mut self) -> Option<SocketAddrV4> {
-        if let Some(seed) = self.to_ask.pop() {
+    fn choose_partner(&mut self) -> Option<SocketAddrV4> {
+        if let Some(seed) = self.unasked_seeds.pop() {
             return Some(seed);
         }
-        let lonely = self.view.is_empty() && self.registrars.is_empty();
-        if lonely || self.chance.random_bool(ASK_SEED) {
+        let lonely = self.view.is_empty() && self.controllers.is_empty();
+        if lonely || self.rng.random_bool(SEED_PROBABILITY) {
             let mut places = self.seeds.clone();
-            places.extend(self.registrars.iter().map(|entry| entry.addr));
+            places.extend(self.controllers.iter().map(|entry| entry.addr));
             if !places.is_empty() {
-                return Some(places[self.chance.random_range(0..places.len())]);
+                return Some(places[self.rng.random_range(0..places.len())]);
             }
         }
-        let own_zone = self.chance.random_bool(OWN_ZONE);
-        let here = |entry: &&PeerDescriptor| !own_zone || entry.zone == self.me.zone;
-        let oldest = self.view.iter().filter(here).max_by_key(|entry| entry.age);
-        let oldest = oldest.or_else(|| self.view.iter().max_by_key(|entry| entry.age));
-        oldest.or(self.registrars.first()).map(|entry| entry.addr)
+        let own_zone = self.rng.random_bool(OWN_ZONE_PROBABILITY);
+        let here = |entry: &&PeerDescriptor| !own_zone || entry.zone == self.own_descriptor.zone;
+        let oldest = self.view.iter().filter(here).max_by_key(|entry| entry.age_ms);
+        let oldest = oldest.or_else(|| self.view.iter().max_by_key(|entry| entry.age_ms));
+        oldest.or(self.controllers.first()).map(|entry| entry.addr)
     }
 
     /// This process, a few of the view and a few registrars.
-    fn sample(&mut self, to: SocketAddrV4) -> Vec<PeerDescriptor> {
-        let mut sample = vec![self.me.clone()];
+    fn draw_sample(&mut self, to: SocketAddrV4) -> Vec<PeerDescriptor> {
+        let mut sample = vec![self.own_descriptor.clone()];
         let mut others: Vec<PeerDescriptor> =
             self.view.iter().filter(|entry| entry.addr != to).cloned().collect();
-        others.shuffle(&mut self.chance);
-        others.truncate(self.bounds.sample);
+        others.shuffle(&mut self.rng);
+        others.truncate(self.settings.sample_size);
         sample.extend(others);
         let mut registrars: Vec<PeerDescriptor> = self
-            .registrars
+            .controllers
             .iter()
-            .filter(|entry| entry.addr != to && entry.age < self.periods(OLD) / 2)
+            .filter(|entry| entry.addr != to && entry.age_ms < self.periods_as_age_ms(EXPIRY_PERIODS) / 2)
             .cloned()
             .collect();
-        registrars.shuffle(&mut self.chance);
-        for entry in registrars.into_iter().take(REGISTRARS_TOLD) {
+        registrars.shuffle(&mut self.rng);
+        for entry in registrars.into_iter().take(CONTROLLERS_PER_SHUFFLE) {
             if sample.iter().all(|told| told.addr != entry.addr) {
                 sample.push(entry);
             }
@@ -272,23 +280,27 @@
     fn merge(&mut self, told: &[PeerDescriptor], sent: &[SocketAddrV4]) {
         // What was sent is given up first for what came.
         let mut sent: Vec<SocketAddrV4> = sent.to_vec();
-        for entry in told.iter().take(1 + self.bounds.sample + REGISTRARS_TOLD) {
-            if entry.addr == self.me.addr || entry.zone.len() > LONGEST_ZONE || entry.age >= self.periods(OLD)
+        for entry in told.iter().take(1 + self.settings.sample_size + CONTROLLERS_PER_SHUFFLE) {
+            if entry.addr == self.own_descriptor.addr
+                || entry.zone.len() > MAX_ZONE_NAME_BYTES
+                || entry.age_ms >= self.periods_as_age_ms(EXPIRY_PERIODS)
             {
                 continue;
             }
-            self.keep_registrar(entry);
+            self.keep_controller(entry);
             if let Some(known) = self.view.iter_mut().find(|known| known.addr == entry.addr) {
-                known.renew(entry);
-            } else if self.view.len() < self.bounds.view {
+                known.merge_younger(entry);
+            } else if self.view.len() < self.settings.view_size {
                 self.view.push(entry.clone());
-            } else if let Some(at) = self.place_of_sent(&mut sent).or_else(|| self.place_of_crowd(entry)) {
+            } else if let Some(at) =
+                self.sent_entry_to_replace(&mut sent).or_else(|| self.crowded_zone_entry_to_replace(entry))
+            {
                 self.view[at] = entry.clone();
             }
         }
     }
 
-    fn place_of_sent(&self, sent: &mut Vec<SocketAddrV4>) -> Option<usize> {
+    fn sent_entry_to_replace(&self, sent: &mut Vec<SocketAddrV4>) -> Option<usize> {
         while let Some(addr) = sent.pop() {
             if let Some(at) = self.view.iter().position(|entry| entry.addr == addr) {
                 return Some(at);
@@ -298,44 +310,47 @@
     }
 
     /// The oldest entry of the zone with the most, if the new one is of a zone with too few.
-    fn place_of_crowd(&self, entry: &PeerDescriptor) -> Option<usize> {
+    fn crowded_zone_entry_to_replace(&self, entry: &PeerDescriptor) -> Option<usize> {
         let of = |zone: &str| self.view.iter().filter(|known| known.zone == zone).count();
         let most = self.view.iter().map(|known| of(&known.zone)).max().unwrap_or(0);
-        if of(&entry.zone) >= KEPT_A_ZONE || most <= KEPT_A_ZONE {
+        if of(&entry.zone) >= MIN_ENTRIES_PER_ZONE || most <= MIN_ENTRIES_PER_ZONE {
             return None;
         }
         let crowd = self.view.iter().enumerate().filter(|(_, known)| of(&known.zone) == most);
-        crowd.max_by_key(|(_, known)| known.age).map(|(at, _)| at)
+        crowd.max_by_key(|(_, known)| known.age_ms).map(|(at, _)| at)
     }
 
-    fn keep_registrar(&mut self, entry: &PeerDescriptor) {
-        if entry.role != Role::Registrar || entry.addr == self.me.addr || entry.zone.len() > LONGEST_ZONE {
+    fn keep_controller(&mut self, entry: &PeerDescriptor) {
+        if entry.role != Role::Controller
+            || entry.addr == self.own_descriptor.addr
+            || entry.zone.len() > MAX_ZONE_NAME_BYTES
+        {
             return;
         }
-        if let Some(known) = self.registrars.iter_mut().find(|known| known.addr == entry.addr) {
-            known.renew(entry);
+        if let Some(known) = self.controllers.iter_mut().find(|known| known.addr == entry.addr) {
+            known.merge_younger(entry);
             return;
         }
-        self.registrars.push(entry.clone());
-        if self.registrars.len() > self.bounds.registrars {
+        self.controllers.push(entry.clone());
+        if self.controllers.len() > self.settings.max_controllers {
             // The oldest goes, but the last of a zone stays before others.
-            let of = |zone: &str| self.registrars.iter().filter(|known| known.zone == zone).count();
-            let spare = self.registrars.iter().enumerate();
-            let old = self.periods(OLD);
+            let of = |zone: &str| self.controllers.iter().filter(|known| known.zone == zone).count();
+            let spare = self.controllers.iter().enumerate();
+            let old = self.periods_as_age_ms(EXPIRY_PERIODS);
             let worst =
-                spare.max_by_key(|(_, known)| (known.age >= old / 2 || of(&known.zone) > 1, known.age));
+                spare.max_by_key(|(_, known)| (known.age_ms >= old / 2 || of(&known.zone) > 1, known.age_ms));
             if let Some(at) = worst.map(|(at, _)| at) {
-                self.registrars.swap_remove(at);
+                self.controllers.swap_remove(at);
             }
         }
     }
 
-    fn drop_old(&mut self) {
-        let old = self.periods(OLD);
-        self.view.retain(|entry| entry.age < old);
+    fn drop_expired(&mut self) {
+        let old = self.periods_as_age_ms(EXPIRY_PERIODS);
+        self.view.retain(|entry| entry.age_ms < old);
         // With none younger left, an old word is better than none.
-        if self.registrars.iter().any(|entry| entry.age < old) {
-            self.registrars.retain(|entry| entry.age < old);
+        if self.controllers.iter().any(|entry| entry.age_ms < old) {
+            self.controllers.retain(|entry| entry.age_ms < old);
         }
     }
 }
--- a/crates/fernknot-peer-sampling/tests/common/mod.rs
+++ b/crates/fernknot-peer-sampling/tests/common/mod.rs
@@ -23,14 +23,14 @@
     pub fn new(registrars: u32, gateways: u32, seeds: &[u32]) -> World {
         let mut world = World { now: Nanos(0), alive: BTreeMap::new(), longest: 0 };
         for number in 0..registrars + gateways {
-            world.start(number, if number < registrars { Role::Registrar } else { Role::Gateway }, seeds);
+            world.start(number, if number < registrars { Role::Controller } else { Role::Gateway }, seeds);
         }
         world
     }
 
     pub fn start(&mut self, number: u32, role: Role, seeds: &[u32]) {
         let zone = ZONES[number as usize % 3].to_string();
-        let me = PeerDescriptor { addr: addr(number), role, zone, life: number as u64 + 1, age: 0 };
+        let me = PeerDescriptor { addr: addr(number), role, zone, incarnation: number as u64 + 1, age_ms: 0 };
         let seeds: Vec<SocketAddrV4> = seeds.iter().map(|seed| addr(*seed)).collect();
         let overlay = PeerSampler::new(me, &seeds, PERIOD, PeerSamplerSettings::default(), number as u64);
         self.alive.insert(number, overlay);
@@ -41,14 +41,14 @@
             self.now = self.now + PERIOD.times(0.1);
             for number in self.alive.keys().copied().collect::<Vec<_>>() {
                 while let Some(Action::Shuffle { to, sample }) =
-                    self.alive.get_mut(&number).unwrap().next(self.now)
+                    self.alive.get_mut(&number).unwrap().poll_action(self.now)
                 {
                     let other = u32::from(*to.ip()) - 0x0a00_0000;
                     let Some(peer) = self.alive.get_mut(&other) else { continue };
-                    let answer = peer.heard(self.now, addr(number), &sample);
+                    let answer = peer.handle_shuffle(self.now, addr(number), &sample);
                     self.longest =
                         self.longest.max(bitcode::encode(&sample).len().max(bitcode::encode(&answer).len()));
-                    self.alive.get_mut(&number).unwrap().answered(self.now, to, &answer);
+                    self.alive.get_mut(&number).unwrap().handle_shuffle_reply(self.now, to, &answer);
                 }
             }
         }
--- a/crates/fernknot-registry/src/fact.rs
+++ b/crates/fernknot-registry/src/fact.rs
@@ -7,7 +7,7 @@
 pub type IncarnationHash = u64;
 
 /// The hash by which registrars tell each other of a life (FNV-1a, 64 bits).
-pub fn life_hash(id: &str) -> IncarnationHash {
+pub fn incarnation_hash(id: &str) -> IncarnationHash {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ byte as u64).wrapping_mul(0x0100_0000_01b3))
 }
 
@@ -36,9 +36,9 @@
     /// Requests it works on at once.
     pub capacity: u32,
     /// Milliseconds that it stays slow from its start, counted from when this is told.
-    pub warm_left_ms: u64,
+    pub warm_up_left_ms: u64,
     /// Rises with each call of this life; an older call never undoes a newer one.
-    pub seq: u64,
+    pub sequence: u64,
 }
 
 impl NodeRecord {
@@ -51,13 +51,13 @@
             zone: String::new(),
             state: NodeState::Gone,
             capacity: 0,
-            warm_left_ms: 0,
-            seq: 0,
+            warm_up_left_ms: 0,
+            sequence: 0,
         }
     }
 
     /// True where requests may be sent to it.
-    pub fn runs(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.state == NodeState::Ready
     }
 
@@ -68,12 +68,12 @@
 
     /// Takes in another telling of the same life; any order of tellings ends alike. Returns whether something that
     /// a gateway acts on differs now (the number of the call and the time to warm up don't count).
-    pub fn join(&mut self, other: &NodeRecord) -> bool {
-        let state = join_states((self.state, self.seq), (other.state, other.seq));
+    pub fn merge(&mut self, other: &NodeRecord) -> bool {
+        let state = merge_states((self.state, self.sequence), (other.state, other.sequence));
         let mut changed = state != self.state;
         self.state = state;
         // A word left by a call about an unknown life knows nothing but that it is gone.
-        if other.seq > self.seq || (self.service.is_empty() && !other.service.is_empty()) {
+        if other.sequence > self.sequence || (self.service.is_empty() && !other.service.is_empty()) {
             changed |= self.service != other.service
                 || self.addr != other.addr
                 || self.zone != other.zone
@@ -83,16 +83,16 @@
                 self.addr = other.addr;
                 self.zone.clone_from(&other.zone);
                 self.capacity = other.capacity;
-                self.warm_left_ms = other.warm_left_ms;
+                self.warm_up_left_ms = other.warm_up_left_ms;
             }
-            self.seq = self.seq.max(other.seq);
+            self.sequence = self.sequence.max(other.sequence);
         }
         changed
     }
 }
 
 /// Gone is final and draining is never taken back; else the later call counts, and of one call the loss after it.
-fn join_states(a: (NodeState, u64), b: (NodeState, u64)) -> NodeState {
+fn merge_states(a: (NodeState, u64), b: (NodeState, u64)) -> NodeState {
     use NodeState::*;
     if a.0 == Gone || b.0 == Gone {
         return Gone;
--- a/crates/fernknot-registry/src/lib.rs
+++ b/crates/fernknot-registry/src/lib.rs
@@ -9,6 +9,6 @@
 mod pool;
 mod registry;
 
-pub use fact::{IncarnationHash, NodeRecord, NodeState, life_hash};
+pub use fact::{IncarnationHash, NodeRecord, NodeState, incarnation_hash};
 pub use pool::{NodeDirectory, NodeDirectoryLimits};
 pub use registry::{CallOutcome, Registry, RegistryLimits};
--- a/crates/fernknot-registry/tests/common/mod.rs
+++ b/crates/fernknot-registry/tests/common/mod.rs
@@ -20,11 +20,11 @@
         zone: "north".to_string(),
         state,
         capacity: 3,
-        warm_left_ms: 0,
-        seq,
+        warm_up_left_ms: 0,
+        sequence: seq,
     }
 }
 
 pub fn registry() -> Registry {
-    Registry::new(BEAT, RegistryLimits { most_lives: 16, keep_gone: at(100.0) })
+    Registry::new(BEAT, RegistryLimits { max_incarnations: 16, tombstone_retention: at(100.0) })
 }
--- a/crates/fernknot-rpc/src/lib.rs
+++ b/crates/fernknot-rpc/src/lib.rs
@@ -17,7 +17,7 @@
 use thiserror::Error;
 
 /// Bytes of the length in front of a word.
-const HEAD: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// What came is no word.
 #[derive(Debug, Error, PartialEq, Eq)]
@@ -25,11 +25,11 @@
     #[error("a word of {length} bytes is over {most}")]
     TooLong { length: usize, most: usize },
     #[error("a word of {length} bytes cannot be read")]
-    Unreadable { length: usize },
+    Malformed { length: usize },
 }
 
 /// Writes one word.
-pub fn push<W: Encode + ?Sized>(out: &mut Buffer, word: &W) {
+pub fn write_message<W: Encode + ?Sized>(out: &mut Buffer, word: &W) {
     let bytes = bitcode::encode(word);
     out.push(&(bytes.len() as u32).to_le_bytes());
     out.push(&bytes);
@@ -39,16 +39,16 @@
 ///
 /// # Errors
 /// A word that is too long or cannot be read.
-pub fn pull<W: DecodeOwned>(input: &mut Buffer, most: usize) -> Result<Option<W>, DecodeError> {
-    let Some(head) = input.data().first_chunk::<HEAD>() else { return Ok(None) };
+pub fn read_message<W: DecodeOwned>(input: &mut Buffer, most: usize) -> Result<Option<W>, DecodeError> {
+    let Some(head) = input.data().first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*head) as usize;
     if length > most {
         return Err(DecodeError::TooLong { length, most });
     }
-    if input.len() < HEAD + length {
+    if input.len() < LENGTH_PREFIX_BYTES + length {
         return Ok(None);
     }
-    let word = bitcode::decode(&input.data()[HEAD..HEAD + length]);
-    input.consume(HEAD + length);
-    word.map(Some).map_err(|_| DecodeError::Unreadable { length })
+    let word = bitcode::decode(&input.data()[LENGTH_PREFIX_BYTES..LENGTH_PREFIX_BYTES + length]);
+    input.consume(LENGTH_PREFIX_BYTES + length);
+    word.map(Some).map_err(|_| DecodeError::Malformed { length })
 }
--- a/crates/fernknot-rpc/src/words.rs
+++ b/crates/fernknot-rpc/src/words.rs
@@ -22,63 +22,63 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum GatewayToController {
     /// A gateway wants news from here on. `order` is that of the plan that it holds, 0 for none.
-    Attach { who: GatewayRecord, ready: bool, share: Subscription, order: u64 },
+    Subscribe { gateway: GatewayRecord, ready: bool, subscription: Subscription, revision: u64 },
     /// Said now and then over a stream of news: the listener lives.
-    Alive { ready: bool },
+    Heartbeat { ready: bool },
     /// Said with `Alive` by a home: the gateways that live and listen to it, and to no registrar. For a registrar
     /// each counts as if it had said `Alive` itself.
-    Below(Vec<GatewayRecord>),
+    RelayedHeartbeats(Vec<GatewayRecord>),
     /// The listener is about to stop by order.
-    Leaving,
+    ShuttingDown,
     /// Between registrars.
     Peer(ControllerMessage),
     /// An operator's question: what is held here?
-    Ask(InspectionTopic),
+    Inspect(InspectionTopic),
     /// An operator's order: the disks of these registrars, named as `Views` shows them, are gone for good; make a
     /// view without them.
-    Force { lost: Vec<SocketAddrV4> },
+    ForceView { lost: Vec<SocketAddrV4> },
 }
 
 /// From one registrar to another, over a connection that the first one opened.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControllerMessage {
     /// Who speaks: the inner address at which it listens, and its zone.
-    Hello {
+    Identify {
         addr: SocketAddrV4,
         zone: String,
     },
-    Views(fernknot_consensus::Message),
+    Consensus(fernknot_consensus::Message),
     /// Changes of nodes that were first told to the speaker.
-    Nodes(Vec<NodeRecord>),
+    NodeUpdates(Vec<NodeRecord>),
     /// Lives whose beats came to the speaker lately, by their hashes.
-    Heard(Vec<u64>),
+    RecentIncarnations(Vec<u64>),
     /// The hearer does not know these lives; the speaker of `Heard` is to tell them.
-    Want(Vec<u64>),
+    RequestNodes(Vec<u64>),
     /// Gateways that are attached to the speaker.
-    Gateways(Vec<GatewayRecord>),
+    LiveGateways(Vec<GatewayRecord>),
     /// One of them has stopped by order.
-    GatewayLeft {
-        life: u64,
+    GatewayShutDown {
+        incarnation: u64,
     },
     /// The cut of duties that the sequencer made.
-    Cut(Assignment),
+    Assignment(Assignment),
     /// An operator's call, handed to the sequencer: the configuration and the epoch on which it builds.
-    Replace {
+    ForwardChange {
         /// The life of the registrar that was called, and its number for the call; the end names both.
-        life: u64,
+        incarnation: u64,
         call: u64,
-        base: u64,
+        base_epoch: u64,
         body: Vec<u8>,
     },
     /// Its end: the status and words for the operator.
-    Replaced {
-        life: u64,
+    ChangeOutcome {
+        incarnation: u64,
         call: u64,
         status: u16,
-        why: String,
+        reason: String,
     },
     /// Other registrars that the speaker knows, at their inner addresses.
-    Know(Vec<SocketAddrV4>),
+    KnownControllers(Vec<SocketAddrV4>),
 }
 
 /// A registrar as gateways are told of it.
@@ -92,28 +92,28 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControllerToGateway {
     /// A configuration that is in force, and its place in the one order.
-    Plan {
-        order: u64,
-        plan: RoutingConfig,
+    Config {
+        revision: u64,
+        config: RoutingConfig,
     },
-    Nodes(Vec<NodeRecord>),
+    NodeUpdates(Vec<NodeRecord>),
     /// All that the teller holds has been told.
-    Whole,
+    SnapshotComplete,
     /// Said every so often: who tells, how far it is, and whether it hears a majority of its view. `hops` counts
     /// the gateways that passed it on; a registrar says 0. `fence` is that of the newest cut.
-    Pulse {
-        teller: u64,
-        order: u64,
-        lease: bool,
+    Heartbeat {
+        sender: u64,
+        revision: u64,
+        holds_lease: bool,
         hops: u8,
-        fence: u64,
-        registrars: Vec<ControllerEndpoint>,
+        fencing_token: u64,
+        controllers: Vec<ControllerEndpoint>,
     },
-    Cut(Assignment),
+    Assignment(Assignment),
     /// The answer to an operator's question, for a person to read.
-    Answer(String),
+    InspectionReport(String),
     /// The end of an order to force a view: its number, or why it is refused.
-    Forced(Result<u64, String>),
+    ForceViewResult(Result<u64, String>),
 }
 
 /// What an operator may ask of a running process.
@@ -121,7 +121,7 @@
 pub enum InspectionTopic {
     Nodes,
     Views,
-    Homes,
-    Duties,
+    Relays,
+    Ownership,
     Counters,
 }
--- a/crates/fernknot-schema/src/lib.rs
+++ b/crates/fernknot-schema/src/lib.rs
@@ -16,7 +16,7 @@
 mod walk;
 
 pub use beat::{NodeHeartbeat, ReportedNodeState};
-pub use plan::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass, digest};
+pub use plan::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass, json_digest};
 pub use process::{BindAddrs, FaultBudget, InvariantBounds, ProcessSettings, ResourceLimits};
 pub use routes::RouteTable;
 pub use walk::ValidationError;
--- a/crates/fernknot-schema/src/paper.rs
+++ b/crates/fernknot-schema/src/paper.rs
@@ -61,10 +61,10 @@
     pub name: String,
     #[setting(required)]
     pub authority: Option<String>,
-    #[setting(required, validate = between_slashes)]
+    #[setting(required, validate = validate_path_prefix)]
     pub path_prefix: Option<String>,
     pub traffic_class: Option<RawTrafficClass>,
-    #[setting(validate = not_nothing)]
+    #[setting(validate = validate_positive)]
     pub deadline_ms: Option<NonNegativeInteger>,
     pub target_ms: Option<NonNegativeInteger>,
     pub rank: NonNegativeInteger,
@@ -73,7 +73,7 @@
     pub shares: Option<Vec<RawWeightedService>>,
     pub fanout: Option<Vec<String>>,
     pub top_k: Option<NonNegativeInteger>,
-    #[setting(validate = a_share)]
+    #[setting(validate = validate_fraction)]
     pub quorum: Option<f64>,
     pub tries: Option<NonNegativeInteger>,
 }
@@ -91,7 +91,7 @@
 pub(crate) struct RawWeightedService {
     #[setting(required)]
     pub backend: Option<String>,
-    #[setting(required, validate = a_weight)]
+    #[setting(required, validate = validate_weight)]
     pub weight: Option<f64>,
 }
 
@@ -118,7 +118,7 @@
 }
 
 impl RawClientLimits {
-    pub(crate) fn read(&self) -> ClientLimits {
+    pub(crate) fn resolve(&self) -> ClientLimits {
         let absent = ClientLimits::default();
         let or = |given: Option<NonNegativeInteger>, absent| given.map_or(absent, |given| given.0);
         ClientLimits {
@@ -141,25 +141,25 @@
     }
 }
 
-fn between_slashes<D, C>(prefix: &str, _: &D, _: &C, _: bool) -> ValidateResult {
+fn validate_path_prefix<D, C>(prefix: &str, _: &D, _: &C, _: bool) -> ValidateResult {
     match prefix.starts_with('/') && prefix.ends_with('/') {
         true => Ok(()),
         false => Err(ValidateError::new("does not begin and end with a slash")),
     }
 }
 
-fn not_nothing<D, C>(number: &NonNegativeInteger, _: &D, _: &C, _: bool) -> ValidateResult {
+fn validate_positive<D, C>(number: &NonNegativeInteger, _: &D, _: &C, _: bool) -> ValidateResult {
     if number.0 == 0 { Err(ValidateError::new("is 0")) } else { Ok(()) }
 }
 
-fn a_share<D, C>(share: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
+fn validate_fraction<D, C>(share: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
     match (0.0..=1.0).contains(share) {
         true => Ok(()),
         false => Err(ValidateError::new("is not from 0 to 1")),
     }
 }
 
-fn a_weight<D, C>(weight: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
+fn validate_weight<D, C>(weight: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
     match *weight >= 0.0 && weight.is_finite() {
         true => Ok(()),
         false => Err(ValidateError::new("is below 0")),
@@ -170,10 +170,10 @@
 pub(crate) fn load(text: &str) -> Result<RawConfig, Vec<ValidationError>> {
     let mut loader = ConfigLoader::<RawConfig>::new();
     let loaded = loader.code(text, "plan.json").and_then(|loader| loader.load());
-    loaded.map(|loaded| loaded.config).map_err(faults)
+    loaded.map(|loaded| loaded.config).map_err(validation_errors)
 }
 
-fn faults(error: ConfigError) -> Vec<ValidationError> {
+fn validation_errors(error: ConfigError) -> Vec<ValidationError> {
     match error {
         ConfigError::Validator { error, .. } => error
             .errors
--- a/crates/fernknot-schema/src/plan.rs
+++ b/crates/fernknot-schema/src/plan.rs
@@ -7,13 +7,13 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::paper::{self, RawRoute, RawService};
-use crate::routes::bare_host;
+use crate::routes::host_without_port;
 use crate::walk::ValidationError;
 
 /// What stands for settings that a configuration leaves out.
-const ABSENT_DEADLINE_MS: u64 = 10_000;
-const ABSENT_MAX_CONNS: u32 = 32;
-const ABSENT_TOP_K: usize = 100;
+const DEFAULT_DEADLINE_MS: u64 = 10_000;
+const DEFAULT_MAX_CONNECTIONS: u32 = 32;
+const DEFAULT_TOP_K: usize = 100;
 
 /// One version of the configuration, whole.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -38,9 +38,9 @@
     pub target_ms: u64,
     /// 0 is the highest.
     pub rank: u32,
-    pub to: RouteTarget,
+    pub target: RouteTarget,
     /// The largest number of nodes that one try of a client may be sent to; at least 1.
-    pub tries: u32,
+    pub max_attempts: u32,
 }
 
 /// Whether a request may be repeated.
@@ -53,9 +53,9 @@
 /// Where the requests of a route go.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum RouteTarget {
-    Backend(String),
+    Service(String),
     /// Services with their weights; the weights do not add up to 0.
-    Shares(Vec<(String, f64)>),
+    WeightedServices(Vec<(String, f64)>),
     Fanout {
         shards: Vec<String>,
         /// How many of the greatest records the client gets.
@@ -70,7 +70,7 @@
     pub name: String,
     pub probe_path: String,
     /// Connections that each node takes from all callers together.
-    pub max_conns: u32,
+    pub max_connections: u32,
     pub protocol: String,
     pub tls: bool,
 }
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// What makes it invalid; the call wants a 400.
-    pub fn read(bytes: &[u8]) -> Result<RoutingConfig, Vec<ValidationError>> {
+    pub fn parse(bytes: &[u8]) -> Result<RoutingConfig, Vec<ValidationError>> {
         let whole = |why: &dyn std::fmt::Display| {
             vec![ValidationError::new("", format!("cannot be read whole: {why}"))]
         };
@@ -107,17 +107,17 @@
         let paper = paper::load(text)?;
 
         let mut faults = Vec::new();
-        let services = services(paper.backends.unwrap_or_default(), &mut faults);
+        let services = parse_services(paper.backends.unwrap_or_default(), &mut faults);
         let known: HashSet<&str> = services.iter().map(|service| service.name.as_str()).collect();
         let mut taken = HashSet::new();
         let mut routes = Vec::new();
         for (at, route) in paper.routes.unwrap_or_default().into_iter().enumerate() {
             let place = format!("routes[{at}]");
-            let route = read_route(route, &place, &mut faults);
-            for name in route.to.services().filter(|name| !known.contains(name)) {
+            let route = parse_route(route, &place, &mut faults);
+            for name in route.target.services().filter(|name| !known.contains(name)) {
                 faults.push(ValidationError::new(&place, format!("names the unknown service {name:?}")));
             }
-            let host = bare_host(&route.authority).to_ascii_lowercase();
+            let host = host_without_port(&route.authority).to_ascii_lowercase();
             if !taken.insert((host, route.path_prefix.clone())) {
                 faults.push(ValidationError::new(&place, "has the host and prefix of another route"));
             }
@@ -128,7 +128,7 @@
                 epoch: paper.epoch.map_or(0, |epoch| epoch.0),
                 routes,
                 services,
-                limits: paper.limits.read(),
+                limits: paper.limits.resolve(),
             }),
             false => Err(faults),
         }
@@ -139,7 +139,7 @@
     /// # Errors
     ///
     /// The epoch is not above the current one.
-    pub fn check_after(&self, current_epoch: u64) -> Result<(), ValidationError> {
+    pub fn check_epoch_above(&self, current_epoch: u64) -> Result<(), ValidationError> {
         match self.epoch > current_epoch {
             true => Ok(()),
             false => {
@@ -153,8 +153,8 @@
     /// Every service that requests may be sent to, in the order given.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         let (one, shares, shards) = match self {
-            RouteTarget::Backend(name) => (Some(name), &[][..], &[][..]),
-            RouteTarget::Shares(shares) => (None, &shares[..], &[][..]),
+            RouteTarget::Service(name) => (Some(name), &[][..], &[][..]),
+            RouteTarget::WeightedServices(shares) => (None, &shares[..], &[][..]),
             RouteTarget::Fanout { shards, .. } => (None, &[][..], &shards[..]),
         };
         let shares = shares.iter().map(|(name, _)| name);
@@ -162,7 +162,7 @@
     }
 }
 
-fn services(papers: Vec<RawService>, faults: &mut Vec<ValidationError>) -> Vec<Service> {
+fn parse_services(papers: Vec<RawService>, faults: &mut Vec<ValidationError>) -> Vec<Service> {
     let mut taken = HashSet::new();
     let mut services = Vec::with_capacity(papers.len());
     for (at, paper) in papers.into_iter().enumerate() {
@@ -174,7 +174,7 @@
         services.push(Service {
             name,
             probe_path: paper.probe_path,
-            max_conns: paper.max_conns.map_or(ABSENT_MAX_CONNS, |conns| small(conns.0)),
+            max_connections: paper.max_conns.map_or(DEFAULT_MAX_CONNECTIONS, |conns| saturating_u32(conns.0)),
             protocol: paper.protocol,
             tls: paper.tls,
         });
@@ -182,7 +182,7 @@
     services
 }
 
-fn read_route(paper: RawRoute, place: &str, faults: &mut Vec<ValidationError>) -> Route {
+fn parse_route(paper: RawRoute, place: &str, faults: &mut Vec<ValidationError>) -> Route {
     let to = if let Some(shards) = paper.fanout {
         let mut taken = HashSet::new();
         if shards.is_empty() {
@@ -191,7 +191,7 @@
         if !shards.iter().all(|shard| taken.insert(shard.as_str())) {
             faults.push(ValidationError::new(place, "has a fanout that names a service twice"));
         }
-        let top_k = paper.top_k.map_or(ABSENT_TOP_K, |top_k| small(top_k.0) as usize);
+        let top_k = paper.top_k.map_or(DEFAULT_TOP_K, |top_k| saturating_u32(top_k.0) as usize);
         RouteTarget::Fanout { shards, top_k, quorum: paper.quorum.unwrap_or(0.0) }
     } else if let Some(shares) = paper.shares {
         let shares: Vec<(String, f64)> = shares
@@ -202,19 +202,19 @@
         if sum <= 0.0 || !sum.is_finite() {
             faults.push(ValidationError::new(place, "has weights that add up to 0"));
         }
-        RouteTarget::Shares(shares)
+        RouteTarget::WeightedServices(shares)
     } else {
         if paper.backend.is_none() {
             faults.push(ValidationError::new(place, "names no service"));
         }
-        RouteTarget::Backend(paper.backend.unwrap_or_default())
+        RouteTarget::Service(paper.backend.unwrap_or_default())
     };
     // What is gathered may be repeated whatever the class says; without a word on it nothing may.
     let traffic_class = match (&to, paper.traffic_class) {
         (RouteTarget::Fanout { .. }, _) => TrafficClass::Idempotent,
         (_, class) => class.unwrap_or_default().into(),
     };
-    let deadline_ms = paper.deadline_ms.map_or(ABSENT_DEADLINE_MS, |ms| ms.0);
+    let deadline_ms = paper.deadline_ms.map_or(DEFAULT_DEADLINE_MS, |ms| ms.0);
     Route {
         name: paper.name,
         authority: paper.authority.unwrap_or_default(),
@@ -222,22 +222,22 @@
         traffic_class,
         deadline_ms,
         target_ms: paper.target_ms.map_or(deadline_ms, |ms| ms.0),
-        rank: small(paper.rank.0),
-        to,
-        tries: small(paper.tries.map_or(1, |tries| tries.0)).max(1),
+        rank: saturating_u32(paper.rank.0),
+        target: to,
+        max_attempts: saturating_u32(paper.tries.map_or(1, |tries| tries.0)).max(1),
     }
 }
 
-fn small(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
 /// A hash of a body by its JSON value: order of keys, spaces and the spelling of numbers aside. A
 /// body that is no JSON is hashed as it stands. The same on every machine and in every life.
-pub fn digest(bytes: &[u8]) -> u64 {
+pub fn json_digest(bytes: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     match serde_json::from_slice::<Value>(bytes) {
-        Ok(value) => feed(&mut hash, &value),
+        Ok(value) => hash_value(&mut hash, &value),
         Err(_) => {
             hash.update(b"!");
             hash.update(bytes);
@@ -246,7 +246,7 @@
     hash.digest()
 }
 
-fn feed(hash: &mut Xxh3, value: &Value) {
+fn hash_value(hash: &mut Xxh3, value: &Value) {
     let text = |hash: &mut Xxh3, text: &str| {
         hash.update(b"s");
         hash.update(&(text.len() as u64).to_le_bytes());
@@ -277,7 +277,7 @@
         Value::Array(items) => {
             hash.update(b"a");
             hash.update(&(items.len() as u64).to_le_bytes());
-            items.iter().for_each(|item| feed(hash, item));
+            items.iter().for_each(|item| hash_value(hash, item));
         }
         Value::Object(map) => {
             // Sorted here: whether the map is sorted depends on what else is built.
@@ -287,7 +287,7 @@
             hash.update(&(entries.len() as u64).to_le_bytes());
             for (key, value) in entries {
                 text(hash, key);
-                feed(hash, value);
+                hash_value(hash, value);
             }
         }
     }
--- a/crates/fernknot-schema/src/process.rs
+++ b/crates/fernknot-schema/src/process.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-use crate::walk::{ObjectReader, ValidationError, parse};
+use crate::walk::{ObjectReader, ValidationError, parse_object};
 
 /// The settings file, read and checked. Unknown keys are passed over.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,13 +27,13 @@
     /// The whole system starts for the first time, with its disks empty.
     pub bootstrap: bool,
     /// This machine counts towards the fault budget.
-    pub counted: bool,
+    pub counts_in_fault_budget: bool,
     pub limits: ResourceLimits,
     pub data_dir: Option<PathBuf>,
     pub discovery: String,
     pub entry: String,
     /// About how often a node sends its beat.
-    pub beat_ms: f64,
+    pub heartbeat_interval_ms: f64,
     /// Names of the parts of the rules that are in force.
     pub invariants: Vec<String>,
     pub fault_budget: FaultBudget,
@@ -54,7 +54,7 @@
     /// Share of a core.
     pub cpu_share: f64,
     /// How many times as fast that core is.
-    pub cores: f64,
+    pub core_speed: f64,
     pub memory_mb: f64,
     pub fd_limit: u64,
     pub link_mbps: f64,
@@ -66,7 +66,7 @@
     fn default() -> ResourceLimits {
         ResourceLimits {
             cpu_share: 0.2,
-            cores: 1.0,
+            core_speed: 1.0,
             memory_mb: 256.0,
             fd_limit: 1024,
             link_mbps: 1000.0,
@@ -133,16 +133,16 @@
     /// # Errors
     ///
     /// Every fault of the file at once, so that one look is enough to mend it.
-    pub fn read(bytes: &[u8]) -> Result<ProcessSettings, Vec<ValidationError>> {
-        let value = parse(bytes)?;
-        let top = ObjectReader::whole(&value);
+    pub fn parse(bytes: &[u8]) -> Result<ProcessSettings, Vec<ValidationError>> {
+        let value = parse_object(bytes)?;
+        let top = ObjectReader::root(&value);
         let mut faults = Vec::new();
         let f = &mut faults;
 
         for key in ["node_name", "ip", "zone", "bind_addrs", "port_range"] {
-            top.need(f, key);
+            top.require(f, key);
         }
-        let bind = top.inner(f, "bind_addrs");
+        let bind = top.nested(f, "bind_addrs");
         let address = "an IPv4 address with a port";
         let bind_addrs = BindAddrs {
             front_addr: bind.parsed(f, "front_addr", address),
@@ -154,50 +154,50 @@
         for (what, key) in [("edge", "front_addr"), ("edge", "ready_addr"), ("control_plane", "control_addr")]
         {
             if serves.iter().any(|serves| serves == what) {
-                bind.need(f, key);
+                bind.require(f, key);
             }
         }
 
-        let limits = read_limits(&top.inner(f, "limits"), f);
-        let bounds = read_bounds(&top.inner(f, "bounds"), f);
-        let budget = top.inner(f, "fault_budget");
+        let limits = parse_resource_limits(&top.nested(f, "limits"), f);
+        let bounds = parse_invariant_bounds(&top.nested(f, "bounds"), f);
+        let budget = top.nested(f, "fault_budget");
         let fault_budget = FaultBudget {
-            machine_losses: budget.whole_number(f, "machine_losses").unwrap_or(0),
-            zones: budget.whole_number(f, "zones").unwrap_or(0),
-            region_losses: budget.whole_number(f, "region_losses").unwrap_or(0),
+            machine_losses: budget.rounded_up(f, "machine_losses").unwrap_or(0),
+            zones: budget.rounded_up(f, "zones").unwrap_or(0),
+            region_losses: budget.rounded_up(f, "region_losses").unwrap_or(0),
         };
 
-        let zone = top.text(f, "zone").unwrap_or_default();
+        let zone = top.string(f, "zone").unwrap_or_default();
         let mut zones = BTreeMap::new();
-        let inner = top.inner(f, "zones");
+        let inner = top.nested(f, "zones");
         for (zone, region) in inner.entries() {
             match region.as_str() {
                 Some(region) => drop(zones.insert(zone.clone(), region.to_string())),
-                None => inner.fault(f, zone, "is not a string"),
+                None => inner.report(f, zone, "is not a string"),
             }
         }
         // Without a region of its own the process takes that of its zone.
-        let region = top.text(f, "region").or_else(|| zones.get(&zone).cloned()).unwrap_or_default();
+        let region = top.string(f, "region").or_else(|| zones.get(&zone).cloned()).unwrap_or_default();
 
         let facts = ProcessSettings {
-            node_name: top.text(f, "node_name").unwrap_or_default(),
-            role: top.text(f, "role").unwrap_or_default(),
-            machine_class: top.text(f, "machine_class").unwrap_or_default(),
+            node_name: top.string(f, "node_name").unwrap_or_default(),
+            role: top.string(f, "role").unwrap_or_default(),
+            machine_class: top.string(f, "machine_class").unwrap_or_default(),
             serves,
             ip: top.parsed(f, "ip", "an IPv4 address").unwrap_or(Ipv4Addr::UNSPECIFIED),
             zone,
             region,
             zones,
             bind_addrs,
-            port_range: read_ports(&top, f),
+            port_range: parse_port_range(&top, f),
             seeds: top.list(f, "seeds", address),
-            bootstrap: top.flag(f, "bootstrap").unwrap_or(false),
-            counted: top.flag(f, "counted").unwrap_or(false),
+            bootstrap: top.boolean(f, "bootstrap").unwrap_or(false),
+            counts_in_fault_budget: top.boolean(f, "counted").unwrap_or(false),
             limits,
-            data_dir: top.text(f, "data_dir").map(PathBuf::from),
-            discovery: top.text(f, "discovery").unwrap_or_else(|| "registry".into()),
-            entry: top.text(f, "entry").unwrap_or_else(|| "vip".into()),
-            beat_ms: above_nothing(&top, f, "beat_ms", 1000.0),
+            data_dir: top.string(f, "data_dir").map(PathBuf::from),
+            discovery: top.string(f, "discovery").unwrap_or_else(|| "registry".into()),
+            entry: top.string(f, "entry").unwrap_or_else(|| "vip".into()),
+            heartbeat_interval_ms: parse_positive(&top, f, "beat_ms", 1000.0),
             invariants: top.list(f, "invariants", "a string"),
             fault_budget,
             bounds,
@@ -217,27 +217,27 @@
 }
 
 /// A number that others are divided by or paced with: 0 is a fault.
-fn above_nothing(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>, key: &str, absent: f64) -> f64 {
+fn parse_positive(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>, key: &str, absent: f64) -> f64 {
     let number = walk.number(f, key).unwrap_or(absent);
     if number == 0.0 {
-        walk.fault(f, key, "is 0");
+        walk.report(f, key, "is 0");
     }
     number
 }
 
-fn read_limits(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> ResourceLimits {
+fn parse_resource_limits(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> ResourceLimits {
     let absent = ResourceLimits::default();
     ResourceLimits {
-        cpu_share: above_nothing(walk, f, "cpu_share", absent.cpu_share),
-        cores: above_nothing(walk, f, "cores", absent.cores),
-        memory_mb: above_nothing(walk, f, "memory_mb", absent.memory_mb),
-        fd_limit: walk.whole_number(f, "fd_limit").unwrap_or(absent.fd_limit),
-        link_mbps: above_nothing(walk, f, "link_mbps", absent.link_mbps),
+        cpu_share: parse_positive(walk, f, "cpu_share", absent.cpu_share),
+        core_speed: parse_positive(walk, f, "cores", absent.core_speed),
+        memory_mb: parse_positive(walk, f, "memory_mb", absent.memory_mb),
+        fd_limit: walk.rounded_up(f, "fd_limit").unwrap_or(absent.fd_limit),
+        link_mbps: parse_positive(walk, f, "link_mbps", absent.link_mbps),
         disk_mb: walk.number(f, "disk_mb").unwrap_or(absent.disk_mb),
     }
 }
 
-fn read_bounds(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> InvariantBounds {
+fn parse_invariant_bounds(walk: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> InvariantBounds {
     let absent = InvariantBounds::default();
     let mut read = |key, absent| walk.number(f, key).unwrap_or(absent);
     InvariantBounds {
@@ -259,7 +259,7 @@
     }
 }
 
-fn read_ports(top: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> (u16, u16) {
+fn parse_port_range(top: &ObjectReader<'_>, f: &mut Vec<ValidationError>) -> (u16, u16) {
     let Some(value) = top.get("port_range") else { return (0, 0) };
     let ports: Option<Vec<u16>> = value.as_array().and_then(|ports| {
         ports.iter().map(|port| port.as_u64().and_then(|port| u16::try_from(port).ok())).collect()
@@ -267,7 +267,7 @@
     match ports.as_deref() {
         Some(&[first, last]) if 0 < first && first <= last => (first, last),
         _ => {
-            top.fault(f, "port_range", "is not two ports, the first not above the second");
+            top.report(f, "port_range", "is not two ports, the first not above the second");
             (0, 0)
         }
     }
--- a/crates/fernknot-schema/src/routes.rs
+++ b/crates/fernknot-schema/src/routes.rs
@@ -15,23 +15,23 @@
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
     /// Longest first, each once.
-    lengths: Vec<usize>,
-    routes: HashMap<Vec<u8>, usize>,
+    prefix_lengths: Vec<usize>,
+    route_by_prefix: HashMap<Vec<u8>, usize>,
 }
 
 impl RouteTable {
     pub fn new(plan: &RoutingConfig) -> RouteTable {
         let mut table = RouteTable::default();
         for (at, route) in plan.routes.iter().enumerate() {
-            let host = bare_host(&route.authority).to_ascii_lowercase().into_bytes();
+            let host = host_without_port(&route.authority).to_ascii_lowercase().into_bytes();
             let prefixes = table.hosts.entry(host).or_default();
             let prefix = route.path_prefix.as_bytes();
-            prefixes.lengths.push(prefix.len());
-            prefixes.routes.entry(prefix.to_vec()).or_insert(at);
+            prefixes.prefix_lengths.push(prefix.len());
+            prefixes.route_by_prefix.entry(prefix.to_vec()).or_insert(at);
         }
         for prefixes in table.hosts.values_mut() {
-            prefixes.lengths.sort_unstable_by(|a, b| b.cmp(a));
-            prefixes.lengths.dedup();
+            prefixes.prefix_lengths.sort_unstable_by(|a, b| b.cmp(a));
+            prefixes.prefix_lengths.dedup();
         }
         table
     }
@@ -39,7 +39,7 @@
     /// The index in `plan.routes` of the route with the longest prefix that begins the path, among
     /// those of the host. The host may carry a port and the path a query; neither counts.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
-        let host = bare_host(host).as_bytes();
+        let host = host_without_port(host).as_bytes();
         // Hosts are short; lowering one should not cost an allocation for each request.
         let mut lowered = [0u8; 256];
         let prefixes = match lowered.get_mut(..host.len()) {
@@ -53,20 +53,20 @@
         let path = path.as_bytes();
         let path = &path[..path.iter().position(|byte| *byte == b'?').unwrap_or(path.len())];
         prefixes
-            .lengths
+            .prefix_lengths
             .iter()
             .filter_map(|length| path.get(..*length))
-            .find_map(|start| prefixes.routes.get(start).copied())
+            .find_map(|start| prefixes.route_by_prefix.get(start).copied())
     }
 
     /// Whether any route has this host.
-    pub fn knows_host(&self, host: &str) -> bool {
-        self.hosts.contains_key(&bare_host(host).to_ascii_lowercase().into_bytes())
+    pub fn has_host(&self, host: &str) -> bool {
+        self.hosts.contains_key(&host_without_port(host).to_ascii_lowercase().into_bytes())
     }
 }
 
 /// A host without its port. An IPv6 host keeps its brackets.
-pub(crate) fn bare_host(host: &str) -> &str {
+pub(crate) fn host_without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((bare, port)) if port.bytes().all(|digit| digit.is_ascii_digit()) => {
             // A colon inside brackets belongs to the address.
--- a/crates/fernknot-schema/tests/common/mod.rs
+++ b/crates/fernknot-schema/tests/common/mod.rs
@@ -37,7 +37,7 @@
 }
 
 pub fn read_plan(json: &Value) -> Result<RoutingConfig, Vec<ValidationError>> {
-    RoutingConfig::read(json.to_string().as_bytes())
+    RoutingConfig::parse(json.to_string().as_bytes())
 }
 
 pub fn process_json() -> Value {
@@ -56,5 +56,5 @@
 }
 
 pub fn places(faults: Vec<ValidationError>) -> Vec<String> {
-    faults.into_iter().map(|fault| fault.place).collect()
+    faults.into_iter().map(|fault| fault.path).collect()
 }
--- a/crates/fernknot-schema/tests/plan.rs
+++ b/crates/fernknot-schema/tests/plan.rs
@@ -1,7 +1,7 @@
 mod common;
 
 use common::{changed, places, plan_json, read_plan, without};
-use fernknot_schema::{RouteTarget, RoutingConfig, TrafficClass, digest};
+use fernknot_schema::{RouteTarget, RoutingConfig, TrafficClass, json_digest};
 use proptest::prelude::*;
 use serde_json::json;
 use test_case::test_case;
@@ -11,12 +11,15 @@
     let plan = read_plan(&plan_json()).unwrap();
     assert_eq!(plan.epoch, 7);
     assert_eq!(plan.limits.body_bytes, 262144);
-    assert_eq!(plan.services[2].max_conns, 100);
+    assert_eq!(plan.services[2].max_connections, 100);
     let [gather, plain, split] = &plan.routes[..] else { panic!("three routes") };
     let shards = vec!["a".to_string(), "b".to_string()];
-    assert_eq!(gather.to, RouteTarget::Fanout { shards, top_k: 200, quorum: 0.6 });
-    assert_eq!((plain.traffic_class, plain.deadline_ms, plain.tries), (TrafficClass::Mutating, 5000, 2));
-    assert_eq!(split.to, RouteTarget::Shares(vec![("a".into(), 1.0), ("c".into(), 2.5)]));
+    assert_eq!(gather.target, RouteTarget::Fanout { shards, top_k: 200, quorum: 0.6 });
+    assert_eq!(
+        (plain.traffic_class, plain.deadline_ms, plain.max_attempts),
+        (TrafficClass::Mutating, 5000, 2)
+    );
+    assert_eq!(split.target, RouteTarget::WeightedServices(vec![("a".into(), 1.0), ("c".into(), 2.5)]));
     assert_eq!(plan, bitcode::decode::<RoutingConfig>(&bitcode::encode(&plan)).unwrap());
 }
 
@@ -65,7 +68,7 @@
 #[test_case(""; "nothing")]
 #[test_case("[]"; "a list")]
 fn given_what_is_no_strict_json_when_read_then_it_is_refused(text: &str) {
-    assert!(RoutingConfig::read(text.as_bytes()).is_err());
+    assert!(RoutingConfig::parse(text.as_bytes()).is_err());
 }
 
 #[test]
@@ -78,16 +81,16 @@
 #[test]
 fn given_a_plan_when_checked_then_only_a_higher_epoch_follows() {
     let plan = read_plan(&plan_json()).unwrap();
-    assert!(plan.check_after(6).is_ok());
-    assert!(plan.check_after(7).is_err());
+    assert!(plan.check_epoch_above(6).is_ok());
+    assert!(plan.check_epoch_above(7).is_err());
 }
 
 #[test]
 fn given_one_value_spelt_twice_when_digested_then_the_digests_are_equal() {
     let one = br#"{"epoch": 7, "routes": [{"a": 1.0, "b": "x"}]}"#;
     let other = br#"{"routes":[{"b":"\u0078","a":1}],"epoch":7}"#;
-    assert_eq!(digest(one), digest(other));
-    assert_eq!(digest(one), 298_804_585_013_390_113, "the same in every life and on every machine");
+    assert_eq!(json_digest(one), json_digest(other));
+    assert_eq!(json_digest(one), 298_804_585_013_390_113, "the same in every life and on every machine");
 }
 
 #[test_case(br#"{"a": [1, 2]}"#, br#"{"a": [2, 1]}"#; "an order that counts")]
@@ -96,7 +99,7 @@
 #[test_case(br#"["ab", "c"]"#, br#"["a", "bc"]"#; "where a string ends")]
 #[test_case(br#"{"a": 1"#, br#"{"a": 2"#; "no JSON")]
 fn given_two_values_when_digested_then_the_digests_differ(one: &[u8], other: &[u8]) {
-    assert_ne!(digest(one), digest(other));
+    assert_ne!(json_digest(one), json_digest(other));
 }
 
 proptest! {
@@ -105,7 +108,7 @@
         let mut bytes = plan_json().to_string().into_bytes();
         let at = at % bytes.len();
         if cut { bytes.truncate(at) } else { bytes[at] = byte }
-        let _ = RoutingConfig::read(&bytes);
-        digest(&bytes);
+        let _ = RoutingConfig::parse(&bytes);
+        json_digest(&bytes);
     }
 }
--- a/crates/fernknot-schema/tests/told.rs
+++ b/crates/fernknot-schema/tests/told.rs
@@ -6,7 +6,7 @@
 use test_case::test_case;
 
 fn read(json: &Value) -> Result<ProcessSettings, Vec<String>> {
-    ProcessSettings::read(json.to_string().as_bytes()).map_err(places)
+    ProcessSettings::parse(json.to_string().as_bytes()).map_err(places)
 }
 
 #[test]
@@ -60,9 +60,9 @@
 
 #[test]
 fn given_a_beat_when_read_then_every_part_is_there() {
-    let beat = NodeHeartbeat::read(beat_json().to_string().as_bytes()).unwrap();
-    assert_eq!((beat.backend.as_str(), beat.epoch.as_str(), beat.capacity), ("huvo11a", "v1", 3));
-    assert_eq!((beat.state, beat.warmup_left_ms, beat.call_seq), (ReportedNodeState::Ready, 1, 4));
+    let beat = NodeHeartbeat::parse(beat_json().to_string().as_bytes()).unwrap();
+    assert_eq!((beat.service.as_str(), beat.software_epoch.as_str(), beat.capacity), ("huvo11a", "v1", 3));
+    assert_eq!((beat.state, beat.warm_up_left_ms, beat.sequence), (ReportedNodeState::Ready, 1, 4));
     assert_eq!(beat, bitcode::decode(&bitcode::encode(&beat)).unwrap());
 }
 
@@ -71,7 +71,7 @@
     let json = changed(beat_json(), "/state", json!("asleep"));
     let json = changed(json, "/capacity", json!("three"));
     let json = without(json, "/address");
-    let mut told = places(NodeHeartbeat::read(json.to_string().as_bytes()).unwrap_err());
+    let mut told = places(NodeHeartbeat::parse(json.to_string().as_bytes()).unwrap_err());
     told.sort();
     assert_eq!(told, ["address", "capacity", "state"]);
 }
