--- a/crates/fernknot-consensus/src/lib.rs
+++ b/crates/fernknot-consensus/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control state of the registrars: a register of whole states in one total order, kept in
+//! The control state of the controllers: a register of whole states in one total order, kept in
 //! numbered views. No I/O and no clock: the host feeds what is heard and stored, and pulls orders
 //! with `next` until there is none. The rules and their reasons: docs/views.md.
 
--- a/crates/fernknot-consensus/src/types.rs
+++ b/crates/fernknot-consensus/src/types.rs
@@ -28,7 +28,7 @@
     ReadIndexId
 );
 
-/// A registrar: the life of its disk, where it listens for other registrars, and its zone.
+/// A controller: the life of its disk, where it listens for other controllers, and its zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Member {
     pub id: MemberId,
@@ -158,7 +158,7 @@
     pub suspected: Vec<MemberId>,
 }
 
-/// A message between registrars. May be lost, doubled or late.
+/// A message between controllers. May be lost, doubled or late.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
     Heartbeat(PeerHeartbeat),
@@ -256,7 +256,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConsensusSettings {
     pub me: Member,
-    /// Inner addresses of the registrars that found the first view.
+    /// Inner addresses of the controllers that found the first view.
     pub founders: Vec<SocketAddrV4>,
     /// Only true when the whole system starts for the first time.
     pub bootstrap: bool,
@@ -270,7 +270,7 @@
     pub lease_duration: Nanos,
 }
 
-/// Why a registrar does not count in the view now.
+/// Why a controller does not count in the view now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ineligibility {
     /// Not heard for `suspect_after`, or it does not hear this one.
@@ -291,7 +291,7 @@
     PartiallyConnected,
 }
 
-/// A registrar's place in the view or beside it.
+/// A controller's place in the view or beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaStatus {
     pub member: Member,
@@ -326,11 +326,11 @@
     UnreachableNotNamed(SocketAddrV4),
     #[error("{0} knows more: force the view there")]
     PeerMoreRecent(SocketAddrV4),
-    #[error("this registrar was never in a view, or has lost its disk")]
+    #[error("this controller was never in a view, or has lost its disk")]
     NoState,
-    #[error("the disk of this registrar is not well")]
+    #[error("the disk of this controller is not well")]
     DiskUnhealthy,
-    #[error("this registrar has not listened for long enough yet")]
+    #[error("this controller has not listened for long enough yet")]
     StillListening,
     #[error("no numbers are left for another forced view")]
     ViewNumbersExhausted,
--- a/crates/fernknot-consensus/src/views.rs
+++ b/crates/fernknot-consensus/src/views.rs
@@ -26,7 +26,7 @@
 /// Letters in the name of a zone, at most.
 const MAX_ZONE_BYTES: usize = 256;
 
-/// What is known of another registrar.
+/// What is known of another controller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     pub heartbeat: PeerHeartbeat,
@@ -43,7 +43,7 @@
     recovering_since: Option<Nanos>,
 }
 
-/// One registrar's part in the register.
+/// One controller's part in the register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Consensus {
     pub(crate) settings: ConsensusSettings,
@@ -211,7 +211,7 @@
         views
     }
 
-    /// A word from the registrar that listens at `from`.
+    /// A word from the controller that listens at `from`.
     pub fn handle_message(&mut self, now: Nanos, from: SocketAddrV4, word: Message) {
         self.advance_clock(now);
         if is_valid_message(&word) {
@@ -258,7 +258,7 @@
         self.finish_step();
     }
 
-    /// Another registrar's address for words like these, learnt from outside.
+    /// Another controller's address for words like these, learnt from outside.
     pub fn add_address(&mut self, now: Nanos, addr: SocketAddrV4) {
         self.advance_clock(now);
         if self.learn_address(addr) {
@@ -267,7 +267,7 @@
         self.finish_step();
     }
 
-    /// There is a way to a registrar that there was not before: what was said to it until now is lost, so the next
+    /// There is a way to a controller that there was not before: what was said to it until now is lost, so the next
     /// pulse goes out soon. Guards the return of all at once, when a pulse's time is most of the wait.
     pub fn handle_connected(&mut self, now: Nanos) {
         self.advance_clock(now);
--- a/crates/fernknot-consensus/tests/common/mod.rs
+++ b/crates/fernknot-consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory fleet of registrars with seeded chance: late, lost and doubled words, crashes,
+//! An in-memory fleet of controllers with seeded chance: late, lost and doubled words, crashes,
 //! emptied disks, replaced machines, one-way cuts, hanging and full disks. Every step checks what
 //! must hold always; the first break is kept in `broken`.
 #![allow(dead_code)]
--- a/crates/fernknot-consensus/tests/model.rs
+++ b/crates/fernknot-consensus/tests/model.rs
@@ -1,4 +1,4 @@
-//! A model of three registrars: the register's own code, every word delivered in any order, late
+//! A model of three controllers: the register's own code, every word delivered in any order, late
 //! or twice, a crash at any moment with the write under way on disk or not, an emptied disk, and one that is a write old.
 //! Pulses come at each turn of the clock, except to and from one that is cut off.
 
@@ -68,12 +68,12 @@
     Ask(usize),
 }
 
-struct Registrars {
+struct Controllers {
     plant: Option<SeededBug>,
     left: [u8; 6],
 }
 
-impl Registrars {
+impl Controllers {
     fn start(
         &self,
         world: &World,
@@ -193,7 +193,7 @@
     }
 }
 
-impl Model for Registrars {
+impl Model for Controllers {
     type State = World;
     type Action = Act;
 
@@ -358,10 +358,10 @@
 #[test_case::test_case([6, 1, 1, 0, 1, 0]; "an emptied or older disk besides")]
 #[test_case::test_case([6, 2, 0, 1, 2, 0]; "two crashes and a doubled word")]
 #[test_case::test_case([6, 1, 0, 1, 1, 1]; "a question besides")]
-fn given_three_registrars_when_anything_may_happen_then_one_order_stands(left: [u8; 6]) {
-    let checker = Registrars { plant: None, left }.checker();
+fn given_three_controllers_when_anything_may_happen_then_one_order_stands(left: [u8; 6]) {
+    let checker = Controllers { plant: None, left }.checker();
     let broad = checker.threads(2).target_state_count(MOST_STATES).spawn_bfs().join();
-    let deep = Registrars { plant: None, left }.checker();
+    let deep = Controllers { plant: None, left }.checker();
     let deep = deep.threads(2).target_state_count(MOST_STATES).spawn_dfs().join();
     println!(
         "{left:?}: {} states in breadth, {} in depth",
@@ -376,7 +376,7 @@
 #[test_case::test_case(SeededBug::SendBeforePersist, [1, 0, 0, 0, 1, 0])]
 #[test_case::test_case(SeededBug::ReadIndexIgnoresPendingChange, [0, 0, 0, 0, 1, 1])]
 fn given_a_planted_break_when_the_model_is_checked_then_it_is_found(plant: SeededBug, left: [u8; 6]) {
-    let checker = Registrars { plant: Some(plant), left }.checker();
+    let checker = Controllers { plant: Some(plant), left }.checker();
     let checker = checker.threads(2).target_state_count(4 * MOST_STATES).spawn_bfs().join();
     println!("{plant:?}: {} states", checker.unique_state_count());
     assert!(checker.discoveries().values().next().is_some());
--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -32,7 +32,7 @@
     Recorded,
     /// That it leaves is known to a majority.
     DrainConfirmed(QuorumEvidence),
-    /// Not noted: the node is to call another registrar.
+    /// Not noted: the node is to call another controller.
     Unavailable(&'static str),
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl ChangeOutcome {
-    /// As it is told between registrars.
+    /// As it is told between controllers.
     pub fn status_and_reason(&self) -> (u16, String) {
         match self {
             ChangeOutcome::Committed(_) => (200, String::new()),
@@ -135,7 +135,7 @@
 /// An operator asks for the newest configuration.
 pub struct ReadConfig;
 
-/// The newest configuration, as far as this registrar may speak for it.
+/// The newest configuration, as far as this controller may speak for it.
 pub enum ReadConfigOutcome {
     Current(Arc<[u8]>, QuorumEvidence),
     /// None was ever taken.
@@ -166,7 +166,7 @@
     }
 }
 
-/// Is this registrar of use?
+/// Is this controller of use?
 pub struct CheckReadiness;
 
 /// In touch with a majority now, or not known to be.
--- a/crates/fernknot-controller/src/changes.rs
+++ b/crates/fernknot-controller/src/changes.rs
@@ -2,27 +2,27 @@
 
 use crate::calls::ChangeOutcome;
 use crate::control::ControlState;
+use crate::controller::PendingCall;
 use crate::ground::QuorumEvidence;
-use crate::registrar::PendingCall;
 use fernknot::interface::Nanos;
 use std::net::SocketAddrV4;
 
 /// Changes in hand at once, and their bytes. Operators have up to eight under way, and a repeat of each may be in hand
-/// here and at another registrar; what is over is told to come back.
+/// here and at another controller; what is over is told to come back.
 const MOST: usize = 24;
 const MAX_PENDING_BYTES: usize = 64 << 20;
-/// A registrar that would not decide is asked again after this.
+/// A controller that would not decide is asked again after this.
 const RETRY_DELAY: Nanos = Nanos(50_000_000);
 
 /// Who waits for the end of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOrigin {
     Caller(PendingCall),
-    /// Another registrar, by where it listens and its name for the call.
+    /// Another controller, by where it listens and its name for the call.
     Peer(SocketAddrV4, ForwardedCallId),
 }
 
-/// A registrar's name for a call that it hands on. Guards against the end of a call that an earlier life at the
+/// A controller's name for a call that it hands on. Guards against the end of a call that an earlier life at the
 /// same address handed on, whose numbers were the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ForwardedCallId {
@@ -58,7 +58,7 @@
     pub stage: ChangeStage,
 }
 
-/// What a registrar makes of a change by the state in force here.
+/// What a controller makes of a change by the state in force here.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChangeAssessment {
     /// Taken earlier.
--- a/crates/fernknot-controller/src/control.rs
+++ b/crates/fernknot-controller/src/control.rs
@@ -1,4 +1,4 @@
-//! The control state: what the registrars agree on.
+//! The control state: what the controllers agree on.
 
 use bitcode::{Decode, Encode};
 use fernknot_schema::RoutingConfig;
@@ -18,7 +18,7 @@
     pub digest: u64,
 }
 
-/// What the registrars agree on.
+/// What the controllers agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ControlState {
     /// The version in force; 0 where there is none yet.
@@ -40,7 +40,7 @@
     /// Reads a state of the one order; the empty one is that before the first configuration.
     ///
     /// # Errors
-    /// Bytes that no registrar of this build wrote.
+    /// Bytes that no controller of this build wrote.
     pub fn decode(state: &[u8]) -> Result<ControlState, ControlStateError> {
         if state.is_empty() {
             return Ok(ControlState::default());
--- a/crates/fernknot-controller/src/registrar.rs
+++ b/crates/fernknot-controller/src/controller.rs
@@ -1,4 +1,4 @@
-//! One registrar: what it knows, and what it does about what it hears.
+//! One controller: what it knows, and what it does about what it hears.
 
 use crate::calls::{
     ChangeOutcome, CheckReadiness, CountersReport, Deregister, Heartbeat, NodeCallOutcome, ReadConfig,
@@ -32,13 +32,13 @@
 
 /// An operator moves on after a second of silence: the end of a change, known or not, comes before.
 const CALL_TIMEOUT: Nanos = Nanos(800_000_000);
-/// The part of that for which the sequencer keeps a change that another registrar handed on.
+/// The part of that for which the sequencer keeps a change that another controller handed on.
 const LEADER_TIMEOUT_SHARE: f64 = 0.9;
 /// Gateways told of in one go, and lives in one `Heard`.
 const MAX_ITEMS_PER_MESSAGE: usize = 4096;
 /// Told with 503 where no majority is in touch.
 const NO_QUORUM_REASON: &str = "cut off from the others; ask another";
-/// Registrars named in a pulse.
+/// Controllers named in a pulse.
 const MAX_ADVERTISED_CONTROLLERS: usize = 16;
 
 /// A call that waits for its answer. Never used again: an answer belongs to a call, not to the connection that it
@@ -55,13 +55,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubscriberId(pub u64);
 
-/// What a registrar is told at its start.
+/// What a controller is told at its start.
 #[derive(Clone, Debug)]
 pub struct ControllerSettings {
     /// Where other processes of the system reach it.
     pub addr: SocketAddrV4,
     pub zone: String,
-    /// Inner addresses of the registrars that the operator's list named.
+    /// Inner addresses of the controllers that the operator's list named.
     pub seeds: Vec<SocketAddrV4>,
     /// Only true when the whole system starts for the first time.
     pub bootstrap: bool,
@@ -80,7 +80,7 @@
 }
 
 impl ControllerSettings {
-    /// A registrar that was silent for so long is left out.
+    /// A controller that was silent for so long is left out.
     pub fn suspicion_timeout(&self) -> Nanos {
         self.contact_timeout.times(0.25)
     }
@@ -120,7 +120,7 @@
         call: PendingCall,
         reply: Reply,
     },
-    /// To another registrar, over the connection that was opened to it.
+    /// To another controller, over the connection that was opened to it.
     Send {
         to: SocketAddrV4,
         message: ControllerMessage,
@@ -129,7 +129,7 @@
         to: Vec<SubscriberId>,
         message: ControllerToGateway,
     },
-    /// Open a connection to a registrar; `opened` or `closed` follows.
+    /// Open a connection to a controller; `opened` or `closed` follows.
     Connect {
         to: SocketAddrV4,
     },
@@ -158,7 +158,7 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SeededBug {
-    /// Reads, refusals and drains by this registrar's own state.
+    /// Reads, refusals and drains by this controller's own state.
     AnswerFromLocalState,
     /// Few versions are remembered, and what lies past them is refused.
     ForgetHistoryEarly,
@@ -182,7 +182,7 @@
     NodeDrain(PendingCall),
 }
 
-/// One registrar.
+/// One controller.
 pub struct Controller {
     settings: ControllerSettings,
     seeded_bug: Option<SeededBug>,
@@ -201,7 +201,7 @@
     registry: Registry,
     /// The registry's version that listeners have been told.
     published_version: u64,
-    /// Lives of which the other registrars are to be told: something was first told here, or that they leave.
+    /// Lives of which the other controllers are to be told: something was first told here, or that they leave.
     unannounced_nodes: BTreeSet<String>,
     assigner: Assigner,
     assignment: Assignment,
@@ -276,7 +276,7 @@
 
     // What comes in.
 
-    /// The disk has been read: what the register kept there, if anything, and the registrars once known. `fresh`
+    /// The disk has been read: what the register kept there, if anything, and the controllers once known. `fresh`
     /// says that the disk was empty; an unreadable one is not.
     pub fn disk_loaded(
         &mut self,
@@ -305,7 +305,7 @@
     /// A request of a node or an operator. The answer comes as an order, now or later.
     pub fn handle_call(&mut self, now: Nanos, slot: PendingCall, request: &Request) {
         self.advance_clock(now);
-        // The desk is lent out: what serves is this very registrar.
+        // The desk is lent out: what serves is this very controller.
         let Some(desk) = self.dispatcher.take() else { return };
         if let DispatchOutcome::Ready(reply) = desk.dispatch(self, request, slot) {
             self.actions.push_back(Action::Reply { call: slot, reply });
@@ -381,7 +381,7 @@
         self.subscribers.awaiting_snapshot.remove(&ear);
     }
 
-    /// A word of the registrar that listens at `from`.
+    /// A word of the controller that listens at `from`.
     pub fn handle_peer_message(&mut self, now: Nanos, from: SocketAddrV4, word: ControllerMessage) {
         self.advance_clock(now);
         self.peers.record_heard(now, from, None);
@@ -457,7 +457,7 @@
         }
     }
 
-    /// The connection to a registrar is up.
+    /// The connection to a controller is up.
     pub fn peer_connected(&mut self, now: Nanos, to: SocketAddrV4) {
         self.advance_clock(now);
         self.peers.link_opened(to);
@@ -477,7 +477,7 @@
         self.consensus_due = now;
     }
 
-    /// The connection to a registrar has gone, or never came up.
+    /// The connection to a controller has gone, or never came up.
     pub fn peer_disconnected(&mut self, now: Nanos, to: SocketAddrV4) {
         self.advance_clock(now);
         self.peers.link_closed(now, to);
@@ -511,7 +511,7 @@
         }
     }
 
-    /// A registrar whose disk is not well, or who is about to stop, stores nothing further: the others go on.
+    /// A controller whose disk is not well, or who is about to stop, stores nothing further: the others go on.
     fn report_disk_health(&mut self) {
         let ok = self.disk_healthy && !self.shutting_down;
         if let Some(views) = &mut self.consensus {
@@ -520,7 +520,7 @@
         }
     }
 
-    /// The settings name these registrars now.
+    /// The settings name these controllers now.
     pub fn add_seeds(&mut self, now: Nanos, seeds: &[SocketAddrV4]) {
         self.advance_clock(now);
         seeds.iter().for_each(|seed| self.add_peer(*seed));
@@ -848,7 +848,7 @@
     }
 
     /// Those whose time is over; all, and the callers' changes, where no majority is in touch any more, so that they
-    /// go on to another registrar at once.
+    /// go on to another controller at once.
     fn expire_read_indexes(&mut self) {
         let now = self.now;
         if self.quorum_reads.is_empty() && self.pending_changes.changes.is_empty() {
@@ -876,7 +876,7 @@
         self.consensus.as_ref().is_some_and(|views| views.is_partitioned(self.now))
     }
 
-    /// A change that came to another registrar. What it has checked is checked again: a word may be garbled in ways
+    /// A change that came to another controller. What it has checked is checked again: a word may be garbled in ways
     /// that no sum of the transport finds, and only what is sound may go into the order.
     fn accept_forwarded_change(
         &mut self,
@@ -983,7 +983,7 @@
         }
     }
 
-    // The other registrars.
+    // The other controllers.
 
     fn send_to_peer(&mut self, to: SocketAddrV4, word: ControllerMessage) {
         if self.peers.is_connected(to) {
@@ -1017,7 +1017,7 @@
             views.add_address(self.now, addr);
             self.consensus_due = self.now;
         }
-        self.log(Level::Info, part::CONNECTIONS, format!("a registrar may be at {addr}"));
+        self.log(Level::Info, part::CONNECTIONS, format!("a controller may be at {addr}"));
         let addrs = self.peers.known_addrs();
         self.actions.push_back(Action::StoreKnownPeers { addrs });
     }
@@ -1051,7 +1051,7 @@
         }
     }
 
-    /// What nodes said here, and that they leave, goes to the other registrars at once.
+    /// What nodes said here, and that they leave, goes to the other controllers at once.
     fn announce_nodes_to_peers(&mut self) {
         if self.unannounced_nodes.is_empty() {
             return;
@@ -1064,7 +1064,7 @@
 
     // The gateways.
 
-    /// Guards against a gateway that starts while this registrar is cut off, and would be ready with an old
+    /// Guards against a gateway that starts while this controller is cut off, and would be ready with an old
     /// configuration: without a majority it hears of nodes, and that it had better ask another.
     fn add_subscriber(&mut self, ear: SubscriberId, listener: Subscriber) {
         self.subscribers.by_id.insert(ear, listener);
@@ -1178,17 +1178,17 @@
     }
 
     fn heartbeat_message(&mut self) -> ControllerToGateway {
-        let mut registrars = vec![Told { addr: self.settings.addr, zone: self.settings.zone.clone() }];
+        let mut controllers = vec![Told { addr: self.settings.addr, zone: self.settings.zone.clone() }];
         let view = self.consensus.as_ref().and_then(Consensus::view);
         let members = view.into_iter().flat_map(|view| &view.members);
         let named = members.map(|member| (member.addr, member.zone.clone()));
         let up = self.peers.connected();
         let heard = up.iter().filter_map(|addr| Some((*addr, self.peers.zone(*addr)?.to_string())));
         for (addr, zone) in named.chain(heard) {
-            if registrars.len() < MAX_ADVERTISED_CONTROLLERS
-                && registrars.iter().all(|known| known.addr != addr)
+            if controllers.len() < MAX_ADVERTISED_CONTROLLERS
+                && controllers.iter().all(|known| known.addr != addr)
             {
-                registrars.push(Told { addr, zone });
+                controllers.push(Told { addr, zone });
             }
         }
         let lease = self.holds_lease() && !self.shutting_down;
@@ -1199,7 +1199,7 @@
             holds_lease: lease,
             hops: 0,
             fencing_token: fence,
-            controllers: registrars,
+            controllers: controllers,
         }
     }
 
@@ -1319,7 +1319,7 @@
         match self.record_node(id.clone(), |registry, now| registry.record_heartbeat(now, fact)) {
             NodeCallOutcome::Recorded if state == NodeState::Draining => self.confirm_drain(id, slot),
             // It lives, whoever hears it; but the others must hear it too. Guards against nodes that beat on where a
-            // registrar is cut off from its like alone, and are lost to the majority and its gateways.
+            // controller is cut off from its like alone, and are lost to the majority and its gateways.
             NodeCallOutcome::Recorded if self.lacks_quorum() => {
                 Some(NodeCallOutcome::Unavailable(NO_QUORUM_REASON))
             }
@@ -1344,7 +1344,7 @@
 
 impl Controller {
     /// The word that a node leaves must reach all gateways in touch, and who is cut off can't promise that. It goes
-    /// to the other registrars first and the question after it, on the same connections: a majority that answers has
+    /// to the other controllers first and the question after it, on the same connections: a majority that answers has
     /// the word. What is noted here meanwhile is true whoever hears of it. It is told whether it is news here or not:
     /// guards against a word that came here from one who could not tell all, and was refused there.
     fn confirm_drain(&mut self, id: String, slot: PendingCall) -> Option<NodeCallOutcome> {
@@ -1356,7 +1356,7 @@
         Some(self.reject_drain())
     }
 
-    /// The node is to tell another registrar.
+    /// The node is to tell another controller.
     fn reject_drain(&mut self) -> NodeCallOutcome {
         self.counters.add("leaves_refused", 1);
         NodeCallOutcome::Unavailable(NO_QUORUM_REASON)
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// The register's part, and the registrars once known.
+/// The register's part, and the controllers once known.
 const CONSENSUS_KEY: &str = "views";
 const KNOWN_PEERS_KEY: &str = "known";
 /// The register has one write out, and one more after a failure; the rest is for addresses.
--- a/crates/fernknot-controller/src/ears.rs
+++ b/crates/fernknot-controller/src/ears.rs
@@ -1,6 +1,6 @@
 //! The gateways that listen here, and which news each of them wants.
 
-use crate::registrar::SubscriberId;
+use crate::controller::SubscriberId;
 use fernknot_ownership::GatewayRecord;
 use fernknot_registry::NodeRecord;
 use fernknot_rpc::Subscription;
--- a/crates/fernknot-controller/src/ground.rs
+++ b/crates/fernknot-controller/src/ground.rs
@@ -1,12 +1,12 @@
 //! What an answer stands on. Whatever says that something is so in the whole system, and not only here, is built
 //! with a [`Ground`], and a ground is made here alone: from the views' own orders, from a history that can't be
-//! undone, or from the word of a registrar that had one. What stands on nobody says so by having none: 503, a fault
+//! undone, or from the word of a controller that had one. What stands on nobody says so by having none: 503, a fault
 //! of the body itself, a plain beat.
 
 use crate::control::ControlState;
 use fernknot_consensus::Action as ViewOrder;
 
-/// The reason why an answer holds beyond this registrar.
+/// The reason why an answer holds beyond this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuorumEvidence(EvidenceKind);
 
@@ -18,7 +18,7 @@
     InHistory,
     /// A majority of the voters stood in the view after the call came.
     ConfirmedByMajority,
-    /// Another registrar had one of these.
+    /// Another controller had one of these.
     ReportedByPeer,
     /// A break planted for the checkers.
     SeededBug,
@@ -39,7 +39,7 @@
         control.has_committed(epoch, digest).then_some(QuorumEvidence(EvidenceKind::InHistory))
     }
 
-    /// The word of the registrar to which a call was handed; it can't say so without a ground of its own.
+    /// The word of the controller to which a call was handed; it can't say so without a ground of its own.
     pub fn from_peer() -> QuorumEvidence {
         QuorumEvidence(EvidenceKind::ReportedByPeer)
     }
--- a/crates/fernknot-controller/src/host.rs
+++ b/crates/fernknot-controller/src/host.rs
@@ -1,7 +1,7 @@
-//! The program's host: sockets, clock, signals, settings and disk around one [`Registrar`].
+//! The program's host: sockets, clock, signals, settings and disk around one [`Controller`].
 
+use crate::controller::{Action, Controller, ControllerSettings, PendingCall, SubscriberId};
 use crate::disk::Disk;
-use crate::registrar::{Action, Controller, ControllerSettings, PendingCall, SubscriberId};
 use fernknot::interface::Nanos;
 use fernknot_http_api::{HttpServerConnection, HttpServerSettings, ReadOutcome};
 use fernknot_net::{ConnectionId, Event, EventLoop, EventLoopSettings, NetError, Signals};
@@ -54,9 +54,9 @@
 enum ConnectionRole {
     /// A node or an operator, over HTTP.
     HttpCaller(HttpServerConnection),
-    /// A process of the system that speaks to this one; a registrar once it said where it listens.
+    /// A process of the system that speaks to this one; a controller once it said where it listens.
     InboundInternal(Option<SocketAddrV4>),
-    /// A registrar to whom this one speaks.
+    /// A controller to whom this one speaks.
     OutboundPeer(SocketAddrV4),
 }
 
@@ -87,7 +87,7 @@
     shutdown_deadline: Option<Nanos>,
 }
 
-/// Where a registrar listens for other processes of the system: its second inner port.
+/// Where a controller listens for other processes of the system: its second inner port.
 fn internal_addr(ip: Ipv4Addr, facts: &ProcessSettings) -> SocketAddrV4 {
     SocketAddrV4::new(ip, facts.port_range.0 + 1)
 }
@@ -104,14 +104,14 @@
     Duration::from_nanos(nanos.0)
 }
 
-/// What a registrar can't do without, beyond what the settings' own checks ask for.
+/// What a controller can't do without, beyond what the settings' own checks ask for.
 ///
 /// # Errors
 /// Every fault, by the place in the file.
 pub fn check_settings(facts: &ProcessSettings) -> Result<(), Vec<String>> {
     let mut faults = Vec::new();
     if facts.bind_addrs.control_addr.is_none() {
-        faults.push("bind_addrs.control_addr: is missing; a registrar is called there".to_string());
+        faults.push("bind_addrs.control_addr: is missing; a controller is called there".to_string());
     }
     if facts.port_range.0 == u16::MAX || facts.port_range.0 + 1 > facts.port_range.1 {
         faults.push("port_range: has fewer than two ports".to_string());
@@ -532,7 +532,7 @@
             self.connections.iter().filter(|(_, line)| late(line)).map(|(berth, _)| *berth).collect();
         late.into_iter().for_each(|berth| self.connection_closed(now, berth));
         if !self.controller.holds_lease() {
-            // Registrars that neither settings nor members name may be known to neighbours.
+            // Controllers that neither settings nor members name may be known to neighbours.
             self.controller.add_seeds(now, &self.shuffle.candidate_controllers());
         }
     }
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -1,4 +1,4 @@
-//! `fernknot-controller`: one registrar of the system's control plane.
+//! `fernknot-controller`: one controller of the system's control plane.
 
 use fernknot_controller::host::{Host, check_settings};
 use fernknot_schema::ProcessSettings;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const HELP: &str = "fernknot-controller: one registrar, which knows the nodes and keeps the configuration
+const HELP: &str = "fernknot-controller: one controller, which knows the nodes and keeps the configuration
 
 usage: fernknot-controller [--check] [--help] [--version]
 
--- a/crates/fernknot-controller/src/peers.rs
+++ b/crates/fernknot-controller/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other registrars: where they may be, and the one connection to each.
+//! The other controllers: where they may be, and the one connection to each.
 
 use fernknot::interface::Nanos;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 /// Addresses that are remembered; the longest unheard goes first.
 const MOST: usize = 32;
 
-/// How the connection to a registrar stands.
+/// How the connection to a controller stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
     /// To be tried again then, after a pause of so long.
@@ -49,7 +49,7 @@
 }
 
 impl Peers {
-    /// Knows nobody; `suspect` is how long a silent registrar is waited for.
+    /// Knows nobody; `suspect` is how long a silent controller is waited for.
     pub fn new(me: SocketAddrV4, suspect: Nanos) -> Peers {
         Peers {
             local_addr: me,
--- a/crates/fernknot-controller/tests/changes.rs
+++ b/crates/fernknot-controller/tests/changes.rs
@@ -9,7 +9,7 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn given_a_calm_fleet_when_any_registrar_takes_a_version_then_all_have_it_just_as_sent(at: usize) {
+fn given_a_calm_fleet_when_any_controller_takes_a_version_then_all_have_it_just_as_sent(at: usize) {
     let mut fleet = Fleet::three();
     let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
     assert_eq!(fleet.replace(at, 0, &plan(7, "one")), 200);
--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Registrars in memory: their clock, links, disks, callers and listeners.
+//! Controllers in memory: their clock, links, disks, callers and listeners.
 #![allow(dead_code)] // each test file uses its own part
 
 use fernknot::interface::Nanos;
@@ -66,17 +66,17 @@
     /// What each listener has heard.
     pub heard: BTreeMap<u64, VecDeque<ControllerToGateway>>,
     next: u64,
-    /// Words between registrars that were no pulses, so far.
+    /// Words between controllers that were no pulses, so far.
     pub words: u64,
 }
 
 impl Fleet {
-    /// Three registrars of which one may be lost.
+    /// Three controllers of which one may be lost.
     pub fn three() -> Fleet {
         Fleet::new(3, 3, 1)
     }
 
-    /// So many registrars that start for the first time, the first few of them named as seeds, and enough time for
+    /// So many controllers that start for the first time, the first few of them named as seeds, and enough time for
     /// them to find each other.
     pub fn new(count: usize, seeds: usize, losses: usize) -> Fleet {
         Fleet::planted(count, seeds, losses, None)
@@ -104,7 +104,7 @@
         fleet
     }
 
-    /// Starts a registrar on a machine, with whatever is on its disk.
+    /// Starts a controller on a machine, with whatever is on its disk.
     pub fn start(&mut self, at: usize, bootstrap: bool) {
         self.dark.remove(&at);
         self.count += 1;
@@ -248,7 +248,7 @@
         self.ask(at, &format!("POST /-/config/replace HTTP/1.1\r\nBase-Epoch: {base}\r\n"), body)
     }
 
-    /// What a registrar hands out as the newest configuration.
+    /// What a controller hands out as the newest configuration.
     pub fn read(&mut self, at: usize) -> (u16, String) {
         self.get(at, "GET /-/config/read HTTP/1.1\r\n")
     }
@@ -271,7 +271,7 @@
         self.ask(at, &format!("POST /-/nodes/{id}/heartbeat HTTP/1.1\r\n"), &body)
     }
 
-    /// A gateway listens at a registrar; its number.
+    /// A gateway listens at a controller; its number.
     pub fn listen(&mut self, at: usize, share: Subscription, order: u64) -> u64 {
         self.next += 1;
         let (ear, now) = (self.next, self.now);
--- a/crates/fernknot-controller/tests/days.rs
+++ b/crates/fernknot-controller/tests/days.rs
@@ -1,4 +1,4 @@
-//! Whole days by chance: whatever befalls one registrar at a time, what was acknowledged stays.
+//! Whole days by chance: whatever befalls one controller at a time, what was acknowledged stays.
 
 mod common;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Something happens to a registrar, lasts a while, and is over.
+/// Something happens to a controller, lasts a while, and is over.
 fn trouble(fleet: &mut Fleet, chance: &mut Chance, what: u64, at: usize, epochs: &mut Epochs) {
     match what {
         0 => fleet.kill(at),
--- a/crates/fernknot-controller/tests/nodes.rs
+++ b/crates/fernknot-controller/tests/nodes.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn given_listeners_everywhere_when_a_node_says_a_word_at_one_registrar_then_all_hear_it_at_once() {
+fn given_listeners_everywhere_when_a_node_says_a_word_at_one_controller_then_all_hear_it_at_once() {
     let mut fleet = Fleet::three();
     let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
     for (said, heard) in [("ready", NodeState::Ready), ("draining", NodeState::Draining)] {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn given_a_registrar_that_is_cut_off_when_a_node_drains_there_then_it_is_sent_to_another() {
+fn given_a_controller_that_is_cut_off_when_a_node_drains_there_then_it_is_sent_to_another() {
     let mut fleet = Fleet::three();
     assert_eq!(fleet.beat(1, "i-1", "ready", 1), 200);
     fleet.cut_off(1);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn given_a_registrar_that_restarts_when_it_meets_the_others_then_it_knows_the_nodes_again() {
+fn given_a_controller_that_restarts_when_it_meets_the_others_then_it_knows_the_nodes_again() {
     let mut fleet = Fleet::three();
     assert_eq!(fleet.beat(1, "i-1", "ready", 1), 200);
     fleet.run(ms(100));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn given_gateways_at_all_registrars_when_one_leaves_by_order_then_the_next_cut_is_without_it() {
+fn given_gateways_at_all_controllers_when_one_leaves_by_order_then_the_next_cut_is_without_it() {
     let mut fleet = Fleet::three();
     let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
     for _ in 0..8 {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn given_a_registrar_that_is_cut_off_when_a_gateway_starts_then_it_is_told_no_configuration_until_the_others_are_back()
+fn given_a_controller_that_is_cut_off_when_a_gateway_starts_then_it_is_told_no_configuration_until_the_others_are_back()
  {
     let mut fleet = Fleet::three();
     assert_eq!(fleet.replace(1, 0, &plan(4, "one")), 200);
--- a/crates/fernknot-controller/tests/worst_days.rs
+++ b/crates/fernknot-controller/tests/worst_days.rs
@@ -1,4 +1,4 @@
-//! The users' worst days, points 1, 2 and 5: what a registrar says when others may know more than it does.
+//! The users' worst days, points 1, 2 and 5: what a controller says when others may know more than it does.
 
 mod common;
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// Two operators send different bodies under one number to two registrars, and the sequencer is lost so long after.
+/// Two operators send different bodies under one number to two controllers, and the sequencer is lost so long after.
 fn race_at_a_hand_over(after: u64, trouble: u64) {
     let mut fleet = Fleet::three();
     assert_eq!(fleet.replace(1, 0, &plan(5, "one")), 200);
@@ -173,7 +173,7 @@
     assert_eq!(fleet.replace(1, 0, &plan(5, "one")), 200);
     let head = format!("{REPLACE}Base-Epoch: 5\r\n");
     let paths: Vec<String> = (0..8).map(|no| format!("p{no}")).collect();
-    // Each to two registrars, as when its answer was lost.
+    // Each to two controllers, as when its answer was lost.
     let calls: Vec<u64> = (0..16).map(|no| fleet.call(no % 3 + 1, &head, &plan(7, &paths[no % 8]))).collect();
     fleet.run(ms(900));
     let status = |no: usize| fleet.answers[&calls[no]].0;
@@ -232,7 +232,7 @@
     assert!([400, 412].contains(&repeat_after(4, Some(SeededBug::ForgetHistoryEarly))));
 }
 
-/// A registrar hands a call on, ends and comes back at its address while the sequencer has the call in hand. The end
+/// A controller hands a call on, ends and comes back at its address while the sequencer has the call in hand. The end
 /// of that call reaches the new life, which has handed on another one under the same number.
 fn an_end_for_an_earlier_life(plant: Option<SeededBug>) -> (u16, bool) {
     let mut fleet = Fleet::planted(3, 3, 1, plant);
@@ -267,7 +267,7 @@
     assert_eq!(an_end_for_an_earlier_life(Some(SeededBug::AcceptAnyIncarnation)), (200, false));
 }
 
-/// What each call costs a calm fleet of three: milliseconds until its answer, and words between registrars. The lease
+/// What each call costs a calm fleet of three: milliseconds until its answer, and words between controllers. The lease
 /// answered all but changes at once, without a word.
 #[test_case("GET /-/config/read HTTP/1.1\r\n", "", 0, WAY + WAY, 4; "a read")]
 #[test_case("GET /-/readiness HTTP/1.1\r\n", "", 0, WAY + WAY, 4; "readiness")]
--- a/crates/fernknot-distribution/src/registrars.rs
+++ b/crates/fernknot-distribution/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Which registrar a gateway is with, and how it goes to another.
+//! Which controller a gateway is with, and how it goes to another.
 
 use fernknot::interface::Nanos;
 use fernknot_ownership::splitmix64;
@@ -8,7 +8,7 @@
 /// Most doublings of the pause after failed tries.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// A registrar that is known to be there.
+/// A controller that is known to be there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ControllerEndpoint {
     pub addr: SocketAddrV4,
@@ -49,7 +49,7 @@
     }
 
     /// How long one that has not spoken yet is waited for: short at first, `stale` after a few failures. Guards a start
-    /// while the registrar's machine has no power, when the first packet is lost and comes again after a second.
+    /// while the controller's machine has no power, when the first packet is lost and comes again after a second.
     pub fn response_timeout(&self, addr: SocketAddrV4, first: Nanos) -> Nanos {
         let fails = self.by_addr.get(&addr).map_or(0, |(fails, _)| *fails);
         first.times(2f64.powi(fails.min(MAX_DOUBLINGS) as i32)).min(self.base_delay)
--- a/crates/fernknot-distribution/src/homes.rs
+++ b/crates/fernknot-distribution/src/homes.rs
@@ -1,7 +1,7 @@
 //! The state machine of one gateway.
 
+use crate::controllers::{Backoff, ControllerEndpoint};
 use crate::link::{MAX_HOPS, SourceHeartbeat, SourceKind, Subscription, Topic, group_key};
-use crate::registrars::{Backoff, ControllerEndpoint};
 use fernknot::interface::Nanos;
 use fernknot_ownership::{Assignment, GatewayRecord, IncarnationId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,7 +11,7 @@
 const HEARTBEAT_INTERVAL_SHARE: f64 = 1.0 / 15.0;
 /// A teller whose last fresh pulse is older is stale.
 const STALE_AFTER_SHARE: f64 = 1.0 / 6.0;
-/// A home that is well but says that its own registrar is silent gets so long to find another. With the attaching
+/// A home that is well but says that its own controller is silent gets so long to find another. With the attaching
 /// that follows, a home costs its zone less than a third.
 const UNLEASED_RELAY_TIMEOUT_SHARE: f64 = 1.0 / 4.0;
 /// How long an earlier home serves on after a cut, for those who heard of it later.
@@ -130,7 +130,7 @@
         self.incarnation
     }
 
-    /// Time between two pulses of a registrar, as this machine expects them.
+    /// Time between two pulses of a controller, as this machine expects them.
     pub fn heartbeat_interval(apply: Nanos) -> Nanos {
         apply.times(HEARTBEAT_INTERVAL_SHARE)
     }
@@ -153,12 +153,12 @@
         self.needs_update = true;
     }
 
-    /// The registrars there are, as the overlay or a view names them.
-    pub fn set_controllers(&mut self, registrars: &[ControllerEndpoint]) {
+    /// The controllers there are, as the overlay or a view names them.
+    pub fn set_controllers(&mut self, controllers: &[ControllerEndpoint]) {
         let mut known: Vec<ControllerEndpoint> =
-            registrars.iter().take(self.limits.max_controllers).cloned().collect();
+            controllers.iter().take(self.limits.max_controllers).cloned().collect();
         known.sort();
-        known.dedup_by_key(|registrar| registrar.addr);
+        known.dedup_by_key(|controller| controller.addr);
         if known != self.controllers {
             self.controllers = known;
             self.needs_update = true;
@@ -194,8 +194,8 @@
                 }
                 // No cut named this gateway before: nobody counts on it, but the news must not stop.
                 None => {
-                    if let Some(registrar) = self.current_controller {
-                        self.previous_sources.insert(topic, (SourceKind::Controller, registrar, until));
+                    if let Some(controller) = self.current_controller {
+                        self.previous_sources.insert(topic, (SourceKind::Controller, controller, until));
                     }
                 }
             }
@@ -297,12 +297,12 @@
         links.filter(|link| link.leased_since.is_some()).map(|link| now - link.last_leased_at).min()
     }
 
-    /// The registrar this gateway is with, if it needs one.
+    /// The controller this gateway is with, if it needs one.
     pub fn controller(&self) -> Option<SocketAddrV4> {
         self.current_controller
     }
 
-    /// True where this gateway takes the topic from a registrar for others.
+    /// True where this gateway takes the topic from a controller for others.
     pub fn is_relay(&self, topic: &Topic) -> bool {
         self.upstream_by_topic.get(topic) == Some(&None)
             && self.assignment.gateway(self.incarnation).is_some()
--- a/crates/fernknot-distribution/src/link.rs
+++ b/crates/fernknot-distribution/src/link.rs
@@ -47,12 +47,12 @@
 pub struct SourceHeartbeat {
     /// The newest place in the order of configurations that it knows.
     pub revision: u64,
-    /// The version of its registry; compared only among pulses of one registrar.
+    /// The version of its registry; compared only among pulses of one controller.
     pub registry_version: u64,
     pub fencing_token: FencingToken,
-    /// It is in touch with the rest: what it says is new. A home says so only while its registrar does.
+    /// It is in touch with the rest: what it says is new. A home says so only while its controller does.
     pub has_lease: bool,
-    /// How many passed it on since the registrar. One that runs in a circle, where two gateways hold different cuts,
+    /// How many passed it on since the controller. One that runs in a circle, where two gateways hold different cuts,
     /// is soon no pulse of a lease any more.
     pub hops: u8,
 }
--- a/crates/fernknot-distribution/src/plan.rs
+++ b/crates/fernknot-distribution/src/plan.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Topics to be had from a registrar: as their home, as the home until lately, or since the home is stale.
+    /// Topics to be had from a controller: as their home, as the home until lately, or since the home is stale.
     fn topics_from_controller(&self) -> BTreeSet<Topic> {
         let direct = self.upstream_by_topic.iter().filter(|(topic, home)| {
             home.is_none_or(|addr| self.stale_relays.contains(&addr))
@@ -90,8 +90,8 @@
         let settled =
             link(self.current_controller).is_some_and(|link| now - link.last_leased_at <= self.stale_after);
         let zone_of = |addr: SocketAddrV4| {
-            let known = self.controllers.iter().find(|registrar| registrar.addr == addr);
-            known.map(|registrar| registrar.zone.as_str())
+            let known = self.controllers.iter().find(|controller| controller.addr == addr);
+            known.map(|controller| controller.zone.as_str())
         };
         let at_home = self.current_controller.and_then(zone_of) == Some(self.zone.as_str());
         let named = self.current_controller.is_some_and(|addr| zone_of(addr).is_some());
@@ -99,13 +99,13 @@
             return;
         }
         let others =
-            self.controllers.iter().filter(|registrar| Some(registrar.addr) != self.current_controller);
-        let free = others.filter(|registrar| self.backoff.may_retry(now, registrar.addr));
-        // From a registrar that is well, only to one of the own zone; or away from one that is not named any more.
-        let better = free.filter(|registrar| !settled || !named || registrar.zone == self.zone);
+            self.controllers.iter().filter(|controller| Some(controller.addr) != self.current_controller);
+        let free = others.filter(|controller| self.backoff.may_retry(now, controller.addr));
+        // From a controller that is well, only to one of the own zone; or away from one that is not named any more.
+        let better = free.filter(|controller| !settled || !named || controller.zone == self.zone);
         self.candidate_controller = better
-            .min_by_key(|registrar| (registrar.zone != self.zone, self.backoff.rank(registrar.addr)))
-            .map(|registrar| registrar.addr);
+            .min_by_key(|controller| (controller.zone != self.zone, self.backoff.rank(controller.addr)))
+            .map(|controller| controller.addr);
     }
 
     fn desired_subscriptions(&mut self, now: Nanos, direct: &BTreeSet<Topic>) -> DesiredSubscriptions {
@@ -148,7 +148,7 @@
             match self.subscriptions.get_mut(&(what, addr)) {
                 Some(link) if link.topics == topics => continue,
                 Some(link) => link.topics.clone_from(&topics),
-                // A home that was lost is tried again after a pause; a registrar was chosen after its own.
+                // A home that was lost is tried again after a pause; a controller was chosen after its own.
                 None if what == SourceKind::Relay && !self.backoff.may_retry(now, addr) => continue,
                 None => {
                     self.subscriptions.insert((what, addr), Subscription::new(now, topics.clone()));
--- a/crates/fernknot-distribution/tests/common/mod.rs
+++ b/crates/fernknot-distribution/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A few zones of gateways and registrars in memory, on a clock of 10 ms steps.
+//! A few zones of gateways and controllers in memory, on a clock of 10 ms steps.
 
 use fernknot::interface::Nanos;
 use fernknot_distribution::{
@@ -20,7 +20,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 1, (life >> 8) as u8, life as u8), 7120)
 }
 
-pub fn registrar_addr(number: u8) -> SocketAddrV4 {
+pub fn controller_addr(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, number), 8729)
 }
 
@@ -82,7 +82,7 @@
         let mut world = World {
             ms: 0,
             members: BTreeMap::new(),
-            tellers: (0..3).map(|number| (registrar_addr(number), teller(ZONES[number as usize]))).collect(),
+            tellers: (0..3).map(|number| (controller_addr(number), teller(ZONES[number as usize]))).collect(),
             news: topics().into_iter().map(|topic| (topic, 1)).collect(),
             crossings: 0,
             attaches: 0,
--- a/crates/fernknot-distribution/tests/homes.rs
+++ b/crates/fernknot-distribution/tests/homes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{APPLY, World, ZONES, cut, gateway_addr, millis, registrar_addr, topics, zone};
+use common::{APPLY, World, ZONES, controller_addr, cut, gateway_addr, millis, topics, zone};
 use fernknot_distribution::{Action, Relays, RelaysLimits, SourceHeartbeat, SourceKind, Topic};
 use fernknot_ownership::IncarnationId;
 use proptest::prelude::*;
@@ -22,16 +22,16 @@
     for topic in topics() {
         world.change(&topic);
         assert_eq!(world.spread(), Some(0));
-        assert_eq!(world.crossings, 0, "each zone has a registrar of its own");
+        assert_eq!(world.crossings, 0, "each zone has a controller of its own");
     }
     world.run(20_000);
     assert_eq!(world.attaches, before, "nothing is attached anew in calm times");
-    world.tellers.get_mut(&registrar_addr(1)).unwrap().dead = true;
-    world.reset(registrar_addr(1));
+    world.tellers.get_mut(&controller_addr(1)).unwrap().dead = true;
+    world.reset(controller_addr(1));
     world.run(3_000);
     for topic in topics() {
         world.change(&topic);
-        assert_eq!(world.crossings, 1, "into the zone whose registrar is dead");
+        assert_eq!(world.crossings, 1, "into the zone whose controller is dead");
     }
 }
 
@@ -43,19 +43,19 @@
     /// One that passes the home's news on to others of a large zone.
     BetweenHangs,
     BetweenDies,
-    /// The home's registrar is cut off from the rest, and speaks on.
-    RegistrarWithoutLease,
-    RegistrarHangs,
-    RegistrarDies,
+    /// The home's controller is cut off from the rest, and speaks on.
+    ControllerWithoutLease,
+    ControllerHangs,
+    ControllerDies,
 }
 
 #[test_case(Trouble::HomeHangs)]
 #[test_case(Trouble::HomeDies)]
 #[test_case(Trouble::BetweenHangs)]
 #[test_case(Trouble::BetweenDies)]
-#[test_case(Trouble::RegistrarWithoutLease)]
-#[test_case(Trouble::RegistrarHangs)]
-#[test_case(Trouble::RegistrarDies)]
+#[test_case(Trouble::ControllerWithoutLease)]
+#[test_case(Trouble::ControllerHangs)]
+#[test_case(Trouble::ControllerDies)]
 fn given_trouble_when_a_topic_changes_then_all_have_it_within_a_third_of_the_time(trouble: Trouble) {
     let mut world = World::new(0..90);
     let home = world.home("north", &service());
@@ -76,9 +76,9 @@
             world.members.get_mut(&between).unwrap().dead = true;
             world.reset(gateway_addr(between));
         }
-        Trouble::RegistrarWithoutLease => world.tellers.get_mut(&teller).unwrap().lease = false,
-        Trouble::RegistrarHangs => world.tellers.get_mut(&teller).unwrap().silent = true,
-        Trouble::RegistrarDies => {
+        Trouble::ControllerWithoutLease => world.tellers.get_mut(&teller).unwrap().lease = false,
+        Trouble::ControllerHangs => world.tellers.get_mut(&teller).unwrap().silent = true,
+        Trouble::ControllerDies => {
             world.tellers.get_mut(&teller).unwrap().dead = true;
             world.reset(teller);
         }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn given_a_fallen_home_when_it_is_fresh_again_or_a_cut_names_another_then_registrars_are_left_alone() {
+fn given_a_fallen_home_when_it_is_fresh_again_or_a_cut_names_another_then_controllers_are_left_alone() {
     let mut world = World::new(0..24);
     let home = world.home("north", &Topic::Configuration);
     let other = (0..24).find(|life| zone(*life) == "north" && *life != home).unwrap();
@@ -117,17 +117,17 @@
 }
 
 #[test]
-fn given_zones_of_one_gateway_then_each_takes_all_from_the_registrar_of_its_zone_and_no_other() {
+fn given_zones_of_one_gateway_then_each_takes_all_from_the_controller_of_its_zone_and_no_other() {
     let world = World::new(0..3);
     for (life, member) in &world.members {
         let links: Vec<_> = member.links.keys().copied().collect();
-        assert_eq!(links, [(SourceKind::Controller, registrar_addr(*life as u8))]);
+        assert_eq!(links, [(SourceKind::Controller, controller_addr(*life as u8))]);
         assert!(topics().iter().all(|topic| member.homes.is_relay(topic)));
     }
 }
 
 #[test]
-fn given_no_registrar_with_a_lease_when_one_has_it_again_then_all_hear_of_it_soon_and_tries_were_few() {
+fn given_no_controller_with_a_lease_when_one_has_it_again_then_all_hear_of_it_soon_and_tries_were_few() {
     let mut world = World::new(0..24);
     world.tellers.values_mut().for_each(|teller| teller.lease = false);
     world.run(2_000);
@@ -135,16 +135,16 @@
     world.run(30_000);
     let rate = (world.attaches - before) as f64 / 30.0 / 24.0;
     assert!(rate < 2.0, "{rate} tries a second and gateway");
-    world.tellers.get_mut(&registrar_addr(2)).unwrap().lease = true;
+    world.tellers.get_mut(&controller_addr(2)).unwrap().lease = true;
     world.change(&service());
     let took = world.spread();
     assert!(took.is_some_and(|ms| ms <= 9_000), "{took:?}");
 }
 
 #[test]
-fn given_a_registrar_without_power_when_a_gateway_starts_there_then_another_is_asked_before_it_is_stale() {
+fn given_a_controller_without_power_when_a_gateway_starts_there_then_another_is_asked_before_it_is_stale() {
     let mut world = World::new(0..3);
-    let home = registrar_addr((0..3).position(|at| ZONES[at] == zone(6)).unwrap() as u8);
+    let home = controller_addr((0..3).position(|at| ZONES[at] == zone(6)).unwrap() as u8);
     world.tellers.get_mut(&home).unwrap().silent = true;
     world.start(6);
     world.run(APPLY.0 / 1_000_000 / 10);
@@ -170,7 +170,7 @@
 }
 
 /// Two gateways that hold different cuts may each take the other for the home: a pulse must not run between them for
-/// ever, as if a registrar were in touch.
+/// ever, as if a controller were in touch.
 #[test]
 fn given_a_pulse_that_runs_in_a_circle_when_passed_on_again_and_again_then_it_is_soon_none_of_a_lease() {
     let mut pair =
@@ -199,7 +199,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
-    /// Any run of hangs, deaths, cut-off registrars and cuts: once there is one registrar with a lease and a cut of
+    /// Any run of hangs, deaths, cut-off controllers and cuts: once there is one controller with a lease and a cut of
     /// those who live, all of them have all news soon, and each takes every topic somewhere.
     #[test]
     fn whatever_happened_when_it_is_calm_again_then_all_news_reaches_all(
@@ -208,7 +208,7 @@
         let mut world = World::new(0..12);
         let mut count = 1;
         for (what, which, tens) in events {
-            let teller = registrar_addr(which as u8 % 3);
+            let teller = controller_addr(which as u8 % 3);
             match what {
                 0 => { let member = world.members.get_mut(&which).unwrap(); member.silent = !member.silent; }
                 1 => {
--- a/crates/fernknot-gateway/src/gateway.rs
+++ b/crates/fernknot-gateway/src/gateway.rs
@@ -241,7 +241,7 @@
         }
     }
 
-    /// The settings name these registrars now, at their inner addresses.
+    /// The settings name these controllers now, at their inner addresses.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.update_relay.add_controllers(seeds);
         self.peer_sampling.set_seeds(seeds);
@@ -611,7 +611,7 @@
         }
         let apply = Nanos::from_millis(self.settings.bounds.apply_ms);
         if self.update_relay.config_age(now).is_none_or(|ago| ago > apply) {
-            // Registrars that no seed and no pulse names any more are found through neighbours, or by settings
+            // Controllers that no seed and no pulse names any more are found through neighbours, or by settings
             // that changed without a word.
             self.update_relay.add_controllers(&self.peer_sampling.candidate_controllers());
             if now >= self.next_reload_at {
@@ -659,7 +659,7 @@
     SocketAddrV4::new(facts.ip, facts.port_range.0)
 }
 
-/// The inner addresses of the registrars that the settings name.
+/// The inner addresses of the controllers that the settings name.
 pub fn controller_seeds(facts: &ProcessSettings) -> Vec<SocketAddrV4> {
     facts.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), facts.port_range.0 + 1)).collect()
 }
--- a/crates/fernknot-gateway/src/lib.rs
+++ b/crates/fernknot-gateway/src/lib.rs
@@ -3,7 +3,7 @@
 //! A [`Gateway`] has no socket, clock, signal or file: the program's host ([`host`]) or a simulation feeds it what
 //! happens to its connections, with a time, lends it its ports ([`fernknot_net::Ports`]), and asks it when it
 //! wants to be called again. What is on its connections are bytes: HTTP with clients and nodes, the words of
-//! `fernknot-rpc` with registrars and other gateways.
+//! `fernknot-rpc` with controllers and other gateways.
 //!
 //! In `gateway` its clients' side and its nodes' side stand apart (`downstream`, `upstream`); `clients` and `lines`
 //! hold the connections of either, `asks` the requests in hand, `routes` the configuration, `news` the streams by which
--- a/crates/fernknot-gateway/src/news.rs
+++ b/crates/fernknot-gateway/src/news.rs
@@ -1,4 +1,4 @@
-//! Streams of news: from a registrar or the home in the zone, and on to those that subscribe here. Whom to
+//! Streams of news: from a controller or the home in the zone, and on to those that subscribe here. Whom to
 //! listen to is what `fernknot-distribution` says; here are the connections and the words.
 
 use fernknot::interface::Nanos;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Registrars that others told of.
+    /// Controllers that others told of.
     pub fn add_controllers(&mut self, addrs: &[SocketAddrV4]) {
         addrs.iter().for_each(|addr| _ = self.controllers.entry(*addr).or_default());
         self.relays.set_controllers(&controller_list(&self.controllers));
@@ -348,7 +348,7 @@
                 holds_lease: lease,
                 hops,
                 fencing_token: fence,
-                controllers: registrars,
+                controllers,
             } => {
                 let pulse = SourceHeartbeat {
                     revision: order,
@@ -361,9 +361,9 @@
                 if lease {
                     self.last_heartbeat_from = teller;
                     self.owned_keys.confirm(now, FencingToken(fence));
-                    if !registrars.is_empty() {
+                    if !controllers.is_empty() {
                         self.controllers =
-                            registrars.into_iter().map(|told| (told.addr, told.zone)).collect();
+                            controllers.into_iter().map(|told| (told.addr, told.zone)).collect();
                         self.relays.set_controllers(&controller_list(&self.controllers));
                     }
                     news.push(Update::SourceHealthy);
@@ -455,7 +455,7 @@
                 news.push(Update::OperatorQuestion { connection: berth, question })
             }
             GatewayToController::ForceView { .. } => {
-                let why = "a gateway is in no view; order it at a registrar";
+                let why = "a gateway is in no view; order it at a controller";
                 self.send(ports, berth, &ControllerToGateway::ForceViewResult(Err(why.into())));
             }
             GatewayToController::Peer(_) => {}
@@ -487,7 +487,7 @@
             }
             _ => {
                 for (addr, zone) in &self.controllers {
-                    text += &format!("registrar {addr} {zone}\n");
+                    text += &format!("controller {addr} {zone}\n");
                 }
             }
         }
@@ -502,14 +502,14 @@
     fn heartbeat_message(&self, pulse: SourceHeartbeat) -> ControllerToGateway {
         let SourceHeartbeat { revision: order, has_lease: lease, hops, fencing_token: fence, .. } = pulse;
         let told = |(addr, zone): (&SocketAddrV4, &String)| Told { addr: *addr, zone: zone.clone() };
-        let registrars = self.controllers.iter().map(told).collect();
+        let controllers = self.controllers.iter().map(told).collect();
         ControllerToGateway::Heartbeat {
             sender: self.last_heartbeat_from,
             revision: order,
             holds_lease: lease,
             hops,
             fencing_token: fence.0,
-            controllers: registrars,
+            controllers: controllers,
         }
     }
 
--- a/crates/fernknot-gateway/tests/callers.rs
+++ b/crates/fernknot-gateway/tests/callers.rs
@@ -1,4 +1,4 @@
-//! One gateway among simulated clients, nodes and a registrar, from one seed each: what is told to whom, and what
+//! One gateway among simulated clients, nodes and a controller, from one seed each: what is told to whom, and what
 //! runs how often. `FERNKNOT_SEEDS` sets how many seeds are played, `FERNKNOT_SEED` plays one and prints its log.
 
 mod stage;
--- a/crates/fernknot-gateway/tests/stage/registrar.rs
+++ b/crates/fernknot-gateway/tests/stage/controller.rs
@@ -1,4 +1,4 @@
-//! A registrar as a gateway hears it: cuts, configurations, nodes and pulses.
+//! A controller as a gateway hears it: cuts, configurations, nodes and pulses.
 
 use super::{Due, Mark, REGISTRAR, SENDING, SETTLING, Stage, addr};
 use fernknot::interface::Nanos;
@@ -41,7 +41,7 @@
         self.sends(berth, out.data().to_vec(), mark);
     }
 
-    pub fn registrar_gets(&mut self, berth: ConnectionId, bytes: &[u8]) {
+    pub fn controller_gets(&mut self, berth: ConnectionId, bytes: &[u8]) {
         self.teller.ears.entry(berth).or_default().input.push(bytes);
         loop {
             let Some(ear) = self.teller.ears.get_mut(&berth) else { return };
@@ -78,7 +78,7 @@
     }
 
     fn tell_pulse(&mut self, berth: ConnectionId) {
-        let registrars = vec![ControllerEndpoint { addr: addr(REGISTRAR), zone: "north".into() }];
+        let controllers = vec![ControllerEndpoint { addr: addr(REGISTRAR), zone: "north".into() }];
         let fence = FencingToken::new(1, self.teller.fence as u32).0;
         let order = self.plans.len() as u64;
         let pulse = ControllerToGateway::Heartbeat {
@@ -87,7 +87,7 @@
             holds_lease: true,
             hops: 0,
             fencing_token: fence,
-            controllers: registrars,
+            controllers: controllers,
         };
         self.tells(berth, &pulse, None);
     }
--- a/crates/fernknot-gateway/tests/stage/mod.rs
+++ b/crates/fernknot-gateway/tests/stage/mod.rs
@@ -1,16 +1,17 @@
-//! One gateway of the real code among simulated clients, nodes and a registrar, at the level of bytes, in simulated
+//! One gateway of the real code among simulated clients, nodes and a controller, at the level of bytes, in simulated
 //! time, from one seed.
 
 mod chance;
 mod checker;
 mod clients;
+mod controller;
 mod nodes;
 mod plans;
-mod registrar;
 
 use chance::Chance;
 use checker::{Checker, Seen};
 use clients::Client;
+use controller::Teller;
 use fernknot::interface::Nanos;
 use fernknot_gateway::{Gateway, ListenerIds, SeededBug};
 use fernknot_net::{ConnectionId, Event, NetError};
@@ -18,7 +19,6 @@
 use fernknot_simulator::ports::{PortAction, SimulatedPorts};
 use fernknot_simulator::wire;
 use nodes::{Host, Job};
-use registrar::Teller;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::SocketAddrV4;
@@ -47,7 +47,7 @@
 enum Side {
     Client(usize),
     Host(usize),
-    Registrar,
+    Controller,
 }
 
 /// What reaches the gateway on one connection.
@@ -161,7 +161,7 @@
         "limits": {{"memory_mb": {memory_mb}, "fd_limit": 4100}}, "beat_ms": 100,
         "bounds": {{"apply_ms": {}, "contact_ms": 400, "grace_s": 2.0, "drain_cutoff_ms": 400,
                     "retry_ratio": 0.5, "retry_window_s": 0.8, "retry_slack": 30}}}}"#,
-        registrar::APPLY_MS
+        controller::APPLY_MS
     );
     ProcessSettings::parse(text.as_bytes()).map_err(|faults| faults[0].path.clone()).unwrap()
 }
@@ -281,13 +281,13 @@
                 Due::Gets(berth, bytes) => match self.sides.get(&berth).copied() {
                     Some(Side::Client(client)) => self.client_gets(client, berth, &bytes),
                     Some(Side::Host(host)) => self.node_gets(host, berth, &bytes),
-                    Some(Side::Registrar) => self.registrar_gets(berth, &bytes),
+                    Some(Side::Controller) => self.controller_gets(berth, &bytes),
                     None => {}
                 },
                 Due::SeesEnd(berth) => match self.sides.get(&berth).copied() {
                     Some(Side::Client(client)) => self.client_sees_end(client, berth),
                     Some(Side::Host(host)) => self.node_sees_end(host, berth),
-                    Some(Side::Registrar) => self.teller.gone(berth),
+                    Some(Side::Controller) => self.teller.gone(berth),
                     None => {}
                 },
                 Due::Client(client) => self.client_acts(client),
@@ -417,7 +417,7 @@
             _ => self.chance.millis(0.2, 4.0),
         };
         let arrival = if to == addr(REGISTRAR) {
-            self.sides.insert(berth, Side::Registrar);
+            self.sides.insert(berth, Side::Controller);
             Some(Arrival::Up)
         } else if let Some(host) = self.hosts.iter().position(|host| host.addr == to && host.up) {
             self.sides.insert(berth, Side::Host(host));
--- a/crates/fernknot-gateway/tests/stage/nodes.rs
+++ b/crates/fernknot-gateway/tests/stage/nodes.rs
@@ -55,7 +55,7 @@
     Start(Box<Message>),
     Finish(Box<Message>),
     Surplus(Vec<u8>),
-    /// Words about this life reach the registrar.
+    /// Words about this life reach the controller.
     Told(Vec<NodeRecord>),
     Goes,
 }
--- a/crates/fernknot-gateway/tests/stories/mod.rs
+++ b/crates/fernknot-gateway/tests/stories/mod.rs
@@ -26,7 +26,7 @@
     gateway: Gateway,
     ports: SimulatedPorts,
     doors: ListenerIds,
-    registrar: ConnectionId,
+    controller: ConnectionId,
     /// Connections to the node that were begun, oldest first.
     lines: Vec<ConnectionId>,
     closed: Vec<ConnectionId>,
@@ -63,8 +63,8 @@
         let doors = ListenerIds { front: ports.new_id(), ready: ports.new_id(), inner: ports.new_id() };
         let gateway = Gateway::new(facts(memory_mb), doors, 7).unwrap();
         let (lines, closed) = (Vec::new(), Vec::new());
-        let registrar = ConnectionId(0);
-        let mut story = Story { now: Nanos(0), gateway, ports, doors, registrar, lines, closed, order: 0 };
+        let controller = ConnectionId(0);
+        let mut story = Story { now: Nanos(0), gateway, ports, doors, controller, lines, closed, order: 0 };
         story.turn(Vec::new());
         story.tells(&ControllerToGateway::Assignment(Assignment::default()));
         story.tells(&ControllerToGateway::NodeUpdates(vec![node("lone", NodeState::Ready)]));
@@ -74,10 +74,10 @@
         story
     }
 
-    /// The registrar is well, and says so.
+    /// The controller is well, and says so.
     pub fn pulses(&mut self) {
         let addr = REGISTRAR.parse().unwrap();
-        let registrars = vec![ControllerEndpoint { addr, zone: "north".into() }];
+        let controllers = vec![ControllerEndpoint { addr, zone: "north".into() }];
         let order = self.order;
         self.tells(&ControllerToGateway::Heartbeat {
             sender: 1,
@@ -85,7 +85,7 @@
             holds_lease: true,
             hops: 0,
             fencing_token: 0,
-            controllers: registrars,
+            controllers: controllers,
         });
     }
 
@@ -98,14 +98,14 @@
         }
     }
 
-    /// The stream of the registrar breaks, and it tells anew all that it knows of nodes.
+    /// The stream of the controller breaks, and it tells anew all that it knows of nodes.
     pub fn hears_anew(&mut self, nodes: Vec<NodeRecord>) {
-        let berth = self.registrar;
+        let berth = self.controller;
         self.ports.connections.remove(&berth);
         let (peer, why) = (REGISTRAR.parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
         let why = NetError { step: "read from", peer, why };
         self.turn(vec![Event::Closed { connection: berth, was_open: true, error: why }]);
-        while self.registrar == berth {
+        while self.controller == berth {
             self.waits(TURN);
         }
         self.tells(&ControllerToGateway::NodeUpdates(nodes));
@@ -113,10 +113,10 @@
         self.pulses();
     }
 
-    /// The registrar says this.
+    /// The controller says this.
     pub fn tells(&mut self, word: &ControllerToGateway) {
-        write_message(&mut self.ports.connections.get_mut(&self.registrar).unwrap().input, word);
-        let berth = self.registrar;
+        write_message(&mut self.ports.connections.get_mut(&self.controller).unwrap().input, word);
+        let berth = self.controller;
         self.turn(vec![Event::Received { connection: berth }]);
     }
 
@@ -135,7 +135,7 @@
         for did in std::mem::take(&mut self.ports.actions) {
             match did {
                 PortAction::Connect(berth, to) if to == REGISTRAR.parse().unwrap() => {
-                    self.registrar = berth;
+                    self.controller = berth;
                     self.ports.connections.get_mut(&berth).unwrap().is_open = true;
                 }
                 PortAction::Connect(berth, _) => self.lines.push(berth),
--- a/crates/fernknot-ownership/src/holder.rs
+++ b/crates/fernknot-ownership/src/holder.rs
@@ -116,7 +116,7 @@
         &self.assignment
     }
 
-    /// A cut came, from a registrar or by way of a home.
+    /// A cut came, from a controller or by way of a home.
     pub fn apply(&mut self, now: Nanos, cut: Assignment) -> ApplyOutcome {
         if cut.fencing_token <= self.assignment.fencing_token {
             return if cut.fencing_token == self.assignment.fencing_token {
@@ -148,7 +148,7 @@
         ApplyOutcome::Applied
     }
 
-    /// One who is in touch with the registrars says that this is the newest fence.
+    /// One who is in touch with the controllers says that this is the newest fence.
     pub fn confirm(&mut self, now: Nanos, fence: FencingToken) {
         if fence != self.assignment.fencing_token || fence == FencingToken::default() {
             return;
--- a/crates/fernknot-ownership/src/keeper.rs
+++ b/crates/fernknot-ownership/src/keeper.rs
@@ -1,4 +1,4 @@
-//! A registrar's view of which gateways live; the sequencer makes the cuts from it.
+//! A controller's view of which gateways live; the sequencer makes the cuts from it.
 
 use crate::cut::{Assignment, FencingToken, GatewayRecord, IncarnationId};
 use fernknot::interface::Nanos;
@@ -10,10 +10,10 @@
 const HEARTBEATS_TO_BATCH_CHANGES: f64 = 0.25;
 /// Least time between two cuts, in beats.
 const MIN_HEARTBEATS_BETWEEN_ASSIGNMENTS: f64 = 0.5;
-/// After a start or a gap of its own, a registrar listens for so many beats before it makes a cut.
+/// After a start or a gap of its own, a controller listens for so many beats before it makes a cut.
 const HEARTBEATS_BEFORE_FIRST_ASSIGNMENT: f64 = 2.0;
 
-/// What a registrar may hold.
+/// What a controller may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct AssignerSettings {
     /// Gateways known at once.
@@ -39,11 +39,11 @@
 struct KnownGateway {
     record: GatewayRecord,
     last_heartbeat_at: Nanos,
-    /// Heard here since the other registrars were last told.
+    /// Heard here since the other controllers were last told.
     unreported: bool,
 }
 
-/// Which gateways live, by their beats here and at other registrars.
+/// Which gateways live, by their beats here and at other controllers.
 #[derive(Clone, Debug)]
 pub struct Assigner {
     heartbeat_interval: Nanos,
@@ -55,7 +55,7 @@
     changed_since: Option<Nanos>,
     assigned_at: Option<Nanos>,
     latest: Assignment,
-    /// Counted by the last cut of another registrar, and until when that is the least.
+    /// Counted by the last cut of another controller, and until when that is the least.
     presumed_alive_floor: (u32, Nanos),
     now: Nanos,
 }
@@ -87,14 +87,14 @@
         taken
     }
 
-    /// Another registrar told of gateways whose beats it hears.
+    /// Another controller told of gateways whose beats it hears.
     pub fn merge_reported(&mut self, now: Nanos, gateways: &[GatewayRecord]) {
         for gateway in gateways {
             self.merge_one(now, gateway.clone());
         }
     }
 
-    /// Another registrar hears beats of these lives. Returns those that are not known here: to be asked for.
+    /// Another controller hears beats of these lives. Returns those that are not known here: to be asked for.
     pub fn record_peer_heartbeats(&mut self, now: Nanos, lives: &[IncarnationId]) -> Vec<IncarnationId> {
         self.advance_clock(now);
         let mut unknown = Vec::new();
@@ -125,7 +125,7 @@
         lives.iter().filter_map(|life| self.gateways.get(life)).map(|known| known.record.clone()).collect()
     }
 
-    /// A gateway stops as planned; also told on by other registrars.
+    /// A gateway stops as planned; also told on by other controllers.
     pub fn record_shutdown(&mut self, now: Nanos, life: IncarnationId) {
         self.advance_clock(now);
         self.gateways.remove(&life);
@@ -149,7 +149,7 @@
         (self.gateways.len() + self.shut_down.len()).max(floor)
     }
 
-    /// A cut was made by another registrar, or before a restart: fences go on from it, and who lives by it does so
+    /// A cut was made by another controller, or before a restart: fences go on from it, and who lives by it does so
     /// here until found silent.
     pub fn learn_assignment(&mut self, now: Nanos, cut: &Assignment) {
         self.advance_clock(now);
@@ -170,7 +170,7 @@
         &self.latest
     }
 
-    /// A new cut, if this registrar is the sequencer of the view and who lives differs from the last cut, or the last
+    /// A new cut, if this controller is the sequencer of the view and who lives differs from the last cut, or the last
     /// one is of an earlier view.
     pub fn reassign(&mut self, now: Nanos, view: u32, is_sequencer: bool) -> Option<Assignment> {
         self.advance_clock(now);
--- a/crates/fernknot-ownership/src/lib.rs
+++ b/crates/fernknot-ownership/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Cut`] says which gateways live; it gives every key one holder by rendezvous hashing, so that a change of one
 //! gateway moves only the keys of that one. Cuts stand under a [`Fence`] that rises, also over changes of the view.
-//! Registrars make them ([`Keeper`]); gateways take them and hand over ([`Holder`]). The ways weighed are in
+//! Controllers make them ([`Keeper`]); gateways take them and hand over ([`Holder`]). The ways weighed are in
 //! `docs/news.md`.
 
 mod cut;
--- a/crates/fernknot-ownership/tests/duties.rs
+++ b/crates/fernknot-ownership/tests/duties.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn given_a_registrar_that_was_frozen_when_it_wakes_then_it_takes_nobody_for_lost() {
+fn given_a_controller_that_was_frozen_when_it_wakes_then_it_takes_nobody_for_lost() {
     let mut keeper = keeper();
     (0..5).for_each(|life| assert!(keeper.record_heartbeat(at(0.0), gateway(life))));
     keeper.reassign(at(0.0), 1, true);
--- a/crates/fernknot-peer-sampling/src/overlay.rs
+++ b/crates/fernknot-peer-sampling/src/overlay.rs
@@ -7,11 +7,11 @@
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddrV4;
 
-/// A registrar of which nobody heard for so many periods is dropped, unless no other is known.
+/// A controller of which nobody heard for so many periods is dropped, unless no other is known.
 const EXPIRY_PERIODS: u32 = 40;
-/// An unanswered shuffle, or a failed connection, ages a registrar by so many periods.
+/// An unanswered shuffle, or a failed connection, ages a controller by so many periods.
 const FAILURE_AGING_PERIODS: u32 = 10;
-/// Registrars told with each shuffle.
+/// Controllers told with each shuffle.
 const CONTROLLERS_PER_SHUFFLE: usize = 3;
 /// How often the oldest of the own zone is asked instead of the oldest of all: bytes between zones are dear.
 const OWN_ZONE_PROBABILITY: f64 = 0.5;
@@ -31,7 +31,7 @@
     pub view_size: usize,
     /// Entries of it that are told with a shuffle.
     pub sample_size: usize,
-    /// Registrars kept besides.
+    /// Controllers kept besides.
     pub max_controllers: usize,
     /// Addresses from the settings that are remembered, the newest first.
     pub max_seeds: usize,
@@ -135,7 +135,7 @@
         peers
     }
 
-    /// Addresses where a registrar may answer, the likeliest first: known ones, then every seed ever told.
+    /// Addresses where a controller may answer, the likeliest first: known ones, then every seed ever told.
     pub fn controller_candidates(&self) -> Vec<SocketAddrV4> {
         let mut places: Vec<SocketAddrV4> =
             self.peers(Role::Controller, None).into_iter().map(|entry| entry.addr).collect();
@@ -254,7 +254,7 @@
         oldest.or(self.controllers.first()).map(|entry| entry.addr)
     }
 
-    /// This process, a few of the view and a few registrars.
+    /// This process, a few of the view and a few controllers.
     fn draw_sample(&mut self, to: SocketAddrV4) -> Vec<PeerDescriptor> {
         let mut sample = vec![self.own_descriptor.clone()];
         let mut others: Vec<PeerDescriptor> =
@@ -262,14 +262,14 @@
         others.shuffle(&mut self.rng);
         others.truncate(self.settings.sample_size);
         sample.extend(others);
-        let mut registrars: Vec<PeerDescriptor> = self
+        let mut controllers: Vec<PeerDescriptor> = self
             .controllers
             .iter()
             .filter(|entry| entry.addr != to && entry.age_ms < self.periods_as_age_ms(EXPIRY_PERIODS) / 2)
             .cloned()
             .collect();
-        registrars.shuffle(&mut self.rng);
-        for entry in registrars.into_iter().take(CONTROLLERS_PER_SHUFFLE) {
+        controllers.shuffle(&mut self.rng);
+        for entry in controllers.into_iter().take(CONTROLLERS_PER_SHUFFLE) {
             if sample.iter().all(|told| told.addr != entry.addr) {
                 sample.push(entry);
             }
--- a/crates/fernknot-peer-sampling/tests/common/mod.rs
+++ b/crates/fernknot-peer-sampling/tests/common/mod.rs
@@ -19,11 +19,11 @@
 }
 
 impl World {
-    /// Registrars have the first numbers.
-    pub fn new(registrars: u32, gateways: u32, seeds: &[u32]) -> World {
+    /// Controllers have the first numbers.
+    pub fn new(controllers: u32, gateways: u32, seeds: &[u32]) -> World {
         let mut world = World { now: Nanos(0), alive: BTreeMap::new(), longest: 0 };
-        for number in 0..registrars + gateways {
-            world.start(number, if number < registrars { Role::Controller } else { Role::Gateway }, seeds);
+        for number in 0..controllers + gateways {
+            world.start(number, if number < controllers { Role::Controller } else { Role::Gateway }, seeds);
         }
         world
     }
--- a/crates/fernknot-peer-sampling/tests/overlay.rs
+++ b/crates/fernknot-peer-sampling/tests/overlay.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn given_300_processes_when_all_seeds_die_then_everyone_keeps_finding_a_live_registrar() {
+fn given_300_processes_when_all_seeds_die_then_everyone_keeps_finding_a_live_controller() {
     let mut world = World::new(6, 294, &[0, 1, 2]);
     world.run(15);
     (0..3).for_each(|seed| drop(world.alive.remove(&seed)));
@@ -16,14 +16,17 @@
         world.run(2);
         for (number, overlay) in &world.alive {
             let known = overlay.peers(Role::Controller, None);
-            assert!(known.iter().any(|entry| world.is_alive(entry.addr)), "{number} knows no live registrar");
+            assert!(
+                known.iter().any(|entry| world.is_alive(entry.addr)),
+                "{number} knows no live controller"
+            );
         }
     }
     for (number, overlay) in &world.alive {
         let known = overlay.known_processes();
         assert!(known.iter().all(|entry| world.is_alive(entry.addr)), "{number} still knows a dead one");
-        let registrars = overlay.peers(Role::Controller, None).len();
-        assert!(registrars >= 2, "{number} knows {registrars} of 3");
+        let controllers = overlay.peers(Role::Controller, None).len();
+        assert!(controllers >= 2, "{number} knows {controllers} of 3");
         for zone in ZONES {
             assert!(known.iter().any(|entry| entry.zone == zone), "{number} knows nobody in {zone}");
         }
@@ -50,7 +53,7 @@
 }
 
 #[test]
-fn given_registrars_replaced_one_by_one_when_newcomers_know_one_of_those_before_then_all_are_found() {
+fn given_controllers_replaced_one_by_one_when_newcomers_know_one_of_those_before_then_all_are_found() {
     let mut world = World::new(3, 87, &[0, 1, 2]);
     world.run(15);
     for step in 0..6 {
@@ -97,9 +100,9 @@
         let bounds = PeerSamplerSettings::default();
         let mut overlay = PeerSampler::new(me, &[addr(1)], PERIOD, bounds, 7);
         for (at, chunk) in told.chunks(9).enumerate() {
-            let sample: Vec<PeerDescriptor> = chunk.iter().map(|&(number, registrar, zone, life, age, _)| PeerDescriptor {
+            let sample: Vec<PeerDescriptor> = chunk.iter().map(|&(number, controller, zone, life, age, _)| PeerDescriptor {
                 addr: addr(number),
-                role: if registrar { Role::Controller } else { Role::Gateway },
+                role: if controller { Role::Controller } else { Role::Gateway },
                 zone: ["north", "south", "east", "a zone that is new"][zone].into(),
                 incarnation: life,
                 age_ms: age,
--- a/crates/fernknot-registry/src/fact.rs
+++ b/crates/fernknot-registry/src/fact.rs
@@ -6,7 +6,7 @@
 /// The hash of a life's id, short enough to be told with every beat.
 pub type IncarnationHash = u64;
 
-/// The hash by which registrars tell each other of a life (FNV-1a, 64 bits).
+/// The hash by which controllers tell each other of a life (FNV-1a, 64 bits).
 pub fn incarnation_hash(id: &str) -> IncarnationHash {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ byte as u64).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/fernknot-registry/src/lib.rs
+++ b/crates/fernknot-registry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Nodes as their beats tell, without I/O or clock.
 //!
-//! A registrar holds one [`Registry`]: soft state that beats and other registrars fill, and that is empty after a
-//! restart. A gateway holds one [`Pool`]: what registrars, or the home of its zone, told it. Both join what they
+//! A controller holds one [`Registry`]: soft state that beats and other controllers fill, and that is empty after a
+//! restart. A gateway holds one [`Pool`]: what controllers, or the home of its zone, told it. Both join what they
 //! hear by the same rule ([`NodeFact::join`]), so that the order in which it comes doesn't matter. The ways weighed
 //! are in `docs/news.md`.
 
--- a/crates/fernknot-registry/src/pool.rs
+++ b/crates/fernknot-registry/src/pool.rs
@@ -87,7 +87,7 @@
     }
 
     /// A teller that began at a mark has told all of some services, or of all. Lives of these that nobody named since
-    /// stay: a registrar that has just restarted names few. They are dropped only if well tellers don't name them for
+    /// stay: a controller that has just restarted names few. They are dropped only if well tellers don't name them for
     /// long.
     pub fn finish_snapshot(&mut self, since: u64, services: Option<&[String]>) {
         for held in self.entries.values_mut() {
@@ -160,7 +160,7 @@
         self.by_service.keys().map(String::as_str)
     }
 
-    /// Everything held, to tell another: a registrar that has just restarted, or a gateway of this zone.
+    /// Everything held, to tell another: a controller that has just restarted, or a gateway of this zone.
     pub fn records(&self) -> impl Iterator<Item = &NodeRecord> {
         self.entries.values().map(|held| &held.record)
     }
--- a/crates/fernknot-registry/src/registry.rs
+++ b/crates/fernknot-registry/src/registry.rs
@@ -1,4 +1,4 @@
-//! A registrar's list of nodes.
+//! A controller's list of nodes.
 
 use crate::fact::{IncarnationHash, NodeRecord, NodeState, incarnation_hash};
 use fernknot::interface::Nanos;
@@ -12,7 +12,7 @@
 /// Longest name of a life, a service or a zone, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// What a registrar may hold.
+/// What a controller may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
     /// Lives known at once, those that are out included.
@@ -65,7 +65,7 @@
     unreported: bool,
 }
 
-/// Nodes as their beats tell; soft, and refilled by beats and by other registrars after a restart.
+/// Nodes as their beats tell; soft, and refilled by beats and by other controllers after a restart.
 #[derive(Clone, Debug)]
 pub struct Registry {
     heartbeat_interval: Nanos,
@@ -137,7 +137,7 @@
         noted
     }
 
-    /// A node said that it is out (deregister). Remembered also where the life was not known here: another registrar
+    /// A node said that it is out (deregister). Remembered also where the life was not known here: another controller
     /// may tell of it later.
     pub fn deregister(&mut self, now: Nanos, id: &str) -> CallOutcome {
         self.advance_clock(now);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Another registrar, or a gateway, told what it knows. Returns how many lives differ now.
+    /// Another controller, or a gateway, told what it knows. Returns how many lives differ now.
     pub fn merge_reported(&mut self, now: Nanos, facts: &[NodeRecord]) -> usize {
         self.advance_clock(now);
         // Ends first: an address is free for the life that follows in the same telling.
@@ -189,7 +189,7 @@
         }
         let changed = self.merge(&fact.id, fact);
         if let Some(life) = self.incarnations.get_mut(&fact.id) {
-            // Only a beat not known here is a sign of life: else two registrars keep the dead alive between them.
+            // Only a beat not known here is a sign of life: else two controllers keep the dead alive between them.
             if fact.sequence > known_seq && fact.is_up() {
                 life.last_heartbeat_at = self.now;
             }
@@ -204,7 +204,7 @@
         changed
     }
 
-    /// Another registrar hears beats of these lives: they don't expire here. Returns those that are not known here, or
+    /// Another controller hears beats of these lives: they don't expire here. Returns those that are not known here, or
     /// thought lost: their facts are to be asked for.
     pub fn record_peer_heartbeats(&mut self, now: Nanos, hashes: &[IncarnationHash]) -> Vec<IncarnationHash> {
         self.advance_clock(now);
@@ -219,7 +219,7 @@
         unknown
     }
 
-    /// Lives whose beats came here since the last call, to be told to the other registrars.
+    /// Lives whose beats came here since the last call, to be told to the other controllers.
     pub fn take_unreported(&mut self, now: Nanos) -> Vec<IncarnationHash> {
         self.advance_clock(now);
         let fresh = std::mem::take(&mut self.unreported);
@@ -241,7 +241,7 @@
     }
 
     /// This process was frozen or cut off: what it has not heard says nothing. All lives get a full span again. To be
-    /// called after a jump of the steady clock, and as long as the other registrars are out of reach.
+    /// called after a jump of the steady clock, and as long as the other controllers are out of reach.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.advance_clock(now);
         for life in self.incarnations.values_mut() {
--- a/crates/fernknot-registry/tests/registry.rs
+++ b/crates/fernknot-registry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What a registrar knows of nodes, and what a gateway takes of it.
+//! What a controller knows of nodes, and what a gateway takes of it.
 
 mod common;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn given_a_deregistered_life_when_a_late_beat_or_another_registrar_names_it_then_it_stays_gone() {
+fn given_a_deregistered_life_when_a_late_beat_or_another_controller_names_it_then_it_stays_gone() {
     let mut registry = registry();
     registry.record_heartbeat(at(0.0), fact("a", 1, Ready, 1));
     assert_eq!(registry.deregister(at(0.5), "a"), CallOutcome::Changed);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn given_a_registrar_that_was_frozen_when_it_wakes_then_all_lives_get_a_full_span_again() {
+fn given_a_controller_that_was_frozen_when_it_wakes_then_all_lives_get_a_full_span_again() {
     let mut registry = registry();
     registry.record_heartbeat(at(0.0), fact("a", 1, Ready, 1));
     registry.reset_liveness(at(20.0));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn given_beats_at_another_registrar_when_it_says_so_then_they_hold_here_and_unknown_ones_are_asked_for() {
+fn given_beats_at_another_controller_when_it_says_so_then_they_hold_here_and_unknown_ones_are_asked_for() {
     let (mut here, mut there) = (registry(), registry());
     there.record_heartbeat(at(0.0), fact("a", 1, Ready, 1));
     let unknown = here.record_peer_heartbeats(at(0.0), &there.take_unreported(at(0.0)));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn given_two_registrars_that_were_cut_apart_when_one_lost_what_the_other_hears_then_the_other_corrects_it() {
+fn given_two_controllers_that_were_cut_apart_when_one_lost_what_the_other_hears_then_the_other_corrects_it() {
     let (mut cut, mut well) = (registry(), registry());
     for registry in [&mut cut, &mut well] {
         registry.record_heartbeat(at(0.0), fact("a", 1, Ready, 1));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn given_a_dead_life_when_two_registrars_keep_telling_each_other_then_it_still_expires() {
+fn given_a_dead_life_when_two_controllers_keep_telling_each_other_then_it_still_expires() {
     let (mut one, mut two) = (registry(), registry());
     one.record_heartbeat(at(0.0), fact("a", 1, Ready, 1));
     for tenth in 0..100 {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn given_a_pool_when_a_restarted_registrar_names_few_then_the_rest_stays_until_it_was_well_for_long() {
+fn given_a_pool_when_a_restarted_controller_names_few_then_the_rest_stays_until_it_was_well_for_long() {
     let mut pool = NodeDirectory::new(BEAT, NodeDirectoryLimits::default());
     pool.apply_snapshot(at(0.0), None, &[fact("a", 1, Ready, 1), fact("b", 2, Ready, 1)]);
     pool.apply_snapshot(at(1.0), None, &[fact("a", 1, Ready, 2)]);
--- a/crates/fernknot-rpc/src/shuffles.rs
+++ b/crates/fernknot-rpc/src/shuffles.rs
@@ -55,7 +55,7 @@
         self.sampler.wakes_at()
     }
 
-    /// Where a registrar may answer: known ones, then every seed that was ever told.
+    /// Where a controller may answer: known ones, then every seed that was ever told.
     pub fn candidate_controllers(&self) -> Vec<SocketAddrV4> {
         self.sampler.controller_candidates()
     }
--- a/crates/fernknot-rpc/src/words.rs
+++ b/crates/fernknot-rpc/src/words.rs
@@ -25,21 +25,21 @@
     Subscribe { gateway: GatewayRecord, ready: bool, subscription: Subscription, revision: u64 },
     /// Said now and then over a stream of news: the listener lives.
     Heartbeat { ready: bool },
-    /// Said with `Alive` by a home: the gateways that live and listen to it, and to no registrar. For a registrar
+    /// Said with `Alive` by a home: the gateways that live and listen to it, and to no controller. For a controller
     /// each counts as if it had said `Alive` itself.
     RelayedHeartbeats(Vec<GatewayRecord>),
     /// The listener is about to stop by order.
     ShuttingDown,
-    /// Between registrars.
+    /// Between controllers.
     Peer(ControllerMessage),
     /// An operator's question: what is held here?
     Inspect(InspectionTopic),
-    /// An operator's order: the disks of these registrars, named as `Views` shows them, are gone for good; make a
+    /// An operator's order: the disks of these controllers, named as `Views` shows them, are gone for good; make a
     /// view without them.
     ForceView { lost: Vec<SocketAddrV4> },
 }
 
-/// From one registrar to another, over a connection that the first one opened.
+/// From one controller to another, over a connection that the first one opened.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControllerMessage {
     /// Who speaks: the inner address at which it listens, and its zone.
@@ -64,7 +64,7 @@
     Assignment(Assignment),
     /// An operator's call, handed to the sequencer: the configuration and the epoch on which it builds.
     ForwardChange {
-        /// The life of the registrar that was called, and its number for the call; the end names both.
+        /// The life of the controller that was called, and its number for the call; the end names both.
         incarnation: u64,
         call: u64,
         base_epoch: u64,
@@ -77,11 +77,11 @@
         status: u16,
         reason: String,
     },
-    /// Other registrars that the speaker knows, at their inner addresses.
+    /// Other controllers that the speaker knows, at their inner addresses.
     KnownControllers(Vec<SocketAddrV4>),
 }
 
-/// A registrar as gateways are told of it.
+/// A controller as gateways are told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ControllerEndpoint {
     pub addr: SocketAddrV4,
@@ -100,7 +100,7 @@
     /// All that the teller holds has been told.
     SnapshotComplete,
     /// Said every so often: who tells, how far it is, and whether it hears a majority of its view. `hops` counts
-    /// the gateways that passed it on; a registrar says 0. `fence` is that of the newest cut.
+    /// the gateways that passed it on; a controller says 0. `fence` is that of the newest cut.
     Heartbeat {
         sender: u64,
         revision: u64,
--- a/crates/fernknot-schema/src/process.rs
+++ b/crates/fernknot-schema/src/process.rs
@@ -22,7 +22,7 @@
     pub bind_addrs: BindAddrs,
     /// First and last port that are free for what our own processes say to one another.
     pub port_range: (u16, u16),
-    /// Control addresses of some registrars as they stood when the file was written.
+    /// Control addresses of some controllers as they stood when the file was written.
     pub seeds: Vec<SocketAddrV4>,
     /// The whole system starts for the first time, with its disks empty.
     pub bootstrap: bool,
--- a/crates/fernknot-simulator/src/callers.rs
+++ b/crates/fernknot-simulator/src/callers.rs
@@ -1,4 +1,4 @@
-//! Operators and nodes, as the users' pages describe them: any registrar will do, another one after a failure, a 5xx,
+//! Operators and nodes, as the users' pages describe them: any controller will do, another one after a failure, a 5xx,
 //! 408 or 429 or a second of silence, 307 is followed twice, and a call without a clear end is sent again as it was.
 
 use crate::chance::Rng;
@@ -242,7 +242,7 @@
         self.send_attempt(id, None);
     }
 
-    /// Sends it to a registrar of the list, another than the last.
+    /// Sends it to a controller of the list, another than the last.
     fn send_attempt(&mut self, id: u64, to: Option<usize>) {
         let Some(errand) = self.control_clients.requests.get(&id) else { return };
         let (purpose, only, last) = (errand.purpose, errand.only_machine, errand.last_machine);
--- a/crates/fernknot-simulator/src/gateways.rs
+++ b/crates/fernknot-simulator/src/gateways.rs
@@ -1,4 +1,4 @@
-//! The real gateways, and the connections that bear their bytes: to registrars, to each other, to nodes and from
+//! The real gateways, and the connections that bear their bytes: to controllers, to each other, to nodes and from
 //! clients. A connection is in order; a reset or a cut loses what is on its way.
 
 use crate::play::{SeededBug, Settings};
@@ -22,7 +22,7 @@
 pub const RETRY_WINDOW: Nanos = Nanos(10_000_000_000);
 /// A first packet that was lost is sent again after this.
 const AGAIN: Nanos = Nanos(1_000_000_000);
-/// The longest word of a gateway to a registrar.
+/// The longest word of a gateway to a controller.
 const MOST: usize = 16 << 20;
 const INNER_PORT: u16 = 7120;
 
@@ -55,7 +55,7 @@
     is_broken: bool,
     /// Each end that has closed it or seen its end.
     closed: [bool; 2],
-    /// What a registrar has read of it.
+    /// What a controller has read of it.
     received: Buffer,
 }
 
@@ -609,7 +609,7 @@
         self.gateways.connections.iter().filter(|(_, pipe)| which(pipe)).map(|(id, _)| *id).collect()
     }
 
-    /// A registrar tells a gateway.
+    /// A controller tells a gateway.
     pub fn notify_gateway(&mut self, from: usize, ear: SubscriberId, word: &ControllerToGateway) {
         let mut out = Buffer::default();
         write_message(&mut out, word);
@@ -624,7 +624,7 @@
         self.send_bytes(ear.0, Endpoint::Controller { at: from, incarnation: 0 }, out.data().to_vec());
     }
 
-    /// Gateways at a registrar that ended, or whose connections were reset.
+    /// Gateways at a controller that ended, or whose connections were reset.
     pub fn drop_gateway_connections(&mut self, at: usize, life: u64, dark: bool) {
         let after = if dark { self.settings.bounds.suspect_timeout() } else { millis(5) };
         let resets = self.machines[at].is_up();
--- a/crates/fernknot-simulator/src/lib.rs
+++ b/crates/fernknot-simulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! A flume is a channel for trials. The real registrars run here in one process and in simulated time, with all that
+//! A flume is a channel for trials. The real controllers run here in one process and in simulated time, with all that
 //! is around them: links, disks, operators, nodes and listeners, and troubles from one seed. What was seen on the
 //! simulated wire is judged by code that shares nothing with what it judges. docs/flume.md says how it is used.
 //!
--- a/crates/fernknot-simulator/src/listeners.rs
+++ b/crates/fernknot-simulator/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The control side of gateways: each listens to one registrar, moves on when that one is silent or hears no
+//! The control side of gateways: each listens to one controller, moves on when that one is silent or hears no
 //! majority, and holds the newest plan and what it was told of nodes.
 
 use crate::play::{SeededBug, Settings};
@@ -35,7 +35,7 @@
     pub version: Option<Version>,
     nodes: BTreeMap<String, NodeRecord>,
     pub disturbed_at: Nanos,
-    /// When each registrar failed it last.
+    /// When each controller failed it last.
     last_failures: BTreeMap<usize, Nanos>,
     previous_config: Option<ControllerToGateway>,
 }
@@ -134,7 +134,7 @@
         }
     }
 
-    /// To another registrar of the list.
+    /// To another controller of the list.
     fn subscribe_elsewhere(&mut self, at: usize) {
         let place = FIRST_SUBSCRIBER + at;
         let listener = &self.subscribers.list[at];
@@ -202,7 +202,7 @@
         self.schedule(wait, All::Input(to, life, Input::GatewayMessage(SubscriberId(ear), word)));
     }
 
-    /// A registrar tells one listener.
+    /// A controller tells one listener.
     pub fn notify_subscriber(
         &mut self,
         from: usize,
--- a/crates/fernknot-simulator/src/play.rs
+++ b/crates/fernknot-simulator/src/play.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Breaks planted around the registrars, which the judge must find.
+/// Breaks planted around the controllers, which the judge must find.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
@@ -55,7 +55,7 @@
     StaleReads,
     /// What was acknowledged is refused when it comes again.
     RejectsRepeats,
-    /// Registrars don't tell each other of nodes.
+    /// Controllers don't tell each other of nodes.
     WithholdsNodeUpdates,
     /// An answer goes to another caller who waits.
     SwapsResponses,
@@ -65,7 +65,7 @@
     UnlimitedRetries,
     /// One of the gateways' own.
     Gateway(fernknot_gateway::SeededBug),
-    /// One of the registrars' own.
+    /// One of the controllers' own.
     Controller(fernknot_controller::SeededBug),
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl Settings {
-    /// A play of so many registrars, of which as many may be lost as leave a majority; two at most, as three seeds
+    /// A play of so many controllers, of which as many may be lost as leave a majority; two at most, as three seeds
     /// found the first view and a change lies on one disk more than may be lost.
     pub fn new(seed: u64, members: usize) -> Settings {
         Settings {
--- a/crates/fernknot-simulator/src/troubles.rs
+++ b/crates/fernknot-simulator/src/troubles.rs
@@ -14,7 +14,7 @@
     Acknowledged,
     /// Right after the next sending of a change.
     Sent,
-    /// As a registrar enters its next view.
+    /// As a controller enters its next view.
     LeaderChange,
     /// As a machine returns.
     MachineReturned,
@@ -55,12 +55,12 @@
     },
     /// The machine comes back with an empty disk.
     WipeDisk,
-    /// From the other registrars; with `listeners` also from the gateways. Operators and nodes reach either side.
+    /// From the other controllers; with `listeners` also from the gateways. Operators and nodes reach either side.
     Isolate {
         direction: Direction,
         subscribers: bool,
     },
-    /// From one other registrar only.
+    /// From one other controller only.
     PartitionPair {
         direction: Direction,
     },
--- a/crates/fernknot-simulator/src/world.rs
+++ b/crates/fernknot-simulator/src/world.rs
@@ -1,4 +1,4 @@
-//! The clock, the links, the disks and the processes of the registrars.
+//! The clock, the links, the disks and the processes of the controllers.
 
 use crate::callers::ControlClients;
 use crate::chance::Rng;
@@ -101,7 +101,7 @@
     StopLook(usize, u64),
 }
 
-/// A connection from one registrar to another.
+/// A connection from one controller to another.
 struct Conn {
     from: usize,
     life: u64,
--- a/crates/fernknot-simulator/tests/plants.rs
+++ b/crates/fernknot-simulator/tests/plants.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 use test_case::test_case;
 
-/// Whether any of these seeds shows the break among so many registrars.
+/// Whether any of these seeds shows the break among so many controllers.
 fn is_found(plant: SeededBug, members: usize, beyond: bool, mut seeds: Range<u64>) -> bool {
     seeds.any(|seed| {
         let findings = simulate(&Settings {
@@ -27,7 +27,7 @@
 #[test_case(SeededBug::AcknowledgesUnclear, 0..10; "an unclear end told as a good one")]
 #[test_case(SeededBug::StaleReads, 0..10; "a read from a store of old answers")]
 #[test_case(SeededBug::RejectsRepeats, 0..10; "a refusal of what was acknowledged")]
-#[test_case(SeededBug::WithholdsNodeUpdates, 0..10; "registrars that don't tell each other of nodes")]
+#[test_case(SeededBug::WithholdsNodeUpdates, 0..10; "controllers that don't tell each other of nodes")]
 #[test_case(SeededBug::SwapsResponses, 0..10; "an answer to another caller")]
 #[test_case(SeededBug::ReplaysOldConfig, 0..10; "an older plan told as the newest")]
 #[test_case(SeededBug::Controller(Own::AnswerFromLocalState), 0..10; "answers by own state")]
--- a/crates/fernknot-simulator/tests/system.rs
+++ b/crates/fernknot-simulator/tests/system.rs
@@ -1,4 +1,4 @@
-//! The whole system: real registrars and real gateways among operators, nodes that answer and clients, from one seed.
+//! The whole system: real controllers and real gateways among operators, nodes that answer and clients, from one seed.
 
 use fernknot_gateway::SeededBug as Own;
 use fernknot_simulator::play::{Outcome, SeededBug, Settings, simulate};
@@ -83,7 +83,7 @@
 #[test_case(SeededBug::Gateway(Own::RejectAfterAttempt), "REFUSED", 4; "a promise is made though a node may have run it")]
 #[test_case(SeededBug::Gateway(Own::RejectAfterClose), "REFUSED", 8; "a promise is made though the connection was up")]
 #[test_case(SeededBug::Gateway(Own::MatchByConnection), "MIXED", 16; "an answer is matched by its connection")]
-#[test_case(SeededBug::WithholdsNodeUpdates, "DRAIN", 16; "registrars that don't tell each other of nodes")]
+#[test_case(SeededBug::WithholdsNodeUpdates, "DRAIN", 16; "controllers that don't tell each other of nodes")]
 #[test_case(SeededBug::ReplaysOldConfig, "CONFIG", 16; "an older plan told as the newest")]
 #[test_case(SeededBug::UnlimitedRetries, "BUDGET", 16; "gateways that are told of a larger budget")]
 fn given_a_break_when_the_whole_system_is_played_then_its_rule_breaks(
--- a/crates/fernknot-storage/src/journal.rs
+++ b/crates/fernknot-storage/src/journal.rs
@@ -60,14 +60,15 @@
 impl<R: Read> JournalReader<R> {
     /// Reads one batch; false where there is no whole one.
     fn read_batch(&mut self) -> io::Result<bool> {
-        let Some([START]) = self.read_bytes()? else { return Ok(false) };
+        let Some([BATCH_START]) = self.read_bytes()? else { return Ok(false) };
         let Some(count) = self.read_bytes()?.map(u32::from_le_bytes) else { return Ok(false) };
         let Some(_number) = self.read_bytes::<8>()? else { return Ok(false) };
         let mut hash = Xxh3::new();
         for _ in 0..count {
             let Some(head) = self.read_bytes::<21>()? else { return Ok(false) };
             // Values are stored as they are, so both their lengths are the same.
-            let [ITEM, _, 0, _, _, _, _, _, _, _, _, k0, k1, v0, v1, v2, v3, s0, s1, s2, s3] = head else {
+            let [BATCH_ITEM, _, 0, _, _, _, _, _, _, _, _, k0, k1, v0, v1, v2, v3, s0, s1, s2, s3] = head
+            else {
                 return Ok(false);
             };
             let (value, stored) =
@@ -80,7 +81,7 @@
             hash.update(&head);
             self.hash_bytes(&mut hash, body)?;
         }
-        let Some([END]) = self.read_bytes()? else { return Ok(false) };
+        let Some([BATCH_END]) = self.read_bytes()? else { return Ok(false) };
         let Some(sum) = self.read_bytes()?.map(u64::from_le_bytes) else { return Ok(false) };
         Ok(self.read_bytes()? == Some(BATCH_TRAILER) && sum == hash.finish())
     }
