--- /dev/null
+++ b/crates/fernknot-controller/tests/disk_format.rs
@@ -0,0 +1,38 @@
+//! What the controllers agree on, and the addresses that each keeps, are encoded as in earlier releases.
+
+#[path = "../../../tests/common/fixtures.rs"]
+mod fixtures;
+
+use fernknot_controller::{Control, Taken};
+use fixtures::Fixtures;
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+fn control() -> Control {
+    let taken = vec![
+        Taken { epoch: 101, base: 102, digest: 103 },
+        Taken { epoch: 104, base: 105, digest: u64::MAX - 106 },
+    ];
+    Control { epoch: 107, body: b"{\"epoch\":107}".to_vec(), taken }
+}
+
+/// What the file of known addresses holds: a plain list of them.
+fn known_addresses() -> Vec<SocketAddrV4> {
+    [(1, 7301), (2, 7302)].map(|(host, port)| SocketAddrV4::new(Ipv4Addr::new(10, 5, 6, host), port)).to_vec()
+}
+
+#[test]
+fn given_recorded_disks_when_encoded_and_decoded_then_bytes_and_values_are_the_same() {
+    let mut fixtures = Fixtures::open("disk_format.hex");
+    fixtures.check("control", &control());
+    fixtures.check("control-before-the-first-version", &Control::default());
+    fixtures.check("known-addresses", &known_addresses());
+    fixtures.finish();
+}
+
+#[test]
+fn given_a_control_state_when_written_and_read_then_it_is_the_recorded_one() {
+    let recorded = Fixtures::open("disk_format.hex").take("control");
+    assert_eq!(control().write(), recorded);
+    assert_eq!(Control::read(&recorded).unwrap(), control());
+    assert_eq!(Control::read(&[]).unwrap(), Control::default(), "the state before the first one");
+}
