--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -136,6 +136,19 @@
         machine.brain = Some(brain);
     }
 
+    /// Puts a disk that was written elsewhere into a machine that does not run yet.
+    pub fn put_disk(&mut self, at: usize, saved: Saved, known: Vec<SocketAddrV4>) {
+        let machine = Machine {
+            brain: None,
+            life: 0,
+            disk: Some(saved),
+            known,
+            writes: Writes::Well,
+            held: Vec::new(),
+        };
+        self.machines.insert(at, machine);
+    }
+
     /// The process ends at once; its disk stays.
     pub fn kill(&mut self, at: usize) {
         let Some(machine) = self.machines.get_mut(&at) else { return };
