--- a/crates/fernknot-testbed/src/rig.rs
+++ b/crates/fernknot-testbed/src/rig.rs
@@ -1,5 +1,15 @@
 //! The real programs on loopback: each machine is an address of its own, so that ports are alike everywhere and two
 //! processes share none. What the rig started ends with it, also when it is killed itself.
+//!
+//! Programs of another release can run among those of this one. `FERNKNOT_CONTROLLER_PROGRAM` and
+//! `FERNKNOT_GATEWAY_PROGRAM` name programs to be started for all processes of a role; with a number behind it, as in
+//! `FERNKNOT_CONTROLLER_PROGRAM_0`, for that process only, which then goes first. So one old controller and one old
+//! gateway, named by absolute paths, run among new ones with
+//!
+//! ```text
+//! FERNKNOT_CONTROLLER_PROGRAM_0=OLD_CONTROLLER FERNKNOT_GATEWAY_PROGRAM_1=OLD_GATEWAY \
+//!     cargo test -p fernknot-testbed --test system
+//! ```
 
 use crate::load::is_ready;
 use crate::nodes::held;
@@ -71,6 +81,21 @@
             Role::Gateway => "gateway",
         }
     }
+
+    /// The environment variable that names another program for this role.
+    fn program_variable(self) -> &'static str {
+        match self {
+            Role::Registrar => "FERNKNOT_CONTROLLER_PROGRAM",
+            Role::Gateway => "FERNKNOT_GATEWAY_PROGRAM",
+        }
+    }
+
+    /// The program for the process with this number: the one that the environment names, or the one beside.
+    fn program_of(self, at: usize) -> Result<PathBuf, RigError> {
+        let variable = self.program_variable();
+        let named = std::env::var_os(format!("{variable}_{at}")).or_else(|| std::env::var_os(variable));
+        named.map_or_else(|| program(self.program()), |path| Ok(path.into()))
+    }
 }
 
 /// What to start.
@@ -85,12 +110,14 @@
     pub log: &'static str,
     /// For the ids of nodes and requests.
     pub seed: u64,
+    /// A folder with disks to begin with, each a folder named by the number of its controller, from 1 on.
+    pub disks: Option<PathBuf>,
 }
 
 impl Default for Layout {
     fn default() -> Layout {
         let beat = Duration::from_millis(1000);
-        Layout { registrars: 3, gateways: 2, zones: 3, losses: 1, beat, log: "info", seed: 1 }
+        Layout { registrars: 3, gateways: 2, zones: 3, losses: 1, beat, log: "info", seed: 1, disks: None }
     }
 }
 
@@ -99,6 +126,7 @@
     name: String,
     ip: Ipv4Addr,
     zone: String,
+    program: PathBuf,
     settings: PathBuf,
     data: Option<PathBuf>,
     child: Option<Child>,
@@ -108,7 +136,6 @@
 /// The processes.
 pub struct Rig {
     layout: Layout,
-    programs: (PathBuf, PathBuf),
     net: (u8, u8),
     processes: Vec<Process>,
     /// Gone with the rig, disks and all.
@@ -127,6 +154,21 @@
     found.ok_or_else(|| missing(own.display().to_string()))
 }
 
+/// Copies a folder and all that is in it.
+fn copy_folder(from: &Path, to: &Path) -> std::io::Result<()> {
+    std::fs::create_dir_all(to)?;
+    for entry in std::fs::read_dir(from)? {
+        let entry = entry?;
+        let target = to.join(entry.file_name());
+        if entry.file_type()?.is_dir() {
+            copy_folder(&entry.path(), &target)?;
+        } else {
+            std::fs::copy(entry.path(), target)?;
+        }
+    }
+    Ok(())
+}
+
 /// Looks until something holds.
 ///
 /// # Errors
@@ -156,16 +198,16 @@
             return Err(RigError::TooMany { role, count: *count });
         }
         let fail = |step| move |why| RigError::Step { step, who: "the rig".into(), why };
-        let programs = (program(Role::Registrar.program())?, program(Role::Gateway.program())?);
         let folder = TempDir::with_prefix("fernknot-basin-").map_err(fail("make a folder for"))?;
         // A network of its own for each process and rig, so that no two ever ask for one port.
         let net = std::process::id() % 8192 + 8192 * (RIGS.fetch_add(1, Ordering::Relaxed) % 5);
         let net = (64 + (net / 256) as u8, (net % 256) as u8);
-        let mut rig = Rig { layout, programs, net, processes: Vec::new(), folder };
+        let mut rig = Rig { layout, net, processes: Vec::new(), folder };
         let registrars = (0..rig.layout.registrars).map(|at| (Role::Registrar, at));
         let gateways = (0..rig.layout.gateways).map(|at| (Role::Gateway, at));
         for (role, at) in registrars.chain(gateways).collect::<Vec<_>>() {
-            let process = rig.prepare(role, at).map_err(fail("make a folder for"))?;
+            let program = role.program_of(at)?;
+            let process = rig.prepare(role, at, program).map_err(fail("make a folder for"))?;
             rig.processes.push(process);
             rig.write_settings(rig.processes.len() - 1, true)?;
         }
@@ -175,14 +217,18 @@
         Ok(rig)
     }
 
-    fn prepare(&self, role: Role, at: usize) -> std::io::Result<Process> {
+    fn prepare(&self, role: Role, at: usize, program: PathBuf) -> std::io::Result<Process> {
         let name = format!("{}-{at}", role.name());
         let data = (role == Role::Registrar).then(|| self.folder.path().join(format!("{name}-disk")));
         data.as_ref().map_or(Ok(()), std::fs::create_dir_all)?;
+        if let (Some(data), Some(disks)) = (&data, &self.layout.disks) {
+            copy_folder(&disks.join((at + 1).to_string()), data)?;
+        }
         Ok(Process {
             role,
             ip: self.ip(role, at),
             zone: self.zone(at),
+            program,
             settings: self.folder.path().join(format!("{name}.json")),
             data,
             child: None,
@@ -272,8 +318,7 @@
 
     fn spawn(&mut self, at: usize) -> Result<(), RigError> {
         let process = &mut self.processes[at];
-        let program = if process.role == Role::Registrar { &self.programs.0 } else { &self.programs.1 };
-        let mut command = Command::new(program);
+        let mut command = Command::new(&process.program);
         command
             .env("FERNKNOT_CONFIG", &process.settings)
             .env("FERNKNOT_LOG", self.layout.log)
--- a/crates/fernknot-testbed/tests/system.rs
+++ b/crates/fernknot-testbed/tests/system.rs
@@ -2,11 +2,12 @@
 
 mod common;
 
-use common::{PATIENCE, System, epoch};
+use common::{PATIENCE, System, epoch, programs};
 use fernknot_testbed::checker::{Kind, check};
 use fernknot_testbed::operator::{End, Operator};
 use fernknot_testbed::paper::Draft;
-use fernknot_testbed::rig::{Role, until};
+use fernknot_testbed::rig::{Layout, Rig, Role, until};
+use std::path::Path;
 
 /// Guards the whole path: what an operator sent is read back as it was, is in force at every gateway, and a gathered
 /// answer holds the greatest records of its parts.
@@ -72,3 +73,25 @@
     assert!(unserved.is_empty(), "{unserved:?}");
     assert_eq!(check(&requests, &system.nodes.ledger(), &system.allowed()), []);
 }
+
+/// Guards the upgrade of a program in place: it goes on from the disk that an earlier release left behind. The disks
+/// are those of `fernknot-controller`, where their origin is told.
+#[test]
+fn given_disks_of_an_earlier_release_when_started_on_them_then_the_configuration_is_there_and_may_be_changed()
+{
+    programs();
+    let disks = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fernknot-controller/tests/fixtures/disks");
+    let recorded = std::fs::read(disks.join("configuration.json")).unwrap();
+    let layout = Layout { registrars: 4, seed: 14, disks: Some(disks), ..Layout::default() };
+    let rig = Rig::start(layout).unwrap();
+    rig.await_registrars(PATIENCE).unwrap();
+    let operator = Operator { addrs: rig.control(), within: PATIENCE };
+    let End::Answered { status: 200, body, .. } = operator.read() else { panic!("not read back") };
+    assert_eq!(body, recorded);
+
+    let recorded_version = epoch(&recorded).unwrap();
+    let next = Draft { epoch: recorded_version + 1, ..Draft::default() };
+    let end = operator.replace(&next.bytes(), recorded_version);
+    assert!(matches!(end, End::Answered { status: 200, .. }), "{end:?}");
+    until("the change everywhere", PATIENCE, || (0..2).all(|at| rig.version(at) == next.epoch)).unwrap();
+}
