--- a/crates/fernknot-testbed/src/rig.rs
+++ b/crates/fernknot-testbed/src/rig.rs
@@ -1,5 +1,15 @@
 //! The real programs on loopback: each machine is an address of its own, so that ports are alike everywhere and two
 //! processes share none. What the rig started ends with it, also when it is killed itself.
+//!
+//! Programs of another release can run among those of this one. `FERNKNOT_CONTROLLER_PROGRAM` and
+//! `FERNKNOT_GATEWAY_PROGRAM` name programs to be started for all processes of a role; with a number behind it, as in
+//! `FERNKNOT_CONTROLLER_PROGRAM_0`, for that process only, which then goes first. So one old controller and one old
+//! gateway, named by absolute paths, run among new ones with
+//!
+//! ```text
+//! FERNKNOT_CONTROLLER_PROGRAM_0=OLD_CONTROLLER FERNKNOT_GATEWAY_PROGRAM_1=OLD_GATEWAY \
+//!     cargo test -p fernknot-testbed --test system
+//! ```
 
 use crate::load::is_ready;
 use crate::nodes::lock;
@@ -71,6 +81,21 @@
             Role::Gateway => "gateway",
         }
     }
+
+    /// The environment variable that names another program for this role.
+    fn program_variable(self) -> &'static str {
+        match self {
+            Role::Registrar => "FERNKNOT_CONTROLLER_PROGRAM",
+            Role::Gateway => "FERNKNOT_GATEWAY_PROGRAM",
+        }
+    }
+
+    /// The program for the process with this number: the one that the environment names, or the one beside.
+    fn program_of(self, at: usize) -> Result<PathBuf, RigError> {
+        let variable = self.program_variable();
+        let named = std::env::var_os(format!("{variable}_{at}")).or_else(|| std::env::var_os(variable));
+        named.map_or_else(|| program(self.program()), |path| Ok(path.into()))
+    }
 }
 
 /// What to start.
@@ -85,20 +110,14 @@
     pub log_filter: &'static str,
     /// For the ids of nodes and requests.
     pub seed: u64,
+    /// A folder with disks to begin with, each a folder named by the number of its controller, from 1 on.
+    pub disks: Option<PathBuf>,
 }
 
 impl Default for ClusterSettings {
     fn default() -> ClusterSettings {
         let beat = Duration::from_millis(1000);
-        ClusterSettings {
-            controllers: 3,
-            gateways: 2,
-            zones: 3,
-            losses: 1,
-            heartbeat_interval: beat,
-            log_filter: "info",
-            seed: 1,
-        }
+        Layout { registrars: 3, gateways: 2, zones: 3, losses: 1, beat, log: "info", seed: 1, disks: None }
     }
 }
 
@@ -107,17 +126,17 @@
     name: String,
     ip: Ipv4Addr,
     zone: String,
-    settings_path: PathBuf,
-    data_dir: Option<PathBuf>,
+    program: PathBuf,
+    settings: PathBuf,
+    data: Option<PathBuf>,
     child: Option<Child>,
     log_lines: Arc<Mutex<VecDeque<String>>>,
 }
 
 /// The processes.
-pub struct Cluster {
-    settings: ClusterSettings,
-    programs: (PathBuf, PathBuf),
-    network: (u8, u8),
+pub struct Rig {
+    layout: Layout,
+    net: (u8, u8),
     processes: Vec<Process>,
     /// Gone with the rig, disks and all.
     temp_dir: TempDir,
@@ -135,6 +154,21 @@
     found.ok_or_else(|| missing(own.display().to_string()))
 }
 
+/// Copies a folder and all that is in it.
+fn copy_folder(from: &Path, to: &Path) -> std::io::Result<()> {
+    std::fs::create_dir_all(to)?;
+    for entry in std::fs::read_dir(from)? {
+        let entry = entry?;
+        let target = to.join(entry.file_name());
+        if entry.file_type()?.is_dir() {
+            copy_folder(&entry.path(), &target)?;
+        } else {
+            std::fs::copy(entry.path(), target)?;
+        }
+    }
+    Ok(())
+}
+
 /// Looks until something holds.
 ///
 /// # Errors
@@ -167,18 +201,17 @@
         if let Some((role, count, _)) = room.iter().find(|(_, count, room)| *count > usize::from(*room)) {
             return Err(ClusterError::TooManyProcesses { role, count: *count });
         }
-        let fail = |step| move |why| ClusterError::Step { step, who: "the rig".into(), why };
-        let programs = (find_program(Role::Controller.program())?, find_program(Role::Gateway.program())?);
+        let fail = |step| move |why| RigError::Step { step, who: "the rig".into(), why };
         let folder = TempDir::with_prefix("fernknot-basin-").map_err(fail("make a folder for"))?;
         // A network of its own for each process and rig, so that no two ever ask for one port.
         let net = std::process::id() % 8192 + 8192 * (CLUSTER_COUNT.fetch_add(1, Ordering::Relaxed) % 5);
         let net = (64 + (net / 256) as u8, (net % 256) as u8);
-        let mut rig =
-            Cluster { settings: layout, programs, network: net, processes: Vec::new(), temp_dir: folder };
-        let registrars = (0..rig.settings.controllers).map(|at| (Role::Controller, at));
-        let gateways = (0..rig.settings.gateways).map(|at| (Role::Gateway, at));
+        let mut rig = Rig { layout, net, processes: Vec::new(), folder };
+        let registrars = (0..rig.layout.registrars).map(|at| (Role::Registrar, at));
+        let gateways = (0..rig.layout.gateways).map(|at| (Role::Gateway, at));
         for (role, at) in registrars.chain(gateways).collect::<Vec<_>>() {
-            let process = rig.prepare(role, at).map_err(fail("make a folder for"))?;
+            let program = role.program_of(at)?;
+            let process = rig.prepare(role, at, program).map_err(fail("make a folder for"))?;
             rig.processes.push(process);
             rig.write_settings(rig.processes.len() - 1, true)?;
         }
@@ -188,16 +221,20 @@
         Ok(rig)
     }
 
-    fn prepare(&self, role: Role, at: usize) -> std::io::Result<Process> {
+    fn prepare(&self, role: Role, at: usize, program: PathBuf) -> std::io::Result<Process> {
         let name = format!("{}-{at}", role.name());
         let data = (role == Role::Controller).then(|| self.temp_dir.path().join(format!("{name}-disk")));
         data.as_ref().map_or(Ok(()), std::fs::create_dir_all)?;
+        if let (Some(data), Some(disks)) = (&data, &self.layout.disks) {
+            copy_folder(&disks.join((at + 1).to_string()), data)?;
+        }
         Ok(Process {
             role,
             ip: self.process_ip(role, at),
             zone: self.zone(at),
-            settings_path: self.temp_dir.path().join(format!("{name}.json")),
-            data_dir: data,
+            program,
+            settings: self.folder.path().join(format!("{name}.json")),
+            data,
             child: None,
             log_lines: Arc::default(),
             name,
@@ -285,8 +322,7 @@
 
     fn spawn(&mut self, at: usize) -> Result<(), ClusterError> {
         let process = &mut self.processes[at];
-        let program = if process.role == Role::Controller { &self.programs.0 } else { &self.programs.1 };
-        let mut command = Command::new(program);
+        let mut command = Command::new(&process.program);
         command
             .env("FERNKNOT_CONFIG", &process.settings_path)
             .env("FERNKNOT_LOG", self.settings.log_filter)
