--- a/crates/fernknot-consensus/tests/disk_format.rs
+++ b/crates/fernknot-consensus/tests/disk_format.rs
@@ -5,34 +5,36 @@
 #[path = "common/samples.rs"]
 mod samples;
 
-use fernknot_consensus::{Ballot, Mark, MemberId, OrderNo, Saved, ViewNo, Vouched};
+use fernknot_consensus::{
+    AcceptedView, DurableProgress, MemberId, PersistentState, ProposalNumber, Revision, ViewNumber,
+};
 use fixtures::Fixtures;
 use samples::{ballot, base, mark, state, vouched};
 
-fn saved(vouched: Option<Vouched>) -> Saved {
-    Saved {
-        me: MemberId(801),
-        base: base(802),
-        promise: ballot(803),
-        vouched,
-        held: ViewNo(804),
-        no: OrderNo(805),
+fn saved(vouched: Option<AcceptedView>) -> PersistentState {
+    PersistentState {
+        member_id: MemberId(801),
+        chosen: base(802),
+        prepared: ballot(803),
+        accepted: vouched,
+        state_view: ViewNumber(804),
+        revision: Revision(805),
         state: state("state on disk"),
-        marks: vec![(MemberId(806), mark()), (MemberId(807), Mark::default())],
+        known_progress: vec![(MemberId(806), mark()), (MemberId(807), DurableProgress::default())],
     }
 }
 
 /// What a disk holds before there is any view.
-fn founding() -> Saved {
-    Saved {
-        me: MemberId(808),
-        base: Default::default(),
-        promise: Ballot::default(),
-        vouched: None,
-        held: ViewNo(0),
-        no: OrderNo(0),
+fn founding() -> PersistentState {
+    PersistentState {
+        member_id: MemberId(808),
+        chosen: Default::default(),
+        prepared: ProposalNumber::default(),
+        accepted: None,
+        state_view: ViewNumber(0),
+        revision: Revision(0),
         state: state(""),
-        marks: Vec::new(),
+        known_progress: Vec::new(),
     }
 }
 
--- a/crates/fernknot-consensus/tests/wire_format.rs
+++ b/crates/fernknot-consensus/tests/wire_format.rs
@@ -5,111 +5,125 @@
 #[path = "common/samples.rs"]
 mod samples;
 
-use fernknot_consensus::{MemberId, OrderNo, Pulse, ViewNo, Word};
+use fernknot_consensus::{MemberId, Message, PeerHeartbeat, Revision, ViewNumber};
 use fixtures::Fixtures;
 use samples::{ballot, base, mark, member, state, vouched};
 
 /// The name under which a message is recorded. A new variant has to be named here, and given a value below.
-fn recorded_name(word: &Word) -> &'static str {
+fn recorded_name(word: &Message) -> &'static str {
     match word {
-        Word::Pulse(_) => "heartbeat",
-        Word::Recall { .. } => "disk-progress",
-        Word::Told { .. } => "newer-view",
-        Word::Whole { .. } => "snapshot",
-        Word::Change { .. } => "append",
-        Word::Have { .. } => "appended",
-        Word::Commit { .. } => "commit",
-        Word::Stop { no: Some(_), .. } => "prepare",
-        Word::Stop { no: None, .. } => "prepare-without-state",
-        Word::Stopped { state: Some(_), .. } => "promise",
-        Word::Stopped { state: None, .. } => "promise-without-state",
-        Word::Outdone { .. } => "reject",
-        Word::Install { state: Some(_), .. } => "accept",
-        Word::Install { state: None, .. } => "accept-without-state",
-        Word::Installed { .. } => "accepted",
-        Word::Chosen { .. } => "chosen",
-        Word::Confirm { .. } => "confirm-view",
-        Word::Confirmed { .. } => "view-confirmed",
+        Message::Heartbeat(_) => "heartbeat",
+        Message::RecoveryResponse { .. } => "disk-progress",
+        Message::NewerView { .. } => "newer-view",
+        Message::StateTransfer { .. } => "snapshot",
+        Message::Replicate { .. } => "append",
+        Message::ReplicateAck { .. } => "appended",
+        Message::Commit { .. } => "commit",
+        Message::Prepare { revision: Some(_), .. } => "prepare",
+        Message::Prepare { revision: None, .. } => "prepare-without-state",
+        Message::Prepared { state: Some(_), .. } => "promise",
+        Message::Prepared { state: None, .. } => "promise-without-state",
+        Message::Rejected { .. } => "reject",
+        Message::Accept { state: Some(_), .. } => "accept",
+        Message::Accept { state: None, .. } => "accept-without-state",
+        Message::Accepted { .. } => "accepted",
+        Message::Chosen { .. } => "chosen",
+        Message::ReadIndexRequest { .. } => "confirm-view",
+        Message::ReadIndexResponse { .. } => "view-confirmed",
     }
 }
 
-fn heartbeat() -> Pulse {
-    Pulse {
-        who: member(1),
-        view: ViewNo(501),
-        held: ViewNo(502),
-        no: OrderNo(503),
-        promise: ballot(504),
-        vouched: ballot(505),
-        asks: true,
-        commit: OrderNo(506),
-        force: false,
+fn heartbeat() -> PeerHeartbeat {
+    PeerHeartbeat {
+        sender: member(1),
+        view: ViewNumber(501),
+        state_view: ViewNumber(502),
+        revision: Revision(503),
+        prepared: ballot(504),
+        accepted: ballot(505),
+        recovering: true,
+        commit_revision: Revision(506),
+        view_active: false,
         stopped: true,
-        well: false,
-        life: 507,
-        at: 508,
+        disk_healthy: false,
+        incarnation: 507,
+        sent_at: 508,
         echo: (509, 510),
-        hears: vec![MemberId(511), MemberId(512)],
-        deaf: vec![MemberId(513)],
+        reachable: vec![MemberId(511), MemberId(512)],
+        suspected: vec![MemberId(513)],
     }
 }
 
 /// The heartbeat with other flags.
-fn heartbeat_with_flags(asks: bool, force: bool, stopped: bool, well: bool) -> Pulse {
-    Pulse { asks, force, stopped, well, ..heartbeat() }
+fn heartbeat_with_flags(asks: bool, force: bool, stopped: bool, well: bool) -> PeerHeartbeat {
+    PeerHeartbeat { recovering: asks, view_active: force, stopped, disk_healthy: well, ..heartbeat() }
 }
 
-fn messages_of_a_view() -> Vec<Word> {
+fn messages_of_a_view() -> Vec<Message> {
     vec![
-        Word::Pulse(heartbeat()),
-        Word::Recall { who: member(2), of: MemberId(601), life: 602, mark: mark() },
-        Word::Told { base: base(603) },
-        Word::Whole { base: base(604), no: OrderNo(605), state: state("snapshot of the state") },
-        Word::Change { view: ViewNo(606), no: OrderNo(607), state: state("changed state") },
-        Word::Have { who: MemberId(608), view: ViewNo(609), no: OrderNo(610) },
-        Word::Commit { view: ViewNo(611), no: OrderNo(612) },
-        Word::Confirm { view: ViewNo(613), life: 614, round: 615 },
-        Word::Confirmed { who: MemberId(616), view: ViewNo(617), life: 618, round: 619 },
+        Message::Heartbeat(heartbeat()),
+        Message::RecoveryResponse {
+            sender: member(2),
+            member_id: MemberId(601),
+            incarnation: 602,
+            progress: mark(),
+        },
+        Message::NewerView { chosen: base(603) },
+        Message::StateTransfer {
+            chosen: base(604),
+            revision: Revision(605),
+            state: state("snapshot of the state"),
+        },
+        Message::Replicate { view: ViewNumber(606), revision: Revision(607), state: state("changed state") },
+        Message::ReplicateAck { sender: MemberId(608), view: ViewNumber(609), revision: Revision(610) },
+        Message::Commit { view: ViewNumber(611), revision: Revision(612) },
+        Message::ReadIndexRequest { view: ViewNumber(613), incarnation: 614, sequence: 615 },
+        Message::ReadIndexResponse {
+            sender: MemberId(616),
+            view: ViewNumber(617),
+            incarnation: 618,
+            sequence: 619,
+        },
     ]
 }
 
-fn messages_of_a_view_change() -> Vec<Word> {
+fn messages_of_a_view_change() -> Vec<Message> {
     vec![
-        Word::Stop { ballot: ballot(701), base: base(702), no: Some(OrderNo(703)) },
-        Word::Stop { ballot: ballot(704), base: base(705), no: None },
-        Word::Stopped {
-            who: member(3),
-            ballot: ballot(706),
-            base: ViewNo(707),
-            holds: Some(OrderNo(708)),
+        Message::Prepare { proposal: ballot(701), current: base(702), revision: Some(Revision(703)) },
+        Message::Prepare { proposal: ballot(704), current: base(705), revision: None },
+        Message::Prepared {
+            sender: member(3),
+            proposal: ballot(706),
+            view: ViewNumber(707),
+            revision: Some(Revision(708)),
             state: Some(state("promised state")),
-            vouched: Some(vouched(Some(state("accepted state")))),
+            accepted: Some(vouched(Some(state("accepted state")))),
         },
-        Word::Stopped {
-            who: member(4),
-            ballot: ballot(709),
-            base: ViewNo(710),
-            holds: None,
+        Message::Prepared {
+            sender: member(4),
+            proposal: ballot(709),
+            view: ViewNumber(710),
+            revision: None,
             state: None,
-            vouched: None,
+            accepted: None,
         },
-        Word::Outdone { base: ViewNo(711), promise: ballot(712) },
-        Word::Install {
-            ballot: ballot(713),
-            base: base(714),
+        Message::Rejected { view: ViewNumber(711), prepared: ballot(712) },
+        Message::Accept {
+            proposal: ballot(713),
+            current: base(714),
             next: base(715),
-            no: OrderNo(716),
+            revision: Revision(716),
             state: Some(state("state of the next view")),
         },
-        Word::Install {
-            ballot: ballot(717),
-            base: base(718),
+        Message::Accept {
+            proposal: ballot(717),
+            current: base(718),
             next: base(719),
-            no: OrderNo(720),
+            revision: Revision(720),
             state: None,
         },
-        Word::Installed { who: member(5), ballot: ballot(721), base: ViewNo(722) },
-        Word::Chosen { ballot: ballot(723), base: ViewNo(724), force: true },
+        Message::Accepted { sender: member(5), proposal: ballot(721), view: ViewNumber(722) },
+        Message::Chosen { proposal: ballot(723), view: ViewNumber(724), view_active: true },
     ]
 }
 
@@ -126,7 +140,7 @@
         ("heartbeat-well", heartbeat_with_flags(false, false, false, true)),
     ];
     for (name, heartbeat) in one_flag_each {
-        fixtures.check(name, &Word::Pulse(heartbeat));
+        fixtures.check(name, &Message::Heartbeat(heartbeat));
     }
     fixtures.finish();
 }
--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -137,7 +137,7 @@
     }
 
     /// Puts a disk that was written elsewhere into a machine that does not run yet.
-    pub fn put_disk(&mut self, at: usize, saved: Saved, known: Vec<SocketAddrV4>) {
+    pub fn put_disk(&mut self, at: usize, saved: PersistentState, known: Vec<SocketAddrV4>) {
         let machine = Machine {
             brain: None,
             life: 0,
--- a/crates/fernknot-controller/tests/disk_format.rs
+++ b/crates/fernknot-controller/tests/disk_format.rs
@@ -3,16 +3,16 @@
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
 
-use fernknot_controller::{Control, Taken};
+use fernknot_controller::{CommittedVersion, ControlState};
 use fixtures::Fixtures;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-fn control() -> Control {
+fn control() -> ControlState {
     let taken = vec![
-        Taken { epoch: 101, base: 102, digest: 103 },
-        Taken { epoch: 104, base: 105, digest: u64::MAX - 106 },
+        CommittedVersion { epoch: 101, base_epoch: 102, digest: 103 },
+        CommittedVersion { epoch: 104, base_epoch: 105, digest: u64::MAX - 106 },
     ];
-    Control { epoch: 107, body: b"{\"epoch\":107}".to_vec(), taken }
+    ControlState { epoch: 107, body: b"{\"epoch\":107}".to_vec(), history: taken }
 }
 
 /// What the file of known addresses holds: a plain list of them.
@@ -24,7 +24,7 @@
 fn given_recorded_disks_when_encoded_and_decoded_then_bytes_and_values_are_the_same() {
     let mut fixtures = Fixtures::open("disk_format.hex");
     fixtures.check("control", &control());
-    fixtures.check("control-before-the-first-version", &Control::default());
+    fixtures.check("control-before-the-first-version", &ControlState::default());
     fixtures.check("known-addresses", &known_addresses());
     fixtures.finish();
 }
@@ -32,7 +32,7 @@
 #[test]
 fn given_a_control_state_when_written_and_read_then_it_is_the_recorded_one() {
     let recorded = Fixtures::open("disk_format.hex").take("control");
-    assert_eq!(control().write(), recorded);
-    assert_eq!(Control::read(&recorded).unwrap(), control());
-    assert_eq!(Control::read(&[]).unwrap(), Control::default(), "the state before the first one");
+    assert_eq!(control().encode(), recorded);
+    assert_eq!(ControlState::decode(&recorded).unwrap(), control());
+    assert_eq!(ControlState::decode(&[]).unwrap(), ControlState::default(), "the state before the first one");
 }
--- a/crates/fernknot-controller/tests/old_disk.rs
+++ b/crates/fernknot-controller/tests/old_disk.rs
@@ -8,9 +8,9 @@
 mod common;
 
 use common::{Fleet, ms, plan};
-use fernknot_consensus::{OrderNo, Saved, ViewNo};
-use fernknot_controller::{Control, Taken};
-use fernknot_storage::{Cistern, Space};
+use fernknot_consensus::{PersistentState, Revision, ViewNumber};
+use fernknot_controller::{CommittedVersion, ControlState};
+use fernknot_storage::{Capacity, Storage};
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -25,14 +25,14 @@
 const ZONES: usize = 3;
 /// What the recorded configurations left behind.
 const RECORDED_VERSION: u64 = 13;
-const RECORDED_ORDER: OrderNo = OrderNo(4);
-const RECORDED_VIEW: ViewNo = ViewNo(4);
+const RECORDED_ORDER: Revision = Revision(4);
+const RECORDED_VIEW: ViewNumber = ViewNumber(4);
 /// Enough for a few writes at once.
-const SPACE: Space = Space { slots: 8, disk_bytes: 128 << 20 };
+const SPACE: Capacity = Capacity { max_pending_writes: 8, disk_bytes: 128 << 20 };
 
 /// What one of the recorded folders holds.
 struct Disk {
-    saved: Saved,
+    saved: PersistentState,
     /// The other controllers, kept only once one is heard of that the settings don't name.
     known: Vec<SocketAddrV4>,
 }
@@ -61,7 +61,7 @@
 fn read_disk(number: usize) -> Disk {
     let folder = TempDir::new().unwrap();
     copy(&recorded().join(number.to_string()), folder.path());
-    let storage = Cistern::open(folder.path().into(), SPACE, None).unwrap();
+    let storage = Storage::open(folder.path().into(), SPACE, None).unwrap();
     let saved = storage.load(CONSENSUS_KEY).unwrap().expect("the state of the consensus");
     let known = storage.load(ADDRESSES_KEY).unwrap();
     storage.close();
@@ -79,10 +79,10 @@
     let first = read_disk(1).saved;
     for number in NUMBERS {
         let Disk { saved, known } = read_disk(number);
-        assert_eq!((saved.base.view.no, saved.held), (RECORDED_VIEW, RECORDED_VIEW));
-        assert_eq!(saved.no, RECORDED_ORDER);
-        assert_eq!((&saved.base, &saved.state), (&first.base, &first.state));
-        let own = saved.base.view.members.iter().find(|member| member.id == saved.me).unwrap();
+        assert_eq!((saved.chosen.view.number, saved.state_view), (RECORDED_VIEW, RECORDED_VIEW));
+        assert_eq!(saved.revision, RECORDED_ORDER);
+        assert_eq!((&saved.chosen, &saved.state), (&first.chosen, &first.state));
+        let own = saved.chosen.view.members.iter().find(|member| member.id == saved.member_id).unwrap();
         assert_eq!(own.addr, inner_address(number));
         assert_eq!(own.zone, format!("zone-{}", (number - 1) % ZONES));
         let others = NUMBERS.into_iter().filter(|other| *other != number);
@@ -94,10 +94,11 @@
 #[test]
 fn given_a_recorded_disk_when_its_state_is_read_then_it_holds_every_version() {
     for disk in NUMBERS.map(read_disk) {
-        let control = Control::read(&disk.saved.state).unwrap();
+        let control = ControlState::decode(&disk.saved.state).unwrap();
         assert_eq!(control.epoch, RECORDED_VERSION);
         assert_eq!(String::from_utf8(control.body).unwrap(), recorded_configuration());
-        let versions = control.taken.iter().map(|Taken { epoch, base, .. }| (*base, *epoch));
+        let versions =
+            control.history.iter().map(|CommittedVersion { epoch, base_epoch: base, .. }| (*base, *epoch));
         assert_eq!(versions.collect::<Vec<_>>(), [(0, 3), (3, 5), (5, 8), (8, 13)]);
     }
 }
--- a/crates/fernknot-rpc/tests/common/samples.rs
+++ b/crates/fernknot-rpc/tests/common/samples.rs
@@ -1,59 +1,73 @@
 //! Values for the recorded encodings. No two fields of one type have the same value, so that fields that change
 //! places are noticed.
 
-use fernknot_ownership::{Cut, Fence, Gateway, LifeId};
-use fernknot_peer_sampling::{Descriptor, Role};
-use fernknot_registry::{NodeFact, NodeState};
-use fernknot_schema::{Class, ClientLimits, Plan, Route, Service, Target};
+use fernknot_ownership::{Assignment, FencingToken, GatewayRecord, IncarnationId};
+use fernknot_peer_sampling::{PeerDescriptor, Role};
+use fernknot_registry::{NodeRecord, NodeState};
+use fernknot_schema::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 pub fn addr(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 3, 4, number), 7200 + u16::from(number))
 }
 
-pub fn gateway(number: u8) -> Gateway {
-    Gateway {
-        life: LifeId(0x3000 + u64::from(number)),
+pub fn gateway(number: u8) -> GatewayRecord {
+    GatewayRecord {
+        incarnation: IncarnationId(0x3000 + u64::from(number)),
         addr: addr(number),
         zone: format!("gateway-zone-{number}"),
     }
 }
 
 /// A node in each state, with its other parts from the state's place.
-pub fn nodes() -> Vec<NodeFact> {
+pub fn nodes() -> Vec<NodeRecord> {
     let states = [NodeState::Ready, NodeState::Draining, NodeState::Lost, NodeState::Gone];
     states.into_iter().zip(1..).map(|(state, number)| node(number, state)).collect()
 }
 
-fn node(number: u8, state: NodeState) -> NodeFact {
-    NodeFact {
+fn node(number: u8, state: NodeState) -> NodeRecord {
+    NodeRecord {
         id: format!("node-{number}"),
         service: format!("service-{number}"),
         addr: addr(100 + number),
         zone: format!("node-zone-{number}"),
         state,
         capacity: 40 + u32::from(number),
-        warm_left_ms: 5000 + u64::from(number),
-        seq: 60_000 + u64::from(number),
+        warm_up_left_ms: 5000 + u64::from(number),
+        sequence: 60_000 + u64::from(number),
     }
 }
 
-pub fn cut() -> Cut {
-    Cut { fence: Fence::of(21, 22), live: vec![gateway(23), gateway(24)], may_be_alive: 25 }
+pub fn cut() -> Assignment {
+    Assignment {
+        fencing_token: FencingToken::new(21, 22),
+        gateways: vec![gateway(23), gateway(24)],
+        presumed_alive: 25,
+    }
 }
 
 /// Another descriptor for each role.
-pub fn descriptors() -> Vec<Descriptor> {
-    let gateway =
-        Descriptor { addr: addr(31), role: Role::Gateway, zone: "zone-31".into(), life: 3100, age: 310 };
-    let controller =
-        Descriptor { addr: addr(32), role: Role::Registrar, zone: "zone-32".into(), life: 3200, age: 320 };
+pub fn descriptors() -> Vec<PeerDescriptor> {
+    let gateway = PeerDescriptor {
+        addr: addr(31),
+        role: Role::Gateway,
+        zone: "zone-31".into(),
+        incarnation: 3100,
+        age_ms: 310,
+    };
+    let controller = PeerDescriptor {
+        addr: addr(32),
+        role: Role::Controller,
+        zone: "zone-32".into(),
+        incarnation: 3200,
+        age_ms: 320,
+    };
     vec![gateway, controller]
 }
 
 /// A configuration with every kind of route.
-pub fn plan() -> Plan {
-    Plan {
+pub fn plan() -> RoutingConfig {
+    RoutingConfig {
         epoch: 41,
         routes: vec![route_to_one_service(), route_to_weighted_services(), route_to_shards()],
         services: vec![service(1, true), service(2, false)],
@@ -66,12 +80,12 @@
         name: "orders".into(),
         authority: "orders.example".into(),
         path_prefix: "/orders/".into(),
-        traffic_class: Class::Mutating,
+        traffic_class: TrafficClass::Mutating,
         deadline_ms: 4301,
         target_ms: 4302,
         rank: 4303,
-        to: Target::Backend("service-1".into()),
-        tries: 4304,
+        target: RouteTarget::Service("service-1".into()),
+        max_attempts: 4304,
     }
 }
 
@@ -80,12 +94,12 @@
         name: "browse".into(),
         authority: "browse.example".into(),
         path_prefix: "/browse/".into(),
-        traffic_class: Class::Idempotent,
+        traffic_class: TrafficClass::Idempotent,
         deadline_ms: 4401,
         target_ms: 4402,
         rank: 4403,
-        to: Target::Shares(vec![("service-1".into(), 0.25), ("service-2".into(), 1.5)]),
-        tries: 4404,
+        target: RouteTarget::WeightedServices(vec![("service-1".into(), 0.25), ("service-2".into(), 1.5)]),
+        max_attempts: 4404,
     }
 }
 
@@ -95,12 +109,12 @@
         name: "search".into(),
         authority: "search.example".into(),
         path_prefix: "/search/".into(),
-        traffic_class: Class::Idempotent,
+        traffic_class: TrafficClass::Idempotent,
         deadline_ms: 4501,
         target_ms: 4502,
         rank: 4503,
-        to: Target::Fanout { shards, top_k: 4504, quorum: 0.625 },
-        tries: 4505,
+        target: RouteTarget::Fanout { shards, top_k: 4504, quorum: 0.625 },
+        max_attempts: 4505,
     }
 }
 
@@ -108,7 +122,7 @@
     Service {
         name: format!("service-{number}"),
         probe_path: format!("/health-{number}"),
-        max_conns: 4600 + number,
+        max_connections: 4600 + number,
         protocol: format!("h{number}"),
         tls,
     }
--- a/crates/fernknot-testbed/src/rig.rs
+++ b/crates/fernknot-testbed/src/rig.rs
@@ -37,7 +37,7 @@
 const INNER_PORTS: (u16, u16) = (7120, 7135);
 /// Lines of a process' log that are kept.
 const MAX_LOG_LINES: usize = 400;
-/// Hosts of the rig's network: registrars from the first, gateways from the second, all nodes at the last.
+/// Hosts of the rig's network: controllers from the first, gateways from the second, all nodes at the last.
 const FIRST_CONTROLLER_HOST: u8 = 1;
 const FIRST_GATEWAY_HOST: u8 = 20;
 const NODE_HOST: u8 = 250;
@@ -85,16 +85,16 @@
     /// The environment variable that names another program for this role.
     fn program_variable(self) -> &'static str {
         match self {
-            Role::Registrar => "FERNKNOT_CONTROLLER_PROGRAM",
+            Role::Controller => "FERNKNOT_CONTROLLER_PROGRAM",
             Role::Gateway => "FERNKNOT_GATEWAY_PROGRAM",
         }
     }
 
     /// The program for the process with this number: the one that the environment names, or the one beside.
-    fn program_of(self, at: usize) -> Result<PathBuf, RigError> {
+    fn program_of(self, at: usize) -> Result<PathBuf, ClusterError> {
         let variable = self.program_variable();
         let named = std::env::var_os(format!("{variable}_{at}")).or_else(|| std::env::var_os(variable));
-        named.map_or_else(|| program(self.program()), |path| Ok(path.into()))
+        named.map_or_else(|| find_program(self.program()), |path| Ok(path.into()))
     }
 }
 
@@ -117,7 +117,16 @@
 impl Default for ClusterSettings {
     fn default() -> ClusterSettings {
         let beat = Duration::from_millis(1000);
-        Layout { registrars: 3, gateways: 2, zones: 3, losses: 1, beat, log: "info", seed: 1, disks: None }
+        ClusterSettings {
+            controllers: 3,
+            gateways: 2,
+            zones: 3,
+            losses: 1,
+            heartbeat_interval: beat,
+            log_filter: "info",
+            seed: 1,
+            disks: None,
+        }
     }
 }
 
@@ -127,16 +136,16 @@
     ip: Ipv4Addr,
     zone: String,
     program: PathBuf,
-    settings: PathBuf,
-    data: Option<PathBuf>,
+    settings_path: PathBuf,
+    data_dir: Option<PathBuf>,
     child: Option<Child>,
     log_lines: Arc<Mutex<VecDeque<String>>>,
 }
 
 /// The processes.
-pub struct Rig {
-    layout: Layout,
-    net: (u8, u8),
+pub struct Cluster {
+    settings: ClusterSettings,
+    network: (u8, u8),
     processes: Vec<Process>,
     /// Gone with the rig, disks and all.
     temp_dir: TempDir,
@@ -201,15 +210,15 @@
         if let Some((role, count, _)) = room.iter().find(|(_, count, room)| *count > usize::from(*room)) {
             return Err(ClusterError::TooManyProcesses { role, count: *count });
         }
-        let fail = |step| move |why| RigError::Step { step, who: "the rig".into(), why };
+        let fail = |step| move |why| ClusterError::Step { step, who: "the rig".into(), why };
         let folder = TempDir::with_prefix("fernknot-basin-").map_err(fail("make a folder for"))?;
         // A network of its own for each process and rig, so that no two ever ask for one port.
         let net = std::process::id() % 8192 + 8192 * (CLUSTER_COUNT.fetch_add(1, Ordering::Relaxed) % 5);
         let net = (64 + (net / 256) as u8, (net % 256) as u8);
-        let mut rig = Rig { layout, net, processes: Vec::new(), folder };
-        let registrars = (0..rig.layout.registrars).map(|at| (Role::Registrar, at));
-        let gateways = (0..rig.layout.gateways).map(|at| (Role::Gateway, at));
-        for (role, at) in registrars.chain(gateways).collect::<Vec<_>>() {
+        let mut rig = Cluster { settings: layout, network: net, processes: Vec::new(), temp_dir: folder };
+        let controllers = (0..rig.settings.controllers).map(|at| (Role::Controller, at));
+        let gateways = (0..rig.settings.gateways).map(|at| (Role::Gateway, at));
+        for (role, at) in controllers.chain(gateways).collect::<Vec<_>>() {
             let program = role.program_of(at)?;
             let process = rig.prepare(role, at, program).map_err(fail("make a folder for"))?;
             rig.processes.push(process);
@@ -225,7 +234,7 @@
         let name = format!("{}-{at}", role.name());
         let data = (role == Role::Controller).then(|| self.temp_dir.path().join(format!("{name}-disk")));
         data.as_ref().map_or(Ok(()), std::fs::create_dir_all)?;
-        if let (Some(data), Some(disks)) = (&data, &self.layout.disks) {
+        if let (Some(data), Some(disks)) = (&data, &self.settings.disks) {
             copy_folder(&disks.join((at + 1).to_string()), data)?;
         }
         Ok(Process {
@@ -233,8 +242,8 @@
             ip: self.process_ip(role, at),
             zone: self.zone(at),
             program,
-            settings: self.folder.path().join(format!("{name}.json")),
-            data,
+            settings_path: self.temp_dir.path().join(format!("{name}.json")),
+            data_dir: data,
             child: None,
             log_lines: Arc::default(),
             name,
@@ -264,7 +273,7 @@
         &self.settings
     }
 
-    /// Control addresses of all registrars.
+    /// Control addresses of all controllers.
     pub fn control_addrs(&self) -> Vec<SocketAddrV4> {
         let ip = |at| self.process_ip(Role::Controller, at);
         (0..self.settings.controllers).map(|at| SocketAddrV4::new(ip(at), CONTROL_PORT)).collect()
@@ -450,13 +459,13 @@
         text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
-    /// Waits until all registrars say that they are ready.
+    /// Waits until all controllers say that they are ready.
     ///
     /// # Errors
     /// Where one is not in time; its log's last line is told.
     pub fn await_controllers(&self, within: Duration) -> Result<Duration, ClusterError> {
         let control = self.control_addrs();
-        wait_until("all registrars ready", within, || control.iter().all(|addr| is_ready(*addr)))
+        wait_until("all controllers ready", within, || control.iter().all(|addr| is_ready(*addr)))
             .map_err(|why| self.with_logs(why))
     }
 
--- a/crates/fernknot-testbed/tests/system.rs
+++ b/crates/fernknot-testbed/tests/system.rs
@@ -4,9 +4,9 @@
 
 use common::{PATIENCE, System, epoch, programs};
 use fernknot_testbed::checker::{Kind, check};
-use fernknot_testbed::operator::{End, Operator};
-use fernknot_testbed::paper::Draft;
-use fernknot_testbed::rig::{Layout, Rig, Role, until};
+use fernknot_testbed::operator::{CallOutcome, Operator};
+use fernknot_testbed::paper::ConfigDraft;
+use fernknot_testbed::rig::{Cluster, ClusterSettings, Role, wait_until};
 use std::path::Path;
 
 /// Guards the whole path: what an operator sent is read back as it was, is in force at every gateway, and a gathered
@@ -97,16 +97,18 @@
     programs();
     let disks = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fernknot-controller/tests/fixtures/disks");
     let recorded = std::fs::read(disks.join("configuration.json")).unwrap();
-    let layout = Layout { registrars: 4, seed: 14, disks: Some(disks), ..Layout::default() };
-    let rig = Rig::start(layout).unwrap();
-    rig.await_registrars(PATIENCE).unwrap();
-    let operator = Operator { addrs: rig.control(), within: PATIENCE };
-    let End::Answered { status: 200, body, .. } = operator.read() else { panic!("not read back") };
+    let layout =
+        ClusterSettings { controllers: 4, seed: 14, disks: Some(disks), ..ClusterSettings::default() };
+    let rig = Cluster::start(layout).unwrap();
+    rig.await_controllers(PATIENCE).unwrap();
+    let operator = Operator { addrs: rig.control_addrs(), timeout: PATIENCE };
+    let CallOutcome::Completed { status: 200, body, .. } = operator.read() else { panic!("not read back") };
     assert_eq!(body, recorded);
 
     let recorded_version = epoch(&recorded).unwrap();
-    let next = Draft { epoch: recorded_version + 1, ..Draft::default() };
-    let end = operator.replace(&next.bytes(), recorded_version);
-    assert!(matches!(end, End::Answered { status: 200, .. }), "{end:?}");
-    until("the change everywhere", PATIENCE, || (0..2).all(|at| rig.version(at) == next.epoch)).unwrap();
+    let next = ConfigDraft { epoch: recorded_version + 1, ..ConfigDraft::default() };
+    let end = operator.replace(&next.to_bytes(), recorded_version);
+    assert!(matches!(end, CallOutcome::Completed { status: 200, .. }), "{end:?}");
+    wait_until("the change everywhere", PATIENCE, || (0..2).all(|at| rig.gateway_version(at) == next.epoch))
+        .unwrap();
 }
