--- a/crates/fernknot-simulator/src/callers.rs
+++ b/crates/fernknot-simulator/src/control_clients.rs
@@ -1,12 +1,12 @@
 //! Operators and nodes, as the users' pages describe them: any controller will do, another one after a failure, a 5xx,
 //! 408 or 429 or a second of silence, 307 is followed twice, and a call without a clear end is sent again as it was.
 
-use crate::chance::Rng;
-use crate::judge::{ChangeRecord, DrainRecord};
-use crate::play::{SeededBug, Settings};
-use crate::register::{Call, Operation, OperationResult, Version};
-use crate::troubles::Trigger;
-use crate::world::{Event as All, Input, Simulation, millis};
+use crate::faults::Trigger;
+use crate::history::{ChangeRecord, DrainRecord};
+use crate::linearizability::{Call, Operation, OperationResult, Version};
+use crate::rng::Rng;
+use crate::run::{SeededBug, Settings};
+use crate::simulation::{Event as All, Input, Simulation, millis};
 use fernknot::interface::Nanos;
 use fernknot_http_api::{HttpServerConnection, HttpServerSettings, ReadOutcome, Reply, Request};
 use fernknot_protocol::buffer::Buffer;
--- a/crates/fernknot-simulator/src/troubles.rs
+++ b/crates/fernknot-simulator/src/faults.rs
@@ -1,8 +1,8 @@
 //! What befalls the machines, and when: a schedule drawn from the seed before the play begins.
 
-use crate::chance::Rng;
-use crate::play::FOUNDING_MEMBERS;
-use crate::world::{Event, FIRST_SUBSCRIBER, MAX_MACHINES, Simulation, WriteBehavior, millis};
+use crate::rng::Rng;
+use crate::run::FOUNDING_MEMBERS;
+use crate::simulation::{Event, FIRST_SUBSCRIBER, MAX_MACHINES, Simulation, WriteBehavior, millis};
 use fernknot::interface::Nanos;
 
 /// When a trouble that is due comes.
--- a/crates/fernknot-simulator/src/gateways.rs
+++ b/crates/fernknot-simulator/src/gateways.rs
@@ -1,9 +1,9 @@
 //! The real gateways, and the connections that bear their bytes: to controllers, to each other, to nodes and from
 //! clients. A connection is in order; a reset or a cut loses what is on its way.
 
-use crate::play::{SeededBug, Settings};
 use crate::ports::{PortAction, SimulatedPorts};
-use crate::world::{Event as All, FIRST_SUBSCRIBER, Input, Simulation, controller_addr, millis};
+use crate::run::{SeededBug, Settings};
+use crate::simulation::{Event as All, FIRST_SUBSCRIBER, Input, Simulation, controller_addr, millis};
 use fernknot::interface::Nanos;
 use fernknot_controller::SubscriberId;
 use fernknot_gateway::{Gateway, ListenerIds};
@@ -224,7 +224,7 @@
     fn start_gateway(&mut self, at: usize) {
         self.sequence += 1;
         let life = self.sequence;
-        let seed = crate::chance::splitmix64(self.settings.seed ^ life.rotate_left(24)) | 1;
+        let seed = crate::rng::splitmix64(self.settings.seed ^ life.rotate_left(24)) | 1;
         let Some(facts) = process_settings(at, &self.seeds, &self.settings) else {
             return self.report_violation("SETTINGS", format!("gateway {at} can't read its settings"));
         };
--- a/crates/fernknot-simulator/src/judge.rs
+++ b/crates/fernknot-simulator/src/history.rs
@@ -1,7 +1,7 @@
 //! What was seen on the simulated wire, and the rules that it is held against.
 
-use crate::register::{self, Call, Operation, OperationResult, Verdict, Version};
-use crate::world::Simulation;
+use crate::linearizability::{Call, Operation, OperationResult, Verdict, Version, check_linearizability};
+use crate::simulation::Simulation;
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -113,7 +113,7 @@
         if let Some(version) = strange {
             self.report_violation("CONFIG", format!("{version:?} is seen in force and was never sent"));
         }
-        match register::check_linearizability(&self.call_history()) {
+        match check_linearizability(&self.call_history()) {
             Verdict::Linearizable => {}
             Verdict::NotLinearizable { initial: on, calls } => {
                 let text =
--- a/crates/fernknot-simulator/src/lib.rs
+++ b/crates/fernknot-simulator/src/lib.rs
@@ -1,32 +1,33 @@
-//! A flume is a channel for trials. The real controllers run here in one process and in simulated time, with all that
-//! is around them: links, disks, operators, nodes and listeners, and troubles from one seed. What was seen on the
-//! simulated wire is judged by code that shares nothing with what it judges. docs/flume.md says how it is used.
+//! Deterministic simulation of the control plane: the production controllers (and, on request, the production gateways)
+//! run in one process and in simulated time, with everything around them derived from one seed: links, disks,
+//! operators, nodes, clients and faults. What passes over the simulated wire is judged by checkers that share no code
+//! with what they judge. `docs/simulator.md` describes how it is used and what it covers.
 //!
-//! | Part | What it is |
+//! | Module | Contents |
 //! |---|---|
-//! | [`play`] | one seed: the world is built, troubled, healed and judged |
-//! | [`world`] | the clock, links, disks and processes |
-//! | [`callers`] | operators and nodes, as the users' pages describe them |
-//! | [`listeners`] | the gateways' control side |
-//! | [`gateways`] | in plays of the whole system: the real gateways in place of listeners, and connections of bytes |
-//! | [`traffic`] | clients and what nodes do with requests |
-//! | [`wire_rules`] | the rules of requests |
-//! | [`wire`], [`ports`] | HTTP as it is read here, and ports without sockets |
-//! | [`troubles`] | what befalls the machines, and when |
-//! | [`judge`] | the rules |
-//! | [`register`] | linearizability of the operators' history |
-//! | [`chance`] | chance from a seed |
+//! | [`run`] | one seed: the simulation is built, faults are injected, all heals, the checkers report |
+//! | [`simulation`] | the clock, links, disks and processes |
+//! | [`control_clients`] | operators and nodes, as clients of the control plane |
+//! | [`subscribers`] | stand-ins for the gateways' control side |
+//! | [`gateways`] | in runs of the whole system: the production gateways, and connections of bytes |
+//! | [`traffic`] | clients, and what nodes do with their requests |
+//! | [`request_checker`] | the rules of requests |
+//! | [`wire`], [`ports`] | HTTP as it is read here, and a network without sockets |
+//! | [`faults`] | the schedule of faults, and their injection |
+//! | [`history`] | what was observed, and the rules of the control plane |
+//! | [`linearizability`] | whether the operators' history is that of one register |
+//! | [`rng`] | random numbers from a seed |
 
-pub mod callers;
-pub mod chance;
+pub mod control_clients;
+pub mod faults;
 pub mod gateways;
-pub mod judge;
-pub mod listeners;
-pub mod play;
+pub mod history;
+pub mod linearizability;
 pub mod ports;
-pub mod register;
+pub mod request_checker;
+pub mod rng;
+pub mod run;
+pub mod simulation;
+pub mod subscribers;
 pub mod traffic;
-pub mod troubles;
 pub mod wire;
-pub mod wire_rules;
-pub mod world;
--- a/crates/fernknot-simulator/src/main.rs
+++ b/crates/fernknot-simulator/src/main.rs
@@ -1,7 +1,7 @@
 //! `fernknot-simulator play --seeds FROM..TO` plays seeds side by side and names those where a rule broke;
 //! `fernknot-simulator replay SEED` prints one with its log, shrunk to the troubles that it needs.
 
-use fernknot_simulator::play::{Settings, shrink, simulate, simulate_with_faults};
+use fernknot_simulator::run::{Settings, shrink, simulate, simulate_with_faults};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
 use std::sync::Mutex;
--- a/crates/fernknot-simulator/src/play.rs
+++ b/crates/fernknot-simulator/src/run.rs
@@ -1,9 +1,9 @@
 //! One seed played from its start to the judge.
 
-use crate::chance::Rng;
-use crate::judge::Violation;
-use crate::troubles::{Fault, draw_fault_schedule};
-use crate::world::{Simulation, millis};
+use crate::faults::{Fault, draw_fault_schedule};
+use crate::history::Violation;
+use crate::rng::Rng;
+use crate::simulation::{Simulation, millis};
 use fernknot::interface::Nanos;
 use fernknot_controller::{Controller, ControllerSettings};
 use std::collections::BTreeMap;
--- a/crates/fernknot-simulator/src/world.rs
+++ b/crates/fernknot-simulator/src/simulation.rs
@@ -1,13 +1,13 @@
 //! The clock, the links, the disks and the processes of the controllers.
 
-use crate::callers::ControlClients;
-use crate::chance::Rng;
+use crate::control_clients::ControlClients;
+use crate::faults::{Fault, Trigger};
 use crate::gateways::Gateways;
-use crate::judge::Observations;
-use crate::listeners::Subscribers;
-use crate::play::{FOUNDING_MEMBERS, SeededBug, Settings};
+use crate::history::Observations;
+use crate::rng::Rng;
+use crate::run::{FOUNDING_MEMBERS, SeededBug, Settings};
+use crate::subscribers::Subscribers;
 use crate::traffic::Traffic;
-use crate::troubles::{Fault, Trigger};
 use fernknot::interface::Nanos;
 use fernknot_consensus::{PersistentState, WriteId};
 use fernknot_controller::{Action, Controller, ControllerSettings, PendingCall, SubscriberId};
@@ -88,8 +88,8 @@
     Written(usize, u64, WriteId, PersistentState),
     /// A full disk may have room.
     Reopen(usize, u64),
-    Caller(crate::callers::Event),
-    Listener(crate::listeners::Event),
+    Caller(crate::control_clients::Event),
+    Listener(crate::subscribers::Event),
     System(crate::gateways::Event),
     Traffic(crate::traffic::Event),
     Due(usize),
@@ -391,7 +391,7 @@
             apply_deadline: bounds.apply_deadline,
             contact_timeout: bounds.contact_timeout,
             budget_window: millis(10_000),
-            seed: crate::chance::splitmix64(self.settings.seed ^ life.rotate_left(32)) | 1,
+            seed: crate::rng::splitmix64(self.settings.seed ^ life.rotate_left(32)) | 1,
         };
         let machine = &mut self.machines[at];
         machine.incarnation = life;
@@ -671,7 +671,7 @@
     /// Asks what it knows now, for the timeline, as any operator may.
     fn request_counters(&mut self, at: usize) {
         let now = self.local_time(at);
-        let request = crate::callers::parse_request("GET /-/counters HTTP/1.1\r\n", "");
+        let request = crate::control_clients::parse_request("GET /-/counters HTTP/1.1\r\n", "");
         if let (Some(brain), Some(request)) = (&mut self.machines[at].controller, request) {
             brain.handle_call(now, TIMELINE_CALL, &request);
         }
--- a/crates/fernknot-simulator/src/listeners.rs
+++ b/crates/fernknot-simulator/src/subscribers.rs
@@ -1,9 +1,9 @@
 //! The control side of gateways: each listens to one controller, moves on when that one is silent or hears no
 //! majority, and holds the newest plan and what it was told of nodes.
 
-use crate::play::{SeededBug, Settings};
-use crate::register::Version;
-use crate::world::{Event as All, FIRST_SUBSCRIBER, Input, Simulation, millis};
+use crate::linearizability::Version;
+use crate::run::{SeededBug, Settings};
+use crate::simulation::{Event as All, FIRST_SUBSCRIBER, Input, Simulation, millis};
 use fernknot::interface::Nanos;
 use fernknot_controller::SubscriberId;
 use fernknot_ownership::{GatewayRecord, IncarnationId};
--- a/crates/fernknot-simulator/src/traffic.rs
+++ b/crates/fernknot-simulator/src/traffic.rs
@@ -1,11 +1,11 @@
 //! Clients, and what nodes do with requests: turned away, answered late, twice or never, broken off.
 
 use crate::gateways::{Endpoint, FIRST_GATEWAY};
-use crate::play::Settings;
-use crate::register::{OperationResult, Version};
+use crate::linearizability::{OperationResult, Version};
+use crate::request_checker::{BrokenRule, RequestChecker, RequestKind};
+use crate::run::Settings;
+use crate::simulation::{Event as All, Simulation, millis};
 use crate::wire::{self, Message};
-use crate::wire_rules::{BrokenRule, RequestChecker, RequestKind};
-use crate::world::{Event as All, Simulation, millis};
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/fernknot-simulator/tests/register.rs
+++ b/crates/fernknot-simulator/tests/linearizability.rs
@@ -1,6 +1,6 @@
 //! The judge of the operators' history, by histories whose verdict is known.
 
-use fernknot_simulator::register::{
+use fernknot_simulator::linearizability::{
     Call, Operation, OperationResult, Verdict, Version, check_linearizability,
 };
 use test_case::test_case;
--- a/crates/fernknot-simulator/tests/plants.rs
+++ b/crates/fernknot-simulator/tests/seeded_bugs.rs
@@ -2,7 +2,7 @@
 
 use fernknot_consensus::SeededBug as Views;
 use fernknot_controller::SeededBug as Own;
-use fernknot_simulator::play::{SeededBug, Settings, simulate};
+use fernknot_simulator::run::{SeededBug, Settings, simulate};
 use std::ops::Range;
 use test_case::test_case;
 
--- a/crates/fernknot-simulator/tests/seeds.rs
+++ b/crates/fernknot-simulator/tests/seeds.rs
@@ -1,7 +1,7 @@
 //! Whole plays from seeds.
 
-use fernknot_simulator::judge::Violation;
-use fernknot_simulator::play::{SeededBug, Settings, shrink, simulate, simulate_with_faults};
+use fernknot_simulator::history::Violation;
+use fernknot_simulator::run::{SeededBug, Settings, shrink, simulate, simulate_with_faults};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use test_case::test_case;
--- a/crates/fernknot-simulator/tests/system.rs
+++ b/crates/fernknot-simulator/tests/whole_system.rs
@@ -1,8 +1,8 @@
 //! The whole system: real controllers and real gateways among operators, nodes that answer and clients, from one seed.
 
 use fernknot_gateway::SeededBug as Own;
-use fernknot_simulator::play::{Outcome, SeededBug, Settings, simulate};
-use fernknot_simulator::world::millis;
+use fernknot_simulator::run::{Outcome, SeededBug, Settings, simulate};
+use fernknot_simulator::simulation::millis;
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/fernknot-testbed/src/load.rs
+++ b/crates/fernknot-testbed/src/load.rs
@@ -4,7 +4,7 @@
 use crate::nodes::lock;
 use crate::paper::HOST;
 use crate::wire::{self, Connection, Message};
-use fernknot_simulator::chance::Rng;
+use fernknot_simulator::rng::Rng;
 use std::net::SocketAddrV4;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/fernknot-testbed/src/nodes.rs
+++ b/crates/fernknot-testbed/src/nodes.rs
@@ -2,7 +2,7 @@
 //! many requests at once, turns the rest away, drains before a planned end and says nothing before a crash.
 
 use crate::wire::{self, Connection, Message};
-use fernknot_simulator::chance::{Rng, SPLITMIX64_INCREMENT, splitmix64};
+use fernknot_simulator::rng::{Rng, SPLITMIX64_INCREMENT, splitmix64};
 use serde_json::json;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
