--- /dev/null
+++ b/crates/fernknot-simulator/src/control_clients/operators.rs
@@ -0,0 +1,148 @@
+//! Operators: they read the configuration and change it.
+
+use crate::checks::observations::ChangeRecord;
+use crate::control_clients::configs::raw_config;
+use crate::control_clients::state::{ControlClientEvent, Purpose};
+use crate::linearizability::Version;
+use crate::simulation::Simulation;
+use crate::time::millis;
+use fernknot::interface::Nanos;
+
+/// Changes that operators have under way at one time.
+const MAX_CHANGES_IN_FLIGHT: usize = 8;
+/// Reads of one run.
+const MAX_READS: usize = 300;
+/// An operator that gives a change up does so after this.
+const CHANGE_PATIENCE: Nanos = millis(2000);
+/// A read of a flood is given up after this.
+const FLOOD_READ_PATIENCE: Nanos = millis(1500);
+
+impl Simulation {
+    pub(super) fn operator_turn(&mut self, index: usize) {
+        if self.control_clients.is_closing {
+            return;
+        }
+        let operator = &mut self.control_clients.operators[index];
+        let delay = match operator.is_hurrying {
+            true => operator.rng.between(millis(20), millis(120)),
+            false => operator.rng.between(millis(150), millis(1500)),
+        };
+        let reads = std::mem::take(&mut operator.reads_next) || operator.rng.one_in(3);
+        let choice = operator.rng.below(12);
+        self.schedule_client(delay, ControlClientEvent::OperatorTurn(index));
+        match choice {
+            _ if reads => self.send_read(Some(index), None),
+            0..3 => self.resend_change(choice == 0),
+            3 => self.resume_changes(),
+            _ => {
+                let operator = &self.control_clients.operators[index];
+                let base = operator.newest_epoch;
+                let epoch = base + 1 + operator.rng.below(2) as u64;
+                self.submit_change(index, base, epoch);
+            }
+        }
+    }
+
+    /// Sends an acknowledged change again: the last one, or any.
+    fn resend_change(&mut self, any: bool) {
+        let acknowledged = self.changes_where(ChangeRecord::is_committed);
+        let last = acknowledged.last().copied().filter(|_| !any);
+        if let Some(change) = last.or_else(|| self.rng.choose(&acknowledged)) {
+            self.send_change(Purpose::Resend(change));
+        }
+    }
+
+    fn changes_where(&self, holds: impl Fn(&ChangeRecord) -> bool) -> Vec<usize> {
+        let changes = &self.observations.changes;
+        (0..changes.len()).filter(|index| holds(&changes[*index])).collect()
+    }
+
+    /// Changes that were given up without a clear response are sent again.
+    pub(crate) fn resume_changes(&mut self) {
+        let pending = self.control_clients.pending_changes();
+        for change in self.changes_where(|change| change.completion.is_none()) {
+            if !pending.contains(&change) {
+                self.send_change(Purpose::Replace(change));
+            }
+        }
+    }
+
+    /// A new change of this operator, on top of the version with the number `base`.
+    pub(crate) fn submit_change(&mut self, operator: usize, base: u64, epoch: u64) {
+        let changes = self.observations.changes.len();
+        let pending = self.control_clients.pending_changes().len();
+        if pending >= MAX_CHANGES_IN_FLIGHT || changes >= self.settings.max_changes {
+            return;
+        }
+        let invoked_at = self.next_sequence();
+        let version = Version { epoch, body: changes as u64 };
+        let change = ChangeRecord { base, version, invoked_at, completion: None, operator };
+        self.observations.changes.push(change);
+        self.send_change(Purpose::Replace(changes));
+        let give_up_at = self.now + CHANGE_PATIENCE;
+        if self.rng.one_in(12)
+            && !self.control_clients.is_closing
+            && let Some(request) = self.control_clients.last_request()
+        {
+            request.give_up_at = Some(give_up_at);
+        }
+    }
+
+    fn send_change(&mut self, purpose: Purpose) {
+        let (Purpose::Replace(change) | Purpose::Resend(change)) = purpose else { return };
+        let ChangeRecord { base, version, .. } = self.observations.changes[change];
+        let mut body = raw_config(version, self.settings.gateways > 0);
+        // The same by its value: operators format as they like.
+        if matches!(purpose, Purpose::Resend(_)) && self.rng.one_in(2) {
+            body = body.replace(',', " ,\n  ");
+        }
+        let head = format!("POST /-/config/replace HTTP/1.1\r\nHost: x\r\nBase-Epoch: {base}\r\n");
+        self.begin_request(purpose, &head, &body, None);
+    }
+
+    /// Reads the newest configuration, for an operator or for the checkers.
+    pub(crate) fn send_read(&mut self, operator: Option<usize>, only_machine: Option<usize>) {
+        let head = "GET /-/config/read HTTP/1.1\r\nHost: x\r\n";
+        self.begin_request(Purpose::Read { operator }, head, "", only_machine);
+    }
+
+    /// Operators act without a pause, while it lasts.
+    pub(crate) fn set_hurry(&mut self, is_hurrying: bool) {
+        for operator in &mut self.control_clients.operators {
+            operator.is_hurrying = is_hurrying;
+        }
+    }
+
+    /// Eight changes at once on one version, by two operators who choose from two numbers.
+    pub(crate) fn submit_concurrent_changes(&mut self) {
+        let base = self.control_clients.newest_known_epoch();
+        for change in 0..MAX_CHANGES_IN_FLIGHT {
+            self.submit_change(change % 2, base, base + 1 + (change as u64 / 2) % 2);
+        }
+    }
+
+    /// Reads at one machine, and changes anywhere, without a pause for so long.
+    pub(crate) fn flood_machine(&mut self, machine: usize, remaining: Nanos) {
+        self.send_read(None, Some(machine));
+        let give_up_at = self.now + FLOOD_READ_PATIENCE;
+        if let Some(request) = self.control_clients.last_request() {
+            request.give_up_at = Some(give_up_at);
+        }
+        let newest = self.control_clients.newest_known_epoch();
+        match self.rng.below(6) {
+            0 => self.submit_change(0, newest, newest + 1),
+            1 => {
+                if let Some(change) = self.changes_where(ChangeRecord::is_committed).last() {
+                    self.send_change(Purpose::Resend(*change));
+                }
+            }
+            _ => {}
+        }
+        let pause = self.rng.between(millis(10), millis(60));
+        let may_go_on = self.observations.reads.len() < MAX_READS && !self.control_clients.is_closing;
+        if remaining > pause && may_go_on {
+            let remaining = remaining - pause;
+            self.schedule_client(pause, ControlClientEvent::Flood { machine, remaining });
+        }
+    }
+}
--- /dev/null
+++ b/crates/fernknot-simulator/src/controllers/actions.rs
@@ -0,0 +1,44 @@
+//! Carries out what a controller asks its host for.
+
+use crate::simulation::Simulation;
+use crate::topology::machine_index;
+use fernknot_controller::{Action, PendingCall, SubscriberId};
+use fernknot_http_api::Reply;
+use fernknot_rpc::ControllerToGateway;
+
+/// The call by which the log asks a controller what it knows.
+pub(super) const TIMELINE_CALL: PendingCall = PendingCall { connection: u64::MAX, call: u64::MAX };
+
+impl Simulation {
+    pub(super) fn execute(&mut self, index: usize, action: Action) {
+        match action {
+            Action::Reply { call, reply } => self.route_reply(index, call, &reply),
+            Action::Send { to, message } => self.send_peer_message(index, machine_index(to), message),
+            Action::Notify { to, message } => self.notify(index, to, &message),
+            Action::Connect { to } => self.connect_peer(index, machine_index(to)),
+            Action::AbortConnect { to } => self.abort_peer_connection(index, machine_index(to)),
+            Action::Store { ticket, state } => self.begin_write(index, ticket, state),
+            Action::StoreKnownPeers { addrs } => self.machines[index].disk.known_peers = addrs,
+            Action::Log { text, .. } => self.observe_log(index, &text),
+        }
+    }
+
+    fn route_reply(&mut self, index: usize, call: PendingCall, reply: &Reply) {
+        if call == TIMELINE_CALL {
+            self.record_counters(index, reply);
+        } else {
+            self.respond(index, call.call, reply);
+        }
+    }
+
+    fn notify(&mut self, index: usize, to: Vec<SubscriberId>, message: &ControllerToGateway) {
+        let incarnation = self.machines[index].incarnation;
+        for subscriber in to {
+            if self.gateways.connections.contains_key(&subscriber.0) {
+                self.notify_gateway(subscriber, message);
+            } else {
+                self.notify_subscriber(index, incarnation, subscriber, message);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fernknot-simulator/src/controllers/mod.rs
@@ -0,0 +1,8 @@
+//! Machines with a disk, and the production controllers that run on them.
+
+mod actions;
+mod disk;
+mod inputs;
+pub(crate) mod machine;
+mod process;
+mod timeline;
--- /dev/null
+++ b/crates/fernknot-simulator/src/controllers/process.rs
@@ -0,0 +1,164 @@
+//! The life cycle of a controller's process: start, end, freeze and graceful shutdown.
+
+use crate::controllers::machine::Input;
+use crate::event::Event;
+use crate::faults::schedule::Trigger;
+use crate::rng::splitmix64;
+use crate::settings::SeededBug;
+use crate::simulation::Simulation;
+use crate::time::{NEVER, millis};
+use crate::topology::{controller_addr, zone_name};
+use fernknot::interface::Nanos;
+use fernknot_controller::{Controller, ControllerSettings};
+
+/// A controller that was asked to stop ends within this, a quarter of `grace_s`, or is killed.
+const SHUTDOWN_GRACE: Nanos = millis(1500);
+/// How often a process that was asked to stop is asked whether it may end.
+const SHUTDOWN_POLL_INTERVAL: Nanos = millis(20);
+/// The window of the gateways' retry budget, as the controllers' settings have it.
+const BUDGET_WINDOW: Nanos = millis(10_000);
+
+impl Simulation {
+    /// Starts a process with whatever is on its disk.
+    pub(crate) fn start_controller(&mut self, index: usize, bootstrap: bool) {
+        if self.machines[index].is_up() || self.machines[index].is_removed {
+            return;
+        }
+        let incarnation = self.next_sequence();
+        let controller = self.build_controller(index, incarnation, bootstrap);
+        let machine = &mut self.machines[index];
+        machine.incarnation = incarnation;
+        machine.started_at = self.now;
+        machine.is_frozen = false;
+        machine.is_powered = true;
+        machine.inbox.clear();
+        machine.disk.pending_writes.clear();
+        machine.disk.is_open = true;
+        machine.controller = Some(controller);
+        machine.disturbed_at = self.now;
+        self.network.core_disturbed_at = self.now;
+        self.faults.last_returned = Some(index);
+        self.trace(|| format!("{index} starts"));
+        let delay = self.rng.between(millis(3), millis(40));
+        self.schedule_input(delay, index, incarnation, Input::DiskLoaded);
+        self.fire_trigger(Trigger::MachineReturned);
+        self.run_actions(index);
+    }
+
+    fn build_controller(&self, index: usize, incarnation: u64, bootstrap: bool) -> Controller {
+        let bounds = self.settings.bounds;
+        let settings = ControllerSettings {
+            addr: controller_addr(index),
+            zone: zone_name(index),
+            seeds: self.discovery.seeds.iter().map(|seed| controller_addr(*seed)).collect(),
+            bootstrap,
+            tolerated_losses: self.settings.losses,
+            heartbeat_interval: bounds.heartbeat_interval,
+            apply_deadline: bounds.apply_deadline,
+            contact_timeout: bounds.contact_timeout,
+            budget_window: BUDGET_WINDOW,
+            seed: splitmix64(self.settings.seed ^ incarnation.rotate_left(32)) | 1,
+        };
+        let bug = match self.settings.seeded_bug {
+            Some(SeededBug::Controller(bug)) => Some(bug),
+            _ => None,
+        };
+        Controller::with_seeded_bug(settings, millis(1), bug)
+    }
+
+    /// The process ends; with `loses_power` the machine goes dark too.
+    pub(crate) fn end_controller(&mut self, index: usize, loses_power: bool) {
+        let keeps_writes = self.rng.one_in(2);
+        let machine = &mut self.machines[index];
+        if !machine.is_up() {
+            machine.is_powered &= !loses_power;
+            return;
+        }
+        let incarnation = machine.incarnation;
+        machine.controller = None;
+        machine.is_frozen = false;
+        machine.wake_at = NEVER;
+        machine.inbox.clear();
+        machine.is_powered = !loses_power;
+        machine.disturbed_at = self.now;
+        self.end_pending_writes(index, keeps_writes);
+        self.network.core_disturbed_at = self.now;
+        self.trace(|| format!("{index} ends{}", if loses_power { ", without power" } else { "" }));
+        self.end_peer_connections(index, loses_power);
+        self.drop_control_calls(index, incarnation, loses_power);
+        self.drop_subscribers(index, incarnation, loses_power);
+        self.drop_gateway_connections(index, incarnation, loses_power);
+    }
+
+    /// Freezes a process, or lets it go on with what has reached it meanwhile.
+    pub(crate) fn set_frozen(&mut self, index: usize, is_frozen: bool) {
+        let now = self.now;
+        let machine = &mut self.machines[index];
+        if machine.is_frozen == is_frozen || !machine.is_up() {
+            return;
+        }
+        machine.is_frozen = is_frozen;
+        machine.disturbed_at = now;
+        self.network.core_disturbed_at = now;
+        self.trace(|| format!("{index} {}", if is_frozen { "freezes" } else { "thaws" }));
+        if !is_frozen {
+            self.resume_controller(index);
+        }
+    }
+
+    fn resume_controller(&mut self, index: usize) {
+        self.faults.last_returned = Some(index);
+        self.fire_trigger(Trigger::MachineReturned);
+        // What its own clock had due may come before what waits at its sockets, or after.
+        if self.rng.one_in(2) {
+            self.run_actions(index);
+        }
+        for input in std::mem::take(&mut self.machines[index].inbox) {
+            self.deliver(index, input);
+        }
+        self.run_actions(index);
+    }
+
+    /// SIGTERM.
+    pub(crate) fn stop_controller(&mut self, index: usize) {
+        let now = self.now;
+        self.network.core_disturbed_at = now;
+        let machine = &mut self.machines[index];
+        let local_time = machine.local_time(now);
+        let incarnation = machine.incarnation;
+        let Some(controller) = &mut machine.controller else { return };
+        controller.begin_shutdown(local_time);
+        machine.stop_deadline = now + SHUTDOWN_GRACE;
+        self.trace(|| format!("{index} is asked to stop"));
+        self.run_actions(index);
+        self.schedule(SHUTDOWN_POLL_INTERVAL, Event::CheckStopped { machine: index, incarnation });
+    }
+
+    pub(crate) fn check_stopped(&mut self, index: usize, incarnation: u64) {
+        let machine = &self.machines[index];
+        if machine.incarnation != incarnation {
+            return;
+        }
+        let Some(controller) = &machine.controller else { return };
+        if controller.can_exit() || self.now >= machine.stop_deadline {
+            self.end_controller(index, false);
+        } else {
+            self.schedule(SHUTDOWN_POLL_INTERVAL, Event::CheckStopped { machine: index, incarnation });
+        }
+    }
+
+    /// The lists of clients name all machines that there are.
+    pub(crate) fn update_advertised(&mut self) {
+        self.discovery.advertised = self.present_machines();
+    }
+
+    /// Machines that were not replaced, whether they run or not.
+    pub(crate) fn present_machines(&self) -> Vec<usize> {
+        (0..self.machines.len()).filter(|index| !self.machines[*index].is_removed).collect()
+    }
+
+    /// Machines whose process runs and is not frozen.
+    pub(crate) fn running_machines(&self) -> Vec<usize> {
+        (0..self.machines.len()).filter(|index| self.machines[*index].is_running()).collect()
+    }
+}
--- /dev/null
+++ b/crates/fernknot-simulator/src/faults/triggers.rs
@@ -0,0 +1,88 @@
+//! When faults happen, and to whom.
+
+use crate::event::Event;
+use crate::faults::schedule::{Fault, FaultKind, Target, Trigger};
+use crate::simulation::Simulation;
+use crate::time::millis;
+use fernknot::interface::Nanos;
+
+/// A fault that waits for its trigger happens without it after this.
+const TRIGGER_TIMEOUT: Nanos = millis(5000);
+
+impl Simulation {
+    pub(crate) fn fault_due(&mut self, fault: usize) {
+        if self.control_clients.is_closing || self.faults.is_healing {
+            return;
+        }
+        if self.faults.schedule[fault].trigger == Trigger::Immediate {
+            self.inject_fault(fault);
+        } else {
+            self.faults.armed.insert(fault);
+            self.schedule(TRIGGER_TIMEOUT, Event::InjectFault(fault));
+        }
+    }
+
+    /// Something has happened that a fault may wait for.
+    pub(crate) fn fire_trigger(&mut self, trigger: Trigger) {
+        if let Some(fault) = self.faults.waiting_for(trigger) {
+            self.faults.armed.remove(&fault);
+            let delay = self.rng.between(Nanos(0), millis(15));
+            self.schedule(delay, Event::InjectFault(fault));
+        }
+    }
+
+    /// A fault happens, unless more would be lost than the budget allows.
+    pub(crate) fn inject_fault(&mut self, fault: usize) {
+        let Fault { target, kind, duration, .. } = self.faults.schedule[fault];
+        self.faults.armed.remove(&fault);
+        if self.faults.is_healing || !self.faults.injected.insert(fault) {
+            return;
+        }
+        let Some(machine) = self.resolve_target(target) else { return };
+        let machine = match kind {
+            FaultKind::ReadFlood => self.faults.last_returned.unwrap_or(machine),
+            _ => machine,
+        };
+        if kind.counts_as_loss() && self.exceeds_budget(kind, machine) {
+            return self.trace(|| format!("({kind:?} on {machine} would lose too many)"));
+        }
+        self.trace(|| format!("FAULT {fault}: {kind:?} on {machine} for {:.0} ms", duration.as_millis()));
+        if kind.counts_as_loss() {
+            self.machines[machine].active_faults += 1;
+            self.machines[machine].disturbed_at = self.now;
+        }
+        self.faults.machines.insert(fault, machine);
+        self.schedule(duration, Event::EndFault { fault, machine });
+        self.begin_fault(kind, machine, duration);
+        if matches!(kind, FaultKind::Isolate { .. } | FaultKind::PartitionPair { .. }) {
+            self.fire_trigger(Trigger::Partitioned);
+        }
+    }
+
+    fn resolve_target(&self, target: Target) -> Option<usize> {
+        let running = self.running_machines();
+        let wanted = match target {
+            Target::Leader => self.faults.leader,
+            Target::LastAcknowledger => self.faults.last_acknowledger,
+            Target::Any(place) => running.get(place % running.len().max(1)).copied(),
+        };
+        wanted.filter(|machine| running.contains(machine)).or(running.first().copied())
+    }
+
+    fn exceeds_budget(&self, kind: FaultKind, machine: usize) -> bool {
+        let lost = self.lost_machines();
+        let others = lost.iter().filter(|other| **other != machine).count();
+        let hits_all = matches!(kind, FaultKind::AllMachines { .. });
+        let is_too_much = others >= self.settings.losses || (hits_all && !lost.is_empty());
+        is_too_much && !self.settings.exceeds_fault_budget
+    }
+
+    /// Machines that count as lost: by a fault, or as they still catch up after one.
+    fn lost_machines(&self) -> Vec<usize> {
+        let is_lost = |index: &usize| {
+            let machine = &self.machines[*index];
+            machine.active_faults > 0 || machine.unavailable_until > self.now
+        };
+        self.present_machines().into_iter().filter(is_lost).collect()
+    }
+}
--- a/crates/fernknot-simulator/src/lib.rs
+++ b/crates/fernknot-simulator/src/lib.rs
@@ -3,31 +3,42 @@
 //! operators, nodes, clients and faults. What passes over the simulated wire is judged by checkers that share no code
 //! with what they judge. `docs/simulator.md` describes how it is used and what it covers.
 //!
-//! | Module | Contents |
+//! # Layers
+//!
+//! Each layer uses those above it in this table only.
+//!
+//! | Modules | Contents |
 //! |---|---|
-//! | [`run`] | one seed: the simulation is built, faults are injected, all heals, the checkers report |
-//! | [`simulation`] | the clock, links, disks and processes |
-//! | [`control_clients`] | operators and nodes, as clients of the control plane |
-//! | [`subscribers`] | stand-ins for the gateways' control side |
-//! | [`gateways`] | in runs of the whole system: the production gateways, and connections of bytes |
-//! | [`traffic`] | clients, and what nodes do with their requests |
-//! | [`request_checker`] | the rules of requests |
-//! | [`wire`], [`ports`] | HTTP as it is read here, and a network without sockets |
-//! | [`faults`] | the schedule of faults, and their injection |
-//! | [`history`] | what was observed, and the rules of the control plane |
-//! | [`linearizability`] | whether the operators' history is that of one register |
-//! | [`rng`] | random numbers from a seed |
+//! | [`rng`], [`time`], `topology`, [`settings`], [`wire`], [`ports`], `http_request` | tools without a state of the run |
+//! | [`linearizability`], `checks` (but `history`) | observations, and the rules that they are held against |
+//! | `state` of each part, [`faults::schedule`], `event` | the data of a run |
+//! | `simulation` | the clock, and one struct that holds the state of all parts |
+//! | `network`, `controllers`, `control_clients`, `subscribers`, `gateways`, `traffic`, `faults`, `checks::history` | what each part does: an `impl Simulation` in each file |
+//! | `dispatch`, [`run`] | the loop's way to the parts; one run from its seed to the verdicts |
+
+#![deny(missing_docs)]
+
+mod checks;
+mod control_clients;
+mod controllers;
+mod dispatch;
+mod event;
+mod gateways;
+mod http_request;
+mod network;
+mod simulation;
+mod subscribers;
+mod topology;
+mod traffic;
 
-pub mod control_clients;
 pub mod faults;
-pub mod gateways;
-pub mod history;
 pub mod linearizability;
 pub mod ports;
-pub mod request_checker;
 pub mod rng;
 pub mod run;
-pub mod simulation;
-pub mod subscribers;
-pub mod traffic;
+pub mod settings;
+pub mod time;
 pub mod wire;
+
+pub use checks::requests::RequestEvent;
+pub use checks::rule::{Rule, Violation};
--- a/crates/fernknot-simulator/src/linearizability.rs
+++ b/crates/fernknot-simulator/src/linearizability.rs
@@ -1,53 +1,82 @@
-//! The operators' history against what it must be: one register that is replaced only by who names its newest
-//! version, and read. Stateright's tester searches for an order; this file cuts the history so that it can.
+//! Whether the operators' history is that of one register, which is replaced only by who names its newest version, and
+//! read. Stateright's tester searches for an order of the calls; this module cuts the history so that it can.
 
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A version: its number, and which of the configurations under that number.
+/// A version of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
+    /// Its number, as operators give it.
     pub epoch: u64,
+    /// Which of the configurations with that number.
     pub body: u64,
 }
 
-/// What an operator asks.
+/// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// On top of the version with the number `base`, 0 for none.
+    /// To replace the version with the number `base`, 0 for none.
     Replace {
+        /// The number of the version that is replaced.
         base: u64,
+        /// The version in its place.
         new: Version,
     },
+    /// To read the newest version.
     Read,
 }
 
-/// What it is told.
+/// What an operator gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OperationResult {
+    /// The change is in force.
     Committed,
-    /// 412, or 400 for a number that is not above.
+    /// 412, or 400 for a number that is not above the base.
     Rejected,
+    /// The newest version; none where there is no version yet.
     Value(Option<Version>),
 }
 
-/// One call. Its ends are places in the one sequence of all events; without a clear end it has none.
+/// The end of a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Completion {
+    /// Its place in the one sequence of all events.
+    pub at: u64,
+    /// What the operator got.
+    pub result: OperationResult,
+}
+
+/// One call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
+    /// What it asks for.
     pub operation: Operation,
+    /// The place of its beginning in the one sequence of all events.
     pub invoked_at: u64,
-    pub completion: Option<(u64, OperationResult)>,
+    /// Its end; none where it had no clear response.
+    pub completion: Option<Completion>,
+}
+
+impl Call {
+    fn has_result(&self, result: OperationResult) -> bool {
+        self.completion.is_some_and(|completion| completion.result == result)
+    }
+
+    fn replaces(&self, epoch: u64) -> bool {
+        matches!(self.operation, Operation::Replace { base, .. } if base == epoch)
+    }
 }
 
 /// Steps after which a search is given up.
 const MAX_SEARCH_STEPS: u64 = 400_000;
 
-/// The register as it should be, with what keeps the search short.
+/// The specification of the register, with what keeps the search short.
 #[derive(Clone, Debug)]
 struct Register {
     newest: Option<Version>,
-    /// The last call that changed nothing, since one did.
+    /// The place of the last call that changed nothing, if none has changed anything since.
     last_unchanging: Option<usize>,
     steps: Arc<AtomicU64>,
 }
@@ -57,8 +86,8 @@
     type Op = (usize, Operation);
     type Ret = OperationResult;
 
-    fn invoke(&mut self, (_, op): &(usize, Operation)) -> OperationResult {
-        match *op {
+    fn invoke(&mut self, (_, operation): &(usize, Operation)) -> OperationResult {
+        match *operation {
             Operation::Read => OperationResult::Value(self.newest),
             Operation::Replace { base, new } => {
                 let epoch = self.newest.map_or(0, |newest| newest.epoch);
@@ -72,135 +101,158 @@
     }
 
     /// Calls that change nothing may trade places: of all their orders only that by their beginnings is tried. It
-    /// breaks no order in time, as who ended before another began also began before it.
-    fn is_valid_step(&mut self, op: &(usize, Operation), ret: &OperationResult) -> bool {
+    /// breaks no order in time, as a call that ended before another began also began before it.
+    fn is_valid_step(&mut self, operation: &(usize, Operation), result: &OperationResult) -> bool {
         if self.steps.fetch_add(1, Ordering::Relaxed) > MAX_SEARCH_STEPS {
             return false;
         }
-        if self.invoke(op) != *ret {
+        if self.invoke(operation) != *result {
             return false;
         }
-        if *ret == OperationResult::Committed {
+        if *result == OperationResult::Committed {
             return true;
         }
-        let sorted = self.last_unchanging.is_none_or(|idle| idle < op.0);
-        self.last_unchanging = Some(op.0);
-        sorted
+        let place = operation.0;
+        let is_sorted = self.last_unchanging.is_none_or(|last| last < place);
+        self.last_unchanging = Some(place);
+        is_sorted
     }
 }
 
-/// What became of the search.
+/// The result of the search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// There is an order that explains all.
+    /// There is an order that explains all results.
     Linearizable,
-    /// There is none for these calls, which began on this version.
-    NotLinearizable { initial: Option<Version>, calls: Vec<Call> },
-    /// The search was given up: nothing is known of these.
-    Undecided { calls: Vec<Call> },
+    /// There is none.
+    NotLinearizable {
+        /// The version before these calls; none where there was none yet.
+        initial: Option<Version>,
+        /// The calls that no order explains.
+        calls: Vec<Call>,
+    },
+    /// The search was given up.
+    Undecided {
+        /// The calls of which nothing is known.
+        calls: Vec<Call>,
+    },
 }
 
-/// Whether one order of the calls, each at a moment between its ends, explains what all were told. The history is cut
-/// where no call is in flight: there the version is known, as it is the last of those taken. A call without an end
-/// is never cut off: it stays in flight to the end of the history.
+/// Whether one order of the calls, each at a moment between its ends, explains all results. The history is cut where no
+/// call is in flight: there the version is known, as it is the last of those committed. A call without an end is never
+/// cut off: it stays in flight to the end of the history.
 ///
 /// A call that changes nothing and that fits at one of its moments in every order of the others is left out first:
-/// whether the others have an order doesn't hang on it. Without that, eight orders at once overlap too much.
+/// whether the others have an order doesn't depend on it. Without that, eight changes at once overlap too much.
 pub fn check_linearizability(calls: &[Call]) -> Verdict {
     let mut calls: Vec<Call> = calls.iter().filter(|call| !always_fits(call, calls)).cloned().collect();
     calls.sort_by_key(|call| call.invoked_at);
-    let mut on = None;
-    let mut begun = 0;
-    while begun < calls.len() {
-        let mut end = begun;
-        let mut last = 0;
-        while end < calls.len() && (end == begun || calls[end].invoked_at < last) {
-            last = last.max(calls[end].completion.map_or(u64::MAX, |(to, _)| to));
-            end += 1;
-        }
-        let part = &calls[begun..end];
-        match check_segment(on, part) {
+    let mut initial = None;
+    let mut rest = &calls[..];
+    while !rest.is_empty() {
+        let (segment, others) = rest.split_at(segment_length(rest));
+        match check_segment(initial, segment) {
             Verdict::Linearizable => {}
             other => return other,
         }
-        // Taken ones rise in number, each on top of the one before.
-        let taken = part.iter().filter_map(|call| match (call.operation, call.completion) {
-            (Operation::Replace { new, .. }, Some((_, OperationResult::Committed))) => Some(new),
-            _ => None,
-        });
-        on = taken.max().or(on);
-        begun = end;
+        // Committed ones rise in number, each on top of the one before.
+        initial = segment.iter().filter_map(committed_version).max().or(initial);
+        rest = others;
     }
     Verdict::Linearizable
 }
 
+/// How many calls go by until none is in flight.
+fn segment_length(calls: &[Call]) -> usize {
+    let mut last_end = 0;
+    for (index, call) in calls.iter().enumerate() {
+        if index > 0 && call.invoked_at >= last_end {
+            return index;
+        }
+        last_end = last_end.max(call.completion.map_or(u64::MAX, |completion| completion.at));
+    }
+    calls.len()
+}
+
+fn committed_version(call: &Call) -> Option<Version> {
+    match call.operation {
+        Operation::Replace { new, .. } if call.has_result(OperationResult::Committed) => Some(new),
+        _ => None,
+    }
+}
+
 /// Whether a call that changed nothing fits at one of its own moments, whatever the order of the others.
 fn always_fits(call: &Call, all: &[Call]) -> bool {
-    let Some((to, ret)) = call.completion else { return false };
-    let changes = |base: u64| {
-        all.iter()
-            .filter(move |other| matches!(other.operation, Operation::Replace { base: on, .. } if on == base))
-    };
-    let taken = |other: &&Call| matches!(other.completion, Some((_, OperationResult::Committed)));
-    match (call.operation, ret) {
-        // At its end: what came on top of its base was taken before.
+    let Some(Completion { at: end, result }) = call.completion else { return false };
+    match (call.operation, result) {
+        // At its end: what came on top of its base was committed before.
         (Operation::Replace { base, .. }, OperationResult::Rejected) => {
-            changes(base).filter(taken).any(|other| other.completion.is_some_and(|(end, _)| end < to))
+            let mut others = all.iter().filter(|other| other.replaces(base));
+            others.any(|other| committed_at(other).is_some_and(|committed_at| committed_at < end))
         }
         // At a moment after the version's own end and before anything on top of it could begin.
         (Operation::Read, OperationResult::Value(found)) => {
             let since = match found {
                 None => Some(0),
-                Some(version) => all
-                    .iter()
-                    .filter(taken)
-                    .find(|other| matches!(other.operation, Operation::Replace { new, .. } if new == version))
-                    .and_then(|other| other.completion.map(|(end, _)| end)),
+                Some(version) => {
+                    all.iter().find(|other| committed_version(other) == Some(version)).and_then(committed_at)
+                }
             };
             let epoch = found.map_or(0, |version| version.epoch);
-            let refused = |other: &&Call| matches!(other.completion, Some((_, OperationResult::Rejected)));
-            let until = changes(epoch).filter(|other| !refused(other)).map(|other| other.invoked_at).min();
-            since.is_some_and(|since| since.max(call.invoked_at) < until.unwrap_or(u64::MAX).min(to))
+            let successors = all
+                .iter()
+                .filter(|other| other.replaces(epoch) && !other.has_result(OperationResult::Rejected));
+            let until = successors.map(|other| other.invoked_at).min().unwrap_or(u64::MAX).min(end);
+            since.is_some_and(|since| since.max(call.invoked_at) < until)
         }
         _ => false,
     }
 }
 
+fn committed_at(call: &Call) -> Option<u64> {
+    let completion = call.completion?;
+    (completion.result == OperationResult::Committed).then_some(completion.at)
+}
+
 /// Calls without an end need not have happened: where the others have an order by themselves, that is one.
-fn check_segment(on: Option<Version>, part: &[Call]) -> Verdict {
-    let ended: Vec<Call> = part.iter().filter(|call| call.completion.is_some()).cloned().collect();
-    match search_order(on, &ended) {
+fn check_segment(initial: Option<Version>, segment: &[Call]) -> Verdict {
+    let ended: Vec<Call> = segment.iter().filter(|call| call.completion.is_some()).cloned().collect();
+    match search_order(initial, &ended) {
         Verdict::Linearizable => Verdict::Linearizable,
-        _ => search_order(on, part),
+        _ => search_order(initial, segment),
     }
 }
 
-fn search_order(on: Option<Version>, part: &[Call]) -> Verdict {
+fn search_order(initial: Option<Version>, segment: &[Call]) -> Verdict {
     let steps = Arc::new(AtomicU64::new(0));
-    let register = Register { newest: on, last_unchanging: None, steps: steps.clone() };
+    let register = Register { newest: initial, last_unchanging: None, steps: steps.clone() };
     let mut tester = LinearizabilityTester::new(register);
-    // Each call is a thread of its own: order in time binds threads too, and a thread has one call in flight.
-    let mut events: Vec<(u64, usize, Option<OperationResult>)> = Vec::new();
-    for (at, call) in part.iter().enumerate() {
-        events.push((call.invoked_at, at, None));
-        events.extend(call.completion.map(|(to, ret)| (to, at, Some(ret))));
-    }
-    events.sort_by_key(|(when, at, ret)| (*when, *at, ret.is_some()));
-    for (_, at, ret) in events {
-        let fits = match ret {
-            None => tester.on_invoke(at, (at, part[at].operation)).is_ok(),
-            Some(ret) => tester.on_return(at, ret).is_ok(),
+    for (_, index, result) in events_in_order(segment) {
+        // Each call is a thread of its own: order in time binds threads too, and a thread has one call in flight.
+        let is_accepted = match result {
+            None => tester.on_invoke(index, (index, segment[index].operation)).is_ok(),
+            Some(result) => tester.on_return(index, result).is_ok(),
         };
-        if !fits {
-            return Verdict::Undecided { calls: part.to_vec() };
+        if !is_accepted {
+            return Verdict::Undecided { calls: segment.to_vec() };
         }
     }
-    let calls = || part.to_vec();
     if tester.is_consistent() {
         Verdict::Linearizable
     } else if steps.load(Ordering::Relaxed) > MAX_SEARCH_STEPS {
-        Verdict::Undecided { calls: calls() }
+        Verdict::Undecided { calls: segment.to_vec() }
     } else {
-        Verdict::NotLinearizable { initial: on, calls: calls() }
+        Verdict::NotLinearizable { initial, calls: segment.to_vec() }
+    }
+}
+
+/// Beginnings and ends in their order: when, of which call, and at an end the result.
+fn events_in_order(segment: &[Call]) -> Vec<(u64, usize, Option<OperationResult>)> {
+    let mut events = Vec::new();
+    for (index, call) in segment.iter().enumerate() {
+        events.push((call.invoked_at, index, None));
+        events.extend(call.completion.map(|completion| (completion.at, index, Some(completion.result))));
     }
+    events.sort_by_key(|(when, index, result)| (*when, *index, result.is_some()));
+    events
 }
--- /dev/null
+++ b/crates/fernknot-simulator/src/network/connectivity.rs
@@ -0,0 +1,85 @@
+//! Partitions, resets, and who is in touch by the users' definition.
+
+use crate::simulation::Simulation;
+use crate::time::millis;
+use crate::topology::FIRST_SUBSCRIBER;
+use fernknot::interface::Nanos;
+
+/// What a slow link adds to each delay.
+const SLOW_LINK_DELAY: Nanos = millis(200);
+/// A delay is drawn from the base delay up to this share more.
+const DELAY_JITTER: f64 = 0.3;
+
+impl Simulation {
+    /// A delay from one process to another.
+    pub(crate) fn sample_delay(&self, from: usize, to: usize) -> Nanos {
+        let base = self.network.zone_delay(from, to);
+        let is_slow = |index: &usize| self.machines.get(*index).is_some_and(|machine| machine.has_slow_link);
+        let base = if [from, to].iter().any(is_slow) { base + SLOW_LINK_DELAY } else { base };
+        base + self.rng.between(Nanos(0), base.times(DELAY_JITTER))
+    }
+
+    /// Begins or ends a partition of the link from one position to another, in this direction.
+    pub(crate) fn set_partition(&mut self, from: usize, to: usize, begins: bool) {
+        if begins {
+            self.network.add_partition(from, to);
+        } else {
+            self.network.remove_partition(from, to);
+        }
+        if from < FIRST_SUBSCRIBER && to < FIRST_SUBSCRIBER {
+            self.network.core_disturbed_at = self.now;
+        }
+        self.mark_disturbed(from);
+        self.mark_disturbed(to);
+        self.partition_peer_connections(from, to, begins);
+        if begins {
+            self.partition_subscribers(from, to);
+            self.partition_gateways(from, to);
+        }
+    }
+
+    /// All connections of a machine end at once; what was on its way is lost.
+    pub(crate) fn reset_connections(&mut self, index: usize) {
+        self.network.core_disturbed_at = self.now;
+        self.mark_disturbed(index);
+        self.trace(|| format!("{index}: its connections are reset"));
+        self.reset_peer_connections(index);
+        let incarnation = self.machines[index].incarnation;
+        self.drop_control_calls(index, incarnation, false);
+        self.drop_subscribers(index, incarnation, false);
+        self.drop_gateway_connections(index, incarnation, false);
+    }
+
+    fn mark_disturbed(&mut self, position: usize) {
+        if let Some(machine) = self.machines.get_mut(position) {
+            machine.disturbed_at = self.now;
+        }
+        self.subscribers.mark_disturbed(position, self.now);
+        self.gateways.mark_disturbed(position, self.now);
+    }
+
+    /// Machines that run and reach more than half of the core.
+    pub(crate) fn majority_members(&self) -> Vec<usize> {
+        let core = self.present_machines().len();
+        let running = self.running_machines();
+        let reaches_majority = |index: &usize| {
+            let reached =
+                running.iter().filter(|other| *other == index || self.network.is_linked(*index, **other));
+            reached.count() * 2 > core
+        };
+        running.iter().copied().filter(reaches_majority).collect()
+    }
+
+    /// Whether nothing has disturbed the core for a while, and a majority of it runs.
+    pub(crate) fn is_core_stable(&self) -> bool {
+        let is_calm = self.now - self.network.core_disturbed_at >= self.settings.bounds.contact_timeout;
+        is_calm && self.network.slow_faults == 0 && !self.majority_members().is_empty()
+    }
+
+    /// Whether the process at a position is in touch, if something disturbed it last at `disturbed_at`.
+    pub(crate) fn is_in_touch(&self, position: usize, disturbed_at: Nanos) -> bool {
+        let is_calm = self.now - disturbed_at >= self.settings.bounds.contact_timeout;
+        let is_linked = |index: &usize| *index == position || self.network.is_linked(*index, position);
+        is_calm && self.is_core_stable() && self.majority_members().iter().all(is_linked)
+    }
+}
--- a/crates/fernknot-simulator/src/run.rs
+++ b/crates/fernknot-simulator/src/run.rs
@@ -1,241 +1,142 @@
-//! One seed played from its start to the judge.
+//! One run from its seed to the verdicts of the checkers.
 
-use crate::faults::{Fault, draw_fault_schedule};
-use crate::history::Violation;
+use crate::checks::requests::RequestEvent;
+use crate::checks::rule::{Rule, Violation};
+use crate::faults::schedule::{Fault, draw_fault_schedule};
+use crate::linearizability::Version;
 use crate::rng::Rng;
-use crate::simulation::{Simulation, millis};
+use crate::settings::Settings;
+use crate::simulation::Simulation;
+use crate::time::millis;
 use fernknot::interface::Nanos;
-use fernknot_controller::{Controller, ControllerSettings};
 use std::collections::BTreeMap;
 
-/// What the users' pages promise and ask, as their deploy files give it.
-#[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    pub heartbeat_interval: Nanos,
-    pub apply_deadline: Nanos,
-    pub contact_timeout: Nanos,
-    pub ack_deadline: Nanos,
-    pub drain_cutoff: Nanos,
-    pub catch_up_time: Nanos,
-    pub seed_lag: Nanos,
-}
-
-impl Bounds {
-    /// After this a connection without acknowledgements is given up, as the host asks its sockets to.
-    pub fn suspect_timeout(&self) -> Nanos {
-        self.contact_timeout.times(0.25)
-    }
-}
-
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            heartbeat_interval: millis(1200),
-            apply_deadline: millis(3000),
-            contact_timeout: millis(4000),
-            ack_deadline: millis(5000),
-            drain_cutoff: millis(3000),
-            catch_up_time: millis(4000),
-            seed_lag: millis(3000),
-        }
-    }
-}
-
-/// Breaks planted around the controllers, which the judge must find.
-#[doc(hidden)]
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SeededBug {
-    /// A disk says that it has what it will have only later.
-    DiskAcksEarly,
-    /// A process starts with an older copy of its folder.
-    StaleDisk,
-    /// 503 to an order becomes 200.
-    AcknowledgesUnclear,
-    /// A read is answered with what was read there before.
-    StaleReads,
-    /// What was acknowledged is refused when it comes again.
-    RejectsRepeats,
-    /// Controllers don't tell each other of nodes.
-    WithholdsNodeUpdates,
-    /// An answer goes to another caller who waits.
-    SwapsResponses,
-    /// Listeners are told an older plan as if it were the newest.
-    ReplaysOldConfig,
-    /// Gateways are told that far more may be sent again than the rules allow.
-    UnlimitedRetries,
-    /// One of the gateways' own.
-    Gateway(fernknot_gateway::SeededBug),
-    /// One of the controllers' own.
-    Controller(fernknot_controller::SeededBug),
-}
+/// No fault happens before this: the system is founded first.
+const FIRST_FAULT_AT: Nanos = millis(2500);
+/// What the fault schedule's seed differs in from that of everything else.
+const SCHEDULE_SEED: u64 = 0x7200_b1e5;
 
-/// Machines that a system's settings name at its first start.
-pub const FOUNDING_MEMBERS: usize = 3;
-
-/// One play.
-#[derive(Clone, Debug)]
-pub struct Settings {
-    pub seed: u64,
-    pub members: usize,
-    pub losses: usize,
-    pub subscribers: usize,
-    /// Real gateways, in place of listeners.
-    pub gateways: usize,
-    /// Clients, where there are gateways.
-    pub clients: usize,
-    pub nodes: usize,
-    pub max_changes: usize,
-    /// Troubles come for so long.
-    pub fault_period: Nanos,
-    /// More may be lost than the budget allows.
-    pub exceeds_fault_budget: bool,
-    pub trace: bool,
-    pub bounds: Bounds,
-    #[doc(hidden)]
-    pub seeded_bug: Option<SeededBug>,
-}
-
-impl Settings {
-    /// A play of so many controllers, of which as many may be lost as leave a majority; two at most, as three seeds
-    /// found the first view and a change lies on one disk more than may be lost.
-    pub fn new(seed: u64, members: usize) -> Settings {
-        Settings {
-            seed,
-            members,
-            losses: (members.saturating_sub(1) / 2).min(FOUNDING_MEMBERS - 1),
-            subscribers: 3,
-            gateways: 0,
-            clients: 0,
-            nodes: 3,
-            max_changes: 60,
-            fault_period: millis(30_000),
-            exceeds_fault_budget: false,
-            trace: false,
-            bounds: Bounds::default(),
-            seeded_bug: None,
-        }
-    }
-
-    /// The whole system: real gateways among clients and nodes that answer.
-    pub fn whole_system(seed: u64, members: usize) -> Settings {
-        let facts = Settings::new(seed, members);
-        Settings { subscribers: 0, gateways: 2, clients: 4, nodes: 4, ..facts }
-    }
-
-    pub(crate) fn build_controller(&self, facts: ControllerSettings, now: Nanos) -> Controller {
-        match self.seeded_bug {
-            Some(SeededBug::Controller(plant)) => Controller::with_seeded_bug(facts, now, Some(plant)),
-            _ => Controller::new(facts, now),
-        }
-    }
-
-    /// The troubles of this seed.
-    pub fn fault_schedule(&self) -> Vec<Fault> {
-        let chance = Rng::new(self.seed ^ 0x7200_b1e5);
-        draw_fault_schedule(&chance, millis(2500), self.fault_period)
-    }
-}
-
-/// What came of it.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
+    /// Broken rules, the first few of each.
     pub violations: Vec<Violation>,
+    /// Changes that operators sent.
     pub changes: usize,
+    /// Reads that had a clear response.
     pub reads: usize,
     /// Drains that a machine in touch acknowledged.
     pub drains: usize,
-    /// Troubles that came.
+    /// Faults that happened.
     pub faults: usize,
     /// What happened to requests, and how often.
-    pub counts: BTreeMap<&'static str, u64>,
+    pub counts: BTreeMap<RequestEvent, u64>,
+    /// The log, where one was asked for.
     pub log: Vec<String>,
 }
 
-/// Plays it with the troubles of its seed.
-pub fn simulate(facts: &Settings) -> Outcome {
-    simulate_with_faults(facts, facts.fault_schedule())
+/// The faults that belong to the seed of these settings.
+pub fn fault_schedule(settings: &Settings) -> Vec<Fault> {
+    let rng = Rng::new(settings.seed ^ SCHEDULE_SEED);
+    draw_fault_schedule(&rng, FIRST_FAULT_AT, settings.fault_period)
+}
+
+/// Runs with the faults of the seed.
+pub fn simulate(settings: &Settings) -> Outcome {
+    simulate_with_faults(settings, fault_schedule(settings))
 }
 
-/// Plays it with these troubles.
-pub fn simulate_with_faults(facts: &Settings, troubles: Vec<Fault>) -> Outcome {
-    let bounds = facts.bounds;
-    let mut world = Simulation::new(facts.clone(), troubles);
-    world.run_until(facts.fault_period);
-    world.heal_all();
-    // All are back, and then calm for as long as the rules say.
-    world.run_until(facts.fault_period + millis(2000) + bounds.contact_timeout);
-    world.control_clients.is_closing = true;
-    world.resume_changes();
-    let mut until = world.now + bounds.ack_deadline + millis(2000);
-    world.run_until(until);
-    world.settings.max_changes += 1;
-    // Whoever has one order in force takes the next.
-    world.send_read(Some(0), None);
-    until = until + millis(2500);
-    world.run_until(until);
-    let newest = world.newest_known_epoch();
-    world.submit_change(0, newest, newest + 1);
-    until = until + bounds.ack_deadline + millis(500);
-    world.run_until(until);
-    if world.control_clients.has_pending_changes() {
-        world.report_violation("ACKS", "at the end an order has no clear answer".into());
+/// Runs with these faults.
+pub fn simulate_with_faults(settings: &Settings, faults: Vec<Fault>) -> Outcome {
+    let mut simulation = Simulation::new(settings.clone(), faults);
+    simulation.run_faults();
+    simulation.complete_changes();
+    simulation.read_everywhere();
+    simulation.check_requests();
+    simulation.check_history();
+    Outcome {
+        violations: simulation.observations.violations,
+        changes: simulation.observations.changes.len(),
+        reads: simulation.observations.reads.len(),
+        drains: simulation.observations.drain_count,
+        faults: simulation.faults.injected.len(),
+        counts: simulation.traffic.checker.counts,
+        log: simulation.log,
     }
-    let live: Vec<usize> = (0..world.machines.len()).filter(|at| world.machines[*at].is_running()).collect();
-    for at in &live {
-        world.send_read(None, Some(*at));
+}
+
+impl Simulation {
+    /// Faults, then their end, and then calm for as long as the rules ask.
+    fn run_faults(&mut self) {
+        let fault_period = self.settings.fault_period;
+        self.run_until(fault_period);
+        self.end_all_faults();
+        self.run_until(fault_period + millis(2000) + self.settings.bounds.contact_timeout);
     }
-    world.run_until(until + bounds.ack_deadline);
-    let last = world.observations.final_reads.clone();
-    let taken = world.observations.acknowledged.iter().map(|(version, _)| *version).max();
-    for at in live {
-        match last.get(&at) {
-            None => world.report_violation("LOST", format!("{at} hands out nothing in the end")),
-            Some(found) if *found != taken => {
-                world.report_violation(
-                    "LOST",
-                    format!("in the end {at} hands out {found:?}, acknowledged was {taken:?}"),
-                );
-            }
-            _ => {}
+
+    /// Every change gets a clear response, and the system commits one more.
+    fn complete_changes(&mut self) {
+        let ack_deadline = self.settings.bounds.ack_deadline;
+        self.control_clients.is_closing = true;
+        self.resume_changes();
+        self.run_until(self.now + ack_deadline + millis(2000));
+        self.settings.max_changes += 1;
+        // Whoever has one change in force takes the next.
+        self.send_read(Some(0), None);
+        self.run_until(self.now + millis(2500));
+        let newest = self.control_clients.newest_known_epoch();
+        self.submit_change(0, newest, newest + 1);
+        self.run_until(self.now + ack_deadline + millis(500));
+        if !self.control_clients.pending_changes().is_empty() {
+            self.report(Rule::Acks, "at the end a change has no clear response".into());
         }
     }
-    for (at, version) in world.subscribers.versions().into_iter().enumerate() {
-        if version != taken {
-            world.report_violation(
-                "APPLY",
-                format!("in the end listener {at} holds {version:?} and not {taken:?}"),
-            );
+
+    /// In the end every controller hands out the newest acknowledged version, and every subscriber holds it.
+    fn read_everywhere(&mut self) {
+        let running = self.running_machines();
+        for machine in &running {
+            self.send_read(None, Some(*machine));
+        }
+        self.run_until(self.now + self.settings.bounds.ack_deadline);
+        let newest = self.observations.newest_acknowledged();
+        for machine in running {
+            self.check_final_read(machine, newest);
+        }
+        for (index, version) in self.subscribers.versions().into_iter().enumerate() {
+            if version != newest {
+                let text = format!("in the end subscriber {index} holds {version:?} and not {newest:?}");
+                self.report(Rule::Apply, text);
+            }
         }
     }
-    world.check_requests();
-    world.check_history();
-    Outcome {
-        violations: world.observations.violations,
-        changes: world.observations.changes.len(),
-        reads: world.observations.reads.len(),
-        drains: world.observations.drain_count,
-        faults: world.injected_faults.len(),
-        counts: world.traffic.checker.counts,
-        log: world.log,
+
+    fn check_final_read(&mut self, machine: usize, newest: Option<Version>) {
+        match self.observations.final_reads.get(&machine).copied() {
+            None => self.report(Rule::Lost, format!("{machine} hands out nothing in the end")),
+            Some(found) if found != newest => {
+                let text = format!("in the end {machine} hands out {found:?}, acknowledged was {newest:?}");
+                self.report(Rule::Lost, text);
+            }
+            Some(_) => {}
+        }
     }
 }
 
-/// Drops troubles one at a time while the same rule still breaks, and returns what is left.
-pub fn shrink(facts: &Settings) -> (Vec<Fault>, Outcome) {
-    let mut troubles = facts.fault_schedule();
-    let mut outcome = simulate_with_faults(facts, troubles.clone());
-    let Some(rule) = outcome.violations.first().map(|finding| finding.rule) else {
-        return (troubles, outcome);
+/// Drops faults one at a time while the same rule still breaks, and returns those that are left.
+pub fn shrink(settings: &Settings) -> (Vec<Fault>, Outcome) {
+    let mut faults = fault_schedule(settings);
+    let mut outcome = simulate_with_faults(settings, faults.clone());
+    let Some(rule) = outcome.violations.first().map(|violation| violation.rule) else {
+        return (faults, outcome);
     };
-    let mut at = troubles.len();
-    while at > 0 {
-        at -= 1;
-        let mut fewer = troubles.clone();
-        fewer.remove(at);
-        let next = simulate_with_faults(facts, fewer.clone());
-        if next.violations.iter().any(|finding| finding.rule == rule) {
-            (troubles, outcome) = (fewer, next);
+    for dropped in (0..faults.len()).rev() {
+        let mut fewer = faults.clone();
+        fewer.remove(dropped);
+        let next = simulate_with_faults(settings, fewer.clone());
+        if next.violations.iter().any(|violation| violation.rule == rule) {
+            (faults, outcome) = (fewer, next);
         }
     }
-    (troubles, outcome)
+    (faults, outcome)
 }
--- a/crates/fernknot-simulator/src/wire.rs
+++ b/crates/fernknot-simulator/src/wire.rs
@@ -1,86 +1,122 @@
-//! HTTP/1.1 as the stage reads and writes it: an own reading, which shares no code with what it judges.
+//! HTTP/1.1 as the simulation reads and writes it: a reader that shares no code with what it judges.
 
-/// One whole message, and how many bytes it took.
+use thiserror::Error;
+
+/// Why bytes are no message.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum WireError {
+    /// The head is not text.
+    #[error("a head that is no text")]
+    HeadNotText,
+    /// The start line is neither a request's nor a response's.
+    #[error("bytes that begin no message: {0:?}")]
+    BadStartLine(String),
+    /// A header line has no colon.
+    #[error("a line without a colon: {0:?}")]
+    BadHeader(String),
+    /// The length of the body is no number.
+    #[error("a length of {0:?}")]
+    BadLength(String),
+    /// A chunk begins without its size.
+    #[error("a chunk without a size")]
+    BadChunkSize,
+}
+
+/// One whole message.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The first line.
+    /// The first line, without its end.
     pub start_line: String,
     headers: Vec<(String, String)>,
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
+    /// How many bytes the message took.
     pub length: usize,
 }
 
 impl Message {
+    /// The value of the first header with this name, whatever its case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let named = self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name));
-        named.map(|(_, value)| value.as_str())
+        let header = self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name));
+        header.map(|(_, value)| value.as_str())
     }
 
-    /// A word of the first line: a request's method and target, an answer's status.
-    pub fn start_line_part(&self, no: usize) -> &str {
-        self.start_line.split(' ').nth(no).unwrap_or_default()
+    /// A part of the start line, from 0: a request's method and target, or a response's version and status.
+    pub fn start_line_part(&self, index: usize) -> &str {
+        self.start_line.split(' ').nth(index).unwrap_or_default()
     }
 
+    /// The status of a response; 0 where it has none.
+    pub fn status(&self) -> u16 {
+        self.start_line_part(1).parse().unwrap_or(0)
+    }
+
+    /// Whether the connection ends after this message.
     pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
 /// The first message of these bytes, once it is whole. One without a length has no body.
-pub fn parse_message(bytes: &[u8]) -> Result<Option<Message>, String> {
-    read(bytes, false)
+///
+/// # Errors
+/// Bytes that are no message.
+pub fn parse_message(bytes: &[u8]) -> Result<Option<Message>, WireError> {
+    parse(bytes, false)
 }
 
-/// The same for an answer to a `HEAD`, which has no body whatever its head says.
-pub fn parse_head_response(bytes: &[u8]) -> Result<Option<Message>, String> {
-    read(bytes, true)
+/// The same for a response to a `HEAD`, which has no body whatever its head says.
+///
+/// # Errors
+/// Bytes that are no message.
+pub fn parse_head_response(bytes: &[u8]) -> Result<Option<Message>, WireError> {
+    parse(bytes, true)
 }
 
-fn read(bytes: &[u8], bodiless: bool) -> Result<Option<Message>, String> {
+fn parse(bytes: &[u8], has_no_body: bool) -> Result<Option<Message>, WireError> {
     let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else { return Ok(None) };
-    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| "a head that is no text".to_string())?;
+    let mut message = parse_head(&bytes[..end])?;
+    let rest = &bytes[end + 4..];
+    let body = if has_no_body { Some((Vec::new(), 0)) } else { parse_body(&message, rest)? };
+    Ok(body.map(|(body, body_length)| {
+        message.body = body;
+        message.length = end + 4 + body_length;
+        message
+    }))
+}
+
+fn parse_head(head: &[u8]) -> Result<Message, WireError> {
+    let head = std::str::from_utf8(head).map_err(|_| WireError::HeadNotText)?;
     let mut lines = head.split("\r\n");
-    let first = lines.next().unwrap_or_default().to_string();
-    if !first.starts_with("HTTP/1.1 ") && !first.ends_with(" HTTP/1.1") {
-        return Err(format!("bytes that begin no message: {first:?}"));
+    let start_line = lines.next().unwrap_or_default().to_string();
+    if !start_line.starts_with("HTTP/1.1 ") && !start_line.ends_with(" HTTP/1.1") {
+        return Err(WireError::BadStartLine(start_line));
     }
     let mut headers = Vec::new();
     for line in lines {
-        let (name, value) = line.split_once(':').ok_or(format!("a line without a colon: {line:?}"))?;
+        let (name, value) = line.split_once(':').ok_or_else(|| WireError::BadHeader(line.to_string()))?;
         headers.push((name.to_string(), value.trim().to_string()));
     }
-    let mut message = Message { start_line: first, headers, body: Vec::new(), length: 0 };
-    let rest = &bytes[end + 4..];
-    let taken = match message.header("transfer-encoding") {
-        _ if bodiless => 0,
-        Some(_) => match parse_chunks(rest)? {
-            Some((body, taken)) => {
-                message.body = body;
-                taken
-            }
-            None => return Ok(None),
-        },
-        None => {
-            let length = message.header("content-length").unwrap_or("0");
-            let length: usize = length.parse().map_err(|_| format!("a length of {length:?}"))?;
-            if rest.len() < length {
-                return Ok(None);
-            }
-            message.body = rest[..length].to_vec();
-            length
-        }
-    };
-    message.length = end + 4 + taken;
-    Ok(Some(message))
+    Ok(Message { start_line, headers, body: Vec::new(), length: 0 })
+}
+
+/// The body of a message with this head, and how many bytes it took, once all of it is there.
+fn parse_body(message: &Message, rest: &[u8]) -> Result<Option<(Vec<u8>, usize)>, WireError> {
+    if message.header("transfer-encoding").is_some() {
+        return parse_chunks(rest);
+    }
+    let length = message.header("content-length").unwrap_or("0");
+    let length: usize = length.parse().map_err(|_| WireError::BadLength(length.to_string()))?;
+    Ok(rest.get(..length).map(|body| (body.to_vec(), length)))
 }
 
-fn parse_chunks(mut rest: &[u8]) -> Result<Option<(Vec<u8>, usize)>, String> {
+fn parse_chunks(mut rest: &[u8]) -> Result<Option<(Vec<u8>, usize)>, WireError> {
     let (all, mut body) = (rest.len(), Vec::new());
     loop {
         let Some(end) = rest.windows(2).position(|two| two == b"\r\n") else { return Ok(None) };
+        let size = std::str::from_utf8(&rest[..end]).ok();
         let size =
-            std::str::from_utf8(&rest[..end]).ok().and_then(|text| usize::from_str_radix(text, 16).ok());
-        let size = size.ok_or("a chunk without a size".to_string())?;
+            size.and_then(|text| usize::from_str_radix(text, 16).ok()).ok_or(WireError::BadChunkSize)?;
         if rest.len() < end + 2 + size + 2 {
             return Ok(None);
         }
@@ -93,9 +129,9 @@
 }
 
 /// A body in chunks of at most so many bytes.
-pub fn encode_chunked(body: &[u8], most: usize) -> Vec<u8> {
+pub fn encode_chunked(body: &[u8], max_chunk_bytes: usize) -> Vec<u8> {
     let mut out = Vec::new();
-    for chunk in body.chunks(most.max(1)) {
+    for chunk in body.chunks(max_chunk_bytes.max(1)) {
         out.extend(format!("{:x}\r\n", chunk.len()).bytes());
         out.extend(chunk);
         out.extend(b"\r\n");
@@ -104,7 +140,7 @@
     out
 }
 
-/// An answer with its length.
+/// A response with its length.
 pub fn encode_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = format!("HTTP/1.1 {status} Said\r\n").into_bytes();
     for (name, value) in headers {
--- a/crates/fernknot-simulator/tests/whole_system.rs
+++ b/crates/fernknot-simulator/tests/whole_system.rs
@@ -1,75 +1,77 @@
-//! The whole system: real controllers and real gateways among operators, nodes that answer and clients, from one seed.
+//! The whole system: production controllers and gateways among operators, nodes that answer and clients, from one seed.
 
-use fernknot_gateway::SeededBug as Own;
-use fernknot_simulator::run::{Outcome, SeededBug, Settings, simulate};
-use fernknot_simulator::simulation::millis;
+use fernknot_gateway::SeededBug as GatewayBug;
+use fernknot_simulator::run::{Outcome, simulate};
+use fernknot_simulator::settings::{SeededBug, Settings};
+use fernknot_simulator::time::millis;
+use fernknot_simulator::{RequestEvent, Rule};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use test_case::test_case;
 
-/// Threads that play seeds.
+/// Threads that run seeds.
 const THREADS: usize = 4;
-/// Troubles come for so long: less than in a play of the program, as this is played in debug builds too.
-const TROUBLED_MS: u64 = 8000;
+/// Faults happen for so long: less than in a run of the program, as this runs in debug builds too.
+const FAULT_PERIOD_MS: u64 = 8000;
 
-fn system(seed: u64, plant: Option<SeededBug>) -> Settings {
-    Settings { fault_period: millis(TROUBLED_MS), seeded_bug: plant, ..Settings::whole_system(seed, 3) }
+fn system(seed: u64, bug: Option<SeededBug>) -> Settings {
+    Settings { fault_period: millis(FAULT_PERIOD_MS), seeded_bug: bug, ..Settings::whole_system(seed, 3) }
 }
 
-/// Plays seeds side by side; what each gave comes back in their order.
-fn played(seeds: Range<u64>, plant: Option<SeededBug>) -> Vec<(u64, Outcome)> {
+/// Runs seeds side by side; what each gave comes back in their order.
+fn run_seeds(seeds: Range<u64>, bug: Option<SeededBug>) -> Vec<(u64, Outcome)> {
     let next = AtomicU64::new(seeds.start);
-    let play_some = || {
+    let run_some = || {
         let mut outcomes = Vec::new();
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed >= seeds.end {
                 return outcomes;
             }
-            outcomes.push((seed, simulate(&system(seed, plant))));
+            outcomes.push((seed, simulate(&system(seed, bug))));
         }
     };
     let mut outcomes: Vec<(u64, Outcome)> = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(play_some)).collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("a play panicked")).collect()
+        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(run_some)).collect();
+        threads.into_iter().flat_map(|thread| thread.join().expect("a run panicked")).collect()
     });
     outcomes.sort_by_key(|(seed, _)| *seed);
     outcomes
 }
 
-/// What has to have happened over all seeds: a play in which nothing happens shows nothing.
-const HAPPENS: [&str; 10] = [
-    "successes",
-    "promises",
-    "without a promise",
-    "no route",
-    "further tries",
-    "turned away",
-    "broken off by nodes",
-    "ran and said 503",
-    "surplus answers",
-    "versions seen",
+/// What has to have happened over all seeds: a run in which nothing happens shows nothing.
+const HAPPENS: [RequestEvent; 10] = [
+    RequestEvent::Success,
+    RequestEvent::Rejection,
+    RequestEvent::UnclearFailure,
+    RequestEvent::NoRoute,
+    RequestEvent::Retry,
+    RequestEvent::RejectedByNode,
+    RequestEvent::BrokenOff,
+    RequestEvent::FailedAfterExecution,
+    RequestEvent::DuplicateResponse,
+    RequestEvent::VersionSeen,
 ];
 
 #[test]
-fn given_the_whole_system_when_seeds_are_played_then_no_rule_breaks() {
-    let mut all = BTreeMap::<&str, u64>::new();
+fn given_the_whole_system_when_seeds_run_then_no_rule_breaks() {
+    let mut all = BTreeMap::<RequestEvent, u64>::new();
     let mut found = Vec::new();
     let mut drains = 0;
-    for (seed, outcome) in played(0..24, None) {
+    for (seed, outcome) in run_seeds(0..24, None) {
         drains += outcome.drains;
-        outcome.counts.iter().for_each(|(what, count)| *all.entry(what).or_default() += count);
-        found.extend(outcome.violations.into_iter().map(|finding| (seed, finding)));
+        outcome.counts.iter().for_each(|(event, count)| *all.entry(*event).or_default() += count);
+        found.extend(outcome.violations.into_iter().map(|violation| (seed, violation)));
     }
     println!("{all:#?}");
     assert!(found.is_empty(), "{found:#?}");
-    let idle: Vec<&&str> = HAPPENS.iter().filter(|what| !all.contains_key(**what)).collect();
+    let idle: Vec<&RequestEvent> = HAPPENS.iter().filter(|event| !all.contains_key(event)).collect();
     assert!(idle.is_empty() && drains > 0, "never seen: {idle:?}, {drains} drains");
 }
 
 #[test]
-fn given_a_seed_of_the_whole_system_when_it_is_played_twice_then_all_happens_alike() {
+fn given_a_seed_of_the_whole_system_when_it_runs_twice_then_all_happens_alike() {
     for seed in 0..3 {
         let [one, other] = [(); 2].map(|()| simulate(&Settings { trace: true, ..system(seed, None) }));
         let differs = one.log.iter().zip(&other.log).find(|(one, other)| one != other);
@@ -78,24 +80,24 @@
     }
 }
 
-#[test_case(SeededBug::Gateway(Own::RetryAfterReset), "TWICE", 4; "what may not be repeated goes again after a reset")]
-#[test_case(SeededBug::Gateway(Own::RetryAfterTimeout), "TWICE", 4; "what may not be repeated goes again after a silence")]
-#[test_case(SeededBug::Gateway(Own::RejectAfterAttempt), "REFUSED", 4; "a promise is made though a node may have run it")]
-#[test_case(SeededBug::Gateway(Own::RejectAfterClose), "REFUSED", 8; "a promise is made though the connection was up")]
-#[test_case(SeededBug::Gateway(Own::MatchByConnection), "MIXED", 16; "an answer is matched by its connection")]
-#[test_case(SeededBug::WithholdsNodeUpdates, "DRAIN", 16; "controllers that don't tell each other of nodes")]
-#[test_case(SeededBug::ReplaysOldConfig, "CONFIG", 16; "an older plan told as the newest")]
-#[test_case(SeededBug::UnlimitedRetries, "BUDGET", 16; "gateways that are told of a larger budget")]
-fn given_a_break_when_the_whole_system_is_played_then_its_rule_breaks(
-    plant: SeededBug,
-    rule: &str,
+#[test_case(SeededBug::Gateway(GatewayBug::RetryAfterReset), Rule::Twice, 4; "what may not be repeated goes again after a reset")]
+#[test_case(SeededBug::Gateway(GatewayBug::RetryAfterTimeout), Rule::Twice, 4; "what may not be repeated goes again after a time-out")]
+#[test_case(SeededBug::Gateway(GatewayBug::RejectAfterAttempt), Rule::Refused, 4; "a promise is made though a node may have run it")]
+#[test_case(SeededBug::Gateway(GatewayBug::RejectAfterClose), Rule::Refused, 8; "a promise is made though the connection was up")]
+#[test_case(SeededBug::Gateway(GatewayBug::MatchByConnection), Rule::Mixed, 16; "an answer is matched by its connection")]
+#[test_case(SeededBug::WithholdsNodeUpdates, Rule::Drain, 16; "controllers that withhold node updates")]
+#[test_case(SeededBug::ReplaysOldConfig, Rule::Config, 16; "an older configuration sent as the newest")]
+#[test_case(SeededBug::UnlimitedRetries, Rule::Budget, 16; "gateways that are configured with a larger budget")]
+fn given_a_seeded_bug_when_the_whole_system_runs_then_its_rule_breaks(
+    bug: SeededBug,
+    rule: Rule,
     within: u64,
 ) {
-    let breaks = |outcome: &Outcome| outcome.violations.iter().any(|finding| finding.rule == rule);
+    let breaks = |outcome: &Outcome| outcome.violations.iter().any(|violation| violation.rule == rule);
     let found = (0..within).step_by(THREADS).find_map(|from| {
-        let outcomes = played(from..from + THREADS as u64, Some(plant));
+        let outcomes = run_seeds(from..from + THREADS as u64, Some(bug));
         outcomes.into_iter().find(|(_, outcome)| breaks(outcome)).map(|(seed, _)| seed)
     });
-    println!("{plant:?}: found first by {found:?}");
-    assert!(found.is_some(), "{plant:?} does not break {rule} within {within} seeds");
+    println!("{bug:?}: found first by {found:?}");
+    assert!(found.is_some(), "{bug:?} does not break {rule} within {within} seeds");
 }
