--- a/crates/fernknot-simulator/src/gateways/connections.rs
+++ b/crates/fernknot-simulator/src/gateways/connections.rs
@@ -52,7 +52,7 @@
             self.schedule_gateway(delay, GatewayEvent::Opened(id));
         } else {
             connection.acceptor.is_closed = true;
-            let refused = GatewayEvent::Ended { connection: id, to: Side::Opener, is_reset: true };
+            let refused = GatewayEvent::EndArrives { connection: id, to: Side::Opener, is_reset: true };
             self.schedule_gateway(delay, refused);
         }
     }
@@ -165,7 +165,7 @@
         let delay = self.sample_delay(zones.0, zones.1);
         let arrival = self.last_arrival(id, to).max(self.now + delay);
         if !is_broken {
-            let event = GatewayEvent::Ended { connection: id, to, is_reset };
+            let event = GatewayEvent::EndArrives { connection: id, to, is_reset };
             self.schedule_gateway(arrival - self.now, event);
         }
     }
@@ -175,7 +175,7 @@
         let Some(connection) = self.gateways.connections.get_mut(&id) else { return };
         connection.is_broken = true;
         for to in [Side::Opener, Side::Acceptor] {
-            self.schedule_gateway(after, GatewayEvent::Ended { connection: id, to, is_reset: true });
+            self.schedule_gateway(after, GatewayEvent::EndArrives { connection: id, to, is_reset: true });
         }
     }
 }
--- a/crates/fernknot-simulator/src/gateways/processes.rs
+++ b/crates/fernknot-simulator/src/gateways/processes.rs
@@ -13,11 +13,22 @@
 use fernknot::interface::Nanos;
 use fernknot_gateway::Gateway;
 use fernknot_net::{ConnectionId, Event as NetworkEvent};
+use fernknot_schema::ValidationError;
 use std::net::SocketAddrV4;
+use thiserror::Error;
 
 /// A gateway takes a turn at least so often.
 const MAX_TURN_INTERVAL: Nanos = millis(250);
 
+/// Why a gateway does not start.
+#[derive(Debug, Error)]
+enum GatewayStartError {
+    #[error("it can't read its settings: {0:?}")]
+    InvalidSettings(Vec<ValidationError>),
+    #[error("{0}")]
+    Rejected(String),
+}
+
 impl Simulation {
     pub(crate) fn start_gateways(&mut self) {
         for gateway in 0..self.gateways.processes.len() {
@@ -45,7 +56,7 @@
             GatewayEvent::Syn(connection) => self.syn_arrives(connection),
             GatewayEvent::Opened(connection) => self.connection_opened(connection),
             GatewayEvent::Bytes { connection, to, bytes } => self.bytes_arrive(connection, to, &bytes),
-            GatewayEvent::Ended { connection, to, is_reset } => {
+            GatewayEvent::EndArrives { connection, to, is_reset } => {
                 self.connection_ended(connection, to, is_reset);
             }
             GatewayEvent::Thaw { gateway, incarnation } => self.thaw_gateway(gateway, incarnation),
@@ -57,7 +68,7 @@
         let incarnation = self.next_sequence();
         let gateway = match self.build_gateway(index, incarnation) {
             Ok(gateway) => gateway,
-            Err(text) => return self.report(Rule::Settings, text),
+            Err(error) => return self.report(Rule::Settings, format!("gateway {index}: {error}")),
         };
         let process = &mut self.gateways.processes[index];
         process.gateway = Some(gateway);
@@ -70,13 +81,12 @@
         self.schedule_turn(index, Nanos(0));
     }
 
-    fn build_gateway(&self, index: usize, incarnation: u64) -> Result<Gateway, String> {
+    fn build_gateway(&self, index: usize, incarnation: u64) -> Result<Gateway, GatewayStartError> {
         let seed = splitmix64(self.settings.seed ^ incarnation.rotate_left(24)) | 1;
         let settings = process_settings(index, &self.discovery.seeds, &self.settings)
-            .map_err(|faults| format!("gateway {index} can't read its settings: {faults:?}"))?;
+            .map_err(GatewayStartError::InvalidSettings)?;
         let listeners = self.gateways.processes[index].listeners;
-        let gateway =
-            Gateway::new(settings, listeners, seed).map_err(|error| format!("gateway {index}: {error}"))?;
+        let gateway = Gateway::new(settings, listeners, seed).map_err(GatewayStartError::Rejected)?;
         Ok(match self.settings.seeded_bug {
             Some(SeededBug::Gateway(bug)) => gateway.with_seeded_bug(bug),
             _ => gateway,
--- a/crates/fernknot-simulator/src/gateways/state.rs
+++ b/crates/fernknot-simulator/src/gateways/state.rs
@@ -139,7 +139,7 @@
         bytes: Vec<u8>,
     },
     /// The end of a connection reaches one end of it.
-    Ended {
+    EndArrives {
         connection: u64,
         to: Side,
         is_reset: bool,
