--- a/crates/fernknot-cli/src/demo.rs
+++ b/crates/fernknot-cli/src/demo.rs
@@ -1,12 +1,17 @@
-//! `fernknot demo`: a whole system on loopback, served until told to stop.
+//! `fernknot demo`: a whole system on loopback, which serves until it is asked to stop.
 
-use crate::{Arguments, CliError, failed, print_line};
-use fernknot_testbed::checker::{AttemptOutcome, Expectations, Kind, check};
-use fernknot_testbed::load::{Load, LoadBalancer, LoadSettings};
+use crate::arguments::Arguments;
+use crate::error::CliError;
+use crate::output::{comma_separated, print_line};
+use fernknot_testbed::checker::{Expectations, Rule, Violation, check};
+use fernknot_testbed::cluster::{Cluster, ClusterSettings, Role, wait_until};
+use fernknot_testbed::config_draft::{ConfigDraft, HOST, SINGLE_SERVICE};
+use fernknot_testbed::load::{Load, LoadSettings};
+use fernknot_testbed::load_balancer::LoadBalancer;
+use fernknot_testbed::measure::quantile;
 use fernknot_testbed::nodes::{NodeSettings, Nodes};
 use fernknot_testbed::operator::{CallOutcome, Operator};
-use fernknot_testbed::paper::{ConfigDraft, HOST, shard_name};
-use fernknot_testbed::rig::{Cluster, ClusterSettings, Role, wait_until};
+use fernknot_testbed::requests::{Request, RequestKind};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -15,148 +20,191 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Queries a second that go on while it serves.
 const QUERIES_PER_S: f64 = 20.0;
-const REPLICAS: usize = 3;
+const NODES_PER_SERVICE: usize = 3;
+const RECORD_BYTES: usize = 16;
+/// How often it prints how many requests were served.
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Violations that are printed.
+const MAX_PRINTED: usize = 10;
 
-pub fn run(words: &Arguments) -> Result<(), CliError> {
-    let [] = words.expect_positional("demo [--gateways N] [--seconds N]")?;
-    let gateways: usize = words.number("gateways")?.unwrap_or(2).max(1);
-    let seconds: Option<f64> = words.number("seconds")?;
+pub fn run(arguments: &Arguments) -> Result<(), CliError> {
+    let [] = arguments.expect_positional("demo [--gateways N] [--seconds N]")?;
+    let gateways: usize = arguments.number("gateways")?.unwrap_or(2).max(1);
+    let seconds: Option<f64> = arguments.number("seconds")?;
     if seconds.is_some_and(|seconds| !(0.0..=1e9).contains(&seconds)) {
         return Err(CliError::Usage("--seconds: is no time".into()));
     }
-    let over = Arc::new(AtomicBool::new(false));
+    let is_stopped = stop_flag()?;
+    let started_at = Instant::now();
+    let seed = u64::from(std::process::id());
+    let cluster = start_cluster(gateways, seed)?;
+    let draft = ConfigDraft::default();
+    let nodes = start_nodes(&cluster, &draft, seed)?;
+    send_config(&cluster, &draft, started_at)?;
+    let load_balancer = LoadBalancer::new(&cluster.gateway_addrs(), READINESS_CHECK_INTERVAL, seed);
+    let load = start_load(&load_balancer, &is_stopped)?;
+    print_hints(&cluster, seconds);
+    serve(&load, seconds, &is_stopped);
+    let requests = load.finish();
+    print_times(&requests);
+    print_last_gathered(&requests);
+    conclude(&requests, &nodes, &draft)
+}
+
+/// True once the process was asked to stop.
+fn stop_flag() -> Result<Arc<AtomicBool>, CliError> {
+    let is_stopped = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        signal_hook::flag::register(signal, over.clone()).map_err(failed)?;
+        signal_hook::flag::register(signal, is_stopped.clone()).map_err(CliError::Signals)?;
     }
-    let begun = Instant::now();
-    let seed = u64::from(std::process::id());
-    let rig =
-        Cluster::start(ClusterSettings { gateways, seed, ..ClusterSettings::default() }).map_err(failed)?;
-    let listed = |addrs: &[std::net::SocketAddrV4]| {
-        addrs.iter().map(ToString::to_string).collect::<Vec<_>>().join(",")
-    };
-    let doors = rig.gateway_addrs();
-    let fronts: Vec<_> = doors.iter().map(|(front, _)| *front).collect();
-    print_line(format!("registrars  {}", listed(&rig.control_addrs())));
-    print_line(format!("gateways    {}", listed(&fronts)));
-    let took = rig.await_controllers(WAIT_TIMEOUT).map_err(failed)?;
-    print_line(format!("the registrars agreed on a view after {:.2} s", took.as_secs_f64()));
+    Ok(is_stopped)
+}
 
-    let nodes = Nodes::new(rig.node_ip(), rig.control_addrs(), rig.settings().heartbeat_interval, seed);
-    let draft = ConfigDraft::default();
-    let services = draft.fanout_services().into_iter().chain(["single".to_string()]).collect::<Vec<_>>();
-    for (number, service) in services.iter().flat_map(|service| vec![service; REPLICAS]).enumerate() {
-        let facts = NodeSettings {
-            service: service.clone(),
-            zone: rig.zone(number),
+fn start_cluster(gateways: usize, seed: u64) -> Result<Cluster, CliError> {
+    let cluster = Cluster::start(ClusterSettings { gateways, seed, ..ClusterSettings::default() })?;
+    let fronts = cluster.gateway_addrs().into_iter().map(|addrs| addrs.front);
+    print_line(format!("controllers {}", comma_separated(cluster.control_addrs())));
+    print_line(format!("gateways    {}", comma_separated(fronts)));
+    let duration = cluster.await_controllers(WAIT_TIMEOUT)?;
+    print_line(format!("the controllers agreed on a view after {:.2} s", duration.as_secs_f64()));
+    Ok(cluster)
+}
+
+fn start_nodes(cluster: &Cluster, draft: &ConfigDraft, seed: u64) -> Result<Nodes, CliError> {
+    let interval = cluster.settings().heartbeat_interval;
+    let nodes = Nodes::new(cluster.node_ip(), cluster.control_addrs(), interval, seed);
+    let services = draft.services();
+    let count = services.len() * NODES_PER_SERVICE;
+    for number in 0..count {
+        let settings = NodeSettings {
+            service: services[number / NODES_PER_SERVICE].clone(),
+            zone: cluster.zone(number),
             capacity: 3,
             queue_capacity: 3,
             service_time: Duration::from_millis(15),
-            records_per_part: 50,
+            records: 50,
             accepts_requests: true,
         };
-        nodes.start(facts).map_err(failed)?;
+        nodes.start(settings).map_err(CliError::StartNode)?;
     }
-    let count = services.len() * REPLICAS;
-    wait_until("all nodes heard", WAIT_TIMEOUT, || nodes.heartbeat_counts().0 >= count).map_err(failed)?;
-    print_line(format!("{count} nodes of {} services beat", services.len()));
+    wait_until("all nodes known", WAIT_TIMEOUT, || nodes.heartbeat_counts().acknowledged >= count)?;
+    print_line(format!("{count} nodes of {} services send heartbeats", services.len()));
+    Ok(nodes)
+}
 
-    let operator = Operator { addrs: rig.control_addrs(), timeout: WAIT_TIMEOUT };
+fn send_config(cluster: &Cluster, draft: &ConfigDraft, started_at: Instant) -> Result<(), CliError> {
+    let operator = Operator { addrs: cluster.control_addrs(), timeout: WAIT_TIMEOUT };
     match operator.replace(&draft.to_bytes(), 0) {
-        CallOutcome::Completed { status: 200, controller: by, .. } => {
-            print_line(format!("version {} of the configuration was taken by {by}", draft.epoch));
+        CallOutcome::Completed { status: 200, controller, .. } => {
+            print_line(format!("version {} of the configuration was accepted by {controller}", draft.epoch));
+        }
+        other => {
+            return Err(CliError::Failed(format!("the configuration was not accepted: {other:?}")));
         }
-        end => return Err(failed(format!("the configuration was not taken: {end:?}"))),
     }
-    let took = rig.await_gateways(WAIT_TIMEOUT).map_err(failed)?;
+    let duration = cluster.await_gateways(WAIT_TIMEOUT)?;
     print_line(format!(
         "all gateways were ready {:.2} s later, {:.2} s after the start",
-        took.as_secs_f64(),
-        begun.elapsed().as_secs_f64()
+        duration.as_secs_f64(),
+        started_at.elapsed().as_secs_f64()
     ));
+    Ok(())
+}
 
-    let platform = LoadBalancer::new(&doors, Duration::from_millis(500), seed);
-    let load = Load::start(
-        &platform,
-        &LoadSettings {
-            clients: 4,
-            requests_per_s: QUERIES_PER_S,
-            mix: vec![Kind::Gather, Kind::Gather, Kind::One, Kind::Order],
-            deadline: Duration::from_secs(2),
-            keeps_responses: true,
-        },
-    );
+fn start_load(load_balancer: &LoadBalancer, is_stopped: &AtomicBool) -> Result<Load, CliError> {
+    let settings = LoadSettings {
+        clients: 4,
+        requests_per_s: QUERIES_PER_S,
+        mix: vec![RequestKind::Gather, RequestKind::Gather, RequestKind::Single, RequestKind::Mutating],
+        deadline: Duration::from_secs(2),
+        keeps_responses: true,
+    };
+    let load = Load::start(load_balancer, &settings);
     wait_until("the first queries", WAIT_TIMEOUT, || {
-        load.completed_count() >= 4 || over.load(Ordering::Relaxed)
-    })
-    .map_err(failed)?;
+        load.completed_count() >= settings.clients || is_stopped.load(Ordering::Relaxed)
+    })?;
+    Ok(load)
+}
+
+fn print_hints(cluster: &Cluster, seconds: Option<f64>) {
     print_line("\ntry, in another terminal:");
-    print_line(format!(
-        "  curl -i http://{}/gather/hello -H 'Host: {HOST}' -H 'Attempt-Id: by-hand-1' -H 'Deadline-Ms: 2000'",
-        fronts[0]
-    ));
-    print_line(format!("  fernknot config read {}", listed(&rig.control_addrs())));
-    print_line(format!("  fernknot show nodes {}", rig.inner_addr(Role::Controller, 0)));
-    print_line(format!("  fernknot show views {}", rig.inner_addr(Role::Controller, 0)));
+    if let Some(gateway) = cluster.gateway_addrs().first() {
+        let headers = format!("-H 'Host: {HOST}' -H 'Attempt-Id: by-hand-1' -H 'Deadline-Ms: 2000'");
+        print_line(format!("  curl -i http://{}/gather/hello {headers}", gateway.front));
+    }
+    let controller = cluster.peer_addr(Role::Controller, 0);
+    print_line(format!("  fernknot config read {}", comma_separated(cluster.control_addrs())));
+    print_line(format!("  fernknot show nodes {controller}"));
+    print_line(format!("  fernknot show views {controller}"));
     print_line(match seconds {
         Some(seconds) => format!("\nserving for {seconds} s"),
         None => "\nserving until Ctrl-C".to_string(),
     });
-    let from = Instant::now();
-    let mut told = Instant::now();
-    while !over.load(Ordering::Relaxed)
-        && seconds.is_none_or(|seconds| from.elapsed().as_secs_f64() < seconds)
-    {
-        thread::sleep(Duration::from_millis(20));
-        if told.elapsed() >= Duration::from_secs(5) {
-            told = Instant::now();
+}
+
+/// Waits until the time is over or the process is asked to stop, and reports now and then.
+fn serve(load: &Load, seconds: Option<f64>, is_stopped: &AtomicBool) {
+    let started_at = Instant::now();
+    let mut reported_at = started_at;
+    let is_over = || seconds.is_some_and(|seconds| started_at.elapsed().as_secs_f64() >= seconds);
+    while !is_stopped.load(Ordering::Relaxed) && !is_over() {
+        thread::sleep(POLL_INTERVAL);
+        if reported_at.elapsed() >= REPORT_INTERVAL {
+            reported_at = Instant::now();
             print_line(format!("{} requests, {} served", load.completed_count(), load.served_count()));
         }
     }
-    let requests = load.finish();
-    let served = requests.iter().filter(|request| request.is_served()).count();
-    for kind in [Kind::Gather, Kind::One, Kind::Order] {
-        let mut times: Vec<f64> = requests
-            .iter()
-            .filter(|request| request.kind == kind && request.is_served())
-            .map(|request| request.duration_ms)
-            .collect();
-        times.sort_by(f64::total_cmp);
-        let at = |share: f64| times.get((times.len() as f64 * share) as usize).copied().unwrap_or(f64::NAN);
+}
+
+fn print_times(requests: &[Request]) {
+    for kind in [RequestKind::Gather, RequestKind::Single, RequestKind::Mutating] {
+        let served = requests.iter().filter(|request| request.kind == kind && request.is_served());
+        let mut durations: Vec<f64> = served.map(|request| request.duration_ms).collect();
+        durations.sort_by(f64::total_cmp);
         print_line(format!(
             "{:<8} {:>5} served, half within {:.1} ms, 99 of 100 within {:.1} ms",
             kind.prefix(),
-            times.len(),
-            at(0.5),
-            at(0.99)
+            durations.len(),
+            quantile(&durations, 0.5).unwrap_or(f64::NAN),
+            quantile(&durations, 0.99).unwrap_or(f64::NAN)
         ));
     }
-    let last = requests.iter().rev().find(|request| request.kind == Kind::Gather && request.is_served());
-    if let Some(AttemptOutcome::Response { seals, missing, body, .. }) =
-        last.map(|request| &request.attempts[request.attempts.len() - 1].outcome)
-    {
+}
+
+fn print_last_gathered(requests: &[Request]) {
+    let gathered = requests.iter().rev().filter(|request| request.kind == RequestKind::Gather);
+    if let Some(response) = gathered.filter_map(Request::success).next() {
         print_line(format!(
-            "the last gathered answer: {} parts, {missing} missing, the greatest {} records",
-            seals.len(),
-            body.len() / 16
+            "the last gathered response: {} parts, {} missing, the greatest {} records",
+            response.seals.len(),
+            response.missing,
+            response.body.len() / RECORD_BYTES
         ));
     }
-    let allowed = Expectations {
+}
+
+/// Judges what clients and nodes saw.
+fn conclude(requests: &[Request], nodes: &Nodes, draft: &ConfigDraft) -> Result<(), CliError> {
+    let expectations = Expectations {
         shard_sets: vec![draft.fanout_services()],
         top_k: draft.top_k,
         quorum: draft.quorum,
-        single_service: "single".into(),
+        single_service: SINGLE_SERVICE.into(),
     };
+    let mut violations = check(requests, &nodes.execution_log(), &expectations);
     // What was sent by hand is known to nodes alone.
-    let breaks: Vec<_> = check(&requests, &nodes.execution_log(), &allowed)
-        .into_iter()
-        .filter(|found| found.rule != "UNASKED")
-        .collect();
-    breaks.iter().take(10).for_each(|found| print_line(format!("broken: {} {}", found.rule, found.detail)));
-    print_line(format!("{served} of {} requests were served; {} rules broken", requests.len(), breaks.len()));
-    debug_assert!(services.contains(&shard_name(0)));
-    match breaks.is_empty() && served > 0 {
-        true => Ok(()),
-        false => Err(failed("the demo did not serve as it should")),
+    violations.retain(|violation| violation.rule != Rule::Unasked);
+    for Violation { rule, detail } in violations.iter().take(MAX_PRINTED) {
+        print_line(format!("broken: {rule} {detail}"));
+    }
+    let served = requests.iter().filter(|request| request.is_served()).count();
+    let (sent, broken) = (requests.len(), violations.len());
+    print_line(format!("{served} of {sent} requests were served; {broken} rules broken"));
+    if violations.is_empty() && served > 0 {
+        Ok(())
+    } else {
+        Err(CliError::Failed("the demo did not serve as it should".into()))
     }
 }
--- a/crates/fernknot-cli/src/measure.rs
+++ b/crates/fernknot-cli/src/measure.rs
@@ -1,87 +1,109 @@
-//! `fernknot measure`: one table for each thing that is varied.
+//! `fernknot measure`: one table for each figure that is varied.
 
-use crate::{Arguments, CliError, failed, print_line};
-use fernknot_testbed::measure::{Dimension, Workload, measure};
-use serde_json::json;
+use crate::arguments::Arguments;
+use crate::error::CliError;
+use crate::output::print_line;
+use fernknot_testbed::measure::{Cost, Dimension, Workload, measure};
+use serde_json::{Value, json};
 use std::time::Duration;
 
-pub fn run(words: &Arguments) -> Result<(), CliError> {
-    let [what] = words.expect_positional("measure gateways|nodes|routes|changes|queries|shards")?;
-    let name = what.to_string_lossy().into_owned();
-    let (what, sizes) = match name.as_str() {
+const DEFAULT_SECONDS: f64 = 10.0;
+
+/// What is varied, by its name, and the sizes that are measured unless others are asked for.
+fn dimension(name: &str) -> Option<(Dimension, Vec<usize>)> {
+    Some(match name {
         "gateways" => (Dimension::Gateways, vec![2, 4, 8, 16, 32]),
         "nodes" => (Dimension::Nodes, vec![50, 200, 800, 2000]),
         "routes" => (Dimension::Routes, vec![12, 100, 370, 1000]),
         "changes" => (Dimension::Changes, vec![0, 6, 30, 60]),
         "queries" => (Dimension::Queries, vec![25, 50, 100, 200]),
         "shards" => (Dimension::Shards, vec![2, 4, 8, 16]),
-        other => {
-            return Err(CliError::Usage(format!(
-                "{other}: is none of gateways, nodes, routes, changes, queries, shards"
-            )));
-        }
-    };
-    let given =
-        words.options.iter().rev().find(|(key, _)| key == "sizes").and_then(|(_, value)| value.clone());
-    let sizes = match given {
-        None => sizes,
-        Some(text) => text
-            .split(',')
-            .map(|word| {
-                word.trim().parse().map_err(|_| CliError::Usage(format!("--sizes: {word} is no number")))
-            })
-            .collect::<Result<Vec<usize>, CliError>>()?,
-    };
-    let seconds: f64 = words.number("seconds")?.unwrap_or(10.0);
+        _ => return None,
+    })
+}
+
+pub fn run(arguments: &Arguments) -> Result<(), CliError> {
+    let [name] = arguments.expect_positional("measure gateways|nodes|routes|changes|queries|shards")?;
+    let name = name.to_string_lossy();
+    let unknown =
+        || CliError::Usage(format!("{name}: is none of gateways, nodes, routes, changes, queries, shards"));
+    let (dimension, default_sizes) = dimension(&name).ok_or_else(unknown)?;
+    let sizes = arguments.value("sizes").map_or(Ok(default_sizes), parse_sizes)?;
+    let seconds: f64 = arguments.number("seconds")?.unwrap_or(DEFAULT_SECONDS);
     if !(1.0..=3600.0).contains(&seconds) {
         return Err(CliError::Usage("--seconds: is not from 1 to 3600".into()));
     }
-    let json = words.flag("json");
-    if !json {
-        print_line(format!(
-            "{name:>8} | registrar: core %, most, MB | gateway: core %, most, MB | told: whole B, B/s | \
-             apply ms, most, ack ms | queries, served, p50 ms, p99 ms | beats"
-        ));
+    let is_json = arguments.flag("json");
+    if !is_json {
+        print_header(&name);
     }
     for count in sizes {
-        let mut size = Workload::varying(what, count);
-        size.gateways = words.number("gateways")?.unwrap_or(size.gateways);
-        size.zones = words.number("zones")?.unwrap_or(size.zones);
-        let cost = measure(&size, Duration::from_secs_f64(seconds)).map_err(failed)?;
-        let mb = |bytes: f64| bytes / 1e6;
-        if json {
-            print_line(json!({
-                "experiment": name, "variant": count, "seed": 1, "seconds": seconds,
-                "registrar_cpu_share": cost.controller_cpu, "registrar_cpu_most_share": cost.controller_cpu_max,
-                "registrar_resident_bytes": cost.controller_resident_bytes, "gateway_cpu_share": cost.gateway_cpu,
-                "gateway_cpu_most_share": cost.gateway_cpu_max, "gateway_resident_bytes": cost.gateway_resident_bytes,
-                "told_whole_bytes": cost.snapshot_bytes, "told_bytes_per_s": cost.update_bytes_per_s,
-                "apply_mean_ms": cost.apply_mean_ms, "apply_most_ms": cost.apply_max_ms,
-                "ack_mean_ms": cost.ack_mean_ms, "changes": cost.changes, "queries": cost.queries,
-                "served": cost.served, "query_p50_ms": cost.query_p50_ms, "query_p99_ms": cost.query_p99_ms,
-                "beats": cost.heartbeats,
-            }));
+        let mut workload = Workload::varying(dimension, count);
+        workload.gateways = arguments.number("gateways")?.unwrap_or(workload.gateways);
+        workload.zones = arguments.number("zones")?.unwrap_or(workload.zones);
+        let cost = measure(&workload, Duration::from_secs_f64(seconds))?;
+        if is_json {
+            print_line(to_json(&name, count, seconds, &cost));
         } else {
-            print_line(format!(
-                "{count:>8} | {:.2} {:.2} {:.1} | {:.2} {:.2} {:.1} | {:.0} {:.0} | {:.0} {:.0} {:.0} | {} {} {:.1} {:.1} | {}",
-                cost.controller_cpu * 100.0,
-                cost.controller_cpu_max * 100.0,
-                mb(cost.controller_resident_bytes),
-                cost.gateway_cpu * 100.0,
-                cost.gateway_cpu_max * 100.0,
-                mb(cost.gateway_resident_bytes),
-                cost.snapshot_bytes,
-                cost.update_bytes_per_s,
-                cost.apply_mean_ms,
-                cost.apply_max_ms,
-                cost.ack_mean_ms,
-                cost.queries,
-                cost.served,
-                cost.query_p50_ms,
-                cost.query_p99_ms,
-                cost.heartbeats
-            ));
+            print_row(count, &cost);
         }
     }
     Ok(())
 }
+
+fn parse_sizes(text: &str) -> Result<Vec<usize>, CliError> {
+    let parse_size = |size: &str| {
+        let no_number = |_| CliError::Usage(format!("--sizes: {size} is no number"));
+        size.trim().parse().map_err(no_number)
+    };
+    text.split(',').map(parse_size).collect()
+}
+
+fn print_header(name: &str) {
+    print_line(format!(
+        "{name:>8} | controller: core %, most, MB | gateway: core %, most, MB | subscriber: snapshot B, B/s | \
+         apply ms, most, ack ms | queries, served, p50 ms, p99 ms | heartbeats"
+    ));
+}
+
+fn print_row(count: usize, cost: &Cost) {
+    let percent = |share: f64| format!("{:.2}", share * 100.0);
+    let megabytes = |bytes: f64| format!("{:.1}", bytes / 1e6);
+    let controller = [
+        percent(cost.controller_cpu),
+        percent(cost.controller_cpu_max),
+        megabytes(cost.controller_resident_bytes),
+    ];
+    let gateway =
+        [percent(cost.gateway_cpu), percent(cost.gateway_cpu_max), megabytes(cost.gateway_resident_bytes)];
+    print_line(format!(
+        "{count:>8} | {} | {} | {:.0} {:.0} | {:.0} {:.0} {:.0} | {} {} {:.1} {:.1} | {}",
+        controller.join(" "),
+        gateway.join(" "),
+        cost.snapshot_bytes,
+        cost.update_bytes_per_s,
+        cost.apply_mean_ms,
+        cost.apply_max_ms,
+        cost.ack_mean_ms,
+        cost.queries,
+        cost.served,
+        cost.query_p50_ms,
+        cost.query_p99_ms,
+        cost.heartbeats
+    ));
+}
+
+/// The keys are those of `results/capacity/*.jsonl`, which name a controller and its messages as earlier releases did.
+fn to_json(name: &str, count: usize, seconds: f64, cost: &Cost) -> Value {
+    json!({
+        "experiment": name, "variant": count, "seed": 1, "seconds": seconds,
+        "registrar_cpu_share": cost.controller_cpu, "registrar_cpu_most_share": cost.controller_cpu_max,
+        "registrar_resident_bytes": cost.controller_resident_bytes, "gateway_cpu_share": cost.gateway_cpu,
+        "gateway_cpu_most_share": cost.gateway_cpu_max, "gateway_resident_bytes": cost.gateway_resident_bytes,
+        "told_whole_bytes": cost.snapshot_bytes, "told_bytes_per_s": cost.update_bytes_per_s,
+        "apply_mean_ms": cost.apply_mean_ms, "apply_most_ms": cost.apply_max_ms,
+        "ack_mean_ms": cost.ack_mean_ms, "changes": cost.changes, "queries": cost.queries,
+        "served": cost.served, "query_p50_ms": cost.query_p50_ms, "query_p99_ms": cost.query_p99_ms,
+        "beats": cost.heartbeats,
+    })
+}
--- a/crates/fernknot-cli/tests/commands.rs
+++ b/crates/fernknot-cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! What users of the command line count on: exit codes, and faults by their places.
+//! What users of the command line count on: exit codes, and errors by their places.
 
 mod common;
 
@@ -29,15 +29,19 @@
 #[test_case(&["views", "force", "127.0.0.1:1", "--yes-the-others-are-lost"], 2, "--lost is missing"; "nobody lost")]
 #[test_case(&["views", "force", "127.0.0.1:1", "--lost", "127.0.0.1:2"], 2, "--yes-the-others-are-lost is missing"; "no oath")]
 #[test_case(&["views", "force", "127.0.0.1:1,127.0.0.1:3", "--lost", "127.0.0.1:2"], 2, "wanted: views force"; "two at once")]
-#[test_case(&["views", "force", "127.0.0.1:1", "--lost", "127.0.0.1:2", "--yes-the-others-are-lost"], 1, "connect to 127.0.0.1:1: "; "nobody to order it at")]
+#[test_case(&["views", "force", "127.0.0.1:1", "--lost", "127.0.0.1:2", "--yes-the-others-are-lost"], 1, "connect to 127.0.0.1:1: "; "nobody to force it at")]
 #[test_case(&["plan-capacity", "--nodes", "many"], 2, "--nodes: many"; "no number")]
 #[test_case(&["demo", "--seconds", "-1"], 2, "seconds"; "no time")]
-fn given_these_words_then_the_exit_code_and_the_word_for_the_user_are(words: &[&str], code: i32, says: &str) {
-    let out = fernknot(words);
-    let said = text(&out.stdout) + &text(&out.stderr);
-    assert_eq!(out.status.code(), Some(code), "{said}");
-    assert!(said.contains(says), "{said}");
-    // What is an answer goes to standard output, what is a fault does not.
+fn given_these_arguments_then_the_exit_code_and_the_message_for_the_user_are(
+    arguments: &[&str],
+    code: i32,
+    message: &str,
+) {
+    let out = fernknot(arguments);
+    let output = text(&out.stdout) + &text(&out.stderr);
+    assert_eq!(out.status.code(), Some(code), "{output}");
+    assert!(output.contains(message), "{output}");
+    // What is a result goes to standard output, what is an error does not.
     assert_eq!(out.stdout.is_empty(), code != 0);
 }
 
@@ -50,33 +54,33 @@
 }
 
 #[test]
-fn given_a_configuration_with_three_faults_when_it_is_checked_then_all_are_named_by_their_places() {
+fn given_a_configuration_with_three_errors_when_it_is_checked_then_all_are_named_by_their_places() {
     let twice = SOUND.replace("[{\"name\":\"r\"", "[{\"name\":\"q\",\"authority\":\"a.example\",\"path_prefix\":\"/p/\",\"backend\":\"t\"},{\"name\":\"r\"");
     let file = file(&twice.replace("\"max_conns\":9}", "\"max_conns\":9},{\"name\":\"s\"}"));
     let path = file.path().to_str().unwrap();
     let out = fernknot(&["check", path]);
-    let said = text(&out.stderr);
+    let output = text(&out.stderr);
     assert_eq!(out.status.code(), Some(2));
-    for fault in [
+    for error in [
         "routes[0]: names the unknown service",
         "routes[1]: has the host and prefix",
         "backends[1]: has the name",
     ] {
-        assert!(said.contains(&format!("{path}: {fault}")), "{fault} is not in {said}");
+        assert!(output.contains(&format!("{path}: {error}")), "{error} is not in {output}");
     }
     // Nothing that is not sound goes out, so no address is asked at all.
     let out = fernknot(&["config", "replace", "127.0.0.1:1", path, "--base", "0"]);
-    assert_eq!((out.status.code(), text(&out.stderr)), (Some(2), said));
+    assert_eq!((out.status.code(), text(&out.stderr)), (Some(2), output));
 }
 
 #[test]
-fn given_settings_with_faults_when_they_are_checked_then_all_are_named() {
+fn given_settings_with_errors_when_they_are_checked_then_all_are_named() {
     let file = file(r#"{"node_name":"n","ip":"10.0.0.300","zone":"z","serves":["edge"],"bind_addrs":{}}"#);
     let out = fernknot(&["check", "--settings", file.path().to_str().unwrap()]);
-    let said = text(&out.stderr);
+    let output = text(&out.stderr);
     assert_eq!(out.status.code(), Some(2));
-    for fault in ["ip: is not an IPv4 address", "bind_addrs.front_addr: is missing", "port_range: is missing"]
+    for error in ["ip: is not an IPv4 address", "bind_addrs.front_addr: is missing", "port_range: is missing"]
     {
-        assert!(said.contains(fault), "{fault} is not in {said}");
+        assert!(output.contains(error), "{error} is not in {output}");
     }
 }
--- a/crates/fernknot-cli/tests/demo.rs
+++ b/crates/fernknot-cli/tests/demo.rs
@@ -25,9 +25,11 @@
 fn given_a_fresh_checkout_when_the_demo_runs_then_it_serves_and_breaks_no_rule() {
     programs();
     let out = fernknot(&["demo", "--gateways", "1", "--seconds", "1"]);
-    let said = text(&out.stdout) + &text(&out.stderr);
-    assert_eq!(out.status.code(), Some(0), "{said}");
-    for words in ["version 1 of the configuration was taken", "the greatest 20 records", "; 0 rules broken"] {
-        assert!(said.contains(words), "{words} is not in {said}");
+    let output = text(&out.stdout) + &text(&out.stderr);
+    assert_eq!(out.status.code(), Some(0), "{output}");
+    for sentence in
+        ["version 1 of the configuration was accepted", "the greatest 20 records", "; 0 rules broken"]
+    {
+        assert!(output.contains(sentence), "{sentence} is not in {output}");
     }
 }
--- /dev/null
+++ b/crates/fernknot-testbed/src/client.rs
@@ -0,0 +1,153 @@
+//! One client: a request with its attempts, over new and kept connections.
+
+use crate::config_draft::HOST;
+use crate::error::ConnectionError;
+use crate::http::{Connection, Message, encode_request};
+use crate::load_balancer::GatewayList;
+use crate::requests::{Attempt, AttemptOutcome, ClientResponse, Request, RequestKind};
+use std::sync::Arc;
+use std::thread;
+use std::time::{Duration, Instant};
+use thiserror::Error;
+
+/// A new connection gets this long to come up.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_ATTEMPTS: usize = 4;
+/// How long a client waits before its next attempt where the gateway gives no advice.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Share of the deadline that a response may be late.
+const LATE_SHARE: f64 = 0.1;
+
+/// Why a client has no connection.
+#[derive(Debug, Error)]
+enum NoConnection {
+    #[error("no gateway")]
+    NoGateway,
+    #[error(transparent)]
+    Failed(#[from] ConnectionError),
+}
+
+/// One client.
+pub(crate) struct Client {
+    gateways: Arc<GatewayList>,
+    deadline: Duration,
+    /// Kept from the last request.
+    connection: Option<Connection>,
+}
+
+/// The end of an attempt, and when the gateway said to come back.
+struct AttemptEnd {
+    was_sent: bool,
+    outcome: AttemptOutcome,
+    retry_after: Option<Duration>,
+}
+
+impl AttemptEnd {
+    fn failed(was_sent: bool, outcome: AttemptOutcome) -> AttemptEnd {
+        AttemptEnd { was_sent, outcome, retry_after: None }
+    }
+}
+
+impl Client {
+    pub fn new(gateways: Arc<GatewayList>, deadline: Duration) -> Client {
+        Client { gateways, deadline, connection: None }
+    }
+
+    /// Sends a request until it is answered, or may not be sent again.
+    pub fn send_request(&mut self, kind: RequestKind) -> Request {
+        let target = format!("{}{:08x}", kind.prefix(), self.gateways.rng.next_u64() as u32);
+        let started_at = Instant::now();
+        let until = started_at + self.deadline;
+        let mut attempts = Vec::new();
+        loop {
+            let id = format!("{:016x}", self.gateways.rng.next_u64());
+            let end = self.attempt(&id, kind, &target, until);
+            let may_retry = may_retry(kind, &end);
+            attempts.push(Attempt { id, was_sent: end.was_sent, outcome: end.outcome });
+            let remaining = until.saturating_duration_since(Instant::now());
+            if !may_retry || remaining.is_zero() || attempts.len() >= MAX_ATTEMPTS {
+                let duration_ms = started_at.elapsed().as_secs_f64() * 1e3;
+                return Request { kind, target, attempts, duration_ms };
+            }
+            // Each retry is made on a new connection, and advice is heeded up to a third of the time left.
+            self.connection = None;
+            thread::sleep(end.retry_after.unwrap_or(RETRY_DELAY).min(remaining / 3));
+        }
+    }
+
+    fn attempt(&mut self, id: &str, kind: RequestKind, target: &str, until: Instant) -> AttemptEnd {
+        let mut connection = match self.take_connection() {
+            Ok(connection) => connection,
+            Err(error) => return AttemptEnd::failed(false, AttemptOutcome::Disconnected(error.to_string())),
+        };
+        let request = encode_attempt(id, kind, target, until);
+        if let Err(error) = connection.send(&request, until) {
+            return AttemptEnd::failed(false, AttemptOutcome::Disconnected(error.to_string()));
+        }
+        let response = match connection.read_response(until + self.deadline.mul_f64(LATE_SHARE)) {
+            Ok(response) => response,
+            Err(error) if connection.buffered_bytes() > 0 => {
+                return AttemptEnd::failed(true, AttemptOutcome::Malformed(error.to_string()));
+            }
+            Err(error) => return AttemptEnd::failed(true, AttemptOutcome::Disconnected(error.to_string())),
+        };
+        if connection.buffered_bytes() > 0 {
+            let reason = "bytes that no request waits for".to_string();
+            return AttemptEnd::failed(true, AttemptOutcome::Malformed(reason));
+        }
+        if !response.closes_connection() {
+            self.connection = Some(connection);
+        }
+        let retry_after = retry_after(&response);
+        let outcome = AttemptOutcome::Response(client_response(kind, response));
+        AttemptEnd { was_sent: true, outcome, retry_after }
+    }
+
+    /// The kept connection, or a new one to a gateway that is ready.
+    fn take_connection(&mut self) -> Result<Connection, NoConnection> {
+        if let Some(connection) = self.connection.take() {
+            return Ok(connection);
+        }
+        let gateway = self.gateways.choose().ok_or(NoConnection::NoGateway)?;
+        Ok(Connection::connect(gateway, CONNECT_TIMEOUT)?)
+    }
+}
+
+fn encode_attempt(id: &str, kind: RequestKind, target: &str, until: Instant) -> Vec<u8> {
+    let remaining_ms = until.saturating_duration_since(Instant::now()).as_millis();
+    let headers = [
+        format!("Host: {HOST}"),
+        format!("Attempt-Id: {id}"),
+        format!("Deadline-Ms: {}", remaining_ms.max(1)),
+    ];
+    match kind.is_idempotent() {
+        true => encode_request("GET", target, &headers, b""),
+        false => encode_request("POST", target, &headers, b"{\"prints\":3}"),
+    }
+}
+
+/// Whether a request may be sent again after an attempt that ended so.
+fn may_retry(kind: RequestKind, end: &AttemptEnd) -> bool {
+    match &end.outcome {
+        AttemptOutcome::Malformed(_) => false,
+        AttemptOutcome::Disconnected(_) => kind.is_idempotent() || !end.was_sent,
+        AttemptOutcome::Response(response) => match response.status {
+            200..=299 | 400 | 401 | 404 | 413 | 431 => false,
+            408 | 421 | 429 | 503 => true,
+            _ => kind.is_idempotent(),
+        },
+    }
+}
+
+fn retry_after(response: &Message) -> Option<Duration> {
+    let seconds = response.header("retry-after")?.parse::<f64>().ok()?;
+    (0.0..1e6).contains(&seconds).then(|| Duration::from_secs_f64(seconds))
+}
+
+fn client_response(kind: RequestKind, response: Message) -> ClientResponse {
+    let seal_header = if kind == RequestKind::Gather { "part-seals" } else { "answer-seal" };
+    let seals = response.header_list(seal_header);
+    let seals = seals.split(',').map(str::trim).filter(|seal| !seal.is_empty()).map(String::from).collect();
+    let missing = response.header("parts-missing").and_then(|count| count.parse().ok()).unwrap_or(0);
+    ClientResponse { status: response.status(), seals, missing, body: response.body }
+}
--- a/crates/fernknot-testbed/src/config_draft.rs
+++ b/crates/fernknot-testbed/src/config_draft.rs
@@ -1,22 +1,30 @@
-//! Configurations as an operator of the rig writes them.
+//! Configurations as the operator of a test cluster writes them.
 
 use serde_json::{Value, json};
 
 /// The host of all routes.
-pub const HOST: &str = "basin.example";
+pub const HOST: &str = "testbed.example";
+/// The service of all routes that are not gathered.
+pub const SINGLE_SERVICE: &str = "single";
 
 /// What a configuration is to hold.
 #[derive(Clone, Debug)]
 pub struct ConfigDraft {
+    /// Its number.
     pub epoch: u64,
     /// Shards of the gathered route, services `shard-0` and on.
     pub shards: usize,
-    /// Routes that nobody calls, so that the whole is as large as is wanted; they share the service `single`.
+    /// Routes that nobody calls, so that the whole is as large as is wanted.
     pub filler_routes: usize,
+    /// Records that a gathered response holds at most.
     pub top_k: usize,
+    /// Share of the shards without which a gathered response fails.
     pub quorum: f64,
+    /// Attempts of a gateway for one request.
     pub max_attempts: usize,
+    /// The latency target of each route, in milliseconds.
     pub target_ms: u64,
+    /// The deadline of each route, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -35,7 +43,7 @@
     }
 }
 
-/// The name of a shard.
+/// The service of the shard with this number.
 pub fn shard_name(number: usize) -> String {
     format!("shard-{number}")
 }
@@ -46,42 +54,49 @@
         (0..self.shards).map(shard_name).collect()
     }
 
-    /// The configuration: `/gather/` over all shards, `/one/` at one node of `single`, `/order/` there too, but
+    /// All services.
+    pub fn services(&self) -> Vec<String> {
+        self.fanout_services().into_iter().chain([SINGLE_SERVICE.to_string()]).collect()
+    }
+
+    /// The configuration: `/gather/` over all shards, `/one/` at one node of [`SINGLE_SERVICE`], `/order/` there too, but
     /// never twice.
     pub fn to_json(&self) -> Value {
-        let route = |name: &str, prefix: &str, class: &str, extra: Value| {
-            let mut route = json!({
-                "name": name, "authority": HOST, "path_prefix": prefix, "traffic_class": class,
-                "deadline_ms": self.deadline_ms, "target_ms": self.target_ms, "rank": 1, "tries": self.max_attempts,
-            });
-            let extra = extra.as_object().into_iter().flatten();
-            extra.for_each(|(key, value)| route[key] = value.clone());
-            route
-        };
         let fanout = json!({"fanout": self.fanout_services(), "top_k": self.top_k, "quorum": self.quorum});
+        let single = json!({"backend": SINGLE_SERVICE});
         let mut routes = vec![
-            route("gather", "/gather/", "idempotent", fanout),
-            route("one", "/one/", "idempotent", json!({"backend": "single"})),
-            route("order", "/order/", "mutating", json!({"backend": "single"})),
+            self.route("gather", "/gather/", "idempotent", &fanout),
+            self.route("one", "/one/", "idempotent", &single),
+            self.route("order", "/order/", "mutating", &single),
         ];
-        let filler = |number: usize| {
+        routes.extend((0..self.filler_routes).map(|number| {
             let prefix = format!("/filler/{number}/of/{}/", self.epoch);
-            route(&format!("filler-{number}"), &prefix, "idempotent", json!({"backend": "single"}))
-        };
-        routes.extend((0..self.filler_routes).map(filler));
-        let names = self.fanout_services().into_iter().chain(["single".to_string()]);
-        let services: Vec<Value> = names
-            .map(|name| {
-                json!({"name": name, "probe_path": "/health", "max_conns": 72, "protocol": "h1", "tls": false})
-            })
-            .collect();
+            self.route(&format!("filler-{number}"), &prefix, "idempotent", &single)
+        }));
+        let services: Vec<Value> = self.services().iter().map(|name| service(name)).collect();
         json!({
             "epoch": self.epoch, "routes": routes, "backends": services,
             "limits": {"header_bytes": 16384, "body_bytes": 262_144, "header_ms": 3000, "idle_ms": 15000},
         })
     }
 
+    /// The configuration as it is sent.
     pub fn to_bytes(&self) -> Vec<u8> {
         self.to_json().to_string().into_bytes()
     }
+
+    fn route(&self, name: &str, prefix: &str, traffic_class: &str, target: &Value) -> Value {
+        let mut route = json!({
+            "name": name, "authority": HOST, "path_prefix": prefix, "traffic_class": traffic_class,
+            "deadline_ms": self.deadline_ms, "target_ms": self.target_ms, "rank": 1, "tries": self.max_attempts,
+        });
+        for (key, value) in target.as_object().into_iter().flatten() {
+            route[key] = value.clone();
+        }
+        route
+    }
+}
+
+fn service(name: &str) -> Value {
+    json!({"name": name, "probe_path": "/health", "max_conns": 72, "protocol": "h1", "tls": false})
 }
--- /dev/null
+++ b/crates/fernknot-testbed/src/http.rs
@@ -0,0 +1,348 @@
+//! HTTP/1.1 as clients and nodes speak it, on blocking sockets. What the programs read and write is judged by this code,
+//! so it shares none with them.
+
+use crate::error::ConnectionError;
+use httparse::Status;
+use std::io::{Error, ErrorKind, Read, Write};
+use std::net::{SocketAddr, SocketAddrV4, TcpStream};
+use std::time::{Duration, Instant};
+
+/// The largest message that is read, in bytes.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+const MAX_HEADERS: usize = 64;
+/// Bytes that are read at one time.
+const READ_BYTES: usize = 16 * 1024;
+
+/// The first line of a message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum StartLine {
+    /// That of a request.
+    Request {
+        /// Such as `GET`.
+        method: String,
+        /// The path with its query.
+        target: String,
+    },
+    /// That of a response.
+    Response {
+        /// Such as 200.
+        status: u16,
+    },
+}
+
+/// A request or a response.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Message {
+    /// Its first line.
+    pub start_line: StartLine,
+    /// Names and values of its headers, in their order.
+    pub headers: Vec<(String, String)>,
+    /// Its body, without the framing of chunks.
+    pub body: Vec<u8>,
+}
+
+impl Message {
+    /// The value of the first header with this name, whatever its case.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+    }
+
+    /// The values of all headers with this name, as one with commas.
+    pub fn header_list(&self, name: &str) -> String {
+        let named = self.headers.iter().filter(|(key, _)| key.eq_ignore_ascii_case(name));
+        named.map(|(_, value)| value.as_str()).collect::<Vec<_>>().join(",")
+    }
+
+    /// The status of a response; 0 for a request.
+    pub fn status(&self) -> u16 {
+        match self.start_line {
+            StartLine::Response { status } => status,
+            StartLine::Request { .. } => 0,
+        }
+    }
+
+    /// Whether the connection ends after it.
+    pub fn closes_connection(&self) -> bool {
+        self.header_list("connection").split(',').any(|token| token.trim().eq_ignore_ascii_case("close"))
+    }
+
+    fn is_chunked(&self) -> bool {
+        self.header_list("transfer-encoding").to_ascii_lowercase().contains("chunked")
+    }
+
+    /// Whether it has no body unless a header says so.
+    fn has_no_body(&self) -> bool {
+        match self.start_line {
+            StartLine::Request { .. } => true,
+            StartLine::Response { status } => matches!(status, 100..200 | 204 | 304),
+        }
+    }
+
+    /// The length of a body that is not chunked.
+    fn body_length(&self) -> Result<usize, Error> {
+        match self.header("content-length").map(str::parse::<usize>) {
+            Some(Ok(length)) if length <= MAX_MESSAGE_BYTES => Ok(length),
+            Some(_) => Err(invalid("the length is none")),
+            None if self.has_no_body() => Ok(0),
+            None => Err(invalid("the response has no length")),
+        }
+    }
+}
+
+fn invalid(text: &'static str) -> Error {
+    Error::new(ErrorKind::InvalidData, text)
+}
+
+/// Which kind of message is to be read.
+#[derive(Clone, Copy, PartialEq)]
+enum MessageKind {
+    Request,
+    Response,
+}
+
+/// The head, and its length in bytes, once all of it is there.
+fn parse_head(kind: MessageKind, bytes: &[u8]) -> Result<Option<(Message, usize)>, Error> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let parsed = match kind {
+        MessageKind::Request => parse_request_line(bytes, &mut headers)?,
+        MessageKind::Response => parse_status_line(bytes, &mut headers)?,
+    };
+    let Some((start_line, length)) = parsed else { return Ok(None) };
+    let headers = headers.iter().take_while(|header| !header.name.is_empty());
+    let headers = headers
+        .map(|header| (header.name.to_string(), String::from_utf8_lossy(header.value).into_owned()))
+        .collect();
+    Ok(Some((Message { start_line, headers, body: Vec::new() }, length)))
+}
+
+fn parse_request_line<'bytes>(
+    bytes: &'bytes [u8],
+    headers: &mut [httparse::Header<'bytes>],
+) -> Result<Option<(StartLine, usize)>, Error> {
+    let mut request = httparse::Request::new(headers);
+    let parsed = request.parse(bytes).map_err(|_| invalid("not a request"))?;
+    let Status::Complete(length) = parsed else { return Ok(None) };
+    let method = request.method.unwrap_or_default().to_string();
+    let target = request.path.unwrap_or_default().to_string();
+    Ok(Some((StartLine::Request { method, target }, length)))
+}
+
+fn parse_status_line<'bytes>(
+    bytes: &'bytes [u8],
+    headers: &mut [httparse::Header<'bytes>],
+) -> Result<Option<(StartLine, usize)>, Error> {
+    let mut response = httparse::Response::new(headers);
+    let parsed = response.parse(bytes).map_err(|_| invalid("not a response"))?;
+    let Status::Complete(length) = parsed else { return Ok(None) };
+    let status = response.code.unwrap_or(0);
+    Ok(Some((StartLine::Response { status }, length)))
+}
+
+/// A connection with what was read ahead on it.
+pub struct Connection {
+    stream: TcpStream,
+    /// The other end.
+    pub peer: SocketAddrV4,
+    buffered: Vec<u8>,
+}
+
+impl Connection {
+    /// # Errors
+    /// Nobody accepts the connection within the time.
+    pub fn connect(peer: SocketAddrV4, timeout: Duration) -> Result<Connection, ConnectionError> {
+        let stream = TcpStream::connect_timeout(&SocketAddr::V4(peer), timeout);
+        Ok(Connection::from_stream(stream.map_err(ConnectionError::at("connect to", peer))?, peer))
+    }
+
+    /// A connection that was accepted.
+    pub fn from_stream(stream: TcpStream, peer: SocketAddrV4) -> Connection {
+        // Without it a short message may wait for the acknowledgement of the one before; no fault if refused.
+        let _ = stream.set_nodelay(true);
+        Connection { stream, peer, buffered: Vec::new() }
+    }
+
+    /// Bytes that came behind the last message; at a client they belong to no request.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffered.len()
+    }
+
+    /// # Errors
+    /// Not all could be written until then.
+    pub fn send(&mut self, bytes: &[u8], until: Instant) -> Result<(), ConnectionError> {
+        let failed = ConnectionError::at("write to", self.peer);
+        self.stream.set_write_timeout(Some(remaining(until))).map_err(&failed)?;
+        self.stream.write_all(bytes).map_err(&failed)
+    }
+
+    /// The next request; none where the connection ended between two.
+    ///
+    /// # Errors
+    /// None came whole until then.
+    pub fn read_request(&mut self, until: Instant) -> Result<Option<Message>, ConnectionError> {
+        self.read_message(MessageKind::Request, until)
+    }
+
+    /// The response to the request that was sent last.
+    ///
+    /// # Errors
+    /// None came whole until then.
+    pub fn read_response(&mut self, until: Instant) -> Result<Message, ConnectionError> {
+        let peer = self.peer;
+        let closed =
+            || ConnectionError::new("read from", peer, ErrorKind::UnexpectedEof, "closed without a response");
+        self.read_message(MessageKind::Response, until)?.ok_or_else(closed)
+    }
+
+    fn read_message(
+        &mut self,
+        kind: MessageKind,
+        until: Instant,
+    ) -> Result<Option<Message>, ConnectionError> {
+        let failed = ConnectionError::at("read from", self.peer);
+        let Some((mut message, head_length)) = self.read_head(kind, until)? else { return Ok(None) };
+        let length = if message.is_chunked() {
+            let (body, end) = self.read_chunks(head_length, until)?;
+            message.body = body;
+            end
+        } else {
+            let end = head_length + message.body_length().map_err(&failed)?;
+            self.fill(end, until)?;
+            message.body = self.buffered[head_length..end].to_vec();
+            end
+        };
+        self.buffered.drain(..length);
+        Ok(Some(message))
+    }
+
+    /// The head and its length; none where the connection ended before its first byte.
+    fn read_head(
+        &mut self,
+        kind: MessageKind,
+        until: Instant,
+    ) -> Result<Option<(Message, usize)>, ConnectionError> {
+        let failed = ConnectionError::at("read from", self.peer);
+        loop {
+            if let Some(head) = parse_head(kind, &self.buffered).map_err(&failed)? {
+                return Ok(Some(head));
+            }
+            if self.buffered.len() > MAX_MESSAGE_BYTES {
+                return Err(failed(invalid("the head has no end")));
+            }
+            match (self.read_more(until)?, self.buffered.is_empty()) {
+                (0, true) => return Ok(None),
+                (0, false) => return Err(self.closed_within_message()),
+                _ => {}
+            }
+        }
+    }
+
+    /// The body that begins here, and where it ends.
+    fn read_chunks(&mut self, begin: usize, until: Instant) -> Result<(Vec<u8>, usize), ConnectionError> {
+        let mut body = Vec::new();
+        let mut end = begin;
+        loop {
+            let (head_length, size) = self.read_chunk_size(end, until)?;
+            end += head_length;
+            self.fill(end + size + 2, until)?;
+            body.extend_from_slice(&self.buffered[end..end + size]);
+            end += size + 2;
+            if size == 0 {
+                return Ok((body, end));
+            }
+        }
+    }
+
+    /// The length of the line with the size of a chunk, and that size.
+    fn read_chunk_size(&mut self, begin: usize, until: Instant) -> Result<(usize, usize), ConnectionError> {
+        let (length, size) = loop {
+            match httparse::parse_chunk_size(&self.buffered[begin..]) {
+                Ok(Status::Complete(found)) => break found,
+                Ok(Status::Partial) if self.read_more(until)? > 0 => {}
+                _ => return Err(self.closed_within_message()),
+            }
+        };
+        let size = usize::try_from(size).ok().filter(|size| *size <= MAX_MESSAGE_BYTES);
+        let too_long =
+            || ConnectionError::new("read from", self.peer, ErrorKind::InvalidData, "a chunk is too long");
+        Ok((length, size.ok_or_else(too_long)?))
+    }
+
+    /// Reads until so many bytes are buffered.
+    fn fill(&mut self, length: usize, until: Instant) -> Result<(), ConnectionError> {
+        while self.buffered.len() < length {
+            if self.read_more(until)? == 0 {
+                return Err(self.closed_within_message());
+            }
+        }
+        Ok(())
+    }
+
+    fn closed_within_message(&self) -> ConnectionError {
+        ConnectionError::new("read from", self.peer, ErrorKind::UnexpectedEof, "closed within a message")
+    }
+
+    /// Reads what there is, and waits for it; 0 at the end of the connection.
+    fn read_more(&mut self, until: Instant) -> Result<usize, ConnectionError> {
+        let failed = ConnectionError::at("read from", self.peer);
+        if Instant::now() >= until {
+            return Err(failed(Error::new(ErrorKind::TimedOut, "nothing whole came in time")));
+        }
+        self.stream.set_read_timeout(Some(remaining(until))).map_err(&failed)?;
+        let mut bytes = [0; READ_BYTES];
+        let count = loop {
+            match self.stream.read(&mut bytes) {
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                read => break read.map_err(&failed)?,
+            }
+        };
+        self.buffered.extend_from_slice(&bytes[..count]);
+        Ok(count)
+    }
+}
+
+/// The time left, but never none: the system refuses that as a time-out.
+pub(crate) fn remaining(until: Instant) -> Duration {
+    until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1))
+}
+
+/// A request as bytes. `headers` are whole lines.
+pub fn encode_request(method: &str, target: &str, headers: &[String], body: &[u8]) -> Vec<u8> {
+    let mut out = format!("{method} {target} HTTP/1.1\r\n");
+    headers.iter().for_each(|line| out += &format!("{line}\r\n"));
+    if !body.is_empty() || method == "POST" {
+        out += &format!("Content-Length: {}\r\n", body.len());
+    }
+    out += "\r\n";
+    [out.as_bytes(), body].concat()
+}
+
+/// A response as bytes. `headers` are whole lines.
+pub fn encode_response(status: u16, headers: &[String], body: &[u8]) -> Vec<u8> {
+    let mut out = format!("HTTP/1.1 {status} -\r\n");
+    headers.iter().for_each(|line| out += &format!("{line}\r\n"));
+    out += &format!("Content-Length: {}\r\n\r\n", body.len());
+    [out.as_bytes(), body].concat()
+}
+
+/// One exchange on a connection of its own.
+///
+/// # Errors
+/// The step that failed.
+pub fn exchange_once(
+    peer: SocketAddrV4,
+    request: &[u8],
+    timeout: Duration,
+) -> Result<Message, ConnectionError> {
+    let until = Instant::now() + timeout;
+    let mut connection = Connection::connect(peer, timeout)?;
+    connection.send(request, until)?;
+    connection.read_response(until)
+}
+
+/// Whether a process says that it is ready.
+pub fn is_ready(addr: SocketAddrV4) -> bool {
+    let headers = [format!("Host: {addr}"), "Connection: close".into()];
+    let request = encode_request("GET", "/-/readiness", &headers, b"");
+    let response = exchange_once(addr, &request, Duration::from_millis(500));
+    response.is_ok_and(|response| response.status() == 200)
+}
--- a/crates/fernknot-testbed/src/lib.rs
+++ b/crates/fernknot-testbed/src/lib.rs
@@ -1,26 +1,40 @@
-//! README: what stands around the system when it is tried on one machine: an operator, nodes, clients, a checker
-//! of what they saw, and a rig that starts the real programs on loopback.
+//! What stands around the system when it is tried on one machine: an operator, nodes, clients, a checker of what they
+//! saw, and a cluster of the real programs on loopback.
 //!
-//! | Part | What it is |
+//! | Module | Contents |
 //! |---|---|
-//! | [`wire`] | HTTP/1.1 of callers and nodes, on blocking sockets; shares no code with the programs |
-//! | [`inner`] | questions to a running process at its inner port, and a listener that counts bytes |
-//! | [`operator`] | one who sends configurations and reads them back |
-//! | [`nodes`] | stand-in nodes: they beat, serve, drain and go |
-//! | [`paper`] | configurations as that operator writes them |
-//! | [`load`] | clients, and the platform that tells them which gateways are ready |
-//! | [`checker`] | judges what clients and nodes saw, by code of its own |
-//! | [`rig`] | the processes, their settings and their ends |
+//! | [`http`] | HTTP/1.1 of clients and nodes, on blocking sockets; shares no code with the programs |
+//! | [`inspection`] | questions of an operator to a running process |
+//! | [`subscription`] | a subscriber that counts what it is sent |
+//! | [`operator`] | an operator that sends configurations and reads them back |
+//! | [`config_draft`] | configurations as that operator writes them |
+//! | [`nodes`], [`execution_log`] | stand-in nodes: they send heartbeats, serve, drain and end; and what they ran |
+//! | [`load_balancer`], [`load`] | clients, and what connects them to gateways that are ready |
+//! | [`requests`], [`checker`] | what clients saw, and whether it was right by what nodes ran |
+//! | [`cluster`] | the processes, their settings and their ends |
 //! | [`usage`] | what a process costs |
-//! | [`measure`] | how that cost grows with gateways, nodes, routes, changes and queries |
+//! | [`measure`](mod@measure) | how that cost grows with gateways, nodes, routes, changes and queries |
+
+#![deny(missing_docs)]
+
+mod client;
+mod error;
+mod peer_stream;
+mod sync;
 
 pub mod checker;
-pub mod inner;
+pub mod cluster;
+pub mod config_draft;
+pub mod execution_log;
+pub mod http;
+pub mod inspection;
 pub mod load;
+pub mod load_balancer;
 pub mod measure;
 pub mod nodes;
 pub mod operator;
-pub mod paper;
-pub mod rig;
+pub mod requests;
+pub mod subscription;
 pub mod usage;
-pub mod wire;
+
+pub use error::ConnectionError;
--- a/crates/fernknot-testbed/src/operator.rs
+++ b/crates/fernknot-testbed/src/operator.rs
@@ -1,34 +1,65 @@
-//! One who sends configurations and reads them back, as PROTOCOL says of the operator: any registrar will do,
-//! another one after a failure, and a call without a clear end is repeated unchanged.
+//! An operator that sends configurations and reads them back, by the users' pages: any controller will do, another one
+//! after a failure, and a call without a clear response is repeated unchanged.
 
-use crate::wire::{self, Message};
+use crate::error::ConnectionError;
+use crate::http::{Message, encode_request, exchange_once};
 use std::net::SocketAddrV4;
 use std::thread;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// A registrar that says nothing for so long is passed over; a large body may take longer.
+/// A controller without a response for so long is passed over; a large body may take longer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes that a body may take a second more for.
 const BYTES_PER_S: f64 = 1_000_000.0;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
+const BACKOFF_FACTOR: f64 = 1.6;
 const MAX_REDIRECTS: usize = 2;
-/// A refusal that is none of the final ones ends a call only when it comes so often.
+/// A rejection that may not be final ends a call only when it comes so often.
 const MAX_REJECTIONS: usize = 3;
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A final answer: the status, its body, and who gave it.
-    Completed { status: u16, body: Vec<u8>, controller: SocketAddrV4 },
-    /// No clear answer in time; what each said last. A change may be in force or not.
+    /// A final response.
+    Completed {
+        /// Its status.
+        status: u16,
+        /// Its body.
+        body: Vec<u8>,
+        /// Who gave it.
+        controller: SocketAddrV4,
+    },
+    /// No clear response in time; what each controller answered last, for a person to read. A change may be in force or
+    /// not.
     Unclear(Vec<String>),
 }
 
+/// Why one controller gave no response.
+#[derive(Debug, Error)]
+enum CallError {
+    #[error(transparent)]
+    Connection(#[from] ConnectionError),
+    #[error("{0} redirects to no address")]
+    BadRedirect(SocketAddrV4),
+    #[error("{0} redirects once more after {MAX_REDIRECTS} times")]
+    TooManyRedirects(SocketAddrV4),
+}
+
+/// One call, as it is sent to any controller.
+struct Call<'call> {
+    method: &'static str,
+    path: &'static str,
+    /// Whole header lines.
+    headers: &'call [String],
+    body: &'call [u8],
+}
+
 /// The operator.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// Control addresses of registrars.
+    /// Control addresses of controllers.
     pub addrs: Vec<SocketAddrV4>,
     /// How long a call goes on.
     pub timeout: Duration,
@@ -37,67 +68,72 @@
 impl Operator {
     /// Sends a configuration that builds on the version `base`, 0 for the first.
     pub fn replace(&self, body: &[u8], base: u64) -> CallOutcome {
-        let lines = [format!("Base-Epoch: {base}"), "Content-Type: application/json".into()];
-        self.call("POST", "/-/config/replace", &lines, body)
+        let headers = [format!("Base-Epoch: {base}"), "Content-Type: application/json".into()];
+        self.call(&Call { method: "POST", path: "/-/config/replace", headers: &headers, body })
     }
 
     /// Asks for the newest configuration.
     pub fn read(&self) -> CallOutcome {
-        self.call("GET", "/-/config/read", &[], b"")
+        self.call(&Call { method: "GET", path: "/-/config/read", headers: &[], body: b"" })
     }
 
-    fn call(&self, method: &str, path: &str, lines: &[String], body: &[u8]) -> CallOutcome {
-        let begun = Instant::now();
-        let mut said: Vec<String> = vec![String::new(); self.addrs.len()];
-        let mut refusals = 0;
-        let mut pause = INITIAL_BACKOFF;
-        for at in (0..self.addrs.len()).cycle() {
-            let addr = self.addrs[at];
-            match self.call_one(addr, method, path, lines, body) {
-                Ok((answer, by)) => {
-                    let status = answer.status();
-                    refusals += usize::from(matches!(status, 400..500) && !matches!(status, 408 | 429));
-                    let clear = matches!(status, 200..300 | 400 | 409 | 412 | 413 | 422);
-                    if clear || refusals >= MAX_REJECTIONS {
-                        return CallOutcome::Completed { status, body: answer.body, controller: by };
+    fn call(&self, call: &Call<'_>) -> CallOutcome {
+        let started_at = Instant::now();
+        let mut answers: Vec<String> = vec![String::new(); self.addrs.len()];
+        let mut rejections = 0;
+        let mut backoff = INITIAL_BACKOFF;
+        for index in (0..self.addrs.len()).cycle() {
+            match call_one(self.addrs[index], call) {
+                Ok((response, controller)) => {
+                    let status = response.status();
+                    rejections += usize::from(is_rejection(status));
+                    if is_final(status) || rejections >= MAX_REJECTIONS {
+                        return CallOutcome::Completed { status, body: response.body, controller };
                     }
-                    said[at] = format!("{by} says {status} {}", String::from_utf8_lossy(&answer.body).trim());
+                    let text = String::from_utf8_lossy(&response.body);
+                    answers[index] = format!("{controller} says {status} {}", text.trim());
                 }
-                Err(why) => said[at] = why,
+                Err(error) => answers[index] = error.to_string(),
             }
-            if begun.elapsed() + pause > self.timeout {
+            if started_at.elapsed() + backoff > self.timeout {
                 break;
             }
-            thread::sleep(pause);
-            pause = pause.mul_f64(1.6).min(MAX_BACKOFF);
+            thread::sleep(backoff);
+            backoff = backoff.mul_f64(BACKOFF_FACTOR).min(MAX_BACKOFF);
         }
-        said.retain(|said| !said.is_empty());
-        CallOutcome::Unclear(said)
+        answers.retain(|answer| !answer.is_empty());
+        CallOutcome::Unclear(answers)
     }
+}
 
-    fn call_one(
-        &self,
-        addr: SocketAddrV4,
-        method: &str,
-        path: &str,
-        lines: &[String],
-        body: &[u8],
-    ) -> Result<(Message, SocketAddrV4), String> {
-        let silence = RESPONSE_TIMEOUT + Duration::from_secs_f64(body.len() as f64 / BYTES_PER_S);
-        let (mut addr, mut path) = (addr, path.to_string());
-        for _ in 0..=MAX_REDIRECTS {
-            let mut all = vec![format!("Host: {addr}")];
-            all.extend_from_slice(lines);
-            let bytes = wire::encode_request(method, &path, &all, body);
-            let answer = wire::exchange_once(addr, &bytes, silence).map_err(|why| why.to_string())?;
-            if answer.status() != 307 {
-                return Ok((answer, addr));
-            }
-            let place = answer.header("location").and_then(|place| place.strip_prefix("http://"));
-            let (host, rest) = place.and_then(|place| place.split_once('/')).unwrap_or_default();
-            addr = host.parse().map_err(|_| format!("{addr} names no place to go on at"))?;
-            path = format!("/{rest}");
+/// Whether a status rejects the call, though perhaps not for good.
+fn is_rejection(status: u16) -> bool {
+    matches!(status, 400..500) && !matches!(status, 408 | 429)
+}
+
+/// Whether a status ends the call.
+fn is_final(status: u16) -> bool {
+    matches!(status, 200..300 | 400 | 409 | 412 | 413 | 422)
+}
+
+/// A response of one controller, or of one that it redirects to, and who gave it.
+fn call_one(addr: SocketAddrV4, call: &Call<'_>) -> Result<(Message, SocketAddrV4), CallError> {
+    let timeout = RESPONSE_TIMEOUT + Duration::from_secs_f64(call.body.len() as f64 / BYTES_PER_S);
+    let (mut addr, mut path) = (addr, call.path.to_string());
+    for _ in 0..=MAX_REDIRECTS {
+        let mut headers = vec![format!("Host: {addr}")];
+        headers.extend_from_slice(call.headers);
+        let request = encode_request(call.method, &path, &headers, call.body);
+        let response = exchange_once(addr, &request, timeout)?;
+        if response.status() != 307 {
+            return Ok((response, addr));
         }
-        Err(format!("{addr} sends on once more after {MAX_REDIRECTS} times"))
+        (addr, path) = redirect_target(&response).ok_or(CallError::BadRedirect(addr))?;
     }
+    Err(CallError::TooManyRedirects(addr))
+}
+
+fn redirect_target(response: &Message) -> Option<(SocketAddrV4, String)> {
+    let (host, path) = response.header("location")?.strip_prefix("http://")?.split_once('/')?;
+    Some((host.parse().ok()?, format!("/{path}")))
 }
--- a/crates/fernknot-testbed/src/usage.rs
+++ b/crates/fernknot-testbed/src/usage.rs
@@ -5,6 +5,7 @@
 /// Processor time so far and memory now.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
+    /// When it was read.
     pub taken_at: Instant,
     /// On a processor since the start, all threads.
     pub cpu: Duration,
@@ -12,6 +13,7 @@
     pub resident_bytes: u64,
     /// Its peak, in bytes.
     pub peak_bytes: u64,
+    /// Open file descriptors.
     pub descriptors: usize,
 }
 
@@ -30,13 +32,13 @@
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     // The name in parentheses may hold anything; the fields after it are numbers.
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
-    let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok());
+    let ticks = |index: usize| fields.get(index).and_then(|field| field.parse::<u64>().ok());
     let ticks = ticks(11)? + ticks(12)?;
     Some(Duration::from_secs_f64(ticks as f64 / rustix::param::clock_ticks_per_second() as f64))
 }
 
 impl Usage {
-    /// None where the process is gone.
+    /// The usage of a process; none where it is gone.
     pub fn of_process(pid: u32) -> Option<Usage> {
         let cpu = scheduler_time(pid).or_else(|| tick_time(pid))?;
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
--- a/crates/fernknot-testbed/tests/common/mod.rs
+++ b/crates/fernknot-testbed/tests/common/mod.rs
@@ -1,17 +1,19 @@
 //! What the tests of this package share: the programs, and a system that serves.
 
-use fernknot_testbed::checker::{Expectations, Kind};
-use fernknot_testbed::load::{Load, LoadBalancer, LoadSettings};
+use fernknot_testbed::checker::Expectations;
+use fernknot_testbed::cluster::{Cluster, ClusterSettings, Role, find_program, wait_until};
+use fernknot_testbed::config_draft::{ConfigDraft, SINGLE_SERVICE};
+use fernknot_testbed::load::{Load, LoadSettings};
+use fernknot_testbed::load_balancer::LoadBalancer;
 use fernknot_testbed::nodes::{NodeSettings, Nodes};
 use fernknot_testbed::operator::{CallOutcome, Operator};
-use fernknot_testbed::paper::ConfigDraft;
-use fernknot_testbed::rig::{Cluster, ClusterSettings, Role, find_program, wait_until};
+use fernknot_testbed::requests::RequestKind;
 use std::process::Command;
 use std::sync::Once;
 use std::time::Duration;
 
 /// Nothing that is awaited takes longer, on a machine however busy.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Builds the programs where they are missing beside this test.
 pub fn programs() {
@@ -32,65 +34,73 @@
     });
 }
 
-/// Three registrars, gateways, nodes and one configuration that is in force at all gateways.
+/// Three controllers, gateways, nodes and one configuration that is in force at all gateways.
 pub struct System {
-    pub rig: Cluster,
+    pub cluster: Cluster,
     pub nodes: Nodes,
     pub operator: Operator,
-    pub platform: LoadBalancer,
+    pub load_balancer: LoadBalancer,
     pub draft: ConfigDraft,
 }
 
 impl System {
     pub fn start(seed: u64) -> System {
         programs();
-        let rig = Cluster::start(ClusterSettings { seed, ..ClusterSettings::default() }).unwrap();
-        rig.await_controllers(PATIENCE).unwrap();
-        let nodes = Nodes::new(rig.node_ip(), rig.control_addrs(), rig.settings().heartbeat_interval, seed);
+        let cluster = Cluster::start(ClusterSettings { seed, ..ClusterSettings::default() }).unwrap();
+        cluster.await_controllers(WAIT_TIMEOUT).unwrap();
+        let nodes = Nodes::new(
+            cluster.node_ip(),
+            cluster.control_addrs(),
+            cluster.settings().heartbeat_interval,
+            seed,
+        );
         let draft = ConfigDraft::default();
-        let services: Vec<String> = draft.fanout_services().into_iter().chain(["single".into()]).collect();
+        let services = draft.services();
         for (number, service) in services.iter().flat_map(|service| [service; 2]).enumerate() {
-            let facts = NodeSettings {
+            let settings = NodeSettings {
                 service: service.clone(),
-                zone: rig.zone(number),
+                zone: cluster.zone(number),
                 capacity: 4,
                 queue_capacity: 4,
                 service_time: Duration::from_millis(5),
-                records_per_part: 30,
+                records: 30,
                 accepts_requests: true,
             };
-            nodes.start(facts).unwrap();
+            nodes.start(settings).unwrap();
         }
-        wait_until("all nodes heard", PATIENCE, || nodes.heartbeat_counts().0 >= 2 * services.len()).unwrap();
-        let operator = Operator { addrs: rig.control_addrs(), timeout: PATIENCE };
+        wait_until("all nodes known", WAIT_TIMEOUT, || {
+            nodes.heartbeat_counts().acknowledged >= 2 * services.len()
+        })
+        .unwrap();
+        let operator = Operator { addrs: cluster.control_addrs(), timeout: WAIT_TIMEOUT };
         let end = operator.replace(&draft.to_bytes(), 0);
         assert!(matches!(end, CallOutcome::Completed { status: 200, .. }), "{end:?}");
-        rig.await_gateways(PATIENCE).unwrap();
-        let platform = LoadBalancer::new(&rig.gateway_addrs(), Duration::from_millis(400), seed);
-        System { rig, nodes, operator, platform, draft }
+        cluster.await_gateways(WAIT_TIMEOUT).unwrap();
+        let load_balancer = LoadBalancer::new(&cluster.gateway_addrs(), Duration::from_millis(400), seed);
+        System { cluster, nodes, operator, load_balancer, draft }
     }
 
-    pub fn load(&self, per_s: f64) -> Load {
-        let mix = vec![Kind::Gather, Kind::One, Kind::Gather, Kind::Order];
+    pub fn load(&self, requests_per_s: f64) -> Load {
+        let mix = vec![RequestKind::Gather, RequestKind::Single, RequestKind::Gather, RequestKind::Mutating];
         let deadline = Duration::from_secs(4);
         Load::start(
-            &self.platform,
-            &LoadSettings { clients: 6, requests_per_s: per_s, mix, deadline, keeps_responses: true },
+            &self.load_balancer,
+            &LoadSettings { clients: 6, requests_per_s, mix, deadline, keeps_responses: true },
         )
     }
 
-    pub fn allowed(&self) -> Expectations {
+    pub fn expectations(&self) -> Expectations {
         let ConfigDraft { top_k, quorum, .. } = self.draft;
         Expectations {
             shard_sets: vec![self.draft.fanout_services()],
             top_k,
             quorum,
-            single_service: "single".into(),
+            single_service: SINGLE_SERVICE.into(),
         }
     }
 }
 
-/// The version that a body tells.
+/// The version that a body names.
 pub fn epoch(body: &[u8]) -> Option<u64> {
     serde_json::from_slice::<serde_json::Value>(body).ok()?["epoch"].as_u64()
 }
