--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -1,46 +1,57 @@
-//! The calls of nodes and operators, each with its answer.
+//! The HTTP endpoints of nodes and operators, each with the outcomes of a call.
 
-use crate::ground::QuorumEvidence;
+use crate::evidence::QuorumEvidence;
 use fernknot_http_api::{Body, Endpoint, MatchedRequest, Reply};
 use fernknot_schema::{NodeHeartbeat, RoutingConfig, ValidationError, json_digest};
 use std::sync::Arc;
 
-/// Longest name of a node's life, in bytes.
+/// Status codes of HTTP, also used between controllers.
+pub mod status {
+    pub const OK: u16 = 200;
+    pub const BAD_REQUEST: u16 = 400;
+    pub const NOT_FOUND: u16 = 404;
+    pub const PRECONDITION_FAILED: u16 = 412;
+    pub const SERVICE_UNAVAILABLE: u16 = 503;
+}
+
+/// The reason given with 503 where no majority is reachable.
+pub const NO_QUORUM_REASON: &str = "cut off from the others; ask another";
+/// The longest identifier of a node, in bytes.
 const MAX_NODE_ID_BYTES: usize = 200;
 
-fn bad_request(faults: &[ValidationError]) -> Reply {
-    let lines: Vec<String> = faults.iter().map(ValidationError::to_string).collect();
-    Reply::error(400, &lines.join("; "))
+fn bad_request(errors: &[ValidationError]) -> Reply {
+    let lines: Vec<String> = errors.iter().map(ValidationError::to_string).collect();
+    Reply::error(status::BAD_REQUEST, &lines.join("; "))
 }
 
-fn node_id(asked: MatchedRequest<'_>) -> Result<String, Reply> {
-    match asked.segment.len() <= MAX_NODE_ID_BYTES {
-        true => Ok(asked.segment.to_string()),
-        false => Err(Reply::error(400, "the id in the path is too long")),
+fn node_id(request: MatchedRequest<'_>) -> Result<String, Reply> {
+    match request.segment.len() <= MAX_NODE_ID_BYTES {
+        true => Ok(request.segment.to_string()),
+        false => Err(Reply::error(status::BAD_REQUEST, "the id in the path is too long")),
     }
 }
 
-/// A node lives, or says that it is about to leave.
+/// A node lives, or announces that it is about to leave.
 pub struct Heartbeat {
     pub id: String,
     pub heartbeat: NodeHeartbeat,
 }
 
-/// What becomes of a node's call.
+/// The outcome of a node's call.
 pub enum NodeCallOutcome {
-    /// A plain beat: noted here, which promises nothing.
+    /// Recorded here, which promises nothing beyond this controller.
     Recorded,
-    /// That it leaves is known to a majority.
+    /// A majority knows that the node leaves.
     DrainConfirmed(QuorumEvidence),
-    /// Not noted: the node is to call another controller.
+    /// Not recorded, or not known to the others: the node is to call another controller.
     Unavailable(&'static str),
 }
 
 impl From<NodeCallOutcome> for Reply {
-    fn from(heard: NodeCallOutcome) -> Reply {
-        match heard {
+    fn from(outcome: NodeCallOutcome) -> Reply {
+        match outcome {
             NodeCallOutcome::Recorded | NodeCallOutcome::DrainConfirmed(_) => Reply::ok(),
-            NodeCallOutcome::Unavailable(why) => Reply::error(503, why),
+            NodeCallOutcome::Unavailable(reason) => Reply::error(status::SERVICE_UNAVAILABLE, reason),
         }
     }
 }
@@ -50,9 +61,9 @@
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/nodes/*/heartbeat";
 
-    fn parse(asked: MatchedRequest<'_>) -> Result<Heartbeat, Reply> {
-        let beat = NodeHeartbeat::parse(&asked.request.body).map_err(|bad| bad_request(&bad))?;
-        Ok(Heartbeat { id: node_id(asked)?, heartbeat: beat })
+    fn parse(request: MatchedRequest<'_>) -> Result<Heartbeat, Reply> {
+        let heartbeat = NodeHeartbeat::parse(&request.request.body).map_err(|errors| bad_request(&errors))?;
+        Ok(Heartbeat { id: node_id(request)?, heartbeat })
     }
 }
 
@@ -66,48 +77,59 @@
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/nodes/*/deregister";
 
-    fn parse(asked: MatchedRequest<'_>) -> Result<Deregister, Reply> {
-        Ok(Deregister { id: node_id(asked)? })
+    fn parse(request: MatchedRequest<'_>) -> Result<Deregister, Reply> {
+        Ok(Deregister { id: node_id(request)? })
     }
 }
 
 /// An operator's new configuration.
 pub struct ReplaceConfig {
+    /// The epoch that must be in force for the change to be accepted.
     pub base_epoch: u64,
     pub epoch: u64,
+    /// A hash of the configuration by its value.
     pub digest: u64,
     pub body: Vec<u8>,
 }
 
-/// The end of an operator's change.
+/// The outcome of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
     Committed(QuorumEvidence),
-    /// Another version is in place.
+    /// Another version is in force than the one it builds on.
     VersionConflict(String, QuorumEvidence),
-    /// Its number is not above the one in force.
+    /// Its epoch is not above the one in force.
     StaleEpoch(String, QuorumEvidence),
-    /// Not known: it may be in force or not, and may be repeated unchanged.
+    /// Not known: it may be committed or not, and may be repeated unchanged.
     Unknown(&'static str),
 }
 
 impl ChangeOutcome {
-    /// As it is told between controllers.
+    /// The status that is replied, and the reason for any but 200.
     pub fn status_and_reason(&self) -> (u16, String) {
         match self {
-            ChangeOutcome::Committed(_) => (200, String::new()),
-            ChangeOutcome::VersionConflict(why, _) => (412, why.clone()),
-            ChangeOutcome::StaleEpoch(why, _) => (400, why.clone()),
-            ChangeOutcome::Unknown(why) => (503, why.to_string()),
+            ChangeOutcome::Committed(_) => (status::OK, String::new()),
+            ChangeOutcome::VersionConflict(reason, _) => (status::PRECONDITION_FAILED, reason.clone()),
+            ChangeOutcome::StaleEpoch(reason, _) => (status::BAD_REQUEST, reason.clone()),
+            ChangeOutcome::Unknown(reason) => (status::SERVICE_UNAVAILABLE, reason.to_string()),
+        }
+    }
+
+    /// The known outcome that another controller replied.
+    pub fn from_status(reply_status: u16, reason: String, evidence: QuorumEvidence) -> ChangeOutcome {
+        match reply_status {
+            status::OK => ChangeOutcome::Committed(evidence),
+            status::PRECONDITION_FAILED => ChangeOutcome::VersionConflict(reason, evidence),
+            _ => ChangeOutcome::StaleEpoch(reason, evidence),
         }
     }
 }
 
 impl From<ChangeOutcome> for Reply {
-    fn from(end: ChangeOutcome) -> Reply {
-        match end.status_and_reason() {
-            (200, _) => Reply::ok(),
-            (status, why) => Reply::error(status, &why),
+    fn from(outcome: ChangeOutcome) -> Reply {
+        match outcome.status_and_reason() {
+            (status::OK, _) => Reply::ok(),
+            (status, reason) => Reply::error(status, &reason),
         }
     }
 }
@@ -117,40 +139,42 @@
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/-/config/replace";
 
-    fn parse(asked: MatchedRequest<'_>) -> Result<ReplaceConfig, Reply> {
-        let base = asked.request.header("Base-Epoch").map(str::trim);
-        let base = base.and_then(|base| base.parse().ok());
-        let plan = RoutingConfig::parse(&asked.request.body);
-        match (plan, base) {
-            (Ok(plan), Some(base)) => {
-                let body = asked.request.body.clone();
-                Ok(ReplaceConfig { base_epoch: base, epoch: plan.epoch, digest: json_digest(&body), body })
+    fn parse(request: MatchedRequest<'_>) -> Result<ReplaceConfig, Reply> {
+        let request = request.request;
+        let base_epoch = request.header("Base-Epoch").map(str::trim);
+        let base_epoch = base_epoch.and_then(|epoch| epoch.parse().ok());
+        match (RoutingConfig::parse(&request.body), base_epoch) {
+            (Ok(config), Some(base_epoch)) => {
+                let body = request.body.clone();
+                Ok(ReplaceConfig { base_epoch, epoch: config.epoch, digest: json_digest(&body), body })
             }
-            (Ok(_), None) => Err(Reply::error(400, "Base-Epoch: is no whole number")),
-            (Err(bad), _) => Err(bad_request(&bad)),
+            (Ok(_), None) => Err(Reply::error(status::BAD_REQUEST, "Base-Epoch: is no whole number")),
+            (Err(errors), _) => Err(bad_request(&errors)),
         }
     }
 }
 
-/// An operator asks for the newest configuration.
+/// An operator reads the newest configuration.
 pub struct ReadConfig;
 
 /// The newest configuration, as far as this controller may speak for it.
 pub enum ReadConfigOutcome {
     Current(Arc<[u8]>, QuorumEvidence),
-    /// None was ever taken.
+    /// None was ever committed.
     NeverConfigured(QuorumEvidence),
     /// A newer one may be known elsewhere.
     Unavailable,
 }
 
 impl From<ReadConfigOutcome> for Reply {
-    fn from(newest: ReadConfigOutcome) -> Reply {
-        match newest {
+    fn from(outcome: ReadConfigOutcome) -> Reply {
+        match outcome {
             ReadConfigOutcome::Current(body, _) => Reply::json(Body::Shared(body)),
-            ReadConfigOutcome::NeverConfigured(_) => Reply::error(404, "no configuration has been taken yet"),
+            ReadConfigOutcome::NeverConfigured(_) => {
+                Reply::error(status::NOT_FOUND, "no configuration has been taken yet")
+            }
             ReadConfigOutcome::Unavailable => {
-                Reply::error(503, "cut off from the others, who may know a newer one")
+                Reply::error(status::SERVICE_UNAVAILABLE, "cut off from the others, who may know a newer one")
             }
         }
     }
@@ -166,17 +190,17 @@
     }
 }
 
-/// Is this controller of use?
+/// Asks whether this controller is of use.
 pub struct CheckReadiness;
 
-/// In touch with a majority now, or not known to be.
+/// The evidence that a majority is reachable; None where that is not known.
 pub struct ReadinessOutcome(pub Option<QuorumEvidence>);
 
 impl From<ReadinessOutcome> for Reply {
-    fn from(ready: ReadinessOutcome) -> Reply {
-        match ready.0 {
+    fn from(outcome: ReadinessOutcome) -> Reply {
+        match outcome.0 {
             Some(_) => Reply::ok(),
-            None => Reply::error(503, "not in touch with the others"),
+            None => Reply::error(status::SERVICE_UNAVAILABLE, "not in touch with the others"),
         }
     }
 }
@@ -191,14 +215,15 @@
     }
 }
 
-/// What has been counted.
+/// Reads the counters.
 pub struct ReadCounters;
 
+/// All counters and gauges, as JSON.
 pub struct CountersReport(pub String);
 
 impl From<CountersReport> for Reply {
-    fn from(counted: CountersReport) -> Reply {
-        Reply::json(Body::Owned(counted.0.into_bytes()))
+    fn from(report: CountersReport) -> Reply {
+        Reply::json(Body::Owned(report.0.into_bytes()))
     }
 }
 
--- /dev/null
+++ b/crates/fernknot-controller/src/controller/changes.rs
@@ -0,0 +1,171 @@
+//! Changes of the configuration: from the call to the outcome.
+
+use super::state::Controller;
+use crate::action::SubscriberId;
+use crate::calls::{ChangeOutcome, ReplaceConfig, status};
+use crate::change::{ForwardedCallId, RequestOrigin};
+use crate::control_state::ActiveConfig;
+use crate::counters as counter;
+use crate::evidence::QuorumEvidence;
+use crate::pending_changes::Leadership;
+use crate::read_index::QuorumWaiter;
+use crate::seeded_bug::SeededBug;
+use fernknot::interface::Nanos;
+use fernknot_consensus::Revision;
+use fernknot_rpc::{ControllerMessage, ControllerToGateway};
+use fernknot_schema::{RoutingConfig, json_digest};
+use fernknot_telemetry::part;
+use log::Level;
+use std::net::SocketAddrV4;
+
+/// An operator moves on after a second without a reply: the outcome of a call, known or not, comes before.
+pub(super) const CALL_TIMEOUT: Nanos = Nanos(800_000_000);
+/// The share of that for which the leader keeps a change that another controller forwarded.
+const LEADER_TIMEOUT_SHARE: f64 = 0.9;
+/// Too many changes are pending.
+const BACKLOG_REASON: &str = "too many changes at once";
+
+impl Controller {
+    /// Admits the change of a caller; the outcome where that is known at once.
+    pub(super) fn admit_change(
+        &mut self,
+        origin: RequestOrigin,
+        request: ReplaceConfig,
+        timeout: Nanos,
+    ) -> Option<ChangeOutcome> {
+        let now = self.now();
+        let admitted = self.changes.admit(now, origin, request, now + timeout);
+        (!admitted).then_some(ChangeOutcome::Unknown(BACKLOG_REASON))
+    }
+
+    /// Admits a change that another controller forwarded. What the sender has checked is checked again: a message may
+    /// be garbled in ways that no checksum of the transport finds, and only what is valid may be proposed.
+    pub(super) fn admit_forwarded_change(
+        &mut self,
+        from: SocketAddrV4,
+        call: ForwardedCallId,
+        base_epoch: u64,
+        body: Vec<u8>,
+    ) {
+        let origin = RequestOrigin::Peer(from, call);
+        let outcome = match RoutingConfig::parse(&body) {
+            Ok(config) => {
+                let request =
+                    ReplaceConfig { base_epoch, epoch: config.epoch, digest: json_digest(&body), body };
+                self.admit_change(origin, request, CALL_TIMEOUT.times(LEADER_TIMEOUT_SHARE))
+            }
+            Err(_) => Some(ChangeOutcome::Unknown("garbled on its way to the sequencer")),
+        };
+        if let Some(outcome) = outcome {
+            self.finish_change(origin, outcome);
+        }
+    }
+
+    /// The leader replied to a change that this controller forwarded to it.
+    pub(super) fn handle_change_outcome(
+        &mut self,
+        from: SocketAddrV4,
+        call: ForwardedCallId,
+        reply_status: u16,
+        reason: String,
+    ) {
+        let is_own = call.incarnation == self.settings.seed
+            || self.seeded_bug == Some(SeededBug::AcceptAnyIncarnation);
+        if !is_own {
+            return;
+        }
+        if let Some(origin) = self.changes.leader_replied(self.now(), from, call.call, reply_status) {
+            let evidence = QuorumEvidence::from_peer();
+            self.finish_change(origin, ChangeOutcome::from_status(reply_status, reason, evidence));
+        }
+    }
+
+    /// Sends the outcome of a change to who waits for it.
+    pub(super) fn finish_change(&mut self, origin: RequestOrigin, outcome: ChangeOutcome) {
+        let (reply_status, reason) = outcome.status_and_reason();
+        match reply_status {
+            status::OK => self.counters.add(counter::CHANGES_COMMITTED, 1),
+            status::SERVICE_UNAVAILABLE => {}
+            _ => {
+                self.counters.add(counter::CHANGES_REJECTED, 1);
+                let text = format!("a change was refused with {reply_status}: {reason}");
+                self.actions.log(Level::Info, part::ROUTING_CONFIG, text);
+            }
+        }
+        match origin {
+            RequestOrigin::Caller(call) => self.actions.reply(call, outcome),
+            RequestOrigin::Peer(to, ForwardedCallId { incarnation, call }) => {
+                let status = reply_status;
+                self.send_to_peer(to, ControllerMessage::ChangeOutcome { incarnation, call, status, reason });
+            }
+        }
+    }
+
+    pub(super) fn resolve_confirmed_change(&mut self, id: u64, evidence: QuorumEvidence) {
+        let resolved = self.changes.resolve_confirmed(id, &self.active_config.state, evidence);
+        if let Some((origin, outcome)) = resolved {
+            self.finish_change(origin, outcome);
+        }
+    }
+
+    /// Moves every queued change one step on, where it can be.
+    pub(super) fn advance_changes(&mut self) {
+        if !self.consensus.is_started() {
+            return;
+        }
+        let now = self.now();
+        let leadership = self.leadership();
+        self.changes.requeue_unless_forwarded_to(leadership.remote);
+        let steps = self.changes.advance(now, &self.active_config, leadership, self.settings.seed);
+        for (origin, outcome) in steps.finished {
+            self.finish_change(origin, outcome);
+        }
+        for (leader, message) in steps.forwarded {
+            self.send_to_peer(leader, message);
+        }
+        for (id, deadline) in steps.doubtful {
+            if !self.request_read_index(QuorumWaiter::ConfigChange(id), deadline - now) {
+                self.changes.requeue(now, id);
+            }
+        }
+        if let Some(proposal) = steps.proposal {
+            self.consensus.propose(now, proposal.change_id, proposal.base, proposal.state);
+        }
+    }
+
+    fn leadership(&self) -> Leadership {
+        let leader = self.consensus.leader().map(|leader| leader.addr);
+        let remote =
+            leader.filter(|leader| *leader != self.settings.addr && self.peers.is_connected(*leader));
+        Leadership { is_local: self.consensus.is_leader(), remote }
+    }
+
+    /// The consensus member has delivered a state: it is in force from now on.
+    pub(super) fn activate_config(&mut self, revision: Revision, state: &[u8]) {
+        let config = match ActiveConfig::parse(revision.0, state) {
+            Ok(config) => config,
+            Err(error) => return self.actions.log(Level::Error, part::ROUTING_CONFIG, error.to_string()),
+        };
+        if config.state.epoch != self.active_config.state.epoch {
+            let text = format!("version {} is in force, {} routes", config.state.epoch, config.route_count());
+            self.actions.log(Level::Info, part::ROUTING_CONFIG, text);
+        }
+        self.active_config = config;
+        for (origin, evidence) in self.changes.take_committed(&self.active_config.state) {
+            self.finish_change(origin, ChangeOutcome::Committed(evidence));
+        }
+        let behind = self.subscribers.behind(revision.0);
+        self.send_config(behind);
+    }
+
+    /// Sends the configuration in force, if there is one.
+    pub(super) fn send_config(&mut self, to: Vec<SubscriberId>) {
+        if to.is_empty() {
+            return;
+        }
+        let Some(config) = self.active_config.config.clone() else { return };
+        let revision = self.active_config.revision;
+        self.subscribers.mark_sent(&to, revision);
+        self.actions.notify(to, ControllerToGateway::Config { revision, config });
+    }
+}
--- /dev/null
+++ b/crates/fernknot-controller/src/controller/consensus_events.rs
@@ -0,0 +1,90 @@
+//! What the consensus member wants done.
+
+use super::state::Controller;
+use crate::action::Action;
+use crate::calls::ChangeOutcome;
+use crate::control_state::ActiveConfig;
+use crate::evidence::QuorumEvidence;
+use fernknot_consensus::{Action as ConsensusAction, View};
+use fernknot_rpc::ControllerMessage;
+use fernknot_telemetry::part;
+use log::Level;
+
+impl Controller {
+    /// Carries out all actions of the consensus member.
+    pub(super) fn drain_consensus(&mut self) {
+        let now = self.now();
+        while let Some(action) = self.consensus.poll_action(now) {
+            self.handle_consensus_action(action);
+        }
+        self.consensus.finish_poll();
+        if let Some(has_lease) = self.consensus.take_lease_change(now) {
+            let text = if has_lease { "a majority is heard" } else { "no majority is heard" };
+            self.actions.log(Level::Info, part::CONSENSUS, text);
+        }
+        if self.holds_lease() {
+            self.send_deferred_snapshots();
+        }
+    }
+
+    fn handle_consensus_action(&mut self, action: ConsensusAction) {
+        let evidence = QuorumEvidence::from_consensus(&action);
+        match action {
+            ConsensusAction::Send { to, message } => {
+                self.add_peer(to);
+                // A message to a controller that is out of reach is lost: the members send again what counts.
+                self.send_to_peer(to, ControllerMessage::Consensus(message));
+            }
+            ConsensusAction::Persist { write_id, state } => {
+                self.actions.push(Action::Store { write_id, state });
+            }
+            ConsensusAction::Deliver { revision, state, .. } => self.activate_config(revision, &state),
+            ConsensusAction::Committed { change_id, .. } => {
+                if let Some(evidence) = evidence {
+                    self.finish_proposed(change_id, evidence);
+                }
+            }
+            ConsensusAction::Rejected { change_id } => {
+                self.changes.requeue_rejected(self.now(), change_id);
+            }
+            ConsensusAction::ViewActivated { view } => self.view_activated(&view),
+            ConsensusAction::ReadIndexConfirmed { read_index } => {
+                if let Some(evidence) = evidence
+                    && let Some(waiter) = self.reads.complete(read_index)
+                {
+                    self.quorum_confirmed(waiter, evidence);
+                }
+            }
+            ConsensusAction::ViewLeft => {
+                self.actions.log(Level::Warn, part::CONSENSUS, "in no view any more");
+            }
+            ConsensusAction::IdentityReplaced { .. } => self.identity_replaced(),
+            // Kept by the driver.
+            ConsensusAction::Wake { .. } => {}
+        }
+    }
+
+    fn finish_proposed(&mut self, change_id: u64, evidence: QuorumEvidence) {
+        for origin in self.changes.take_proposed(change_id) {
+            self.finish_change(origin, ChangeOutcome::Committed(evidence));
+        }
+    }
+
+    fn view_activated(&mut self, view: &View) {
+        let members: Vec<String> = view.members.iter().map(|member| member.addr.ip().to_string()).collect();
+        // The simulator reads this line.
+        let text = format!("view {} with {} is in force", view.number.0, members.join(", "));
+        self.actions.log(Level::Info, part::CONSENSUS, text);
+        self.changes.requeue_all_proposed(self.now());
+        view.members.iter().for_each(|member| self.add_peer(member.addr));
+        self.ownership.mark_stale();
+    }
+
+    /// The member goes on under a new identity. Its history is dropped: this guards against a repeat acknowledged out
+    /// of a history that an operator has given up.
+    fn identity_replaced(&mut self) {
+        self.active_config = ActiveConfig::empty();
+        let text = "the disk is an older copy of itself, or closed out: joins as a new member";
+        self.actions.log(Level::Warn, part::CONSENSUS, text);
+    }
+}
--- /dev/null
+++ b/crates/fernknot-controller/src/controller/node_updates.rs
@@ -0,0 +1,53 @@
+//! What is known of nodes, spread to the other controllers and to subscribers.
+
+use super::state::Controller;
+use crate::counters as counter;
+use fernknot_rpc::{ControllerMessage, MAX_ITEMS_PER_MESSAGE};
+use fernknot_telemetry::part;
+use log::Level;
+
+impl Controller {
+    /// Sends the other controllers whose heartbeats came here, and takes nodes for lost whose heartbeats have stopped.
+    pub(super) fn sync_peers(&mut self) {
+        let now = self.now();
+        let incarnations = self.nodes.take_heartbeats(now);
+        let gateways = self.ownership.take_heartbeats(now);
+        for to in self.peers.connected() {
+            for incarnations in incarnations.chunks(MAX_ITEMS_PER_MESSAGE) {
+                self.send_to_peer(to, ControllerMessage::RecentIncarnations(incarnations.to_vec()));
+            }
+            if !gateways.is_empty() {
+                self.send_to_peer(to, ControllerMessage::LiveGateways(gateways.clone()));
+            }
+        }
+        self.expire_nodes();
+    }
+
+    fn expire_nodes(&mut self) {
+        let now = self.now();
+        if !self.holds_lease() {
+            // Whose heartbeats come to the others is not known here: no node is lost for it.
+            self.nodes.reset_liveness(now);
+        }
+        let lost = self.nodes.expire(now);
+        if lost > 0 {
+            self.counters.add(counter::NODES_LOST, lost as u64);
+            let text = format!("{lost} fell silent, {} are up", self.nodes.up_count());
+            self.actions.log(Level::Info, part::NODES, text);
+        }
+    }
+
+    /// Sends the other controllers what nodes said first here, and that they leave.
+    pub(super) fn announce_nodes_to_peers(&mut self) {
+        if let Some(records) = self.nodes.take_announcement() {
+            self.broadcast_to_peers(|| ControllerMessage::NodeUpdates(records.clone()));
+        }
+    }
+
+    /// Sends subscribers the nodes that have changed.
+    pub(super) fn publish_node_updates(&mut self) {
+        if let Some(records) = self.nodes.take_unpublished() {
+            self.subscribers.publish_nodes(records, &mut self.actions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/fernknot-controller/src/controller/peer_messages.rs
@@ -0,0 +1,102 @@
+//! Connections to the other controllers, and their messages.
+
+use super::state::Controller;
+use crate::change::ForwardedCallId;
+use crate::counters as counter;
+use fernknot::interface::Nanos;
+use fernknot_ownership::{Assignment, IncarnationId};
+use fernknot_registry::NodeRecord;
+use fernknot_rpc::{ControllerMessage, MAX_ADVERTISED_CONTROLLERS, MAX_ITEMS_PER_MESSAGE};
+use std::net::SocketAddrV4;
+
+impl Controller {
+    /// The connection to a controller is up.
+    pub fn peer_connected(&mut self, now: Nanos, to: SocketAddrV4) {
+        self.advance_clock(now);
+        self.peers.link_opened(to);
+        let own = ControllerMessage::Identify { addr: self.settings.addr, zone: self.settings.zone.clone() };
+        self.send_to_peer(to, own);
+        let mut known = self.peers.known_addrs();
+        known.retain(|addr| *addr != to);
+        known.truncate(MAX_ADVERTISED_CONTROLLERS);
+        self.send_to_peer(to, ControllerMessage::KnownControllers(known));
+        self.send_snapshot_to_peer(to);
+        self.consensus.handle_connected(now);
+    }
+
+    /// The connection to a controller has gone, or never came up.
+    pub fn peer_disconnected(&mut self, now: Nanos, to: SocketAddrV4) {
+        self.advance_clock(now);
+        self.peers.link_closed(now, to);
+    }
+
+    /// A message of the controller whose internal address is `from`.
+    pub fn handle_peer_message(&mut self, now: Nanos, from: SocketAddrV4, message: ControllerMessage) {
+        self.advance_clock(now);
+        self.peers.record_heard(now, from, None);
+        match message {
+            ControllerMessage::Identify { zone, .. } => self.handle_identify(now, from, &zone),
+            ControllerMessage::Consensus(message) => self.consensus.handle_message(now, from, message),
+            ControllerMessage::NodeUpdates(records) => self.merge_nodes(now, &records),
+            ControllerMessage::RecentIncarnations(hashes) => self.request_unknown_nodes(now, from, &hashes),
+            ControllerMessage::RequestNodes(hashes) => {
+                let records = self.nodes.records_of(&hashes);
+                self.send_to_peer(from, ControllerMessage::NodeUpdates(records));
+            }
+            ControllerMessage::LiveGateways(gateways) => self.ownership.merge_from_peer(now, &gateways),
+            ControllerMessage::GatewayShutDown { incarnation } => {
+                self.ownership.record_shutdown(now, IncarnationId(incarnation));
+            }
+            ControllerMessage::Assignment(assignment) => self.learn_assignment(now, assignment),
+            ControllerMessage::ForwardChange { incarnation, call, base_epoch, body } => {
+                let call = ForwardedCallId { incarnation, call };
+                self.admit_forwarded_change(from, call, base_epoch, body);
+            }
+            ControllerMessage::ChangeOutcome { incarnation, call, status, reason } => {
+                let call = ForwardedCallId { incarnation, call };
+                self.handle_change_outcome(from, call, status, reason);
+            }
+            ControllerMessage::KnownControllers(addrs) => {
+                addrs.into_iter().take(MAX_ADVERTISED_CONTROLLERS).for_each(|addr| self.add_peer(addr));
+            }
+        }
+    }
+
+    fn handle_identify(&mut self, now: Nanos, from: SocketAddrV4, zone: &str) {
+        self.add_peer(from);
+        self.peers.record_heard(now, from, Some(zone));
+        if self.peers.is_connected(from) {
+            self.send_snapshot_to_peer(from);
+        }
+    }
+
+    fn merge_nodes(&mut self, now: Nanos, records: &[NodeRecord]) {
+        let changed = self.nodes.merge_from_peer(now, records);
+        self.counters.add(counter::NODE_RECORDS_MERGED, changed as u64);
+    }
+
+    fn request_unknown_nodes(&mut self, now: Nanos, from: SocketAddrV4, hashes: &[u64]) {
+        let unknown = self.nodes.record_peer_heartbeats(now, hashes);
+        if !unknown.is_empty() {
+            self.send_to_peer(from, ControllerMessage::RequestNodes(unknown));
+        }
+    }
+
+    fn learn_assignment(&mut self, now: Nanos, assignment: Assignment) {
+        if self.ownership.learn(now, &assignment) {
+            self.publish_assignment(assignment.sorted());
+        }
+    }
+
+    /// All that is known of nodes and gateways, for a controller that may know little.
+    fn send_snapshot_to_peer(&mut self, to: SocketAddrV4) {
+        let (_, records) = self.nodes.snapshot();
+        for records in records.chunks(MAX_ITEMS_PER_MESSAGE) {
+            self.send_to_peer(to, ControllerMessage::NodeUpdates(records.to_vec()));
+        }
+        if self.ownership.is_assigned() {
+            let assignment = self.ownership.assignment().clone();
+            self.send_to_peer(to, ControllerMessage::Assignment(assignment));
+        }
+    }
+}
--- a/crates/fernknot-controller/src/host.rs
+++ b/crates/fernknot-controller/src/host.rs
@@ -1,7 +1,9 @@
 //! The program's host: sockets, clock, signals, settings and disk around one [`Controller`].
 
-use crate::controller::{Action, Controller, ControllerSettings, PendingCall, SubscriberId};
+use crate::action::{Action, PendingCall, SubscriberId};
+use crate::controller::Controller;
 use crate::disk::Disk;
+use crate::settings::ControllerSettings;
 use fernknot::interface::Nanos;
 use fernknot_http_api::{HttpServerConnection, HttpServerSettings, ReadOutcome};
 use fernknot_net::{ConnectionId, Event, EventLoop, EventLoopSettings, NetError, Signals};
@@ -332,7 +334,7 @@
                         self.drop_connection(berth);
                     }
                 }
-                Action::Store { ticket, state: saved } => {
+                Action::Store { write_id: ticket, state: saved } => {
                     if !self.disk.store(ticket, &saved) {
                         self.controller.write_completed(now, ticket, false);
                     }
--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -427,12 +427,12 @@
                 Action::Connect { to } if self.dark.contains(&number(&to)) => {}
                 Action::Connect { to } => self.later(WAY + WAY, News::Opened(at, number(&to))),
                 Action::AbortConnect { .. } | Action::Log { .. } => {}
-                Action::Store { ticket, state: saved } => {
+                Action::Store { write_id, state: saved } => {
                     let machine = self.machines.get_mut(&at).expect("it has just spoken");
                     if machine.writes == Writes::Hang {
-                        machine.held.push((ticket, saved));
+                        machine.held.push((write_id, saved));
                     } else {
-                        self.later(SYNC, News::Stored(at, ticket, saved));
+                        self.later(SYNC, News::Stored(at, write_id, saved));
                     }
                 }
                 Action::StoreKnownPeers { addrs } => {
--- a/crates/fernknot-simulator/src/world.rs
+++ b/crates/fernknot-simulator/src/world.rs
@@ -644,7 +644,7 @@
                     self.peer_connections.remove(&id);
                 }
             }
-            Action::Store { ticket, state: saved } => self.begin_write(at, ticket, saved),
+            Action::Store { write_id, state: saved } => self.begin_write(at, write_id, saved),
             Action::StoreKnownPeers { addrs } => self.machines[at].disk.known_addrs = addrs,
             Action::Log { text, .. } => self.observe_event(at, &text),
         }
