--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk, seen from the loop: read once at the start and written by a thread of its own.
+//! The disk, seen from the event loop: read once at the start, and written by a thread of its own.
 
 use fernknot_consensus::{PersistentState, WriteId};
 use fernknot_storage::{Capacity, Storage, StorageError};
@@ -7,169 +7,191 @@
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 use std::sync::Arc;
-use std::sync::mpsc::{Receiver, channel};
+use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// The register's part, and the controllers once known.
+/// The key of the consensus state.
 const CONSENSUS_KEY: &str = "views";
+/// The key of the addresses of other controllers.
 const KNOWN_PEERS_KEY: &str = "known";
-/// The register has one write out, and one more after a failure; the rest is for addresses.
-const WRITE_QUEUE_SLOTS: usize = 8;
-/// A folder that does not open is tried again after this.
-const REOPEN_DELAY: Duration = Duration::from_millis(200);
-/// Tickets of writes that nobody waits for.
-const UNTRACKED_TICKET: u64 = u64::MAX;
+/// Writes that may be pending: one of the consensus state, one more after a failure, and the rest for addresses.
+const MAX_PENDING_WRITES: usize = 8;
+/// A directory that can't be read is tried again after this.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The identifier of writes that nobody waits for.
+const UNTRACKED_WRITE: u64 = u64::MAX;
 
 /// What lay on the disk at the start.
 pub struct RecoveredState {
+    /// The state of the consensus member, if it can be read.
     pub consensus: Option<PersistentState>,
+    /// Addresses of other controllers.
     pub known_peers: Vec<SocketAddrV4>,
-    /// Nothing of the register was there.
+    /// No consensus state was stored, readable or not.
     pub is_empty: bool,
 }
 
 enum DiskState {
-    /// The thread that opens the folder hands it over when it has read it.
+    /// The thread that opens the directory sends it over once it has read it.
     Opening(Receiver<(Storage, RecoveredState)>),
     Open(Storage),
-    /// This machine has none: what is held is as lasting as the process.
+    /// This machine has none: the state lasts as long as the process. Holds the writes that have been asked for.
     Absent(Vec<WriteId>),
 }
 
-/// The disk.
+/// The disk of a controller.
 pub struct Disk {
     state: DiskState,
-    /// A disk that takes longer for one write is not well.
+    /// A disk that takes longer for one write is unhealthy.
     write_timeout: Duration,
 }
 
-fn load(cistern: &Storage) -> Result<RecoveredState, StorageError> {
-    let bytes = cistern.load(CONSENSUS_KEY)?;
-    let known = cistern.load(KNOWN_PEERS_KEY)?.and_then(|bytes| bitcode::decode(&bytes).ok());
-    let fresh = bytes.is_none();
-    // What another build wrote says nothing here, and its member's life ends: it joins as a new one.
-    let saved = bytes.and_then(|bytes| match bitcode::decode::<PersistentState>(&bytes) {
-        Ok(saved) => Some(saved),
-        Err(why) => {
-            log::error!(target: part::STORAGE, "read the register: {why}");
-            None
-        }
-    });
-    Ok(RecoveredState { consensus: saved, known_peers: known.unwrap_or_default(), is_empty: fresh })
-}
-
-fn load_with_retry(cistern: &Storage) -> RecoveredState {
-    let mut told = false;
-    loop {
-        match load(cistern) {
-            Ok(found) => return found,
-            Err(why) => {
-                if !std::mem::replace(&mut told, true) {
-                    log::warn!(target: part::STORAGE, "{why}; trying again");
-                }
-                std::thread::sleep(REOPEN_DELAY);
-            }
-        }
-    }
-}
-
 impl Disk {
-    /// Begins to read the folder, on a thread of its own: a disk that hangs holds up no beat. Without a folder, all
-    /// is there at once.
-    pub fn open(dir: Option<PathBuf>, bytes: u64, patience: Duration, waker: Arc<Waker>) -> Disk {
-        let Some(dir) = dir else {
-            return Disk { state: DiskState::Absent(Vec::new()), write_timeout: patience };
-        };
-        let (to, from) = channel();
-        let work = move || {
-            let wake = waker.clone();
-            let waker_of_writes: Box<dyn Fn() + Send> = Box::new(move || _ = wake.wake());
-            let space = Capacity { max_pending_writes: WRITE_QUEUE_SLOTS, disk_bytes: bytes };
-            match Storage::open(dir, space, Some(waker_of_writes)) {
-                Ok(cistern) => {
-                    let found = load_with_retry(&cistern);
-                    // The loop may have ended meanwhile.
-                    let _ = to.send((cistern, found));
-                }
-                Err(why) => log::error!(target: part::STORAGE, "{why}"),
-            }
-            let _ = waker.wake();
+    /// Begins to read the directory, on a thread of its own: a disk that hangs holds up no heartbeat. Without a
+    /// directory, the disk is absent. `waker` ends the wait of the event loop when there is something to take.
+    pub fn open(
+        directory: Option<PathBuf>,
+        disk_bytes: u64,
+        write_timeout: Duration,
+        waker: Arc<Waker>,
+    ) -> Disk {
+        let Some(directory) = directory else {
+            return Disk { state: DiskState::Absent(Vec::new()), write_timeout };
         };
-        if let Err(why) = std::thread::Builder::new().name("opening".into()).spawn(work) {
-            log::error!(target: part::STORAGE, "start a thread: {why}");
+        let (sender, receiver) = channel();
+        let work = move || open_and_load(directory, disk_bytes, &waker, &sender);
+        if let Err(error) = std::thread::Builder::new().name("opening".into()).spawn(work) {
+            log::error!(target: part::STORAGE, "start a thread: {error}");
         }
-        Disk { state: DiskState::Opening(from), write_timeout: patience }
+        Disk { state: DiskState::Opening(receiver), write_timeout }
     }
 
-    /// What lay there, once it has been read; given out once.
+    /// What lay on the disk, once it has been read; returned once.
     pub fn take_recovered(&mut self) -> Option<RecoveredState> {
-        let DiskState::Opening(from) = &self.state else { return None };
-        let (cistern, found) = from.try_recv().ok()?;
-        self.state = DiskState::Open(cistern);
-        Some(found)
+        let DiskState::Opening(receiver) = &self.state else { return None };
+        let (storage, recovered) = receiver.try_recv().ok()?;
+        self.state = DiskState::Open(storage);
+        Some(recovered)
     }
 
-    /// True where there is no disk at all.
+    /// Whether there is no disk at all.
     pub fn is_absent(&self) -> bool {
         matches!(self.state, DiskState::Absent(_))
     }
 
-    /// Begins a write of the register. False where it can't even wait.
-    pub fn store(&mut self, ticket: WriteId, saved: &PersistentState) -> bool {
+    /// Begins to write the consensus state. False where the write can't even be queued.
+    pub fn store(&mut self, write_id: WriteId, state: &PersistentState) -> bool {
         match &mut self.state {
             DiskState::Opening(_) => false,
-            DiskState::Open(cistern) => {
-                cistern.submit(ticket.0, CONSENSUS_KEY, bitcode::encode(saved)).is_ok()
+            DiskState::Open(storage) => {
+                storage.submit(write_id.0, CONSENSUS_KEY, bitcode::encode(state)).is_ok()
             }
-            DiskState::Absent(done) => {
-                done.push(ticket);
+            DiskState::Absent(completed) => {
+                completed.push(write_id);
                 true
             }
         }
     }
 
-    /// Keeps addresses; if it fails, the next change brings them again.
+    /// Keeps addresses of other controllers. If that fails, the next change brings them again.
     pub fn store_known_peers(&mut self, addrs: &[SocketAddrV4]) {
-        if let DiskState::Open(cistern) = &self.state {
-            let _ = cistern.submit(UNTRACKED_TICKET, KNOWN_PEERS_KEY, bitcode::encode(addrs));
+        if let DiskState::Open(storage) = &self.state {
+            let _ = storage.submit(UNTRACKED_WRITE, KNOWN_PEERS_KEY, bitcode::encode(addrs));
         }
     }
 
-    /// Writes of the register that came to an end, and whether it was a good one.
+    /// Writes of the consensus state that have ended, and whether each is on disk.
     pub fn take_completed(&mut self) -> Vec<(WriteId, bool)> {
         match &mut self.state {
             DiskState::Opening(_) => Vec::new(),
-            DiskState::Open(cistern) => {
-                let done =
-                    cistern.take_completed().into_iter().filter(|(ticket, _)| *ticket != UNTRACKED_TICKET);
-                done.map(|(ticket, end)| {
-                    if let Err(why) = &end {
-                        log::warn!(target: part::STORAGE, "{why}");
-                    }
-                    (WriteId(ticket), end.is_ok())
-                })
-                .collect()
-            }
-            DiskState::Absent(done) => {
-                std::mem::take(done).into_iter().map(|ticket| (ticket, true)).collect()
+            DiskState::Open(storage) => completed_writes(storage),
+            DiskState::Absent(completed) => {
+                std::mem::take(completed).into_iter().map(|write_id| (write_id, true)).collect()
             }
         }
     }
 
-    /// Whether it writes, and in time; not known before it has been read.
+    /// Whether it writes, and in time; None before it has been read.
     pub fn is_healthy(&self) -> Option<bool> {
         match &self.state {
             DiskState::Opening(_) => None,
-            DiskState::Open(cistern) => {
-                let wait = cistern.oldest_pending_age(Instant::now());
-                Some(cistern.is_healthy() && wait.is_none_or(|wait| wait < self.write_timeout))
+            DiskState::Open(storage) => {
+                let age = storage.oldest_pending_age(Instant::now());
+                Some(storage.is_healthy() && age.is_none_or(|age| age < self.write_timeout))
             }
             DiskState::Absent(_) => Some(true),
         }
     }
 
-    /// When it is to be looked at again, if a write is out.
+    /// Whether a write is pending, so that the disk has to be looked at again.
     pub fn is_writing(&self) -> bool {
-        matches!(&self.state, DiskState::Open(cistern) if cistern.pending_writes() > 0)
+        matches!(&self.state, DiskState::Open(storage) if storage.pending_writes() > 0)
+    }
+}
+
+fn completed_writes(storage: &mut Storage) -> Vec<(WriteId, bool)> {
+    let tracked = storage.take_completed().into_iter().filter(|(write_id, _)| *write_id != UNTRACKED_WRITE);
+    tracked
+        .map(|(write_id, result)| {
+            if let Err(error) = &result {
+                log::warn!(target: part::STORAGE, "{error}");
+            }
+            (WriteId(write_id), result.is_ok())
+        })
+        .collect()
+}
+
+/// The work of the thread that opens the directory.
+fn open_and_load(
+    directory: PathBuf,
+    disk_bytes: u64,
+    waker: &Arc<Waker>,
+    sender: &Sender<(Storage, RecoveredState)>,
+) {
+    let wake = waker.clone();
+    let wake_after_writes: Box<dyn Fn() + Send> = Box::new(move || _ = wake.wake());
+    let capacity = Capacity { max_pending_writes: MAX_PENDING_WRITES, disk_bytes };
+    match Storage::open(directory, capacity, Some(wake_after_writes)) {
+        Ok(storage) => {
+            let recovered = load_with_retry(&storage);
+            // The event loop may have ended meanwhile.
+            let _ = sender.send((storage, recovered));
+        }
+        Err(error) => log::error!(target: part::STORAGE, "{error}"),
+    }
+    let _ = waker.wake();
+}
+
+fn load_with_retry(storage: &Storage) -> RecoveredState {
+    let mut is_logged = false;
+    loop {
+        match load(storage) {
+            Ok(recovered) => return recovered,
+            Err(error) => {
+                if !std::mem::replace(&mut is_logged, true) {
+                    log::warn!(target: part::STORAGE, "{error}; trying again");
+                }
+                std::thread::sleep(READ_RETRY_DELAY);
+            }
+        }
+    }
+}
+
+fn load(storage: &Storage) -> Result<RecoveredState, StorageError> {
+    let bytes = storage.load(CONSENSUS_KEY)?;
+    let known_peers = storage.load(KNOWN_PEERS_KEY)?.and_then(|bytes| bitcode::decode(&bytes).ok());
+    let is_empty = bytes.is_none();
+    let consensus = bytes.and_then(|bytes| decode_consensus(&bytes));
+    Ok(RecoveredState { consensus, known_peers: known_peers.unwrap_or_default(), is_empty })
+}
+
+/// What another build wrote says nothing here, and the identity of its member ends: it joins as a new one.
+fn decode_consensus(bytes: &[u8]) -> Option<PersistentState> {
+    match bitcode::decode(bytes) {
+        Ok(state) => Some(state),
+        Err(error) => {
+            log::error!(target: part::STORAGE, "read the register: {error}");
+            None
+        }
     }
 }
--- /dev/null
+++ b/crates/fernknot-controller/src/host/run.rs
@@ -0,0 +1,125 @@
+//! The loop of the host.
+
+use crate::host::settings::{contact_timeout, duration, seed_addrs};
+use crate::host::state::Host;
+use fernknot::interface::Nanos;
+use fernknot_telemetry::part;
+
+/// The share of the grace period within which a requested stop is carried out.
+const SHUTDOWN_GRACE_SHARE: f64 = 0.25;
+/// While a write is pending, the disk is looked at in this share of the apply deadline.
+const DISK_POLL_SHARE: f64 = 1.0 / 12.0;
+/// The share of what is left until the shutdown ends for which one wait lasts at most.
+const CLOSE_WAIT_SHARE: f64 = 0.2;
+
+impl Host {
+    /// Runs until a requested stop has been carried out.
+    pub fn run(&mut self) {
+        let mut events = Vec::new();
+        loop {
+            let now = self.now();
+            self.check_signals(now);
+            self.poll_disk(now);
+            self.perform_actions(now);
+            self.send_shuffles(now);
+            if self.next_sweep <= now {
+                self.close_idle_connections(now);
+            }
+            if self.is_shut_down(now) {
+                return self.close();
+            }
+            let wait = self.next_timeout(now) - now;
+            self.event_loop.poll(Some(duration(wait)), &mut events);
+            for event in events.drain(..) {
+                self.handle_event(event);
+            }
+        }
+    }
+
+    fn check_signals(&mut self, now: Nanos) {
+        if self.signals.take_stop_request() && self.shutdown_deadline.is_none() {
+            log::info!(target: part::PROCESS, "told to stop");
+            let grace_period = Nanos::from_millis(self.settings.bounds.grace_s * 1000.0);
+            self.shutdown_deadline = Some(now + grace_period.times(SHUTDOWN_GRACE_SHARE));
+            self.controller.begin_shutdown(now);
+        }
+        if self.signals.take_reload_request() || now >= self.settings_file.next_check() {
+            self.reload_settings(now);
+        }
+    }
+
+    /// Learns the seeds that the settings file names now, if it has been modified.
+    fn reload_settings(&mut self, now: Nanos) {
+        match self.settings_file.read_if_modified(now) {
+            None => {}
+            Some(Ok(settings)) => {
+                if settings.seeds != self.settings.seeds {
+                    log::info!(target: part::SETTINGS, "{} seeds are named now", settings.seeds.len());
+                }
+                let seeds = seed_addrs(&settings);
+                self.controller.add_seeds(now, &seeds);
+                self.shuffle.set_seeds(&seeds);
+                self.settings.seeds = settings.seeds;
+            }
+            Some(Err(errors)) => {
+                for error in errors {
+                    log::warn!(target: part::SETTINGS, "the changed file is not taken: {error}");
+                }
+            }
+        }
+    }
+
+    fn send_shuffles(&mut self, now: Nanos) {
+        while let Some((to, bytes)) = self.shuffle.poll_datagram(now) {
+            self.event_loop.send_datagram(to, &bytes);
+        }
+    }
+
+    /// Closes connections that have been silent for too long. Without a majority, learns the controllers that neither
+    /// settings nor members name but neighbours may know.
+    fn close_idle_connections(&mut self, now: Nanos) {
+        let contact_timeout = contact_timeout(&self.settings);
+        self.next_sweep = now + contact_timeout;
+        for id in self.connections.idle(now, contact_timeout) {
+            self.connection_closed(now, id);
+        }
+        if !self.controller.holds_lease() {
+            self.controller.add_seeds(now, &self.shuffle.candidate_controllers());
+        }
+    }
+
+    fn is_shut_down(&self, now: Nanos) -> bool {
+        self.shutdown_deadline.is_some_and(|deadline| now >= deadline || self.controller.can_exit())
+    }
+
+    fn next_timeout(&self, now: Nanos) -> Nanos {
+        let settings_check = self.settings_file.next_check();
+        let shuffle = self.shuffle.next_timeout().unwrap_or(settings_check);
+        let next = self.controller.next_timeout().min(settings_check).min(self.next_sweep).min(shuffle);
+        match self.disk.is_writing() {
+            true => {
+                let apply_deadline = Nanos::from_millis(self.settings.bounds.apply_ms);
+                next.min(now + apply_deadline.times(DISK_POLL_SHARE))
+            }
+            false => next,
+        }
+    }
+
+    /// Sends what has been replied; then the sockets close.
+    fn close(&mut self) {
+        self.event_loop.stop_listening(self.control_listener);
+        self.event_loop.stop_listening(self.internal_listener);
+        let mut events = Vec::new();
+        let deadline = self.now() + Nanos::from_millis(self.settings.bounds.loss_slack_ms);
+        while self.has_pending_output() && self.now() < deadline {
+            let left = deadline - self.now();
+            self.event_loop.poll(Some(duration(left.times(CLOSE_WAIT_SHARE))), &mut events);
+            events.clear();
+        }
+        log::info!(target: part::PROCESS, "stopped");
+    }
+
+    fn has_pending_output(&self) -> bool {
+        self.connections.ids().any(|id| self.event_loop.pending_output_bytes(id) > 0)
+    }
+}
--- /dev/null
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -0,0 +1,137 @@
+//! The state of the host, and how it is created.
+
+use crate::controller::Controller;
+use crate::disk::Disk;
+use crate::host::connections::Connections;
+use crate::host::error::HostError;
+use crate::host::limits::HostLimits;
+use crate::host::settings::{
+    check_settings, contact_timeout, controller_settings, duration, heartbeat_interval,
+};
+use crate::host::settings_file::SettingsFile;
+use crate::settings::ControllerSettings;
+use fernknot::interface::Nanos;
+use fernknot_http_api::HttpServerSettings;
+use fernknot_net::{ConnectionId, EventLoop, EventLoopSettings, Signals};
+use fernknot_peer_sampling::{PeerDescriptor, Role};
+use fernknot_rpc::ShuffleProtocol;
+use fernknot_schema::ProcessSettings;
+use fernknot_telemetry::part;
+use std::net::SocketAddrV4;
+use std::path::PathBuf;
+use std::time::Instant;
+
+/// The settings file is looked at every so many heartbeat intervals.
+const SETTINGS_CHECK_HEARTBEATS: f64 = 2.0;
+/// Partial views are shuffled once in so many contact timeouts, as at the gateways.
+const SHUFFLE_CONTACTS: f64 = 2.0;
+/// The share of the apply deadline after which a pending write makes the disk unhealthy.
+const WRITE_TIMEOUT_SHARE: f64 = 1.0 / 6.0;
+
+/// The program: one controller, and all that connects it to the system.
+pub struct Host {
+    pub(super) settings: ProcessSettings,
+    pub(super) settings_file: SettingsFile,
+    pub(super) limits: HostLimits,
+    pub(super) http_settings: HttpServerSettings,
+    pub(super) started_at: Instant,
+    pub(super) event_loop: EventLoop,
+    pub(super) signals: Signals,
+    pub(super) control_listener: ConnectionId,
+    pub(super) internal_listener: ConnectionId,
+    pub(super) connections: Connections,
+    pub(super) controller: Controller,
+    pub(super) disk: Disk,
+    pub(super) shuffle: ShuffleProtocol,
+    pub(super) next_sweep: Nanos,
+    /// Once a stop was requested: when to end whatever is pending.
+    pub(super) shutdown_deadline: Option<Nanos>,
+}
+
+fn shuffle_protocol(settings: &ControllerSettings) -> ShuffleProtocol {
+    let own = PeerDescriptor {
+        addr: settings.addr,
+        role: Role::Controller,
+        zone: settings.zone.clone(),
+        incarnation: settings.seed,
+        age_ms: 0,
+    };
+    let period = settings.contact_timeout.times(SHUFFLE_CONTACTS);
+    ShuffleProtocol::new(own, &settings.seeds, period, settings.seed)
+}
+
+fn open_disk(settings: &ProcessSettings, event_loop: &EventLoop) -> Disk {
+    let apply_deadline = Nanos::from_millis(settings.bounds.apply_ms);
+    let write_timeout = duration(apply_deadline.times(WRITE_TIMEOUT_SHARE));
+    let disk_bytes = (settings.limits.disk_mb * (1 << 20) as f64) as u64;
+    Disk::open(settings.data_dir.clone(), disk_bytes, write_timeout, event_loop.waker())
+}
+
+impl Host {
+    /// Listens, and begins to read the disk. `path` is that of the settings file; `seed` must differ from start to
+    /// start and from machine to machine.
+    ///
+    /// # Errors
+    /// Where the settings lack what a controller needs, or the system refuses it.
+    pub fn new(settings: ProcessSettings, path: PathBuf, seed: u64) -> Result<Host, HostError> {
+        check_settings(&settings)?;
+        let system = |step| move |source| HostError::System { step, source };
+        let signals = Signals::install().map_err(system("watch for signals"))?;
+        let limits = HostLimits::new(&settings);
+        let controller_settings = controller_settings(&settings, seed);
+        let mut event_loop = EventLoop::new(EventLoopSettings {
+            max_connections: limits.max_connections,
+            read_ahead_bytes: limits.read_ahead_bytes(),
+            unacknowledged_timeout: duration(controller_settings.suspicion_timeout()),
+        })
+        .map_err(system("poll"))?;
+        let control_addr = settings.bind_addrs.control_addr.unwrap_or(SocketAddrV4::new(settings.ip, 0));
+        let control_listener = event_loop.listen(control_addr)?;
+        let internal_listener = event_loop.listen(controller_settings.addr)?;
+        event_loop.listen_datagrams(controller_settings.addr)?;
+        let http_settings = HttpServerSettings::new(
+            limits.max_connections,
+            settings.limits.memory_mb,
+            limits.max_config_bytes,
+        )
+        .map_err(HostError::Settings)?;
+        let check_interval = heartbeat_interval(&settings).times(SETTINGS_CHECK_HEARTBEATS);
+        let mut host = Host {
+            shuffle: shuffle_protocol(&controller_settings),
+            disk: open_disk(&settings, &event_loop),
+            settings_file: SettingsFile::new(path, check_interval),
+            started_at: event_loop.now(),
+            next_sweep: contact_timeout(&settings),
+            controller: Controller::new(controller_settings, Nanos(0)),
+            connections: Connections::default(),
+            shutdown_deadline: None,
+            settings,
+            limits,
+            http_settings,
+            event_loop,
+            signals,
+            control_listener,
+            internal_listener,
+        };
+        host.start_without_disk();
+        Ok(host)
+    }
+
+    fn start_without_disk(&mut self) {
+        if self.disk.is_absent() {
+            log::warn!(target: part::STORAGE, "there is none: what is held ends with the process");
+            self.controller.disk_loaded(Nanos(0), None, &[], true);
+        }
+    }
+
+    /// The time since the start of the host.
+    pub(super) fn now(&self) -> Nanos {
+        Nanos(self.event_loop.now().saturating_duration_since(self.started_at).as_nanos() as u64)
+    }
+
+    /// Closes a connection of which the controller need not be told.
+    pub(super) fn drop_connection(&mut self, id: ConnectionId) {
+        self.connections.remove(id);
+        self.event_loop.close(id);
+    }
+}
--- a/crates/fernknot-controller/src/lib.rs
+++ b/crates/fernknot-controller/src/lib.rs
@@ -7,6 +7,8 @@
 //! simulator, hand it inputs with the time and take [`Action`]s until there are none. Nodes and operators call it over
 //! HTTP, gateways and other controllers over `fernknot-rpc`.
 
+#![deny(missing_docs)]
+
 mod action;
 mod calls;
 mod change;
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -1,10 +1,10 @@
-//! `fernknot-controller`: one controller of the system's control plane.
+//! The program `fernknot-controller`: one member of the system's control plane.
 
-use fernknot_controller::host::{Host, check_settings};
-use fernknot_schema::ProcessSettings;
+use fernknot_controller::host::{Host, UnsuitableSettings, check_settings};
+use fernknot_schema::{ProcessSettings, ValidationError};
 use fernknot_telemetry::{LevelFilter, part};
 use std::hash::{BuildHasher, Hasher};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 const HELP: &str = "fernknot-controller: one controller, which knows the nodes and keeps the configuration
@@ -16,22 +16,44 @@
 FERNKNOT_CONFIG  path of the settings, JSON
 FERNKNOT_LOG     error, warn, info (the default), debug or trace
 
-Exit codes: 0 after an order to stop, 1 where the system refuses what is needed, 2 for bad settings or usage.";
+Exit codes: 0 after a requested stop, 1 where the system refuses what is needed, 2 for bad settings or usage.";
 
+/// The exit code for bad settings or usage.
 const EXIT_USAGE: u8 = 2;
 
+/// What the command line asks for.
 enum Command {
     Serve,
     Check,
     Print(String),
 }
 
+/// Why the settings can't be used.
+enum LoadError {
+    Read { path: PathBuf, source: std::io::Error },
+    Invalid(Vec<ValidationError>),
+    Unsuitable(UnsuitableSettings),
+}
+
+impl LoadError {
+    /// A line for each fault.
+    fn lines(&self) -> Vec<String> {
+        match self {
+            LoadError::Read { path, source } => {
+                vec![format!("FERNKNOT_CONFIG: {}: {source}", path.display())]
+            }
+            LoadError::Invalid(errors) => errors.iter().map(ToString::to_string).collect(),
+            LoadError::Unsuitable(faults) => faults.0.iter().map(ToString::to_string).collect(),
+        }
+    }
+}
+
 fn parse_arguments() -> Result<Command, lexopt::Error> {
     use lexopt::prelude::*;
-    let mut run = Command::Serve;
+    let mut command = Command::Serve;
     let mut parser = lexopt::Parser::from_env();
-    while let Some(arg) = parser.next()? {
-        run = match arg {
+    while let Some(argument) = parser.next()? {
+        command = match argument {
             Long("check") => Command::Check,
             Long("help") | Short('h') => return Ok(Command::Print(HELP.into())),
             Long("version") | Short('V') => {
@@ -40,58 +62,62 @@
             other => return Err(other.unexpected()),
         };
     }
-    Ok(run)
+    Ok(command)
 }
 
-/// Reads and checks the settings; every fault by its place.
-fn load_settings(path: &PathBuf) -> Result<ProcessSettings, Vec<String>> {
-    let bytes =
-        std::fs::read(path).map_err(|why| vec![format!("FERNKNOT_CONFIG: {}: {why}", path.display())])?;
-    let facts = ProcessSettings::parse(&bytes)
-        .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<String>>())?;
-    check_settings(&facts)?;
-    Ok(facts)
+fn load_settings(path: &Path) -> Result<ProcessSettings, LoadError> {
+    let bytes = std::fs::read(path).map_err(|source| LoadError::Read { path: path.into(), source })?;
+    let settings = ProcessSettings::parse(&bytes).map_err(LoadError::Invalid)?;
+    check_settings(&settings).map_err(LoadError::Unsuitable)?;
+    Ok(settings)
 }
 
-fn main() -> ExitCode {
-    let run = match parse_arguments() {
-        Ok(Command::Print(text)) => {
-            println!("{text}");
-            return ExitCode::SUCCESS;
-        }
-        Ok(run) => run,
-        Err(why) => {
-            eprintln!("fernknot-controller: {why}");
-            return ExitCode::from(EXIT_USAGE);
-        }
-    };
-    let path = PathBuf::from(std::env::var_os("FERNKNOT_CONFIG").unwrap_or_default());
-    let facts = match load_settings(&path) {
-        Ok(facts) => facts,
-        Err(faults) => {
-            faults.iter().for_each(|fault| eprintln!("settings: {fault}"));
-            return ExitCode::from(EXIT_USAGE);
-        }
-    };
-    if matches!(run, Command::Check) {
-        return ExitCode::SUCCESS;
-    }
+/// A seed from the system's random numbers, the address and the process: no two incarnations have the same, on whatever
+/// machines.
+fn random_seed(settings: &ProcessSettings) -> u64 {
+    let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
+    hasher.write_u32(u32::from(settings.ip));
+    hasher.write_u32(std::process::id());
+    hasher.finish()
+}
+
+fn serve(settings: ProcessSettings, path: PathBuf) -> ExitCode {
     let level = std::env::var("FERNKNOT_LOG").ok().and_then(|level| level.parse().ok());
-    // It fails only where a log has begun, and none has.
+    // It fails only where a log has been set up, and none has.
     let _ = fernknot_telemetry::init(level.unwrap_or(LevelFilter::Info));
-    // Chance of the system's own, and the address: no two lives are alike, on whatever machines.
-    let mut seed = std::collections::hash_map::RandomState::new().build_hasher();
-    seed.write_u32(u32::from(facts.ip));
-    seed.write_u32(std::process::id());
-    match Host::new(facts, path, seed.finish()) {
+    let seed = random_seed(&settings);
+    match Host::new(settings, path, seed) {
         Ok(mut host) => {
             log::info!(target: part::PROCESS, "started");
             host.run();
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            log::error!(target: part::PROCESS, "{why}");
+        Err(error) => {
+            log::error!(target: part::PROCESS, "{error}");
             ExitCode::FAILURE
         }
     }
 }
+
+fn main() -> ExitCode {
+    let command = match parse_arguments() {
+        Ok(command) => command,
+        Err(error) => {
+            eprintln!("fernknot-controller: {error}");
+            return ExitCode::from(EXIT_USAGE);
+        }
+    };
+    if let Command::Print(text) = command {
+        println!("{text}");
+        return ExitCode::SUCCESS;
+    }
+    let path = PathBuf::from(std::env::var_os("FERNKNOT_CONFIG").unwrap_or_default());
+    match load_settings(&path) {
+        Ok(_) if matches!(command, Command::Check) => ExitCode::SUCCESS,
+        Ok(settings) => serve(settings, path),
+        Err(error) => {
+            error.lines().iter().for_each(|line| eprintln!("settings: {line}"));
+            ExitCode::from(EXIT_USAGE)
+        }
+    }
+}
