--- a/crates/fernknot-controller/tests/views.rs
+++ b/crates/fernknot-controller/tests/views.rs
@@ -25,7 +25,7 @@
     let text = shown(&mut fleet, 1);
     assert!(text.contains("zone-3 left out, votes: not heard"), "{text}");
     assert!(text.contains("bears 0 more losses now"), "{text}");
-    assert!(fleet.get(1, "GET /-/counters HTTP/1.1\r\n").1.contains("\"losses_borne\":0"));
+    assert!(fleet.get(1, "GET /-/counters HTTP/1.1\r\n").1.contains("\"remaining_fault_tolerance\":0"));
     fleet.start(3, false);
     fleet.run(ms(3000));
     assert!(shown(&mut fleet, 1).contains("bears 1 more losses now"));
--- a/crates/fernknot-simulator/src/world.rs
+++ b/crates/fernknot-simulator/src/world.rs
@@ -680,7 +680,7 @@
     fn record_counters(&mut self, at: usize, reply: &Reply) {
         let counters: serde_json::Value = serde_json::from_slice(reply.body.bytes()).unwrap_or_default();
         let level = |name: &str| counters.get(name).and_then(serde_json::Value::as_u64).unwrap_or(0);
-        let knows = [level("view"), level("order"), level("epoch"), level("lease")];
+        let knows = [level("view"), level("revision"), level("epoch"), level("lease")];
         if std::mem::replace(&mut self.machines[at].known_state, knows) != knows {
             let all = self.machines.iter().map(|machine| {
                 let [view, order, epoch, lease] = machine.known_state;
