--- a/crates/fernknot-controller/src/controller/changes.rs
+++ b/crates/fernknot-controller/src/controller/changes.rs
@@ -54,7 +54,7 @@
                     ReplaceConfig { base_epoch, epoch: config.epoch, digest: json_digest(&body), body };
                 self.admit_change(origin, request, CALL_TIMEOUT.times(LEADER_TIMEOUT_SHARE))
             }
-            Err(_) => Some(ChangeOutcome::Unknown("garbled on its way to the sequencer")),
+            Err(_) => Some(ChangeOutcome::Unknown("garbled on its way to the leader")),
         };
         if let Some(outcome) = outcome {
             self.finish_change(origin, outcome);
@@ -88,7 +88,7 @@
             status::SERVICE_UNAVAILABLE => {}
             _ => {
                 self.counters.add(counter::CHANGES_REJECTED, 1);
-                let text = format!("a change was refused with {reply_status}: {reason}");
+                let text = format!("a change was rejected with {reply_status}: {reason}");
                 self.actions.log(Level::Info, part::ROUTING_CONFIG, text);
             }
         }
@@ -147,7 +147,7 @@
             Err(error) => return self.actions.log(Level::Error, part::ROUTING_CONFIG, error.to_string()),
         };
         if config.state.epoch != self.active_config.state.epoch {
-            let text = format!("version {} is in force, {} routes", config.state.epoch, config.route_count());
+            let text = format!("version {} is active, {} routes", config.state.epoch, config.route_count());
             self.actions.log(Level::Info, part::ROUTING_CONFIG, text);
         }
         self.active_config = config;
--- a/crates/fernknot-controller/src/controller/consensus_events.rs
+++ b/crates/fernknot-controller/src/controller/consensus_events.rs
@@ -73,7 +73,7 @@
     fn view_activated(&mut self, view: &View) {
         let members: Vec<String> = view.members.iter().map(|member| member.addr.ip().to_string()).collect();
         // The simulator reads this line.
-        let text = format!("view {} with {} is in force", view.number.0, members.join(", "));
+        let text = format!("view {} with {} is active", view.number.0, members.join(", "));
         self.actions.log(Level::Info, part::CONSENSUS, text);
         self.changes.requeue_all_proposed(self.now());
         view.members.iter().for_each(|member| self.add_peer(member.addr));
@@ -84,7 +84,7 @@
     /// of a history that an operator has given up.
     fn identity_replaced(&mut self) {
         self.active_config = ActiveConfig::empty();
-        let text = "the disk is an older copy of itself, or closed out: joins as a new member";
+        let text = "the disk is an older copy of itself, or excluded by a forced view: joins as a new member";
         self.actions.log(Level::Warn, part::CONSENSUS, text);
     }
 }
--- a/crates/fernknot-controller/src/controller/inspection.rs
+++ b/crates/fernknot-controller/src/controller/inspection.rs
@@ -41,7 +41,7 @@
         let lost = lost.join(", ");
         let text = match &result {
             Ok(number) => format!("an operator forces view {}: {lost} are lost", number.0),
-            Err(error) => format!("a forced view without {lost} is refused: {error}"),
+            Err(error) => format!("a forced view without {lost} is rejected: {error}"),
         };
         self.actions.log(Level::Warn, part::CONSENSUS, text);
         result.map(|number| number.0).map_err(|error| error.to_string())
--- a/crates/fernknot-controller/src/controller/lifecycle.rs
+++ b/crates/fernknot-controller/src/controller/lifecycle.rs
@@ -57,9 +57,9 @@
         self.disk.is_healthy = is_healthy;
         // At a start, the directory is first built anew: that is no fault.
         match (is_healthy, self.disk.has_recovered) {
-            (true, true) => self.actions.log(Level::Info, part::STORAGE, "is well again"),
+            (true, true) => self.actions.log(Level::Info, part::STORAGE, "is healthy again"),
             (true, false) => self.disk.has_recovered = true,
-            (false, true) => self.actions.log(Level::Warn, part::STORAGE, "hangs or refuses"),
+            (false, true) => self.actions.log(Level::Warn, part::STORAGE, "hangs or rejects writes"),
             (false, false) => {}
         }
         self.report_disk_health();
--- a/crates/fernknot-controller/src/controller/node_updates.rs
+++ b/crates/fernknot-controller/src/controller/node_updates.rs
@@ -32,7 +32,7 @@
         let lost = self.nodes.expire(now);
         if lost > 0 {
             self.counters.add(counter::NODES_LOST, lost as u64);
-            let text = format!("{lost} fell silent, {} are up", self.nodes.up_count());
+            let text = format!("{lost} lost as their heartbeats stopped, {} are up", self.nodes.up_count());
             self.actions.log(Level::Info, part::NODES, text);
         }
     }
--- a/crates/fernknot-controller/src/controller/publication.rs
+++ b/crates/fernknot-controller/src/controller/publication.rs
@@ -71,7 +71,7 @@
     pub(super) fn publish_assignment(&mut self, assignment: Assignment) {
         let token = assignment.fencing_token;
         let text = format!(
-            "cut {}.{} has {} gateways of {} that may be alive",
+            "assignment {}.{} has {} gateways of {} that are presumed alive",
             token.view(),
             token.count(),
             assignment.gateways.len(),
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -169,7 +169,7 @@
             Ok(recovered) => return recovered,
             Err(error) => {
                 if !std::mem::replace(&mut is_logged, true) {
-                    log::warn!(target: part::STORAGE, "{error}; trying again");
+                    log::warn!(target: part::STORAGE, "{error}; retrying");
                 }
                 std::thread::sleep(READ_RETRY_DELAY);
             }
@@ -190,7 +190,7 @@
     match bitcode::decode(bytes) {
         Ok(state) => Some(state),
         Err(error) => {
-            log::error!(target: part::STORAGE, "read the register: {error}");
+            log::error!(target: part::STORAGE, "read the consensus state: {error}");
             None
         }
     }
--- a/crates/fernknot-controller/src/host/actions.rs
+++ b/crates/fernknot-controller/src/host/actions.rs
@@ -47,7 +47,7 @@
     fn send_to_peer(&mut self, now: Nanos, to: SocketAddrV4, message: ControllerMessage) {
         let Some(id) = self.connections.outbound(to) else { return };
         if self.event_loop.pending_output_bytes(id) > self.limits.max_output_bytes() {
-            log::warn!(target: part::CONNECTIONS, "{to} does not read; dropped");
+            log::warn!(target: part::CONNECTIONS, "{to} does not read; disconnected");
             self.drop_connection(id);
             return self.controller.peer_disconnected(now, to);
         }
@@ -63,7 +63,7 @@
         for subscriber in to {
             let id = ConnectionId(subscriber.0);
             if self.event_loop.pending_output_bytes(id) > self.limits.max_output_bytes() {
-                log::warn!(target: part::CONNECTIONS, "a listener does not read; dropped");
+                log::warn!(target: part::CONNECTIONS, "a subscriber does not read; disconnected");
                 self.controller.unsubscribe(*subscriber);
                 self.drop_connection(id);
             } else if let Some(output) = self.event_loop.output(id) {
@@ -95,7 +95,7 @@
     pub(super) fn poll_disk(&mut self, now: Nanos) {
         if let Some(recovered) = self.disk.take_recovered() {
             let revision = recovered.consensus.as_ref().map_or(0, |state| state.revision.0);
-            log::info!(target: part::STORAGE, "read, order {revision}");
+            log::info!(target: part::STORAGE, "read, revision {revision}");
             let (state, known_peers) = (recovered.consensus, &recovered.known_peers);
             self.controller.disk_loaded(now, state, known_peers, recovered.is_empty);
         }
--- a/crates/fernknot-controller/src/host/run.rs
+++ b/crates/fernknot-controller/src/host/run.rs
@@ -38,7 +38,7 @@
 
     fn check_signals(&mut self, now: Nanos) {
         if self.signals.take_stop_request() && self.shutdown_deadline.is_none() {
-            log::info!(target: part::PROCESS, "told to stop");
+            log::info!(target: part::PROCESS, "stop requested");
             let grace_period = Nanos::from_millis(self.settings.bounds.grace_s * 1000.0);
             self.shutdown_deadline = Some(now + grace_period.times(SHUTDOWN_GRACE_SHARE));
             self.controller.begin_shutdown(now);
@@ -63,7 +63,7 @@
             }
             Some(Err(errors)) => {
                 for error in errors {
-                    log::warn!(target: part::SETTINGS, "the changed file is not taken: {error}");
+                    log::warn!(target: part::SETTINGS, "the modified file is ignored: {error}");
                 }
             }
         }
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -119,7 +119,7 @@
 
     fn start_without_disk(&mut self) {
         if self.disk.is_absent() {
-            log::warn!(target: part::STORAGE, "there is none: what is held ends with the process");
+            log::warn!(target: part::STORAGE, "there is none: the state ends with the process");
             self.controller.disk_loaded(Nanos(0), None, &[], true);
         }
     }
--- a/crates/fernknot-controller/src/pending_changes.rs
+++ b/crates/fernknot-controller/src/pending_changes.rs
@@ -282,7 +282,7 @@
         (_, _) if leadership.is_local && !in_flight => NextStep::AskQuorum,
         (_, RequestOrigin::Caller(_)) => leadership.remote.map_or(NextStep::Wait, NextStep::Forward),
         (_, RequestOrigin::Peer(..)) if !leadership.is_local => {
-            NextStep::Finish(ChangeOutcome::Unknown("no sequencer here"))
+            NextStep::Finish(ChangeOutcome::Unknown("no leader here"))
         }
         (_, RequestOrigin::Peer(..)) => NextStep::Wait,
     }
