--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -7,10 +7,15 @@
 
 /// Status codes of HTTP, also used between controllers.
 pub mod status {
+    /// The call has done what it asks for.
     pub const OK: u16 = 200;
+    /// The request is not valid, or its epoch too low.
     pub const BAD_REQUEST: u16 = 400;
+    /// There is no configuration yet.
     pub const NOT_FOUND: u16 = 404;
+    /// Another version is in force than the one that the change builds on.
     pub const PRECONDITION_FAILED: u16 = 412;
+    /// Not known here, or not now: another controller may do.
     pub const SERVICE_UNAVAILABLE: u16 = 503;
 }
 
@@ -33,7 +38,9 @@
 
 /// A node lives, or announces that it is about to leave.
 pub struct Heartbeat {
+    /// Identifies the incarnation of the node.
     pub id: String,
+    /// What the node says of itself.
     pub heartbeat: NodeHeartbeat,
 }
 
@@ -69,6 +76,7 @@
 
 /// A node ends.
 pub struct Deregister {
+    /// Identifies the incarnation of the node.
     pub id: String,
 }
 
@@ -86,15 +94,18 @@
 pub struct ReplaceConfig {
     /// The epoch that must be in force for the change to be accepted.
     pub base_epoch: u64,
+    /// The operator's number of the configuration.
     pub epoch: u64,
     /// A hash of the configuration by its value.
     pub digest: u64,
+    /// The configuration as the operator sent it.
     pub body: Vec<u8>,
 }
 
 /// The outcome of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
+    /// Committed, now or before.
     Committed(QuorumEvidence),
     /// Another version is in force than the one it builds on.
     VersionConflict(String, QuorumEvidence),
@@ -159,6 +170,7 @@
 
 /// The newest configuration, as far as this controller may speak for it.
 pub enum ReadConfigOutcome {
+    /// The configuration in force, as its operator sent it.
     Current(Arc<[u8]>, QuorumEvidence),
     /// None was ever committed.
     NeverConfigured(QuorumEvidence),
--- a/crates/fernknot-controller/src/change.rs
+++ b/crates/fernknot-controller/src/change.rs
@@ -47,9 +47,11 @@
 pub struct ConfigChange {
     /// Its number here, never used again in this incarnation.
     pub id: u64,
+    /// Who waits for the outcome.
     pub origin: RequestOrigin,
     /// The epoch that must be in force for the change to be accepted.
     pub base_epoch: u64,
+    /// The operator's number of the configuration.
     pub epoch: u64,
     /// A hash of the configuration by its value.
     pub digest: u64,
@@ -59,6 +61,7 @@
     pub deadline: Nanos,
     /// It isn't tried again before this.
     pub not_before: Nanos,
+    /// How far it is.
     pub stage: ChangeStage,
 }
 
--- a/crates/fernknot-controller/src/consensus_driver.rs
+++ b/crates/fernknot-controller/src/consensus_driver.rs
@@ -19,6 +19,7 @@
 }
 
 impl ConsensusDriver {
+    /// Drives no member yet.
     pub fn new(now: Nanos) -> ConsensusDriver {
         ConsensusDriver { member: None, next_poll: now, wake_at: now, had_lease: false }
     }
@@ -37,6 +38,7 @@
         }
     }
 
+    /// A message of the member at `from` came.
     pub fn handle_message(&mut self, now: Nanos, from: SocketAddrV4, message: Message) {
         self.input(now, |member| member.handle_message(now, from, message));
     }
@@ -46,10 +48,12 @@
         self.input(now, |member| member.handle_connected(now));
     }
 
+    /// A write of the member's state has ended; `ok` where it is on disk.
     pub fn handle_write_result(&mut self, now: Nanos, write_id: WriteId, ok: bool) {
         self.input(now, |member| member.handle_write_result(now, write_id, ok));
     }
 
+    /// Whether the member may go on to store what it is sent.
     pub fn set_disk_healthy(&mut self, now: Nanos, healthy: bool) {
         self.input(now, |member| member.set_disk_healthy(now, healthy));
     }
@@ -73,6 +77,7 @@
         self.member.as_mut().is_some_and(|member| !member.is_partitioned(now) && member.read_index(now, id))
     }
 
+    /// Nobody waits for the confirmation any more.
     pub fn cancel_read_index(&mut self, id: ReadIndexId) {
         if let Some(member) = &mut self.member {
             member.cancel_read_index(id);
@@ -117,6 +122,7 @@
         self.member.as_ref().map(|_| self.next_poll)
     }
 
+    /// Whether there is a member to drive.
     pub fn is_started(&self) -> bool {
         self.member.is_some()
     }
@@ -131,14 +137,17 @@
         self.member.as_ref().is_some_and(|member| member.is_partitioned(now))
     }
 
+    /// Whether this member leads the view.
     pub fn is_leader(&self) -> bool {
         self.member.as_ref().is_some_and(Consensus::is_leader)
     }
 
+    /// The member that leads the view, as far as is known.
     pub fn leader(&self) -> Option<&Member> {
         self.member.as_ref().and_then(Consensus::leader)
     }
 
+    /// The view in force, if this member is in one.
     pub fn view(&self) -> Option<&View> {
         self.member.as_ref().and_then(Consensus::view)
     }
--- a/crates/fernknot-controller/src/control_state.rs
+++ b/crates/fernknot-controller/src/control_state.rs
@@ -43,8 +43,10 @@
 /// Why a delivered state can't be put in force.
 #[derive(Debug, Error)]
 pub enum ActivationError {
+    /// The bytes are no control state.
     #[error(transparent)]
     State(#[from] ControlStateError),
+    /// The configuration of this epoch is not valid, for the first reason that was found.
     #[error("read version {epoch}: {reason}")]
     Config { epoch: u64, reason: String },
 }
@@ -102,6 +104,7 @@
 pub struct ActiveConfig {
     /// The revision of the control state; 0 before the first one is delivered.
     pub revision: u64,
+    /// The control state as it was delivered.
     pub state: ControlState,
     /// The body again, to be sent without a copy for each caller.
     pub body: Arc<[u8]>,
--- a/crates/fernknot-controller/src/controller/gateway_messages.rs
+++ b/crates/fernknot-controller/src/controller/gateway_messages.rs
@@ -64,7 +64,7 @@
     }
 
     fn reply_to_forced_view(&mut self, to: SubscriberId, lost: &[SocketAddrV4]) {
-        let result = self.force_view(lost);
+        let result = self.force_view(lost).map(|number| number.0).map_err(|rejection| rejection.to_string());
         self.actions.notify(vec![to], ControllerToGateway::ForceViewResult(result));
     }
 }
--- a/crates/fernknot-controller/src/controller/inspection.rs
+++ b/crates/fernknot-controller/src/controller/inspection.rs
@@ -3,10 +3,23 @@
 use super::state::Controller;
 use crate::counters as counter;
 use crate::reports;
+use fernknot_consensus::{ForceViewError, ViewNumber};
 use fernknot_rpc::InspectionTopic;
 use fernknot_telemetry::part;
 use log::Level;
 use std::net::SocketAddrV4;
+use thiserror::Error;
+
+/// Why no view is forced.
+#[derive(Debug, Error)]
+pub(super) enum ForceViewRejection {
+    /// The consensus member is not known before the disk has been read.
+    #[error("the disk has not been read yet")]
+    DiskNotRead,
+    /// The consensus member rejects the order.
+    #[error(transparent)]
+    Consensus(#[from] ForceViewError),
+}
 
 impl Controller {
     /// The report on a topic, as text for a person.
@@ -32,11 +45,9 @@
         }
     }
 
-    /// Forces a view by an operator's order. Returns its number, or the reason for the rejection.
-    pub(super) fn force_view(&mut self, lost: &[SocketAddrV4]) -> Result<u64, String> {
-        let Some(result) = self.consensus.force_view(self.now(), lost) else {
-            return Err("the disk has not been read yet".into());
-        };
+    /// Forces a view without the members at `lost`, by an operator's order. Returns the number of the view.
+    pub(super) fn force_view(&mut self, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceViewRejection> {
+        let result = self.consensus.force_view(self.now(), lost).ok_or(ForceViewRejection::DiskNotRead)?;
         let lost: Vec<String> = lost.iter().map(ToString::to_string).collect();
         let lost = lost.join(", ");
         let text = match &result {
@@ -44,7 +55,7 @@
             Err(error) => format!("a forced view without {lost} is rejected: {error}"),
         };
         self.actions.log(Level::Warn, part::CONSENSUS, text);
-        result.map(|number| number.0).map_err(|error| error.to_string())
+        Ok(result?)
     }
 
     /// Sets the gauges to what they are now.
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -34,6 +34,7 @@
 enum DiskState {
     /// The thread that opens the directory sends it over once it has read it.
     Opening(Receiver<(Storage, RecoveredState)>),
+    /// The directory has been read.
     Open(Storage),
     /// This machine has none: the state lasts as long as the process. Holds the writes that have been asked for.
     Absent(Vec<WriteId>),
--- a/crates/fernknot-controller/src/host/connections.rs
+++ b/crates/fernknot-controller/src/host/connections.rs
@@ -24,7 +24,9 @@
 
 /// One connection.
 pub struct Connection {
+    /// Who is at the other end.
     pub role: ConnectionRole,
+    /// When something last came over it.
     pub last_heard: Nanos,
 }
 
@@ -60,6 +62,7 @@
         self.by_id.insert(id, Connection { role: ConnectionRole::OutboundPeer(to), last_heard: now });
     }
 
+    /// A connection, if it is there.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.by_id.get_mut(&id)
     }
@@ -77,6 +80,7 @@
         self.outbound.get(&to).copied()
     }
 
+    /// Removes a connection; nothing is closed.
     pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.by_id.remove(&id)?;
         if let ConnectionRole::OutboundPeer(to) = connection.role {
@@ -91,6 +95,7 @@
         idle.map(|(id, _)| *id).collect()
     }
 
+    /// All connections.
     pub fn ids(&self) -> impl Iterator<Item = ConnectionId> {
         self.by_id.keys().copied()
     }
--- a/crates/fernknot-controller/src/host/settings.rs
+++ b/crates/fernknot-controller/src/host/settings.rs
@@ -87,10 +87,12 @@
     }
 }
 
+/// The usual interval between two heartbeats of a node.
 pub fn heartbeat_interval(settings: &ProcessSettings) -> Nanos {
     Nanos::from_millis(settings.heartbeat_interval_ms)
 }
 
+/// How long machines that are out of reach are waited for.
 pub fn contact_timeout(settings: &ProcessSettings) -> Nanos {
     Nanos::from_millis(settings.bounds.contact_ms)
 }
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -60,6 +60,14 @@
     ShuffleProtocol::new(own, &settings.seeds, period, settings.seed)
 }
 
+fn event_loop_settings(limits: &HostLimits, settings: &ControllerSettings) -> EventLoopSettings {
+    EventLoopSettings {
+        max_connections: limits.max_connections,
+        read_ahead_bytes: limits.read_ahead_bytes(),
+        unacknowledged_timeout: duration(settings.suspicion_timeout()),
+    }
+}
+
 fn open_disk(settings: &ProcessSettings, event_loop: &EventLoop) -> Disk {
     let apply_deadline = Nanos::from_millis(settings.bounds.apply_ms);
     let write_timeout = duration(apply_deadline.times(WRITE_TIMEOUT_SHARE));
@@ -79,12 +87,8 @@
         let signals = Signals::install().map_err(system("watch for signals"))?;
         let limits = HostLimits::new(&settings);
         let controller_settings = controller_settings(&settings, seed);
-        let mut event_loop = EventLoop::new(EventLoopSettings {
-            max_connections: limits.max_connections,
-            read_ahead_bytes: limits.read_ahead_bytes(),
-            unacknowledged_timeout: duration(controller_settings.suspicion_timeout()),
-        })
-        .map_err(system("poll"))?;
+        let loop_settings = event_loop_settings(&limits, &controller_settings);
+        let mut event_loop = EventLoop::new(loop_settings).map_err(system("poll"))?;
         let control_addr = settings.bind_addrs.control_addr.unwrap_or(SocketAddrV4::new(settings.ip, 0));
         let control_listener = event_loop.listen(control_addr)?;
         let internal_listener = event_loop.listen(controller_settings.addr)?;
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -23,15 +23,21 @@
 
 /// What the command line asks for.
 enum Command {
+    /// Run until a stop is requested.
     Serve,
+    /// Check the settings and end.
     Check,
+    /// Print a text and end.
     Print(String),
 }
 
 /// Why the settings can't be used.
 enum LoadError {
+    /// The file can't be read.
     Read { path: PathBuf, source: std::io::Error },
+    /// The settings are not valid.
     Invalid(Vec<ValidationError>),
+    /// The settings lack what a controller needs.
     Unsuitable(UnsuitableSettings),
 }
 
--- a/crates/fernknot-controller/src/node_registry.rs
+++ b/crates/fernknot-controller/src/node_registry.rs
@@ -110,6 +110,7 @@
         self.registry.expire(now)
     }
 
+    /// How many nodes are up.
     pub fn up_count(&self) -> usize {
         self.registry.up_count()
     }
--- a/crates/fernknot-controller/src/ownership.rs
+++ b/crates/fernknot-controller/src/ownership.rs
@@ -28,6 +28,7 @@
         }
     }
 
+    /// The newest assignment that is known; empty before the first one.
     pub fn assignment(&self) -> &Assignment {
         &self.assignment
     }
--- a/crates/fernknot-controller/src/peers.rs
+++ b/crates/fernknot-controller/src/peers.rs
@@ -12,15 +12,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
     /// To be opened at `retry_at`, after a backoff of so long.
-    Down {
-        retry_at: Nanos,
-        backoff: Nanos,
-    },
+    Down { retry_at: Nanos, backoff: Nanos },
     /// Aborted at `deadline` if nothing answers.
-    Connecting {
-        since: Nanos,
-        deadline: Nanos,
-    },
+    Connecting { since: Nanos, deadline: Nanos },
+    /// Open.
     Up,
 }
 
@@ -46,7 +41,9 @@
 /// What is to be done about a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LinkAction {
+    /// Open a connection.
     Connect(SocketAddrV4),
+    /// Stop opening the connection.
     AbortConnect(SocketAddrV4),
 }
 
@@ -101,12 +98,14 @@
         }
     }
 
+    /// The connection to it is up.
     pub fn link_opened(&mut self, addr: SocketAddrV4) {
         if let Some(peer) = self.known.get_mut(&addr) {
             peer.link = LinkState::Up;
         }
     }
 
+    /// The connection to it has gone, or never came up: another attempt follows after a backoff.
     pub fn link_closed(&mut self, now: Nanos, addr: SocketAddrV4) {
         let (initial, max) = (self.initial_backoff, self.max_backoff);
         let Some(peer) = self.known.get_mut(&addr) else { return };
@@ -153,6 +152,7 @@
         times.min()
     }
 
+    /// Whether a connection to it is up.
     pub fn is_connected(&self, addr: SocketAddrV4) -> bool {
         self.known.get(&addr).is_some_and(|peer| peer.link == LinkState::Up)
     }
--- a/crates/fernknot-controller/src/pending_changes.rs
+++ b/crates/fernknot-controller/src/pending_changes.rs
@@ -31,9 +31,11 @@
 /// A state to be proposed to the consensus member.
 #[derive(Debug)]
 pub struct Proposal {
+    /// The number of the change.
     pub change_id: u64,
     /// The revision on which the state builds.
     pub base: Revision,
+    /// The control state, encoded.
     pub state: Vec<u8>,
 }
 
@@ -46,15 +48,21 @@
     pub forwarded: Vec<(SocketAddrV4, ControllerMessage)>,
     /// Changes that a majority has to be asked about, with their deadlines.
     pub doubtful: Vec<(u64, Nanos)>,
+    /// What this controller proposes as the leader.
     pub proposal: Option<Proposal>,
 }
 
 /// The next step of one change.
 enum NextStep {
+    /// It stays queued.
     Wait,
+    /// It has an outcome.
     Finish(ChangeOutcome),
+    /// This controller proposes it.
     Propose,
+    /// A majority has to confirm what speaks against it.
     AskQuorum,
+    /// It goes to the leader at this address.
     Forward(SocketAddrV4),
 }
 
@@ -73,6 +81,7 @@
         PendingChanges { forgets_early, ..PendingChanges::default() }
     }
 
+    /// Whether no change is pending.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
--- a/crates/fernknot-controller/src/read_index.rs
+++ b/crates/fernknot-controller/src/read_index.rs
@@ -11,7 +11,9 @@
 pub enum QuorumWaiter {
     /// A pending configuration change, by its number.
     ConfigChange(u64),
+    /// An operator that reads the configuration.
     ReadConfig(PendingCall),
+    /// A caller that asks whether this controller is ready.
     Readiness(PendingCall),
     /// A node that announces that it leaves.
     NodeDrain(PendingCall),
@@ -93,6 +95,7 @@
             .collect()
     }
 
+    /// Whether nobody waits.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/crates/fernknot-controller/src/subscribers.rs
+++ b/crates/fernknot-controller/src/subscribers.rs
@@ -9,8 +9,11 @@
 /// One subscriber.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
+    /// The gateway.
     pub gateway: GatewayRecord,
+    /// Whether it is ready to serve queries, as it said last.
     pub is_ready: bool,
+    /// Which nodes it wants to be sent.
     pub subscription: Subscription,
     /// The revision of the configuration that it was sent last; 0 for none.
     pub sent_revision: u64,
@@ -50,6 +53,7 @@
         self.by_id.insert(id, subscriber);
     }
 
+    /// Removes a subscriber, if it is one.
     pub fn remove(&mut self, id: SubscriberId) -> Option<Subscriber> {
         self.awaiting_snapshot.remove(&id);
         self.by_id.remove(&id)
@@ -72,14 +76,17 @@
         std::mem::take(&mut self.awaiting_snapshot)
     }
 
+    /// Whether there is such a subscriber.
     pub fn contains(&self, id: SubscriberId) -> bool {
         self.by_id.contains_key(&id)
     }
 
+    /// The number of subscribers.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
+    /// All subscribers.
     pub fn ids(&self) -> Vec<SubscriberId> {
         self.by_id.keys().copied().collect()
     }
--- a/crates/fernknot-controller/src/timers.rs
+++ b/crates/fernknot-controller/src/timers.rs
@@ -29,6 +29,7 @@
         }
     }
 
+    /// The time of the last input.
     pub fn now(&self) -> Nanos {
         self.now
     }
@@ -59,6 +60,7 @@
         self.next_subscriber_heartbeat = self.now + self.subscriber_heartbeat_interval;
     }
 
+    /// When periodic work is due next.
     pub fn next_timeout(&self) -> Nanos {
         self.next_subscriber_heartbeat.min(self.next_peer_sync)
     }
