--- a/crates/fernknot-controller/src/change.rs
+++ b/crates/fernknot-controller/src/change.rs
@@ -57,7 +57,7 @@
     pub digest: u64,
     /// The configuration as the operator sent it.
     pub body: Vec<u8>,
-    /// When its origin is told that the outcome is unknown.
+    /// When its origin is sent that the outcome is unknown.
     pub deadline: Nanos,
     /// It isn't tried again before this.
     pub not_before: Nanos,
--- a/crates/fernknot-controller/src/controller/http_calls.rs
+++ b/crates/fernknot-controller/src/controller/http_calls.rs
@@ -85,7 +85,7 @@
         let outcome = self.nodes.record_heartbeat(self.now(), record);
         match node_call_outcome(outcome) {
             NodeCallOutcome::Recorded if is_draining => self.confirm_drain(id, call),
-            // It lives, whoever hears it; but the others must hear it too. Guards against nodes that go on calling a
+            // The node lives, but the others must know that too. Guards against nodes that go on calling a
             // controller that is partitioned from the others alone, and are lost to the majority and its gateways.
             NodeCallOutcome::Recorded if self.is_partitioned() => {
                 Some(NodeCallOutcome::Unavailable(NO_QUORUM_REASON))
--- a/crates/fernknot-controller/src/controller/publication.rs
+++ b/crates/fernknot-controller/src/controller/publication.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The controllers that gateways are told of: this one, the members of the view, then others that are connected.
+    /// The controllers that heartbeats name: this one, the members of the view, then others that are connected.
     fn advertised_controllers(&self) -> Vec<ControllerEndpoint> {
         let own = ControllerEndpoint { addr: self.settings.addr, zone: self.settings.zone.clone() };
         let members = self.consensus.view().into_iter().flat_map(|view| &view.members);
--- a/crates/fernknot-controller/src/controller/state.rs
+++ b/crates/fernknot-controller/src/controller/state.rs
@@ -120,11 +120,6 @@
         self.consensus.is_partitioned(self.now())
     }
 
-    /// What has been counted here.
-    pub fn counters(&mut self) -> &mut Counters {
-        &mut self.counters
-    }
-
     /// Sends to a controller, if a connection to it is up; otherwise the message is lost.
     pub(super) fn send_to_peer(&mut self, to: SocketAddrV4, message: ControllerMessage) {
         if self.peers.is_connected(to) {
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -133,7 +133,7 @@
         Nanos(self.event_loop.now().saturating_duration_since(self.started_at).as_nanos() as u64)
     }
 
-    /// Closes a connection of which the controller need not be told.
+    /// Closes a connection without notifying the controller.
     pub(super) fn drop_connection(&mut self, id: ConnectionId) {
         self.connections.remove(id);
         self.event_loop.close(id);
--- a/crates/fernknot-controller/src/pending_changes.rs
+++ b/crates/fernknot-controller/src/pending_changes.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 
 /// Changes pending at once. Operators have up to eight under way, and a repeat of each may be pending here and at
-/// another controller; what exceeds the limit is told to come back.
+/// another controller; what exceeds the limit is rejected with 503.
 const MAX_PENDING_CHANGES: usize = 24;
 /// Bytes of all pending configurations together.
 const MAX_PENDING_BYTES: usize = 64 << 20;
--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers in memory: their clock, links, disks, callers and listeners.
+//! Controllers in memory: their clock, connections, disks, callers and subscribers.
 #![allow(dead_code)] // each test file uses its own part
 
 use fernknot::interface::Nanos;
@@ -11,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// One way from one to another, and a sync of a disk.
-pub const WAY: Nanos = Nanos(1_000_000);
-pub const SYNC: Nanos = Nanos(2_000_000);
+/// The one-way delay between two machines, and the time that a sync of a disk takes.
+pub const ONE_WAY_DELAY: Nanos = Nanos(1_000_000);
+pub const SYNC_TIME: Nanos = Nanos(2_000_000);
 
 pub fn addr(at: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, at as u8), 7121)
@@ -27,13 +27,13 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Writes {
     Well,
-    /// They wait until it is well again.
+    /// They are pending until the disk is healthy again.
     Hang,
     Fail,
 }
 
-enum News {
-    Word(usize, usize, ControllerMessage),
+enum Event {
+    Message(usize, usize, ControllerMessage),
     Opened(usize, usize),
     Closed(usize, usize),
     Stored(usize, WriteId, PersistentState),
@@ -41,33 +41,33 @@
 
 /// One machine.
 struct Machine {
-    brain: Option<Controller>,
-    life: u64,
+    controller: Option<Controller>,
+    incarnation: u64,
     disk: Option<PersistentState>,
     known: Vec<SocketAddrV4>,
     writes: Writes,
-    held: Vec<(WriteId, PersistentState)>,
+    pending_writes: Vec<(WriteId, PersistentState)>,
 }
 
 pub struct Fleet {
     pub now: Nanos,
     machines: BTreeMap<usize, Machine>,
-    news: BTreeMap<(Nanos, u64), News>,
+    events: BTreeMap<(Nanos, u64), Event>,
     count: u64,
-    /// Pairs between which nothing goes.
-    cut: BTreeSet<(usize, usize)>,
+    /// Pairs of sender and receiver between which nothing goes.
+    partitions: BTreeSet<(usize, usize)>,
     /// Machines without power: what comes there is lost without an answer.
-    dark: BTreeSet<usize>,
+    powered_off: BTreeSet<usize>,
     seeds: Vec<SocketAddrV4>,
     losses: usize,
-    plant: Option<SeededBug>,
-    /// Answers by caller.
+    bug: Option<SeededBug>,
+    /// Status and body of each reply, by caller.
     pub answers: BTreeMap<u64, (u16, String)>,
-    /// What each listener has heard.
-    pub heard: BTreeMap<u64, VecDeque<ControllerToGateway>>,
+    /// What each subscriber has received.
+    pub received: BTreeMap<u64, VecDeque<ControllerToGateway>>,
     next: u64,
-    /// Words between controllers that were no pulses, so far.
-    pub words: u64,
+    /// Messages between controllers so far, without heartbeats.
+    pub message_count: u64,
 }
 
 impl Fleet {
@@ -79,25 +79,25 @@
     /// So many controllers that start for the first time, the first few of them named as seeds, and enough time for
     /// them to find each other.
     pub fn new(count: usize, seeds: usize, losses: usize) -> Fleet {
-        Fleet::planted(count, seeds, losses, None)
+        Fleet::with_seeded_bug(count, seeds, losses, None)
     }
 
-    /// The same, with a break planted in each.
-    pub fn planted(count: usize, seeds: usize, losses: usize, plant: Option<SeededBug>) -> Fleet {
+    /// The same, each with a seeded bug.
+    pub fn with_seeded_bug(count: usize, seeds: usize, losses: usize, bug: Option<SeededBug>) -> Fleet {
         let mut fleet = Fleet {
             now: Nanos(1),
             machines: BTreeMap::new(),
-            news: BTreeMap::new(),
+            events: BTreeMap::new(),
             count: 0,
-            cut: BTreeSet::new(),
-            dark: BTreeSet::new(),
+            partitions: BTreeSet::new(),
+            powered_off: BTreeSet::new(),
             seeds: (1..=seeds).map(addr).collect(),
             losses,
-            plant,
+            bug,
             answers: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            received: BTreeMap::new(),
             next: 0,
-            words: 0,
+            message_count: 0,
         };
         (1..=count).for_each(|at| fleet.start(at, true));
         fleet.run(ms(1500));
@@ -106,10 +106,10 @@
 
     /// Starts a controller on a machine, with whatever is on its disk.
     pub fn start(&mut self, at: usize, bootstrap: bool) {
-        self.dark.remove(&at);
+        self.powered_off.remove(&at);
         self.count += 1;
-        let life = self.count;
-        let facts = ControllerSettings {
+        let incarnation = self.count;
+        let settings = ControllerSettings {
             addr: addr(at),
             zone: format!("zone-{at}"),
             seeds: self.seeds.clone(),
@@ -119,32 +119,32 @@
             apply_deadline: ms(3000),
             contact_timeout: ms(4000),
             budget_window: ms(10_000),
-            seed: life * 1_000_003,
+            seed: incarnation * 1_000_003,
         };
         let machine = self.machines.entry(at).or_insert_with(|| Machine {
-            brain: None,
-            life,
+            controller: None,
+            incarnation,
             disk: None,
             known: Vec::new(),
             writes: Writes::Well,
-            held: Vec::new(),
+            pending_writes: Vec::new(),
         });
-        machine.life = life;
-        machine.held.clear();
-        let mut brain = Controller::with_seeded_bug(facts, self.now, self.plant);
-        brain.disk_loaded(self.now, machine.disk.clone(), &machine.known, machine.disk.is_none());
-        machine.brain = Some(brain);
+        machine.incarnation = incarnation;
+        machine.pending_writes.clear();
+        let mut controller = Controller::with_seeded_bug(settings, self.now, self.bug);
+        controller.disk_loaded(self.now, machine.disk.clone(), &machine.known, machine.disk.is_none());
+        machine.controller = Some(controller);
     }
 
     /// Puts a disk that was written elsewhere into a machine that does not run yet.
-    pub fn put_disk(&mut self, at: usize, saved: PersistentState, known: Vec<SocketAddrV4>) {
+    pub fn put_disk(&mut self, at: usize, state: PersistentState, known: Vec<SocketAddrV4>) {
         let machine = Machine {
-            brain: None,
-            life: 0,
-            disk: Some(saved),
+            controller: None,
+            incarnation: 0,
+            disk: Some(state),
             known,
             writes: Writes::Well,
-            held: Vec::new(),
+            pending_writes: Vec::new(),
         };
         self.machines.insert(at, machine);
     }
@@ -152,25 +152,25 @@
     /// The process ends at once; its disk stays.
     pub fn kill(&mut self, at: usize) {
         let Some(machine) = self.machines.get_mut(&at) else { return };
-        machine.brain = None;
-        machine.held.clear();
-        self.news.retain(|_, news| match news {
-            News::Word(from, _, _) | News::Opened(from, _) | News::Closed(from, _) => *from != at,
-            News::Stored(on, ..) => *on != at,
+        machine.controller = None;
+        machine.pending_writes.clear();
+        self.events.retain(|_, event| match event {
+            Event::Message(from, _, _) | Event::Opened(from, _) | Event::Closed(from, _) => *from != at,
+            Event::Stored(on, ..) => *on != at,
         });
         let others: Vec<usize> = self.machines.keys().copied().filter(|other| *other != at).collect();
-        others.into_iter().for_each(|other| self.later(WAY, News::Closed(other, at)));
+        others.into_iter().for_each(|other| self.later(ONE_WAY_DELAY, Event::Closed(other, at)));
     }
 
     /// Its machine has no power until it is started.
     pub fn power_off(&mut self, at: usize) {
         self.kill(at);
-        self.dark.insert(at);
+        self.powered_off.insert(at);
     }
 
     /// As a process counts from its own start, so do all that start from now on.
     pub fn restart_clock(&mut self) {
-        self.news.clear();
+        self.events.clear();
         self.now = Nanos(1);
     }
 
@@ -190,41 +190,43 @@
     pub fn disk(&mut self, at: usize, writes: Writes) {
         let Some(machine) = self.machines.get_mut(&at) else { return };
         machine.writes = writes;
-        let held = std::mem::take(&mut machine.held);
+        let pending_writes = std::mem::take(&mut machine.pending_writes);
         if writes == Writes::Hang {
-            machine.held = held;
+            machine.pending_writes = pending_writes;
         } else {
-            held.into_iter().for_each(|(ticket, saved)| self.later(SYNC, News::Stored(at, ticket, saved)));
+            pending_writes
+                .into_iter()
+                .for_each(|(write_id, state)| self.later(SYNC_TIME, Event::Stored(at, write_id, state)));
         }
     }
 
     /// Nothing goes between this one and all others.
-    pub fn cut_off(&mut self, at: usize) {
+    pub fn partition(&mut self, at: usize) {
         let others: Vec<usize> = self.machines.keys().copied().filter(|other| *other != at).collect();
         for other in others {
-            self.cut.extend([(at, other), (other, at)]);
-            self.later(ms(1000), News::Closed(at, other));
-            self.later(ms(1000), News::Closed(other, at));
+            self.partitions.extend([(at, other), (other, at)]);
+            self.later(ms(1000), Event::Closed(at, other));
+            self.later(ms(1000), Event::Closed(other, at));
         }
     }
 
     /// Nothing goes from one to the other any more, not even what is on its way; back it does.
-    pub fn cut_one_way(&mut self, from: usize, to: usize) {
-        self.cut.insert((from, to));
+    pub fn partition_one_way(&mut self, from: usize, to: usize) {
+        self.partitions.insert((from, to));
     }
 
-    pub fn join_all(&mut self) {
-        self.cut.clear();
+    pub fn heal(&mut self) {
+        self.partitions.clear();
     }
 
-    /// The one that sequences.
-    pub fn first(&mut self) -> usize {
+    /// The one that leads the view.
+    pub fn leader(&mut self) -> usize {
         let all: Vec<usize> = self.machines.keys().copied().collect();
-        all.into_iter().find(|at| !self.brain(*at).can_exit()).expect("one is the sequencer")
+        all.into_iter().find(|at| !self.controller(*at).can_exit()).expect("one leads")
     }
 
-    pub fn brain(&mut self, at: usize) -> &mut Controller {
-        self.machines.get_mut(&at).and_then(|machine| machine.brain.as_mut()).expect("it runs")
+    pub fn controller(&mut self, at: usize) -> &mut Controller {
+        self.machines.get_mut(&at).and_then(|machine| machine.controller.as_mut()).expect("it runs")
     }
 
     /// A call of a node or an operator; its caller's number.
@@ -232,16 +234,16 @@
         self.next += 1;
         let (caller, now) = (self.next, self.now);
         let request = request(head, body);
-        self.brain(at).handle_call(now, PendingCall { connection: caller, call: 1 }, &request);
-        self.follow(at);
+        self.controller(at).handle_call(now, PendingCall { connection: caller, call: 1 }, &request);
+        self.perform_actions(at);
         caller
     }
 
     /// The same, played on to the very moment of its answer; its status.
-    pub fn answered(&mut self, at: usize, head: &str, body: &str) -> u16 {
+    pub fn ask_until_reply(&mut self, at: usize, head: &str, body: &str) -> u16 {
         let caller = self.call(at, head, body);
-        let until = self.now + ms(1000);
-        while !self.answers.contains_key(&caller) && self.now < until {
+        let deadline = self.now + ms(1000);
+        while !self.answers.contains_key(&caller) && self.now < deadline {
             self.run(Nanos(50_000));
         }
         self.answers.get(&caller).map_or(0, |(status, _)| *status)
@@ -250,8 +252,8 @@
     /// The same, with time for its answer; its status.
     pub fn ask(&mut self, at: usize, head: &str, body: &str) -> u16 {
         let caller = self.call(at, head, body);
-        let until = self.now + ms(1000);
-        while !self.answers.contains_key(&caller) && self.now < until {
+        let deadline = self.now + ms(1000);
+        while !self.answers.contains_key(&caller) && self.now < deadline {
             self.run(ms(5));
         }
         self.answers.get(&caller).map_or(0, |(status, _)| *status)
@@ -261,7 +263,7 @@
         self.ask(at, &format!("POST /-/config/replace HTTP/1.1\r\nBase-Epoch: {base}\r\n"), body)
     }
 
-    /// What a controller hands out as the newest configuration.
+    /// What a controller returns as the newest configuration.
     pub fn read(&mut self, at: usize) -> (u16, String) {
         self.get(at, "GET /-/config/read HTTP/1.1\r\n")
     }
@@ -269,14 +271,14 @@
     /// A call without a body, with time for its answer.
     pub fn get(&mut self, at: usize, head: &str) -> (u16, String) {
         let caller = self.call(at, head, "");
-        let until = self.now + ms(1000);
-        while !self.answers.contains_key(&caller) && self.now < until {
+        let deadline = self.now + ms(1000);
+        while !self.answers.contains_key(&caller) && self.now < deadline {
             self.run(ms(1));
         }
         self.answers.get(&caller).cloned().unwrap_or_default()
     }
 
-    pub fn beat(&mut self, at: usize, id: &str, state: &str, seq: u64) -> u16 {
+    pub fn send_heartbeat(&mut self, at: usize, id: &str, state: &str, seq: u64) -> u16 {
         let body = format!(
             r#"{{"backend":"books","address":"10.9.0.1:80","zone":"zone-1","epoch":"v1","capacity":3,
             "state":"{state}","warmup_left_ms":0,"call_seq":{seq}}}"#
@@ -284,178 +286,185 @@
         self.ask(at, &format!("POST /-/nodes/{id}/heartbeat HTTP/1.1\r\n"), &body)
     }
 
-    /// A gateway listens at a controller; its number.
-    pub fn listen(&mut self, at: usize, share: Subscription, order: u64) -> u64 {
+    /// A gateway subscribes at a controller; its number.
+    pub fn subscribe(&mut self, at: usize, subscription: Subscription, revision: u64) -> u64 {
         self.next += 1;
-        let (ear, now) = (self.next, self.now);
-        let inner = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, ear as u8), 7120);
-        let who = GatewayRecord { incarnation: IncarnationId(ear), addr: inner, zone: "zone-1".into() };
-        self.heard.insert(ear, VecDeque::new());
-        self.brain(at).handle_gateway_message(
+        let (subscriber, now) = (self.next, self.now);
+        let inner = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, subscriber as u8), 7120);
+        let gateway =
+            GatewayRecord { incarnation: IncarnationId(subscriber), addr: inner, zone: "zone-1".into() };
+        self.received.insert(subscriber, VecDeque::new());
+        self.controller(at).handle_gateway_message(
             now,
-            SubscriberId(ear),
-            GatewayToController::Subscribe {
-                gateway: who,
-                ready: true,
-                subscription: share,
-                revision: order,
-            },
+            SubscriberId(subscriber),
+            GatewayToController::Subscribe { gateway, ready: true, subscription, revision },
         );
-        self.follow(at);
-        ear
+        self.perform_actions(at);
+        subscriber
     }
 
-    /// A word of an operator at the inner port, and what it is answered.
-    pub fn order(&mut self, at: usize, word: GatewayToController) -> Option<ControllerToGateway> {
+    /// A message of an operator at the internal port, and the reply to it.
+    pub fn send_as_operator(
+        &mut self,
+        at: usize,
+        message: GatewayToController,
+    ) -> Option<ControllerToGateway> {
         self.next += 1;
-        let (ear, now) = (self.next, self.now);
-        self.heard.insert(ear, VecDeque::new());
-        self.brain(at).handle_gateway_message(now, SubscriberId(ear), word);
-        self.follow(at);
-        self.heard.remove(&ear)?.pop_front()
+        let (subscriber, now) = (self.next, self.now);
+        self.received.insert(subscriber, VecDeque::new());
+        self.controller(at).handle_gateway_message(now, SubscriberId(subscriber), message);
+        self.perform_actions(at);
+        self.received.remove(&subscriber)?.pop_front()
     }
 
-    /// The epochs of the plans that a listener has heard.
-    pub fn plans(&self, ear: u64) -> Vec<u64> {
-        let plans = self.heard[&ear].iter().filter_map(|word| match word {
-            ControllerToGateway::Config { config: plan, .. } => Some(plan.epoch),
+    /// The epochs of the configurations that a subscriber has received.
+    pub fn config_epochs(&self, subscriber: u64) -> Vec<u64> {
+        let epochs = self.received[&subscriber].iter().filter_map(|message| match message {
+            ControllerToGateway::Config { config, .. } => Some(config.epoch),
             _ => None,
         });
-        plans.collect()
+        epochs.collect()
     }
 
-    fn later(&mut self, wait: Nanos, news: News) {
+    fn later(&mut self, wait: Nanos, event: Event) {
         self.count += 1;
-        self.news.insert((self.now + wait, self.count), news);
+        self.events.insert((self.now + wait, self.count), event);
     }
 
     /// Lets so much time pass.
     pub fn run(&mut self, span: Nanos) {
-        let until = self.now + span;
+        let deadline = self.now + span;
         let all: Vec<usize> = self.machines.keys().copied().collect();
-        all.iter().for_each(|at| self.follow(*at));
+        all.iter().for_each(|at| self.perform_actions(*at));
         loop {
             let due = self
                 .machines
                 .values()
-                .filter_map(|machine| machine.brain.as_ref())
+                .filter_map(|machine| machine.controller.as_ref())
                 .map(Controller::next_timeout);
-            let news = self.news.keys().next().map(|(at, _)| *at);
-            let Some(at) = due.chain(news).min().filter(|at| *at <= until) else { break };
+            let events = self.events.keys().next().map(|(at, _)| *at);
+            let Some(at) = due.chain(events).min().filter(|at| *at <= deadline) else { break };
             self.now = self.now.max(at);
-            while let Some(entry) = self.news.first_entry().filter(|entry| entry.key().0 <= self.now) {
-                let news = entry.remove();
-                self.take(news);
+            while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= self.now) {
+                let event = entry.remove();
+                self.handle(event);
             }
-            all.iter().for_each(|at| self.follow(*at));
+            all.iter().for_each(|at| self.perform_actions(*at));
         }
-        self.now = until;
+        self.now = deadline;
     }
 
-    fn take(&mut self, news: News) {
+    fn handle(&mut self, event: Event) {
         let now = self.now;
-        match news {
-            News::Word(from, to, word) => {
-                if !self.cut.contains(&(from, to))
-                    && let Some(brain) = self.machines.get_mut(&to).and_then(|machine| machine.brain.as_mut())
+        match event {
+            Event::Message(from, to, message) => {
+                if !self.partitions.contains(&(from, to))
+                    && let Some(controller) =
+                        self.machines.get_mut(&to).and_then(|machine| machine.controller.as_mut())
                 {
-                    brain.handle_peer_message(now, addr(from), word);
-                    self.follow(to);
+                    controller.handle_peer_message(now, addr(from), message);
+                    self.perform_actions(to);
                 }
             }
-            News::Opened(from, to) => {
-                let there = self.machines.get(&to).is_some_and(|machine| machine.brain.is_some());
-                if self.cut.contains(&(from, to)) {
+            Event::Opened(from, to) => {
+                let there = self.machines.get(&to).is_some_and(|machine| machine.controller.is_some());
+                if self.partitions.contains(&(from, to)) {
                     return;
                 }
-                if let Some(brain) = self.machines.get_mut(&from).and_then(|machine| machine.brain.as_mut()) {
+                if let Some(controller) =
+                    self.machines.get_mut(&from).and_then(|machine| machine.controller.as_mut())
+                {
                     if there {
-                        brain.peer_connected(now, addr(to))
+                        controller.peer_connected(now, addr(to))
                     } else {
-                        brain.peer_disconnected(now, addr(to))
+                        controller.peer_disconnected(now, addr(to))
                     }
-                    self.follow(from);
+                    self.perform_actions(from);
                 }
             }
-            News::Closed(from, to) => {
-                if let Some(brain) = self.machines.get_mut(&from).and_then(|machine| machine.brain.as_mut()) {
-                    brain.peer_disconnected(now, addr(to));
+            Event::Closed(from, to) => {
+                if let Some(controller) =
+                    self.machines.get_mut(&from).and_then(|machine| machine.controller.as_mut())
+                {
+                    controller.peer_disconnected(now, addr(to));
                 }
             }
-            News::Stored(at, ticket, saved) => {
+            Event::Stored(at, write_id, state) => {
                 let Some(machine) = self.machines.get_mut(&at) else { return };
                 let ok = machine.writes != Writes::Fail;
                 if ok {
-                    machine.disk = Some(saved);
+                    machine.disk = Some(state);
                 }
-                if let Some(brain) = &mut machine.brain {
-                    brain.write_completed(now, ticket, ok);
+                if let Some(controller) = &mut machine.controller {
+                    controller.write_completed(now, write_id, ok);
                 }
-                self.follow(at);
+                self.perform_actions(at);
             }
         }
     }
 
-    fn follow(&mut self, at: usize) {
+    fn perform_actions(&mut self, at: usize) {
         let now = self.now;
         let number = |addr: &SocketAddrV4| addr.ip().octets()[3] as usize;
-        while let Some(order) = self
+        while let Some(action) = self
             .machines
             .get_mut(&at)
-            .and_then(|machine| machine.brain.as_mut())
-            .and_then(|brain| brain.poll_action(now))
+            .and_then(|machine| machine.controller.as_mut())
+            .and_then(|controller| controller.poll_action(now))
         {
-            match order {
-                Action::Reply { call: slot, reply } => {
+            match action {
+                Action::Reply { call, reply } => {
                     let text = String::from_utf8_lossy(reply.body.bytes()).into_owned();
-                    self.answers.insert(slot.connection, (reply.status, text));
+                    self.answers.insert(call.connection, (reply.status, text));
                 }
-                Action::Send { to, message: word } => {
-                    let lasting = !matches!(
-                        &word,
+                Action::Send { to, message } => {
+                    let counted = !matches!(
+                        &message,
                         ControllerMessage::Consensus(Message::Heartbeat(_))
                             | ControllerMessage::RecentIncarnations(_)
                     );
-                    self.words += lasting as u64;
-                    self.later(WAY, News::Word(at, number(&to), word));
+                    self.message_count += counted as u64;
+                    self.later(ONE_WAY_DELAY, Event::Message(at, number(&to), message));
                 }
-                Action::Notify { to, message: word } => {
-                    for ear in to {
-                        self.heard.entry(ear.0).or_default().push_back(word.clone());
+                Action::Notify { to, message } => {
+                    for subscriber in to {
+                        self.received.entry(subscriber.0).or_default().push_back(message.clone());
                     }
                 }
-                Action::Connect { to } if self.dark.contains(&number(&to)) => {}
-                Action::Connect { to } => self.later(WAY + WAY, News::Opened(at, number(&to))),
+                Action::Connect { to } if self.powered_off.contains(&number(&to)) => {}
+                Action::Connect { to } => {
+                    self.later(ONE_WAY_DELAY + ONE_WAY_DELAY, Event::Opened(at, number(&to)))
+                }
                 Action::AbortConnect { .. } | Action::Log { .. } => {}
-                Action::Store { write_id, state: saved } => {
-                    let machine = self.machines.get_mut(&at).expect("it has just spoken");
+                Action::Store { write_id, state } => {
+                    let machine = self.machines.get_mut(&at).expect("it has just returned an action");
                     if machine.writes == Writes::Hang {
-                        machine.held.push((write_id, saved));
+                        machine.pending_writes.push((write_id, state));
                     } else {
-                        self.later(SYNC, News::Stored(at, write_id, saved));
+                        self.later(SYNC_TIME, Event::Stored(at, write_id, state));
                     }
                 }
                 Action::StoreKnownPeers { addrs } => {
-                    self.machines.get_mut(&at).expect("it has just spoken").known = addrs;
+                    self.machines.get_mut(&at).expect("it has just returned an action").known = addrs;
                 }
             }
         }
     }
 }
 
-/// A request as the sockets bring it.
+/// A request, parsed from the bytes that a caller sends.
 fn request(head: &str, body: &str) -> Request {
     let (mut input, mut out) = (Buffer::default(), Buffer::default());
     input.push(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
-    let facts = HttpServerSettings::new(100, 256.0, 1 << 20).expect("enough of all");
-    match HttpServerConnection::default().read_request(&mut input, &mut out, &facts) {
+    let settings = HttpServerSettings::new(100, 256.0, 1 << 20).expect("enough of all");
+    match HttpServerConnection::default().read_request(&mut input, &mut out, &settings) {
         ReadOutcome::Request(request) => request,
         other => panic!("no request: {other:?}"),
     }
 }
 
-/// A sound configuration; the path of its one route tells it from others of its epoch.
-pub fn plan(epoch: u64, path: &str) -> String {
+/// A valid configuration; the path of its one route tells it from others of its epoch.
+pub fn config_json(epoch: u64, path: &str) -> String {
     format!(
         r#"{{"epoch":{epoch},"routes":[{{"name":"r","authority":"a.example","path_prefix":"/{path}/",
         "traffic_class":"idempotent","deadline_ms":1200,"target_ms":120,"rank":1,"backend":"books","tries":2}}],
--- a/crates/fernknot-controller/tests/disk_format.rs
+++ b/crates/fernknot-controller/tests/disk_format.rs
@@ -8,11 +8,11 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 fn control() -> ControlState {
-    let taken = vec![
+    let history = vec![
         CommittedVersion { epoch: 101, base_epoch: 102, digest: 103 },
         CommittedVersion { epoch: 104, base_epoch: 105, digest: u64::MAX - 106 },
     ];
-    ControlState { epoch: 107, body: b"{\"epoch\":107}".to_vec(), history: taken }
+    ControlState { epoch: 107, body: b"{\"epoch\":107}".to_vec(), history }
 }
 
 /// What the file of known addresses holds: a plain list of them.
--- a/crates/fernknot-controller/tests/old_disk.rs
+++ b/crates/fernknot-controller/tests/old_disk.rs
@@ -1,13 +1,13 @@
-//! Disks that an earlier release left behind are taken up: the configuration is the same, and a change on top of
+//! Disks that an earlier release left behind are read: the configuration is the same, and a change on top of
 //! it is accepted.
 //!
 //! `fixtures/disks` holds the folders of four controllers, the first three of them seeds, written by the programs
 //! of commit 25f41f5: versions 3 and 5 were accepted by all, 8 while the third was down, 13 once it was back. Then
-//! all were told to stop. `fernknot-testbed` starts the real programs on the same folders.
+//! all were stopped. `fernknot-testbed` starts the real programs on the same folders.
 
 mod common;
 
-use common::{Fleet, ms, plan};
+use common::{Fleet, config_json, ms};
 use fernknot_consensus::{PersistentState, Revision, ViewNumber};
 use fernknot_controller::{CommittedVersion, ControlState};
 use fernknot_storage::{Capacity, Storage};
@@ -115,11 +115,11 @@
     for at in NUMBERS {
         assert_eq!(fleet.read(at), (200, recorded_configuration()), "read at {at}");
         assert_eq!(fleet.replace(at, 8, &recorded_configuration()), 200, "its repeat at {at}");
-        assert_eq!(fleet.replace(at, 8, &plan(14, "on another version")), 412);
+        assert_eq!(fleet.replace(at, 8, &config_json(14, "on another version")), 412);
     }
-    assert_eq!(fleet.replace(2, RECORDED_VERSION, &plan(21, "next")), 200);
+    assert_eq!(fleet.replace(2, RECORDED_VERSION, &config_json(21, "next")), 200);
     fleet.run(ms(50));
     for at in NUMBERS {
-        assert_eq!(fleet.read(at), (200, plan(21, "next")), "read at {at}");
+        assert_eq!(fleet.read(at), (200, config_json(21, "next")), "read at {at}");
     }
 }
--- a/crates/fernknot-rpc/src/messages.rs
+++ b/crates/fernknot-rpc/src/messages.rs
@@ -112,7 +112,7 @@
     KnownControllers(Vec<SocketAddrV4>),
 }
 
-/// Where a controller is reached, as gateways are told.
+/// Where a controller is reached, as heartbeats name it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ControllerEndpoint {
     /// Its internal address.
--- a/crates/fernknot-rpc/tests/wire_format.rs
+++ b/crates/fernknot-rpc/tests/wire_format.rs
@@ -19,8 +19,8 @@
 
 /// The name under which a message to a controller or gateway is recorded. A new variant has to be named here, and
 /// given a value below; so with the functions that follow.
-fn recorded_name_of_inward(word: &GatewayToController) -> &'static str {
-    match word {
+fn recorded_name_of_gateway_message(message: &GatewayToController) -> &'static str {
+    match message {
         GatewayToController::Subscribe { subscription: Subscription::All, .. } => "subscribe-to-all",
         GatewayToController::Subscribe { subscription: Subscription::Services(_), .. } => {
             "subscribe-to-services"
@@ -29,14 +29,14 @@
         GatewayToController::Heartbeat { ready: false } => "alive-and-not-ready",
         GatewayToController::RelayedHeartbeats(_) => "alive-downstream",
         GatewayToController::ShuttingDown => "leaving",
-        GatewayToController::Peer(word) => recorded_name_of_peer_word(word),
-        GatewayToController::Inspect(question) => recorded_name_of_question(*question),
+        GatewayToController::Peer(message) => recorded_name_of_controller_message(message),
+        GatewayToController::Inspect(topic) => recorded_name_of_topic(*topic),
         GatewayToController::ForceView { .. } => "force-view",
     }
 }
 
-fn recorded_name_of_peer_word(word: &ControllerMessage) -> &'static str {
-    match word {
+fn recorded_name_of_controller_message(message: &ControllerMessage) -> &'static str {
+    match message {
         ControllerMessage::Identify { .. } => "peer-hello",
         ControllerMessage::Consensus(_) => "peer-consensus",
         ControllerMessage::NodeUpdates(_) => "peer-nodes",
@@ -51,8 +51,8 @@
     }
 }
 
-fn recorded_name_of_question(question: InspectionTopic) -> &'static str {
-    match question {
+fn recorded_name_of_topic(topic: InspectionTopic) -> &'static str {
+    match topic {
         InspectionTopic::Nodes => "ask-nodes",
         InspectionTopic::Views => "ask-views",
         InspectionTopic::Relays => "ask-homes",
@@ -61,8 +61,8 @@
     }
 }
 
-fn recorded_name_of_outward(word: &ControllerToGateway) -> &'static str {
-    match word {
+fn recorded_name_of_subscriber_message(message: &ControllerToGateway) -> &'static str {
+    match message {
         ControllerToGateway::Config { .. } => "told-configuration",
         ControllerToGateway::NodeUpdates(_) => "told-nodes",
         ControllerToGateway::SnapshotComplete => "told-whole",
@@ -154,10 +154,10 @@
     let mut fixtures = Fixtures::open("wire_format.hex");
     let peers = between_controllers().into_iter().map(GatewayToController::Peer);
     for message in to_a_teller().into_iter().chain(peers) {
-        fixtures.check(recorded_name_of_inward(&message), &message);
+        fixtures.check(recorded_name_of_gateway_message(&message), &message);
     }
     for message in to_a_listener() {
-        fixtures.check(recorded_name_of_outward(&message), &message);
+        fixtures.check(recorded_name_of_subscriber_message(&message), &message);
     }
     fixtures.finish();
 }
