--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,4 +1,4 @@
-//! What is taken on, and what is dismissed before any of it is sent.
+//! Admission: which queries are accepted, and which are rejected before any of their parts is sent.
 
 use super::*;
 
--- a/src/decide/answer.rs
+++ b/src/decide/completion.rs
@@ -1,4 +1,4 @@
-//! When a multiget is answered, and how.
+//! Completion: when a query is answered, with which of its parts, and when it is given up.
 
 use super::*;
 
--- a/src/decide/copies.rs
+++ b/src/decide/hedging.rs
@@ -1,4 +1,4 @@
-//! How many copies of a part are planned, and how what is measured ages.
+//! Hedging: how many replicas each part is sent to at once, and how measurements age.
 
 use super::*;
 
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -1,4 +1,4 @@
-//! What may be sent at all: by effects, the ration, jams and cold replicas.
+//! What may be sent at all: by idempotence, the retry budget, overload and nodes that warm up.
 
 use super::*;
 
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -5,21 +5,21 @@
 //! carries out each decision; a `Wake` asks for `next` later, even without news. Ids, times, settings and
 //! decisions are in `interface.rs`, plain containers in `state.rs`; the reasons are in `docs/design.md`.
 //!
-//! A file for each concern: `learn` takes news in, `admission` and `answer` decide of a whole multiget,
-//! `choice`, `further` and `limits` of its parts, `copies` of how many of each are sent.
+//! A file for each concern: `observation` takes in what is measured, `admission` and `completion` decide on a
+//! whole query, `replica_selection`, `retry` and `limits` on its parts, `hedging` on how many copies of each.
 
 mod admission;
-mod answer;
-mod choice;
-mod copies;
-mod further;
-mod learn;
+mod completion;
+mod hedging;
 mod limits;
+mod observation;
+mod replica_selection;
+mod retry;
 
 use crate::interface::*;
 pub use crate::state::Router;
 use crate::state::*;
-pub use copies::{cut_target, service_level};
+pub use hedging::{cut_target, service_level};
 use limits::may_have_run;
 
 /// Weight of one part in the running means of sizes.
--- a/src/decide/learn.rs
+++ b/src/decide/observation.rs
@@ -1,4 +1,4 @@
-//! What is learned of nodes, hand-offs and other routers.
+//! What is learned of nodes, attempts and other routers from what the host observes.
 
 use super::*;
 
--- a/src/decide/choice.rs
+++ b/src/decide/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Which replica a part goes to.
+//! Replica selection: which node an attempt of a part goes to.
 
 use super::*;
 
--- a/src/decide/further.rs
+++ b/src/decide/retry.rs
@@ -1,4 +1,4 @@
-//! Copies and further tries of parts, and the end of those out.
+//! Hedged requests, retries of parts, and the cancellation of attempts still in flight.
 
 use super::*;
 
