--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,8 @@
 //! What passes between the decision module and its host: ids, times, the settings as they are
 //! given, outcomes and decisions. Nothing here decides anything.
 
+#![deny(missing_docs)]
+
 use std::ops::{Add, Sub};
 
 /// Whole nanoseconds, of the host's clock or as a span.
@@ -8,10 +10,12 @@
 pub struct Nanos(pub u64);
 
 impl Nanos {
+    /// From milliseconds; negative ones count as 0.
     pub fn from_millis(ms: f64) -> Nanos {
         Nanos((ms.max(0.0) * 1e6).round() as u64)
     }
 
+    /// In milliseconds.
     pub fn as_millis(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -38,73 +42,103 @@
 }
 
 macro_rules! ids {
-    ($($name:ident($inner:ty)),*) => {$(
+    ($($(#[$doc:meta])* $name:ident($inner:ty)),*) => {$(
+        $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub $inner);
     )*};
 }
 
 ids!(
+    /// A query of a client; never used again by the host.
     MultigetId(u64),
+    /// A node, as the host numbers them.
     NodeId(u32),
+    /// A shard.
     ShardId(u32),
+    /// A place that holds some shards; replicas of a shard stand at the same places.
     PlaceId(u32),
+    /// A failure domain.
     ZoneId(u32),
+    /// An index into the use cases of the settings.
     UseCaseId(usize),
+    /// An index into the customers of the settings.
     CustomerId(usize),
+    /// Another router of the same tier.
     PeerId(u32),
+    /// The number of an attempt among those of its part, from 0 on.
     HandOffNo(u32)
 );
 
 /// A part is known by its multiget and its place among the parts handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId {
+    /// The multiget that it belongs to.
     pub of: MultigetId,
+    /// Its index among the parts of that multiget, in order of arrival.
     pub index: usize,
 }
 
 /// What a repeat of a part may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
+    /// Idempotent: it may be repeated at any time.
     #[default]
     Replayable,
     /// A repeat is dropped for this long after the first hand-off that may have run.
     Referenced(Nanos),
+    /// Non-idempotent: it must not run twice.
     SingleUse,
 }
 
+/// The settings of a use case: a kind of queries with one latency target and one value.
 #[derive(Clone, Debug, Default)]
 pub struct UseCaseFacts {
+    /// The latency target.
     pub goal: Nanos,
     /// How long a client waits in all, over all its tries.
     pub hard_limit: Nanos,
+    /// The value of an answer in time, relative to other use cases.
     pub earnings: f64,
     /// The worth of a late answer, as a share.
     pub late_share: f64,
     /// The worth of a partial answer is the square of the share that is in.
     pub squared: bool,
+    /// Whether its parts are idempotent.
     pub effect: Effect,
     /// The goal time grows by this multiple of the multiget's own work.
     pub stretch: f64,
+    /// The share of the weight that makes an answer complete.
     pub need: f64,
+    /// The smallest share of the weight that may be answered at all (quorum).
     pub floor: f64,
+    /// Its queries run in two phases.
     pub second_step: bool,
     /// To how many nodes one of its parts may be handed in all; `None` for the site's number.
     pub most_hand_offs: Option<u32>,
 }
 
+/// Slow start: how much a node that has just started may be sent.
 #[derive(Clone, Debug, Default)]
 pub struct ColdFacts {
+    /// The share of its capacity that a node has at its start.
     pub from: f64,
+    /// The time after its start at which it has its full capacity; linear until then.
     pub warm_after: Nanos,
+    /// How many times its share of the work that warm nodes take in a window it may be sent.
     pub multiple: f64,
+    /// The window over which that is counted.
     pub window: Nanos,
 }
 
+/// The retry budget: how many attempts beyond the first of each part may be sent in a window.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetFacts {
+    /// So many attempts in any case.
     pub free: f64,
+    /// And this share of the parts that were accepted.
     pub share: f64,
+    /// The sliding window that both are counted over.
     pub window: Nanos,
     /// The ration counts for each shard apart, against the parts that this shard is asked for.
     pub each_shard: bool,
@@ -113,21 +147,33 @@
 /// The settings as given when a router starts.
 #[derive(Clone, Debug, Default)]
 pub struct SiteFacts {
+    /// How many routers share the load and the limits; 1 at least.
     pub routers: usize,
+    /// The use cases, by [`UseCaseId`].
     pub use_cases: Vec<UseCaseFacts>,
     /// Where use cases come and go, the least goal time that latencies are told apart for.
     pub shortest_goal: Option<Nanos>,
     /// For each customer, multigets a second inside its share, over all routers.
     pub customers: Vec<f64>,
+    /// The resolution of the host's clock: nothing is decided on finer spans.
     pub tick: Nanos,
+    /// Slow start of nodes.
     pub cold: ColdFacts,
+    /// The retry budget; `None`: unlimited.
     pub budget: Option<BudgetFacts>,
+    /// How many places the shards are spread over.
     pub places: u32,
+    /// How many places after one another hold a shard.
     pub width: u32,
+    /// Attempts may be cancelled at their node.
     pub cancel: bool,
+    /// A part may have more than one attempt in flight (hedged requests).
     pub second_copies: bool,
+    /// How many nodes one part may be sent to in all.
     pub most_hand_offs: u32,
+    /// The longest time after which a rejected client may be told to come back.
     pub longest_wait: Option<Nanos>,
+    /// Changes of the node list arrive only when they are asked for.
     pub must_ask: bool,
     /// Routers may send each other short messages.
     pub peers: bool,
@@ -141,35 +187,51 @@
     pub refusals_cost: bool,
 }
 
+/// The state of a node according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
+    /// It takes new attempts.
     Running,
+    /// It completes what it has and takes nothing new.
     Draining,
+    /// It has ended.
     Gone,
 }
 
+/// One entry of the node list.
 #[derive(Clone, Debug)]
 pub struct NodeEntry {
+    /// The node.
     pub node: NodeId,
+    /// Where it stands: which shards it holds follows from that.
     pub place: PlaceId,
     /// Its zone, where the list tells.
     pub zone: Option<ZoneId>,
+    /// Its state.
     pub health: Health,
     /// When it last started, if lately.
     pub since: Nanos,
 }
 
+/// What a list holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
+    /// Only the entries that changed.
     Changes,
+    /// All nodes: one that is not named has gone.
     Full,
 }
 
+/// A multiget that a client has sent.
 #[derive(Clone, Debug)]
 pub struct Arrival {
+    /// Its id, never used again.
     pub multiget: MultigetId,
+    /// Its use case.
     pub use_case: UseCaseId,
+    /// Whose rate limit it counts against.
     pub customer: CustomerId,
+    /// When its client gives up.
     pub client_end: Nanos,
     /// The client has asked before and says so.
     pub repeat: bool,
@@ -185,9 +247,11 @@
 pub struct SecondFacts {
     /// The time that it is expected to take, and the least that it takes for certain.
     pub needs: Nanos,
+    /// The time that it takes at the least.
     pub needs_least: Nanos,
     /// The parts that it is expected to have, and the work of one, where the host is told.
     pub parts: f64,
+    /// The expected work of one of these parts, where the host is told.
     pub effort: Option<Nanos>,
     /// The share of the first phase with which the second may be opened.
     pub least: f64,
@@ -204,87 +268,135 @@
     pub whole: bool,
 }
 
+/// One part of a multiget.
 #[derive(Clone, Debug)]
 pub struct PartArrival {
+    /// Its id.
     pub part: PartId,
+    /// The shard that it asks.
     pub shard: ShardId,
+    /// Its share of the whole answer.
     pub weight: f64,
+    /// Its expected work, where the host is told.
     pub effort: Option<Nanos>,
 }
 
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// With an answer.
     Answered,
+    /// With a failure of the node.
     Error,
+    /// Rejected by the node before it ran.
     TurnedAway,
+    /// Without an answer until its end.
     TimedOut,
+    /// Without a connection, or one that broke: it may have run.
     Unreachable,
+    /// With something that is not a valid answer.
     Broken,
+    /// Cancelled by the module.
     CalledOff,
+    /// Not a byte of it was sent: it cannot have run.
     NeverSent,
 }
 
 /// A node's own account of its load, as far as it gives one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
+    /// How busy it is, from 0 to 1.
     pub busy_share: Option<f64>,
+    /// How many parts are in its queue.
     pub waiting: Option<f64>,
 }
 
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct Ending {
+    /// The part.
     pub part: PartId,
+    /// Which attempt of the part.
     pub no: HandOffNo,
+    /// The node that it was sent to.
     pub node: NodeId,
+    /// How it ended.
     pub outcome: Outcome,
+    /// How long it took.
     pub took: Nanos,
+    /// What the node said of its load.
     pub report: LoadReport,
 }
 
 /// What a router tells the others of one hand-off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum News {
+    /// It was sent.
     Sent,
+    /// It was answered, after so long.
     Answered(Nanos),
+    /// It takes much longer than expected.
     Overdue,
+    /// It failed.
     Failed,
 }
 
+/// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
+    /// Send an attempt.
     HandOff {
+        /// The part.
         part: PartId,
+        /// The node to send it to.
         node: NodeId,
+        /// When to give it up as timed out.
         stop_at: Nanos,
     },
+    /// Cancel an attempt.
     CallOff {
+        /// The part.
         part: PartId,
+        /// Which attempt of the part.
         no: HandOffNo,
     },
     /// `last` is false for the answer that brings a second step.
     Settle {
+        /// Which multiget.
         multiget: MultigetId,
+        /// The answer is complete.
         whole: bool,
+        /// The final one.
         last: bool,
     },
+    /// Reject a multiget before anything of it was sent, or when nothing can have run.
     Dismiss {
+        /// Which multiget.
         multiget: MultigetId,
+        /// When its client is to come back.
         wait: Nanos,
     },
+    /// End a multiget without an answer: something of it may have run.
     BreakOff {
+        /// Which multiget.
         multiget: MultigetId,
     },
+    /// Ask for the changes of the node list.
     FollowList,
     /// Sends nothing further over connections to a node that have been silent for as long as
     /// something has been out on them.
     Renew {
+        /// The node.
         node: NodeId,
     },
     /// To all other routers.
     Tell {
+        /// Nodes, and what happened to an attempt there.
         news: Vec<(NodeId, News)>,
     },
+    /// Ask again after so long, even if nothing happens.
     Wake {
+        /// A span from now.
         after: Nanos,
     },
 }
--- /dev/null
+++ b/src/state/budget.rs
@@ -0,0 +1,149 @@
+//! Counts over a sliding window, the retry budget that is spent from them, and token buckets.
+
+use crate::interface::{Nanos, ShardId};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Amounts of the last while, kept to the instant.
+#[derive(Clone, Debug, Default)]
+pub struct SlidingCount {
+    held: VecDeque<(Nanos, f64)>,
+}
+
+impl SlidingCount {
+    /// Adds an amount that came at this time; times must not fall.
+    pub fn add(&mut self, at: Nanos, amount: f64) {
+        self.held.push_back((at, amount));
+    }
+
+    /// The sum of what came less than `span` ago.
+    pub fn within(&self, now: Nanos, span: Nanos) -> f64 {
+        let recent = self.held.iter().rev().take_while(|(at, _)| now - *at < span);
+        recent.map(|(_, amount)| amount).sum()
+    }
+
+    /// Nothing is kept.
+    pub fn is_empty(&self) -> bool {
+        self.held.is_empty()
+    }
+
+    /// Drops what is older than `span`.
+    pub fn forget(&mut self, now: Nanos, span: Nanos) {
+        while self.held.front().is_some_and(|(at, _)| now - *at > span) {
+            self.held.pop_front();
+        }
+    }
+}
+
+/// Parts taken, and hand-offs past the first of each.
+#[derive(Clone, Debug, Default)]
+pub struct Spent {
+    /// Parts accepted.
+    pub taken: SlidingCount,
+    /// Attempts beyond the first of a part.
+    pub further: SlidingCount,
+}
+
+impl Spent {
+    fn forget(&mut self, now: Nanos, span: Nanos) -> bool {
+        self.taken.forget(now, span);
+        self.further.forget(now, span);
+        self.taken.is_empty() && self.further.is_empty()
+    }
+}
+
+/// What all shards spent together, multigets counted as taken too, and where wanted each shard alone.
+#[derive(Clone, Debug, Default)]
+pub struct Spending {
+    /// Over all shards.
+    pub all: Spent,
+    each: Option<BTreeMap<ShardId, Spent>>,
+}
+
+impl Spending {
+    /// Nothing spent yet; `each_shard` keeps a count for each shard too.
+    pub fn new(each_shard: bool) -> Spending {
+        Spending { all: Spent::default(), each: each_shard.then(BTreeMap::new) }
+    }
+
+    /// How many shards have spending of their own.
+    pub(crate) fn shard_count(&self) -> usize {
+        self.each.as_ref().map_or(0, BTreeMap::len)
+    }
+
+    /// That of the shard or, where those are not kept apart, of all.
+    pub fn of(&self, shard: ShardId) -> Option<&Spent> {
+        self.each.as_ref().map_or(Some(&self.all), |each| each.get(&shard))
+    }
+
+    /// Counts an accepted part.
+    pub fn take(&mut self, now: Nanos, shard: ShardId) {
+        self.all.taken.add(now, 1.0);
+        let own = self.each.as_mut().map(|each| each.entry(shard).or_default());
+        own.into_iter().for_each(|own| own.taken.add(now, 1.0));
+    }
+
+    /// Counts an attempt beyond the first.
+    pub fn send_further(&mut self, now: Nanos, shard: ShardId) {
+        self.all.further.add(now, 1.0);
+        let own = self.each.as_mut().map(|each| each.entry(shard).or_default());
+        own.into_iter().for_each(|own| own.further.add(now, 1.0));
+    }
+
+    /// Drops what is older than `span`, and shards without any.
+    pub fn forget(&mut self, now: Nanos, span: Nanos) {
+        self.all.forget(now, span);
+        self.each.iter_mut().for_each(|each| each.retain(|_, own| !own.forget(now, span)));
+    }
+}
+
+/// A fill of so much a second, up to a limit, from which takings are drawn.
+#[derive(Clone, Debug)]
+pub struct Allowance {
+    /// Tokens a second.
+    pub rate: f64,
+    limit: f64,
+    left: f64,
+    since: Nanos,
+}
+
+impl Allowance {
+    /// A full bucket of `limit` tokens.
+    pub fn new(rate: f64, limit: f64, now: Nanos) -> Allowance {
+        Allowance { rate, limit, left: limit, since: now }
+    }
+
+    /// A rate so many times as high from now on.
+    pub fn scale(&mut self, now: Nanos, factor: f64) {
+        self.fill(now);
+        self.rate *= factor;
+        self.limit = (self.limit * factor).max(1.0);
+        self.left = self.left.min(self.limit);
+    }
+
+    fn fill(&mut self, now: Nanos) {
+        self.left = (self.left + self.rate * (now - self.since).0 as f64 / 1e9).min(self.limit);
+        self.since = now;
+    }
+
+    /// What there is now.
+    pub fn left(&mut self, now: Nanos) -> f64 {
+        self.fill(now);
+        self.left
+    }
+
+    /// When there will be so much, up to its limit; a little later, so that rounding leaves nothing out.
+    pub fn reaches(&self, wanted: f64) -> Nanos {
+        let missing = (wanted - self.left).max(0.0) / self.rate;
+        self.since + Nanos((missing * 1e9) as u64 + 1000)
+    }
+
+    /// Draws one, if there is one.
+    pub fn draw(&mut self, now: Nanos) -> bool {
+        self.fill(now);
+        let enough = self.left >= 1.0;
+        if enough {
+            self.left -= 1.0;
+        }
+        enough
+    }
+}
--- /dev/null
+++ b/src/state/query.rs
@@ -0,0 +1,169 @@
+//! A query in flight: its parts and their attempts.
+
+use crate::interface::*;
+use std::collections::BTreeMap;
+
+/// One attempt of a part.
+#[derive(Clone, Debug)]
+pub struct HandOff {
+    /// The node that it was sent to.
+    pub node: NodeId,
+    /// When it was sent.
+    pub sent: Nanos,
+    /// How long it was expected to take.
+    pub expected: Nanos,
+    /// The work in hand at its node when it was sent, itself included.
+    pub ahead: f64,
+    /// How it ended; `None` while it is in flight.
+    pub outcome: Option<Outcome>,
+    /// It was cancelled.
+    pub called_off: bool,
+    /// It has been counted as a miss of its node while still out.
+    pub missed: bool,
+}
+
+/// Sizes of work by node.
+pub type Loads = BTreeMap<NodeId, f64>;
+
+impl HandOff {
+    /// An attempt that is sent now.
+    pub fn new(offer: &Offer, sent: Nanos, ahead: f64) -> HandOff {
+        HandOff {
+            node: offer.node,
+            sent,
+            expected: offer.delay,
+            ahead,
+            outcome: None,
+            called_off: false,
+            missed: false,
+        }
+    }
+}
+
+/// A use case, and whether it is the second of its two phases.
+pub type Kind = (UseCaseId, bool);
+
+/// One part of a multiget: the query to one shard.
+#[derive(Clone, Debug)]
+pub struct Part {
+    /// Its id.
+    pub id: PartId,
+    /// The shard that it asks.
+    pub shard: ShardId,
+    /// Its share of the whole answer.
+    pub weight: f64,
+    /// Its expected work, relative to the mean part.
+    pub size: f64,
+    /// Logarithm of the work hinted at.
+    pub hint: Option<f64>,
+    /// Whether it may be repeated.
+    pub effect: Effect,
+    /// Its use case and phase.
+    pub kind: Kind,
+    /// All its attempts, in order.
+    pub hand_offs: Vec<HandOff>,
+    /// An answer is in.
+    pub answered: bool,
+    /// No further attempt is made.
+    pub given_up: bool,
+}
+
+impl Part {
+    /// One that may be repeated, of a first phase, with no hint.
+    pub fn new(arrival: &PartArrival, use_case: UseCaseId, size: f64) -> Part {
+        Part {
+            id: arrival.part,
+            shard: arrival.shard,
+            weight: arrival.weight,
+            size,
+            hint: None,
+            effect: Effect::Replayable,
+            kind: (use_case, false),
+            hand_offs: Vec::new(),
+            answered: false,
+            given_up: false,
+        }
+    }
+
+    /// The attempts in flight.
+    pub fn out(&self) -> impl Iterator<Item = &HandOff> {
+        self.hand_offs.iter().filter(|sent| sent.outcome.is_none())
+    }
+}
+
+/// A query in flight.
+#[derive(Clone, Debug)]
+pub struct Multiget {
+    /// Its use case.
+    pub use_case: UseCaseId,
+    /// Whose rate limit it counts against.
+    pub customer: CustomerId,
+    /// When to have answered: the goal time, or sooner where clients leave sooner.
+    pub aim_end: Nanos,
+    /// When nothing more can be earned.
+    pub until: Nanos,
+    /// Both, as they are for the multiget as a whole while its first phase has less.
+    pub whole_ends: (Nanos, Nanos),
+    /// When its client gives up.
+    pub client_end: Nanos,
+    /// Of its second phase, while the first one runs, and the work counted as promised to it.
+    pub second: Option<SecondFacts>,
+    /// The sizes of work reserved for its second phase.
+    pub promised: f64,
+    /// Its second phase, once that is open.
+    pub opened: Option<SecondStep>,
+    /// Its parts, those of the first phase first.
+    pub parts: Vec<Part>,
+    /// Where the parts of the present step begin.
+    pub step_from: usize,
+    /// No part of the present step has been looked at yet.
+    pub fresh: bool,
+    /// Its other parts wait for the first one's answer.
+    pub scouting: bool,
+    /// Nothing was missing from its first phase.
+    pub first_whole: bool,
+    /// When it is to be looked at without news.
+    pub look_at: Nanos,
+    /// It has had its final answer; kept only for what is still out.
+    pub ended: bool,
+}
+
+impl Multiget {
+    /// One that has just arrived, without parts.
+    pub fn new(arrival: &Arrival, aim_end: Nanos, until: Nanos) -> Multiget {
+        Multiget {
+            use_case: arrival.use_case,
+            customer: arrival.customer,
+            aim_end,
+            until,
+            whole_ends: (aim_end, until),
+            client_end: arrival.client_end,
+            second: None,
+            promised: 0.0,
+            opened: None,
+            parts: Vec::new(),
+            step_from: 0,
+            fresh: true,
+            scouting: false,
+            first_whole: true,
+            look_at: Nanos(0),
+            ended: false,
+        }
+    }
+
+    /// The parts of the present phase.
+    pub fn step(&self) -> &[Part] {
+        &self.parts[self.step_from..]
+    }
+}
+
+/// What is expected of a part at a node; `phi` is the chance of an answer in time.
+#[derive(Clone, Copy)]
+pub struct Offer {
+    /// The node.
+    pub node: NodeId,
+    /// The expected time to an answer.
+    pub delay: Nanos,
+    /// The chance of an answer in time.
+    pub phi: f64,
+}
--- /dev/null
+++ b/src/state/router.rs
@@ -0,0 +1,119 @@
+//! All that one router knows.
+
+use super::budget::{Allowance, SlidingCount, Spending};
+use super::groups::Groups;
+use super::histogram::Histogram;
+use super::node::Node;
+use super::places::Places;
+use super::query::Multiget;
+use super::random::Mwc;
+use super::statistics::{RunningMean, Trend};
+use super::use_case::UseCase;
+use crate::interface::*;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// All that a router knows; what it makes of it is in `decide`.
+#[derive(Default)]
+pub struct Router {
+    pub(crate) use_cases: Vec<UseCase>,
+    pub(crate) by_work: bool,
+    pub(crate) unmarked: bool,
+    pub(crate) refusals_cost: bool,
+    pub(crate) zone: Option<ZoneId>,
+    /// Among how many routers limits are shared.
+    pub(crate) sharers: f64,
+    /// Multigets within each customer's share at this router.
+    pub(crate) shares: Vec<Allowance>,
+    pub(crate) tick: Nanos,
+    pub(crate) shortest_goal: Nanos,
+    /// What that never falls under, and the empty histogram that all are made from.
+    pub(crate) least_goal: Nanos,
+    pub(crate) bins: Histogram,
+    pub(crate) cold: ColdFacts,
+    /// What a warm replica could answer to this router, in sizes a nanosecond.
+    pub(crate) bears: RunningMean,
+    /// How busy warm replicas are.
+    pub(crate) busy_all: f64,
+    pub(crate) budget: Option<BudgetFacts>,
+    pub(crate) places: u32,
+    pub(crate) width: u32,
+    pub(crate) cancel: bool,
+    pub(crate) second_copies: bool,
+    pub(crate) most_hand_offs: usize,
+    pub(crate) longest_wait: Nanos,
+    /// When to ask to be told of changes of the list, where that must be asked.
+    pub(crate) ask_at: Option<Nanos>,
+    pub(crate) must_ask: bool,
+    pub(crate) ask_wait: f64,
+    /// What the other routers are to be told, where they may be, and when.
+    pub(crate) peers: bool,
+    pub(crate) news: Vec<(NodeId, News)>,
+    pub(crate) tell_at: Option<Nanos>,
+    pub(crate) chance: Mwc,
+    pub(crate) nodes: BTreeMap<NodeId, Node>,
+    pub(crate) by_place: Places,
+    pub(crate) open: BTreeMap<MultigetId, Multiget>,
+    /// What all replicas showed whose work is alike.
+    pub(crate) groups: Groups,
+    /// Hints of work against latencies, as logarithms.
+    pub(crate) hints: Trend,
+    /// Planned copies, and first hand-offs of the running period.
+    pub(crate) plan: BTreeMap<(ShardId, UseCaseId), usize>,
+    pub(crate) sends: BTreeMap<(ShardId, UseCaseId), f64>,
+    pub(crate) turns: BTreeMap<ShardId, usize>,
+    pub(crate) replan_at: Nanos,
+    pub(crate) mean_copies: f64,
+    pub(crate) first_sends: SlidingCount,
+    pub(crate) spent: Spending,
+    /// The share of the goal time that the expected delay of multigets fills.
+    pub(crate) met: RunningMean,
+    /// Sizes promised to second phases of multigets whose first one runs.
+    pub(crate) promised: f64,
+    /// When a multiget was last dismissed for the delay it would meet.
+    pub(crate) shed_at: Option<Nanos>,
+    pub(crate) touched: VecDeque<MultigetId>,
+    pub(crate) due: BTreeSet<(Nanos, MultigetId)>,
+    pub(crate) wake_at: Option<Nanos>,
+    pub(crate) ready: VecDeque<Decision>,
+}
+
+impl Router {
+    /// This router's part of the further hand-offs that are free, from now on.
+    pub fn slack(&mut self, free: f64) {
+        self.budget.iter_mut().for_each(|budget| budget.free = free);
+    }
+
+    /// From now on the work of this place is alike to that of all others in this group, and its replicas are
+    /// averaged with theirs. Guards what is unheard of one service against passing for another's.
+    pub fn group(&mut self, place: PlaceId, group: u32) {
+        self.groups.put(place, group);
+    }
+}
+
+/// How much a router holds, to be watched over days.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeldCounts {
+    /// Queries in flight.
+    pub multigets: usize,
+    /// Nodes known.
+    pub nodes: usize,
+    /// Places with nodes.
+    pub places: usize,
+    /// Shards with a turn, and those with spending of their own.
+    pub turns: usize,
+    /// Shards with spending of their own.
+    pub spending: usize,
+}
+
+impl Router {
+    /// Counts what is kept, to show that it is bounded.
+    pub fn held(&self) -> HeldCounts {
+        HeldCounts {
+            multigets: self.open.len(),
+            nodes: self.nodes.len(),
+            places: self.by_place.len(),
+            turns: self.turns.len(),
+            spending: self.spent.shard_count(),
+        }
+    }
+}
