--- /dev/null
+++ b/crates/fernknot-consensus/src/forced_view.rs
@@ -0,0 +1,148 @@
+//! A view by an operator's order, where more disks are lost than is tolerated. It has no votes behind it but the
+//! operator's word that the others are lost; its number is above all that they could still reach by themselves, and
+//! whoever hears of it and is not in it continues as a new member.
+
+use std::cmp::Reverse;
+use std::net::SocketAddrV4;
+
+use crate::replica::Replica;
+use crate::state::attempt::StateSnapshot;
+use crate::state::peers::Peer;
+use crate::types::{
+    AcceptedView, ChosenView, ForceViewError, Member, Revision, SeededBug, StatePosition, VIEWS_PER_ERA,
+    View, ViewNumber, ViewStart,
+};
+
+/// Within an era, a random fork separates two views that are forced at once by operators who don't know of each other.
+/// So many regular views may follow a forced one before the next fork.
+const VIEWS_PER_FORK: u64 = 1 << 16;
+const MAX_VIEW_NUMBER: u64 = u32::MAX as u64;
+/// Revisions continue from a multiple of this: above all that was committed by those who are lost.
+const REVISIONS_PER_ERA: u64 = 1 << 32;
+
+/// The newest state on this disk, and its place.
+struct NewestState {
+    view: ViewNumber,
+    snapshot: StateSnapshot,
+}
+
+impl Replica {
+    /// Makes a view of this replica and of the voters that it hears, if the others are named as lost.
+    pub fn force_view(&mut self, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceViewError> {
+        self.check_may_force()?;
+        let survivors = self.survivors(lost)?;
+        let newest = self.newest_state();
+        self.check_has_newest(&newest, &survivors)?;
+        let start = self.forced_view_start(newest.snapshot.revision)?;
+        let mut members = vec![self.me().clone()];
+        members.extend(survivors);
+        let view = View { number: start.view, members, former_voters: Vec::new() };
+        let view_starts = self.chosen().view_starts_with(start);
+        self.disk.state.accepted = None;
+        self.adopt_view(ChosenView { view, view_starts });
+        self.disk.state.state_view = start.view;
+        self.disk.state.revision = start.revision;
+        self.disk.state.state = newest.snapshot.state;
+        Ok(start.view)
+    }
+
+    fn check_may_force(&self) -> Result<(), ForceViewError> {
+        if self.view().number == ViewNumber(0) {
+            return Err(ForceViewError::NoState);
+        }
+        if !self.disk_healthy() {
+            return Err(ForceViewError::DiskUnhealthy);
+        }
+        if !self.clock.has_listened(self.now()) {
+            return Err(ForceViewError::StillListening);
+        }
+        Ok(())
+    }
+
+    /// The other voters that are heard, if they and this one are no majority and all others are named as lost.
+    fn survivors(&self, lost: &[SocketAddrV4]) -> Result<Vec<Member>, ForceViewError> {
+        let view = self.view();
+        let mut survivors = Vec::new();
+        let mut votes = 0;
+        for voter in view.voters() {
+            if view.is_same_replica(voter, self.me()) {
+                votes += usize::from(!self.recovery.outdated);
+                continue;
+            }
+            let address = self.address_of(voter);
+            let is_named = lost.contains(&address) || lost.contains(&voter.addr);
+            let is_replaced = self.peers.is_replaced(voter);
+            let heard = self.peers.get(voter.id).filter(|peer| peer.was_heard(&self.clock) && !is_replaced);
+            match heard {
+                Some(_) if is_named => return Err(ForceViewError::LostMemberReachable(address)),
+                Some(peer) => {
+                    votes += usize::from(self.may_vote(peer));
+                    survivors.push(peer.heartbeat.sender.clone());
+                }
+                None if is_named || is_replaced => {}
+                None => return Err(ForceViewError::UnreachableNotNamed(address)),
+            }
+        }
+        if view.is_majority(votes) {
+            return Err(ForceViewError::MajorityReachable);
+        }
+        Ok(survivors)
+    }
+
+    /// An outdated disk votes on nothing by itself.
+    fn may_vote(&self, peer: &Peer) -> bool {
+        let is_stuck = !peer.heartbeat.disk_healthy || peer.recovers_too_long(&self.clock);
+        !(peer.heartbeat.recovering && is_stuck)
+    }
+
+    /// The newest state on this disk, that of an accepted next view included.
+    fn newest_state(&self) -> NewestState {
+        let disk = &self.disk.state;
+        let stored = disk.state_position();
+        match &disk.accepted {
+            Some(AcceptedView { next, revision, state, .. })
+                if (StatePosition { view: next.view.number, revision: *revision }) > stored =>
+            {
+                let state = state.clone().unwrap_or_else(|| disk.state.clone());
+                let snapshot = StateSnapshot { revision: *revision, state };
+                NewestState { view: next.view.number, snapshot }
+            }
+            _ => {
+                let snapshot = StateSnapshot { revision: stored.revision, state: disk.state.clone() };
+                NewestState { view: stored.view, snapshot }
+            }
+        }
+    }
+
+    /// No replica that is heard knows of a later view, and no survivor has a newer state; of several that have the same,
+    /// the view is forced at the one with the smallest id.
+    fn check_has_newest(&self, newest: &NewestState, survivors: &[Member]) -> Result<(), ForceViewError> {
+        let own = StatePosition { view: newest.view, revision: newest.snapshot.revision };
+        for peer in self.peers.iter().filter(|peer| peer.was_heard(&self.clock)) {
+            let heartbeat = &peer.heartbeat;
+            let stored = StatePosition { view: heartbeat.state_view, revision: heartbeat.revision };
+            let survives = survivors.iter().any(|member| member.id == heartbeat.sender.id);
+            let comes_first = (stored, Reverse(heartbeat.sender.id)) > (own, Reverse(self.member_id()));
+            if heartbeat.view > self.view().number || (survives && comes_first) {
+                return Err(ForceViewError::PeerMoreRecent(heartbeat.sender.addr));
+            }
+        }
+        Ok(())
+    }
+
+    /// The first number of a fork in the next era, and the first revision above all that the lost could reach.
+    fn forced_view_start(&mut self, newest: Revision) -> Result<ViewStart, ForceViewError> {
+        let fork = self.random.next() % (VIEWS_PER_ERA / VIEWS_PER_FORK);
+        let current = self.view().number;
+        let era_start = (current.era() + 1).saturating_mul(VIEWS_PER_ERA);
+        let view = ViewNumber(era_start.saturating_add(fork * VIEWS_PER_FORK));
+        if view.0 > MAX_VIEW_NUMBER - VIEWS_PER_ERA {
+            return Err(ForceViewError::ViewNumbersExhausted);
+        }
+        if self.has_bug(SeededBug::UnfencedForcedView) {
+            return Ok(ViewStart { view: ViewNumber(current.0 + 1), revision: newest });
+        }
+        let revision = Revision((newest.0 / REVISIONS_PER_ERA + 1).saturating_mul(REVISIONS_PER_ERA));
+        Ok(ViewStart { view, revision })
+    }
+}
--- /dev/null
+++ b/crates/fernknot-consensus/src/heartbeats.rs
@@ -0,0 +1,136 @@
+//! Heartbeats: what a replica reports of itself to those it may reach, and what it learns from those of others.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+use crate::replica::Replica;
+use crate::types::{HeartbeatEcho, MemberId, Message, PeerHeartbeat};
+
+impl Replica {
+    /// Sends a heartbeat to everybody that should hear from this replica.
+    pub fn send_heartbeats(&mut self) {
+        self.heartbeat_timer.restart(self.clock.now);
+        let heartbeat = self.heartbeat();
+        for (to, echo) in self.heartbeat_receivers() {
+            self.send(to, Message::Heartbeat(PeerHeartbeat { echo, ..heartbeat.clone() }));
+        }
+        // Messages may be lost, and the view may have changed since the read indexes were requested.
+        self.send_read_index_requests();
+    }
+
+    /// What this replica reports of itself. It vouches only for what is durable.
+    fn heartbeat(&self) -> PeerHeartbeat {
+        let durable = &self.disk.durable;
+        let view = self.view();
+        let reachable = self.peers.iter().filter(|peer| self.is_reachable(peer));
+        let suspected = view.members.iter().filter(|member| self.is_suspected(member));
+        PeerHeartbeat {
+            sender: self.me().clone(),
+            view: durable.prepared.view,
+            state_view: durable.state.view,
+            revision: durable.state.revision,
+            prepared: durable.prepared.proposal,
+            accepted: durable.accepted.proposal,
+            recovering: !self.recovery.complete,
+            commit_revision: self.replication.commit_revision,
+            view_active: self.activation.active && self.disk.durable_view() == view.number,
+            changing_view: self.is_changing_view(),
+            disk_healthy: self.disk_healthy() && !self.recovery.outdated,
+            incarnation: self.incarnation,
+            sent_at: self.clock.now.0,
+            echo: HeartbeatEcho::default(),
+            reachable: reachable.map(|peer| peer.heartbeat.sender.id).collect(),
+            suspected: suspected.map(|member| member.id).collect(),
+        }
+    }
+
+    /// Where heartbeats go, and what each of them echoes.
+    fn heartbeat_receivers(&self) -> BTreeMap<SocketAddrV4, HeartbeatEcho> {
+        let mut receivers: BTreeMap<SocketAddrV4, HeartbeatEcho> = BTreeMap::new();
+        for peer in self.peers.iter().filter(|peer| peer.was_heard(&self.clock)) {
+            let PeerHeartbeat { incarnation, sent_at, .. } = peer.heartbeat;
+            receivers.insert(peer.heartbeat.sender.addr, HeartbeatEcho { incarnation, sent_at });
+        }
+        let next = self.disk.state.accepted.iter().flat_map(|accepted| &accepted.next.view.members);
+        for member in self.view().members.iter().chain(next) {
+            receivers.entry(self.address_of(member)).or_default();
+        }
+        if self.asks_everywhere() {
+            for address in self.peers.addresses() {
+                receivers.entry(*address).or_default();
+            }
+        }
+        receivers.remove(&self.me().addr);
+        receivers
+    }
+
+    /// Whether heartbeats go to all known addresses.
+    fn asks_everywhere(&self) -> bool {
+        let view = self.view();
+        // A replica that is alone asks everywhere: those it knew may all be gone.
+        let in_touch = view.voters().filter(|voter| !self.is_suspected(voter)).count();
+        // Replicas that a forced view has excluded may be content with each other, and hear of it only so.
+        let leads_forced_view =
+            view.number.era() > 0 && view.members.first().is_some_and(|first| self.is_me(first));
+        leads_forced_view || !self.activation.active || !view.is_majority(in_touch) || !self.is_member()
+    }
+
+    /// Another replica's report.
+    pub fn handle_heartbeat(&mut self, from: SocketAddrV4, heartbeat: PeerHeartbeat) {
+        let id = heartbeat.sender.id;
+        if id == self.member_id() || id == MemberId(0) {
+            return;
+        }
+        self.peers.learn_address(from);
+        if !self.peers.make_room_for(id, &self.disk.state.chosen.view) {
+            return;
+        }
+        let known = self.peers.get(id);
+        let was_reachable = known.is_some_and(|peer| self.is_reachable(peer));
+        let was_away = known.is_none_or(|peer| {
+            !peer.was_heard(&self.clock) || peer.heartbeat.incarnation != heartbeat.incarnation
+        });
+        if known.is_some_and(|peer| is_outdated(&heartbeat, &peer.heartbeat)) {
+            return;
+        }
+        self.peers.record_heartbeat(&heartbeat, self.incarnation, self.clock.now);
+        let is_reachable = self.peers.get(id).is_some_and(|peer| self.is_reachable(peer));
+        let is_ahead = heartbeat.view > self.view().number;
+        self.heartbeat_timer.request_if(is_reachable != was_reachable || was_away || is_ahead);
+        self.answer_heartbeat(from, &heartbeat);
+    }
+
+    fn answer_heartbeat(&mut self, from: SocketAddrV4, heartbeat: &PeerHeartbeat) {
+        self.answer_recovery(from, heartbeat);
+        self.reset_outdated_disk(heartbeat);
+        self.send_missing_state(from, heartbeat);
+        self.follow_leader(heartbeat);
+        self.activate_when_replicated();
+        self.commit_when_replicated();
+    }
+
+    /// What the leader's heartbeat says of the view and of what is committed in it.
+    pub fn follow_leader(&mut self, heartbeat: &PeerHeartbeat) {
+        let view = self.view();
+        if heartbeat.view != view.number {
+            return;
+        }
+        let is_active = self.activation.active;
+        let may_activate = heartbeat.view_active && !is_active && self.has_view_state();
+        if may_activate && !self.is_changing_view() && !self.may_lead() {
+            let leader = view.members.first().map(|member| member.id);
+            if leader != Some(self.member_id()) && leader == Some(heartbeat.sender.id) {
+                self.replication.commit_through(heartbeat.commit_revision);
+                self.activate_view();
+            }
+        } else if is_active && !self.may_lead() {
+            self.replication.commit_through(heartbeat.commit_revision);
+            self.deliver();
+        }
+    }
+}
+
+/// Whether the heartbeat is duplicated or overtaken by another of the same process.
+fn is_outdated(heartbeat: &PeerHeartbeat, newest: &PeerHeartbeat) -> bool {
+    newest.incarnation == heartbeat.incarnation && newest.sent_at >= heartbeat.sent_at
+}
--- a/crates/fernknot-consensus/src/lib.rs
+++ b/crates/fernknot-consensus/src/lib.rs
@@ -1,14 +1,35 @@
-//! The control state of the controllers: a register of whole states in one total order, kept in
-//! numbered views. No I/O and no clock: the host feeds what is heard and stored, and pulls orders
-//! with `next` until there is none. The rules and their reasons: docs/views.md.
+//! Replication of the controllers' control state: a register of complete states in one total order, replicated by
+//! Viewstamped Replication with reconfiguration (Liskov and Cowling, "Viewstamped Replication Revisited", 2012). All
+//! members of a view store each change; the voters of one view choose the next by single-decree Paxos, as in Vertical
+//! Paxos (Lamport, Malkhi and Zhou, 2009).
+//!
+//! The crate does no I/O and has no clock. The host, `fernknot-controller`, feeds [`Consensus`] with messages, write
+//! results and the time, and polls [`Action`]s until there are none. The rules and the arguments for them are in
+//! docs/consensus.md.
 
-mod ballots;
-mod confirm;
-mod forced;
-mod past;
-mod standing;
+#![deny(missing_docs)]
+
+mod consensus;
+mod forced_view;
+mod heartbeats;
+mod lease;
+mod read_index;
+mod recovery;
+mod replica;
+mod replication;
+mod state;
+mod state_transfer;
+mod status;
 mod types;
-mod views;
+mod validation;
+mod view_activation;
+mod view_change;
+mod write_results;
 
-pub use types::*;
-pub use views::Consensus;
+pub use consensus::Consensus;
+pub use types::{
+    AcceptedView, Action, ChosenView, ConsensusSettings, DurableProgress, ForceViewError, HeartbeatEcho,
+    Ineligibility, KnownProgress, Member, MemberId, Message, PeerHeartbeat, PersistentState, ProposalInView,
+    ProposalNumber, ReadIndexId, ReplicaStatus, Revision, SeededBug, StatePosition, View, ViewNumber,
+    ViewStart, ViewStatus, WriteId,
+};
--- /dev/null
+++ b/crates/fernknot-consensus/src/replica.rs
@@ -0,0 +1,240 @@
+//! One replica: the state of all concerns, and the questions that several of them ask. The modules above this one add
+//! one concern each; [`crate::consensus`] routes inputs to them.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
+
+use fernknot::interface::Nanos;
+
+use crate::state::activation::ViewActivation;
+use crate::state::attempt::ViewChange;
+use crate::state::clock::Clock;
+use crate::state::disk::Disk;
+use crate::state::heartbeat_timer::HeartbeatTimer;
+use crate::state::outbox::{Envelope, Outbox};
+use crate::state::peers::{Peer, Peers};
+use crate::state::random::Random;
+use crate::state::read_indexes::ReadIndexes;
+use crate::state::recovery::DiskRecovery;
+use crate::state::replication::Replication;
+use crate::types::{
+    Action, ChosenView, ConsensusSettings, MAX_MEMBERS, Member, MemberId, Message, PersistentState,
+    ProposalNumber, SeededBug, View, ViewNumber,
+};
+
+/// The shortest intervals that the state machine works with.
+const MIN_HEARTBEAT_INTERVAL: Nanos = Nanos(1);
+const MIN_SUSPICION_TIMEOUT: Nanos = Nanos(2);
+
+/// One replica.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Replica {
+    pub settings: ConsensusSettings,
+    pub seeded_bug: Option<SeededBug>,
+    /// Identifies this process, in answers to its messages.
+    pub incarnation: u64,
+    pub random: Random,
+    pub clock: Clock,
+    pub disk: Disk,
+    pub recovery: DiskRecovery,
+    pub peers: Peers,
+    pub activation: ViewActivation,
+    pub replication: Replication,
+    pub view_change: ViewChange,
+    pub heartbeat_timer: HeartbeatTimer,
+    pub read_indexes: ReadIndexes,
+    pub outbox: Outbox,
+}
+
+impl Replica {
+    /// `saved` is what the host wrote last, `None` where the disk is empty; what another incarnation of the disk wrote
+    /// is not trusted.
+    pub fn new(
+        seed: u64,
+        mut settings: ConsensusSettings,
+        saved: Option<PersistentState>,
+        now: Nanos,
+        seeded_bug: Option<SeededBug>,
+    ) -> Replica {
+        settings.heartbeat_interval = settings.heartbeat_interval.max(MIN_HEARTBEAT_INTERVAL);
+        settings.suspicion_timeout = settings.suspicion_timeout.max(MIN_SUSPICION_TIMEOUT);
+        let saved = saved.filter(|saved| saved.member_id == settings.me.id);
+        let is_empty = saved.is_none();
+        let state = saved.unwrap_or_else(|| initial_state(&settings));
+        let trusts_disk = is_empty || seeded_bug == Some(SeededBug::OutdatedDiskVotes);
+        let must_not_lead_through = match seeded_bug {
+            Some(SeededBug::LeadAgainAfterRestart) => ViewNumber(0),
+            _ => newest_known_view(&state),
+        };
+        let mut random = Random::new(seed);
+        Replica {
+            seeded_bug,
+            incarnation: random.next(),
+            random,
+            clock: Clock::new(now, settings.suspicion_timeout),
+            recovery: DiskRecovery::new(&state, trusts_disk),
+            peers: Peers::new(&settings.me, known_addresses(&settings, &state)),
+            activation: ViewActivation::new(must_not_lead_through, now),
+            replication: Replication::new(state.chosen.start()),
+            view_change: ViewChange::new(state.prepared.term, now),
+            heartbeat_timer: HeartbeatTimer::new(settings.heartbeat_interval, now),
+            read_indexes: ReadIndexes::default(),
+            outbox: Outbox::new(settings.me.addr),
+            disk: Disk::new(state),
+            settings,
+        }
+    }
+
+    pub fn has_bug(&self, bug: SeededBug) -> bool {
+        self.seeded_bug == Some(bug)
+    }
+
+    // This replica.
+
+    pub fn me(&self) -> &Member {
+        &self.settings.me
+    }
+
+    pub fn member_id(&self) -> MemberId {
+        self.settings.me.id
+    }
+
+    pub fn is_me(&self, member: &Member) -> bool {
+        member.id == self.member_id()
+    }
+
+    pub fn now(&self) -> Nanos {
+        self.clock.now
+    }
+
+    pub fn disk_healthy(&self) -> bool {
+        let patience = self.settings.suspicion_timeout.times(0.5);
+        self.disk.is_healthy(self.now(), patience)
+    }
+
+    // Its view.
+
+    /// The last view known to be chosen.
+    pub fn chosen(&self) -> &ChosenView {
+        &self.disk.state.chosen
+    }
+
+    /// The last view known to be chosen, without the starts of earlier ones.
+    pub fn view(&self) -> &View {
+        &self.disk.state.chosen.view
+    }
+
+    pub fn is_member(&self) -> bool {
+        self.view().is_member(self.me())
+    }
+
+    /// Whether this replica has prepared for the next view. It stores no more changes of this one.
+    pub fn is_changing_view(&self) -> bool {
+        self.disk.state.prepared != ProposalNumber::default()
+    }
+
+    /// Whether this replica is the first of the view, and no change of an earlier process can be in flight.
+    pub fn may_lead(&self) -> bool {
+        let view = self.view();
+        let is_first = view.members.first().is_some_and(|first| self.is_me(first));
+        view.number > self.activation.must_not_lead_through && is_first
+    }
+
+    /// Whether changes are accepted here.
+    pub fn is_leader(&self) -> bool {
+        self.activation.active && !self.is_changing_view() && self.may_lead()
+    }
+
+    /// Whether this replica has the complete state that the view began with, and is to store what follows.
+    pub fn has_view_state(&self) -> bool {
+        self.disk.state.state_view == self.view().number && self.is_member()
+    }
+
+    /// Whether others may hear of the view. A forced view is on one disk only, and nobody may hear of it before it is
+    /// durable there.
+    pub fn may_announce_view(&self) -> bool {
+        self.disk.durable_view().era() == self.view().number.era()
+    }
+
+    // The others.
+
+    pub fn is_reachable(&self, peer: &Peer) -> bool {
+        peer.is_reachable(&self.clock)
+    }
+
+    pub fn is_suspected(&self, member: &Member) -> bool {
+        self.peers.is_suspected(member, &self.clock)
+    }
+
+    pub fn address_of(&self, member: &Member) -> SocketAddrV4 {
+        self.peers.address_of(member)
+    }
+
+    /// The voters that are this replica or reachable.
+    pub fn reachable_voters(&self) -> usize {
+        let reaches = |voter: &&Member| {
+            self.is_me(voter) || self.peers.get(voter.id).is_some_and(|peer| self.is_reachable(peer))
+        };
+        self.view().voters().filter(reaches).count()
+    }
+
+    // Messages and writes.
+
+    pub fn send(&mut self, to: SocketAddrV4, message: Message) {
+        self.outbox.send(to, message);
+    }
+
+    /// Sends the message once everything that is known now is durable.
+    pub fn send_when_durable(&mut self, to: SocketAddrV4, message: Message) {
+        if self.has_bug(SeededBug::SendBeforePersist) {
+            return self.send(to, message);
+        }
+        if let Some(Envelope { to, message }) = self.disk.hold_until_durable(Envelope { to, message }) {
+            self.send(to, message);
+        }
+    }
+
+    /// Tells a replica of a later view, unless nobody may hear of it yet.
+    pub fn announce_view(&mut self, to: SocketAddrV4) {
+        if self.may_announce_view() {
+            let chosen = self.chosen().clone();
+            self.send(to, Message::NewerView { chosen });
+        }
+    }
+
+    /// Begins the next write, if one is due.
+    pub fn write_if_needed(&mut self) {
+        let retry_pause = self.settings.suspicion_timeout.times(0.5);
+        if !self.disk.needs_write(self.now(), retry_pause) {
+            return;
+        }
+        self.disk.state.known_progress = self.progress_to_persist();
+        let write_id = self.disk.start_write(self.clock.now);
+        self.outbox.push(Action::Persist { write_id, state: self.disk.state.clone() });
+    }
+}
+
+/// The state of an empty disk. That of a founder has the founders as the voters of view 0.
+fn initial_state(settings: &ConsensusSettings) -> PersistentState {
+    let mut state = PersistentState::empty(settings.me.id);
+    if settings.bootstrap && settings.founders.contains(&settings.me.addr) {
+        // Before view 1 the voters are addresses: ids of empty disks are not known yet.
+        let founders: BTreeSet<SocketAddrV4> = settings.founders.iter().copied().collect();
+        let founder = |addr| Member { id: MemberId(0), addr, zone: String::new() };
+        state.chosen.view.members = founders.into_iter().take(MAX_MEMBERS).map(founder).collect();
+    }
+    state
+}
+
+/// Where other replicas may be, as settings and disk name them.
+fn known_addresses(settings: &ConsensusSettings, state: &PersistentState) -> BTreeSet<SocketAddrV4> {
+    let next = state.accepted.iter().flat_map(|accepted| accepted.next.view.voters());
+    let voters = state.chosen.view.voters().chain(next);
+    settings.founders.iter().copied().chain(voters.map(|voter| voter.addr)).collect()
+}
+
+/// The number of the newest view that an earlier process may have led.
+fn newest_known_view(state: &PersistentState) -> ViewNumber {
+    let accepted = state.accepted.as_ref().map_or(ViewNumber(0), |accepted| accepted.next.view.number);
+    state.chosen.view.number.max(accepted)
+}
--- /dev/null
+++ b/crates/fernknot-consensus/src/replication.rs
@@ -0,0 +1,163 @@
+//! Changes in an active view: the leader sends each to all members, and it is committed once all have it on disk. (The
+//! normal operation of Viewstamped Replication, with all members in place of a majority.)
+
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+use crate::replica::Replica;
+use crate::state::replication::{PendingChange, QueuedChange};
+use crate::types::{
+    Action, DurableProgress, Member, MemberId, Message, Revision, SeededBug, StatePosition, ViewNumber,
+};
+
+/// Changes that the leader has accepted and not sent, at most.
+const MAX_QUEUED_CHANGES: usize = 8;
+
+impl Replica {
+    /// The next state after `base`; rejected where this replica isn't the leader, or `base` isn't the last revision
+    /// given out.
+    pub fn accept_change(&mut self, change_id: u64, base: Revision, state: Vec<u8>) {
+        let queued = self.replication.queued.len();
+        let last = Revision(self.disk.state.revision.0.saturating_add(queued as u64));
+        if self.is_leader() && self.disk_healthy() && base == last && queued < MAX_QUEUED_CHANGES {
+            self.replication.queued.push_back(QueuedChange { change_id, state: Arc::from(state) });
+            self.replicate_next();
+        } else {
+            self.outbox.push(Action::Rejected { change_id });
+        }
+    }
+
+    /// The leader sends the next change, one at a time.
+    fn replicate_next(&mut self) {
+        if self.replication.pending.is_some() || !self.is_leader() {
+            return;
+        }
+        let Some(QueuedChange { change_id, state }) = self.replication.queued.pop_front() else { return };
+        let revision = self.disk.state.revision.next();
+        self.disk.state.revision = revision;
+        self.disk.state.state = state;
+        self.disk.mark_dirty();
+        self.activation.unstable_since = self.clock.now;
+        let backoff = self.settings.heartbeat_interval;
+        let (started_at, retry_at) = (self.clock.now, self.clock.now + backoff);
+        self.replication.pending = Some(PendingChange { change_id, revision, started_at, retry_at, backoff });
+        for to in self.other_members() {
+            self.send_change(to);
+        }
+        self.commit_when_replicated();
+    }
+
+    fn send_change(&mut self, to: SocketAddrV4) {
+        let state = &self.disk.state;
+        let (view, revision, state) = (state.chosen.view.number, state.revision, state.state.clone());
+        self.send(to, Message::Replicate { view, revision, state });
+    }
+
+    fn other_members(&self) -> Vec<SocketAddrV4> {
+        let others = self.view().members.iter().filter(|member| !self.is_me(member));
+        others.map(|member| self.address_of(member)).collect()
+    }
+
+    /// Whether the member has the change on disk.
+    fn has_stored(&self, member: &Member, revision: Revision) -> bool {
+        let includes =
+            |stored: StatePosition| stored.view == self.view().number && stored.revision >= revision;
+        if self.is_me(member) {
+            return includes(self.disk.durable.state);
+        }
+        self.has_bug(SeededBug::CommitOnOneDisk)
+            || self.peers.get(member.id).is_some_and(|peer| includes(peer.stored))
+    }
+
+    /// The change is committed once it is on the disk of every member, and on more disks than may be lost.
+    pub fn commit_when_replicated(&mut self) {
+        let Some(PendingChange { change_id, revision, .. }) = self.replication.pending else { return };
+        let view = self.view();
+        let is_replicated = view.members.iter().all(|member| self.has_stored(member, revision));
+        if view.members.len() <= self.settings.fault_tolerance || !is_replicated {
+            return;
+        }
+        let view = view.number;
+        self.replication.pending = None;
+        self.replication.commit_revision = revision;
+        self.outbox.push(Action::Committed { change_id, revision });
+        for to in self.other_members() {
+            self.send(to, Message::Commit { view, revision });
+        }
+        self.deliver();
+        self.replicate_next();
+    }
+
+    /// Sends the pending change again to those who have not acknowledged it, and leaves out of the next view whoever
+    /// has not for two suspicion time-outs.
+    pub fn retransmit_change(&mut self) {
+        let (now, limit) = (self.clock.now, self.settings.suspicion_timeout);
+        let Some(change) = &self.replication.pending else { return };
+        let (revision, started_at) = (change.revision, change.started_at);
+        if now < change.retry_at {
+            return;
+        }
+        let is_late = self.clock.has_passed(2.0, started_at);
+        let members = self.view().members.clone();
+        for member in members {
+            if self.is_me(&member) || self.has_stored(&member, revision) {
+                continue;
+            }
+            self.send_change(self.address_of(&member));
+            if is_late && let Some(peer) = self.peers.get_mut(member.id) {
+                peer.excluded_until = now + limit.times(2.0);
+            }
+        }
+        if let Some(change) = &mut self.replication.pending {
+            change.backoff = change.backoff.times(2.0).min(limit);
+            change.retry_at = now + change.backoff;
+        }
+    }
+
+    /// The leader's next change.
+    pub fn handle_replicate(
+        &mut self,
+        from: SocketAddrV4,
+        view: ViewNumber,
+        revision: Revision,
+        state: Arc<[u8]>,
+    ) {
+        let current = self.view().number;
+        if view != current || !self.has_view_state() || self.may_lead() {
+            self.heartbeat_timer.request_if(view > current);
+            return;
+        }
+        let newest = self.disk.state.revision;
+        if revision == newest.next() && !self.is_changing_view() {
+            // The leader continues only when the last change is on all disks, and the view active.
+            self.replication.commit_through(newest);
+            self.activate_view();
+            self.disk.state.revision = revision;
+            self.disk.state.state = state;
+            self.activation.unstable_since = self.clock.now;
+            self.disk.mark_dirty();
+        }
+        if revision <= self.disk.state.revision {
+            let sender = self.member_id();
+            self.send_when_durable(from, Message::ReplicateAck { sender, view, revision });
+        }
+    }
+
+    /// A member has the change on disk.
+    pub fn handle_replicate_ack(&mut self, sender: MemberId, view: ViewNumber, revision: Revision) {
+        let stored = StatePosition { view, revision };
+        self.record_progress(sender, DurableProgress { state: stored, ..DurableProgress::default() });
+        if let Some(peer) = self.peers.get_mut(sender) {
+            peer.stored = peer.stored.max(stored);
+        }
+        self.commit_when_replicated();
+    }
+
+    /// All members have the change on disk.
+    pub fn handle_commit(&mut self, view: ViewNumber, revision: Revision) {
+        if view == self.view().number && self.has_view_state() && !self.may_lead() {
+            self.replication.commit_through(revision);
+            self.activate_view();
+        }
+    }
+}
--- /dev/null
+++ b/crates/fernknot-consensus/src/state/replication.rs
@@ -0,0 +1,75 @@
+//! The changes that this replica has proposed, committed and delivered.
+
+use std::collections::VecDeque;
+use std::sync::Arc;
+
+use fernknot::interface::Nanos;
+
+use crate::types::{Revision, ViewNumber};
+
+/// A change that the leader has accepted and not sent yet.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct QueuedChange {
+    pub change_id: u64,
+    pub state: Arc<[u8]>,
+}
+
+/// The leader's change that is not yet on all disks.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct PendingChange {
+    pub change_id: u64,
+    pub revision: Revision,
+    pub started_at: Nanos,
+    pub retry_at: Nanos,
+    pub backoff: Nanos,
+}
+
+/// A change that was pending when its view ended.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct UnresolvedChange {
+    pub change_id: u64,
+    /// The view that it was sent in.
+    pub view: ViewNumber,
+    pub revision: Revision,
+}
+
+/// A state that was delivered to the host.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct DeliveredState {
+    pub revision: Revision,
+    pub state: Arc<[u8]>,
+}
+
+/// The progress of changes.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Replication {
+    /// The newest revision known to be committed.
+    pub commit_revision: Revision,
+    /// The newest state that was delivered.
+    pub delivered: Option<DeliveredState>,
+    pub pending: Option<PendingChange>,
+    pub queued: VecDeque<QueuedChange>,
+    pub unresolved: Vec<UnresolvedChange>,
+}
+
+impl Replication {
+    pub fn new(commit_revision: Revision) -> Replication {
+        Replication {
+            commit_revision,
+            delivered: None,
+            pending: None,
+            queued: VecDeque::new(),
+            unresolved: Vec::new(),
+        }
+    }
+
+    /// Everything up to this revision is committed.
+    pub fn commit_through(&mut self, revision: Revision) {
+        self.commit_revision = self.commit_revision.max(revision);
+    }
+
+    /// The newest revision that was delivered.
+    pub fn delivered_revision(&self) -> Option<Revision> {
+        self.delivered.as_ref().map(|delivered| delivered.revision)
+    }
+}
--- /dev/null
+++ b/crates/fernknot-consensus/src/view_activation.rs
@@ -0,0 +1,192 @@
+//! From a view that is chosen to one that is active: taking a chosen view over, activating it once all members have it,
+//! and the ends of changes that were pending meanwhile. Also the new identity of a replica whose disk counts no more.
+
+use std::mem;
+
+use crate::replica::Replica;
+use crate::state::replication::{DeliveredState, QueuedChange, UnresolvedChange};
+use crate::types::{Action, ChosenView, MemberId, PersistentState, ProposalNumber, SeededBug, ViewNumber};
+
+impl Replica {
+    /// Takes over a view that is known to be chosen. Its state comes along only if it is the one that this replica
+    /// accepted; else the newest state only serves as memory until a state transfer comes.
+    pub fn adopt_view(&mut self, chosen: ChosenView) {
+        let previous = self.view().number;
+        if chosen.view.number <= previous {
+            return;
+        }
+        if self.is_excluded_by(&chosen) && !self.has_bug(SeededBug::UnfencedForcedView) {
+            return self.reset_identity();
+        }
+        if chosen.view.number.era() > previous.era() {
+            // An operator has vouched for this disk, whatever is missing on it.
+            self.recovery.complete = true;
+            self.recovery.outdated = false;
+        }
+        self.take_accepted_state(&chosen);
+        for voter in chosen.view.voters() {
+            self.peers.learn_address(voter.addr);
+        }
+        self.start_view(chosen);
+        self.end_changes_of(previous);
+        if !self.is_member() && self.activation.entered_view.take().is_some() {
+            self.outbox.push(Action::ViewLeft);
+        }
+    }
+
+    /// The state of the next view is on disk already if this replica has accepted exactly this view.
+    fn take_accepted_state(&mut self, chosen: &ChosenView) {
+        let disk = &mut self.disk.state;
+        let Some(accepted) = disk.accepted.take().filter(|accepted| accepted.next == *chosen) else { return };
+        if let Some(state) = accepted.state {
+            disk.state = state;
+        }
+        disk.state_view = chosen.view.number;
+        disk.revision = accepted.revision;
+    }
+
+    fn start_view(&mut self, chosen: ChosenView) {
+        let start = chosen.start();
+        self.disk.state.prepared = ProposalNumber::default();
+        self.disk.state.chosen = chosen;
+        self.disk.mark_dirty();
+        self.replication.commit_revision = start;
+        self.read_indexes.restart(start);
+        self.activation.active = false;
+        self.activation.unstable_since = self.clock.now;
+        self.view_change.reset();
+    }
+
+    fn end_changes_of(&mut self, view: ViewNumber) {
+        if let Some(change) = self.replication.pending.take() {
+            let (change_id, revision) = (change.change_id, change.revision);
+            self.replication.unresolved.push(UnresolvedChange { change_id, view, revision });
+        }
+        self.reject_queued_changes();
+        self.resolve_changes();
+    }
+
+    fn reject_queued_changes(&mut self) {
+        for QueuedChange { change_id, .. } in mem::take(&mut self.replication.queued) {
+            self.outbox.push(Action::Rejected { change_id });
+        }
+    }
+
+    /// What became of changes that were pending when their view ended: committed if the next view began at their
+    /// revision or above.
+    fn resolve_changes(&mut self) {
+        let chosen = &self.disk.state.chosen;
+        let active = self.activation.active;
+        let guesses = self.seeded_bug == Some(SeededBug::GuessForgottenViewStart);
+        let outbox = &mut self.outbox;
+        self.replication.unresolved.retain(|change| {
+            let change_id = change.change_id;
+            let next = change.view.next();
+            let Some(start) = chosen.view_starts.iter().find(|start| start.view == next) else {
+                if guesses {
+                    outbox.push(Action::Rejected { change_id });
+                }
+                // It stays unresolved, and is forgotten once the start of the next view is.
+                return chosen.view_starts.first().is_some_and(|oldest| oldest.view <= next);
+            };
+            if start.revision < change.revision {
+                outbox.push(Action::Rejected { change_id });
+            } else if active || chosen.view.number > next {
+                outbox.push(Action::Committed { change_id, revision: change.revision });
+            } else {
+                return true; // chosen, but perhaps not yet on all disks
+            }
+            false
+        });
+    }
+
+    /// The view is active: changes are accepted and committed in it.
+    pub fn activate_view(&mut self) {
+        if !self.recovery.complete || !self.has_view_state() || self.view().number == ViewNumber(0) {
+            return;
+        }
+        if !self.activation.active {
+            self.activation.active = true;
+            self.heartbeat_timer.request();
+            self.view_change.scheduled = None;
+            self.enter_view();
+            self.resolve_changes();
+        }
+        self.deliver();
+    }
+
+    fn enter_view(&mut self) {
+        let view = self.view().clone();
+        if self.activation.entered_view.as_ref() != Some(&view) {
+            self.outbox.push(Action::ViewActivated { view: view.clone() });
+            self.activation.entered_view = Some(view);
+        }
+    }
+
+    /// The leader of a view that was chosen before all had it on disk waits until they have.
+    pub fn activate_when_replicated(&mut self) {
+        if self.activation.active || self.is_changing_view() || self.view_change.attempt.is_some() {
+            return;
+        }
+        if !self.may_lead() || !self.has_view_state() {
+            return;
+        }
+        let view = self.view();
+        let has_view = |id: MemberId| {
+            if id == self.member_id() {
+                let durable = &self.disk.durable;
+                return self.disk.durable_view() == view.number && durable.state.view == view.number;
+            }
+            self.peers.get(id).is_some_and(|peer| peer.has_state_of(view) && !peer.heartbeat.changing_view)
+        };
+        let all_have_it = view.members.iter().all(|member| has_view(member.id));
+        if all_have_it && view.members.len() > self.settings.fault_tolerance {
+            self.activate_view();
+        }
+    }
+
+    /// Delivers the newest state once it is committed.
+    pub fn deliver(&mut self) {
+        let PersistentState { revision, ref state, .. } = self.disk.state;
+        let is_newer = self.replication.delivered_revision().is_none_or(|delivered| delivered < revision);
+        let is_committed = self.replication.commit_revision >= revision;
+        if !self.activation.active || !self.has_view_state() || !is_committed || !is_newer {
+            return;
+        }
+        let state = state.clone();
+        self.replication.delivered = Some(DeliveredState { revision, state: state.clone() });
+        self.outbox.push(Action::Deliver { view: self.view().number, revision, state });
+    }
+
+    /// Whether a view of a later era has excluded this disk: it isn't in it, and has vouched for something.
+    fn is_excluded_by(&self, chosen: &ChosenView) -> bool {
+        let previous = self.view().number;
+        let state = &self.disk.state;
+        let vouched_for_nothing =
+            state.state_view == ViewNumber(0) && state.accepted.is_none() && !self.is_changing_view();
+        let is_later_era = previous > ViewNumber(0) && chosen.view.number.era() > previous.era();
+        is_later_era && !vouched_for_nothing && !chosen.view.has_voter_id(self.member_id())
+    }
+
+    /// Continues as a new member: what was on the disk counts for nothing any more, and is overwritten.
+    pub fn reset_identity(&mut self) {
+        let previous = self.member_id();
+        let mut settings = self.settings.clone();
+        settings.me.id = MemberId(self.random.next().max(1));
+        settings.bootstrap = false;
+        let current = settings.me.id;
+        let seed = self.random.next();
+        let mut next = Replica::new(seed, settings, None, self.clock.now, self.seeded_bug);
+        next.peers.take_addresses(&mut self.peers);
+        next.disk.take_over(&mut self.disk);
+        self.reject_queued_changes();
+        next.outbox.take_over(&mut self.outbox);
+        if self.activation.entered_view.is_some() {
+            next.outbox.push(Action::ViewLeft);
+        }
+        next.outbox.push(Action::IdentityReplaced { previous, current });
+        next.heartbeat_timer.request();
+        next.disk.mark_dirty();
+        *self = next;
+    }
+}
--- /dev/null
+++ b/crates/fernknot-consensus/src/view_change/acceptor.rs
@@ -0,0 +1,122 @@
+//! The voters, and those who join: they prepare, accept, and take over what is chosen.
+
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+use crate::replica::Replica;
+use crate::types::{AcceptedView, ChosenView, Message, ProposalNumber, Revision, SeededBug, ViewNumber};
+
+/// A proposer's request to accept a next view.
+pub(crate) struct AcceptRequest {
+    pub proposal: ProposalNumber,
+    pub current: ChosenView,
+    pub next: ChosenView,
+    pub revision: Revision,
+    pub state: Option<Arc<[u8]>>,
+}
+
+impl Replica {
+    /// Prepares the change of the view, and reports what this replica has.
+    pub fn handle_prepare(
+        &mut self,
+        from: SocketAddrV4,
+        proposal: ProposalNumber,
+        current: ChosenView,
+        proposer_revision: Option<Revision>,
+    ) {
+        if self.has_bug(SeededBug::EmptyDiskVotes) && *self.chosen() == ChosenView::default() {
+            self.disk.state.chosen = current.clone();
+        }
+        if !self.takes_part_in_change_of(from, &current) || self.voter_index_of(self.me()).is_none() {
+            return;
+        }
+        if !self.follows_proposal(from, proposal) {
+            return;
+        }
+        let stored = &self.disk.state;
+        let revision = self.has_view_state().then_some(stored.revision);
+        let proposer_lacks = |own: &Revision| proposer_revision.is_none_or(|revision| revision < *own);
+        let state = revision.filter(proposer_lacks).map(|_| stored.state.clone());
+        let mut accepted = stored.accepted.clone();
+        if let Some(accepted) = &mut accepted
+            && proposer_revision != Some(accepted.revision)
+            && accepted.state.is_none()
+        {
+            accepted.state = Some(stored.state.clone());
+        }
+        let (sender, view) = (self.me().clone(), current.view.number);
+        let message = Message::Prepared { sender, proposal, view, revision, state, accepted };
+        self.send_when_durable(from, message);
+    }
+
+    /// Accepts the next view, if no higher number was prepared.
+    pub fn handle_accept(&mut self, from: SocketAddrV4, request: AcceptRequest) {
+        let AcceptRequest { proposal, current, next, revision, state } = request;
+        let view = current.view.number;
+        let follows = next.view.number == view.next();
+        if !follows || !self.takes_part_in_change_of(from, &current) {
+            return;
+        }
+        let is_stored = self.disk.state.state_view == view && self.disk.state.revision == revision;
+        if (!is_stored && state.is_none()) || !self.follows_proposal(from, proposal) {
+            return;
+        }
+        let state = state.filter(|_| !is_stored);
+        let accepted = AcceptedView { proposal, next, revision, state };
+        if self.disk.state.accepted.as_ref() != Some(&accepted) {
+            self.disk.state.accepted = Some(accepted);
+            self.disk.mark_dirty();
+        }
+        let sender = self.me().clone();
+        self.send_when_durable(from, Message::Accepted { sender, proposal, view });
+    }
+
+    /// The next view is chosen: takes it over if this replica has accepted it.
+    pub fn handle_chosen(&mut self, proposal: ProposalNumber, view: ViewNumber, view_active: bool) {
+        let current = self.view().number;
+        let accepted = self.disk.state.accepted.as_ref().filter(|accepted| accepted.proposal == proposal);
+        match accepted {
+            Some(accepted) if view == current => self.adopt_view(accepted.next.clone()),
+            _ if view.next() != current => return,
+            _ => {}
+        }
+        if view_active && !self.is_changing_view() {
+            self.activate_view();
+        }
+    }
+
+    /// A replica takes part in the change of a view only if it is the last view that it knows.
+    fn takes_part_in_change_of(&mut self, from: SocketAddrV4, view: &ChosenView) -> bool {
+        let current = self.view().number;
+        if view.view.number < current {
+            self.announce_view(from);
+            return false;
+        }
+        if view.view.number > current {
+            self.adopt_view(view.clone());
+        }
+        view == self.chosen()
+    }
+
+    /// Whether the attempt may continue here: false where a higher number was prepared. It ends this replica's own
+    /// attempt, if that has a lower number.
+    fn follows_proposal(&mut self, from: SocketAddrV4, proposal: ProposalNumber) -> bool {
+        let prepared = self.disk.state.prepared;
+        if proposal < prepared {
+            let view = self.view().number;
+            self.send(from, Message::Rejected { view, prepared });
+            return false;
+        }
+        self.view_change.see_term(proposal.term);
+        if proposal.proposer != self.member_id() {
+            self.view_change.competing_proposal_at = Some(self.clock.now);
+            if self.view_change.attempt.is_some() {
+                self.abandon_attempt();
+            }
+        }
+        if proposal > prepared {
+            self.prepare_number(proposal);
+        }
+        true
+    }
+}
--- /dev/null
+++ b/crates/fernknot-consensus/src/view_change/proposer.rs
@@ -0,0 +1,176 @@
+//! The proposer: its attempt from the first number to the end, the requests of each phase, and the retries.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+use crate::replica::Replica;
+use crate::state::attempt::{AttemptPhase, NextView, ViewChangeAttempt};
+use crate::types::{Member, MemberId, Message, ProposalNumber, Revision, ViewNumber};
+
+/// After so many suspicion time-outs in a phase, the voters that will not be members are asked, too, and a next view
+/// that may have been chosen goes on without those who join.
+pub(super) const LATE_PHASE_TIMEOUTS: f64 = 0.5;
+/// After so many an attempt is abandoned.
+const MAX_PHASE_TIMEOUTS: f64 = 1.0;
+const MAX_ACCEPT_TIMEOUTS: f64 = 2.0;
+/// For so many a member that doesn't join in time is left out of the next view.
+const EXCLUSION_TIMEOUTS: f64 = 2.0;
+
+impl Replica {
+    pub(super) fn start_attempt(&mut self) {
+        let highest_term = self.disk.state.prepared.term.max(self.view_change.highest_term);
+        let proposal = ProposalNumber { term: highest_term.saturating_add(1), proposer: self.member_id() };
+        self.view_change.highest_term = proposal.term;
+        self.prepare_number(proposal);
+        let (now, interval) = (self.clock.now, self.settings.heartbeat_interval);
+        self.view_change.attempt = Some(ViewChangeAttempt::new(proposal, now, interval));
+        // Nobody hears of the number before it is on disk: after a restart it must not be given out again.
+        self.send_phase_requests();
+    }
+
+    /// This replica stores no more changes of the view, and takes part in no attempt with a lower number.
+    pub(super) fn prepare_number(&mut self, proposal: ProposalNumber) {
+        if !self.is_changing_view() {
+            self.activation.unstable_since = self.clock.now;
+        }
+        self.disk.state.prepared = proposal;
+        self.disk.mark_dirty();
+    }
+
+    /// Where a voter listens now. Founders are known by address only.
+    pub(super) fn voter_address(&self, voter: &Member) -> SocketAddrV4 {
+        if voter.id == MemberId(0) { voter.addr } else { self.address_of(voter) }
+    }
+
+    /// Sends the requests of the attempt's phase to those who have not answered.
+    pub(super) fn send_phase_requests(&mut self) {
+        let Some(attempt) = self.view_change.attempt.clone() else { return };
+        match (attempt.phase, &attempt.next_view) {
+            (AttemptPhase::Prepare, _) => self.send_prepare(&attempt),
+            (AttemptPhase::Join | AttemptPhase::Accept, Some(next_view)) => {
+                self.send_accept(&attempt, next_view);
+            }
+            (AttemptPhase::Join | AttemptPhase::Accept, None) => {}
+        }
+    }
+
+    fn send_prepare(&mut self, attempt: &ViewChangeAttempt) {
+        let current = self.chosen().clone();
+        let revision = self.has_view_state().then_some(self.disk.state.revision);
+        for (index, voter) in current.view.voters().enumerate() {
+            if attempt.prepared.contains_key(&index) {
+                continue;
+            }
+            let (proposal, current) = (attempt.proposal, current.clone());
+            let message = Message::Prepare { proposal, current, revision };
+            self.send_when_durable(self.voter_address(voter), message);
+        }
+    }
+
+    fn send_accept(&mut self, attempt: &ViewChangeAttempt, next_view: &NextView) {
+        let revisions: BTreeMap<MemberId, Option<Revision>> =
+            attempt.prepared.values().map(|voter| (voter.member.id, voter.revision)).collect();
+        for receiver in self.accept_receivers(attempt, next_view) {
+            let has_state = revisions.get(&receiver.id) == Some(&Some(next_view.revision));
+            let message = Message::Accept {
+                proposal: attempt.proposal,
+                current: self.chosen().clone(),
+                next: next_view.chosen.clone(),
+                revision: next_view.revision,
+                state: (!has_state).then(|| next_view.state.clone()),
+            };
+            self.send(self.address_of(&receiver), message);
+        }
+    }
+
+    /// Who is to accept the next view now, and has not.
+    fn accept_receivers(&self, attempt: &ViewChangeAttempt, next_view: &NextView) -> Vec<Member> {
+        let next = &next_view.chosen.view;
+        let mut receivers: Vec<Member> = next.members.clone();
+        // Those who will not be in the view are asked last: the state is to be on the disks of those who will.
+        if attempt.all_members_accepted() || self.phase_exceeds(attempt, LATE_PHASE_TIMEOUTS) {
+            let voters = attempt.prepared.values().map(|voter| &voter.member);
+            receivers.extend(voters.filter(|voter| !next.has_member_id(voter.id)).cloned());
+        }
+        let is_joining = |receiver: &Member| self.view().voter_index(receiver).is_none();
+        receivers.retain(|receiver| !attempt.has_accepted(receiver.id));
+        if attempt.phase == AttemptPhase::Join {
+            receivers.retain(is_joining);
+        }
+        receivers
+    }
+
+    /// Whether the attempt is in its phase for longer than so many suspicion time-outs.
+    pub(super) fn phase_exceeds(&self, attempt: &ViewChangeAttempt, timeouts: f64) -> bool {
+        self.clock.has_passed(timeouts, attempt.phase_started_at)
+    }
+
+    pub(super) fn start_phase(&mut self, phase: AttemptPhase) {
+        let (now, interval) = (self.clock.now, self.settings.heartbeat_interval);
+        if let Some(attempt) = &mut self.view_change.attempt {
+            attempt.start_phase(phase, now, interval);
+        }
+        self.send_phase_requests();
+    }
+
+    /// Ends the attempt; the next one comes after a random time, for two replicas may compete.
+    pub(super) fn abandon_attempt(&mut self) {
+        self.view_change.attempt = None;
+        let pause = self.random.part_of(self.settings.suspicion_timeout.times(0.5));
+        self.view_change.backoff_until = self.clock.now + self.settings.heartbeat_interval + pause;
+    }
+
+    /// A voter has prepared a higher number.
+    pub fn handle_rejected(&mut self, view: ViewNumber, prepared: ProposalNumber) {
+        if view != self.view().number {
+            return;
+        }
+        self.view_change.see_term(prepared.term);
+        if self.view_change.attempt.as_ref().is_some_and(|attempt| attempt.proposal < prepared) {
+            self.view_change.competing_proposal_at = Some(self.clock.now);
+            self.abandon_attempt();
+        }
+    }
+
+    /// Repeats the requests that got no answer, and abandons an attempt that has no end in sight.
+    pub fn tick_attempt(&mut self) {
+        let Some(phase) = self.view_change.attempt.as_ref().map(|attempt| attempt.phase) else { return };
+        match phase {
+            AttemptPhase::Prepare => self.finish_prepare(),
+            AttemptPhase::Join => self.finish_join(),
+            AttemptPhase::Accept => self.finish_accept(),
+        }
+        let Some(attempt) = &self.view_change.attempt else { return };
+        let max_timeouts =
+            if phase == AttemptPhase::Accept { MAX_ACCEPT_TIMEOUTS } else { MAX_PHASE_TIMEOUTS };
+        if attempt.phase == phase && self.phase_exceeds(attempt, max_timeouts) {
+            if phase == AttemptPhase::Join {
+                self.exclude_absent_joiners();
+            }
+            return self.abandon_attempt();
+        }
+        self.retry_when_due();
+    }
+
+    fn retry_when_due(&mut self) {
+        let (now, max_backoff) = (self.clock.now, self.settings.suspicion_timeout);
+        let due = self.view_change.attempt.as_mut().filter(|attempt| now >= attempt.retry_at);
+        let Some(attempt) = due else { return };
+        attempt.back_off(now, max_backoff);
+        self.send_phase_requests();
+    }
+
+    /// Replicas that can't be reached to join are left out for a while.
+    fn exclude_absent_joiners(&mut self) {
+        let Some(attempt) = &self.view_change.attempt else { return };
+        let Some(next_view) = &attempt.next_view else { return };
+        let until = self.clock.now + self.settings.suspicion_timeout.times(EXCLUSION_TIMEOUTS);
+        let view = &self.disk.state.chosen.view;
+        for member in &next_view.chosen.view.members {
+            let is_absent = view.voter_index(member).is_none() && !attempt.has_accepted(member.id);
+            if is_absent && let Some(peer) = self.peers.get_mut(member.id) {
+                peer.excluded_until = until;
+            }
+        }
+    }
+}
--- a/crates/fernknot-consensus/tests/common/mod.rs
+++ b/crates/fernknot-consensus/tests/common/mod.rs
@@ -526,7 +526,7 @@
             let Some(views) = self.machines[at].views.as_mut().filter(|_| !frozen) else { continue };
             self.inquiries += 1;
             self.asked.insert(self.inquiries, (at, newest));
-            views.read_index(now, ReadIndexId(self.inquiries));
+            let _ = views.read_index(now, ReadIndexId(self.inquiries));
             self.serve(at);
         }
     }
--- a/crates/fernknot-consensus/tests/common/samples.rs
+++ b/crates/fernknot-consensus/tests/common/samples.rs
@@ -2,7 +2,8 @@
 //! places are noticed.
 
 use fernknot_consensus::{
-    AcceptedView, ChosenView, DurableProgress, Member, MemberId, ProposalNumber, Revision, View, ViewNumber,
+    AcceptedView, ChosenView, DurableProgress, Member, MemberId, ProposalInView, ProposalNumber, Revision,
+    StatePosition, View, ViewNumber, ViewStart,
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -27,7 +28,10 @@
 
 /// A view together with the places where the last views began.
 pub fn base(number: u64) -> ChosenView {
-    let floors = vec![(ViewNumber(number - 1), Revision(2100)), (ViewNumber(number), Revision(2200))];
+    let floors = vec![
+        ViewStart { view: ViewNumber(number - 1), revision: Revision(2100) },
+        ViewStart { view: ViewNumber(number), revision: Revision(2200) },
+    ];
     ChosenView { view: view(number), view_starts: floors }
 }
 
@@ -37,9 +41,9 @@
 
 pub fn mark() -> DurableProgress {
     DurableProgress {
-        prepared: (ViewNumber(301), ballot(302)),
-        accepted: (ViewNumber(303), ballot(304)),
-        state: (ViewNumber(305), Revision(306)),
+        prepared: ProposalInView { view: ViewNumber(301), proposal: ballot(302) },
+        accepted: ProposalInView { view: ViewNumber(303), proposal: ballot(304) },
+        state: StatePosition { view: ViewNumber(305), revision: Revision(306) },
     }
 }
 
--- a/crates/fernknot-consensus/tests/disk_format.rs
+++ b/crates/fernknot-consensus/tests/disk_format.rs
@@ -6,7 +6,8 @@
 mod samples;
 
 use fernknot_consensus::{
-    AcceptedView, DurableProgress, MemberId, PersistentState, ProposalNumber, Revision, ViewNumber,
+    AcceptedView, DurableProgress, KnownProgress, MemberId, PersistentState, ProposalNumber, Revision,
+    ViewNumber,
 };
 use fixtures::Fixtures;
 use samples::{ballot, base, mark, state, vouched};
@@ -20,7 +21,10 @@
         state_view: ViewNumber(804),
         revision: Revision(805),
         state: state("state on disk"),
-        known_progress: vec![(MemberId(806), mark()), (MemberId(807), DurableProgress::default())],
+        known_progress: vec![
+            KnownProgress { member: MemberId(806), progress: mark() },
+            KnownProgress { member: MemberId(807), progress: DurableProgress::default() },
+        ],
     }
 }
 
--- a/crates/fernknot-consensus/tests/model.rs
+++ b/crates/fernknot-consensus/tests/model.rs
@@ -329,7 +329,7 @@
                 next.left[ASK] -= 1;
                 next.asked.push((inquiry, at, next.acknowledged));
                 let now = Nanos(next.now);
-                next.nodes[at].views.read_index(now, inquiry);
+                let _ = next.nodes[at].views.read_index(now, inquiry);
                 self.all_serve(&mut next);
             }
             Act::Propose(at) => {
--- a/crates/fernknot-consensus/tests/wire_format.rs
+++ b/crates/fernknot-consensus/tests/wire_format.rs
@@ -5,7 +5,7 @@
 #[path = "common/samples.rs"]
 mod samples;
 
-use fernknot_consensus::{MemberId, Message, PeerHeartbeat, Revision, ViewNumber};
+use fernknot_consensus::{HeartbeatEcho, MemberId, Message, PeerHeartbeat, Revision, ViewNumber};
 use fixtures::Fixtures;
 use samples::{ballot, base, mark, member, state, vouched};
 
@@ -44,19 +44,19 @@
         recovering: true,
         commit_revision: Revision(506),
         view_active: false,
-        stopped: true,
+        changing_view: true,
         disk_healthy: false,
         incarnation: 507,
         sent_at: 508,
-        echo: (509, 510),
+        echo: HeartbeatEcho { incarnation: 509, sent_at: 510 },
         reachable: vec![MemberId(511), MemberId(512)],
         suspected: vec![MemberId(513)],
     }
 }
 
 /// The heartbeat with other flags.
-fn heartbeat_with_flags(asks: bool, force: bool, stopped: bool, well: bool) -> PeerHeartbeat {
-    PeerHeartbeat { recovering: asks, view_active: force, stopped, disk_healthy: well, ..heartbeat() }
+fn heartbeat_with_flags(asks: bool, force: bool, changing_view: bool, well: bool) -> PeerHeartbeat {
+    PeerHeartbeat { recovering: asks, view_active: force, changing_view, disk_healthy: well, ..heartbeat() }
 }
 
 fn messages_of_a_view() -> Vec<Message> {
