--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk, seen from the loop: read once at the start and written by a thread of its own.
 
 use fernknot_consensus::{PersistentState, WriteId};
-use fernknot_storage::{Capacity, Storage, StorageError};
+use fernknot_storage::{Capacity, CompletedWrite, Storage, StorageError};
 use fernknot_telemetry::part;
 use mio::Waker;
 use std::net::SocketAddrV4;
@@ -140,15 +140,15 @@
         match &mut self.state {
             DiskState::Opening(_) => Vec::new(),
             DiskState::Open(cistern) => {
-                let done =
-                    cistern.take_completed().into_iter().filter(|(ticket, _)| *ticket != UNTRACKED_TICKET);
-                done.map(|(ticket, end)| {
-                    if let Err(why) = &end {
-                        log::warn!(target: part::STORAGE, "{why}");
-                    }
-                    (WriteId(ticket), end.is_ok())
-                })
-                .collect()
+                let done = cistern.take_completed().into_iter();
+                done.filter(|done| done.write_id != UNTRACKED_TICKET)
+                    .map(|CompletedWrite { write_id, result }| {
+                        if let Err(why) = &result {
+                            log::warn!(target: part::STORAGE, "{why}");
+                        }
+                        (WriteId(write_id), result.is_ok())
+                    })
+                    .collect()
             }
             DiskState::Absent(done) => {
                 std::mem::take(done).into_iter().map(|ticket| (ticket, true)).collect()
--- a/crates/fernknot-storage/src/error.rs
+++ b/crates/fernknot-storage/src/error.rs
@@ -1,16 +1,21 @@
-//! What goes wrong with a disk, and at which step.
+//! What fails on a disk, and in which operation.
 
 use std::fmt;
 
-/// Where in the work with the folder it went wrong.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
+    /// Opening or creating a store, or listing the directory.
     Open,
+    /// Adding a value to a store.
     Insert,
+    /// Syncing a store.
     Sync,
+    /// Reading a store or a seal.
     Read,
     /// Making a new generation the one that counts.
     Seal,
+    /// Deleting an obsolete generation.
     Remove,
 }
 
@@ -27,21 +32,24 @@
     }
 }
 
-/// A step that failed. Nothing is known of a write that ended so: it may be there or not.
+/// An operation that failed. Nothing is known of a write that ended so: it may be there or not.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("disk: {operation}: {reason}")]
 pub struct StorageError {
+    /// What was attempted.
     pub operation: Operation,
+    /// The message of the error that caused it.
     pub reason: String,
 }
 
 impl StorageError {
-    pub fn new(step: Operation, why: impl fmt::Display) -> StorageError {
-        StorageError { operation: step, reason: why.to_string() }
+    /// An error of this operation.
+    pub fn new(operation: Operation, reason: impl fmt::Display) -> StorageError {
+        StorageError { operation, reason: reason.to_string() }
     }
 
-    /// Turns any error of a step into this one.
-    pub(crate) fn at<E: fmt::Display>(step: Operation) -> impl Fn(E) -> StorageError {
-        move |why| StorageError::new(step, why)
+    /// Turns any error of an operation into this one.
+    pub(crate) fn at<E: fmt::Display>(operation: Operation) -> impl Fn(E) -> StorageError {
+        move |reason| StorageError::new(operation, reason)
     }
 }
--- a/crates/fernknot-storage/tests/common/mod.rs
+++ b/crates/fernknot-storage/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts of a keeper that need no thread and no clock, and a disk that loses what was not synced.
+//! Hosts of a generation manager that need no thread and no clock, and a disk that loses what was not synced.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,60 +6,61 @@
 use std::sync::Arc;
 
 use fernknot::interface::Nanos;
-use fernknot_storage::folder::StoreDirectory;
-use fernknot_storage::keeper::{Action, Generation, GenerationManager, Limits, Outcome, Values};
-use fernknot_storage::{Operation, StorageError};
+use fernknot_storage::{
+    Action, Generation, GenerationManager, Limits, ListedGeneration, Operation, Outcome, StorageError,
+    StoreDirectory, Values,
+};
 
 pub const SMALL_DISK: u64 = 64 << 20;
 
-/// Real files, each order carried out as soon as it is given.
-pub struct OnFiles {
-    pub keeper: GenerationManager,
-    pub folder: StoreDirectory,
+/// Real files, each action executed as soon as it is polled.
+pub struct FileHost {
+    pub manager: GenerationManager,
+    pub directory: StoreDirectory,
     pub now: Nanos,
 }
 
-impl OnFiles {
-    pub fn start(dir: &Path) -> OnFiles {
-        let keeper = GenerationManager::new(Limits::of_disk(SMALL_DISK));
-        let mut host = OnFiles { keeper, folder: StoreDirectory::new(dir.into()), now: Nanos(0) };
-        host.settle();
+impl FileHost {
+    pub fn start(dir: &Path) -> FileHost {
+        let manager = GenerationManager::new(Limits::of_disk(SMALL_DISK));
+        let mut host = FileHost { manager, directory: StoreDirectory::new(dir.into()), now: Nanos(0) };
+        host.run_actions();
         host
     }
 
-    pub fn settle(&mut self) {
-        while let Some(order) = self.keeper.poll_action(self.now) {
-            let end = self.folder.execute(order);
-            self.keeper.complete_action(end, self.now);
+    pub fn run_actions(&mut self) {
+        while let Some(action) = self.manager.poll_action(self.now) {
+            let result = self.directory.execute(action);
+            self.manager.complete_action(result, self.now);
         }
     }
 
     pub fn store(&mut self, key: &str, value: &[u8]) -> Result<(), StorageError> {
-        self.keeper.submit(0, key.into(), value.into());
-        self.settle();
-        let mut reports = self.keeper.take_completed();
-        assert_eq!(reports.len(), 1);
-        reports.remove(0).1
+        self.manager.submit(0, key.into(), value.into());
+        self.run_actions();
+        let mut completed = self.manager.take_completed();
+        assert_eq!(completed.len(), 1);
+        completed.remove(0).result
     }
 
     pub fn value(&self, key: &str) -> Option<&[u8]> {
-        self.keeper.stored()?.get(key).map(|value| &**value)
+        self.manager.stored()?.get(key).map(|value| &**value)
     }
 }
 
-pub fn copy(from: &Path, to: &Path) {
+pub fn copy_directory(from: &Path, to: &Path) {
     std::fs::create_dir_all(to).unwrap();
     for entry in std::fs::read_dir(from).unwrap() {
         let entry = entry.unwrap();
         let to = to.join(entry.file_name());
         match entry.file_type().unwrap().is_dir() {
-            true => copy(&entry.path(), &to),
+            true => copy_directory(&entry.path(), &to),
             false => drop(std::fs::copy(entry.path(), to).unwrap()),
         }
     }
 }
 
-/// Files below a folder with the given ending.
+/// Files below a directory with the given ending.
 pub fn files(dir: &Path, ending: &str) -> Vec<std::path::PathBuf> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(dir).unwrap() {
@@ -73,10 +74,10 @@
     found
 }
 
-/// Chance from a seed (splitmix64), so that a case can be played again.
-pub struct Chance(pub u64);
+/// Seeded random numbers (splitmix64), so that a case can be repeated.
+pub struct Random(pub u64);
 
-impl Chance {
+impl Random {
     pub fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -86,157 +87,175 @@
     }
 }
 
-/// How sure it is that something outlives a loss of power.
+/// Whether something outlives a loss of power.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Safe {
-    Yes,
+enum Durability {
+    Durable,
     /// The next sync makes it so.
-    NotYet,
+    NextSync,
     /// A sync failed over it: it is still read, and no later sync reaches it.
     Never,
 }
 
+#[derive(Clone, Debug)]
+struct Entry {
+    key: String,
+    value: Arc<[u8]>,
+    durability: Durability,
+}
+
 #[derive(Clone, Debug)]
 struct Store {
-    batches: Vec<(String, Arc<[u8]>, Safe)>,
-    name: Safe,
-    seal: Option<Safe>,
-    /// Removed, but the folder was not synced since: any part of it may be back.
-    leaving: bool,
+    entries: Vec<Entry>,
+    name: Durability,
+    seal: Option<Durability>,
+    /// Removed, but the directory was not synced since: any part of it may be back.
+    removed: bool,
 }
 
 /// What stops a step.
-pub enum Stop {
-    Crash,
-    Fails(StorageError),
+pub enum Failure {
+    PowerLoss,
+    Operation(StorageError),
 }
 
 /// A disk made of small steps, each of which may fail or be the last before a loss of power.
 #[derive(Clone, Debug, Default)]
-pub struct StandIn {
+pub struct SimulatedDisk {
     stores: BTreeMap<u64, Store>,
     /// Steps until the power is lost.
-    pub power: Option<u64>,
+    pub steps_until_power_loss: Option<u64>,
     /// One step in so many fails; 0 for none.
-    pub fails: u64,
+    pub failure_interval: u64,
     /// Stores that a write failed in, or that a seal failed over.
-    pub spoilt: BTreeSet<u64>,
+    pub failed_stores: BTreeSet<u64>,
 }
 
-impl StandIn {
-    fn step(&mut self, chance: &mut Chance, step: Operation) -> Result<(), Stop> {
-        if let Some(power) = &mut self.power {
-            if *power == 0 {
-                return Err(Stop::Crash);
+impl SimulatedDisk {
+    fn take_step(&mut self, random: &mut Random, operation: Operation) -> Result<(), Failure> {
+        if let Some(steps) = &mut self.steps_until_power_loss {
+            if *steps == 0 {
+                return Err(Failure::PowerLoss);
             }
-            *power -= 1;
+            *steps -= 1;
         }
-        match self.fails > 0 && chance.below(self.fails) == 0 {
-            true => Err(Stop::Fails(StorageError::new(step, "refused"))),
+        match self.failure_interval > 0 && random.below(self.failure_interval) == 0 {
+            true => Err(Failure::Operation(StorageError::new(operation, "rejected"))),
             false => Ok(()),
         }
     }
 
-    fn held(&self, generation: u64) -> Result<Values, StorageError> {
-        let store = self.stores.get(&generation).filter(|store| !store.leaving);
+    fn store(&mut self, generation: u64) -> &mut Store {
+        self.stores.get_mut(&generation).expect("built before")
+    }
+
+    fn contents(&self, generation: u64) -> Result<Values, StorageError> {
+        let store = self.stores.get(&generation).filter(|store| !store.removed);
         let store = store.ok_or_else(|| StorageError::new(Operation::Open, "is not there"))?;
-        Ok(store.batches.iter().map(|(key, value, _)| (key.clone(), value.clone())).collect())
+        Ok(store.entries.iter().map(|entry| (entry.key.clone(), entry.value.clone())).collect())
     }
 
-    fn add(&mut self, at: u64, items: Vec<(String, Arc<[u8]>)>, chance: &mut Chance) -> Result<(), Stop> {
-        for (key, value) in items {
-            // The step comes before and after the write: it may fail with the bytes there or not.
-            self.step(chance, Operation::Insert)?;
-            let batches = &mut self.stores.get_mut(&at).expect("built before").batches;
-            batches.push((key, value, Safe::NotYet));
-            self.step(chance, Operation::Insert)?;
+    fn add(&mut self, at: u64, values: Values, random: &mut Random) -> Result<(), Failure> {
+        for (key, value) in values {
+            // A step comes before and after the write: it may fail with the bytes there or not.
+            self.take_step(random, Operation::Insert)?;
+            self.store(at).entries.push(Entry { key, value, durability: Durability::NextSync });
+            self.take_step(random, Operation::Insert)?;
         }
-        let end = self.step(chance, Operation::Sync);
-        for (.., safe) in &mut self.stores.get_mut(&at).expect("built before").batches {
-            match (&end, *safe) {
-                (Ok(()), Safe::NotYet) => *safe = Safe::Yes,
-                (Err(Stop::Fails(_)), Safe::NotYet) => *safe = Safe::Never,
+        let result = self.take_step(random, Operation::Sync);
+        for Entry { durability, .. } in &mut self.store(at).entries {
+            match (&result, *durability) {
+                (Ok(()), Durability::NextSync) => *durability = Durability::Durable,
+                (Err(Failure::Operation(_)), Durability::NextSync) => *durability = Durability::Never,
                 _ => {}
             }
         }
-        end
+        result
     }
 
-    pub fn carry_out(&mut self, order: Action, chance: &mut Chance) -> Result<Outcome, Stop> {
-        match order {
+    pub fn execute(&mut self, action: Action, random: &mut Random) -> Result<Outcome, Failure> {
+        match action {
             Action::List => {
-                self.step(chance, Operation::Open)?;
-                let seen = |(at, store): (&u64, &Store)| (Generation(*at), store.seal.is_some());
-                Ok(Outcome::Listed(self.stores.iter().map(seen).collect()))
+                self.take_step(random, Operation::Open)?;
+                let listed = |(at, store): (&u64, &Store)| ListedGeneration {
+                    generation: Generation(*at),
+                    sealed: store.seal.is_some(),
+                };
+                Ok(Outcome::Listed(self.stores.iter().map(listed).collect()))
             }
             Action::Read(Generation(at)) => {
-                self.step(chance, Operation::Read)?;
-                self.held(at).map(Outcome::Contents).map_err(Stop::Fails)
+                self.take_step(random, Operation::Read)?;
+                self.contents(at).map(Outcome::Contents).map_err(Failure::Operation)
             }
             Action::Build(Generation(at), values) => {
                 assert!(!self.stores.contains_key(&at), "no number is given twice");
-                self.step(chance, Operation::Open)?;
-                let store = Store { batches: vec![], name: Safe::NotYet, seal: None, leaving: false };
+                self.take_step(random, Operation::Open)?;
+                let store = Store { entries: vec![], name: Durability::NextSync, seal: None, removed: false };
                 self.stores.insert(at, store);
-                self.add(at, values.into_iter().collect(), chance)?;
-                self.held(at).map(Outcome::Contents).map_err(Stop::Fails)
+                self.add(at, values, random)?;
+                self.contents(at).map(Outcome::Contents).map_err(Failure::Operation)
             }
             Action::Seal(Generation(at)) => {
-                let end = self.seal(at, chance);
-                if end.is_err() {
-                    self.spoilt.extend(self.stores.keys());
+                let result = self.seal(at, random);
+                if result.is_err() {
+                    self.failed_stores.extend(self.stores.keys());
                 }
-                end.map(|()| Outcome::Done)
+                result.map(|()| Outcome::Done)
             }
-            Action::Write(Generation(at), items) => {
-                assert!(!self.spoilt.contains(&at), "a store in which a write failed is written to again");
-                let end = self.add(at, items, chance);
-                if end.is_err() {
-                    self.spoilt.insert(at);
+            Action::Write(Generation(at), values) => {
+                assert!(
+                    !self.failed_stores.contains(&at),
+                    "a store in which a write failed is written to again"
+                );
+                let result = self.add(at, values, random);
+                if result.is_err() {
+                    self.failed_stores.insert(at);
                 }
-                end.map(|()| Outcome::Done)
+                result.map(|()| Outcome::Done)
             }
             Action::Remove(Generation(at)) => {
-                self.step(chance, Operation::Remove)?;
-                self.stores.get_mut(&at).into_iter().for_each(|store| store.leaving = true);
-                self.step(chance, Operation::Remove)?;
+                self.take_step(random, Operation::Remove)?;
+                self.stores.get_mut(&at).into_iter().for_each(|store| store.removed = true);
+                self.take_step(random, Operation::Remove)?;
                 self.stores.remove(&at);
                 Ok(Outcome::Done)
             }
         }
     }
 
-    fn seal(&mut self, at: u64, chance: &mut Chance) -> Result<(), Stop> {
-        self.step(chance, Operation::Seal)?;
-        self.stores.get_mut(&at).expect("built before").name = Safe::Yes;
-        self.step(chance, Operation::Seal)?;
-        self.stores.get_mut(&at).expect("built before").seal = Some(Safe::NotYet);
-        let end = self.step(chance, Operation::Seal);
-        let seal = match &end {
-            Ok(()) => Safe::Yes,
-            Err(Stop::Crash) => Safe::NotYet,
-            Err(Stop::Fails(_)) => Safe::Never,
+    fn seal(&mut self, at: u64, random: &mut Random) -> Result<(), Failure> {
+        self.take_step(random, Operation::Seal)?;
+        self.store(at).name = Durability::Durable;
+        self.take_step(random, Operation::Seal)?;
+        self.store(at).seal = Some(Durability::NextSync);
+        let result = self.take_step(random, Operation::Seal);
+        let seal = match &result {
+            Ok(()) => Durability::Durable,
+            Err(Failure::PowerLoss) => Durability::NextSync,
+            Err(Failure::Operation(_)) => Durability::Never,
         };
-        self.stores.get_mut(&at).expect("built before").seal = Some(seal);
-        end
+        self.store(at).seal = Some(seal);
+        result
     }
 
-    /// The power is lost: what was not safe is there, or not, by chance; `worst` leaves none of it.
-    pub fn lose_power(&mut self, chance: &mut Chance, worst: bool) {
-        let mut stays = |safe: Safe| safe == Safe::Yes || (!worst && chance.below(2) == 0);
-        self.stores.retain(|_, store| stays(store.name));
+    /// The power is lost: what was not durable is there, or not, at random; `lose_all_unsynced` leaves none of it.
+    pub fn lose_power(&mut self, random: &mut Random, lose_all_unsynced: bool) {
+        let mut survives = |durability: Durability| {
+            durability == Durability::Durable || (!lose_all_unsynced && random.below(2) == 0)
+        };
+        self.stores.retain(|_, store| survives(store.name));
         for store in self.stores.values_mut() {
             // A journal ends at its first hole, whatever was synced behind it.
-            let whole = store.batches.iter().take_while(|(.., safe)| stays(*safe)).count();
-            store.batches.truncate(whole);
-            store.batches.iter_mut().for_each(|(.., safe)| *safe = Safe::Yes);
-            store.seal = store.seal.filter(|safe| stays(*safe)).map(|_| Safe::Yes);
-            if store.leaving {
+            let complete = store.entries.iter().take_while(|entry| survives(entry.durability)).count();
+            store.entries.truncate(complete);
+            store.entries.iter_mut().for_each(|entry| entry.durability = Durability::Durable);
+            store.seal = store.seal.filter(|durability| survives(*durability)).map(|_| Durability::Durable);
+            if store.removed {
                 // Its seal may be back without what it sealed.
-                store.batches.clear();
+                store.entries.clear();
             }
         }
-        self.power = None;
-        self.spoilt.clear();
+        self.steps_until_power_loss = None;
+        self.failed_stores.clear();
     }
 }
--- a/crates/fernknot-storage/tests/disk_format.rs
+++ b/crates/fernknot-storage/tests/disk_format.rs
@@ -5,9 +5,8 @@
 
 mod common;
 
-use common::{OnFiles, copy};
-use fernknot_storage::StorageError;
-use fernknot_storage::keeper::MAX_KEY_BYTES;
+use common::{FileHost, copy_directory};
+use fernknot_storage::{MAX_KEY_BYTES, StorageError};
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
@@ -27,7 +26,7 @@
 }
 
 /// The writes that left the recorded folder behind.
-fn write_as_recorded(host: &mut OnFiles) -> Result<(), StorageError> {
+fn write_as_recorded(host: &mut FileHost) -> Result<(), StorageError> {
     host.store("plan", b"first value of the plan")?;
     host.store("vote", b"value of the vote")?;
     host.store(&longest_key(), b"value under the longest key")?;
@@ -37,10 +36,10 @@
 #[test]
 fn given_a_recorded_folder_when_opened_then_its_values_are_there_and_more_can_be_stored() {
     let folder = TempDir::new().unwrap();
-    copy(&recorded(), folder.path());
-    let mut host = OnFiles::start(folder.path());
-    assert!(host.keeper.is_healthy(), "{:?}", host.keeper.fault());
-    assert_eq!(host.keeper.stored().map(|values| values.len()), Some(3));
+    copy_directory(&recorded(), folder.path());
+    let mut host = FileHost::start(folder.path());
+    assert!(host.manager.is_healthy(), "{:?}", host.manager.fault());
+    assert_eq!(host.manager.stored().map(|values| values.len()), Some(3));
     assert_eq!(host.value("plan"), Some(&b"second value of the plan"[..]));
     assert_eq!(host.value("vote"), Some(&b"value of the vote"[..]));
     assert_eq!(host.value(&longest_key()), Some(&b"value under the longest key"[..]));
@@ -50,7 +49,7 @@
 #[test]
 fn given_the_recorded_writes_when_made_again_then_the_files_have_the_recorded_bytes() {
     let folder = TempDir::new().unwrap();
-    write_as_recorded(&mut OnFiles::start(folder.path())).unwrap();
+    write_as_recorded(&mut FileHost::start(folder.path())).unwrap();
     for file in LASTING_FILES {
         let written = fs::read(folder.path().join(file)).unwrap();
         assert_eq!(written, fs::read(recorded().join(file)).unwrap(), "{file}");
@@ -61,6 +60,6 @@
 fn given_the_longest_key_when_it_is_one_byte_longer_then_it_is_refused() {
     assert_eq!(MAX_KEY_BYTES, RECORDED_KEY_BYTES);
     let folder = TempDir::new().unwrap();
-    let mut host = OnFiles::start(folder.path());
+    let mut host = FileHost::start(folder.path());
     assert!(host.store(&(longest_key() + "k"), b"value").is_err());
 }
