--- a/crates/fernknot-consensus/src/view_activation.rs
+++ b/crates/fernknot-consensus/src/view_activation.rs
@@ -147,13 +147,13 @@
 
     /// Delivers the newest state once it is committed.
     pub fn deliver(&mut self) {
-        let PersistentState { revision, ref state, .. } = self.disk.state;
+        let PersistentState { revision, .. } = self.disk.state;
         let is_newer = self.replication.delivered_revision().is_none_or(|delivered| delivered < revision);
         let is_committed = self.replication.commit_revision >= revision;
         if !self.activation.active || !self.has_view_state() || !is_committed || !is_newer {
             return;
         }
-        let state = state.clone();
+        let state = self.disk.state.state.clone();
         self.replication.delivered = Some(DeliveredState { revision, state: state.clone() });
         self.outbox.push(Action::Deliver { view: self.view().number, revision, state });
     }
--- a/crates/fernknot-consensus/tests/many_changes.rs
+++ b/crates/fernknot-consensus/tests/many_changes.rs
@@ -44,6 +44,23 @@
     None
 }
 
+/// One of the faults that a tenth of the changes suffers.
+fn inject(cluster: &mut Cluster, fault: u64, at: usize) {
+    match fault {
+        0 => cluster.kill(at),
+        1 => cluster.machines[at].suspended = true,
+        2 => cluster.set_disk(at, Disk::Hanging),
+        3 => cluster.set_disk(at, Disk::Full),
+        4 => cluster.isolate(at),
+        5 => cluster.restore_older_disk(at, 5),
+        6 => {
+            (0..cluster.machines.len()).for_each(|at| cluster.kill(at));
+            cluster.heal();
+        }
+        _ => cluster.set_disk(at, Disk::Slow),
+    }
+}
+
 fn run_changes(
     seed: u64,
     count: u8,
@@ -59,19 +76,7 @@
     while done < changes {
         let at = cluster.random.below(count as u64) as usize;
         let fault = done / 10 % 8;
-        match fault {
-            0 => cluster.kill(at),
-            1 => cluster.machines[at].suspended = true,
-            2 => cluster.set_disk(at, Disk::Hanging),
-            3 => cluster.set_disk(at, Disk::Full),
-            4 => cluster.isolate(at),
-            5 => cluster.restore_older_disk(at, 5),
-            6 => (0..count as usize).for_each(|at| cluster.kill(at)),
-            _ => cluster.set_disk(at, Disk::Slow),
-        }
-        if fault == 6 {
-            cluster.heal();
-        }
+        inject(&mut cluster, fault, at);
         for _ in 0..10 {
             cluster
                 .commits_within(10 * SUSPICION_TIMEOUT)
--- a/crates/fernknot-consensus/tests/model.rs
+++ b/crates/fernknot-consensus/tests/model.rs
@@ -218,6 +218,58 @@
             self.run_all_actions(world);
         }
     }
+
+    fn crash(&self, world: &mut World, at: usize, write_completes: bool) {
+        world.budget[CRASH] -= 1;
+        let pending_write = world.nodes[at].pending_write.take();
+        if let (true, Some((_, state))) = (write_completes, pending_write) {
+            world.nodes[at].saved = Some(state);
+        }
+        world.now += 1;
+        let (id, saved) = (world.nodes[at].id, world.nodes[at].saved.clone());
+        world.nodes[at].consensus = self.start(world, at, id, saved, false);
+        self.run_all_actions(world);
+    }
+
+    fn wipe(&self, world: &mut World, at: usize) {
+        let id = MemberId(world.nodes[at].id.0 + 10);
+        self.replace_disk(world, at, id, None);
+    }
+
+    fn restore_older(&self, world: &mut World, at: usize) {
+        let (id, older) = (world.nodes[at].id, world.nodes[at].older.take());
+        self.replace_disk(world, at, id, older);
+    }
+
+    fn replace_disk(&self, world: &mut World, at: usize, id: MemberId, saved: Option<PersistentState>) {
+        world.budget[WIPE] -= 1;
+        world.now += 1;
+        let consensus = self.start(world, at, id, saved.clone(), false);
+        world.nodes[at] = Node { consensus, id, saved, older: None, pending_write: None };
+        self.run_all_actions(world);
+    }
+
+    fn read(&self, world: &mut World, at: usize) {
+        let read_index = ReadIndexId(world.budget[READ] as u64);
+        world.budget[READ] -= 1;
+        let acknowledged = world.acknowledged;
+        world.pending_reads.push(PendingRead { read_index, node: at, acknowledged });
+        // Where too many are pending it is never confirmed.
+        let _ = world.nodes[at].consensus.read_index(Nanos(world.now), read_index);
+        self.run_all_actions(world);
+    }
+
+    /// `None` where nothing was delivered yet that a change could be based on.
+    fn propose(&self, world: &mut World, at: usize) -> Option<()> {
+        world.budget[PROPOSE] -= 1;
+        let change_id = 100 * world.now + at as u64;
+        let now = Nanos(world.now);
+        let consensus = &mut world.nodes[at].consensus;
+        let (base, _) = consensus.delivered()?;
+        consensus.propose(now, change_id, base, change_id.to_be_bytes().to_vec());
+        self.run_all_actions(world);
+        Some(())
+    }
 }
 
 impl Model for Controllers {
@@ -312,33 +364,9 @@
                 self.deliver(&mut next, &envelope);
             }
             Step::CompleteWrite(at) => self.complete_write(&mut next, at),
-            Step::Crash { node: at, write_completes } => {
-                next.budget[CRASH] -= 1;
-                let pending_write = next.nodes[at].pending_write.take();
-                if let (true, Some((_, state))) = (write_completes, pending_write) {
-                    next.nodes[at].saved = Some(state);
-                }
-                next.now += 1;
-                let (id, saved) = (next.nodes[at].id, next.nodes[at].saved.clone());
-                next.nodes[at].consensus = self.start(&next, at, id, saved, false);
-                self.run_all_actions(&mut next);
-            }
-            Step::Wipe(at) => {
-                next.budget[WIPE] -= 1;
-                next.now += 1;
-                let id = MemberId(next.nodes[at].id.0 + 10);
-                let consensus = self.start(&next, at, id, None, false);
-                next.nodes[at] = Node { consensus, id, saved: None, older: None, pending_write: None };
-                self.run_all_actions(&mut next);
-            }
-            Step::RestoreOlder(at) => {
-                next.budget[WIPE] -= 1;
-                next.now += 1;
-                let (id, older) = (next.nodes[at].id, next.nodes[at].older.take());
-                let consensus = self.start(&next, at, id, older.clone(), false);
-                next.nodes[at] = Node { consensus, id, saved: older, older: None, pending_write: None };
-                self.run_all_actions(&mut next);
-            }
+            Step::Crash { node, write_completes } => self.crash(&mut next, node, write_completes),
+            Step::Wipe(at) => self.wipe(&mut next, at),
+            Step::RestoreOlder(at) => self.restore_older(&mut next, at),
             Step::Isolate(at) => {
                 next.budget[CRASH] -= 1;
                 next.isolated = Some(at);
@@ -350,26 +378,8 @@
                 // Heartbeats are answered by heartbeats: as often as two ticks need.
                 (0..3).for_each(|_| self.run_all_actions(&mut next));
             }
-            Step::Read(at) => {
-                let read_index = ReadIndexId(next.budget[READ] as u64);
-                next.budget[READ] -= 1;
-                next.pending_reads.push(PendingRead {
-                    read_index,
-                    node: at,
-                    acknowledged: next.acknowledged,
-                });
-                let now = Nanos(next.now);
-                let _ = next.nodes[at].consensus.read_index(now, read_index);
-                self.run_all_actions(&mut next);
-            }
-            Step::Propose(at) => {
-                next.budget[PROPOSE] -= 1;
-                let change_id = 100 * next.now + at as u64;
-                let (base, _) = next.nodes[at].consensus.delivered()?;
-                let now = Nanos(next.now);
-                next.nodes[at].consensus.propose(now, change_id, base, change_id.to_be_bytes().to_vec());
-                self.run_all_actions(&mut next);
-            }
+            Step::Read(at) => self.read(&mut next, at),
+            Step::Propose(at) => self.propose(&mut next, at)?,
         }
         (next != *world).then_some(next)
     }
--- a/crates/fernknot-storage/tests/disk_format.rs
+++ b/crates/fernknot-storage/tests/disk_format.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn given_a_recorded_folder_when_opened_then_its_values_are_there_and_more_can_be_stored() {
+fn given_a_recorded_directory_when_opened_then_its_values_are_there_and_more_can_be_stored() {
     let directory = TempDir::new().unwrap();
     copy_directory(&recorded(), directory.path());
     let mut host = FileHost::start(directory.path());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn given_the_longest_key_when_it_is_one_byte_longer_then_it_is_refused() {
+fn given_the_longest_key_when_it_is_one_byte_longer_then_it_is_rejected() {
     assert_eq!(MAX_KEY_BYTES, RECORDED_KEY_BYTES);
     let directory = TempDir::new().unwrap();
     let mut host = FileHost::start(directory.path());
