--- /dev/null
+++ b/crates/fernknot-ownership/src/identifiers.rs
@@ -0,0 +1,31 @@
+//! Identifiers of gateway incarnations and the tokens that order assignments.
+
+use bitcode::{Decode, Encode};
+
+/// Identifies one incarnation of a gateway process; a restarted process has a new one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+pub struct IncarnationId(pub u64);
+
+/// Orders assignments; whatever carries a token below the newest one is rejected.
+///
+/// The upper 32 bits are the consensus view, the lower 32 bits the number of the assignment within that view. Both
+/// are counted from 1; the default token 0 precedes every assignment.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+pub struct FencingToken(pub u64);
+
+impl FencingToken {
+    /// The token of the assignment with this number within a view; below every token of a later view.
+    pub fn new(view: u32, count: u32) -> FencingToken {
+        FencingToken((view as u64) << 32 | count as u64)
+    }
+
+    /// The view in which the assignment was made.
+    pub fn view(self) -> u32 {
+        (self.0 >> 32) as u32
+    }
+
+    /// The number of the assignment within its view.
+    pub fn count(self) -> u32 {
+        self.0 as u32
+    }
+}
--- a/crates/fernknot-ownership/src/lib.rs
+++ b/crates/fernknot-ownership/src/lib.rs
@@ -1,16 +1,27 @@
-//! Duties that one process does, without I/O or clock.
+//! Ownership of keys by live gateways, without I/O or clock.
 //!
-//! A [`Cut`] says which gateways live; it gives every key one holder by rendezvous hashing, so that a change of one
-//! gateway moves only the keys of that one. Cuts stand under a [`Fence`] that rises, also over changes of the view.
-//! Controllers make them ([`Keeper`]); gateways take them and hand over ([`Holder`]). The ways weighed are in
-//! `docs/news.md`.
+//! This crate owns the rule that gives every key (a singleton role) exactly one owner. An [`Assignment`] lists the
+//! live gateways, and rendezvous hashing picks the owner of a key among them, so that a gateway which joins or leaves
+//! moves only its own keys. Assignments are ordered by a [`FencingToken`] that also rises across consensus views.
+//!
+//! The leader among the controllers makes assignments with an [`Assigner`]. Each gateway applies them to its
+//! [`OwnedKeys`], which hands keys over and says whether the gateway may use its share of a budget. The relays of
+//! `fernknot-distribution` are the owners of topic groups. `docs/distribution.md` compares the alternatives.
+
+#![deny(missing_docs)]
 
-mod cut;
-mod holder;
-mod keeper;
+mod assigner;
+mod assignment;
+mod budget_share;
+mod gateway_liveness;
+mod hashing;
+mod identifiers;
+mod key_handover;
+mod owned_keys;
 
-pub use cut::{
-    Assignment, AssignmentChange, FencingToken, GatewayRecord, IncarnationId, key_hash, splitmix64,
-};
-pub use holder::{Action, ApplyOutcome, OwnedKeys, OwnedKeysSettings, OwnershipState};
-pub use keeper::{Assigner, AssignerSettings, confirmation_timeout, presumed_alive_timeout};
+pub use assigner::{Assigner, AssignerSettings, confirmation_timeout, presumed_alive_timeout};
+pub use assignment::{Assignment, AssignmentChange, GatewayRecord};
+pub use hashing::{key_hash, splitmix64};
+pub use identifiers::{FencingToken, IncarnationId};
+pub use key_handover::{Action, OwnershipState};
+pub use owned_keys::{ApplyOutcome, OwnedKeys, OwnedKeysSettings};
