--- a/crates/fernknot-ownership/tests/common/mod.rs
+++ b/crates/fernknot-ownership/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Gateways and times for the stories of this package.
+//! Fixtures: gateways, assignments and times.
+#![allow(dead_code, reason = "each test file uses some of the fixtures")]
 
 use fernknot::interface::Nanos;
 use fernknot_ownership::{
@@ -7,45 +8,48 @@
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const BEAT: Nanos = Nanos(1_000_000_000);
+pub const HEARTBEAT_INTERVAL: Nanos = Nanos(1_000_000_000);
 
 /// The span over which a budget counts what was spent.
-pub const WINDOW: Nanos = Nanos(10_000_000_000);
+pub const BUDGET_WINDOW: Nanos = Nanos(10_000_000_000);
 
-/// A time in beats.
-pub fn at(beats: f64) -> Nanos {
-    BEAT.times(beats)
+/// A time in heartbeat intervals.
+pub fn at(heartbeats: f64) -> Nanos {
+    HEARTBEAT_INTERVAL.times(heartbeats)
 }
 
-pub fn gateway(life: u64) -> GatewayRecord {
-    let addr = SocketAddrV4::new(Ipv4Addr::new(10, 0, (life >> 8) as u8, life as u8), 7120);
+pub fn gateway(incarnation: u64) -> GatewayRecord {
+    let addr = SocketAddrV4::new(Ipv4Addr::new(10, 0, (incarnation >> 8) as u8, incarnation as u8), 7120);
     GatewayRecord {
-        incarnation: IncarnationId(life),
+        incarnation: IncarnationId(incarnation),
         addr,
-        zone: ["north", "south", "east"][life as usize % 3].to_string(),
+        zone: ["north", "south", "east"][incarnation as usize % 3].to_string(),
     }
 }
 
-pub fn cut(view: u32, count: u32, lives: impl IntoIterator<Item = u64>) -> Assignment {
-    let live: Vec<GatewayRecord> = lives.into_iter().map(gateway).collect();
+pub fn assignment(view: u32, count: u32, incarnations: impl IntoIterator<Item = u64>) -> Assignment {
+    let gateways: Vec<GatewayRecord> = incarnations.into_iter().map(gateway).collect();
     Assignment {
         fencing_token: FencingToken::new(view, count),
-        presumed_alive: live.len() as u32,
-        gateways: live,
+        presumed_alive: gateways.len() as u32,
+        gateways,
     }
     .sorted()
 }
 
-pub fn keeper() -> Assigner {
-    Assigner::new(BEAT, AssignerSettings { max_gateways: 5_000, presumed_alive_timeout: at(15.0) })
+pub fn assigner() -> Assigner {
+    Assigner::new(
+        HEARTBEAT_INTERVAL,
+        AssignerSettings { max_gateways: 5_000, presumed_alive_timeout: at(15.0) },
+    )
 }
 
-pub fn holder(life: u64) -> OwnedKeys {
-    let bounds = OwnedKeysSettings {
+pub fn owned_keys(incarnation: u64) -> OwnedKeys {
+    let settings = OwnedKeysSettings {
         max_keys: 500,
         handover_timeout: at(2.0),
         confirmation_timeout: at(5.0),
-        budget_window: WINDOW,
+        budget_window: BUDGET_WINDOW,
     };
-    OwnedKeys::new(IncarnationId(life), None, bounds)
+    OwnedKeys::new(IncarnationId(incarnation), None, settings)
 }
