--- a/crates/fernknot-distribution/src/lib.rs
+++ b/crates/fernknot-distribution/src/lib.rs
@@ -1,15 +1,29 @@
-//! How news reaches the gateways, without I/O or clock.
+//! Distribution of updates to the gateways, without I/O or clock.
 //!
-//! Each topic (a service's nodes, or the configuration with the cuts) has a home in every zone: the gateway that
-//! holds it as a duty. The home takes the topic's news from a controller; the others of the zone subscribe to the home.
-//! So each piece of news crosses into a zone once. One [`Homes`] is the state machine of one gateway: the host tells it
-//! what came and what was lost and pulls whom to attach to. The ways weighed are in `docs/news.md`.
+//! This crate owns the decision which process a gateway takes each topic's updates from, and which subscribers it
+//! passes them on to. In every zone one gateway is the relay of a topic group (its owner by `fernknot-ownership`): it
+//! subscribes to a controller, and the others of the zone subscribe to it, so that each update crosses into a zone
+//! once. Gateways without a healthy relay subscribe to a controller themselves.
+//!
+//! One [`Relays`] is the state machine of one gateway. Its host (`fernknot-gateway`) reports what came and which
+//! connections were lost, and carries out the [`Action`]s. `docs/distribution.md` compares the alternatives.
+
+#![deny(missing_docs)]
 
-mod controllers;
-mod homes;
-mod link;
-mod plan;
+mod action;
+mod backoff;
+mod controller_selection;
+mod relay_health;
+mod relays;
+mod source;
+mod subscribers;
+mod subscription;
+mod timing;
+mod topic;
+mod topic_upstreams;
 
-pub use controllers::ControllerEndpoint;
-pub use homes::{Action, Relays, RelaysLimits};
-pub use link::{SourceHeartbeat, SourceKind, Topic};
+pub use action::Action;
+pub use controller_selection::ControllerEndpoint;
+pub use relays::{Relays, RelaysLimits};
+pub use source::{SourceHeartbeat, SourceKind};
+pub use topic::Topic;
--- /dev/null
+++ b/crates/fernknot-distribution/src/topic_upstreams.rs
@@ -0,0 +1,188 @@
+//! Which gateway each topic comes from by the newest assignment, and which source it came from before.
+
+use crate::relay_health::RelayHealth;
+use crate::source::Source;
+use crate::subscription::Subscriptions;
+use crate::topic::{Topic, group_count, group_key};
+use fernknot::interface::Nanos;
+use fernknot_ownership::{Assignment, GatewayRecord, IncarnationId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddrV4;
+
+/// A gateway passes a topic group's updates on to this many at most; in larger zones these pass them on in turn.
+const MAX_DOWNSTREAMS: usize = 12;
+
+/// Where a topic came from before an assignment.
+#[derive(Clone, Copy, Debug)]
+struct PreviousSource {
+    source: Source,
+    until: Nanos,
+}
+
+/// The upstream of each topic, and the handovers after a new assignment.
+#[derive(Clone, Debug)]
+pub(crate) struct TopicUpstreams {
+    incarnation: IncarnationId,
+    zone: String,
+    /// The part of the newest assignment that concerns the zone.
+    assignment: Assignment,
+    /// For each topic group the upstream of its topics; see `by_topic`.
+    by_group: Vec<Option<SocketAddrV4>>,
+    /// For each topic its relay, or a gateway that passes the relay's updates on. `None` where this gateway is the
+    /// relay, or no gateway of the zone is live.
+    by_topic: BTreeMap<Topic, Option<SocketAddrV4>>,
+    /// Topics of which this gateway was the relay by the assignment before, and until when it serves on.
+    handover_until: BTreeMap<Topic, Nanos>,
+    /// The sources before the assignment; kept until the new ones are fresh, or for a bounded time.
+    previous_sources: BTreeMap<Topic, PreviousSource>,
+}
+
+impl TopicUpstreams {
+    pub fn new(incarnation: IncarnationId, zone: &str) -> TopicUpstreams {
+        TopicUpstreams {
+            incarnation,
+            zone: zone.to_string(),
+            assignment: Assignment::default(),
+            by_group: vec![None],
+            by_topic: BTreeMap::from([(Topic::Configuration, None)]),
+            handover_until: BTreeMap::new(),
+            previous_sources: BTreeMap::new(),
+        }
+    }
+
+    pub fn incarnation(&self) -> IncarnationId {
+        self.incarnation
+    }
+
+    /// Sets the topics. Returns whether they differ.
+    pub fn set_topics(&mut self, topics: BTreeSet<Topic>) -> bool {
+        if topics.iter().eq(self.by_topic.keys()) {
+            return false;
+        }
+        let upstreams = topics.into_iter().map(|topic| {
+            let upstream = self.by_group.get(topic.group(self.by_group.len())).copied().flatten();
+            (topic, upstream)
+        });
+        self.by_topic = upstreams.collect();
+        self.handover_until.retain(|topic, _| self.by_topic.contains_key(topic));
+        self.previous_sources.retain(|topic, _| self.by_topic.contains_key(topic));
+        true
+    }
+
+    /// Applies an assignment. Returns false for one that is not newer, which changes nothing. Topics that move are
+    /// served from their earlier source until `handover_until`.
+    pub fn apply(
+        &mut self,
+        assignment: &Assignment,
+        current_controller: Option<SocketAddrV4>,
+        handover_until: Nanos,
+    ) -> bool {
+        if assignment.fencing_token <= self.assignment.fencing_token {
+            return false;
+        }
+        let was_listed = self.is_listed();
+        self.assignment = assignment.for_zone(&self.zone).sorted();
+        self.by_group = self.upstreams_by_group();
+        let groups = self.by_group.len();
+        for (topic, upstream) in &mut self.by_topic {
+            let new = self.by_group[topic.group(groups)];
+            let old = std::mem::replace(upstream, new);
+            if old == new {
+                continue;
+            }
+            let previous = match old {
+                Some(relay) => Some(Source::relay(relay)),
+                None if was_listed => {
+                    self.handover_until.insert(topic.clone(), handover_until);
+                    None
+                }
+                // No assignment listed this gateway before: nobody relies on it, but its own updates must go on.
+                None => current_controller.map(Source::controller),
+            };
+            if let Some(source) = previous {
+                let previous = PreviousSource { source, until: handover_until };
+                self.previous_sources.insert(topic.clone(), previous);
+            }
+        }
+        true
+    }
+
+    /// Ends the handovers whose time is over.
+    pub fn expire_handovers(&mut self, now: Nanos) {
+        self.handover_until.retain(|_, until| now < *until);
+    }
+
+    /// Forgets the previous sources whose time is over, whose connection is lost, or whose topic's new source is
+    /// fresh.
+    pub fn expire_previous_sources(
+        &mut self,
+        now: Nanos,
+        current_controller: Option<SocketAddrV4>,
+        subscriptions: &Subscriptions,
+        stale_after: Nanos,
+    ) {
+        let by_topic = &self.by_topic;
+        self.previous_sources.retain(|topic, previous| {
+            let new = match by_topic.get(topic) {
+                Some(Some(relay)) => Some(Source::relay(*relay)),
+                _ => current_controller.map(Source::controller),
+            };
+            let is_new_fresh = new
+                .and_then(|new| subscriptions.get(&new))
+                .is_some_and(|subscription| subscription.is_fresh(now, stale_after));
+            now < previous.until && !is_new_fresh && subscriptions.contains_key(&previous.source)
+        });
+    }
+
+    /// The gateways that topics come from.
+    pub fn relays(&self) -> BTreeSet<SocketAddrV4> {
+        self.by_topic.values().flatten().copied().collect()
+    }
+
+    /// The topics to be taken from a gateway, with the gateway; topics with a previous source come with that as well.
+    pub fn sources(&self) -> impl Iterator<Item = (Source, &Topic)> {
+        let relays =
+            self.by_topic.iter().filter_map(|(topic, relay)| Some((Source::relay((*relay)?), topic)));
+        relays.chain(self.previous_sources.iter().map(|(topic, previous)| (previous.source, topic)))
+    }
+
+    /// The topics to be taken from a controller: this gateway is their relay or was it until recently, or their relay
+    /// is stale.
+    pub fn topics_from_controller(&self, health: &RelayHealth) -> BTreeSet<Topic> {
+        let topics = self.by_topic.iter().filter(|(topic, relay)| {
+            relay.is_none_or(|relay| health.is_stale(relay)) || self.handover_until.contains_key(topic)
+        });
+        topics.map(|(topic, _)| topic.clone()).collect()
+    }
+
+    /// Whether this gateway is the relay of a topic.
+    pub fn is_relay(&self, topic: &Topic) -> bool {
+        self.by_topic.get(topic) == Some(&None) && self.is_listed()
+    }
+
+    /// The relay of a topic in this zone.
+    pub fn relay_for(&self, topic: &Topic) -> Option<&GatewayRecord> {
+        self.assignment.owner(Some(&self.zone), &group_key(topic.group(self.by_group.len())))
+    }
+
+    fn is_listed(&self) -> bool {
+        self.assignment.gateway(self.incarnation).is_some()
+    }
+
+    fn upstreams_by_group(&self) -> Vec<Option<SocketAddrV4>> {
+        let groups = group_count(self.assignment.gateways.len());
+        (0..groups).map(|group| self.upstream_of_group(group)).collect()
+    }
+
+    /// The gateways of the zone form a tree in the order of the group's key: the relay at the root, and below each at
+    /// most [`MAX_DOWNSTREAMS`].
+    fn upstream_of_group(&self, group: usize) -> Option<SocketAddrV4> {
+        let ranked = self.assignment.owners_ranked(Some(&self.zone), &group_key(group));
+        match ranked.iter().position(|gateway| gateway.incarnation == self.incarnation) {
+            Some(0) => None,
+            Some(rank) => Some(ranked[(rank - 1) / MAX_DOWNSTREAMS].addr),
+            // The assignment does not list this gateway yet: it subscribes to the relay meanwhile.
+            None => ranked.first().map(|gateway| gateway.addr),
+        }
+    }
+}
