--- a/crates/fernknot-distribution/tests/common/mod.rs
+++ b/crates/fernknot-distribution/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A few zones of gateways and controllers in memory, on a clock of 10 ms steps.
+//! Fixture: a few zones of gateways and controllers in memory, on a clock of 10 ms steps.
+#![allow(dead_code, reason = "each test file uses some of the fixtures")]
 
 use fernknot::interface::Nanos;
 use fernknot_distribution::{
@@ -8,33 +9,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const APPLY: Nanos = Nanos(3_000_000_000);
+pub const APPLY_DEADLINE: Nanos = Nanos(3_000_000_000);
 pub const ZONES: [&str; 3] = ["north", "south", "east"];
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 
 pub fn millis(ms: u64) -> Nanos {
     Nanos(ms * 1_000_000)
 }
 
-pub fn gateway_addr(life: u64) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::new(10, 1, (life >> 8) as u8, life as u8), 7120)
+pub fn gateway_addr(incarnation: u64) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 1, (incarnation >> 8) as u8, incarnation as u8), 7120)
 }
 
 pub fn controller_addr(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, number), 8729)
 }
 
-pub fn zone(life: u64) -> &'static str {
-    ZONES[life as usize % 3]
+pub fn zone(incarnation: u64) -> &'static str {
+    ZONES[incarnation as usize % 3]
 }
 
-pub fn cut(count: u32, lives: impl IntoIterator<Item = u64>) -> Assignment {
-    let gateway = |life| GatewayRecord {
-        incarnation: IncarnationId(life),
-        addr: gateway_addr(life),
-        zone: zone(life).to_string(),
+pub fn assignment(count: u32, incarnations: impl IntoIterator<Item = u64>) -> Assignment {
+    let gateway = |incarnation| GatewayRecord {
+        incarnation: IncarnationId(incarnation),
+        addr: gateway_addr(incarnation),
+        zone: zone(incarnation).to_string(),
     };
-    let live: Vec<GatewayRecord> = lives.into_iter().map(gateway).collect();
+    let live: Vec<GatewayRecord> = incarnations.into_iter().map(gateway).collect();
     Assignment {
         fencing_token: FencingToken::new(1, count),
         presumed_alive: live.len() as u32,
@@ -48,249 +49,291 @@
     [Topic::Configuration].into_iter().chain(services).collect()
 }
 
-pub struct Teller {
+pub struct SimulatedController {
     pub zone: &'static str,
-    pub lease: bool,
-    pub silent: bool,
-    /// It takes no connections, and those it had are broken.
-    pub dead: bool,
+    pub has_lease: bool,
+    pub hung: bool,
+    /// It accepts no connections, and those it had are lost.
+    pub crashed: bool,
 }
 
-pub struct Member {
-    pub homes: Relays,
-    /// The newest news of each topic that came.
-    pub has: BTreeMap<Topic, u64>,
-    pub silent: bool,
-    pub dead: bool,
-    pub links: BTreeMap<(SourceKind, SocketAddrV4), BTreeSet<Topic>>,
+pub struct SimulatedGateway {
+    pub relays: Relays,
+    /// The newest version of each topic that came.
+    pub received: BTreeMap<Topic, u64>,
+    pub hung: bool,
+    pub crashed: bool,
+    pub subscriptions: BTreeMap<(SourceKind, SocketAddrV4), BTreeSet<Topic>>,
 }
 
-/// News is a number for each topic; it crosses no time but the steps.
-pub struct World {
+/// A topic's state is a version number; messages arrive in the step in which they are sent.
+pub struct Cluster {
     pub ms: u64,
-    pub members: BTreeMap<u64, Member>,
-    pub tellers: BTreeMap<SocketAddrV4, Teller>,
-    pub news: BTreeMap<Topic, u64>,
-    /// Tellings of a change that went from one zone to another.
-    pub crossings: usize,
-    pub attaches: usize,
+    pub gateways: BTreeMap<u64, SimulatedGateway>,
+    pub controllers: BTreeMap<SocketAddrV4, SimulatedController>,
+    pub versions: BTreeMap<Topic, u64>,
+    /// Messages about a change that went from one zone to another.
+    pub zone_crossings: usize,
+    pub subscribe_actions: usize,
 }
 
-impl World {
-    pub fn new(lives: impl IntoIterator<Item = u64>) -> World {
-        let teller = |zone| Teller { zone, lease: true, silent: false, dead: false };
-        let mut world = World {
+impl Cluster {
+    pub fn new(incarnations: impl IntoIterator<Item = u64>) -> Cluster {
+        let controller = |zone| SimulatedController { zone, has_lease: true, hung: false, crashed: false };
+        let mut cluster = Cluster {
             ms: 0,
-            members: BTreeMap::new(),
-            tellers: (0..3).map(|number| (controller_addr(number), teller(ZONES[number as usize]))).collect(),
-            news: topics().into_iter().map(|topic| (topic, 1)).collect(),
-            crossings: 0,
-            attaches: 0,
+            gateways: BTreeMap::new(),
+            controllers: (0..3)
+                .map(|number| (controller_addr(number), controller(ZONES[number as usize])))
+                .collect(),
+            versions: topics().into_iter().map(|topic| (topic, 1)).collect(),
+            zone_crossings: 0,
+            subscribe_actions: 0,
         };
-        let lives: Vec<u64> = lives.into_iter().collect();
-        for life in &lives {
-            world.start(*life);
+        let incarnations: Vec<u64> = incarnations.into_iter().collect();
+        for incarnation in &incarnations {
+            cluster.start(*incarnation);
         }
-        world.cut(&cut(1, lives));
-        world.run(2_000);
-        world
+        cluster.apply_assignment(&assignment(1, incarnations));
+        cluster.run(2_000);
+        cluster
     }
 
-    pub fn start(&mut self, life: u64) {
-        let mut homes = Relays::new(IncarnationId(life), zone(life), APPLY, RelaysLimits::default(), life);
+    pub fn start(&mut self, incarnation: u64) {
+        let mut relays = Relays::new(
+            IncarnationId(incarnation),
+            zone(incarnation),
+            APPLY_DEADLINE,
+            RelaysLimits::default(),
+            incarnation,
+        );
         let names: Vec<String> = (0..12).map(|number| format!("service-{number}")).collect();
-        homes.set_services(names.iter().map(String::as_str));
+        relays.set_services(names.iter().map(String::as_str));
         let known = self
-            .tellers
+            .controllers
             .iter()
-            .map(|(addr, teller)| ControllerEndpoint { addr: *addr, zone: teller.zone.to_string() });
-        homes.set_controllers(&known.collect::<Vec<_>>());
-        let (has, links) = (BTreeMap::new(), BTreeMap::new());
-        self.members.insert(life, Member { homes, has, silent: false, dead: false, links });
+            .map(|(addr, controller)| ControllerEndpoint { addr: *addr, zone: controller.zone.to_string() });
+        relays.set_controllers(&known.collect::<Vec<_>>());
+        let (received, subscriptions) = (BTreeMap::new(), BTreeMap::new());
+        self.gateways.insert(
+            incarnation,
+            SimulatedGateway { relays, received, hung: false, crashed: false, subscriptions },
+        );
     }
 
-    pub fn cut(&mut self, cut: &Assignment) {
+    pub fn apply_assignment(&mut self, assignment: &Assignment) {
         let now = millis(self.ms);
-        self.members
+        self.gateways
             .values_mut()
-            .filter(|member| !member.silent)
-            .for_each(|member| member.homes.apply_assignment(now, cut));
+            .filter(|gateway| !gateway.hung)
+            .for_each(|gateway| gateway.relays.apply_assignment(now, assignment));
     }
 
-    /// The home of a topic in a zone.
-    pub fn home(&self, zone_name: &str, topic: &Topic) -> u64 {
-        let mut here =
-            self.members.iter().filter(|(life, member)| zone(**life) == zone_name && !member.silent);
-        here.next().unwrap().1.homes.relay_for(topic).unwrap().incarnation.0
+    /// The relay of a topic in a zone.
+    pub fn relay(&self, zone_name: &str, topic: &Topic) -> u64 {
+        let mut here = self
+            .gateways
+            .iter()
+            .filter(|(incarnation, gateway)| zone(**incarnation) == zone_name && !gateway.hung);
+        here.next().unwrap().1.relays.relay_for(topic).unwrap().incarnation.0
     }
 
     pub fn change(&mut self, topic: &Topic) {
-        *self.news.get_mut(topic).unwrap() += 1;
-        self.crossings = 0;
-        let news = self.news[topic];
-        let tellers =
-            self.tellers.iter().filter(|(_, teller)| teller.lease && !teller.silent && !teller.dead);
-        let tellers: Vec<(SocketAddrV4, &str)> = tellers.map(|(addr, teller)| (*addr, teller.zone)).collect();
-        for (addr, from) in tellers {
-            for life in self.takers(SourceKind::Controller, addr, topic) {
-                self.crossings += (zone(life) != from) as usize;
-                self.give(life, topic, news);
+        *self.versions.get_mut(topic).unwrap() += 1;
+        self.zone_crossings = 0;
+        let version = self.versions[topic];
+        let controllers = self
+            .controllers
+            .iter()
+            .filter(|(_, controller)| controller.has_lease && !controller.hung && !controller.crashed);
+        let controllers: Vec<(SocketAddrV4, &str)> =
+            controllers.map(|(addr, controller)| (*addr, controller.zone)).collect();
+        for (addr, from) in controllers {
+            for incarnation in self.subscribers(SourceKind::Controller, addr, topic) {
+                self.zone_crossings += (zone(incarnation) != from) as usize;
+                self.deliver(incarnation, topic, version);
             }
         }
     }
 
-    /// Runs on until all who live have all news; returns the milliseconds that took, or None after ten seconds.
-    pub fn spread(&mut self) -> Option<u64> {
+    /// Runs on until all live gateways have all updates; returns the milliseconds that elapsed, or `None` after ten
+    /// seconds.
+    pub fn milliseconds_to_reach_all(&mut self) -> Option<u64> {
         let start = self.ms;
-        while !self.all_have_all() {
+        while !self.all_are_up_to_date() {
             if self.ms - start > 10_000 {
                 return None;
             }
-            self.run(STEP);
+            self.run(STEP_MS);
         }
         Some(self.ms - start)
     }
 
     pub fn run(&mut self, ms: u64) {
-        let pulses = Relays::heartbeat_interval(APPLY).0 / 1_000_000 / STEP;
-        for _ in 0..ms.div_ceil(STEP) {
-            self.ms += STEP;
+        let steps_per_heartbeat = Relays::heartbeat_interval(APPLY_DEADLINE).0 / 1_000_000 / STEP_MS;
+        for _ in 0..ms.div_ceil(STEP_MS) {
+            self.ms += STEP_MS;
             let now = millis(self.ms);
-            if (self.ms / STEP).is_multiple_of(pulses) {
-                self.beat(now);
+            if (self.ms / STEP_MS).is_multiple_of(steps_per_heartbeat) {
+                self.send_heartbeats(now);
             }
-            for life in self.members.keys().copied().collect::<Vec<_>>() {
-                while let Some(order) = self.order(now, life) {
-                    self.obey(now, life, order);
+            for incarnation in self.gateways.keys().copied().collect::<Vec<_>>() {
+                while let Some(action) = self.poll_action(now, incarnation) {
+                    self.perform(now, incarnation, action);
                 }
             }
         }
     }
 
-    fn all_have_all(&self) -> bool {
-        let mut live = self.members.values().filter(|member| !member.dead && !member.silent);
-        live.all(|member| member.has == self.news)
+    fn all_are_up_to_date(&self) -> bool {
+        let mut live = self.gateways.values().filter(|gateway| !gateway.crashed && !gateway.hung);
+        live.all(|gateway| gateway.received == self.versions)
     }
 
-    fn order(&mut self, now: Nanos, life: u64) -> Option<Action> {
-        let member = self.members.get_mut(&life)?;
-        if member.dead || member.silent { None } else { member.homes.poll_action(now) }
+    fn poll_action(&mut self, now: Nanos, incarnation: u64) -> Option<Action> {
+        let gateway = self.gateways.get_mut(&incarnation)?;
+        if gateway.crashed || gateway.hung { None } else { gateway.relays.poll_action(now) }
     }
 
-    fn beat(&mut self, now: Nanos) {
-        for (addr, teller) in &self.tellers {
-            if teller.silent || teller.dead {
+    fn send_heartbeats(&mut self, now: Nanos) {
+        for (addr, controller) in &self.controllers {
+            if controller.hung || controller.crashed {
                 continue;
             }
-            let pulse = SourceHeartbeat {
-                has_lease: teller.lease,
+            let heartbeat = SourceHeartbeat {
+                has_lease: controller.has_lease,
                 fencing_token: FencingToken::new(1, 1),
                 ..SourceHeartbeat::default()
             };
-            for member in self.members.values_mut() {
-                if member.links.contains_key(&(SourceKind::Controller, *addr)) && !member.silent {
-                    member.homes.record_heartbeat(now, *addr, SourceKind::Controller, pulse);
+            for gateway in self.gateways.values_mut() {
+                if gateway.subscriptions.contains_key(&(SourceKind::Controller, *addr)) && !gateway.hung {
+                    gateway.relays.record_heartbeat(now, *addr, SourceKind::Controller, heartbeat);
                 }
             }
         }
     }
 
-    fn takers(&self, what: SourceKind, addr: SocketAddrV4, topic: &Topic) -> Vec<u64> {
-        let takes =
-            |member: &Member| member.links.get(&(what, addr)).is_some_and(|topics| topics.contains(topic));
-        self.members.iter().filter(|(_, member)| takes(member)).map(|(life, _)| *life).collect()
+    fn subscribers(&self, kind: SourceKind, addr: SocketAddrV4, topic: &Topic) -> Vec<u64> {
+        let takes = |gateway: &SimulatedGateway| {
+            gateway.subscriptions.get(&(kind, addr)).is_some_and(|topics| topics.contains(topic))
+        };
+        self.gateways
+            .iter()
+            .filter(|(_, gateway)| takes(gateway))
+            .map(|(incarnation, _)| *incarnation)
+            .collect()
     }
 
-    /// News reaches a gateway, which passes it on.
-    fn give(&mut self, life: u64, topic: &Topic, news: u64) {
-        let Some(member) = self.members.get_mut(&life) else { return };
-        if member.dead || member.silent || member.has.get(topic).is_some_and(|has| *has >= news) {
+    /// An update reaches a gateway, which passes it on.
+    fn deliver(&mut self, incarnation: u64, topic: &Topic, version: u64) {
+        let Some(gateway) = self.gateways.get_mut(&incarnation) else { return };
+        if gateway.crashed
+            || gateway.hung
+            || gateway.received.get(topic).is_some_and(|known| *known >= version)
+        {
             return;
         }
-        member.has.insert(topic.clone(), news);
-        let to: Vec<SocketAddrV4> = member.homes.subscribers_of(topic).collect();
-        let on: Vec<u64> =
-            self.members.keys().copied().filter(|life| to.contains(&gateway_addr(*life))).collect();
-        on.into_iter().for_each(|other| self.give(other, topic, news));
+        gateway.received.insert(topic.clone(), version);
+        let to: Vec<SocketAddrV4> = gateway.relays.subscribers_of(topic).collect();
+        let on: Vec<u64> = self
+            .gateways
+            .keys()
+            .copied()
+            .filter(|incarnation| to.contains(&gateway_addr(*incarnation)))
+            .collect();
+        on.into_iter().for_each(|other| self.deliver(other, topic, version));
     }
 
-    fn obey(&mut self, now: Nanos, life: u64, order: Action) {
-        let me = gateway_addr(life);
-        match order {
-            Action::Subscribe { addr, kind: what, topics } => {
-                self.attaches += 1;
-                let has: BTreeMap<Topic, u64> = match what {
-                    SourceKind::Controller => match self.tellers.get(&addr) {
-                        Some(teller) if !teller.dead => {
-                            if teller.silent || !teller.lease {
-                                BTreeMap::new()
-                            } else {
-                                self.news.clone()
-                            }
-                        }
-                        _ => return self.break_link(now, life, addr, what),
-                    },
-                    SourceKind::Relay => {
-                        let at = self
-                            .members
-                            .values_mut()
-                            .find(|member| gateway_addr(member.homes_life()) == addr);
-                        match at {
-                            Some(home) if !home.dead => {
-                                home.homes.subscribe(me, topics.iter().cloned());
-                                if home.silent { BTreeMap::new() } else { home.has.clone() }
-                            }
-                            _ => return self.break_link(now, life, addr, what),
-                        }
-                    }
-                };
-                let links = &mut self.members.get_mut(&life).unwrap().links;
-                links.insert((what, addr), topics.iter().cloned().collect());
-                for topic in &topics {
-                    if let Some(news) = has.get(topic) {
-                        self.give(life, topic, *news);
-                    }
+    fn perform(&mut self, now: Nanos, incarnation: u64, action: Action) {
+        match action {
+            Action::Subscribe { addr, kind, topics } => {
+                self.subscribe_actions += 1;
+                match self.connect(incarnation, addr, kind, &topics) {
+                    Some(received) => self.subscribed(incarnation, addr, kind, &topics, received),
+                    None => self.lose_source(now, incarnation, addr, kind),
                 }
             }
-            Action::Unsubscribe { addr, kind: what } => {
-                self.members.get_mut(&life).unwrap().links.remove(&(what, addr));
-                if let Some(home) =
-                    self.members.values_mut().find(|home| gateway_addr(home.homes_life()) == addr)
-                {
-                    home.homes.subscribe(me, []);
+            Action::Unsubscribe { addr, kind } => {
+                self.gateways.get_mut(&incarnation).unwrap().subscriptions.remove(&(kind, addr));
+                if let Some(relay) = self.gateway_at(addr) {
+                    relay.relays.subscribe(gateway_addr(incarnation), []);
                 }
             }
-            Action::ForwardHeartbeat { to, heartbeat: pulse } => {
-                for member in self.members.values_mut().filter(|member| !member.silent) {
-                    if to.contains(&gateway_addr(member.homes_life())) {
-                        member.homes.record_heartbeat(now, me, SourceKind::Relay, pulse);
+            Action::ForwardHeartbeat { to, heartbeat } => {
+                for gateway in self.gateways.values_mut().filter(|gateway| !gateway.hung) {
+                    if to.contains(&gateway_addr(gateway.incarnation())) {
+                        let from = gateway_addr(incarnation);
+                        gateway.relays.record_heartbeat(now, from, SourceKind::Relay, heartbeat);
                     }
                 }
             }
         }
     }
 
-    fn break_link(&mut self, now: Nanos, life: u64, addr: SocketAddrV4, what: SourceKind) {
-        let member = self.members.get_mut(&life).unwrap();
-        member.links.remove(&(what, addr));
-        member.homes.source_lost(now, addr, what);
+    /// The versions that a source sends to a new subscriber; `None` if it has crashed.
+    fn connect(
+        &mut self,
+        incarnation: u64,
+        addr: SocketAddrV4,
+        kind: SourceKind,
+        topics: &[Topic],
+    ) -> Option<BTreeMap<Topic, u64>> {
+        match kind {
+            SourceKind::Controller => {
+                let controller = self.controllers.get(&addr).filter(|controller| !controller.crashed)?;
+                let answers = !controller.hung && controller.has_lease;
+                Some(if answers { self.versions.clone() } else { BTreeMap::new() })
+            }
+            SourceKind::Relay => {
+                let relay = self.gateway_at(addr).filter(|relay| !relay.crashed)?;
+                relay.relays.subscribe(gateway_addr(incarnation), topics.iter().cloned());
+                Some(if relay.hung { BTreeMap::new() } else { relay.received.clone() })
+            }
+        }
+    }
+
+    fn subscribed(
+        &mut self,
+        incarnation: u64,
+        addr: SocketAddrV4,
+        kind: SourceKind,
+        topics: &[Topic],
+        received: BTreeMap<Topic, u64>,
+    ) {
+        let subscriptions = &mut self.gateways.get_mut(&incarnation).unwrap().subscriptions;
+        subscriptions.insert((kind, addr), topics.iter().cloned().collect());
+        for topic in topics {
+            if let Some(version) = received.get(topic) {
+                self.deliver(incarnation, topic, *version);
+            }
+        }
+    }
+
+    fn gateway_at(&mut self, addr: SocketAddrV4) -> Option<&mut SimulatedGateway> {
+        self.gateways.values_mut().find(|gateway| gateway_addr(gateway.incarnation()) == addr)
+    }
+
+    fn lose_source(&mut self, now: Nanos, incarnation: u64, addr: SocketAddrV4, kind: SourceKind) {
+        let gateway = self.gateways.get_mut(&incarnation).unwrap();
+        gateway.subscriptions.remove(&(kind, addr));
+        gateway.relays.source_lost(now, addr, kind);
     }
 
-    /// All links to an address break at once.
+    /// All connections to an address are lost at once.
     pub fn reset(&mut self, addr: SocketAddrV4) {
         let now = millis(self.ms);
-        for life in self.members.keys().copied().collect::<Vec<_>>() {
-            for what in [SourceKind::Controller, SourceKind::Relay] {
-                if self.members[&life].links.contains_key(&(what, addr)) {
-                    self.break_link(now, life, addr, what);
+        for incarnation in self.gateways.keys().copied().collect::<Vec<_>>() {
+            for kind in [SourceKind::Controller, SourceKind::Relay] {
+                if self.gateways[&incarnation].subscriptions.contains_key(&(kind, addr)) {
+                    self.lose_source(now, incarnation, addr, kind);
                 }
             }
         }
     }
 }
 
-impl Member {
-    fn homes_life(&self) -> u64 {
-        self.homes.incarnation().0
+impl SimulatedGateway {
+    fn incarnation(&self) -> u64 {
+        self.relays.incarnation().0
     }
 }
