--- /dev/null
+++ b/crates/fernknot-registry/src/node_directory.rs
@@ -0,0 +1,292 @@
+//! A gateway's directory of nodes, as its sources describe them.
+
+use crate::address_index::AddressIndex;
+use crate::node_record::NodeRecord;
+use crate::tracked_record::TrackedRecord;
+use fernknot::interface::Nanos;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::net::SocketAddrV4;
+
+/// An incarnation that healthy sources don't list for this many heartbeat intervals is dropped.
+const HEARTBEATS_UNTIL_DROPPED: f64 = 10.0;
+/// Sources whose heartbeats are further apart than this many intervals were not healthy in between.
+const MAX_SOURCE_GAP_HEARTBEATS: f64 = 3.0;
+
+/// Limits of a [`NodeDirectory`].
+#[derive(Clone, Copy, Debug)]
+pub struct NodeDirectoryLimits {
+    /// Incarnations known at once, lost and gone ones included.
+    pub max_incarnations: usize,
+    /// How long a lost or gone incarnation is remembered, so that an outdated source does not bring it back.
+    pub tombstone_retention: Nanos,
+}
+
+impl Default for NodeDirectoryLimits {
+    fn default() -> Self {
+        NodeDirectoryLimits { max_incarnations: 50_000, tombstone_retention: Nanos(120_000_000_000) }
+    }
+}
+
+#[derive(Clone, Debug)]
+struct DirectoryEntry {
+    tracked: TrackedRecord,
+    /// The number of the last update that listed it.
+    last_update: u64,
+    /// [`SourceUptime::total`] when a complete snapshot first did not list it.
+    missing_since: Option<Nanos>,
+}
+
+impl DirectoryEntry {
+    fn record(&self) -> &NodeRecord {
+        self.tracked.record()
+    }
+}
+
+/// How long sources were healthy in all.
+#[derive(Clone, Debug, Default)]
+struct SourceUptime {
+    total: Nanos,
+    last_heartbeat_at: Option<Nanos>,
+}
+
+impl SourceUptime {
+    fn record_heartbeat(&mut self, now: Nanos, max_gap: Nanos) {
+        let gap = now - self.last_heartbeat_at.unwrap_or(now);
+        if gap <= max_gap {
+            self.total = self.total + gap;
+        }
+        self.last_heartbeat_at = Some(now);
+    }
+}
+
+/// The nodes by service, as sources describe them. An announcement that a node drains or is gone is never undone
+/// within its incarnation.
+///
+/// Time is an argument and never goes back.
+#[derive(Clone, Debug)]
+pub struct NodeDirectory {
+    heartbeat_interval: Nanos,
+    limits: NodeDirectoryLimits,
+    entries: HashMap<String, DirectoryEntry>,
+    ids_by_service: BTreeMap<String, BTreeSet<String>>,
+    addresses: AddressIndex,
+    changed_services: BTreeSet<String>,
+    /// The number of updates applied so far.
+    update_count: u64,
+    source_uptime: SourceUptime,
+    now: Nanos,
+}
+
+impl NodeDirectory {
+    /// Knows no node yet. `heartbeat_interval` is the time between two heartbeats of a node.
+    pub fn new(heartbeat_interval: Nanos, limits: NodeDirectoryLimits) -> NodeDirectory {
+        NodeDirectory {
+            heartbeat_interval: Nanos(heartbeat_interval.0.max(1)),
+            limits: NodeDirectoryLimits { max_incarnations: limits.max_incarnations.max(1), ..limits },
+            entries: HashMap::new(),
+            ids_by_service: BTreeMap::new(),
+            addresses: AddressIndex::default(),
+            changed_services: BTreeSet::new(),
+            update_count: 0,
+            source_uptime: SourceUptime::default(),
+            now: Nanos(0),
+        }
+    }
+
+    /// Applies changes that came from a source.
+    pub fn apply_updates(&mut self, now: Nanos, records: &[NodeRecord]) {
+        self.advance_clock(now);
+        self.update_count += 1;
+        // Ended incarnations first: their addresses are free for those that follow in the same update.
+        let (up, out): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
+            records.iter().partition(|record| record.is_up());
+        for record in out.into_iter().chain(up) {
+            self.apply_one(record);
+        }
+    }
+
+    /// Marks the begin of a source's complete snapshot; the mark is for [`Self::finish_snapshot`].
+    #[must_use]
+    pub fn begin_snapshot(&self) -> u64 {
+        self.update_count
+    }
+
+    /// A source has sent all nodes of some services, or of all, since the mark. Nodes of these that nobody listed since
+    /// stay for now, as a controller that has just restarted lists few. They are dropped only once healthy sources
+    /// have not listed them for long.
+    pub fn finish_snapshot(&mut self, begun_at: u64, services: Option<&[String]>) {
+        for entry in self.entries.values_mut() {
+            let record = entry.tracked.record();
+            let is_in_scope = services.is_none_or(|services| services.contains(&record.service));
+            if is_in_scope && record.is_up() && entry.last_update <= begun_at {
+                entry.missing_since.get_or_insert(self.source_uptime.total);
+            }
+        }
+    }
+
+    /// Applies a complete snapshot that came at once; see [`Self::finish_snapshot`].
+    pub fn apply_snapshot(&mut self, now: Nanos, services: Option<&[String]>, records: &[NodeRecord]) {
+        let begun_at = self.begin_snapshot();
+        self.apply_updates(now, records);
+        self.finish_snapshot(begun_at, services);
+    }
+
+    /// A heartbeat with a lease came from a source.
+    pub fn record_source_heartbeat(&mut self, now: Nanos) {
+        self.advance_clock(now);
+        let max_gap = self.heartbeat_interval.times(MAX_SOURCE_GAP_HEARTBEATS);
+        self.source_uptime.record_heartbeat(self.now, max_gap);
+    }
+
+    /// Drops what healthy sources have not listed for long, and forgets incarnations whose tombstone retention is
+    /// over. Returns how many were dropped.
+    pub fn expire(&mut self, now: Nanos) -> usize {
+        self.advance_clock(now);
+        let max_missing = self.heartbeat_interval.times(HEARTBEATS_UNTIL_DROPPED);
+        let dropped = self.ids_where(|entry| {
+            let is_missing = |since: Nanos| self.source_uptime.total - since >= max_missing;
+            entry.record().is_up() && entry.missing_since.is_some_and(is_missing)
+        });
+        let retention = self.limits.tombstone_retention;
+        let expired = self
+            .ids_where(|entry| entry.tracked.out_since().is_some_and(|since| self.now - since > retention));
+        dropped.iter().chain(&expired).for_each(|id| self.remove(id));
+        dropped.len()
+    }
+
+    /// The nodes of a service that new requests may be sent to, sorted by id.
+    pub fn ready_nodes<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a NodeRecord> {
+        self.nodes_of(service).filter(|record| record.is_ready())
+    }
+
+    /// All remembered nodes of a service, draining, lost and gone ones included, sorted by id.
+    pub fn nodes_of<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a NodeRecord> {
+        let ids = self.ids_by_service.get(service).into_iter().flatten();
+        ids.filter_map(|id| self.get(id))
+    }
+
+    /// The record of an incarnation by its id.
+    pub fn get(&self, id: &str) -> Option<&NodeRecord> {
+        self.entries.get(id).map(DirectoryEntry::record)
+    }
+
+    /// Takes the services whose nodes differ since the last call.
+    #[must_use]
+    pub fn take_changed_services(&mut self) -> BTreeSet<String> {
+        std::mem::take(&mut self.changed_services)
+    }
+
+    /// The services of which any node is remembered.
+    pub fn services(&self) -> impl Iterator<Item = &str> {
+        self.ids_by_service.keys().map(String::as_str)
+    }
+
+    /// All records, for another process: a controller that has just restarted, or a gateway of this zone.
+    pub fn records(&self) -> impl Iterator<Item = &NodeRecord> {
+        self.entries.values().map(DirectoryEntry::record)
+    }
+
+    /// The number of remembered incarnations, lost and gone ones included.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether nothing is known.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    fn advance_clock(&mut self, now: Nanos) {
+        self.now = self.now.max(now);
+    }
+
+    fn apply_one(&mut self, update: &NodeRecord) {
+        let id = &update.id;
+        if !self.entries.contains_key(id) && !self.make_room() {
+            return;
+        }
+        let changed = match self.entries.get_mut(id) {
+            Some(entry) => {
+                let old = entry.record();
+                let (old_service, old_addr) = (old.service.clone(), old.addr);
+                let changed = entry.tracked.merge(self.now, update);
+                self.unindex_moved(id, &old_service, old_addr);
+                changed
+            }
+            None => {
+                let tracked = TrackedRecord::new(self.now, update.clone());
+                let entry = DirectoryEntry { tracked, last_update: 0, missing_since: None };
+                self.entries.insert(id.clone(), entry);
+                true
+            }
+        };
+        let Some(entry) = self.entries.get_mut(id) else { return };
+        entry.missing_since = None;
+        entry.last_update = self.update_count;
+        if changed {
+            let record = entry.tracked.record();
+            let (service, addr, is_up) = (record.service.clone(), record.addr, record.is_up());
+            self.ids_by_service.entry(service.clone()).or_default().insert(id.clone());
+            self.changed_services.insert(service);
+            if is_up {
+                self.claim_address(id, addr);
+            }
+        }
+    }
+
+    /// Removes an entry from the indexes where its service or address is no longer the old one, or it is not up.
+    fn unindex_moved(&mut self, id: &str, old_service: &str, old_addr: SocketAddrV4) {
+        let Some(record) = self.get(id) else { return };
+        let has_moved = record.addr != old_addr;
+        let is_up = record.is_up();
+        if record.service != old_service {
+            self.remove_from_service(old_service, id);
+        }
+        if has_moved || !is_up {
+            self.addresses.release(old_addr, id);
+        }
+    }
+
+    /// Gives an incarnation its address; another one there was listed earlier and is lost.
+    fn claim_address(&mut self, id: &str, addr: SocketAddrV4) {
+        let Some(previous) = self.addresses.claim(addr, id) else { return };
+        if let Some(entry) = self.entries.get_mut(&previous).filter(|entry| entry.record().is_up()) {
+            entry.tracked.mark_lost(self.now);
+            self.changed_services.insert(entry.record().service.clone());
+        }
+    }
+
+    fn remove_from_service(&mut self, service: &str, id: &str) {
+        if let Some(ids) = self.ids_by_service.get_mut(service) {
+            ids.remove(id);
+            if ids.is_empty() {
+                self.ids_by_service.remove(service);
+            }
+        }
+        self.changed_services.insert(service.to_string());
+    }
+
+    fn remove(&mut self, id: &str) {
+        let Some(entry) = self.entries.remove(id) else { return };
+        let record = entry.record();
+        self.remove_from_service(&record.service, id);
+        self.addresses.release(record.addr, id);
+    }
+
+    fn ids_where(&self, is_wanted: impl Fn(&DirectoryEntry) -> bool) -> Vec<String> {
+        let wanted = self.entries.iter().filter(|(_, entry)| is_wanted(entry));
+        wanted.map(|(id, _)| id.clone()).collect()
+    }
+
+    /// Makes room for one more incarnation: the one that has been out for longest is removed, none that is up.
+    fn make_room(&mut self) -> bool {
+        if self.entries.len() < self.limits.max_incarnations {
+            return true;
+        }
+        let out =
+            self.entries.iter().filter_map(|(id, entry)| entry.tracked.out_since().map(|since| (since, id)));
+        let Some(oldest) = out.min().map(|(_, id)| id.clone()) else { return false };
+        self.remove(&oldest);
+        true
+    }
+}
--- a/crates/fernknot-registry/src/registry.rs
+++ b/crates/fernknot-registry/src/registry.rs
@@ -1,23 +1,23 @@
-//! A controller's list of nodes.
+//! A controller's registry of nodes.
 
-use crate::fact::{IncarnationHash, NodeRecord, NodeState, incarnation_hash};
+use crate::incarnation_table::{Incarnation, IncarnationTable};
+use crate::node_record::{IncarnationHash, NodeRecord, NodeState, incarnation_hash};
 use fernknot::interface::Nanos;
-use std::collections::{BTreeMap, HashMap};
-use std::net::SocketAddrV4;
 
-/// A life unheard for so many beats is lost.
+/// An incarnation without a heartbeat for this many heartbeat intervals is lost.
 const HEARTBEATS_UNTIL_LOST: f64 = 3.5;
-/// The holder of an address that was heard within so many beats keeps it against what others tell.
-const HEARTBEATS_ADDRESS_KEPT: f64 = 1.5;
-/// Longest name of a life, a service or a zone, in bytes.
+/// An incarnation heard of within this many heartbeat intervals keeps its address, and its state, against what other
+/// processes report.
+const HEARTBEATS_TRUSTED: f64 = 1.5;
+/// Longest name of an incarnation, a service or a zone.
 const MAX_NAME_BYTES: usize = 200;
 
-/// What a controller may hold.
+/// Limits of a [`Registry`].
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
-    /// Lives known at once, those that are out included.
+    /// Incarnations known at once, lost and gone ones included.
     pub max_incarnations: usize,
-    /// How long a life that is out is remembered, so that those who hear late are told of its end.
+    /// How long a lost or gone incarnation is remembered, so that processes that ask late learn of its end.
     pub tombstone_retention: Nanos,
 }
 
@@ -27,406 +27,291 @@
     }
 }
 
-/// What became of a call.
+/// The result of a node's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The first word of this life.
+    /// The first call of this incarnation.
     New,
     /// Something that gateways act on differs now.
     Changed,
-    /// Alive, and as before.
+    /// The node is up, and nothing that gateways act on differs.
     Unchanged,
-    /// Older than what is known, or of a life that is out; changes nothing.
+    /// Older than what is known, or of an incarnation that is out; changes nothing.
     Stale,
-    /// Names too long, or no room: the life is not known after this call.
+    /// Names too long, or no room: the incarnation is not known after this call.
     Rejected,
 }
 
 impl CallOutcome {
-    /// True where gateways have to be told.
+    /// Whether gateways have to be notified.
     pub fn is_update(self) -> bool {
         matches!(self, CallOutcome::New | CallOutcome::Changed)
     }
 }
 
-#[derive(Clone, Debug)]
-struct Incarnation {
-    record: NodeRecord,
-    /// It said that it is leaving; kept apart, so that a loss in between doesn't undo it.
-    announced_draining: bool,
-    /// When a beat of it was last heard here, or said to be heard elsewhere.
-    last_heartbeat_at: Nanos,
-    /// Its place among the changes.
-    version: u64,
-    warm_up_until: Nanos,
-    /// When it was lost or gone.
-    out_since: Option<Nanos>,
-    /// Heard here since the others were last told.
-    unreported: bool,
-}
-
-/// Nodes as their beats tell; soft, and refilled by beats and by other controllers after a restart.
+/// The nodes of all services as their heartbeats describe them: soft state, refilled by heartbeats and by the other
+/// controllers after a restart.
+///
+/// Changes are numbered by a version that starts from 0 with the process. Time is an argument and never goes back.
 #[derive(Clone, Debug)]
 pub struct Registry {
     heartbeat_interval: Nanos,
-    limits: RegistryLimits,
-    incarnations: HashMap<String, Incarnation>,
-    by_hash: HashMap<IncarnationHash, String>,
-    by_addr: HashMap<SocketAddrV4, String>,
-    by_version: BTreeMap<u64, String>,
-    version: u64,
-    /// Changes up to here include some of lives that are no longer remembered.
-    forgotten_version: u64,
+    tombstone_retention: Nanos,
+    incarnations: IncarnationTable,
     unreported: Vec<IncarnationHash>,
     now: Nanos,
 }
 
 impl Registry {
-    /// An empty list; `beat` is the time between two beats of a node.
-    pub fn new(beat: Nanos, bounds: RegistryLimits) -> Registry {
+    /// Knows no node yet. `heartbeat_interval` is the time between two heartbeats of a node.
+    pub fn new(heartbeat_interval: Nanos, limits: RegistryLimits) -> Registry {
+        let heartbeat_interval = Nanos(heartbeat_interval.0.max(1));
         Registry {
-            heartbeat_interval: Nanos(beat.0.max(1)),
-            limits: RegistryLimits { max_incarnations: bounds.max_incarnations.max(1), ..bounds },
-            incarnations: HashMap::new(),
-            by_hash: HashMap::new(),
-            by_addr: HashMap::new(),
-            by_version: BTreeMap::new(),
-            version: 0,
-            forgotten_version: 0,
+            heartbeat_interval,
+            tombstone_retention: limits.tombstone_retention,
+            incarnations: IncarnationTable::new(limits.max_incarnations.max(1), heartbeat_interval),
             unreported: Vec::new(),
             now: Nanos(0),
         }
     }
 
-    /// A beat came here from the node itself.
-    pub fn record_heartbeat(&mut self, now: Nanos, fact: NodeRecord) -> CallOutcome {
+    /// A node's heartbeat came to this controller.
+    pub fn record_heartbeat(&mut self, now: Nanos, record: NodeRecord) -> CallOutcome {
         self.advance_clock(now);
-        if !has_valid_names(&fact) || fact.service.is_empty() {
+        if !has_valid_names(&record) || record.service.is_empty() {
             return CallOutcome::Rejected;
         }
-        let id = fact.id.clone();
-        let hash = incarnation_hash(&id);
-        let noted = match self.incarnations.get_mut(&id) {
-            None => {
-                if !self.make_room() {
-                    return CallOutcome::Rejected;
-                }
-                self.insert(fact);
-                CallOutcome::New
-            }
-            Some(life) => {
-                let repeated = fact.sequence == life.record.sequence;
-                if life.record.state == NodeState::Gone
-                    || fact.sequence < life.record.sequence
-                    || (repeated && life.record.state == NodeState::Lost)
-                {
-                    return CallOutcome::Stale;
-                }
-                if self.merge(&id, &fact) { CallOutcome::Changed } else { CallOutcome::Unchanged }
-            }
-        };
-        if let Some(life) = self.incarnations.get_mut(&id) {
-            life.last_heartbeat_at = self.now;
-            if !life.unreported {
-                life.unreported = true;
-                self.unreported.push(hash);
-            }
+        let id = record.id.clone();
+        let outcome = self.apply_heartbeat(record);
+        if !matches!(outcome, CallOutcome::Rejected | CallOutcome::Stale) {
+            self.mark_heard(&id);
+            // Another incarnation at this address can't be up.
+            self.incarnations.claim_address(self.now, &id);
         }
-        // Another life at this address can't be alive: who beats there now has it.
-        self.claim_address(&id);
-        noted
+        outcome
     }
 
-    /// A node said that it is out (deregister). Remembered also where the life was not known here: another controller
-    /// may tell of it later.
+    /// A node deregistered. Remembered also where the incarnation was unknown here: another controller may report it
+    /// later.
     pub fn deregister(&mut self, now: Nanos, id: &str) -> CallOutcome {
         self.advance_clock(now);
-        let gone = NodeRecord::gone(id);
-        if !has_valid_names(&gone) {
+        let tombstone = NodeRecord::gone(id);
+        if !has_valid_names(&tombstone) {
             return CallOutcome::Rejected;
         }
-        match self.incarnations.get(id).map(|life| life.record.state) {
+        match self.get(id).map(|record| record.state) {
             Some(NodeState::Gone) => CallOutcome::Unchanged,
             Some(_) => {
-                self.merge(id, &gone);
+                self.incarnations.merge(self.now, id, &tombstone);
                 CallOutcome::Changed
             }
-            None if self.make_room() => {
-                self.insert(gone);
+            None if self.incarnations.make_room() => {
+                self.incarnations.insert(self.now, tombstone);
                 CallOutcome::New
             }
             None => CallOutcome::Rejected,
         }
     }
 
-    /// Another controller, or a gateway, told what it knows. Returns how many lives differ now.
-    pub fn merge_reported(&mut self, now: Nanos, facts: &[NodeRecord]) -> usize {
+    /// Another controller, or a gateway, reported what it knows. Returns how many incarnations differ now.
+    pub fn merge_reported(&mut self, now: Nanos, records: &[NodeRecord]) -> usize {
         self.advance_clock(now);
-        // Ends first: an address is free for the life that follows in the same telling.
-        let (up, out): (Vec<&NodeRecord>, Vec<&NodeRecord>) = facts.iter().partition(|fact| fact.is_up());
-        out.into_iter().chain(up).filter(|fact| has_valid_names(fact) && self.merge_one(fact)).count()
-    }
-
-    fn merge_one(&mut self, fact: &NodeRecord) -> bool {
-        if fact.is_up() && self.is_address_in_use(fact) {
-            return false;
-        }
-        let Some(life) = self.incarnations.get(&fact.id) else {
-            if !self.make_room() {
-                return false;
-            }
-            self.insert(fact.clone());
-            self.claim_address(&fact.id);
-            return true;
-        };
-        let (known_seq, known_state) = (life.record.sequence, life.record.state);
-        let lately =
-            self.now - life.last_heartbeat_at < self.heartbeat_interval.times(HEARTBEATS_ADDRESS_KEPT);
-        if fact.state == NodeState::Lost && life.record.is_up() && fact.sequence <= known_seq && lately {
-            // The teller lost it while it was cut off from where the beats go: tell it once more.
-            self.assign_version(&fact.id);
-            return false;
-        }
-        let changed = self.merge(&fact.id, fact);
-        if let Some(life) = self.incarnations.get_mut(&fact.id) {
-            // Only a beat not known here is a sign of life: else two controllers keep the dead alive between them.
-            if fact.sequence > known_seq && fact.is_up() {
-                life.last_heartbeat_at = self.now;
-            }
-            // The teller knows less: tell it once more.
-            if !changed && known_state != fact.state && fact.sequence <= known_seq {
-                self.assign_version(&fact.id);
-            }
-        }
-        if changed {
-            self.claim_address(&fact.id);
-        }
-        changed
+        // Ended incarnations first: their addresses are free for those that follow in the same report.
+        let (up, out): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
+            records.iter().partition(|record| record.is_up());
+        let valid = out.into_iter().chain(up).filter(|record| has_valid_names(record));
+        valid.filter(|record| self.merge_one(record)).count()
     }
 
-    /// Another controller hears beats of these lives: they don't expire here. Returns those that are not known here, or
-    /// thought lost: their facts are to be asked for.
+    /// Another controller receives heartbeats of these incarnations: they don't expire here. Returns those that are
+    /// unknown here or taken for lost, whose records are to be requested from it.
+    #[must_use]
     pub fn record_peer_heartbeats(&mut self, now: Nanos, hashes: &[IncarnationHash]) -> Vec<IncarnationHash> {
         self.advance_clock(now);
         let mut unknown = Vec::new();
         for hash in hashes {
-            match self.by_hash.get(hash).and_then(|id| self.incarnations.get_mut(id)) {
-                Some(life) if life.record.is_up() => life.last_heartbeat_at = self.now,
-                Some(life) if life.record.state == NodeState::Gone => {}
+            match self.incarnations.by_hash_mut(*hash) {
+                Some(incarnation) if incarnation.record().is_up() => incarnation.last_heartbeat_at = self.now,
+                Some(incarnation) if incarnation.record().state == NodeState::Gone => {}
                 _ => unknown.push(*hash),
             }
         }
         unknown
     }
 
-    /// Lives whose beats came here since the last call, to be told to the other controllers.
+    /// Takes the incarnations whose heartbeats came here since the last call, to be reported to the other controllers.
+    #[must_use]
     pub fn take_unreported(&mut self, now: Nanos) -> Vec<IncarnationHash> {
         self.advance_clock(now);
-        let fresh = std::mem::take(&mut self.unreported);
-        for hash in &fresh {
-            if let Some(life) = self.by_hash.get(hash).and_then(|id| self.incarnations.get_mut(id)) {
-                life.unreported = false;
+        let unreported = std::mem::take(&mut self.unreported);
+        for hash in &unreported {
+            if let Some(incarnation) = self.incarnations.by_hash_mut(*hash) {
+                incarnation.unreported = false;
             }
         }
-        fresh
+        unreported
     }
 
-    /// The facts of these lives, as far as known.
+    /// The records of these incarnations, as far as they are known.
     pub fn records_of(&self, hashes: &[IncarnationHash]) -> Vec<NodeRecord> {
-        let lives = hashes
-            .iter()
-            .filter_map(|hash| self.by_hash.get(hash))
-            .filter_map(|id| self.incarnations.get(id));
-        lives.map(|life| self.current_record(life)).collect()
+        let known = hashes.iter().filter_map(|hash| self.incarnations.by_hash(*hash));
+        known.map(|incarnation| incarnation.current_record(self.now)).collect()
     }
 
-    /// This process was frozen or cut off: what it has not heard says nothing. All lives get a full span again. To be
-    /// called after a jump of the steady clock, and as long as the other controllers are out of reach.
+    /// This process was stalled or partitioned: missing heartbeats prove nothing. Every incarnation counts as heard of
+    /// now. To be called after a jump of the clock, and as long as the other controllers are out of reach.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.advance_clock(now);
-        for life in self.incarnations.values_mut() {
-            life.last_heartbeat_at = self.now;
+        for incarnation in self.incarnations.values_mut() {
+            incarnation.last_heartbeat_at = self.now;
         }
     }
 
-    /// Loses the lives unheard for too long and forgets those long out. Returns how many were lost.
+    /// Marks incarnations without heartbeats as lost, and forgets those whose tombstone retention is over. Returns how
+    /// many were lost.
     pub fn expire(&mut self, now: Nanos) -> usize {
         self.advance_clock(now);
-        let span = self.heartbeat_interval.times(HEARTBEATS_UNTIL_LOST);
-        let late = |life: &Incarnation| life.record.is_up() && self.now - life.last_heartbeat_at > span;
-        let lost: Vec<String> =
-            self.incarnations.iter().filter(|(_, life)| late(life)).map(|(id, _)| id.clone()).collect();
-        for id in &lost {
-            self.mark_lost(id);
-        }
-        let keep = self.limits.tombstone_retention;
-        let old = |life: &Incarnation| life.out_since.is_some_and(|since| self.now - since > keep);
-        let forget: Vec<String> =
-            self.incarnations.iter().filter(|(_, life)| old(life)).map(|(id, _)| id.clone()).collect();
-        for id in &forget {
-            self.forget(id);
-        }
+        let timeout = self.heartbeat_interval.times(HEARTBEATS_UNTIL_LOST);
+        let lost = self.incarnations.ids_where(|incarnation| {
+            incarnation.record().is_up() && self.now - incarnation.last_heartbeat_at > timeout
+        });
+        lost.iter().for_each(|id| self.incarnations.mark_lost(self.now, id));
+        let retention = self.tombstone_retention;
+        let expired = self.incarnations.ids_where(|incarnation| {
+            incarnation.out_since().is_some_and(|since| self.now - since > retention)
+        });
+        expired.iter().for_each(|id| self.incarnations.forget(id));
         lost.len()
     }
 
-    /// The number of the newest change; rises by one a change, from 0 after a start of this process.
+    /// The version of the newest change; rises by one with each change, from 0 after a start of this process.
     pub fn version(&self) -> u64 {
-        self.version
+        self.incarnations.changes().version()
     }
 
-    /// The lives that differ since a version, oldest change first, and the version they lead to. None where some of
-    /// the changes are no longer remembered, or the version is not one of this process: take a [`Self::snapshot`].
+    /// The incarnations that differ since a version, oldest change first, and the version that they lead to. `None`
+    /// where some of the changes are no longer remembered, or the version is not one of this process: take a
+    /// [`Self::snapshot`].
     pub fn changes_since(&self, version: u64) -> Option<(u64, Vec<NodeRecord>)> {
-        if version < self.forgotten_version || version > self.version {
-            return None;
-        }
-        let changed = self.by_version.range(version + 1..).filter_map(|(_, id)| self.incarnations.get(id));
-        Some((self.version, changed.map(|life| self.current_record(life)).collect()))
+        let changed = self.incarnations.changes().since(version)?;
+        Some((self.version(), self.current_records(changed)))
     }
 
-    /// All lives remembered, and the version this is.
+    /// All remembered incarnations, and the version that this is.
     pub fn snapshot(&self) -> (u64, Vec<NodeRecord>) {
-        let all = self.by_version.values().filter_map(|id| self.incarnations.get(id));
-        (self.version, all.map(|life| self.current_record(life)).collect())
+        (self.version(), self.current_records(self.incarnations.changes().all()))
     }
 
-    /// What is known of a life.
+    /// The record of an incarnation by its id.
     pub fn get(&self, id: &str) -> Option<&NodeRecord> {
-        self.incarnations.get(id).map(|life| &life.record)
+        self.incarnations.get(id).map(Incarnation::record)
     }
 
-    /// Lives remembered, those that are out included.
+    /// The number of remembered incarnations, lost and gone ones included.
     pub fn len(&self) -> usize {
         self.incarnations.len()
     }
 
-    /// True after a start, until something is heard.
+    /// Whether nothing is known, as after a start.
     pub fn is_empty(&self) -> bool {
-        self.incarnations.is_empty()
+        self.incarnations.len() == 0
     }
 
-    /// Lives that are ready or draining.
+    /// The number of incarnations that are ready or draining.
     pub fn up_count(&self) -> usize {
-        self.incarnations.values().filter(|life| life.record.is_up()).count()
+        self.incarnations.values().filter(|incarnation| incarnation.record().is_up()).count()
     }
 
     fn advance_clock(&mut self, now: Nanos) {
         self.now = self.now.max(now);
     }
 
-    fn current_record(&self, life: &Incarnation) -> NodeRecord {
-        NodeRecord { warm_up_left_ms: (life.warm_up_until - self.now).0 / 1_000_000, ..life.record.clone() }
+    fn apply_heartbeat(&mut self, record: NodeRecord) -> CallOutcome {
+        let Some(known) = self.get(&record.id) else {
+            if !self.incarnations.make_room() {
+                return CallOutcome::Rejected;
+            }
+            self.incarnations.insert(self.now, record);
+            return CallOutcome::New;
+        };
+        let is_repeated = record.sequence == known.sequence;
+        let is_stale = known.state == NodeState::Gone
+            || record.sequence < known.sequence
+            || (is_repeated && known.state == NodeState::Lost);
+        if is_stale {
+            CallOutcome::Stale
+        } else if self.incarnations.merge(self.now, &record.id, &record) {
+            CallOutcome::Changed
+        } else {
+            CallOutcome::Unchanged
+        }
     }
 
-    fn insert(&mut self, fact: NodeRecord) {
-        let id = fact.id.clone();
-        self.by_hash.insert(incarnation_hash(&id), id.clone());
-        let out_since = (!fact.is_up()).then_some(self.now);
-        let warm_until = self.now + Nanos(fact.warm_up_left_ms.saturating_mul(1_000_000));
-        let drains = fact.state == NodeState::Draining;
-        let life = Incarnation {
-            record: fact,
-            announced_draining: drains,
-            last_heartbeat_at: self.now,
-            version: 0,
-            warm_up_until: warm_until,
-            out_since,
-            unreported: false,
-        };
-        self.incarnations.insert(id.clone(), life);
-        self.assign_version(&id);
+    fn mark_heard(&mut self, id: &str) {
+        let Some(incarnation) = self.incarnations.get_mut(id) else { return };
+        incarnation.last_heartbeat_at = self.now;
+        if !incarnation.unreported {
+            incarnation.unreported = true;
+            self.unreported.push(incarnation_hash(id));
+        }
     }
 
-    /// Joins a telling into a known life and numbers the change, if it is one.
-    fn merge(&mut self, id: &str, fact: &NodeRecord) -> bool {
-        let Some(life) = self.incarnations.get_mut(id) else { return false };
-        let (old_addr, old_seq) = (life.record.addr, life.record.sequence);
-        let old_state = life.record.state;
-        let mut changed = life.record.merge(fact);
-        life.announced_draining |= fact.state == NodeState::Draining;
-        if life.announced_draining && life.record.state == NodeState::Ready {
-            life.record.state = NodeState::Draining;
-            changed |= old_state != NodeState::Draining;
+    /// Merges a reported record. Returns whether something differs now.
+    fn merge_one(&mut self, record: &NodeRecord) -> bool {
+        if record.is_up() && self.is_address_in_use(record) {
+            return false;
+        }
+        let Some(known) = self.incarnations.get(&record.id) else {
+            if !self.incarnations.make_room() {
+                return false;
+            }
+            self.incarnations.insert(self.now, record.clone());
+            self.incarnations.claim_address(self.now, &record.id);
+            return true;
+        };
+        let (known_sequence, known_state) = (known.record().sequence, known.record().state);
+        let reports_loss = record.state == NodeState::Lost && record.sequence <= known_sequence;
+        if reports_loss && known.record().is_up() && self.is_trusted(known) {
+            // The reporter lost it while it was partitioned from where the heartbeats go: notify it once more.
+            self.incarnations.assign_version(&record.id);
+            return false;
         }
-        if fact.sequence > old_seq {
-            let warm_until = self.now + Nanos(fact.warm_up_left_ms.saturating_mul(1_000_000));
-            let apart = (warm_until - life.warm_up_until).max(life.warm_up_until - warm_until);
-            // It counts down with the clock: only a node that says otherwise is news.
-            changed |= warm_until.max(life.warm_up_until) > self.now && apart > self.heartbeat_interval;
-            life.warm_up_until = warm_until;
+        let changed = self.incarnations.merge(self.now, &record.id, record);
+        // Only a heartbeat not known here proves that a node is up: otherwise two controllers would keep a dead node
+        // alive between them.
+        if record.sequence > known_sequence
+            && record.is_up()
+            && let Some(incarnation) = self.incarnations.get_mut(&record.id)
+        {
+            incarnation.last_heartbeat_at = self.now;
         }
-        life.out_since = if life.record.is_up() { None } else { life.out_since.or(Some(self.now)) };
-        let (up, addr) = (life.record.is_up(), life.record.addr);
-        if (!up || addr != old_addr) && self.by_addr.get(&old_addr).is_some_and(|holder| holder == id) {
-            self.by_addr.remove(&old_addr);
+        // The reporter knows less: notify it once more.
+        if !changed && known_state != record.state && record.sequence <= known_sequence {
+            self.incarnations.assign_version(&record.id);
         }
         if changed {
-            self.assign_version(id);
+            self.incarnations.claim_address(self.now, &record.id);
         }
         changed
     }
 
-    fn assign_version(&mut self, id: &str) {
-        let Some(life) = self.incarnations.get_mut(id) else { return };
-        self.by_version.remove(&life.version);
-        self.version += 1;
-        life.version = self.version;
-        self.by_version.insert(self.version, id.to_string());
+    fn current_records<'a>(&self, ids: impl Iterator<Item = &'a str>) -> Vec<NodeRecord> {
+        let known = ids.filter_map(|id| self.incarnations.get(id));
+        known.map(|incarnation| incarnation.current_record(self.now)).collect()
     }
 
-    fn is_address_in_use(&self, fact: &NodeRecord) -> bool {
-        let holder = self.by_addr.get(&fact.addr).filter(|holder| **holder != fact.id);
-        holder.and_then(|id| self.incarnations.get(id)).is_some_and(|life| {
-            self.now - life.last_heartbeat_at < self.heartbeat_interval.times(HEARTBEATS_ADDRESS_KEPT)
-        })
+    /// Heard of so recently that other processes' reports don't count against it.
+    fn is_trusted(&self, incarnation: &Incarnation) -> bool {
+        self.now - incarnation.last_heartbeat_at < self.heartbeat_interval.times(HEARTBEATS_TRUSTED)
     }
 
-    /// The life has its address; an older life there is lost.
-    fn claim_address(&mut self, id: &str) {
-        let Some(addr) =
-            self.incarnations.get(id).filter(|life| life.record.is_up()).map(|life| life.record.addr)
-        else {
-            return;
-        };
-        if let Some(older) = self.by_addr.insert(addr, id.to_string()).filter(|older| older != id) {
-            self.mark_lost(&older);
-        }
-    }
-
-    fn mark_lost(&mut self, id: &str) {
-        let Some(life) = self.incarnations.get_mut(id).filter(|life| life.record.is_up()) else { return };
-        life.record.state = NodeState::Lost;
-        life.out_since = Some(self.now);
-        let addr = life.record.addr;
-        if self.by_addr.get(&addr).is_some_and(|holder| holder == id) {
-            self.by_addr.remove(&addr);
-        }
-        self.assign_version(id);
-    }
-
-    fn forget(&mut self, id: &str) {
-        let Some(life) = self.incarnations.remove(id) else { return };
-        self.forgotten_version = self.forgotten_version.max(life.version);
-        self.by_version.remove(&life.version);
-        self.by_hash.remove(&incarnation_hash(id));
-        if self.by_addr.get(&life.record.addr).is_some_and(|holder| holder == id) {
-            self.by_addr.remove(&life.record.addr);
-        }
-    }
-
-    /// Room for one more life: the one longest out goes first; those that are up are never put out for a new one.
-    fn make_room(&mut self) -> bool {
-        if self.incarnations.len() < self.limits.max_incarnations {
-            return true;
-        }
-        let out = self.incarnations.iter().filter_map(|(id, life)| life.out_since.map(|since| (since, id)));
-        let Some(oldest) = out.min().map(|(_, id)| id.clone()) else { return false };
-        self.forget(&oldest);
-        true
+    fn is_address_in_use(&self, record: &NodeRecord) -> bool {
+        let user = self.incarnations.user_of(record.addr);
+        user.is_some_and(|user| user.record().id != record.id && self.is_trusted(user))
     }
 }
 
-fn has_valid_names(fact: &NodeRecord) -> bool {
-    let fits = |name: &str| name.len() <= MAX_NAME_BYTES;
-    !fact.id.is_empty() && fits(&fact.id) && fits(&fact.service) && fits(&fact.zone)
+fn has_valid_names(record: &NodeRecord) -> bool {
+    let is_short = |name: &str| name.len() <= MAX_NAME_BYTES;
+    !record.id.is_empty() && is_short(&record.id) && is_short(&record.service) && is_short(&record.zone)
 }
