--- a/crates/fernknot-registry/tests/common/mod.rs
+++ b/crates/fernknot-registry/tests/common/mod.rs
@@ -1,30 +1,31 @@
-//! Facts and times for the stories of this package.
+//! Fixtures: records and times.
+#![allow(dead_code, reason = "each test file uses some of the fixtures")]
 
 use fernknot::interface::Nanos;
 use fernknot_registry::{NodeRecord, NodeState, Registry, RegistryLimits};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const BEAT: Nanos = Nanos(1_000_000_000);
+pub const HEARTBEAT_INTERVAL: Nanos = Nanos(1_000_000_000);
 
-/// A time in beats.
-pub fn at(beats: f64) -> Nanos {
-    BEAT.times(beats)
+/// A time in heartbeat intervals.
+pub fn at(heartbeats: f64) -> Nanos {
+    HEARTBEAT_INTERVAL.times(heartbeats)
 }
 
-/// A life at the address `place`.
-pub fn fact(id: &str, place: u8, state: NodeState, seq: u64) -> NodeRecord {
+/// An incarnation at the address with this last byte.
+pub fn record(id: &str, host: u8, state: NodeState, sequence: u64) -> NodeRecord {
     NodeRecord {
         id: id.to_string(),
         service: "gallery".to_string(),
-        addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, place), 8080),
+        addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 8080),
         zone: "north".to_string(),
         state,
         capacity: 3,
         warm_up_left_ms: 0,
-        sequence: seq,
+        sequence,
     }
 }
 
 pub fn registry() -> Registry {
-    Registry::new(BEAT, RegistryLimits { max_incarnations: 16, tombstone_retention: at(100.0) })
+    Registry::new(HEARTBEAT_INTERVAL, RegistryLimits { max_incarnations: 16, tombstone_retention: at(100.0) })
 }
