--- /dev/null
+++ b/crates/fernknot-schema/src/json_digest.rs
@@ -0,0 +1,73 @@
+//! A digest of JSON values, by which configurations are compared.
+
+use serde_json::{Number, Value};
+use xxhash_rust::xxh3::Xxh3;
+
+/// Integers at and above this magnitude are not exact as floating-point numbers.
+const FLOAT_INTEGER_LIMIT_EXPONENT: i32 = 63;
+
+/// Hashes a body by its JSON value: the order of keys, white space and the spelling of numbers don't matter. A body that
+/// is no JSON is hashed as it is. The digest is the same on every machine and in every build.
+pub fn json_digest(bytes: &[u8]) -> u64 {
+    let mut hash = Xxh3::new();
+    match serde_json::from_slice::<Value>(bytes) {
+        Ok(value) => hash_value(&mut hash, &value),
+        Err(_) => {
+            hash.update(b"!");
+            hash.update(bytes);
+        }
+    }
+    hash.digest()
+}
+
+/// Each kind of value begins with a tag of its own, and whatever has a length with that.
+fn hash_value(hash: &mut Xxh3, value: &Value) {
+    match value {
+        Value::Null => hash.update(b"n"),
+        Value::Bool(boolean) => hash.update(if *boolean { b"t" } else { b"f" }),
+        Value::String(string) => hash_string(hash, string),
+        Value::Number(number) => hash_number(hash, number),
+        Value::Array(items) => {
+            hash.update(b"a");
+            hash_length(hash, items.len());
+            items.iter().for_each(|item| hash_value(hash, item));
+        }
+        Value::Object(object) => {
+            // Sorted here: whether the map is sorted depends on the features of the build.
+            let mut entries: Vec<(&String, &Value)> = object.iter().collect();
+            entries.sort_unstable_by_key(|(key, _)| *key);
+            hash.update(b"o");
+            hash_length(hash, entries.len());
+            for (key, value) in entries {
+                hash_string(hash, key);
+                hash_value(hash, value);
+            }
+        }
+    }
+}
+
+fn hash_string(hash: &mut Xxh3, string: &str) {
+    hash.update(b"s");
+    hash_length(hash, string.len());
+    hash.update(string.as_bytes());
+}
+
+fn hash_length(hash: &mut Xxh3, length: usize) {
+    hash.update(&(length as u64).to_le_bytes());
+}
+
+/// 600 and 600.0 are one number.
+fn hash_number(hash: &mut Xxh3, number: &Number) {
+    let float = number.as_f64().unwrap_or(f64::NAN);
+    let is_integer = float.fract() == 0.0 && float.abs() < 2f64.powi(FLOAT_INTEGER_LIMIT_EXPONENT);
+    match number.as_i128().or_else(|| is_integer.then_some(float as i128)) {
+        Some(integer) => {
+            hash.update(b"i");
+            hash.update(&integer.to_le_bytes());
+        }
+        None => {
+            hash.update(b"d");
+            hash.update(&float.to_bits().to_le_bytes());
+        }
+    }
+}
--- /dev/null
+++ b/crates/fernknot-schema/src/object_reader.rs
@@ -0,0 +1,155 @@
+//! Reads a JSON object key by key and collects every error instead of ending at the first.
+
+use std::cell::RefCell;
+use std::str::FromStr;
+
+use serde_json::{Map, Value};
+
+use crate::validation_error::ValidationError;
+
+/// Collects the errors of one body.
+#[derive(Debug, Default)]
+pub(crate) struct ErrorCollector {
+    errors: RefCell<Vec<ValidationError>>,
+}
+
+impl ErrorCollector {
+    pub fn push(&self, error: ValidationError) {
+        self.errors.borrow_mut().push(error);
+    }
+
+    /// The value if there was no error.
+    pub fn into_result<T>(self, value: T) -> Result<T, Vec<ValidationError>> {
+        let errors = self.errors.into_inner();
+        if errors.is_empty() { Ok(value) } else { Err(errors) }
+    }
+}
+
+/// Parses the bytes as one JSON object.
+pub(crate) fn parse_object(bytes: &[u8]) -> Result<Value, Vec<ValidationError>> {
+    match serde_json::from_slice::<Value>(bytes) {
+        Ok(value) if value.is_object() => Ok(value),
+        Ok(_) => Err(vec![ValidationError::new("", "is not a JSON object")]),
+        Err(error) => Err(vec![ValidationError::new("", format!("cannot be read whole: {error}"))]),
+    }
+}
+
+/// Reads one object. A missing key, or one that is null, is no error unless it is required.
+pub(crate) struct ObjectReader<'a> {
+    path: String,
+    object: Option<&'a Map<String, Value>>,
+    errors: &'a ErrorCollector,
+}
+
+impl<'a> ObjectReader<'a> {
+    /// Reads the outermost object.
+    pub fn root(value: &'a Value, errors: &'a ErrorCollector) -> ObjectReader<'a> {
+        ObjectReader { path: String::new(), object: value.as_object(), errors }
+    }
+
+    /// Adds an error at a key.
+    pub fn report(&self, key: &str, reason: &str) {
+        self.errors.push(ValidationError::new(self.path_of(key), reason));
+    }
+
+    pub fn get(&self, key: &str) -> Option<&'a Value> {
+        self.object.and_then(|object| object.get(key)).filter(|value| !value.is_null())
+    }
+
+    /// Reports the keys that are missing.
+    pub fn require(&self, keys: &[&str]) {
+        for key in keys {
+            if self.get(key).is_none() {
+                self.report(key, "is missing");
+            }
+        }
+    }
+
+    /// The object under a key; an empty one where there is none.
+    pub fn nested(&self, key: &str) -> ObjectReader<'a> {
+        let value = self.get(key);
+        if value.is_some_and(|value| !value.is_object()) {
+            self.report(key, "is not an object");
+        }
+        let object = value.and_then(Value::as_object);
+        ObjectReader { path: self.path_of(key), object, errors: self.errors }
+    }
+
+    /// All keys of the object with their values.
+    pub fn entries(&self) -> impl Iterator<Item = (&'a String, &'a Value)> {
+        self.object.into_iter().flatten()
+    }
+
+    pub fn string(&self, key: &str) -> Option<String> {
+        let string = self.get(key)?.as_str().map(str::to_string);
+        if string.is_none() {
+            self.report(key, "is not a string");
+        }
+        string
+    }
+
+    pub fn boolean(&self, key: &str) -> Option<bool> {
+        let boolean = self.get(key)?.as_bool();
+        if boolean.is_none() {
+            self.report(key, "is not true or false");
+        }
+        boolean
+    }
+
+    /// A number of 0 or more.
+    pub fn number(&self, key: &str) -> Option<f64> {
+        let number = self.get(key)?.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
+        if number.is_none() {
+            self.report(key, "is not a number of 0 or more");
+        }
+        number
+    }
+
+    /// A number above 0, for what others are divided by or paced with; the default where there is none.
+    pub fn positive_or(&self, key: &str, default: f64) -> f64 {
+        let number = self.number(key).unwrap_or(default);
+        if number == 0.0 {
+            self.report(key, "is 0");
+        }
+        number
+    }
+
+    /// A number of 0 or more, rounded up: a time or an amount is never rounded to 0.
+    pub fn rounded_up(&self, key: &str) -> Option<u64> {
+        if let Some(integer) = self.get(key)?.as_u64() {
+            return Some(integer);
+        }
+        // The conversion saturates.
+        self.number(key).map(|number| number.ceil() as u64)
+    }
+
+    /// A string that parses as `T`; `expected` says what it is to be.
+    pub fn parsed<T: FromStr>(&self, key: &str, expected: &str) -> Option<T> {
+        let parsed = self.string(key)?.parse().ok();
+        if parsed.is_none() {
+            self.report(key, &format!("is not {expected}"));
+        }
+        parsed
+    }
+
+    /// A list of strings that parse as `T`; each that does not is an error with its index.
+    pub fn list<T: FromStr>(&self, key: &str, expected: &str) -> Vec<T> {
+        let Some(value) = self.get(key) else { return Vec::new() };
+        let Some(items) = value.as_array() else {
+            self.report(key, "is not a list");
+            return Vec::new();
+        };
+        let mut list = Vec::with_capacity(items.len());
+        for (index, item) in items.iter().enumerate() {
+            match item.as_str().and_then(|text| text.parse().ok()) {
+                Some(item) => list.push(item),
+                None => self.report(&format!("{key}[{index}]"), &format!("is not {expected}")),
+            }
+        }
+        list
+    }
+
+    fn path_of(&self, key: &str) -> String {
+        if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) }
+    }
+}
--- a/crates/fernknot-schema/src/paper.rs
+++ b/crates/fernknot-schema/src/raw_config.rs
@@ -1,17 +1,20 @@
-//! The operator's configuration as it stands in the JSON, read with `schematic`: its loader takes
-//! a string without any file, gives defaults, passes unknown keys and collects what is wrong with
-//! single settings. What concerns several settings at once is checked in [`crate::plan`].
+//! The operator's routing configuration under the keys of its JSON, loaded with `schematic`: its loader takes a string
+//! without any file, gives defaults, ignores unknown keys and collects the errors of single settings. What concerns
+//! several settings at once is checked in [`crate::routing_config_parser`].
 //!
-//! Its reader of JSON also takes comments; [`crate::plan`] reads the bytes strictly beforehand.
+//! Its JSON parser also accepts comments, so the bytes are parsed strictly beforehand.
 
 use schematic::{Config, ConfigError, ConfigLoader, Schematic, ValidateError, ValidateResult};
 use serde::{Deserialize, Deserializer, Serialize, de};
 
-use crate::plan::{ClientLimits, TrafficClass};
-use crate::walk::ValidationError;
+use crate::routing_config::{ClientLimits, TrafficClass};
+use crate::validation_error::ValidationError;
 
-/// A number of 0 or more that may come as `600` or as `600.0`; a fraction is rounded up, so that a
-/// short time never turns into none.
+/// The name of the text in error messages of `schematic`.
+const SOURCE_NAME: &str = "plan.json";
+
+/// A number of 0 or more that may come as `600` or as `600.0`; a fraction is rounded up, so that a short time never
+/// becomes 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct NonNegativeInteger(pub u64);
 
@@ -19,8 +22,8 @@
 
 impl<'de> Deserialize<'de> for NonNegativeInteger {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<NonNegativeInteger, D::Error> {
-        struct Number;
-        impl de::Visitor<'_> for Number {
+        struct NumberVisitor;
+        impl de::Visitor<'_> for NumberVisitor {
             type Value = NonNegativeInteger;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str("a number of 0 or more")
@@ -32,13 +35,14 @@
                 u64::try_from(number).map(NonNegativeInteger).map_err(|_| E::custom("is below 0"))
             }
             fn visit_f64<E: de::Error>(self, number: f64) -> Result<NonNegativeInteger, E> {
-                match number >= 0.0 && number < u64::MAX as f64 {
-                    true => Ok(NonNegativeInteger(number.ceil() as u64)),
-                    false => Err(E::custom("is below 0 or too large")),
+                if number >= 0.0 && number < u64::MAX as f64 {
+                    Ok(NonNegativeInteger(number.ceil() as u64))
+                } else {
+                    Err(E::custom("is below 0 or too large"))
                 }
             }
         }
-        from.deserialize_any(Number)
+        from.deserialize_any(NumberVisitor)
     }
 }
 
@@ -118,14 +122,15 @@
 }
 
 impl RawClientLimits {
+    /// The limits, with the default for each that was not given.
     pub(crate) fn resolve(&self) -> ClientLimits {
-        let absent = ClientLimits::default();
-        let or = |given: Option<NonNegativeInteger>, absent| given.map_or(absent, |given| given.0);
+        let default = ClientLimits::default();
+        let given_or = |given: Option<NonNegativeInteger>, default| given.map_or(default, |given| given.0);
         ClientLimits {
-            header_bytes: or(self.header_bytes, absent.header_bytes),
-            body_bytes: or(self.body_bytes, absent.body_bytes),
-            header_ms: or(self.header_ms, absent.header_ms),
-            idle_ms: or(self.idle_ms, absent.idle_ms),
+            header_bytes: given_or(self.header_bytes, default.header_bytes),
+            body_bytes: given_or(self.body_bytes, default.body_bytes),
+            header_ms: given_or(self.header_ms, default.header_ms),
+            idle_ms: given_or(self.idle_ms, default.idle_ms),
         }
     }
 }
@@ -142,34 +147,33 @@
 }
 
 fn validate_path_prefix<D, C>(prefix: &str, _: &D, _: &C, _: bool) -> ValidateResult {
-    match prefix.starts_with('/') && prefix.ends_with('/') {
-        true => Ok(()),
-        false => Err(ValidateError::new("does not begin and end with a slash")),
-    }
+    check(prefix.starts_with('/') && prefix.ends_with('/'), "does not begin and end with a slash")
 }
 
 fn validate_positive<D, C>(number: &NonNegativeInteger, _: &D, _: &C, _: bool) -> ValidateResult {
-    if number.0 == 0 { Err(ValidateError::new("is 0")) } else { Ok(()) }
+    check(number.0 != 0, "is 0")
 }
 
-fn validate_fraction<D, C>(share: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
-    match (0.0..=1.0).contains(share) {
-        true => Ok(()),
-        false => Err(ValidateError::new("is not from 0 to 1")),
-    }
+fn validate_fraction<D, C>(fraction: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
+    check((0.0..=1.0).contains(fraction), "is not from 0 to 1")
 }
 
 fn validate_weight<D, C>(weight: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
-    match *weight >= 0.0 && weight.is_finite() {
-        true => Ok(()),
-        false => Err(ValidateError::new("is below 0")),
-    }
+    check(*weight >= 0.0 && weight.is_finite(), "is below 0")
+}
+
+fn check(is_valid: bool, reason: &str) -> ValidateResult {
+    if is_valid { Ok(()) } else { Err(ValidateError::new(reason)) }
 }
 
-/// Reads the text, which is known to be JSON.
+/// Loads the text, which is known to be JSON.
+///
+/// # Errors
+///
+/// What is wrong with single settings.
 pub(crate) fn load(text: &str) -> Result<RawConfig, Vec<ValidationError>> {
     let mut loader = ConfigLoader::<RawConfig>::new();
-    let loaded = loader.code(text, "plan.json").and_then(|loader| loader.load());
+    let loaded = loader.code(text, SOURCE_NAME).and_then(|loader| loader.load());
     loaded.map(|loaded| loaded.config).map_err(validation_errors)
 }
 
