--- a/crates/fernknot-peer-sampling/tests/common/mod.rs
+++ b/crates/fernknot-peer-sampling/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Some hundred processes in memory; a shuffle takes no time, and the dead don't answer.
+//! Fixture: some hundred processes in memory; a shuffle takes no time, and ended processes don't reply.
 
 use fernknot::interface::Nanos;
 use fernknot_peer_sampling::{Action, PeerDescriptor, PeerSampler, PeerSamplerSettings, Role};
@@ -12,49 +12,52 @@
     SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + number), 7120)
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: Nanos,
-    pub alive: BTreeMap<u32, PeerSampler>,
-    pub longest: usize,
+    pub live: BTreeMap<u32, PeerSampler>,
+    pub largest_message_bytes: usize,
 }
 
-impl World {
+impl Cluster {
     /// Controllers have the first numbers.
-    pub fn new(controllers: u32, gateways: u32, seeds: &[u32]) -> World {
-        let mut world = World { now: Nanos(0), alive: BTreeMap::new(), longest: 0 };
+    pub fn new(controllers: u32, gateways: u32, seeds: &[u32]) -> Cluster {
+        let mut cluster = Cluster { now: Nanos(0), live: BTreeMap::new(), largest_message_bytes: 0 };
         for number in 0..controllers + gateways {
-            world.start(number, if number < controllers { Role::Controller } else { Role::Gateway }, seeds);
+            cluster.start(number, if number < controllers { Role::Controller } else { Role::Gateway }, seeds);
         }
-        world
+        cluster
     }
 
     pub fn start(&mut self, number: u32, role: Role, seeds: &[u32]) {
         let zone = ZONES[number as usize % 3].to_string();
-        let me = PeerDescriptor { addr: addr(number), role, zone, incarnation: number as u64 + 1, age_ms: 0 };
+        let own_descriptor =
+            PeerDescriptor { addr: addr(number), role, zone, incarnation: number as u64 + 1, age_ms: 0 };
         let seeds: Vec<SocketAddrV4> = seeds.iter().map(|seed| addr(*seed)).collect();
-        let overlay = PeerSampler::new(me, &seeds, PERIOD, PeerSamplerSettings::default(), number as u64);
-        self.alive.insert(number, overlay);
+        let sampler =
+            PeerSampler::new(own_descriptor, &seeds, PERIOD, PeerSamplerSettings::default(), number as u64);
+        self.live.insert(number, sampler);
     }
 
     pub fn run(&mut self, periods: u32) {
         for _ in 0..periods * 10 {
             self.now = self.now + PERIOD.times(0.1);
-            for number in self.alive.keys().copied().collect::<Vec<_>>() {
+            for number in self.live.keys().copied().collect::<Vec<_>>() {
                 while let Some(Action::Shuffle { to, sample }) =
-                    self.alive.get_mut(&number).unwrap().poll_action(self.now)
+                    self.live.get_mut(&number).unwrap().poll_action(self.now)
                 {
                     let other = u32::from(*to.ip()) - 0x0a00_0000;
-                    let Some(peer) = self.alive.get_mut(&other) else { continue };
-                    let answer = peer.handle_shuffle(self.now, addr(number), &sample);
-                    self.longest =
-                        self.longest.max(bitcode::encode(&sample).len().max(bitcode::encode(&answer).len()));
-                    self.alive.get_mut(&number).unwrap().handle_shuffle_reply(self.now, to, &answer);
+                    let Some(peer) = self.live.get_mut(&other) else { continue };
+                    let reply = peer.handle_shuffle(self.now, addr(number), &sample);
+                    self.largest_message_bytes = self
+                        .largest_message_bytes
+                        .max(bitcode::encode(&sample).len().max(bitcode::encode(&reply).len()));
+                    self.live.get_mut(&number).unwrap().handle_shuffle_reply(self.now, to, &reply);
                 }
             }
         }
     }
 
-    pub fn is_alive(&self, addr: SocketAddrV4) -> bool {
-        self.alive.contains_key(&(u32::from(*addr.ip()) - 0x0a00_0000))
+    pub fn is_live(&self, addr: SocketAddrV4) -> bool {
+        self.live.contains_key(&(u32::from(*addr.ip()) - 0x0a00_0000))
     }
 }
