--- a/crates/fernknot-telemetry/src/counters.rs
+++ b/crates/fernknot-telemetry/src/counters.rs
@@ -1,40 +1,40 @@
-//! Counters by name.
+//! Counters and gauges by name.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Counts and levels of one process, by names that are fixed in its code.
+/// Counters and gauges of one process, by names that are fixed in its code.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     values: BTreeMap<&'static str, u64>,
 }
 
 impl Counters {
-    /// Counts so many more.
+    /// Adds to a counter; it saturates.
     pub fn add(&mut self, name: &'static str, count: u64) {
         let value = self.values.entry(name).or_default();
         *value = value.saturating_add(count);
     }
 
-    /// Sets a level.
+    /// Sets a gauge.
     pub fn set(&mut self, name: &'static str, level: u64) {
         self.values.insert(name, level);
     }
 
-    /// What has been counted under a name; 0 where nothing was.
+    /// The value under a name; 0 where there is none.
     pub fn get(&self, name: &str) -> u64 {
         self.values.get(name).copied().unwrap_or_default()
     }
 
-    /// All of them as one JSON object, in the order of their names.
+    /// All values as one JSON object, sorted by name.
     pub fn to_json(&self) -> String {
-        let mut out = String::from("{");
+        let mut json = String::from("{");
         for (name, value) in &self.values {
-            let comma = if out.len() > 1 { "," } else { "" };
+            let separator = if json.len() > 1 { "," } else { "" };
             // Writing to a string does not fail.
-            let _ = write!(out, "{comma}\"{name}\":{value}");
+            let _ = write!(json, "{separator}\"{name}\":{value}");
         }
-        out.push('}');
-        out
+        json.push('}');
+        json
     }
 }
