--- a/crates/fernknot-cli/src/capacity.rs
+++ b/crates/fernknot-cli/src/capacity.rs
@@ -45,7 +45,7 @@
 /// Seconds of a gateway's core for a query, and for each of its parts of 3,200 bytes (`shards.jsonl`, 4 to 58).
 const QUERY_CPU_S: f64 = 320e-6;
 const SHARD_RESPONSE_S: f64 = 49e-6;
-/// How many gateways of a zone share a ward, and the most wards of a zone (`docs/news.md`).
+/// How many gateways of a zone share a relay, and the most relays of a zone (`docs/distribution.md`).
 const GATEWAYS_PER_RELAY: f64 = 16.0;
 const MAX_RELAYS_PER_ZONE: f64 = 8.0;
 
