--- a/crates/fernknot-distribution/src/backoff.rs
+++ b/crates/fernknot-distribution/src/backoff.rs
@@ -28,10 +28,12 @@
 }
 
 impl Backoff {
+    /// Without failures yet. The first delay is the base delay, with jitter from the seed.
     pub fn new(seed: u64, base_delay: Nanos) -> Backoff {
         Backoff { seed, total_failures: 0, base_delay, by_addr: BTreeMap::new() }
     }
 
+    /// An attempt failed: the next one to this address is delayed, longer after each failure.
     pub fn record_failure(&mut self, now: Nanos, addr: SocketAddrV4) {
         self.total_failures += 1;
         let jitter = MIN_JITTER + self.random_fraction(self.total_failures);
@@ -42,6 +44,7 @@
         self.by_addr.insert(addr, failed);
     }
 
+    /// An attempt succeeded: the address starts anew.
     pub fn record_success(&mut self, addr: SocketAddrV4) {
         self.by_addr.remove(&addr);
     }
@@ -53,6 +56,7 @@
         first.times(growth(self.failures(addr))).min(self.base_delay)
     }
 
+    /// Whether the delay of the address is over.
     pub fn may_retry(&self, now: Nanos, addr: SocketAddrV4) -> bool {
         self.by_addr.get(&addr).is_none_or(|failed| now >= failed.retry_at)
     }
--- a/crates/fernknot-distribution/src/controller_selection.rs
+++ b/crates/fernknot-distribution/src/controller_selection.rs
@@ -26,6 +26,7 @@
 }
 
 impl ControllerSelection {
+    /// Knows no controller yet.
     pub fn new(own_zone: &str) -> ControllerSelection {
         ControllerSelection {
             own_zone: own_zone.to_string(),
--- a/crates/fernknot-distribution/src/relay_health.rs
+++ b/crates/fernknot-distribution/src/relay_health.rs
@@ -19,10 +19,12 @@
 }
 
 impl RelayHealth {
+    /// Whether the relay is stale.
     pub fn is_stale(&self, relay: SocketAddrV4) -> bool {
         self.stale.contains(&relay)
     }
 
+    /// The connection to a relay is lost.
     pub fn mark_stale(&mut self, relay: SocketAddrV4) {
         self.stale.insert(relay);
     }
--- a/crates/fernknot-distribution/src/source.rs
+++ b/crates/fernknot-distribution/src/source.rs
@@ -18,15 +18,19 @@
 /// A process that updates come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Source {
+    /// What the process is.
     pub kind: SourceKind,
+    /// Where it is reached.
     pub addr: SocketAddrV4,
 }
 
 impl Source {
+    /// A controller.
     pub fn controller(addr: SocketAddrV4) -> Source {
         Source { kind: SourceKind::Controller, addr }
     }
 
+    /// A gateway of the same zone.
     pub fn relay(addr: SocketAddrV4) -> Source {
         Source { kind: SourceKind::Relay, addr }
     }
--- a/crates/fernknot-distribution/src/subscribers.rs
+++ b/crates/fernknot-distribution/src/subscribers.rs
@@ -49,6 +49,7 @@
 }
 
 impl Subscribers {
+    /// Without subscribers yet.
     pub fn new(max_subscribers: usize) -> Subscribers {
         Subscribers {
             max_subscribers,
--- a/crates/fernknot-distribution/src/subscription.rs
+++ b/crates/fernknot-distribution/src/subscription.rs
@@ -11,7 +11,9 @@
 /// A subscription to one source.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscription {
+    /// All topics of the subscription.
     pub topics: BTreeSet<Topic>,
+    /// When the subscription was made.
     pub subscribed_at: Nanos,
     /// When the last message came; at first, the time of subscribing.
     pub last_message_at: Nanos,
@@ -26,6 +28,7 @@
 }
 
 impl Subscription {
+    /// A subscription made now.
     pub fn new(now: Nanos, topics: BTreeSet<Topic>) -> Subscription {
         Subscription {
             topics,
@@ -38,6 +41,7 @@
         }
     }
 
+    /// A heartbeat came from the source.
     pub fn record_heartbeat(&mut self, now: Nanos, heartbeat: &SourceHeartbeat, stale_after: Nanos) {
         self.last_message_at = now;
         self.has_responded = true;
--- a/crates/fernknot-distribution/src/topic_upstreams.rs
+++ b/crates/fernknot-distribution/src/topic_upstreams.rs
@@ -38,6 +38,7 @@
 }
 
 impl TopicUpstreams {
+    /// Knows the topic of the configuration, and no assignment yet.
     pub fn new(incarnation: IncarnationId, zone: &str) -> TopicUpstreams {
         TopicUpstreams {
             incarnation,
@@ -50,6 +51,7 @@
         }
     }
 
+    /// The incarnation of this gateway.
     pub fn incarnation(&self) -> IncarnationId {
         self.incarnation
     }
--- a/crates/fernknot-ownership/src/budget_share.rs
+++ b/crates/fernknot-ownership/src/budget_share.rs
@@ -23,6 +23,7 @@
 }
 
 impl BudgetShare {
+    /// No share is usable yet; see [`crate::OwnedKeysSettings`] for the times.
     pub fn new(incarnation: IncarnationId, confirmation_timeout: Nanos, budget_window: Nanos) -> BudgetShare {
         BudgetShare {
             incarnation,
--- a/crates/fernknot-ownership/src/gateway_liveness.rs
+++ b/crates/fernknot-ownership/src/gateway_liveness.rs
@@ -27,6 +27,7 @@
 }
 
 impl GatewayLiveness {
+    /// Knows no gateway yet.
     pub fn new(max_gateways: usize, retention: Nanos) -> GatewayLiveness {
         GatewayLiveness {
             max_gateways,
@@ -99,6 +100,7 @@
         unknown
     }
 
+    /// A gateway shuts down as planned.
     pub fn record_shutdown(&mut self, incarnation: IncarnationId) {
         self.gateways.remove(&incarnation);
         if self.shut_down.len() < self.max_gateways {
@@ -113,6 +115,7 @@
         }
     }
 
+    /// Whether the gateway is known and has not shut down.
     pub fn contains(&self, incarnation: IncarnationId) -> bool {
         self.gateways.contains_key(&incarnation)
     }
--- a/crates/fernknot-ownership/src/key_handover.rs
+++ b/crates/fernknot-ownership/src/key_handover.rs
@@ -83,6 +83,7 @@
 }
 
 impl KeyHandover {
+    /// Watches no key yet. With a zone, every key has an owner in each zone; without, one in all zones together.
     pub fn new(
         incarnation: IncarnationId,
         zone: Option<String>,
--- a/crates/fernknot-peer-sampling/src/known_controllers.rs
+++ b/crates/fernknot-peer-sampling/src/known_controllers.rs
@@ -12,22 +12,27 @@
 }
 
 impl KnownControllers {
+    /// Knows no controller yet.
     pub fn new(capacity: usize, expiry_age_ms: u32) -> KnownControllers {
         KnownControllers { capacity, expiry_age_ms, entries: Vec::new() }
     }
 
+    /// All known controllers.
     pub fn iter(&self) -> impl Iterator<Item = &PeerDescriptor> {
         self.entries.iter()
     }
 
+    /// All known controllers.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut PeerDescriptor> {
         self.entries.iter_mut()
     }
 
+    /// Whether no controller is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// Whether the controller at this address is known.
     pub fn contains(&self, addr: SocketAddrV4) -> bool {
         self.entries.iter().any(|entry| entry.addr == addr)
     }
--- a/crates/fernknot-peer-sampling/src/partial_view.rs
+++ b/crates/fernknot-peer-sampling/src/partial_view.rs
@@ -13,30 +13,37 @@
 }
 
 impl PartialView {
+    /// Without entries yet.
     pub fn new(capacity: usize) -> PartialView {
         PartialView { capacity, entries: Vec::with_capacity(capacity) }
     }
 
+    /// All entries.
     pub fn iter(&self) -> impl Iterator<Item = &PeerDescriptor> {
         self.entries.iter()
     }
 
+    /// All entries.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut PeerDescriptor> {
         self.entries.iter_mut()
     }
 
+    /// Whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// Whether there are entries for less than half of the capacity.
     pub fn is_half_empty(&self) -> bool {
         self.entries.len() < self.capacity / 2
     }
 
+    /// Removes the entry of an address.
     pub fn remove(&mut self, addr: SocketAddrV4) {
         self.entries.retain(|entry| entry.addr != addr);
     }
 
+    /// Removes the entries of this age and above.
     pub fn drop_expired(&mut self, expiry_age_ms: u32) {
         self.entries.retain(|entry| entry.age_ms < expiry_age_ms);
     }
--- a/crates/fernknot-peer-sampling/src/seeds.rs
+++ b/crates/fernknot-peer-sampling/src/seeds.rs
@@ -12,10 +12,12 @@
 }
 
 impl Seeds {
+    /// Knows no seed yet.
     pub fn new(capacity: usize, own_addr: SocketAddrV4) -> Seeds {
         Seeds { capacity, own_addr, addrs: Vec::new(), not_contacted: Vec::new() }
     }
 
+    /// All seeds, the newest first.
     pub fn addrs(&self) -> &[SocketAddrV4] {
         &self.addrs
     }
--- a/crates/fernknot-registry/src/incarnation_table.rs
+++ b/crates/fernknot-registry/src/incarnation_table.rs
@@ -24,6 +24,7 @@
 }
 
 impl Incarnation {
+    /// The record as it was last merged.
     pub fn record(&self) -> &NodeRecord {
         self.tracked.record()
     }
@@ -53,6 +54,7 @@
 }
 
 impl IncarnationTable {
+    /// Without incarnations yet.
     pub fn new(max_incarnations: usize, warm_up_tolerance: Nanos) -> IncarnationTable {
         IncarnationTable {
             max_incarnations,
@@ -64,18 +66,22 @@
         }
     }
 
+    /// An incarnation by its id.
     pub fn get(&self, id: &str) -> Option<&Incarnation> {
         self.by_id.get(id)
     }
 
+    /// An incarnation by its id.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Incarnation> {
         self.by_id.get_mut(id)
     }
 
+    /// An incarnation by its id's hash.
     pub fn by_hash(&self, hash: IncarnationHash) -> Option<&Incarnation> {
         self.id_by_hash.get(&hash).and_then(|id| self.by_id.get(id))
     }
 
+    /// An incarnation by its id's hash.
     pub fn by_hash_mut(&mut self, hash: IncarnationHash) -> Option<&mut Incarnation> {
         self.id_by_hash.get(&hash).and_then(|id| self.by_id.get_mut(id))
     }
@@ -85,14 +91,17 @@
         self.addresses.user_of(addr).and_then(|id| self.by_id.get(id))
     }
 
+    /// The number of incarnations.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
+    /// All incarnations, in no particular order.
     pub fn values(&self) -> impl Iterator<Item = &Incarnation> {
         self.by_id.values()
     }
 
+    /// All incarnations, in no particular order.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Incarnation> {
         self.by_id.values_mut()
     }
@@ -102,6 +111,7 @@
         &self.changes
     }
 
+    /// The ids of the incarnations for which this holds, in no particular order.
     pub fn ids_where(&self, is_wanted: impl Fn(&Incarnation) -> bool) -> Vec<String> {
         let wanted = self.by_id.iter().filter(|(_, incarnation)| is_wanted(incarnation));
         wanted.map(|(id, _)| id.clone()).collect()
@@ -168,6 +178,7 @@
         self.assign_version(id);
     }
 
+    /// Removes an incarnation from the table and all indexes.
     pub fn forget(&mut self, id: &str) {
         let Some(incarnation) = self.by_id.remove(id) else { return };
         self.changes.forget(incarnation.version);
--- a/crates/fernknot-registry/src/tracked_record.rs
+++ b/crates/fernknot-registry/src/tracked_record.rs
@@ -14,16 +14,19 @@
 }
 
 impl TrackedRecord {
+    /// A record that is tracked from now on.
     pub fn new(now: Nanos, record: NodeRecord) -> TrackedRecord {
         let announced_draining = record.state == NodeState::Draining;
         let out_since = (!record.is_up()).then_some(now);
         TrackedRecord { record, announced_draining, out_since }
     }
 
+    /// The merged record.
     pub fn record(&self) -> &NodeRecord {
         &self.record
     }
 
+    /// Since when it is lost or gone.
     pub fn out_since(&self) -> Option<Nanos> {
         self.out_since
     }
@@ -41,6 +44,7 @@
         changed
     }
 
+    /// The node sent no heartbeat for too long, or another incarnation uses its address.
     pub fn mark_lost(&mut self, now: Nanos) {
         self.record.state = NodeState::Lost;
         self.out_since = Some(now);
--- a/crates/fernknot-schema/src/object_reader.rs
+++ b/crates/fernknot-schema/src/object_reader.rs
@@ -14,6 +14,7 @@
 }
 
 impl ErrorCollector {
+    /// Adds an error.
     pub fn push(&self, error: ValidationError) {
         self.errors.borrow_mut().push(error);
     }
@@ -52,6 +53,7 @@
         self.errors.push(ValidationError::new(self.path_of(key), reason));
     }
 
+    /// The value under a key, unless that is missing or null.
     pub fn get(&self, key: &str) -> Option<&'a Value> {
         self.object.and_then(|object| object.get(key)).filter(|value| !value.is_null())
     }
@@ -80,6 +82,7 @@
         self.object.into_iter().flatten()
     }
 
+    /// A string.
     pub fn string(&self, key: &str) -> Option<String> {
         let string = self.get(key)?.as_str().map(str::to_string);
         if string.is_none() {
@@ -88,6 +91,7 @@
         string
     }
 
+    /// A boolean.
     pub fn boolean(&self, key: &str) -> Option<bool> {
         let boolean = self.get(key)?.as_bool();
         if boolean.is_none() {
--- a/crates/fernknot-schema/src/raw_config.rs
+++ b/crates/fernknot-schema/src/raw_config.rs
@@ -46,42 +46,45 @@
     }
 }
 
+/// The configuration; see [`crate::RoutingConfig`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawConfig {
     #[setting(required)]
-    pub epoch: Option<NonNegativeInteger>,
+    pub(crate) epoch: Option<NonNegativeInteger>,
     #[setting(nested, required)]
-    pub routes: Option<Vec<RawRoute>>,
+    pub(crate) routes: Option<Vec<RawRoute>>,
     #[setting(nested, required)]
-    pub backends: Option<Vec<RawService>>,
+    pub(crate) backends: Option<Vec<RawService>>,
     #[setting(nested)]
-    pub limits: RawClientLimits,
+    pub(crate) limits: RawClientLimits,
 }
 
+/// A route; see [`crate::Route`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawRoute {
-    pub name: String,
+    pub(crate) name: String,
     #[setting(required)]
-    pub authority: Option<String>,
+    pub(crate) authority: Option<String>,
     #[setting(required, validate = validate_path_prefix)]
-    pub path_prefix: Option<String>,
-    pub traffic_class: Option<RawTrafficClass>,
+    pub(crate) path_prefix: Option<String>,
+    pub(crate) traffic_class: Option<RawTrafficClass>,
     #[setting(validate = validate_positive)]
-    pub deadline_ms: Option<NonNegativeInteger>,
-    pub target_ms: Option<NonNegativeInteger>,
-    pub rank: NonNegativeInteger,
-    pub backend: Option<String>,
+    pub(crate) deadline_ms: Option<NonNegativeInteger>,
+    pub(crate) target_ms: Option<NonNegativeInteger>,
+    pub(crate) rank: NonNegativeInteger,
+    pub(crate) backend: Option<String>,
     #[setting(nested)]
-    pub shares: Option<Vec<RawWeightedService>>,
-    pub fanout: Option<Vec<String>>,
-    pub top_k: Option<NonNegativeInteger>,
+    pub(crate) shares: Option<Vec<RawWeightedService>>,
+    pub(crate) fanout: Option<Vec<String>>,
+    pub(crate) top_k: Option<NonNegativeInteger>,
     #[setting(validate = validate_fraction)]
-    pub quorum: Option<f64>,
-    pub tries: Option<NonNegativeInteger>,
+    pub(crate) quorum: Option<f64>,
+    pub(crate) tries: Option<NonNegativeInteger>,
 }
 
+/// Whether requests may be repeated; without a class they may not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RawTrafficClass {
@@ -90,35 +93,38 @@
     Mutating,
 }
 
+/// A service with its weight; see [`crate::RouteTarget`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawWeightedService {
     #[setting(required)]
-    pub backend: Option<String>,
+    pub(crate) backend: Option<String>,
     #[setting(required, validate = validate_weight)]
-    pub weight: Option<f64>,
+    pub(crate) weight: Option<f64>,
 }
 
+/// A service; see [`crate::Service`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawService {
     #[setting(required)]
-    pub name: Option<String>,
+    pub(crate) name: Option<String>,
     #[setting(default = "/health")]
-    pub probe_path: String,
-    pub max_conns: Option<NonNegativeInteger>,
+    pub(crate) probe_path: String,
+    pub(crate) max_conns: Option<NonNegativeInteger>,
     #[setting(default = "h1")]
-    pub protocol: String,
-    pub tls: bool,
+    pub(crate) protocol: String,
+    pub(crate) tls: bool,
 }
 
+/// What clients may send; see [`crate::ClientLimits`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawClientLimits {
-    pub header_bytes: Option<NonNegativeInteger>,
-    pub body_bytes: Option<NonNegativeInteger>,
-    pub header_ms: Option<NonNegativeInteger>,
-    pub idle_ms: Option<NonNegativeInteger>,
+    pub(crate) header_bytes: Option<NonNegativeInteger>,
+    pub(crate) body_bytes: Option<NonNegativeInteger>,
+    pub(crate) header_ms: Option<NonNegativeInteger>,
+    pub(crate) idle_ms: Option<NonNegativeInteger>,
 }
 
 impl RawClientLimits {
--- a/crates/fernknot-schema/tests/routing_config.rs
+++ b/crates/fernknot-schema/tests/routing_config.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn given_several_faults_when_read_then_all_are_told_with_their_paths() {
+fn given_several_errors_when_parsed_then_all_are_returned_with_their_paths() {
     let json = changed(config_json(), "/routes/0/quorum", json!(2));
     let json = changed(json, "/routes/1/deadline_ms", json!(0));
     assert_eq!(paths(parse_config(&json).unwrap_err()), ["routes[0].quorum", "routes[1].deadline_ms"]);
