--- a/crates/fernknot-cli/src/plan_capacity.rs
+++ b/crates/fernknot-cli/src/plan_capacity.rs
@@ -61,7 +61,7 @@
 const QUERY_CPU_S: f64 = 320e-6;
 /// Seconds of a gateway's core for each response of a shard, of 3,200 bytes.
 const SHARD_RESPONSE_CPU_S: f64 = 49e-6;
-/// Gateways of a zone that share a relay (`docs/news.md`).
+/// Gateways of a zone that share a relay (`docs/distribution.md`).
 const GATEWAYS_PER_RELAY: f64 = 16.0;
 const MAX_RELAYS_PER_ZONE: f64 = 8.0;
 
--- a/crates/fernknot-consensus/tests/common/samples.rs
+++ b/crates/fernknot-consensus/tests/common/samples.rs
@@ -2,7 +2,8 @@
 //! places are noticed.
 
 use fernknot_consensus::{
-    AcceptedView, ChosenView, DurableProgress, Member, MemberId, ProposalNumber, Revision, View, ViewNumber,
+    AcceptedView, ChosenView, DurableProgress, Member, MemberId, ProposalInView, ProposalNumber, Revision,
+    StatePosition, View, ViewNumber, ViewStart,
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -16,7 +17,7 @@
     }
 }
 
-/// A view with members and absent ones.
+/// A view with members and former voters.
 pub fn view(number: u64) -> View {
     View {
         number: ViewNumber(number),
@@ -25,21 +26,24 @@
     }
 }
 
-/// A view together with the places where the last views began.
-pub fn base(number: u64) -> ChosenView {
-    let floors = vec![(ViewNumber(number - 1), Revision(2100)), (ViewNumber(number), Revision(2200))];
-    ChosenView { view: view(number), view_starts: floors }
+/// A view together with the starts of the last views.
+pub fn chosen_view(number: u64) -> ChosenView {
+    let view_starts = vec![
+        ViewStart { view: ViewNumber(number - 1), revision: Revision(2100) },
+        ViewStart { view: ViewNumber(number), revision: Revision(2200) },
+    ];
+    ChosenView { view: view(number), view_starts }
 }
 
-pub fn ballot(round: u64) -> ProposalNumber {
-    ProposalNumber { term: round, proposer: MemberId(0x2000 + round) }
+pub fn proposal_number(term: u64) -> ProposalNumber {
+    ProposalNumber { term, proposer: MemberId(0x2000 + term) }
 }
 
-pub fn mark() -> DurableProgress {
+pub fn progress() -> DurableProgress {
     DurableProgress {
-        prepared: (ViewNumber(301), ballot(302)),
-        accepted: (ViewNumber(303), ballot(304)),
-        state: (ViewNumber(305), Revision(306)),
+        prepared: ProposalInView { view: ViewNumber(301), proposal: proposal_number(302) },
+        accepted: ProposalInView { view: ViewNumber(303), proposal: proposal_number(304) },
+        state: StatePosition { view: ViewNumber(305), revision: Revision(306) },
     }
 }
 
@@ -47,6 +51,6 @@
     Arc::from(text.as_bytes())
 }
 
-pub fn vouched(state: Option<Arc<[u8]>>) -> AcceptedView {
-    AcceptedView { proposal: ballot(401), next: base(402), revision: Revision(403), state }
+pub fn accepted_view(state: Option<Arc<[u8]>>) -> AcceptedView {
+    AcceptedView { proposal: proposal_number(401), next: chosen_view(402), revision: Revision(403), state }
 }
--- a/crates/fernknot-simulator/src/controllers/actions.rs
+++ b/crates/fernknot-simulator/src/controllers/actions.rs
@@ -17,7 +17,7 @@
             Action::Notify { to, message } => self.notify(index, to, &message),
             Action::Connect { to } => self.connect_peer(index, machine_index(to)),
             Action::AbortConnect { to } => self.abort_peer_connection(index, machine_index(to)),
-            Action::Store { ticket, state } => self.begin_write(index, ticket, state),
+            Action::Store { write_id, state } => self.begin_write(index, write_id, state),
             Action::StoreKnownPeers { addrs } => self.machines[index].disk.known_peers = addrs,
             Action::Log { text, .. } => self.observe_log(index, &text),
         }
--- a/crates/fernknot-simulator/src/controllers/timeline.rs
+++ b/crates/fernknot-simulator/src/controllers/timeline.rs
@@ -50,7 +50,7 @@
         let counter = |name: &str| counters.get(name).and_then(serde_json::Value::as_u64).unwrap_or(0);
         let known = KnownState {
             view: counter("view"),
-            revision: counter("order"),
+            revision: counter("revision"),
             epoch: counter("epoch"),
             has_lease: counter("lease") == 1,
         };
