--- a/crates/fernknot-cli/tests/common/mod.rs
+++ b/crates/fernknot-cli/tests/common/mod.rs
@@ -2,9 +2,9 @@
 
 use std::process::{Command, Output};
 
-/// Runs the command line with these words.
-pub fn fernknot(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_fernknot")).args(words).output().unwrap()
+/// Runs the command line with these arguments.
+pub fn fernknot(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_fernknot")).args(arguments).output().unwrap()
 }
 
 pub fn text(bytes: &[u8]) -> String {
--- a/crates/fernknot-simulator/src/subscribers/subscriptions.rs
+++ b/crates/fernknot-simulator/src/subscribers/subscriptions.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Leaves a controller that is silent or hears no majority; tells any other that the subscriber is alive.
+    /// Leaves a controller that is silent or hears no majority; informs any other that the subscriber is alive.
     fn check_controller(&mut self, index: usize) {
         let event = SubscriberEvent::CheckController { subscriber: index };
         self.schedule_subscriber(CHECK_INTERVAL, event);
--- a/crates/fernknot-testbed/src/load_balancer.rs
+++ b/crates/fernknot-testbed/src/load_balancer.rs
@@ -21,7 +21,7 @@
     pub ready: SocketAddrV4,
 }
 
-/// Asks each gateway whether it is ready, and tells clients where to connect.
+/// Asks each gateway whether it is ready, and gives clients an address to connect to.
 pub struct LoadBalancer {
     gateways: Arc<GatewayList>,
     is_over: Arc<AtomicBool>,
--- a/crates/fernknot-testbed/src/usage.rs
+++ b/crates/fernknot-testbed/src/usage.rs
@@ -17,7 +17,7 @@
     pub descriptors: usize,
 }
 
-/// Time on a processor of all threads that live, in whole nanoseconds, where the kernel tells it.
+/// Time on a processor of all threads that live, in whole nanoseconds, where the kernel reports it.
 fn scheduler_time(pid: u32) -> Option<Duration> {
     let mut sum = 0;
     for task in std::fs::read_dir(format!("/proc/{pid}/task")).ok()?.flatten() {
