--- a/crates/fernknot-controller/src/controller/inspection.rs
+++ b/crates/fernknot-controller/src/controller/inspection.rs
@@ -4,6 +4,7 @@
 use crate::counters as counter;
 use crate::reports;
 use fernknot_consensus::{ForceViewError, ViewNumber};
+use fernknot_registry::VersionedRecords;
 use fernknot_rpc::InspectionTopic;
 use fernknot_telemetry::part;
 use log::Level;
@@ -26,7 +27,7 @@
     pub(super) fn inspect(&mut self, topic: InspectionTopic) -> String {
         match topic {
             InspectionTopic::Nodes => {
-                let (version, records) = self.nodes.snapshot();
+                let VersionedRecords { version, records } = self.nodes.snapshot();
                 reports::nodes(self.nodes.up_count(), version, records)
             }
             InspectionTopic::Views => reports::view(
--- a/crates/fernknot-controller/src/controller/peer_messages.rs
+++ b/crates/fernknot-controller/src/controller/peer_messages.rs
@@ -90,7 +90,7 @@
 
     /// All that is known of nodes and gateways, for a controller that may know little.
     fn send_snapshot_to_peer(&mut self, to: SocketAddrV4) {
-        let (_, records) = self.nodes.snapshot();
+        let records = self.nodes.snapshot().records;
         for records in records.chunks(MAX_ITEMS_PER_MESSAGE) {
             self.send_to_peer(to, ControllerMessage::NodeUpdates(records.to_vec()));
         }
--- a/crates/fernknot-controller/src/controller/publication.rs
+++ b/crates/fernknot-controller/src/controller/publication.rs
@@ -45,7 +45,7 @@
 
     /// Sends the assignment and the nodes that a subscriber wants.
     fn send_nodes(&mut self, id: SubscriberId) {
-        let (_, records) = self.nodes.snapshot();
+        let records = self.nodes.snapshot().records;
         let Some(records) = self.subscribers.select_for(id, &records) else { return };
         if let Some(assignment) = self.ownership.message() {
             self.actions.notify(vec![id], assignment);
--- a/crates/fernknot-controller/src/node_registry.rs
+++ b/crates/fernknot-controller/src/node_registry.rs
@@ -2,7 +2,8 @@
 
 use fernknot::interface::Nanos;
 use fernknot_registry::{
-    CallOutcome, IncarnationHash, NodeRecord, NodeState, Registry, RegistryLimits, incarnation_hash,
+    CallOutcome, IncarnationHash, NodeRecord, NodeState, Registry, RegistryLimits, VersionedRecords,
+    incarnation_hash,
 };
 use std::collections::BTreeSet;
 
@@ -58,7 +59,7 @@
     pub fn merge_from_peer(&mut self, now: Nanos, records: &[NodeRecord]) -> usize {
         let before = self.registry.version();
         let changed = self.registry.merge_reported(now, records);
-        let updates = self.registry.changes_since(before).map_or(Vec::new(), |(_, records)| records);
+        let updates = self.registry.changes_since(before).map_or(Vec::new(), |changes| changes.records);
         let is_leaving = |record: &&NodeRecord| matches!(record.state, NodeState::Draining | NodeState::Gone);
         self.unannounced.extend(updates.iter().filter(is_leaving).map(|record| record.id.clone()));
         changed
@@ -90,7 +91,7 @@
             return None;
         }
         let changes = self.registry.changes_since(self.published_version);
-        let (version, records) = changes.unwrap_or_else(|| self.registry.snapshot());
+        let VersionedRecords { version, records } = changes.unwrap_or_else(|| self.registry.snapshot());
         self.published_version = version;
         (!records.is_empty()).then_some(records)
     }
@@ -116,7 +117,7 @@
     }
 
     /// All records, with the version that they make up.
-    pub fn snapshot(&self) -> (u64, Vec<NodeRecord>) {
+    pub fn snapshot(&self) -> VersionedRecords {
         self.registry.snapshot()
     }
 }
--- a/crates/fernknot-registry/src/lib.rs
+++ b/crates/fernknot-registry/src/lib.rs
@@ -18,4 +18,4 @@
 
 pub use node_directory::{NodeDirectory, NodeDirectoryLimits};
 pub use node_record::{IncarnationHash, NodeRecord, NodeState, incarnation_hash};
-pub use registry::{CallOutcome, Registry, RegistryLimits};
+pub use registry::{CallOutcome, Registry, RegistryLimits, VersionedRecords};
--- a/crates/fernknot-registry/src/registry.rs
+++ b/crates/fernknot-registry/src/registry.rs
@@ -49,6 +49,15 @@
     }
 }
 
+/// Records with the version of the registry that they lead to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct VersionedRecords {
+    /// The version of the newest change.
+    pub version: u64,
+    /// The records, oldest change first.
+    pub records: Vec<NodeRecord>,
+}
+
 /// The nodes of all services as their heartbeats describe them: soft state, refilled by heartbeats and by the other
 /// controllers after a restart.
 ///
@@ -189,17 +198,17 @@
         self.incarnations.changes().version()
     }
 
-    /// The incarnations that differ since a version, oldest change first, and the version that they lead to. `None`
-    /// where some of the changes are no longer remembered, or the version is not one of this process: take a
-    /// [`Self::snapshot`].
-    pub fn changes_since(&self, version: u64) -> Option<(u64, Vec<NodeRecord>)> {
+    /// The incarnations that differ since a version. `None` where some of the changes are no longer remembered, or the
+    /// version is not one of this process: take a [`Self::snapshot`].
+    pub fn changes_since(&self, version: u64) -> Option<VersionedRecords> {
         let changed = self.incarnations.changes().since(version)?;
-        Some((self.version(), self.current_records(changed)))
+        Some(VersionedRecords { version: self.version(), records: self.current_records(changed) })
     }
 
-    /// All remembered incarnations, and the version that this is.
-    pub fn snapshot(&self) -> (u64, Vec<NodeRecord>) {
-        (self.version(), self.current_records(self.incarnations.changes().all()))
+    /// All remembered incarnations.
+    pub fn snapshot(&self) -> VersionedRecords {
+        let records = self.current_records(self.incarnations.changes().all());
+        VersionedRecords { version: self.version(), records }
     }
 
     /// The record of an incarnation by its id.
--- a/crates/fernknot-registry/tests/node_calls.rs
+++ b/crates/fernknot-registry/tests/node_calls.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use common::{at, record, registry};
 use fernknot_registry::NodeState::{Draining, Gone, Lost, Ready};
-use fernknot_registry::{CallOutcome, NodeState, Registry};
+use fernknot_registry::{CallOutcome, NodeState, Registry, VersionedRecords};
 use test_case::test_case;
 
 fn state(registry: &Registry, id: &str) -> Option<NodeState> {
@@ -84,12 +84,12 @@
     registry.record_heartbeat(at(0.0), record("a", 1, Ready, 1));
     registry.record_heartbeat(at(0.0), record("b", 2, Ready, 1));
     registry.deregister(at(0.0), "a");
-    assert_matches!(registry.changes_since(2), Some((3, changed)) if changed.len() == 1);
+    assert_matches!(registry.changes_since(2), Some(VersionedRecords { version: 3, records }) if records.len() == 1);
     registry.reset_liveness(at(101.0));
     registry.expire(at(101.0));
     assert_eq!(registry.changes_since(2), None);
     assert_eq!(registry.changes_since(99), None);
-    assert_matches!(registry.snapshot(), (3, all) if all.len() == 1);
+    assert_matches!(registry.snapshot(), VersionedRecords { version: 3, records } if records.len() == 1);
 }
 
 #[test]
--- a/crates/fernknot-registry/tests/replication.rs
+++ b/crates/fernknot-registry/tests/replication.rs
@@ -5,7 +5,8 @@
 use common::{HEARTBEAT_INTERVAL, at, record, registry};
 use fernknot_registry::NodeState::{Draining, Gone, Lost, Ready};
 use fernknot_registry::{
-    CallOutcome, NodeDirectory, NodeDirectoryLimits, NodeRecord, NodeState, Registry, incarnation_hash,
+    CallOutcome, NodeDirectory, NodeDirectoryLimits, NodeRecord, NodeState, Registry, VersionedRecords,
+    incarnation_hash,
 };
 use proptest::prelude::*;
 
@@ -48,9 +49,9 @@
     partitioned.expire(at(4.0));
     assert_eq!(state(&partitioned, "a"), Some(Lost));
     let known = healthy.version();
-    healthy.merge_reported(at(4.0), &partitioned.snapshot().1);
+    healthy.merge_reported(at(4.0), &partitioned.snapshot().records);
     assert_eq!(state(&healthy, "a"), Some(Ready));
-    let (_, changes) = healthy.changes_since(known).unwrap();
+    let changes = healthy.changes_since(known).unwrap().records;
     partitioned.merge_reported(at(4.0), &changes);
     assert_eq!(state(&partitioned, "a"), Some(Ready));
 }
@@ -61,8 +62,8 @@
     one.record_heartbeat(at(0.0), record("a", 1, Ready, 1));
     for tenth in 0..100 {
         let now = at(tenth as f64 / 10.0);
-        two.merge_reported(now, &one.snapshot().1);
-        one.merge_reported(now, &two.snapshot().1);
+        two.merge_reported(now, &one.snapshot().records);
+        one.merge_reported(now, &two.snapshot().records);
         one.expire(now);
         two.expire(now);
     }
@@ -130,7 +131,8 @@
             if call == 2 || (call < 2 && record.state == Draining && known.is_none_or(|known| record.sequence > known)) {
                 draining.insert(record.id.clone());
             }
-            let (version, changed) = registry.changes_since(seen).unwrap_or_else(|| registry.snapshot());
+            let VersionedRecords { version, records: changed } =
+                registry.changes_since(seen).unwrap_or_else(|| registry.snapshot());
             prop_assert!(version >= seen);
             seen = version;
             directory.apply_updates(now, &changed);
@@ -139,7 +141,7 @@
                 prop_assert!(!directory.get(id).is_some_and(NodeRecord::is_ready), "{id} in the directory");
             }
             // The changes amount to the snapshot.
-            for record in registry.snapshot().1 {
+            for record in registry.snapshot().records {
                 prop_assert_eq!(directory.get(&record.id).map(NodeRecord::is_ready), Some(record.is_ready()));
             }
         }
