--- a/crates/fernknot-controller/src/host/settings.rs
+++ b/crates/fernknot-controller/src/host/settings.rs
@@ -51,7 +51,7 @@
     if settings.bind_addrs.control_addr.is_none() {
         faults.push(UnsuitableSetting::NoControlAddr);
     }
-    if settings.port_range.0 == u16::MAX || settings.port_range.0 + 1 > settings.port_range.1 {
+    if settings.port_range.first == u16::MAX || settings.port_range.first + 1 > settings.port_range.last {
         faults.push(UnsuitableSetting::TooFewPorts);
     }
     let minimum = RESERVED_DESCRIPTORS + MIN_CONNECTIONS;
@@ -63,7 +63,7 @@
 
 /// Where a controller listens for other processes of the system: at the second port of the range.
 fn internal_addr(ip: Ipv4Addr, settings: &ProcessSettings) -> SocketAddrV4 {
-    SocketAddrV4::new(ip, settings.port_range.0 + 1)
+    SocketAddrV4::new(ip, settings.port_range.first + 1)
 }
 
 /// The internal addresses of the controllers that the settings name.
--- a/crates/fernknot-gateway/src/gateway.rs
+++ b/crates/fernknot-gateway/src/gateway.rs
@@ -656,10 +656,10 @@
 
 /// Where a gateway with these settings is spoken to by other processes of the system.
 pub fn inner_addr(facts: &ProcessSettings) -> SocketAddrV4 {
-    SocketAddrV4::new(facts.ip, facts.port_range.0)
+    SocketAddrV4::new(facts.ip, facts.port_range.first)
 }
 
 /// The inner addresses of the controllers that the settings name.
 pub fn controller_seeds(facts: &ProcessSettings) -> Vec<SocketAddrV4> {
-    facts.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), facts.port_range.0 + 1)).collect()
+    facts.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), facts.port_range.first + 1)).collect()
 }
--- a/crates/fernknot-schema/src/lib.rs
+++ b/crates/fernknot-schema/src/lib.rs
@@ -21,7 +21,9 @@
 
 pub use json_digest::json_digest;
 pub use node_heartbeat::{NodeHeartbeat, ReportedNodeState};
-pub use process_settings::{BindAddrs, FaultBudget, InvariantBounds, ProcessSettings, ResourceLimits};
+pub use process_settings::{
+    BindAddrs, FaultBudget, InvariantBounds, PortRange, ProcessSettings, ResourceLimits,
+};
 pub use route_table::RouteTable;
 pub use routing_config::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass};
 pub use validation_error::ValidationError;
--- a/crates/fernknot-schema/src/process_settings.rs
+++ b/crates/fernknot-schema/src/process_settings.rs
@@ -30,8 +30,8 @@
     pub zones: BTreeMap<String, String>,
     /// Where the process listens for callers from outside.
     pub bind_addrs: BindAddrs,
-    /// First and last port that are free for messages between the processes of the system.
-    pub port_range: (u16, u16),
+    /// The ports that are free for messages between the processes of the system.
+    pub port_range: PortRange,
     /// Control addresses of some controllers when the file was written.
     pub seeds: Vec<SocketAddrV4>,
     /// The whole system starts for the first time, with empty disks.
@@ -68,6 +68,15 @@
     }
 }
 
+/// A range of ports, both ends included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PortRange {
+    /// The lowest port; never 0.
+    pub first: u16,
+    /// The highest port; not below the first.
+    pub last: u16,
+}
+
 /// Where the process listens for callers from outside.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BindAddrs {
--- a/crates/fernknot-schema/src/process_settings_parser.rs
+++ b/crates/fernknot-schema/src/process_settings_parser.rs
@@ -6,8 +6,8 @@
 
 use crate::object_reader::{ErrorCollector, ObjectReader, parse_object};
 use crate::process_settings::{
-    BindAddrs, FaultBudget, InvariantBounds, ProcessSettings, ResourceLimits, SERVES_CONTROL_PLANE,
-    SERVES_EDGE,
+    BindAddrs, FaultBudget, InvariantBounds, PortRange, ProcessSettings, ResourceLimits,
+    SERVES_CONTROL_PLANE, SERVES_EDGE,
 };
 use crate::validation_error::ValidationError;
 
@@ -140,16 +140,18 @@
     region_by_zone
 }
 
-fn parse_port_range(root: &ObjectReader<'_>) -> (u16, u16) {
-    let Some(value) = root.get("port_range") else { return (0, 0) };
+/// The ports, or what stands for them beside an error.
+fn parse_port_range(root: &ObjectReader<'_>) -> PortRange {
+    const INVALID: PortRange = PortRange { first: 0, last: 0 };
+    let Some(value) = root.get("port_range") else { return INVALID };
     let ports: Option<Vec<u16>> = value.as_array().and_then(|ports| {
         ports.iter().map(|port| port.as_u64().and_then(|port| u16::try_from(port).ok())).collect()
     });
     match ports.as_deref() {
-        Some(&[first, last]) if 0 < first && first <= last => (first, last),
+        Some(&[first, last]) if 0 < first && first <= last => PortRange { first, last },
         _ => {
             root.report("port_range", "is not two ports, the first not above the second");
-            (0, 0)
+            INVALID
         }
     }
 }
--- a/crates/fernknot-schema/tests/process_settings.rs
+++ b/crates/fernknot-schema/tests/process_settings.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{changed, paths, settings_json, without};
-use fernknot_schema::ProcessSettings;
+use fernknot_schema::{PortRange, ProcessSettings};
 use serde_json::{Value, json};
 use test_case::test_case;
 
@@ -16,7 +16,7 @@
     let settings = parse(&settings_json()).unwrap();
     assert!(settings.serves_edge() && !settings.serves_control());
     assert_eq!(settings.bind_addrs.front_addr, Some("10.1.0.29:8726".parse().unwrap()));
-    assert_eq!(settings.port_range, (7120, 7135));
+    assert_eq!(settings.port_range, PortRange { first: 7120, last: 7135 });
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!((settings.limits.cpu_share, settings.limits.fd_limit), (0.21, 4100));
     assert_eq!(settings.data_dir, None);
