--- a/crates/fernknot-experiments/src/fleet.rs
+++ b/crates/fernknot-experiments/src/fleet.rs
@@ -4,7 +4,9 @@
 use crate::lanes;
 use crate::report::rounded;
 use fernknot::interface::Nanos;
-use fernknot_membership::{Fleet, FleetFacts, RouterId, Step, Variant, Verdict};
+use fernknot_membership::{
+    Action, MembershipProtocol, MembershipSettings, ReportedStatus, RouterId, Status, Variant,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -66,7 +68,7 @@
 }
 
 enum Process {
-    Fleet(Box<Fleet>),
+    Fleet(Box<MembershipProtocol>),
     Fixed(Fixed),
 }
 
@@ -328,14 +330,27 @@
                     Fixed { heard: BTreeMap::new(), lost: BTreeMap::new(), changes: BTreeMap::new(), next };
                 return Process::Fixed(fixed);
             }
-            "plain" => Variant::Plain,
-            _ => Variant::Fleet,
+            "plain" => Variant::PlainSwim,
+            _ => Variant::Full,
+        };
+        let facts = MembershipSettings {
+            probe_period: PERIOD,
+            datagrams_per_s: DATAGRAMS_PER_S,
+            max_datagram_bytes: 256,
+            variant,
         };
-        let facts = FleetFacts { period: PERIOD, datagrams_per_s: DATAGRAMS_PER_S, datagram: 256, variant };
         let started = 1_000_000 + self.now.0 / MS;
         let others = (0..routers).map(RouterId);
         let seed = self.seed.wrapping_mul(1_000_003) ^ u64::from(id) << 20 ^ self.hosts[id as usize].starts;
-        Process::Fleet(Box::new(Fleet::new(seed, facts, RouterId(id), id, started, others, self.now)))
+        Process::Fleet(Box::new(MembershipProtocol::new(
+            seed,
+            facts,
+            RouterId(id),
+            id,
+            started,
+            others,
+            self.now,
+        )))
     }
 
     /// Whether a datagram gets through the network as it is now.
@@ -398,28 +413,31 @@
         let Some(mut process) = host.process.take() else { return };
         let wake = match &mut process {
             Process::Fleet(fleet) => {
-                fleet.woke(now);
+                fleet.wake(now);
                 for (from, bytes) in inbox {
                     // What is refused is counted by the host that has counters.
-                    let _ = fleet.heard(now, Some(RouterId(from)), &bytes);
+                    let _ = fleet.receive(now, Some(RouterId(from)), &bytes);
                 }
-                while let Some(step) = fleet.next(now) {
-                    match step {
-                        Step::Send { to, bytes } => self.send(id, to.0, bytes),
-                        Step::Changed { of, from, to, .. } => {
-                            self.judged(id, of.0, from == "lost", to == "lost")
-                        }
-                        Step::Twice { .. } | Step::Refuted { .. } => {}
+                while let Some(action) = fleet.poll_action(now) {
+                    match action {
+                        Action::Send { to, bytes } => self.send(id, to.0, bytes),
+                        Action::StatusChanged { member, from, to, .. } => self.judged(
+                            id,
+                            member.0,
+                            from == ReportedStatus::Failed,
+                            to == ReportedStatus::Failed,
+                        ),
+                        Action::DuplicateName { .. } | Action::Refuted { .. } => {}
                     }
                 }
-                let sharers = fleet.sharers(now) as f64;
+                let sharers = fleet.quota_sharers(now) as f64;
                 let host = &mut self.hosts[id as usize];
                 // More routers than were measured among: each takes less at once.
                 if sharers > host.sharers {
                     host.share *= host.sharers / sharers;
                 }
                 host.sharers = sharers;
-                fleet.due()
+                fleet.next_wakeup()
             }
             Process::Fixed(fixed) => {
                 for (from, _) in inbox {
@@ -494,8 +512,8 @@
         let runs: Vec<u32> = (0..routers).filter(|id| self.hosts[*id as usize].process.is_some()).collect();
         let lost = |by: u32, of: u32| match self.hosts[by as usize].process.as_ref() {
             Some(Process::Fleet(fleet)) => {
-                let verdict = fleet.member(RouterId(of)).map(|member| member.standing.verdict);
-                matches!(verdict, Some(Verdict::Lost | Verdict::Left))
+                let verdict = fleet.member(RouterId(of)).map(|member| member.state.status);
+                matches!(verdict, Some(Status::Failed | Status::Left))
             }
             Some(Process::Fixed(fixed)) => fixed.lost.get(&of) == Some(&true),
             None => false,
@@ -507,7 +525,9 @@
         };
         let (undetected, unjoined) = (pairs(&dead, false), pairs(&runs, true));
         let changes = |host: &Host| match &host.process {
-            Some(Process::Fleet(fleet)) => fleet.members().map(|member| member.changes).max().unwrap_or(0),
+            Some(Process::Fleet(fleet)) => {
+                fleet.members().map(|member| member.failure_changes).max().unwrap_or(0)
+            }
             Some(Process::Fixed(fixed)) => fixed.changes.values().copied().max().unwrap_or(0),
             None => 0,
         };
--- a/crates/fernknot-membership/benches/turn.rs
+++ b/crates/fernknot-membership/benches/turn.rs
@@ -2,48 +2,49 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use fernknot::interface::Nanos;
-use fernknot_membership::{Fleet, FleetFacts, RouterId, Step, Variant};
+use fernknot_membership::{Action, MembershipProtocol, MembershipSettings, RouterId, Variant};
 
 const SECOND: u64 = 1_000_000_000;
 
 fn second(criterion: &mut Criterion) {
-    let facts = FleetFacts {
-        period: Nanos(400_000_000),
+    let settings = MembershipSettings {
+        probe_period: Nanos(400_000_000),
         datagrams_per_s: 8.0,
-        datagram: 256,
-        variant: Variant::Fleet,
+        max_datagram_bytes: 256,
+        variant: Variant::Full,
     };
     let mut group = criterion.benchmark_group("second");
     for routers in [30u32, 300, 3000] {
         let ids = || (0..routers).map(RouterId);
-        let make =
-            |own: u32| Fleet::new(1, facts, RouterId(own), own, 1000 + u64::from(own), ids(), Nanos(0));
-        // Eight datagrams of others, of which each carries news.
-        let mut others: Vec<Fleet> = (1..9).map(make).collect();
-        let said = |fleet: &mut Fleet, now: Nanos| {
-            fleet.woke(now);
-            std::iter::from_fn(|| fleet.next(now)).find_map(|step| match step {
-                Step::Send { bytes, .. } => Some(bytes),
+        let make = |own: u32| {
+            MembershipProtocol::new(1, settings, RouterId(own), own, 1000 + u64::from(own), ids(), Nanos(0))
+        };
+        // Eight datagrams of other routers, each with updates.
+        let mut others: Vec<MembershipProtocol> = (1..9).map(make).collect();
+        let first_datagram = |router: &mut MembershipProtocol, now: Nanos| {
+            router.wake(now);
+            std::iter::from_fn(|| router.poll_action(now)).find_map(|action| match action {
+                Action::Send { bytes, .. } => Some(bytes),
                 _ => None,
             })
         };
         let datagrams: Vec<(u32, Vec<u8>)> = others
             .iter_mut()
             .enumerate()
-            .filter_map(|(index, fleet)| Some((index as u32 + 1, said(fleet, Nanos(SECOND))?)))
+            .filter_map(|(index, router)| Some((index as u32 + 1, first_datagram(router, Nanos(SECOND))?)))
             .collect();
         group.bench_function(BenchmarkId::from_parameter(routers), |bencher| {
-            let mut fleet = make(0);
+            let mut router = make(0);
             let mut now = Nanos(0);
             bencher.iter(|| {
                 for step in 0..100u64 {
                     now = now + Nanos(SECOND / 100);
-                    fleet.woke(now);
+                    router.wake(now);
                     if let Some((from, bytes)) = datagrams.get(step as usize / 12) {
-                        let _ = fleet.heard(now, Some(RouterId(*from)), bytes);
+                        let _ = router.receive(now, Some(RouterId(*from)), bytes);
                     }
-                    while let Some(step) = fleet.next(now) {
-                        std::hint::black_box(step);
+                    while let Some(action) = router.poll_action(now) {
+                        std::hint::black_box(action);
                     }
                 }
             });
--- a/crates/fernknot-membership/src/lib.rs
+++ b/crates/fernknot-membership/src/lib.rs
@@ -1,19 +1,48 @@
-//! Which query routers of a fleet live, by what each one hears of the others, without I/O or clock.
+//! SWIM membership among query routers: which of them are live, as seen by one router.
 //!
-//! The host makes one [`Fleet`] a process start, tells it of each turn of its loop (`woke`), of each datagram
-//! (`heard`) and of a changed list (`list`), and pulls what is to be sent and said (`next`) until there is none.
-//! The ways weighed, and what was kept of SWIM and Lifeguard, are in `docs/membership.md`.
+//! This crate owns one router's view of the other routers' liveness, the failure detector that keeps the view up to
+//! date, and the updates that spread it. It is a state machine without I/O and without a clock. The router
+//! (`fernknot-router`) and the experiments in simulated time (`fernknot-experiments`) are its hosts: a host creates one
+//! [`MembershipProtocol`] per process start, reports each turn of its event loop
+//! ([`wake`](MembershipProtocol::wake)), each datagram received ([`receive`](MembershipProtocol::receive)) and each
+//! changed list of routers ([`set_routers`](MembershipProtocol::set_routers)), and then pulls actions
+//! ([`poll_action`](MembershipProtocol::poll_action)) until there are none.
+//!
+//! The protocol is SWIM (Das, Gupta and Motivala, DSN 2002) with the local health awareness of Lifeguard (Dadgar,
+//! Phillips and Currey, 2017). What is kept and what differs, with reasons, is in `docs/membership.md`.
+
+#![deny(missing_docs)]
 
-mod facts;
-mod fleet;
+mod action;
+mod cause;
+mod identity;
+mod link;
+mod local_health;
+mod local_router;
 mod member;
+mod member_table;
 mod message;
+mod outbox;
 mod probe;
+mod probe_targets;
+mod prober;
+mod protocol;
+mod receiver;
 mod report;
-mod rumours;
+mod sender;
+mod settings;
+mod state;
+mod status;
+mod suspicion;
+mod update_queue;
 
-pub use facts::{FleetFacts, Variant};
-pub use fleet::{Fleet, Step};
-pub use member::{Cause, Incarnation, LinkState, Member, Path, RouterId, Standing, Verdict};
-pub use message::{Body, MARK, Message, Refused, Rumour, VERSION};
-pub use report::Line;
+pub use action::Action;
+pub use cause::{Cause, EvidenceSource};
+pub use identity::{Incarnation, RouterId};
+pub use link::LinkState;
+pub use member::Member;
+pub use message::{DATAGRAM_PREFIX, MESSAGE_VERSION, Message, MessageBody, RejectReason, Update};
+pub use protocol::{LiveCount, MembershipProtocol};
+pub use report::{MemberReport, ReportedStatus};
+pub use settings::{MembershipSettings, Variant};
+pub use status::{Status, VersionedStatus};
--- a/crates/fernknot-membership/src/member.rs
+++ b/crates/fernknot-membership/src/member.rs
@@ -1,163 +1,115 @@
-//! What is known of one other router. Verdicts form a lattice: whatever the order in which the same words come,
-//! and however often, the highest one stays.
+//! What the local router knows of one other router.
 
+use crate::cause::{Cause, EvidenceSource};
+use crate::identity::{Incarnation, RouterId};
+use crate::link::{LinkState, LinkTracker};
+use crate::message::Update;
+use crate::status::{Status, VersionedStatus};
 use fernknot::interface::Nanos;
-use serde::{Deserialize, Serialize};
-
-/// A router by the address at which all lists name it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RouterId(#[serde(with = "postcard::fixint::le")] pub u32);
-
-/// Grows with each start and each refutation; zero is one that was never heard of. A start takes the wall
-/// clock's milliseconds, a refutation one more than what it refutes.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Incarnation(pub u64);
-
-/// In the order in which one goes before another at the same incarnation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Verdict {
-    Alive,
-    /// Whoever hears a doubted router opens the next round, in which the doubt's time starts anew.
-    Doubted {
-        round: u8,
-    },
-    Lost,
-    Left,
-}
-
-/// What a router stands for in the lattice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Standing {
-    pub incarnation: Incarnation,
-    pub verdict: Verdict,
-}
-
-impl Standing {
-    pub const UNHEARD: Standing = Standing { incarnation: Incarnation(0), verdict: Verdict::Alive };
-
-    /// Takes the higher one; whether that changed anything.
-    pub fn join(&mut self, told: Standing) -> bool {
-        let higher = told > *self;
-        *self = (*self).max(told);
-        higher
-    }
-
-    /// It is held to be running, whether or not it is doubted.
-    pub fn lives(&self) -> bool {
-        self.incarnation.0 > 0 && matches!(self.verdict, Verdict::Alive | Verdict::Doubted { .. })
-    }
-}
-
-/// By which path a verdict came.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Path {
-    /// Named in the list, nothing heard yet.
-    Listed,
-    /// From the router itself.
-    Itself,
-    /// By this router's own probe or doubt.
-    Own,
-    /// Passed on by another.
-    Told(RouterId),
-}
-
-/// Who said so, when, and by which path it came.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cause {
-    pub by: RouterId,
-    pub at: Nanos,
-    pub path: Path,
-}
-
-/// The link between this router and another, apart from whether that one lives.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LinkState {
-    #[default]
-    Unknown,
-    Both,
-    /// This router hears it; it does not hear this one.
-    OnlyIn,
-    /// It hears this router; this one does not hear it.
-    OnlyOut,
-    /// Neither hears the other, though others hear it.
-    Cut,
-}
-
-/// Probes in a row that must say the same of a link before it changes for the worse. Guards against taking a
-/// lost datagram for a cut.
-const LINK_ROW: u32 = 3;
 
+/// What the local router knows of one other router.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// The router.
     pub id: RouterId,
-    pub standing: Standing,
+    /// Its status, and the incarnation that it is about.
+    pub state: VersionedStatus,
+    /// Why it has this status.
     pub cause: Cause,
-    /// When it was last heard itself.
-    pub heard: Option<Nanos>,
-    /// The start of its process, as it says itself.
-    pub started: u64,
-    pub(crate) said: Incarnation,
-    pub link: LinkState,
-    link_row: (LinkState, u32),
-    /// Who doubts it in this round, and since when that is known here.
-    pub(crate) doubters: Vec<RouterId>,
-    pub(crate) doubted_at: Nanos,
-    /// Doubts refuted one after the other, each of which doubles the time of the next, and when the last was.
-    /// Guards against verdicts that come and go where a refutation has a long way.
-    pub(crate) refuted: (u32, Nanos),
-    /// When its process was first heard.
-    pub(crate) came: Option<Nanos>,
+    /// How often it was confirmed as failed or came back from that.
+    pub failure_changes: u32,
+    /// When a message of its own last arrived.
+    pub(crate) last_heard: Option<Nanos>,
+    /// When its process started, by its own clock in milliseconds.
+    pub(crate) process_started_ms: u64,
+    /// When the first message of its present process arrived.
+    pub(crate) process_first_heard: Option<Nanos>,
+    /// The incarnation that it claims itself.
+    pub(crate) claimed_incarnation: Incarnation,
+    pub(crate) link: LinkTracker,
+    /// Who suspects it in this round.
+    pub(crate) accusers: Vec<RouterId>,
+    /// When this round of suspicion became known here.
+    pub(crate) suspected_at: Nanos,
+    pub(crate) refutations: Refutations,
     /// When a probe of it last failed.
-    pub(crate) missed: Option<Nanos>,
-    pub changes: u32,
+    pub(crate) last_failed_probe: Option<Nanos>,
 }
 
 impl Member {
     pub(crate) fn new(id: RouterId, now: Nanos) -> Member {
         Member {
             id,
-            standing: Standing::UNHEARD,
-            cause: Cause { by: id, at: now, path: Path::Listed },
-            heard: None,
-            started: 0,
-            said: Incarnation(0),
-            link: LinkState::Unknown,
-            link_row: (LinkState::Unknown, 0),
-            doubters: Vec::new(),
-            doubted_at: now,
-            refuted: (0, now),
-            came: None,
-            missed: None,
-            changes: 0,
+            state: VersionedStatus::UNKNOWN,
+            cause: Cause { reporter: id, at: now, source: EvidenceSource::Configured },
+            failure_changes: 0,
+            last_heard: None,
+            process_started_ms: 0,
+            process_first_heard: None,
+            claimed_incarnation: Incarnation::UNKNOWN,
+            link: LinkTracker::default(),
+            accusers: Vec::new(),
+            suspected_at: now,
+            refutations: Refutations { count: 0, last_at: now },
+            last_failed_probe: None,
         }
     }
 
-    /// What is known of it is no more than its own last word.
-    pub(crate) fn is_plain(&self) -> bool {
-        self.standing == Standing { incarnation: self.said, verdict: Verdict::Alive }
+    /// The link between it and the local router.
+    pub fn link(&self) -> LinkState {
+        self.link.state()
     }
 
-    /// Doubts refuted, unless the last was so long ago. Guards a router that ran well since against a doubt that
-    /// takes many times as long for what once was.
-    pub(crate) fn refuted_lately(&self, now: Nanos, kept: Nanos) -> u32 {
-        let (count, at) = self.refuted;
-        if now - at < kept { count } else { 0 }
+    /// Whether it is suspected.
+    pub fn is_suspected(&self) -> bool {
+        self.state.status.is_suspected()
     }
 
-    pub fn is_doubted(&self) -> bool {
-        matches!(self.standing.verdict, Verdict::Doubted { .. })
+    pub(crate) fn is_failed(&self) -> bool {
+        self.state.status == Status::Failed
     }
 
-    /// Takes what one probe says of the link.
-    pub(crate) fn note_link(&mut self, link: LinkState) {
-        if link == LinkState::Both {
-            (self.link, self.link_row) = (link, (link, 0));
-            return;
-        }
-        let row = if self.link_row.0 == link { self.link_row.1 + 1 } else { 1 };
-        self.link_row = (link, row);
-        if row >= LINK_ROW {
-            self.link = link;
-        }
+    /// Whether it has neither failed nor left, and so is worth a probe.
+    pub(crate) fn is_present(&self) -> bool {
+        !matches!(self.state.status, Status::Failed | Status::Left)
+    }
+
+    /// Whether no more is known of it than what it claims itself.
+    pub(crate) fn agrees_with_own_claim(&self) -> bool {
+        self.state == VersionedStatus::alive(self.claimed_incarnation)
+    }
+
+    /// Whether the first message of its process arrived less than `window` ago.
+    pub(crate) fn has_just_started(&self, now: Nanos, window: Nanos) -> bool {
+        self.process_first_heard.is_some_and(|at| now - at < window)
+    }
+
+    /// The update that passes its status on. It names the latest accuser, so that in time all become known.
+    pub(crate) fn update(&self) -> Update {
+        let reporter = match self.state.status {
+            Status::Suspected { .. } => self.accusers.last().copied(),
+            Status::Failed => Some(self.cause.reporter),
+            Status::Alive | Status::Left => None,
+        };
+        Update { member: self.id, state: self.state, reporter }
+    }
+}
+
+/// Suspicions that a router refuted in a row. Each doubles the time-out of the next, so that a status does not come
+/// and go where a refutation travels far.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Refutations {
+    count: u32,
+    last_at: Nanos,
+}
+
+impl Refutations {
+    /// Those in a row, unless the last was `window` ago or longer.
+    pub fn recent(&self, now: Nanos, window: Nanos) -> u32 {
+        if now - self.last_at < window { self.count } else { 0 }
+    }
+
+    pub fn add(&mut self, now: Nanos, window: Nanos) {
+        *self = Refutations { count: self.recent(now, window) + 1, last_at: now };
     }
 }
--- a/crates/fernknot-membership/src/probe.rs
+++ b/crates/fernknot-membership/src/probe.rs
@@ -1,75 +1,84 @@
-//! The one probe that is under way, whom it is for, and what others ask to have probed.
+//! The probe in progress, and the probes that the local router relays for others.
 
-use crate::member::RouterId;
+use crate::identity::RouterId;
 use fernknot::interface::Nanos;
-use fernknot::state::Allowance;
 use std::collections::VecDeque;
 
-/// So many probes for others are remembered.
-const HELPED: usize = 32;
+/// Relayed probes that are remembered; the oldest is dropped.
+const MAX_RELAYED: usize = 32;
 
+/// A probe of one router: a direct ping first, then indirect pings through relays.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
-    pub of: RouterId,
-    pub no: u32,
-    pub sent: Nanos,
-    /// Others were asked, so many of them.
-    pub asked: usize,
-    /// Helpers that said that they try.
-    pub trying: usize,
-    /// What a helper said: it lives, and whether it hears us.
-    pub vouched: Option<bool>,
+    pub target: RouterId,
+    pub number: u32,
+    pub sent_at: Nanos,
+    /// Routers asked to probe the target, at least 1; 0 before any was asked.
+    pub relays_asked: usize,
+    /// Relays that acknowledged the request itself.
+    pub relays_responding: usize,
+    /// A relay reached the target; whether the target hears the local router.
+    pub relayed_ack: Option<bool>,
 }
 
-/// Probes for others that are under way: our number, who asked, and under which of its numbers.
+/// Probes: the one in progress, and those relayed for others.
 #[derive(Default)]
-pub(crate) struct Helped(VecDeque<(u32, RouterId, u32)>);
-
-impl Helped {
-    pub fn add(&mut self, no: u32, asker: RouterId, theirs: u32) {
-        if self.0.len() >= HELPED {
-            self.0.pop_front();
-        }
-        self.0.push_back((no, asker, theirs));
-    }
-
-    pub fn take(&mut self, no: u32) -> Option<(RouterId, u32)> {
-        let index = self.0.iter().position(|(held, _, _)| *held == no)?;
-        self.0.remove(index).map(|(_, asker, theirs)| (asker, theirs))
-    }
+pub(crate) struct Probes {
+    pub current: Option<Probe>,
+    relayed: VecDeque<RelayedProbe>,
+    last_number: u32,
 }
 
-/// How many datagrams may go: a burst and a rate that stay together within the stated number in any second.
-pub(crate) struct Pace {
-    datagrams: Allowance,
-    burst: f64,
+/// A probe that another router asked for.
+struct RelayedProbe {
+    number: u32,
+    requester: RouterId,
+    requester_number: u32,
 }
 
-/// The part of the stated number that may go at once.
-const BURST: f64 = 0.4;
+impl Probes {
+    fn next_number(&mut self) -> u32 {
+        self.last_number = self.last_number.wrapping_add(1);
+        self.last_number
+    }
 
-impl Pace {
-    pub fn new(stated: f64, now: Nanos) -> Pace {
-        let burst = (stated * BURST).max(1.0);
-        Pace { datagrams: Allowance::new((stated - burst).max(0.5), burst, now), burst }
+    /// Starts a probe; its number.
+    pub fn start(&mut self, target: RouterId, now: Nanos) -> u32 {
+        let number = self.next_number();
+        self.current = Some(Probe {
+            target,
+            number,
+            sent_at: now,
+            relays_asked: 0,
+            relays_responding: 0,
+            relayed_ack: None,
+        });
+        number
     }
 
-    /// What there has to be for one that leaves so many.
-    fn wanted(&self, spare: f64) -> f64 {
-        1.0 + spare.min(self.burst - 1.0)
+    /// The target acknowledged; whether that was the probe in progress, which is over then.
+    pub fn acknowledge(&mut self, from: RouterId, number: u32) -> bool {
+        self.current.take_if(|probe| probe.target == from && probe.number == number).is_some()
     }
 
-    /// Whether one may go now and so many would be left.
-    pub fn may(&mut self, now: Nanos, spare: f64) -> bool {
-        self.datagrams.left(now) >= self.wanted(spare)
+    /// The probe in progress, if this is its number.
+    pub fn current_mut(&mut self, number: u32) -> Option<&mut Probe> {
+        self.current.as_mut().filter(|probe| probe.number == number)
     }
 
-    pub fn take(&mut self, now: Nanos) {
-        self.datagrams.draw(now);
+    /// Remembers a probe for another router; the number of its own that it gets here.
+    pub fn add_relayed(&mut self, requester: RouterId, requester_number: u32) -> u32 {
+        let number = self.next_number();
+        if self.relayed.len() >= MAX_RELAYED {
+            self.relayed.pop_front();
+        }
+        self.relayed.push_back(RelayedProbe { number, requester, requester_number });
+        number
     }
 
-    /// When the next may go.
-    pub fn due(&self, spare: f64) -> Nanos {
-        self.datagrams.reaches(self.wanted(spare))
+    /// A relayed probe was acknowledged: who asked for it, and by which number.
+    pub fn take_relayed(&mut self, number: u32) -> Option<(RouterId, u32)> {
+        let index = self.relayed.iter().position(|probe| probe.number == number)?;
+        self.relayed.remove(index).map(|probe| (probe.requester, probe.requester_number))
     }
 }
--- a/crates/fernknot-membership/src/report.rs
+++ b/crates/fernknot-membership/src/report.rs
@@ -1,46 +1,84 @@
-//! The view as others may ask for it.
+//! The view as operators see it.
 
-use crate::fleet::Fleet;
-use crate::member::{Cause, Incarnation, LinkState, RouterId, Standing, Verdict};
+use crate::cause::Cause;
+use crate::identity::{Incarnation, RouterId};
+use crate::link::LinkState;
+use crate::member::Member;
+use crate::status::{Status, VersionedStatus};
 use fernknot::interface::Nanos;
+use std::fmt;
 
-/// One router as this one sees it.
+/// A router's status as operators see it: no rounds, and routers never heard of apart.
+///
+/// Its [`Display`](fmt::Display) form is the one of logs and of the operator's view
+/// (`docs/membership-operations.md`).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReportedStatus {
+    /// Configured, and never heard of.
+    Unheard,
+    /// Live.
+    Alive,
+    /// Suspected of having failed.
+    Suspected,
+    /// Confirmed as failed.
+    Failed,
+    /// It announced its own shutdown.
+    Left,
+}
+
+impl From<VersionedStatus> for ReportedStatus {
+    fn from(state: VersionedStatus) -> ReportedStatus {
+        match state.status {
+            Status::Alive if !state.is_known() => ReportedStatus::Unheard,
+            Status::Alive => ReportedStatus::Alive,
+            Status::Suspected { .. } => ReportedStatus::Suspected,
+            Status::Failed => ReportedStatus::Failed,
+            Status::Left => ReportedStatus::Left,
+        }
+    }
+}
+
+impl fmt::Display for ReportedStatus {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            ReportedStatus::Unheard => "unheard",
+            ReportedStatus::Alive => "alive",
+            ReportedStatus::Suspected => "doubted",
+            ReportedStatus::Failed => "lost",
+            ReportedStatus::Left => "left",
+        })
+    }
+}
+
+/// One other router as the local one sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct MemberReport {
+    /// The router.
     pub id: RouterId,
-    /// `own`, `unheard`, `alive`, `doubted`, `lost` or `left`.
-    pub state: &'static str,
+    /// Its status.
+    pub status: ReportedStatus,
+    /// The incarnation that the status is about.
     pub incarnation: Incarnation,
-    /// Since that has been so, as known here.
+    /// How long the status has been so, as known here.
     pub age: Nanos,
+    /// The link to it.
     pub link: LinkState,
+    /// Why it has this status.
     pub cause: Cause,
-    pub changes: u32,
-}
-
-/// The word for a standing.
-pub fn state(standing: Standing) -> &'static str {
-    match standing.verdict {
-        Verdict::Alive if standing.incarnation.0 == 0 => "unheard",
-        Verdict::Alive => "alive",
-        Verdict::Doubted { .. } => "doubted",
-        Verdict::Lost => "lost",
-        Verdict::Left => "left",
-    }
+    /// How often it was confirmed as failed or came back from that.
+    pub failure_changes: u32,
 }
 
-impl Fleet {
-    /// Each other router, in the order of their ids.
-    pub fn lines(&self, now: Nanos) -> Vec<Line> {
-        let line = |member: &crate::member::Member| Line {
+impl MemberReport {
+    pub(crate) fn new(member: &Member, now: Nanos) -> MemberReport {
+        MemberReport {
             id: member.id,
-            state: state(member.standing),
-            incarnation: member.standing.incarnation,
+            status: member.state.into(),
+            incarnation: member.state.incarnation,
             age: now - member.cause.at,
-            link: member.link,
+            link: member.link(),
             cause: member.cause,
-            changes: member.changes,
-        };
-        self.members().map(line).collect()
+            failure_changes: member.failure_changes,
+        }
     }
 }
--- /dev/null
+++ b/crates/fernknot-membership/src/sender.rs
@@ -0,0 +1,78 @@
+//! Composes datagrams: a protocol message, and the updates piggybacked on it.
+
+use crate::action::Action;
+use crate::identity::RouterId;
+use crate::member::Member;
+use crate::message::{MESSAGE_VERSION, Message, MessageBody, Update};
+use crate::state::ProtocolState;
+use fernknot::interface::Nanos;
+use rand::Rng;
+
+/// Updates put into one message before it is cut to the size of a datagram.
+const MAX_UPDATES: usize = 18;
+
+/// Composes a datagram and counts it, and the updates in it, as sent.
+pub(crate) fn send(state: &mut ProtocolState, now: Nanos, to: RouterId, body: MessageBody) -> Action {
+    state.outbox.count_sent(now);
+    let mut updates = mandatory_updates(state, to);
+    let mandatory = updates.len();
+    let queued = queued_updates(state, to);
+    updates.extend(queued.iter().filter_map(|id| update_of(state, *id)));
+    add_random_members(state, now, to, &mut updates);
+    let mut message = Message {
+        version: MESSAGE_VERSION,
+        name_hash: state.local.name_hash,
+        started_ms: state.local.started_ms,
+        incarnation: state.local.incarnation,
+        body,
+        updates,
+    };
+    let (bytes, kept) = message.encode(state.settings.max_datagram_bytes);
+    mark_sent(state, &queued, kept.saturating_sub(mandatory));
+    Action::Send { to, bytes }
+}
+
+/// The local router's own departure; and what is held of the receiver, as it alone can refute that.
+fn mandatory_updates(state: &ProtocolState, to: RouterId) -> Vec<Update> {
+    let departure = state.local.has_left.then(|| state.local.update());
+    let receiver = state.members.get(to);
+    let disputed = receiver.filter(|member| member.last_heard.is_some() && !member.agrees_with_own_claim());
+    departure.into_iter().chain(disputed.map(Member::update)).collect()
+}
+
+/// The queue's next, without those that are in the message already.
+fn queued_updates(state: &ProtocolState, to: RouterId) -> Vec<RouterId> {
+    let is_departure = |id: RouterId| state.local.has_left && id == state.local.id;
+    let picked = state.updates.pick(MAX_UPDATES);
+    picked.into_iter().filter(|id| *id != to && !is_departure(*id)).collect()
+}
+
+fn update_of(state: &ProtocolState, id: RouterId) -> Option<Update> {
+    if id == state.local.id { Some(state.local.update()) } else { state.members.get(id).map(Member::update) }
+}
+
+/// A router that has just started knows nobody, and is told of some live ones in each message.
+fn add_random_members(state: &mut ProtocolState, now: Nanos, to: RouterId, updates: &mut Vec<Update>) {
+    let window = state.settings.settling_time();
+    let is_new = state.members.get(to).is_some_and(|member| member.has_just_started(now, window));
+    if !state.settings.is_full() || !is_new {
+        return;
+    }
+    let ring = state.targets.ring();
+    for _ in updates.len()..MAX_UPDATES.min(ring.len()) {
+        let id = ring[state.rng.random_range(0..ring.len())];
+        let live = state.members.get(id).filter(|member| member.state.is_live() && id != to);
+        updates.extend(live.map(Member::update));
+    }
+}
+
+/// Counts the queued updates that fitted, and the departure, which is in every message.
+fn mark_sent(state: &mut ProtocolState, queued: &[RouterId], fitted: usize) {
+    let routers = state.router_count();
+    for id in queued.iter().take(fitted) {
+        state.updates.mark_sent(*id, routers);
+    }
+    if state.local.has_left {
+        state.updates.mark_sent(state.local.id, routers);
+    }
+}
--- /dev/null
+++ b/crates/fernknot-membership/src/state.rs
@@ -0,0 +1,165 @@
+//! The state of one router's membership protocol: one struct per concern, and the steps that several parts of the
+//! protocol share.
+
+use crate::action::Action;
+use crate::cause::{Cause, EvidenceSource};
+use crate::identity::RouterId;
+use crate::local_health::LocalHealth;
+use crate::local_router::LocalRouter;
+use crate::member_table::{MemberTable, MergeOutcome, StateChange};
+use crate::message::MessageBody;
+use crate::outbox::Outbox;
+use crate::probe::Probes;
+use crate::probe_targets::ProbeTargets;
+use crate::settings::{INDIRECT_PROBES, MAX_ACCUSERS, MembershipSettings, PARTITION_SHARE};
+use crate::status::{Status, VersionedStatus};
+use crate::suspicion;
+use crate::update_queue::UpdateQueue;
+use fernknot::interface::Nanos;
+use rand::Rng;
+use rand::seq::SliceRandom;
+use rand_chacha::ChaCha8Rng;
+use std::collections::{BTreeSet, VecDeque};
+
+/// The state of one router's membership protocol.
+pub(crate) struct ProtocolState {
+    pub settings: MembershipSettings,
+    pub local: LocalRouter,
+    pub members: MemberTable,
+    pub health: LocalHealth,
+    pub targets: ProbeTargets,
+    pub probes: Probes,
+    pub updates: UpdateQueue,
+    pub outbox: Outbox,
+    pub actions: VecDeque<Action>,
+    /// When the next datagram may be sent for the updates alone.
+    pub next_gossip: Nanos,
+    pub rng: ChaCha8Rng,
+}
+
+impl ProtocolState {
+    /// The routers of the list, the local one among them.
+    pub fn router_count(&self) -> usize {
+        self.members.len() + 1
+    }
+
+    pub fn set_routers(&mut self, now: Nanos, listed: &BTreeSet<RouterId>) {
+        for id in self.members.set_routers(now, listed) {
+            self.updates.remove(id);
+        }
+        self.targets.set_ring(self.members.ids_from(self.local.id));
+    }
+
+    /// A cause of which the local router is the origin.
+    pub fn local_cause(&self, now: Nanos) -> Cause {
+        Cause { reporter: self.local.id, at: now, source: EvidenceSource::LocalProbe }
+    }
+
+    /// Takes a reported status of another router, if it overrides what is known.
+    pub fn learn(&mut self, now: Nanos, member: RouterId, reported: VersionedStatus, cause: Cause) {
+        match self.members.merge(&self.settings, now, member, reported, cause) {
+            MergeOutcome::Unchanged => {}
+            MergeOutcome::AccuserAdded => self.updates.add(member),
+            MergeOutcome::Changed(change) => self.spread_change(now, &change, cause),
+        }
+    }
+
+    /// Passes a change on, and reports it to the host.
+    fn spread_change(&mut self, now: Nanos, change: &StateChange, cause: Cause) {
+        // Where many routers start together, each one's start would otherwise be passed on by all others.
+        if change.is_first_start() {
+            self.updates.add_low_priority(change.member, self.router_count());
+        } else {
+            self.updates.add(change.member);
+        }
+        if !change.is_reported() {
+            return;
+        }
+        self.actions.push_back(Action::StatusChanged {
+            member: change.member,
+            from: change.before.into(),
+            to: change.after.into(),
+            incarnation: change.after.incarnation,
+            cause,
+        });
+        if change.after.status.is_suspected() {
+            self.confirm_suspicion(change.member);
+        }
+        if change.before.status == Status::Failed {
+            self.detect_healed_partition(now, change);
+        }
+    }
+
+    /// Some of those that learn of a suspicion probe the member next, so that the suspicion finds more accusers.
+    fn confirm_suspicion(&mut self, member: RouterId) {
+        if !self.settings.is_full() {
+            return;
+        }
+        let probability = (2.0 * MAX_ACCUSERS as f64 / self.router_count() as f64).min(1.0);
+        if self.rng.random_bool(probability) {
+            self.targets.set_urgent(member);
+        }
+    }
+
+    /// One of many failed members is back: a partition healed, and the other side holds the local router for failed as
+    /// well. A new incarnation saves each of them from saying so.
+    fn detect_healed_partition(&mut self, now: Nanos, change: &StateChange) {
+        let was_partitioned = change.failed_before as f64 >= PARTITION_SHARE * self.router_count() as f64;
+        if was_partitioned && self.local.announce(now, self.settings.settling_time()) {
+            self.updates.add(self.local.id);
+        }
+    }
+
+    /// The local router leaves, and tells some others at once.
+    pub fn leave(&mut self, now: Nanos) {
+        if self.local.has_left {
+            return;
+        }
+        self.local.has_left = true;
+        self.probes.current = None;
+        self.updates.add(self.local.id);
+        let mut receivers = self.members.live_ids();
+        receivers.shuffle(&mut self.rng);
+        receivers.truncate(INDIRECT_PROBES);
+        for id in receivers {
+            self.outbox.push(id, MessageBody::Gossip);
+        }
+        self.next_gossip = now;
+    }
+
+    /// Whether nobody else is heard.
+    pub fn is_isolated(&self, now: Nanos) -> bool {
+        !self.members.is_empty() && self.health.hears_nobody(&self.settings, now)
+    }
+
+    /// Whether the silence of others says something of them, rather than of the local router.
+    pub fn may_accuse(&self, now: Nanos) -> bool {
+        !self.settings.is_full() || !self.health.is_listening(now) && !self.is_isolated(now)
+    }
+
+    /// Suspicions that have timed out become failures. Whether there were any.
+    pub fn confirm_failures(&mut self, now: Nanos) -> bool {
+        let is_due = |id: &RouterId| {
+            let member = self.members.get(*id);
+            member.is_some_and(|member| suspicion::deadline(&self.settings, &self.health, member) <= now)
+        };
+        let due: Vec<RouterId> = self.members.suspected().map(|member| member.id).filter(is_due).collect();
+        let may_accuse = self.may_accuse(now);
+        for id in &due {
+            let Some(member) = self.members.get_mut(*id) else { continue };
+            if may_accuse {
+                let failed = member.state.with_status(Status::Failed);
+                self.learn(now, *id, failed, self.local_cause(now));
+            } else {
+                member.suspected_at = now;
+            }
+        }
+        !due.is_empty() && may_accuse
+    }
+
+    /// The earliest time at which a suspicion times out.
+    pub fn next_suspicion_deadline(&self) -> Option<Nanos> {
+        let deadline = |member| suspicion::deadline(&self.settings, &self.health, member);
+        self.members.suspected().map(deadline).min()
+    }
+}
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -1,7 +1,9 @@
 //! Membership on sockets: the fleet's words over the peers' datagrams, its changes in log and counters.
 
 use fernknot::interface::Nanos;
-use fernknot_membership::{Fleet, FleetFacts, Refused, RouterId, Step, Variant};
+use fernknot_membership::{
+    Action, MembershipProtocol, MembershipSettings, RejectReason, ReportedStatus, RouterId, Variant,
+};
 use fernknot_router_config::{FleetStart, Told};
 use slog::{Logger, info, warn};
 use std::collections::BTreeMap;
@@ -21,7 +23,7 @@
 );
 
 pub struct Membership {
-    fleet: Fleet,
+    protocol: MembershipProtocol,
     addresses: BTreeMap<RouterId, SocketAddr>,
     /// Among how many routers limits are shared, as the engine was told last.
     sharers: usize,
@@ -45,18 +47,19 @@
         now: Nanos,
     ) -> Membership {
         let addresses = listed(start, told);
-        let facts = FleetFacts {
-            period: start.period,
+        let settings = MembershipSettings {
+            probe_period: start.period,
             datagrams_per_s: start.datagrams_per_s,
-            datagram,
-            variant: Variant::Fleet,
+            max_datagram_bytes: datagram,
+            variant: Variant::Full,
         };
         // The position was checked against the list.
         let own = RouterId(start.routers.get(position).copied().unwrap_or_default());
         let others = addresses.keys().copied();
-        let fleet = Fleet::new(seed, facts, own, start.name, now.0 / 1_000_000, others, now);
+        let protocol =
+            MembershipProtocol::new(seed, settings, own, start.name, now.0 / 1_000_000, others, now);
         Membership {
-            fleet,
+            protocol,
             sharers: addresses.len(),
             addresses,
             majority: false,
@@ -68,52 +71,53 @@
     /// Takes another list of the fleet.
     pub fn list(&mut self, now: Nanos, start: &FleetStart, told: &Told) {
         self.addresses = listed(start, told);
-        self.fleet.list(now, self.addresses.keys().copied());
+        self.protocol.set_routers(now, self.addresses.keys().copied());
     }
 
     pub fn woke(&mut self, now: Nanos) {
-        self.fleet.woke(now);
+        self.protocol.wake(now);
     }
 
     pub fn due(&self) -> Nanos {
-        self.fleet.due()
+        self.protocol.next_wakeup()
     }
 
     pub fn leave(&mut self, now: Nanos) {
-        self.fleet.leave(now);
+        self.protocol.leave(now);
     }
 
     pub fn heard(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         let id = self.addresses.iter().find(|(_, address)| **address == from).map(|(id, _)| *id);
-        let count = match self.fleet.heard(now, id, bytes) {
+        let count = match self.protocol.receive(now, id, bytes) {
             Ok(()) => &mut self.counters.fleet_datagrams_taken,
-            Err(Refused::Stranger) => &mut self.counters.fleet_strangers,
-            Err(Refused::Version) => &mut self.counters.fleet_other_versions,
-            Err(Refused::Broken) => &mut self.counters.fleet_broken,
+            Err(RejectReason::UnknownSender) => &mut self.counters.fleet_strangers,
+            Err(RejectReason::UnsupportedVersion) => &mut self.counters.fleet_other_versions,
+            Err(RejectReason::Malformed) => &mut self.counters.fleet_broken,
         };
         *count += 1;
     }
 
     /// The next datagram to send, until there is none. What else happened goes to the log.
     pub fn next(&mut self, now: Nanos, log: &Logger) -> Option<(SocketAddr, Vec<u8>)> {
-        while let Some(step) = self.fleet.next(now) {
-            match step {
-                Step::Send { to, bytes } => {
+        while let Some(action) = self.protocol.poll_action(now) {
+            match action {
+                Action::Send { to, bytes } => {
                     if let Some(address) = self.addresses.get(&to) {
                         return Some((*address, bytes));
                     }
                 }
-                Step::Changed { of, from, to, incarnation, cause } => {
-                    self.counters.fleet_held_lost += u64::from(to == "lost");
-                    self.counters.fleet_returned += u64::from(from == "lost" && to == "alive");
-                    info!(log, "fleet: a router"; "router" => self.name(of), "from" => from, "to" => to,
-                        "incarnation" => incarnation.0, "by" => self.name(cause.by), "path" => ?cause.path);
+                Action::StatusChanged { member, from, to, incarnation, cause } => {
+                    self.counters.fleet_held_lost += u64::from(to == ReportedStatus::Failed);
+                    self.counters.fleet_returned +=
+                        u64::from(from == ReportedStatus::Failed && to == ReportedStatus::Alive);
+                    info!(log, "fleet: a router"; "router" => self.name(member), "from" => %from, "to" => %to,
+                        "incarnation" => incarnation.0, "by" => self.name(cause.reporter), "path" => %cause.source);
                 }
-                Step::Refuted { by, incarnation } => {
+                Action::Refuted { accuser, incarnation } => {
                     self.counters.fleet_refuted += 1;
-                    info!(log, "fleet: refuted"; "by" => self.name(by), "incarnation" => incarnation.0);
+                    info!(log, "fleet: refuted"; "by" => self.name(accuser), "incarnation" => incarnation.0);
                 }
-                Step::Twice { other, yields } => {
+                Action::DuplicateName { other, yields } => {
                     self.counters.fleet_names_twice += 1;
                     if !std::mem::replace(&mut self.twice, true) {
                         let other = self.name(other);
@@ -127,13 +131,13 @@
 
     /// Among how many routers limits are shared, if that has changed; the word on the majority goes to the log.
     pub fn newly_shared(&mut self, now: Nanos, log: &Logger) -> Option<usize> {
-        let majority = self.fleet.has_majority(now);
+        let majority = self.protocol.has_majority(now);
         if majority != self.majority {
             self.majority = majority;
-            let (lives, all) = self.fleet.count();
-            info!(log, "fleet: majority"; "held" => majority, "alive" => lives, "of" => all);
+            let count = self.protocol.live_count();
+            info!(log, "fleet: majority"; "held" => majority, "alive" => count.live, "of" => count.total);
         }
-        let sharers = self.fleet.sharers(now);
+        let sharers = self.protocol.quota_sharers(now);
         (std::mem::replace(&mut self.sharers, sharers) != sharers).then_some(sharers)
     }
 
@@ -143,34 +147,35 @@
 
     /// The view: a line on this router, and one for each other.
     pub fn text(&self, now: Nanos) -> String {
-        let (own, incarnation) = self.fleet.own();
-        let (lives, all) = self.fleet.count();
-        let state = match (self.fleet.has_yielded(), self.fleet.has_left()) {
+        let count = self.protocol.live_count();
+        let state = match (self.protocol.has_yielded(), self.protocol.has_left()) {
             (true, _) => "yielded",
             (_, true) => "left",
             _ => "own",
         };
         let mut text = format!(
-            "{} {state} incarnation={} alive={lives} of={all} majority={} young={} alone={} lateness={} sharers={}\n",
-            self.name(own),
-            incarnation.0,
-            self.fleet.has_majority(now),
-            self.fleet.is_young(now),
-            self.fleet.is_alone(now),
-            self.fleet.lateness(),
+            "{} {state} incarnation={} alive={} of={} majority={} young={} alone={} lateness={} sharers={}\n",
+            self.name(self.protocol.local_id()),
+            self.protocol.incarnation().0,
+            count.live,
+            count.total,
+            self.protocol.has_majority(now),
+            self.protocol.is_settling(now),
+            self.protocol.is_isolated(now),
+            self.protocol.health_score(),
             self.sharers,
         );
-        for line in self.fleet.lines(now) {
+        for report in self.protocol.member_reports(now) {
             text += &format!(
-                "{} {} incarnation={} age_ms={} link={:?} by={} path={:?} verdicts={}\n",
-                self.name(line.id),
-                line.state,
-                line.incarnation.0,
-                line.age.0 / 1_000_000,
-                line.link,
-                self.name(line.cause.by),
-                line.cause.path,
-                line.changes,
+                "{} {} incarnation={} age_ms={} link={} by={} path={} verdicts={}\n",
+                self.name(report.id),
+                report.status,
+                report.incarnation.0,
+                report.age.0 / 1_000_000,
+                report.link,
+                self.name(report.cause.reporter),
+                report.cause.source,
+                report.failure_changes,
             );
         }
         text
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -4,7 +4,7 @@
 use crate::ids::Source;
 use crate::link::{Handle, watch};
 use fernknot::interface::{News, NodeId, PeerId};
-use fernknot_membership::MARK;
+use fernknot_membership::DATAGRAM_PREFIX;
 use fernknot_protocol::news::Tags;
 use fernknot_router_config::Told;
 use std::io::{ErrorKind, Result};
@@ -61,7 +61,7 @@
             match self.socket.recv_from(&mut message) {
                 Ok((length, from)) => {
                     if let Some(fleet) =
-                        core.fleet.as_mut().filter(|_| message[..length].starts_with(&[MARK]))
+                        core.fleet.as_mut().filter(|_| message[..length].starts_with(&[DATAGRAM_PREFIX]))
                     {
                         fleet.heard(core.now, from, &message[..length]);
                         continue;
