--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -7,7 +7,7 @@
 use fernknot_protocol::matches;
 use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, Said};
 use fernknot_router_config::PhaseFacts;
-use fernknot_two_phase::{Block, Phases, Query, print_of};
+use fernknot_two_phase::{CandidateBlock, TwoPhasePlanner, TwoPhaseQuery, term_fingerprint};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// The final answer to a multiget.
@@ -71,7 +71,7 @@
 
 pub struct Engine {
     module: Router,
-    phases: Phases,
+    phases: TwoPhasePlanner,
     pub table: Table,
     pub counters: Counters,
     endings: VecDeque<Ending>,
@@ -96,7 +96,7 @@
     ) -> Engine {
         Engine {
             module: Router::new(seed, site, now),
-            phases: Phases::new(now, phases, sketch_bytes),
+            phases: TwoPhasePlanner::new(now, phases, sketch_bytes),
             table: Table::default(),
             counters: Counters::default(),
             endings: VecDeque::new(),
@@ -197,20 +197,21 @@
         second: AskedSecond,
     ) -> Option<SecondFacts> {
         self.counters.phased_taken += 1;
-        let block = |part: AskedPart| Block { shard: part.shard, weight: part.weight, effort: part.effort };
-        let query = Query {
+        let candidate =
+            |part: AskedPart| CandidateBlock { shard: part.shard, weight: part.weight, effort: part.effort };
+        let query = TwoPhaseQuery {
             use_case: asked.use_case,
-            wait: asked.wait,
-            asked: asked.parts.iter().map(|part| part.shard).collect(),
-            blocks: second.parts.into_iter().map(block).collect(),
-            terms: second.terms.iter().map(|term| print_of(term)).collect(),
+            client_timeout: asked.wait,
+            first_phase_blocks: asked.parts.iter().map(|part| part.shard).collect(),
+            candidates: second.parts.into_iter().map(candidate).collect(),
+            terms: second.terms.iter().map(|term| term_fingerprint(term)).collect(),
         };
         let order = self.phases.begin(now, id, query);
         let place: HashMap<ShardId, usize> =
             order.into_iter().enumerate().map(|(place, shard)| (shard, place)).collect();
         asked.parts.sort_by_key(|part| place.get(&part.shard).copied());
         self.table.sort_parts(id, |part| place.get(&part.shard).copied());
-        self.phases.expectation(now, id)
+        self.phases.second_phase_estimate(now, id)
     }
 
     /// The client has gone; nothing more is owed.
@@ -223,7 +224,7 @@
                 false => self.counters.first_phase_lapsed += 1,
                 true => self.counters.second_phase_lapsed += 1,
             }
-            self.phases.over(now, multiget, held.second_ran());
+            self.phases.finish(now, multiget, held.second_ran());
         }
         self.table.over(multiget);
     }
@@ -250,9 +251,9 @@
             self.counters.match_values_bad += 1;
             return Outcome::Error;
         };
-        match self.phases.matched(part.of, shard, answer) {
+        match self.phases.record_match(part.of, shard, answer) {
             Ok(true) => {
-                if let Some(facts) = self.phases.expectation(now, part.of) {
+                if let Some(facts) = self.phases.second_phase_estimate(now, part.of) {
                     self.module.expect(part.of, facts);
                 }
                 Outcome::Answered
@@ -295,7 +296,7 @@
 
     // ---- What is known ---------------------------------------------------------------------
 
-    pub fn phases(&self) -> &Phases {
+    pub fn phases(&self) -> &TwoPhasePlanner {
         &self.phases
     }
 
@@ -354,7 +355,7 @@
                 let found_by = held.parts.iter().enumerate().filter_map(by).collect();
                 let is_in = |shard| found.iter().any(|(found, _)| *found == shard);
                 let blocks =
-                    held.is_phased().then(|| self.phases.account(multiget, is_in).unwrap_or_default());
+                    held.is_phased().then(|| self.phases.block_outcomes(multiget, is_in).unwrap_or_default());
                 self.end(now, multiget, Verdict::Settled { whole, found, found_by, blocks })
             }
             Decision::Dismiss { multiget, wait } => {
@@ -391,13 +392,16 @@
 
     /// Opens the second phase with the blocks that the first one left, if any.
     fn open(&mut self, now: Nanos, multiget: MultigetId) {
-        let Some(fetch) = self.phases.open(now, multiget) else { return };
+        let Some(fetch) = self.phases.open_second_phase(now, multiget) else { return };
         let Some(held) = self.table.get_mut(multiget) else { return };
         let from = held.open(fetch.blocks.iter().map(|block| block.shard));
         self.counters.phased_opened += 1;
         self.module.second(multiget, fetch.step);
-        let part =
-            |block: Block| AskedPart { shard: block.shard, weight: block.weight, effort: block.effort };
+        let part = |block: CandidateBlock| AskedPart {
+            shard: block.shard,
+            weight: block.weight,
+            effort: block.effort,
+        };
         let parts: Vec<AskedPart> = fetch.blocks.into_iter().map(part).collect();
         self.take_parts(now, multiget, from, parts.iter());
     }
@@ -408,7 +412,7 @@
         let (asker, ended) = (held.asker, Engine::stage(held));
         if ended != Ended::Plain {
             self.count(&verdict, ended);
-            self.phases.over(now, multiget, ended == Ended::SecondPhase { ran: true });
+            self.phases.finish(now, multiget, ended == Ended::SecondPhase { ran: true });
         }
         self.table.over(multiget);
         Some(Order::Answer { asker, verdict, ended })
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -172,7 +172,10 @@
         }
     }
     // Memory is back to where it began.
-    assert_eq!((host.engine.table.len(), host.engine.table.owed, host.engine.phases().in_hand()), (0, 0, 0));
+    assert_eq!(
+        (host.engine.table.len(), host.engine.table.owed, host.engine.phases().in_flight()),
+        (0, 0, 0)
+    );
 }
 
 proptest! {
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -8,7 +8,7 @@
 use fernknot_protocol::matches::{self, Match, Names};
 use fernknot_protocol::multiget::Said;
 use fernknot_router_config::{PhaseFacts, Silent};
-use fernknot_two_phase::print_of;
+use fernknot_two_phase::term_fingerprint;
 use test_case::test_case;
 
 const ALL: [u32; 4] = [0, 1, 2, 3];
@@ -179,7 +179,7 @@
     host.pass(HARD);
     assert!(host.all(asker, PartOf::Fetch).is_empty() && host.final_of(asker).is_none());
     assert_eq!(host.engine.counters.first_phase_lapsed, 1);
-    assert_eq!((host.engine.table.len(), host.engine.phases().in_hand()), (0, 0));
+    assert_eq!((host.engine.table.len(), host.engine.phases().in_flight()), (0, 0));
 }
 
 #[test]
@@ -343,7 +343,7 @@
 }
 
 fn match_value(blocks: Vec<ShardId>, sketch: Option<(u64, &[&str])>) -> String {
-    let prints = |words: &[&str]| words.iter().map(|word| print_of(word)).collect();
+    let prints = |words: &[&str]| words.iter().map(|word| term_fingerprint(word)).collect();
     let sketch = sketch.map(|(version, words)| (version, prints(words)));
     matches::write(&Match { names: Names::Blocks(blocks), sketch })
 }
@@ -356,7 +356,7 @@
     let mut host = host();
     let first = host.ask_for(REPLAYABLE, &[0], &["beach"], HARD);
     host.answer(first, PartOf::Match, 0, &match_value(vec![], Some((6, &["harbour"]))));
-    assert_eq!(host.engine.phases().version(ShardId(0)), Some(6));
+    assert_eq!(host.engine.phases().filter_version(ShardId(0)), Some(6));
     let asker = host.ask_for(REPLAYABLE, &[0], &["beach"], HARD);
     host.answer(asker, PartOf::Match, 0, &format!(r#"{{"same":{version}}}"#));
     assert_eq!(host.out(asker, PartOf::Fetch).len(), usize::from(fetched));
--- a/crates/fernknot-experiments/src/world.rs
+++ b/crates/fernknot-experiments/src/world.rs
@@ -266,6 +266,6 @@
 
     /// Multigets that the engine still holds.
     pub fn held(&self) -> usize {
-        self.engine.table.len() + self.engine.phases().in_hand()
+        self.engine.table.len() + self.engine.phases().in_flight()
     }
 }
--- a/crates/fernknot-router/src/node_links.rs
+++ b/crates/fernknot-router/src/node_links.rs
@@ -332,7 +332,7 @@
                             phase: match state.of {
                                 PartOf::Plain => None,
                                 PartOf::Match => {
-                                    let version = core.engine.phases().version(state.shard);
+                                    let version = core.engine.phases().filter_version(state.shard);
                                     Some(CallPhase::Match { version })
                                 }
                                 PartOf::Fetch => Some(CallPhase::Fetch),
--- /dev/null
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -0,0 +1,210 @@
+//! The queries in flight that have two phases, and what earlier ones taught.
+
+use crate::in_flight::{AskedBlock, Candidate, QueryInFlight};
+use crate::query::{CandidateBlock, MatchError, SecondPhase, TwoPhaseQuery};
+use crate::term_filter_cache::{FilterAnswer, TermFilterCache};
+use crate::use_case_statistics::UseCaseStatistics;
+use fernknot::interface::{MultigetId, Nanos, SecondFacts, SecondStep, ShardId};
+use fernknot_protocol::matches::{Match, Names};
+use fernknot_protocol::multiget::Said;
+use fernknot_router_config::{PhaseFacts, Silent};
+use std::collections::{BTreeMap, HashMap};
+
+/// All queries in flight that have two phases, and what earlier ones taught.
+#[derive(Default)]
+pub struct TwoPhasePlanner {
+    /// By use case; `None` for one without phases.
+    use_cases: Vec<Option<UseCaseStatistics>>,
+    in_flight: HashMap<MultigetId, QueryInFlight>,
+    /// `None` where no use case has phases.
+    filters: Option<TermFilterCache>,
+}
+
+/// The blocks that an answer of the first phase names.
+struct NamedBlocks {
+    blocks: Vec<ShardId>,
+    /// None are named by the filter that the store confirmed; it did not look itself.
+    ruled_out_by_filter: bool,
+}
+
+impl TwoPhasePlanner {
+    /// `settings` has one entry for each use case, `None` where it has no phases; term filters take at most
+    /// `max_filter_bytes`. `now`, here and elsewhere, is the caller's monotonic clock.
+    pub fn new(now: Nanos, settings: &[Option<PhaseFacts>], max_filter_bytes: usize) -> TwoPhasePlanner {
+        let has_phases = settings.iter().any(Option::is_some);
+        let statistics = |settings: &Option<PhaseFacts>| {
+            settings.as_ref().map(|settings| UseCaseStatistics::new(now, settings))
+        };
+        TwoPhasePlanner {
+            use_cases: settings.iter().map(statistics).collect(),
+            in_flight: HashMap::new(),
+            filters: has_phases.then(|| TermFilterCache::new(max_filter_bytes)),
+        }
+    }
+
+    /// How many queries are in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// The version of a block's term filter that is cached here, for its store to confirm.
+    pub fn filter_version(&self, shard: ShardId) -> Option<u64> {
+        self.filters.as_ref()?.version(shard)
+    }
+
+    /// Takes a query. Returns the blocks to ask in the first phase, those likeliest to match first.
+    pub fn begin(&mut self, now: Nanos, id: MultigetId, query: TwoPhaseQuery) -> Vec<ShardId> {
+        let Some(Some(statistics)) = self.use_cases.get(query.use_case.0) else {
+            return query.first_phase_blocks;
+        };
+        let asked = ask_filters(&mut self.filters, &query);
+        let chances = statistics.match_chances();
+        let chance = |shard: &ShardId| {
+            chances.of(asked.get(shard).map_or(FilterAnswer::Unknown, |asked| asked.filter_answer))
+        };
+        let mut order = query.first_phase_blocks;
+        order.sort_by(|one, other| chance(other).total_cmp(&chance(one)).then(one.cmp(other)));
+        let mean_effort = mean_effort(&query.candidates);
+        let candidate = |block: CandidateBlock| {
+            let fetch_chance = if statistics.settings.prunes { chance(&block.shard) } else { 1.0 };
+            (block.shard, Candidate::new(block, fetch_chance))
+        };
+        let in_flight = QueryInFlight {
+            use_case: query.use_case,
+            began_at: now,
+            target: statistics.settings.goal.min(query.client_timeout),
+            second_phase_opened_at: None,
+            candidates: query.candidates.into_iter().map(candidate).collect(),
+            asked,
+            terms: query.terms,
+            fetched: 0,
+            mean_effort,
+        };
+        self.in_flight.insert(id, in_flight);
+        order
+    }
+
+    /// What the decision module is to know of the second phase while the first one runs; `None` once that has ended.
+    pub fn second_phase_estimate(&mut self, now: Nanos, id: MultigetId) -> Option<SecondFacts> {
+        let query = self.in_flight.get(&id).filter(|query| !query.is_second_phase_open())?;
+        let statistics = self.use_cases.get_mut(query.use_case.0)?.as_mut()?;
+        let parts = query.expected_fetches();
+        let named = query.named_count();
+        let needs = statistics.time_to_keep(now, parts, query.target);
+        let is_fetch_certain = statistics.settings.refuses && named > 0;
+        let least = if is_fetch_certain { statistics.least_second_phase(now, named) } else { Nanos(0) };
+        let settings = &statistics.settings;
+        Some(SecondFacts {
+            needs,
+            // A rejection may rest on what is certain only, never on what is merely expected.
+            needs_least: least.min(needs),
+            parts,
+            effort: query.mean_effort,
+            least: if settings.silent == Silent::Refuse { 1.0 } else { settings.least },
+        })
+    }
+
+    /// Takes a block's answer of the first phase. `Ok(false)` if it is a duplicate or arrives after the first phase
+    /// has ended; it changes nothing then.
+    ///
+    /// # Errors
+    ///
+    /// A [`MatchError`] if the answer cannot be used; it changes nothing then, either.
+    pub fn record_match(&mut self, id: MultigetId, from: ShardId, answer: Match) -> Result<bool, MatchError> {
+        let query = self.in_flight.get_mut(&id).filter(|query| !query.is_second_phase_open());
+        let Some(query) = query else { return Ok(false) };
+        let Some(Some(statistics)) = self.use_cases.get_mut(query.use_case.0) else { return Ok(false) };
+        let asked = *query.asked.get(&from).ok_or(MatchError::NotInQuery)?;
+        if asked.answered {
+            return Ok(false);
+        }
+        let named = match answer.names {
+            Names::Blocks(blocks) => {
+                query.check_named(from, &blocks, statistics.settings.names_others)?;
+                NamedBlocks { blocks, ruled_out_by_filter: false }
+            }
+            Names::Same(version) => named_by_filter(&mut self.filters, query, from, version),
+        };
+        if asked.filter_answer == FilterAnswer::CannotMatch && !named.ruled_out_by_filter {
+            statistics.record_denied_match(!named.blocks.is_empty());
+        }
+        if let (Some((version, fingerprints)), Some(filters)) = (answer.sketch, self.filters.as_mut()) {
+            filters.insert(from, version, fingerprints);
+        }
+        query.apply_answer(from, &named.blocks, &statistics.settings);
+        Ok(true)
+    }
+
+    /// Ends the first phase. Returns the blocks that the second one fetches, and the time that it needs; `None` if the
+    /// query is unknown or this was done before.
+    pub fn open_second_phase(&mut self, now: Nanos, id: MultigetId) -> Option<SecondPhase> {
+        let query = self.in_flight.get_mut(&id).filter(|query| !query.is_second_phase_open())?;
+        let statistics = self.use_cases.get_mut(query.use_case.0)?.as_mut()?;
+        statistics.record_first_phase(now, now - query.began_at);
+        let plan = query.open_second_phase(now, &statistics.settings);
+        if query.is_first_phase_complete() {
+            statistics.record_match_rate(plan.named as f64 / query.candidates.len().max(1) as f64);
+        }
+        let may_reject = statistics.settings.refuses;
+        let needs = may_reject.then(|| statistics.likely_second_phase(now, plan.blocks.len()));
+        let step = SecondStep { needs, base: plan.ruled_out_weight, whole: plan.is_complete };
+        Some(SecondPhase { blocks: plan.blocks, step })
+    }
+
+    /// The query has had its final answer, or its client has gone. `second_phase_ran` if parts of the second phase were
+    /// sent. Of one that was given up it is only known that it would have taken longer.
+    pub fn finish(&mut self, now: Nanos, id: MultigetId, second_phase_ran: bool) {
+        let Some(query) = self.in_flight.remove(&id) else { return };
+        let Some(Some(statistics)) = self.use_cases.get_mut(query.use_case.0) else { return };
+        if let Some(opened_at) = query.second_phase_opened_at.filter(|_| second_phase_ran) {
+            statistics.record_second_phase(now, query.fetched, now - opened_at);
+        }
+    }
+
+    /// What the final answer says of each block of a query whose second phase was opened; `is_in_answer` tells whether
+    /// a block's value is in it. `None` if the query is unknown.
+    ///
+    /// Pruned: every answer that could have named the block arrived, and none did. Missing: its value was asked for
+    /// and did not arrive. Unasked: neither.
+    pub fn block_outcomes(
+        &self,
+        id: MultigetId,
+        is_in_answer: impl Fn(ShardId) -> bool,
+    ) -> Option<Vec<(ShardId, Said)>> {
+        self.in_flight.get(&id).map(|query| query.block_outcomes(is_in_answer))
+    }
+}
+
+/// What the cached filters say of the blocks that the first phase asks.
+fn ask_filters(
+    filters: &mut Option<TermFilterCache>,
+    query: &TwoPhaseQuery,
+) -> BTreeMap<ShardId, AskedBlock> {
+    let mut ask_filter = |shard: &ShardId| {
+        let answer = filters.as_mut().map(|filters| filters.check(*shard, &query.terms));
+        let filter_answer = answer.unwrap_or(FilterAnswer::Unknown);
+        (*shard, AskedBlock { answered: false, filter_answer })
+    };
+    query.first_phase_blocks.iter().map(&mut ask_filter).collect()
+}
+
+/// The store has not looked: it confirms that its terms are those of this filter version. A filter that is not cached
+/// at that version says nothing, and the block counts as named.
+fn named_by_filter(
+    filters: &mut Option<TermFilterCache>,
+    query: &QueryInFlight,
+    from: ShardId,
+    version: u64,
+) -> NamedBlocks {
+    let confirmed = filters.as_mut().filter(|filters| filters.version(from) == Some(version));
+    let answer = confirmed.map(|filters| filters.check(from, &query.terms));
+    let ruled_out_by_filter = answer == Some(FilterAnswer::CannotMatch);
+    let is_named = !ruled_out_by_filter && query.candidates.contains_key(&from);
+    NamedBlocks { blocks: if is_named { vec![from] } else { Vec::new() }, ruled_out_by_filter }
+}
+
+/// The mean work of a block, where that of all is known.
+fn mean_effort(blocks: &[CandidateBlock]) -> Option<Nanos> {
+    let total: Option<u64> = blocks.iter().map(|block| Some(block.effort?.0)).sum();
+    total.map(|total| Nanos(total / blocks.len().max(1) as u64))
+}
