--- a/crates/fernknot-fault-tests/src/checker.rs
+++ b/crates/fernknot-fault-tests/src/checker.rs
@@ -1,167 +1,88 @@
-//! Judges what clients, stores and routers left behind, against the rules and what membership promises. It shares
-//! no code with what it judges.
+//! Judges a history by the rules of the service and the promises of membership.
 
-use crate::clients::{Got, Request, SLACK, WAIT};
+use crate::clients::{CLIENT_TIMEOUT, LATE_ANSWER_GRACE, Request, RequestOutcome};
+use crate::history::{FaultEvent, History, StatusChange};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A router's word on another, from its log.
-#[derive(Clone, Debug)]
-pub struct Verdict {
-    pub at: Duration,
-    pub by: usize,
-    pub of: usize,
-    pub from: String,
-    pub to: String,
-    pub line: String,
-}
-
-/// A fault as the rig caused it.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Occurred {
-    Down { router: usize },
-    Up { router: usize },
-    Cut { from: Vec<usize>, to: Vec<usize> },
-    Mend { from: Vec<usize>, to: Vec<usize> },
-}
+/// One final answer within the client's time-out, from each router that no fault hit.
+pub const ONE_ANSWER: &str = "one-answer";
+/// No non-idempotent part runs twice.
+pub const NO_EFFECT_TWICE: &str = "no-effect-twice";
+/// No answer claims more than what ran.
+pub const HONEST_ANSWERS: &str = "honest-answers";
+/// No router that runs and can be heard counts as failed.
+pub const NO_FALSE_FAILURE: &str = "no-false-lost";
+/// A router's status does not come and go more often than faults hit it or the network.
+pub const NO_FLAPPING: &str = "no-flapping";
+/// Each condition of the schedule comes true.
+pub const CONDITION_MET: &str = "awaited";
 
-/// All that was seen; times from the start of the trial.
-pub struct History {
-    pub routers: usize,
-    pub period: Duration,
-    pub requests: Vec<Request>,
-    /// For each store, the ids of the parts that it ran.
-    pub calls: Vec<Vec<String>>,
-    pub verdicts: Vec<Verdict>,
-    pub occurred: Vec<(Duration, Occurred)>,
-}
+/// Probe periods for which a router must have been within hearing for its failure to be false.
+const HEARD_PERIODS: f64 = 5.0;
 
-/// A promise that was not kept, with what shows it.
+/// A promise that was not kept.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Break {
+pub struct Violation {
+    /// The name of the promise.
     pub promise: &'static str,
-    pub lines: Vec<String>,
+    /// What shows it, a line each.
+    pub evidence: Vec<String>,
 }
 
-/// Periods for which a router must have been within hearing before a verdict on it is wrong.
-const HEARD_FOR: f64 = 5.0;
-
-impl History {
-    /// Which run, and which ways are cut, at some time.
-    fn state(&self, at: Duration) -> (Vec<bool>, Vec<Vec<bool>>) {
-        let mut up = vec![true; self.routers];
-        let mut cut = vec![vec![false; self.routers]; self.routers];
-        for (_, what) in self.occurred.iter().filter(|(when, _)| *when <= at) {
-            match what {
-                Occurred::Down { router } => up[*router] = false,
-                Occurred::Up { router } => up[*router] = true,
-                Occurred::Cut { from, to } | Occurred::Mend { from, to } => {
-                    let is_cut = matches!(what, Occurred::Cut { .. });
-                    from.iter().for_each(|from| to.iter().for_each(|to| cut[*from][*to] = is_cut));
-                }
-            }
-        }
-        (up, cut)
-    }
-
-    /// Whether word of one that runs could come to another, over whomever.
-    fn could_hear(&self, by: usize, of: usize, at: Duration) -> bool {
-        let (up, cut) = self.state(at);
-        if !up[of] || !up[by] {
-            return false;
-        }
-        let mut reached = vec![of];
-        let mut next = 0;
-        while next < reached.len() {
-            let from = reached[next];
-            next += 1;
-            let more = (0..self.routers).filter(|to| up[*to] && !cut[from][*to]);
-            let more: Vec<usize> = more.filter(|to| !reached.contains(to)).collect();
-            reached.extend(more);
-        }
-        reached.contains(&by)
-    }
-
-    /// Something happened to this router itself between these times.
-    fn was_disturbed(&self, router: usize, from: Duration, to: Duration) -> bool {
-        let (up, _) = self.state(from);
-        let touches = |what: &Occurred| matches!(what, Occurred::Down { router: one } | Occurred::Up { router: one } if *one == router);
-        !up[router] || self.occurred.iter().any(|(at, what)| (from..=to).contains(at) && touches(what))
-    }
-
-    /// Requests of which no answer came.
-    pub fn unanswered(&self) -> usize {
-        self.requests.iter().filter(|request| request.got == Got::Nothing).count()
-    }
-
-    /// Parts of what must run once that ran more often.
-    pub fn double_effects(&self) -> Vec<String> {
-        let once = |id: &&String| {
-            let request = id.split('.').next().unwrap_or_default();
-            self.requests.iter().any(|one| one.id == request && one.use_case == "buy")
-        };
-        let mut ran: BTreeMap<&String, usize> = BTreeMap::new();
-        for id in self.calls.iter().flatten().filter(once) {
-            *ran.entry(id).or_insert(0) += 1;
-        }
-        ran.into_iter()
-            .filter(|(_, times)| *times > 1)
-            .map(|(id, times)| format!("{id} ran {times} times"))
-            .collect()
-    }
+/// The promises that were not kept; none if all were.
+pub fn check(history: &History) -> Vec<Violation> {
+    let checks = [
+        (ONE_ANSWER, missing_answers(history)),
+        (NO_EFFECT_TWICE, history.double_effects()),
+        (HONEST_ANSWERS, history.wrong_answers()),
+        (NO_FALSE_FAILURE, false_failures(history)),
+    ];
+    let flapping = flapping(history).into_iter().map(|evidence| (NO_FLAPPING, evidence));
+    let all = checks.into_iter().chain(flapping).filter(|(_, evidence)| !evidence.is_empty());
+    all.map(|(promise, evidence)| Violation { promise, evidence }).collect()
+}
 
-    /// Answers that say more than what ran.
-    pub fn answered_wrongly(&self) -> Vec<String> {
-        let ran =
-            |id: &str, part: u32| self.calls.iter().flatten().any(|call| *call == format!("{id}.{part}"));
-        let wrong = |request: &&Request| {
-            let whole = request.got == Got::Answer { status: 200, whole: true };
-            request.answers > 1 || whole && !(0..2).all(|part| ran(&request.id, part))
-        };
-        self.requests.iter().filter(wrong).map(|request| format!("{request:?}")).collect()
-    }
+fn missing_answers(history: &History) -> Vec<String> {
+    let is_missing = |request: &&Request| {
+        let is_late = request.ended > request.sent + CLIENT_TIMEOUT + LATE_ANSWER_GRACE;
+        let has_none =
+            matches!(request.outcome, RequestOutcome::NoAnswer | RequestOutcome::ConnectionRefused);
+        (is_late || has_none) && !history.was_disturbed(request.router, request.sent, request.ended)
+    };
+    history.requests.iter().filter(is_missing).map(|request| format!("{request:?}")).collect()
 }
 
-/// The promises that were broken; none if all were kept.
-pub fn check(history: &History) -> Vec<Break> {
-    let mut breaks = Vec::new();
-    let mut add = |promise: &'static str, lines: Vec<String>| {
-        if !lines.is_empty() {
-            breaks.push(Break { promise, lines });
-        }
+/// Failures of routers that could be heard at each moment of the periods before.
+fn false_failures(history: &History) -> Vec<String> {
+    let window = history.probe_period.mul_f64(HEARD_PERIODS);
+    let is_false = |change: &&StatusChange| {
+        let since = change.at.saturating_sub(window);
+        let event_times = history.fault_events.iter().map(|(at, _)| *at);
+        let within = event_times.filter(|at| (since..change.at).contains(at));
+        let mut moments: Vec<Duration> = within.collect();
+        moments.extend([since, change.at]);
+        moments.iter().all(|at| history.could_hear(change.observer, change.member, *at))
     };
-    // Rule 1: one final answer in the client's time, from each router that nothing happened to.
-    let silent = history.requests.iter().filter(|request| {
-        let late = request.ended > request.sent + WAIT + SLACK;
-        let none = matches!(request.got, Got::Nothing | Got::Refused);
-        (late || none) && !history.was_disturbed(request.router, request.sent, request.ended)
-    });
-    add("one-answer", silent.map(|request| format!("{request:?}")).collect());
-    add("no-effect-twice", history.double_effects());
-    add("honest-answers", history.answered_wrongly());
-    // No router that runs and is within hearing is held for lost.
-    let back = history.period.mul_f64(HEARD_FOR);
-    let wrong = history.verdicts.iter().filter(|verdict| verdict.to == "lost").filter(|verdict| {
-        let since = verdict.at.saturating_sub(back);
-        let times = history.occurred.iter().map(|(at, _)| *at).filter(|at| (since..verdict.at).contains(at));
-        times.chain([since, verdict.at]).all(|at| history.could_hear(verdict.by, verdict.of, at))
-    });
-    add("no-false-lost", wrong.map(|verdict| verdict.line.clone()).collect());
-    // Verdicts on one router come and go once for each thing that happened to it or to the network.
-    let mut changes: BTreeMap<(usize, usize), Vec<&Verdict>> = BTreeMap::new();
-    for verdict in history.verdicts.iter().filter(|verdict| verdict.to == "lost" || verdict.from == "lost") {
-        changes.entry((verdict.by, verdict.of)).or_default().push(verdict);
+    let failures = history.status_changes.iter().filter(|change| change.is_failure());
+    failures.filter(is_false).map(|change| change.log_line.clone()).collect()
+}
+
+/// For each pair of routers whose status changed too often, the changes.
+fn flapping(history: &History) -> Vec<Vec<String>> {
+    let mut by_pair: BTreeMap<(usize, usize), Vec<&StatusChange>> = BTreeMap::new();
+    for change in history.status_changes.iter().filter(|change| change.concerns_failure()) {
+        by_pair.entry((change.observer, change.member)).or_default().push(change);
     }
-    let begins = |what: &Occurred, of: usize| match what {
-        Occurred::Down { router } => *router == of,
-        Occurred::Cut { .. } => true,
-        _ => false,
+    let is_fault_of = |event: &FaultEvent, member: usize| match event {
+        FaultEvent::Down { router } => *router == member,
+        FaultEvent::Partitioned { .. } => true,
+        FaultEvent::Up { .. } | FaultEvent::Healed { .. } => false,
     };
-    for ((_, of), seen) in changes {
-        let faults = history.occurred.iter().filter(|(_, what)| begins(what, of)).count().max(1);
-        if seen.len() > 2 * faults {
-            add("no-flapping", seen.iter().map(|verdict| verdict.line.clone()).collect());
-        }
-    }
-    breaks
+    let exceeds_faults = |((_, member), changes): &((usize, usize), Vec<&StatusChange>)| {
+        let faults = history.fault_events.iter().filter(|(_, event)| is_fault_of(event, *member)).count();
+        changes.len() > 2 * faults.max(1)
+    };
+    let lines = |changes: Vec<&StatusChange>| changes.iter().map(|change| change.log_line.clone()).collect();
+    by_pair.into_iter().filter(exceeds_faults).map(|(_, changes)| lines(changes)).collect()
 }
--- a/crates/fernknot-fault-tests/src/clients.rs
+++ b/crates/fernknot-fault-tests/src/clients.rs
@@ -1,9 +1,8 @@
-//! Clients in an open loop: each request on a connection of its own, sent when its time has come, whatever became
-//! of those before.
+//! Open-loop clients: each request has a connection of its own and is sent when its time has come, whatever became of
+//! those before.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use serde::Serialize;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,85 +10,86 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a client waits for its answer, and after that for one that comes too late.
-pub const WAIT: Duration = Duration::from_millis(3000);
-pub const SLACK: Duration = Duration::from_millis(500);
-/// Use cases by turns: may be repeated, has a key, must run once.
+/// How long a client waits for its answer.
+pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How long after that it still takes notice of an answer that is late.
+pub const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Idempotent, idempotent under a key, and non-idempotent.
 const USE_CASES: [&str; 3] = ["page", "mark", "buy"];
 
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum Got {
-    Answer {
+/// Why a lock can be taken: whoever holds it does nothing that panics.
+const NO_PANIC: &str = "no holder of the lock panics";
+
+/// What became of a request.
+#[derive(Clone, Debug, PartialEq)]
+pub enum RequestOutcome {
+    /// It was answered.
+    Answered {
+        /// The HTTP status.
         status: u16,
-        whole: bool,
+        /// Whether the answer claims to be complete.
+        complete: bool,
     },
-    /// The connection was refused, before anything was taken.
-    Refused,
-    /// It broke, or no answer came in time.
-    Nothing,
+    /// The connection was refused, before anything was sent.
+    ConnectionRefused,
+    /// The connection broke, or no answer came in time.
+    NoAnswer,
 }
 
-/// One request as its client saw it; times from the start of the trial.
-#[derive(Clone, Debug, Serialize)]
+/// One request as its client saw it; times from the start of the run.
+#[derive(Clone, Debug)]
 pub struct Request {
+    /// Its id, unique within the run.
     pub id: String,
+    /// Its use case.
     pub use_case: &'static str,
+    /// The router that it was sent to.
     pub router: usize,
+    /// When it was sent.
     pub sent: Duration,
+    /// When its client was done with it.
     pub ended: Duration,
-    pub got: Got,
+    /// What became of it.
+    pub outcome: RequestOutcome,
     /// Final answers that came on the connection.
     pub answers: usize,
 }
 
+/// The clients of a run.
 pub struct Clients {
-    over: Arc<AtomicBool>,
-    thread: Option<thread::JoinHandle<()>>,
-    seen: Arc<Mutex<Vec<Request>>>,
+    stopped: Arc<AtomicBool>,
+    sender: Option<thread::JoinHandle<()>>,
+    finished: Arc<Mutex<Vec<Request>>>,
 }
 
 impl Clients {
-    pub fn start(routers: Vec<SocketAddr>, per_s: f64, seed: u64, begun: Instant) -> Clients {
-        let over = Arc::new(AtomicBool::new(false));
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (until, into) = (over.clone(), seen.clone());
-        let thread = thread::spawn(move || {
-            let mut chance = ChaCha8Rng::seed_from_u64(seed);
-            let mut open = Vec::new();
-            let mut next = Instant::now();
-            for number in 0u64.. {
-                if until.load(Ordering::Relaxed) {
-                    break;
-                }
-                thread::sleep(next.saturating_duration_since(Instant::now()));
-                next += Duration::from_secs_f64(1.0 / per_s);
-                let router = chance.random_range(0..routers.len());
-                let use_case = USE_CASES[chance.random_range(0..USE_CASES.len())];
-                let (address, into) = (routers[router], into.clone());
-                open.push(thread::spawn(move || {
-                    let id = format!("t{number}");
-                    let sent = begun.elapsed();
-                    let (got, answers) = ask(address, &id, use_case);
-                    let ended = begun.elapsed();
-                    let request = Request { id, use_case, router, sent, ended, got, answers };
-                    into.lock().expect("no panic before").push(request);
-                }));
-                open.retain(|client| !client.is_finished());
-            }
-            open.into_iter().for_each(|client| drop(client.join()));
-        });
-        Clients { over, thread: Some(thread), seen }
+    /// Sends requests at this rate to these routers, drawn by the seed. `run_start` is where times count from.
+    pub fn start(routers: Vec<SocketAddr>, requests_per_s: f64, seed: u64, run_start: Instant) -> Clients {
+        let stopped = Arc::new(AtomicBool::new(false));
+        let finished = Arc::new(Mutex::new(Vec::new()));
+        let load = Load {
+            routers,
+            interval: Duration::from_secs_f64(1.0 / requests_per_s),
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            run_start,
+            stopped: stopped.clone(),
+            finished: finished.clone(),
+        };
+        Clients { stopped, sender: Some(thread::spawn(move || load.run())), finished }
     }
 
-    /// Sends nothing further, waits for what is open, and tells all that was seen.
+    /// Sends nothing more, waits for the requests in flight, and returns all of them.
     pub fn finish(mut self) -> Vec<Request> {
         self.stop();
-        std::mem::take(&mut *self.seen.lock().expect("no panic before"))
+        std::mem::take(&mut *self.finished.lock().expect(NO_PANIC))
     }
 
     fn stop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
+        self.stopped.store(true, Ordering::Relaxed);
+        if let Some(sender) = self.sender.take() {
+            // A panic of the sender has been printed.
+            let _ = sender.join();
+        }
     }
 }
 
@@ -99,33 +99,89 @@
     }
 }
 
-fn ask(address: SocketAddr, id: &str, use_case: &str) -> (Got, usize) {
-    let Ok(mut stream) = TcpStream::connect_timeout(&address, WAIT) else { return (Got::Refused, 0) };
+/// What the sending thread needs.
+struct Load {
+    routers: Vec<SocketAddr>,
+    interval: Duration,
+    rng: ChaCha8Rng,
+    run_start: Instant,
+    stopped: Arc<AtomicBool>,
+    finished: Arc<Mutex<Vec<Request>>>,
+}
+
+impl Load {
+    fn run(mut self) {
+        let mut in_flight = Vec::new();
+        let mut next = Instant::now();
+        for number in 0u64.. {
+            if self.stopped.load(Ordering::Relaxed) {
+                break;
+            }
+            thread::sleep(next.saturating_duration_since(Instant::now()));
+            next += self.interval;
+            in_flight.push(self.send(number));
+            in_flight.retain(|client| !client.is_finished());
+        }
+        for client in in_flight {
+            // A panic of a client has been printed.
+            let _ = client.join();
+        }
+    }
+
+    fn send(&mut self, number: u64) -> thread::JoinHandle<()> {
+        let router = self.rng.random_range(0..self.routers.len());
+        let use_case = USE_CASES[self.rng.random_range(0..USE_CASES.len())];
+        let (address, run_start, finished) = (self.routers[router], self.run_start, self.finished.clone());
+        thread::spawn(move || {
+            let id = format!("t{number}");
+            let sent = run_start.elapsed();
+            let (outcome, answers) = exchange(address, &id, use_case);
+            let ended = run_start.elapsed();
+            let request = Request { id, use_case, router, sent, ended, outcome, answers };
+            finished.lock().expect(NO_PANIC).push(request);
+        })
+    }
+}
+
+/// Sends a request; what became of it, and how many final answers came.
+fn exchange(address: SocketAddr, id: &str, use_case: &str) -> (RequestOutcome, usize) {
+    let Ok(mut stream) = TcpStream::connect_timeout(&address, CLIENT_TIMEOUT) else {
+        return (RequestOutcome::ConnectionRefused, 0);
+    };
+    if stream.write_all(request_text(id, use_case).as_bytes()).is_err() {
+        return (RequestOutcome::NoAnswer, 0);
+    }
+    let answer = read_until(&mut stream, Instant::now() + CLIENT_TIMEOUT + LATE_ANSWER_GRACE);
+    let text = String::from_utf8_lossy(&answer);
+    let answers = text.matches("HTTP/1.1 ").count();
+    let status = text.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)?.parse().ok());
+    let complete = text.contains("\"finished\":true");
+    let outcome =
+        status.map_or(RequestOutcome::NoAnswer, |status| RequestOutcome::Answered { status, complete });
+    (outcome, answers)
+}
+
+fn request_text(id: &str, use_case: &str) -> String {
     let body = r#"{"buckets":[{"bucket":0,"part":0.5},{"bucket":1,"part":0.5}],"body":"x"}"#;
-    let head = format!(
+    format!(
         "POST /{use_case} HTTP/1.1\r\nReq-Id: {id}\r\nReq-Deadline: {}\r\nIdempotency-Key: k{id}\r\n\
-         Connection: close\r\nContent-Length: {}\r\n\r\n",
-        WAIT.as_secs_f64(),
+         Connection: close\r\nContent-Length: {}\r\n\r\n{body}",
+        CLIENT_TIMEOUT.as_secs_f64(),
         body.len()
-    );
-    if stream.write_all((head + body).as_bytes()).is_err() {
-        return (Got::Nothing, 0);
-    }
-    let end = Instant::now() + WAIT + SLACK;
-    let (mut answer, mut bytes) = (Vec::new(), [0; 4096]);
+    )
+}
+
+/// All bytes until the stream ends, or this time has come.
+fn read_until(stream: &mut TcpStream, end: Instant) -> Vec<u8> {
+    let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
-            break;
+        let remaining = end.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
+            return received;
         }
-        match stream.read(&mut bytes) {
-            Ok(length) if length > 0 => answer.extend_from_slice(&bytes[..length]),
-            _ => break,
+        match stream.read(&mut buffer) {
+            Ok(length) if length > 0 => received.extend_from_slice(&buffer[..length]),
+            _ => return received,
         }
     }
-    let text = String::from_utf8_lossy(&answer);
-    let answers = text.matches("HTTP/1.1 ").count();
-    let status = text.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)?.parse().ok());
-    let whole = text.contains("\"finished\":true");
-    (status.map_or(Got::Nothing, |status| Got::Answer { status, whole }), answers)
 }
--- a/crates/fernknot-fault-tests/src/lib.rs
+++ b/crates/fernknot-fault-tests/src/lib.rs
@@ -1,12 +1,28 @@
-//! Trials of many processes of the real program under faults that are injected between them and into them.
+//! Fault tests: many processes of the real router, and faults injected between them and into them.
 //!
-//! A [`rig`] starts routers, stand-in stores, discovery and relays on loopback; a [`schedule`] says which faults
-//! come, in which order, and what is waited for; the [`checker`] judges what clients, stores and routers left
-//! behind. It links no crate of the router.
+//! This crate owns the processes of a test run (routers, stand-in stores, discovery and relays on loopback
+//! addresses), the [`Schedule`](schedule::Schedule) that says which faults come in which order
+//! and what is awaited, and the [`checker`] that judges what clients, stores and routers left behind. Its program and
+//! its tests call it, and nothing else. Apart from the stand-ins and their example configuration it links no crate of the
+//! router, so that the checker shares no code with what it judges.
 
+#![deny(missing_docs)]
+
+mod addresses;
 pub mod checker;
 pub mod clients;
-pub mod relay;
-pub mod rig;
-pub mod scenes;
+mod cluster;
+mod connection_relay;
+mod datagram_relay;
+mod error;
+pub mod history;
+mod router_config;
+mod router_log;
+mod router_process;
+mod router_view;
+pub mod runner;
+pub mod scenarios;
 pub mod schedule;
+pub mod status_words;
+
+pub use error::{FaultTestError, ScheduleError};
--- /dev/null
+++ b/crates/fernknot-fault-tests/src/router_view.rs
@@ -0,0 +1,53 @@
+//! What a router shows over HTTP: its view of the others, and its counters.
+
+use std::collections::BTreeMap;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+const SENT_DATAGRAMS_COUNTER: &str = "fleet_datagrams_sent ";
+
+/// A router's membership view, as `GET /fleet` shows it.
+pub(crate) struct RouterView {
+    /// What it says of itself.
+    pub own: BTreeMap<String, String>,
+    /// The status word of each other router, by its number.
+    pub statuses: BTreeMap<usize, String>,
+}
+
+impl RouterView {
+    /// `public` has the listed address of each router.
+    pub fn parse(text: &str, public: &[SocketAddr]) -> RouterView {
+        let lines = text.lines().skip_while(|line| !line.contains(" incarnation="));
+        let mut view = RouterView { own: BTreeMap::new(), statuses: BTreeMap::new() };
+        for (index, line) in lines.enumerate() {
+            let mut words = line.split(' ');
+            let (Some(address), Some(status)) = (words.next(), words.next()) else { continue };
+            if index == 0 {
+                let pairs = words.filter_map(|word| word.split_once('='));
+                view.own = pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect();
+            } else if let Some(router) = public.iter().position(|public| public.to_string() == address) {
+                view.statuses.insert(router, status.to_string());
+            }
+        }
+        view
+    }
+}
+
+/// Membership datagrams that a router has sent.
+pub(crate) fn datagrams_sent(router: SocketAddr) -> Option<u64> {
+    let text = http_get(router, "/counters")?;
+    text.lines().find_map(|line| line.strip_prefix(SENT_DATAGRAMS_COUNTER)?.parse().ok())
+}
+
+/// The whole answer to a GET, head and body.
+pub(crate) fn http_get(address: SocketAddr, path: &str) -> Option<String> {
+    let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
+    write!(stream, "GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n").ok()?;
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).ok()?;
+    Some(answer)
+}
