--- /dev/null
+++ b/crates/fernknot-bench-adapter/src/adapter.rs
@@ -0,0 +1,100 @@
+//! All instances, and which of them an event concerns.
+
+use crate::error::AdapterError;
+use crate::instance::Instance;
+use crate::wire::{Batch, Event, ListMode, Node, NodeList, Reply, parse_event};
+use fernknot::interface::Nanos;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+/// All instances.
+#[derive(Default)]
+pub struct Adapter {
+    instances: BTreeMap<u64, Instance>,
+    /// The directories given so far, by number.
+    directories: HashMap<u64, Vec<Node>>,
+}
+
+impl Adapter {
+    /// Applies a batch, and asks the instances that it concerned for their decisions.
+    pub fn apply(&mut self, batch: &Batch) -> Result<Reply, AdapterError> {
+        let now = Nanos::from_millis(batch.now_ms);
+        let mut concerned = BTreeSet::new();
+        for (name, raw) in batch.events.iter().flatten() {
+            if let Some(event) = parse_event(name, raw)? {
+                concerned.extend(self.apply_event(now, event)?);
+            }
+        }
+        let mut actions = Vec::new();
+        for number in concerned {
+            if let Some(instance) = self.instances.get_mut(&number) {
+                instance.poll_actions(now, &mut actions);
+            }
+        }
+        Ok(Reply { actions })
+    }
+
+    /// Applies an event; the number of the instance that it concerns. Events for an unknown instance are ignored.
+    fn apply_event(&mut self, now: Nanos, event: Event) -> Result<Option<u64>, AdapterError> {
+        let concerned = match event {
+            Event::Directory(directory) => {
+                self.directories.insert(directory.number, directory.nodes);
+                return Ok(None);
+            }
+            Event::InstanceStarted(start) => {
+                let number = start.instance;
+                self.instances.insert(number, Instance::new(now, *start)?);
+                number
+            }
+            Event::InstanceStopped(stop) => {
+                self.instances.remove(&stop.instance);
+                stop.instance
+            }
+            Event::NodeList(list) => {
+                self.list_nodes(now, &list)?;
+                list.instance
+            }
+            Event::QueryOrPart(arrival) => {
+                let number = arrival.instance;
+                self.with(number, |instance| instance.arrive(now, arrival));
+                number
+            }
+            Event::AttemptEnded(ended) => {
+                if let Some(instance) = self.instances.get_mut(&ended.instance) {
+                    instance.attempt_ended(now, &ended)?;
+                }
+                ended.instance
+            }
+            Event::LoadReported(report) => {
+                self.with(report.instance, |instance| instance.load_reported(&report));
+                report.instance
+            }
+            Event::ClientTimedOut(query) => {
+                self.with(query.instance, |instance| instance.client_timed_out(&query.query_name));
+                query.instance
+            }
+            Event::Datagram(datagram) => {
+                self.with(datagram.instance, |instance| instance.datagram_received(now, &datagram));
+                datagram.instance
+            }
+            Event::Wake(wake) => wake.instance,
+        };
+        Ok(Some(concerned))
+    }
+
+    fn with(&mut self, number: u64, apply: impl FnOnce(&mut Instance)) {
+        if let Some(instance) = self.instances.get_mut(&number) {
+            apply(instance);
+        }
+    }
+
+    fn list_nodes(&mut self, now: Nanos, list: &NodeList) -> Result<(), AdapterError> {
+        let Some(instance) = self.instances.get_mut(&list.instance) else { return Ok(()) };
+        let directory = list.directory.and_then(|number| self.directories.get(&number));
+        match (list.mode, directory) {
+            (ListMode::Lost, _) => instance.list_nodes(now, list.mode, &[]),
+            (_, Some(nodes)) => instance.list_nodes(now, list.mode, nodes),
+            (_, None) => return Err(AdapterError::UnknownSheet),
+        }
+        Ok(())
+    }
+}
--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -1,224 +1,217 @@
-//! One instance: a router and the names that the wire has for what it holds.
-
-use crate::wire::*;
+//! One instance of the decision module, and the wire's names for what it holds.
+
+use crate::error::AdapterError;
+use crate::hex;
+use crate::names::{NodeNames, QueryNames};
+use crate::wire::{
+    Action, AttemptEnded, Datagram, InstanceStarted, ListMode, LoadReported, Node, NodeHealth, QueryOrPart,
+};
 use fernknot::decide::Router;
-use fernknot::interface::*;
+use fernknot::interface::{
+    Arrival, CustomerId, Decision, Ending, HandOffNo, Health, ListKind, LoadReport, MultigetId, Nanos, News,
+    NodeEntry, NodeId, Outcome, PartArrival, PeerId, PlaceId, ShardId, UseCaseId, ZoneId,
+};
 use fernknot_protocol::news::Tags;
-use std::collections::HashMap;
-
-/// Bytes that the wire lets one message hold.
-const MESSAGE: usize = 256;
-
-#[derive(Clone, Copy)]
-enum Item {
-    Multiget(MultigetId),
-    Part(PartId),
-}
+use std::collections::BTreeMap;
 
-/// The wire's names for a multiget and its parts, kept while anything of it may still be named.
-struct Held {
-    req: String,
-    parts: Vec<String>,
-    out: usize,
-    over: bool,
-}
+/// Bytes that the wire lets one datagram have.
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// The label of the only timer that an instance sets.
+const TIMER_LABEL: u64 = 0;
 
+/// One instance.
 pub struct Instance {
-    id: u64,
+    number: u64,
     router: Router,
-    nodes: Vec<String>,
-    node_ids: HashMap<String, NodeId>,
+    nodes: NodeNames,
+    /// Short forms of the nodes' names, for datagrams.
     tags: Tags,
-    items: HashMap<String, Item>,
-    held: HashMap<MultigetId, Held>,
+    queries: QueryNames,
 }
 
 impl Instance {
-    pub fn new(now: Nanos, start: PowerOn) -> Result<Instance, String> {
+    pub fn new(now: Nanos, start: InstanceStarted) -> Result<Instance, AdapterError> {
+        let settings = start.settings.site().map_err(AdapterError::Settings)?;
         Ok(Instance {
-            id: start.router,
-            router: Router::new(start.prng, start.facts.site()?, now),
-            nodes: Vec::new(),
-            node_ids: HashMap::new(),
+            number: start.instance,
+            router: Router::new(start.seed, settings, now),
+            nodes: NodeNames::default(),
             tags: Tags::default(),
-            items: HashMap::new(),
-            held: HashMap::new(),
+            queries: QueryNames::default(),
         })
     }
 
+    // ---- Events ----------------------------------------------------------------------------
+
+    /// A list of nodes, or word that the source of lists is gone.
+    pub fn list_nodes(&mut self, now: Nanos, mode: ListMode, nodes: &[Node]) {
+        let kind = match mode {
+            ListMode::Lost => return self.router.list_lost(now),
+            ListMode::Changes => ListKind::Changes,
+            ListMode::Full | ListMode::FullFromPeer => ListKind::Full,
+        };
+        let entries: Vec<NodeEntry> = nodes.iter().map(|node| self.node_entry(node)).collect();
+        self.router.list(kind, &entries);
+    }
+
+    fn node_entry(&mut self, node: &Node) -> NodeEntry {
+        let health = match node.health {
+            NodeHealth::Running => Health::Running,
+            NodeHealth::Draining => Health::Draining,
+            NodeHealth::Deleted => Health::Gone,
+        };
+        NodeEntry {
+            node: self.node_id(&node.name),
+            place: PlaceId(node.place),
+            zone: node.zone.map(ZoneId),
+            health,
+            since: Nanos::from_millis(node.since_ms),
+        }
+    }
+
     fn node_id(&mut self, name: &str) -> NodeId {
-        if let Some(id) = self.node_ids.get(name) {
-            return *id;
+        if let Some(id) = self.nodes.id(name) {
+            return id;
         }
-        let id = NodeId(self.nodes.len() as u32);
-        self.nodes.push(name.to_string());
+        let id = self.nodes.add(name);
         self.tags.add(name, id);
-        self.node_ids.insert(name.to_string(), id);
         id
     }
 
-    pub fn view(&mut self, now: Nanos, mode: Mode, entries: &[Entry]) {
-        let kind = match mode {
-            Mode::Lost => return self.router.list_lost(now),
-            Mode::Incr => ListKind::Changes,
-            Mode::Total | Mode::WarmCopy => ListKind::Full,
-        };
-        let mut listed = Vec::new();
-        for entry in entries {
-            listed.push(NodeEntry {
-                node: self.node_id(&entry.node),
-                place: PlaceId(entry.cell),
-                zone: entry.campus.map(ZoneId),
-                health: match entry.health {
-                    EntryHealth::Running => Health::Running,
-                    EntryHealth::Stopping => Health::Draining,
-                    EntryHealth::Deleted => Health::Gone,
-                },
-                since: Nanos::from_millis(entry.since),
-            });
+    pub fn arrive(&mut self, now: Nanos, arrival: QueryOrPart) {
+        if arrival.is_query() {
+            self.query_arrives(now, arrival);
+        } else {
+            self.part_arrives(now, arrival);
         }
-        self.router.list(kind, &listed);
     }
 
-    pub fn order(&mut self, now: Nanos, order: Order) {
-        let multiget = MultigetId(order.query);
-        let effort = order.effort.map(Nanos::from_millis);
-        if order.range_no < 0.0 {
-            self.router.take(
-                now,
-                &Arrival {
-                    multiget,
-                    use_case: UseCaseId(order.lane),
-                    customer: CustomerId(order.project),
-                    client_end: Nanos::from_millis(order.client_deadline),
-                    repeat: order.retry,
-                    effort,
-                    second: None,
-                },
-            );
-            self.items.insert(order.req.clone(), Item::Multiget(multiget));
-            self.held.insert(multiget, Held { req: order.req, parts: Vec::new(), out: 0, over: false });
-            return;
-        }
-        let Some(held) = self.held.get_mut(&multiget) else { return };
-        let part = PartId { of: multiget, index: held.parts.len() };
-        held.parts.push(order.req.clone());
-        self.items.insert(order.req, Item::Part(part));
-        let shard = ShardId(order.range_no as u32);
-        self.router.take_part(now, &PartArrival { part, shard, weight: order.heft, effort });
+    fn query_arrives(&mut self, now: Nanos, query: QueryOrPart) {
+        let multiget = MultigetId(query.query_number);
+        let arrival = Arrival {
+            multiget,
+            use_case: UseCaseId(query.use_case),
+            customer: CustomerId(query.customer),
+            client_end: Nanos::from_millis(query.client_deadline_ms),
+            repeat: query.is_retry,
+            effort: query.effort_ms.map(Nanos::from_millis),
+            second: None,
+        };
+        self.router.take(now, &arrival);
+        self.queries.add_query(multiget, query.name);
     }
 
-    pub fn finished(&mut self, now: Nanos, finished: Finished) -> Result<(), String> {
-        let outcome = outcome(finished.how)?;
-        let Some(Item::Part(part)) = self.items.get(&finished.req).copied() else { return Ok(()) };
-        let Some(node) = self.node_ids.get(&finished.node).copied() else { return Ok(()) };
-        self.router.ended(
-            now,
-            &Ending {
-                part,
-                no: HandOffNo(finished.send_no),
-                node,
-                outcome,
-                took: Nanos::from_millis(finished.duration),
-                report: report(&finished.load),
-            },
-        );
-        if let Some(held) = self.held.get_mut(&part.of) {
-            held.out = held.out.saturating_sub(1);
-        }
-        self.forget(part.of);
+    fn part_arrives(&mut self, now: Nanos, part: QueryOrPart) {
+        let multiget = MultigetId(part.query_number);
+        let Some(id) = self.queries.add_part(multiget, part.name) else { return };
+        let arrival = PartArrival {
+            part: id,
+            shard: ShardId(part.shard as u32),
+            weight: part.weight,
+            effort: part.effort_ms.map(Nanos::from_millis),
+        };
+        self.router.take_part(now, &arrival);
+    }
+
+    pub fn attempt_ended(&mut self, now: Nanos, ended: &AttemptEnded) -> Result<(), AdapterError> {
+        let outcome = outcome(ended.status)?;
+        let Some(part) = self.queries.part(&ended.part_name) else { return Ok(()) };
+        let Some(node) = self.nodes.id(&ended.node) else { return Ok(()) };
+        let ending = Ending {
+            part,
+            no: HandOffNo(ended.attempt),
+            node,
+            outcome,
+            took: Nanos::from_millis(ended.took_ms),
+            report: load_report(&ended.load),
+        };
+        self.router.ended(now, &ending);
+        self.queries.attempt_ended(part.of);
         Ok(())
     }
 
-    pub fn status_back(&mut self, status: StatusBack) {
-        if let Some(node) = self.node_ids.get(&status.node) {
-            self.router.reported(*node, report(&status.load));
+    pub fn load_reported(&mut self, report: &LoadReported) {
+        if let Some(node) = self.nodes.id(&report.node) {
+            self.router.reported(node, load_report(&report.load));
         }
     }
 
-    pub fn datagram(&mut self, now: Nanos, datagram: &Datagram) {
-        let Some(news) = self.tags.read(&bytes_of(&datagram.msg)) else { return };
-        self.router.told(now, PeerId(datagram.sender), &news);
+    pub fn datagram_received(&mut self, now: Nanos, datagram: &Datagram) {
+        if let Some(news) = self.tags.read(&hex::decode(&datagram.bytes_hex)) {
+            self.router.told(now, PeerId(datagram.sender), &news);
+        }
     }
 
-    pub fn lapsed(&mut self, req: &str) {
-        if let Some(Item::Multiget(multiget)) = self.items.get(req).copied() {
+    pub fn client_timed_out(&mut self, query_name: &str) {
+        if let Some(multiget) = self.queries.query(query_name) {
             self.router.lapsed(multiget);
-            self.over(multiget);
+            self.queries.query_over(multiget);
         }
     }
 
-    /// Writes down all that the router decides now.
-    pub fn pull(&mut self, now: Nanos, output: &mut Vec<Action>) {
-        let router = self.id;
+    // ---- Decisions -------------------------------------------------------------------------
+
+    /// Appends all that the module decides now.
+    pub fn poll_actions(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         while let Some(decision) = self.router.next(now) {
-            match decision {
-                Decision::HandOff { part, node, stop_at } => {
-                    let Some(held) = self.held.get_mut(&part.of) else { continue };
-                    held.out += 1;
-                    let req = held.parts[part.index].clone();
-                    let node = self.nodes[node.0 as usize].clone();
-                    output.push(Action::Transmit { router, req, node, stop_at: stop_at.as_millis() });
-                }
-                Decision::CallOff { part, no } => {
-                    let Some(held) = self.held.get(&part.of) else { continue };
-                    let req = held.parts[part.index].clone();
-                    output.push(Action::Withdraw { router, req, send_no: no.0 });
-                }
-                Decision::Settle { multiget, whole, last } => {
-                    let Some(held) = self.held.get(&multiget) else { continue };
-                    output.push(Action::WrapUp { router, req: held.req.clone(), full: whole });
-                    if last {
-                        self.over(multiget);
-                    }
-                }
-                Decision::Dismiss { multiget, wait } => {
-                    let Some(held) = self.held.get(&multiget) else { continue };
-                    output.push(Action::Bounce { router, req: held.req.clone(), wait: wait.as_millis() });
-                    self.over(multiget);
-                }
-                Decision::BreakOff { multiget } => {
-                    let Some(held) = self.held.get(&multiget) else { continue };
-                    output.push(Action::FinishError { router, req: held.req.clone() });
-                    self.over(multiget);
-                }
-                Decision::FollowList => output.push(Action::StreamChanges { router, full: true }),
-                // Connections there fall silent with their nodes only.
-                Decision::Renew { .. } => {}
-                Decision::Tell { news } => {
-                    for message in self.tags.write(&news, MESSAGE) {
-                        output.push(Action::Publish { router, msg: hex_of(&message) });
-                    }
-                }
-                Decision::Wake { after } => {
-                    output.push(Action::Timer { router, after: after.as_millis(), label: 0 });
-                }
-            }
+            self.carry_out(decision, actions);
         }
     }
 
-    fn over(&mut self, multiget: MultigetId) {
-        if let Some(held) = self.held.get_mut(&multiget) {
-            held.over = true;
+    /// Turns a decision into actions of the wire. One about a query that is no longer known has none.
+    fn carry_out(&mut self, decision: Decision, actions: &mut Vec<Action>) {
+        let instance = self.number;
+        match decision {
+            Decision::HandOff { part, node, stop_at } => {
+                let Some(part_name) = self.queries.part_name(part) else { return };
+                self.queries.attempt_started(part.of);
+                let (node, stop_at_ms) = (self.nodes.name(node).to_string(), stop_at.as_millis());
+                actions.push(Action::SendPart { instance, part_name, node, stop_at_ms });
+            }
+            Decision::CallOff { part, no } => {
+                let Some(part_name) = self.queries.part_name(part) else { return };
+                actions.push(Action::CancelAttempt { instance, part_name, attempt: no.0 });
+            }
+            Decision::Settle { multiget, whole, last } => {
+                let Some(query_name) = self.queries.query_name(multiget) else { return };
+                actions.push(Action::CompleteQuery { instance, query_name, is_complete: whole });
+                if last {
+                    self.queries.query_over(multiget);
+                }
+            }
+            Decision::Dismiss { multiget, wait } => {
+                let Some(query_name) = self.queries.query_name(multiget) else { return };
+                let retry_after_ms = wait.as_millis();
+                actions.push(Action::RejectQuery { instance, query_name, retry_after_ms });
+                self.queries.query_over(multiget);
+            }
+            Decision::BreakOff { multiget } => {
+                let Some(query_name) = self.queries.query_name(multiget) else { return };
+                actions.push(Action::FailQuery { instance, query_name });
+                self.queries.query_over(multiget);
+            }
+            Decision::FollowList => actions.push(Action::SubscribeToNodeList { instance, full: true }),
+            // On the bench connections go silent only together with their nodes.
+            Decision::Renew { .. } => {}
+            Decision::Tell { news } => self.publish(&news, actions),
+            Decision::Wake { after } => {
+                let after_ms = after.as_millis();
+                actions.push(Action::SetTimer { instance, after_ms, label: TIMER_LABEL });
+            }
         }
-        self.forget(multiget);
     }
 
-    fn forget(&mut self, multiget: MultigetId) {
-        if self.held.get(&multiget).is_none_or(|held| !held.over || held.out > 0) {
-            return;
-        }
-        if let Some(held) = self.held.remove(&multiget) {
-            self.items.remove(&held.req);
-            for part in held.parts {
-                self.items.remove(&part);
-            }
+    fn publish(&self, news: &[(NodeId, News)], actions: &mut Vec<Action>) {
+        for datagram in self.tags.write(news, MAX_DATAGRAM_BYTES) {
+            let bytes_hex = hex::encode(&datagram);
+            actions.push(Action::PublishDatagram { instance: self.number, bytes_hex });
         }
     }
 }
 
-fn outcome(how: u32) -> Result<Outcome, String> {
-    Ok(match how {
+/// The outcome that the wire expresses by a status in the manner of HTTP.
+fn outcome(status: u32) -> Result<Outcome, AdapterError> {
+    Ok(match status {
         200 => Outcome::Answered,
         502 => Outcome::Error,
         429 => Outcome::TurnedAway,
@@ -227,21 +220,10 @@
         520 => Outcome::Broken,
         444 => Outcome::CalledOff,
         409 => Outcome::NeverSent,
-        other => return Err(format!("unknown outcome {other}")),
+        other => return Err(AdapterError::UnknownOutcome(other)),
     })
 }
 
-fn report(load: &std::collections::BTreeMap<String, f64>) -> LoadReport {
+fn load_report(load: &BTreeMap<String, f64>) -> LoadReport {
     fernknot_protocol::report::report(load.iter().map(|(name, value)| (name.as_str(), *value)))
 }
-
-/// The wire has bytes in hex; what is not hex is passed over.
-fn bytes_of(hex: &str) -> Vec<u8> {
-    let digits: Vec<u8> =
-        hex.chars().filter_map(|digit| digit.to_digit(16)).map(|digit| digit as u8).collect();
-    digits.chunks_exact(2).map(|pair| pair[0] << 4 | pair[1]).collect()
-}
-
-fn hex_of(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
--- a/crates/fernknot-bench-adapter/src/wire.rs
+++ b/crates/fernknot-bench-adapter/src/wire.rs
@@ -1,155 +1,305 @@
-//! The bench's wire, as far as the drill reads and writes it.
+//! The bench's wire, as far as the adapter reads and writes it. The wire's names end here: where the code has another
+//! term, a rename attribute keeps the wire's.
 
+use crate::error::AdapterError;
 use fernknot_router_config::Facts;
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// One event: its name and, still unread, its fields.
-pub type Event<'a> = BTreeMap<&'a str, &'a RawValue>;
-
+/// A line of input: events at one time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
-    pub wall: f64,
+    /// The time, in milliseconds.
+    #[serde(rename = "wall")]
+    pub now_ms: f64,
+    /// Events by name, their fields not yet parsed.
     #[serde(borrow)]
-    pub events: Vec<Event<'a>>,
+    pub events: Vec<BTreeMap<&'a str, &'a RawValue>>,
 }
 
-#[derive(Deserialize)]
-pub struct PowerOn {
-    pub router: u64,
-    pub prng: u64,
-    pub facts: Facts,
+/// An event that the adapter takes notice of.
+pub enum Event {
+    Directory(Directory),
+    InstanceStarted(Box<InstanceStarted>),
+    InstanceStopped(InstanceOnly),
+    NodeList(NodeList),
+    QueryOrPart(QueryOrPart),
+    AttemptEnded(AttemptEnded),
+    LoadReported(LoadReported),
+    ClientTimedOut(ClientTimedOut),
+    Datagram(Datagram),
+    /// Only the instance matters: it is asked for its decisions.
+    Wake(InstanceOnly),
 }
 
+/// Nodes under a number by which later events name them.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct Directory {
-    pub sheet: u64,
-    pub nodes_list: Vec<Entry>,
+    #[serde(rename = "sheet")]
+    pub number: u64,
+    #[serde(rename = "nodesList")]
+    pub nodes: Vec<Node>,
 }
 
+/// A node of a list.
 #[derive(Deserialize)]
-pub struct Entry {
-    pub node: String,
-    pub cell: u32,
-    pub campus: Option<u32>,
-    pub health: EntryHealth,
-    #[serde(default)]
-    pub since: f64,
+pub struct Node {
+    #[serde(rename = "node")]
+    pub name: String,
+    /// The place whose shards it holds.
+    #[serde(rename = "cell")]
+    pub place: u32,
+    #[serde(rename = "campus")]
+    pub zone: Option<u32>,
+    pub health: NodeHealth,
+    /// Since when it has been so, in milliseconds.
+    #[serde(rename = "since", default)]
+    pub since_ms: f64,
 }
 
+/// What a list says of a node.
 #[derive(Clone, Copy, Deserialize)]
-pub enum EntryHealth {
+pub enum NodeHealth {
     Running,
-    Stopping,
+    #[serde(rename = "Stopping")]
+    Draining,
     Deleted,
 }
 
+/// An instance begins.
+#[derive(Deserialize)]
+pub struct InstanceStarted {
+    #[serde(rename = "router")]
+    pub instance: u64,
+    #[serde(rename = "prng")]
+    pub seed: u64,
+    #[serde(rename = "facts")]
+    pub settings: Facts,
+}
+
+/// An event of which only the instance matters.
 #[derive(Deserialize)]
-pub struct View {
-    pub router: u64,
-    pub mode: Mode,
-    pub sheet: Option<u64>,
+pub struct InstanceOnly {
+    #[serde(rename = "router")]
+    pub instance: u64,
 }
 
+/// An instance gets a list of nodes.
+#[derive(Deserialize)]
+pub struct NodeList {
+    #[serde(rename = "router")]
+    pub instance: u64,
+    pub mode: ListMode,
+    /// The number of a directory.
+    #[serde(rename = "sheet")]
+    pub directory: Option<u64>,
+}
+
+/// What a list of nodes holds.
 #[derive(Clone, Copy, Deserialize, PartialEq)]
-#[serde(rename_all = "snake_case")]
-pub enum Mode {
-    Incr,
-    Total,
-    WarmCopy,
+pub enum ListMode {
+    #[serde(rename = "incr")]
+    Changes,
+    #[serde(rename = "total")]
+    Full,
+    #[serde(rename = "warm_copy")]
+    FullFromPeer,
+    /// The source of lists is gone.
+    #[serde(rename = "lost")]
     Lost,
 }
 
+/// A query, or one part of it.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Order {
-    pub router: u64,
-    pub req: String,
-    #[serde(default)]
-    pub project: usize,
-    #[serde(default)]
-    pub lane: usize,
-    pub range_no: f64,
-    pub client_deadline: f64,
-    #[serde(default)]
-    pub retry: bool,
-    pub query: u64,
-    pub effort: Option<f64>,
-    #[serde(default)]
-    pub heft: f64,
+pub struct QueryOrPart {
+    #[serde(rename = "router")]
+    pub instance: u64,
+    /// The wire's name of it.
+    #[serde(rename = "req")]
+    pub name: String,
+    #[serde(rename = "project", default)]
+    pub customer: usize,
+    #[serde(rename = "lane", default)]
+    pub use_case: usize,
+    /// The shard of a part; negative for the query itself.
+    #[serde(rename = "rangeNo")]
+    pub shard: f64,
+    #[serde(rename = "clientDeadline")]
+    pub client_deadline_ms: f64,
+    #[serde(rename = "retry", default)]
+    pub is_retry: bool,
+    #[serde(rename = "query")]
+    pub query_number: u64,
+    #[serde(rename = "effort")]
+    pub effort_ms: Option<f64>,
+    /// The share of a part in the whole answer.
+    #[serde(rename = "heft", default)]
+    pub weight: f64,
 }
 
+impl QueryOrPart {
+    pub fn is_query(&self) -> bool {
+        self.shard < 0.0
+    }
+}
+
+/// An attempt of a part ended.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Finished {
-    pub router: u64,
-    pub req: String,
-    pub how: u32,
-    #[serde(default)]
-    pub duration: f64,
-    #[serde(default)]
-    pub send_no: u32,
+pub struct AttemptEnded {
+    #[serde(rename = "router")]
+    pub instance: u64,
+    /// The wire's name of the part.
+    #[serde(rename = "req")]
+    pub part_name: String,
+    /// How it ended, in the manner of HTTP.
+    #[serde(rename = "how")]
+    pub status: u32,
+    #[serde(rename = "duration", default)]
+    pub took_ms: f64,
+    #[serde(rename = "sendNo", default)]
+    pub attempt: u32,
     pub node: String,
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
 }
 
+/// A node reported its load without a part.
 #[derive(Deserialize)]
-pub struct StatusBack {
-    pub router: u64,
+pub struct LoadReported {
+    #[serde(rename = "router")]
+    pub instance: u64,
     pub node: String,
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
 }
 
+/// The client of a query is gone.
 #[derive(Deserialize)]
-pub struct Lapsed {
-    pub router: u64,
-    pub req: String,
+pub struct ClientTimedOut {
+    #[serde(rename = "router")]
+    pub instance: u64,
+    /// The wire's name of the query.
+    #[serde(rename = "req")]
+    pub query_name: String,
 }
 
+/// Another router sent a datagram.
 #[derive(Deserialize)]
 pub struct Datagram {
-    pub router: u64,
+    #[serde(rename = "router")]
+    pub instance: u64,
     pub sender: u32,
-    pub msg: String,
-}
-
-/// Events of which only the instance matters.
-#[derive(Deserialize)]
-pub struct Plain {
-    pub router: u64,
+    /// In hexadecimal digits.
+    #[serde(rename = "msg")]
+    pub bytes_hex: String,
 }
 
+/// A line of output.
 #[derive(Serialize)]
 pub struct Reply {
-    pub output: Vec<Action>,
+    #[serde(rename = "output")]
+    pub actions: Vec<Action>,
 }
 
+/// What an instance wants done. The wire's names stand in the attributes.
 #[derive(Serialize)]
-#[serde(rename_all = "camelCase", rename_all_fields = "camelCase")]
 pub enum Action {
-    Transmit { router: u64, req: String, node: String, stop_at: f64 },
-    Withdraw { router: u64, req: String, send_no: u32 },
-    Timer { router: u64, after: f64, label: u64 },
-    FinishError { router: u64, req: String },
-    Bounce { router: u64, req: String, wait: f64 },
-    WrapUp { router: u64, req: String, full: bool },
-    StreamChanges { router: u64, full: bool },
-    Publish { router: u64, msg: String },
+    #[serde(rename = "transmit")]
+    SendPart {
+        #[serde(rename = "router")]
+        instance: u64,
+        #[serde(rename = "req")]
+        part_name: String,
+        node: String,
+        #[serde(rename = "stopAt")]
+        stop_at_ms: f64,
+    },
+    #[serde(rename = "withdraw")]
+    CancelAttempt {
+        #[serde(rename = "router")]
+        instance: u64,
+        #[serde(rename = "req")]
+        part_name: String,
+        #[serde(rename = "sendNo")]
+        attempt: u32,
+    },
+    #[serde(rename = "timer")]
+    SetTimer {
+        #[serde(rename = "router")]
+        instance: u64,
+        #[serde(rename = "after")]
+        after_ms: f64,
+        label: u64,
+    },
+    #[serde(rename = "finishError")]
+    FailQuery {
+        #[serde(rename = "router")]
+        instance: u64,
+        #[serde(rename = "req")]
+        query_name: String,
+    },
+    #[serde(rename = "bounce")]
+    RejectQuery {
+        #[serde(rename = "router")]
+        instance: u64,
+        #[serde(rename = "req")]
+        query_name: String,
+        #[serde(rename = "wait")]
+        retry_after_ms: f64,
+    },
+    #[serde(rename = "wrapUp")]
+    CompleteQuery {
+        #[serde(rename = "router")]
+        instance: u64,
+        #[serde(rename = "req")]
+        query_name: String,
+        #[serde(rename = "full")]
+        is_complete: bool,
+    },
+    #[serde(rename = "streamChanges")]
+    SubscribeToNodeList {
+        #[serde(rename = "router")]
+        instance: u64,
+        full: bool,
+    },
+    #[serde(rename = "publish")]
+    PublishDatagram {
+        #[serde(rename = "router")]
+        instance: u64,
+        #[serde(rename = "msg")]
+        bytes_hex: String,
+    },
 }
 
-/// The fields of an event, or what is wrong with them.
-pub fn fields<'a, T: Deserialize<'a>>(name: &str, raw: &'a RawValue) -> Result<T, String> {
-    serde_json::from_str(raw.get()).map_err(|error| format!("event {name}: {error}"))
-}
-
-pub fn batch(line: &str) -> Result<Batch<'_>, String> {
+/// Parses a line of input.
+pub fn parse_batch(line: &str) -> Result<Batch<'_>, AdapterError> {
     serde_json::from_str(line).map_err(|error| match serde_json::from_str::<IgnoredAny>(line) {
-        Ok(_) => format!("not a batch: {error}"),
-        Err(error) => format!("not JSON: {error}"),
+        Ok(_) => AdapterError::NotABatch(error),
+        Err(error) => AdapterError::NotJson(error),
     })
 }
+
+/// Parses an event; `None` for one that the adapter takes no notice of.
+pub fn parse_event(name: &str, raw: &RawValue) -> Result<Option<Event>, AdapterError> {
+    let event = match name {
+        "directory" => Event::Directory(fields(name, raw)?),
+        "powerOn" => Event::InstanceStarted(fields(name, raw)?),
+        "down" => Event::InstanceStopped(fields(name, raw)?),
+        "view" => Event::NodeList(fields(name, raw)?),
+        "order" => Event::QueryOrPart(fields(name, raw)?),
+        "finished" => Event::AttemptEnded(fields(name, raw)?),
+        "statusBack" => Event::LoadReported(fields(name, raw)?),
+        "lapsed" => Event::ClientTimedOut(fields(name, raw)?),
+        "datagram" => Event::Datagram(fields(name, raw)?),
+        "bell" | "streaming" => Event::Wake(fields(name, raw)?),
+        _ => return Ok(None),
+    };
+    Ok(Some(event))
+}
+
+fn fields<'a, T: Deserialize<'a>>(event: &str, raw: &'a RawValue) -> Result<T, AdapterError> {
+    serde_json::from_str(raw.get())
+        .map_err(|source| AdapterError::MalformedEvent { event: event.to_string(), source })
+}
