--- /dev/null
+++ b/crates/fernknot-consensus/tests/wire_format.rs
@@ -0,0 +1,146 @@
+//! Messages between replicas are encoded as in earlier releases, so that both can run side by side.
+
+#[path = "../../../tests/common/fixtures.rs"]
+mod fixtures;
+#[path = "common/samples.rs"]
+mod samples;
+
+use fernknot_consensus::{MemberId, Message, PeerHeartbeat, Revision, ViewNumber};
+use fixtures::Fixtures;
+use samples::{ballot, base, mark, member, state, vouched};
+
+/// The name under which a message is recorded. A new variant has to be named here, and given a value below.
+fn recorded_name(word: &Message) -> &'static str {
+    match word {
+        Message::Heartbeat(_) => "heartbeat",
+        Message::RecoveryResponse { .. } => "disk-progress",
+        Message::NewerView { .. } => "newer-view",
+        Message::StateTransfer { .. } => "snapshot",
+        Message::Replicate { .. } => "append",
+        Message::ReplicateAck { .. } => "appended",
+        Message::Commit { .. } => "commit",
+        Message::Prepare { revision: Some(_), .. } => "prepare",
+        Message::Prepare { revision: None, .. } => "prepare-without-state",
+        Message::Prepared { state: Some(_), .. } => "promise",
+        Message::Prepared { state: None, .. } => "promise-without-state",
+        Message::Rejected { .. } => "reject",
+        Message::Accept { state: Some(_), .. } => "accept",
+        Message::Accept { state: None, .. } => "accept-without-state",
+        Message::Accepted { .. } => "accepted",
+        Message::Chosen { .. } => "chosen",
+        Message::ReadIndexRequest { .. } => "confirm-view",
+        Message::ReadIndexResponse { .. } => "view-confirmed",
+    }
+}
+
+fn heartbeat() -> PeerHeartbeat {
+    PeerHeartbeat {
+        sender: member(1),
+        view: ViewNumber(501),
+        state_view: ViewNumber(502),
+        revision: Revision(503),
+        prepared: ballot(504),
+        accepted: ballot(505),
+        recovering: true,
+        commit_revision: Revision(506),
+        view_active: false,
+        stopped: true,
+        disk_healthy: false,
+        incarnation: 507,
+        sent_at: 508,
+        echo: (509, 510),
+        reachable: vec![MemberId(511), MemberId(512)],
+        suspected: vec![MemberId(513)],
+    }
+}
+
+/// The heartbeat with other flags.
+fn heartbeat_with_flags(asks: bool, force: bool, stopped: bool, well: bool) -> PeerHeartbeat {
+    PeerHeartbeat { recovering: asks, view_active: force, stopped, disk_healthy: well, ..heartbeat() }
+}
+
+fn messages_of_a_view() -> Vec<Message> {
+    vec![
+        Message::Heartbeat(heartbeat()),
+        Message::RecoveryResponse {
+            sender: member(2),
+            member_id: MemberId(601),
+            incarnation: 602,
+            progress: mark(),
+        },
+        Message::NewerView { chosen: base(603) },
+        Message::StateTransfer {
+            chosen: base(604),
+            revision: Revision(605),
+            state: state("snapshot of the state"),
+        },
+        Message::Replicate { view: ViewNumber(606), revision: Revision(607), state: state("changed state") },
+        Message::ReplicateAck { sender: MemberId(608), view: ViewNumber(609), revision: Revision(610) },
+        Message::Commit { view: ViewNumber(611), revision: Revision(612) },
+        Message::ReadIndexRequest { view: ViewNumber(613), incarnation: 614, sequence: 615 },
+        Message::ReadIndexResponse {
+            sender: MemberId(616),
+            view: ViewNumber(617),
+            incarnation: 618,
+            sequence: 619,
+        },
+    ]
+}
+
+fn messages_of_a_view_change() -> Vec<Message> {
+    vec![
+        Message::Prepare { proposal: ballot(701), current: base(702), revision: Some(Revision(703)) },
+        Message::Prepare { proposal: ballot(704), current: base(705), revision: None },
+        Message::Prepared {
+            sender: member(3),
+            proposal: ballot(706),
+            view: ViewNumber(707),
+            revision: Some(Revision(708)),
+            state: Some(state("promised state")),
+            accepted: Some(vouched(Some(state("accepted state")))),
+        },
+        Message::Prepared {
+            sender: member(4),
+            proposal: ballot(709),
+            view: ViewNumber(710),
+            revision: None,
+            state: None,
+            accepted: None,
+        },
+        Message::Rejected { view: ViewNumber(711), prepared: ballot(712) },
+        Message::Accept {
+            proposal: ballot(713),
+            current: base(714),
+            next: base(715),
+            revision: Revision(716),
+            state: Some(state("state of the next view")),
+        },
+        Message::Accept {
+            proposal: ballot(717),
+            current: base(718),
+            next: base(719),
+            revision: Revision(720),
+            state: None,
+        },
+        Message::Accepted { sender: member(5), proposal: ballot(721), view: ViewNumber(722) },
+        Message::Chosen { proposal: ballot(723), view: ViewNumber(724), view_active: true },
+    ]
+}
+
+#[test]
+fn given_recorded_messages_when_encoded_and_decoded_then_bytes_and_values_are_the_same() {
+    let mut fixtures = Fixtures::open("wire_format.hex");
+    for message in messages_of_a_view().into_iter().chain(messages_of_a_view_change()) {
+        fixtures.check(recorded_name(&message), &message);
+    }
+    let one_flag_each = [
+        ("heartbeat-asks", heartbeat_with_flags(true, false, false, false)),
+        ("heartbeat-in-force", heartbeat_with_flags(false, true, false, false)),
+        ("heartbeat-stopped", heartbeat_with_flags(false, false, true, false)),
+        ("heartbeat-well", heartbeat_with_flags(false, false, false, true)),
+    ];
+    for (name, heartbeat) in one_flag_each {
+        fixtures.check(name, &Message::Heartbeat(heartbeat));
+    }
+    fixtures.finish();
+}
--- a/crates/fernknot-controller/tests/changes.rs
+++ b/crates/fernknot-controller/tests/changes.rs
@@ -9,7 +9,7 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn given_a_calm_fleet_when_any_registrar_takes_a_version_then_all_have_it_just_as_sent(at: usize) {
+fn given_a_calm_fleet_when_any_controller_takes_a_version_then_all_have_it_just_as_sent(at: usize) {
     let mut fleet = Fleet::three();
     let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
     assert_eq!(fleet.replace(at, 0, &plan(7, "one")), 200);
@@ -176,9 +176,9 @@
     let mut fleet = Fleet::three();
     assert_eq!(fleet.replace(1, 0, &plan(7, "one")), 200);
     let now = fleet.now;
-    let first = (1..=3).find(|at| !fleet.brain(*at).may_end()).expect("one is the sequencer");
-    fleet.brain(first).stop(now);
-    while !fleet.brain(first).may_end() {
+    let first = (1..=3).find(|at| !fleet.brain(*at).can_exit()).expect("one is the sequencer");
+    fleet.brain(first).begin_shutdown(now);
+    while !fleet.brain(first).can_exit() {
         assert!(fleet.now - now < ms(1400), "a quarter of the grace is over");
         fleet.run(ms(20));
     }
--- a/crates/fernknot-controller/tests/nodes.rs
+++ b/crates/fernknot-controller/tests/nodes.rs
@@ -11,14 +11,14 @@
 /// The last that a listener heard of a node.
 fn state(fleet: &Fleet, ear: u64, id: &str) -> Option<NodeState> {
     let words = fleet.heard[&ear].iter().filter_map(|word| match word {
-        ControllerToGateway::Nodes(facts) => Some(facts),
+        ControllerToGateway::NodeUpdates(facts) => Some(facts),
         _ => None,
     });
     words.flatten().rfind(|fact| fact.id == id).map(|fact| fact.state)
 }
 
 #[test]
-fn given_listeners_everywhere_when_a_node_says_a_word_at_one_registrar_then_all_hear_it_at_once() {
+fn given_listeners_everywhere_when_a_node_says_a_word_at_one_controller_then_all_hear_it_at_once() {
     let mut fleet = Fleet::three();
     let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
     for (said, heard) in [("ready", NodeState::Ready), ("draining", NodeState::Draining)] {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn given_a_registrar_that_is_cut_off_when_a_node_drains_there_then_it_is_sent_to_another() {
+fn given_a_controller_that_is_cut_off_when_a_node_drains_there_then_it_is_sent_to_another() {
     let mut fleet = Fleet::three();
     assert_eq!(fleet.beat(1, "i-1", "ready", 1), 200);
     fleet.cut_off(1);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn given_a_registrar_that_restarts_when_it_meets_the_others_then_it_knows_the_nodes_again() {
+fn given_a_controller_that_restarts_when_it_meets_the_others_then_it_knows_the_nodes_again() {
     let mut fleet = Fleet::three();
     assert_eq!(fleet.beat(1, "i-1", "ready", 1), 200);
     fleet.run(ms(100));
@@ -118,19 +118,23 @@
 }
 
 #[test]
-fn given_gateways_at_all_registrars_when_one_leaves_by_order_then_the_next_cut_is_without_it() {
+fn given_gateways_at_all_controllers_when_one_leaves_by_order_then_the_next_cut_is_without_it() {
     let mut fleet = Fleet::three();
     let ears: Vec<u64> = (1..=3).map(|at| fleet.listen(at, Subscription::All, 0)).collect();
     for _ in 0..8 {
         fleet.run(ms(500));
         for (at, ear) in (1..=3).zip(&ears) {
             let now = fleet.now;
-            fleet.brain(at).inward(now, SubscriberId(*ear), GatewayToController::Alive { ready: true });
+            fleet.brain(at).handle_gateway_message(
+                now,
+                SubscriberId(*ear),
+                GatewayToController::Heartbeat { ready: true },
+            );
         }
     }
     let live = |fleet: &Fleet, ear: u64| {
         fleet.heard[&ear].iter().rev().find_map(|word| match word {
-            ControllerToGateway::Cut(cut) => Some((cut.fence, cut.live.len())),
+            ControllerToGateway::Assignment(cut) => Some((cut.fencing_token, cut.gateways.len())),
             _ => None,
         })
     };
@@ -138,7 +142,7 @@
     assert_eq!(before.1, 3);
     assert!(ears.iter().all(|ear| live(&fleet, *ear) == Some(before)), "all by one cut");
     let now = fleet.now;
-    fleet.brain(3).inward(now, SubscriberId(ears[2]), GatewayToController::Leaving);
+    fleet.brain(3).handle_gateway_message(now, SubscriberId(ears[2]), GatewayToController::ShuttingDown);
     fleet.run(ms(1500));
     let after = live(&fleet, ears[0]).expect("a cut was made");
     assert!(after.0 > before.0);
@@ -146,7 +150,7 @@
 }
 
 #[test]
-fn given_a_registrar_that_is_cut_off_when_a_gateway_starts_then_it_is_told_no_configuration_until_the_others_are_back()
+fn given_a_controller_that_is_cut_off_when_a_gateway_starts_then_it_is_told_no_configuration_until_the_others_are_back()
  {
     let mut fleet = Fleet::three();
     assert_eq!(fleet.replace(1, 0, &plan(4, "one")), 200);
@@ -158,8 +162,9 @@
     assert_eq!(fleet.replace(other, 4, &plan(7, "two")), 200);
     let ear = fleet.listen(first, Subscription::All, 0);
     fleet.run(ms(1000));
-    let whole =
-        |fleet: &Fleet| fleet.heard[&ear].iter().any(|word| matches!(word, ControllerToGateway::Whole));
+    let whole = |fleet: &Fleet| {
+        fleet.heard[&ear].iter().any(|word| matches!(word, ControllerToGateway::SnapshotComplete))
+    };
     assert!(fleet.plans(ear).is_empty() && !whole(&fleet), "it would be ready with an old one");
     fleet.join_all();
     fleet.run(ms(6000));
--- a/crates/fernknot-ownership/src/lib.rs
+++ b/crates/fernknot-ownership/src/lib.rs
@@ -2,13 +2,15 @@
 //!
 //! A [`Cut`] says which gateways live; it gives every key one holder by rendezvous hashing, so that a change of one
 //! gateway moves only the keys of that one. Cuts stand under a [`Fence`] that rises, also over changes of the view.
-//! Registrars make them ([`Keeper`]); gateways take them and hand over ([`Holder`]). The ways weighed are in
+//! Controllers make them ([`Keeper`]); gateways take them and hand over ([`Holder`]). The ways weighed are in
 //! `docs/news.md`.
 
 mod cut;
 mod holder;
 mod keeper;
 
-pub use cut::{Assignment, AssignmentChange, FencingToken, GatewayRecord, IncarnationId, key_hash, scatter};
+pub use cut::{
+    Assignment, AssignmentChange, FencingToken, GatewayRecord, IncarnationId, key_hash, splitmix64,
+};
 pub use holder::{Action, ApplyOutcome, OwnedKeys, OwnedKeysSettings, OwnershipState};
-pub use keeper::{Assigner, AssignerSettings, doubt, unconfirmed};
+pub use keeper::{Assigner, AssignerSettings, confirmation_timeout, presumed_alive_timeout};
--- /dev/null
+++ b/crates/fernknot-rpc/tests/wire_format.rs
@@ -0,0 +1,192 @@
+//! Messages between processes are encoded as in earlier releases, so that both can run side by side.
+
+#[path = "../../../tests/common/fixtures.rs"]
+mod fixtures;
+#[path = "common/samples.rs"]
+mod samples;
+
+use fernknot_consensus::{Message, Revision, ViewNumber};
+use fernknot_protocol::buffer::Buffer;
+use fernknot_rpc::{
+    ControllerEndpoint, ControllerMessage, ControllerToGateway, GatewayToController, InspectionTopic,
+    ShuffleDatagram, Subscription, read_message, write_message,
+};
+use fixtures::Fixtures;
+use samples::{addr, cut, descriptors, gateway, nodes, plan};
+
+/// Bounds a message that is read back here.
+const LARGEST_MESSAGE: usize = 1024;
+
+/// The name under which a message to a controller or gateway is recorded. A new variant has to be named here, and
+/// given a value below; so with the functions that follow.
+fn recorded_name_of_inward(word: &GatewayToController) -> &'static str {
+    match word {
+        GatewayToController::Subscribe { subscription: Subscription::All, .. } => "subscribe-to-all",
+        GatewayToController::Subscribe { subscription: Subscription::Services(_), .. } => {
+            "subscribe-to-services"
+        }
+        GatewayToController::Heartbeat { ready: true } => "alive-and-ready",
+        GatewayToController::Heartbeat { ready: false } => "alive-and-not-ready",
+        GatewayToController::RelayedHeartbeats(_) => "alive-downstream",
+        GatewayToController::ShuttingDown => "leaving",
+        GatewayToController::Peer(word) => recorded_name_of_peer_word(word),
+        GatewayToController::Inspect(question) => recorded_name_of_question(*question),
+        GatewayToController::ForceView { .. } => "force-view",
+    }
+}
+
+fn recorded_name_of_peer_word(word: &ControllerMessage) -> &'static str {
+    match word {
+        ControllerMessage::Identify { .. } => "peer-hello",
+        ControllerMessage::Consensus(_) => "peer-consensus",
+        ControllerMessage::NodeUpdates(_) => "peer-nodes",
+        ControllerMessage::RecentIncarnations(_) => "peer-nodes-alive",
+        ControllerMessage::RequestNodes(_) => "peer-nodes-wanted",
+        ControllerMessage::LiveGateways(_) => "peer-gateways",
+        ControllerMessage::GatewayShutDown { .. } => "peer-gateway-left",
+        ControllerMessage::Assignment(_) => "peer-ownership",
+        ControllerMessage::ForwardChange { .. } => "peer-replace",
+        ControllerMessage::ChangeOutcome { .. } => "peer-replaced",
+        ControllerMessage::KnownControllers(_) => "peer-addresses",
+    }
+}
+
+fn recorded_name_of_question(question: InspectionTopic) -> &'static str {
+    match question {
+        InspectionTopic::Nodes => "ask-nodes",
+        InspectionTopic::Views => "ask-views",
+        InspectionTopic::Relays => "ask-homes",
+        InspectionTopic::Ownership => "ask-duties",
+        InspectionTopic::Counters => "ask-counters",
+    }
+}
+
+fn recorded_name_of_outward(word: &ControllerToGateway) -> &'static str {
+    match word {
+        ControllerToGateway::Config { .. } => "told-configuration",
+        ControllerToGateway::NodeUpdates(_) => "told-nodes",
+        ControllerToGateway::SnapshotComplete => "told-whole",
+        ControllerToGateway::Heartbeat { .. } => "told-heartbeat",
+        ControllerToGateway::Assignment(_) => "told-ownership",
+        ControllerToGateway::InspectionReport(_) => "told-answer",
+        ControllerToGateway::ForceViewResult(Ok(_)) => "told-view-forced",
+        ControllerToGateway::ForceViewResult(Err(_)) => "told-view-not-forced",
+    }
+}
+
+fn to_a_teller() -> Vec<GatewayToController> {
+    vec![
+        GatewayToController::Subscribe {
+            gateway: gateway(1),
+            ready: true,
+            subscription: Subscription::All,
+            revision: 101,
+        },
+        GatewayToController::Subscribe {
+            gateway: gateway(2),
+            ready: false,
+            subscription: Subscription::Services(vec!["service-1".into(), "service-2".into()]),
+            revision: 102,
+        },
+        GatewayToController::Heartbeat { ready: true },
+        GatewayToController::Heartbeat { ready: false },
+        GatewayToController::RelayedHeartbeats(vec![gateway(3), gateway(4)]),
+        GatewayToController::ShuttingDown,
+        GatewayToController::Inspect(InspectionTopic::Nodes),
+        GatewayToController::Inspect(InspectionTopic::Views),
+        GatewayToController::Inspect(InspectionTopic::Relays),
+        GatewayToController::Inspect(InspectionTopic::Ownership),
+        GatewayToController::Inspect(InspectionTopic::Counters),
+        GatewayToController::ForceView { lost: vec![addr(5), addr(6)] },
+    ]
+}
+
+fn between_controllers() -> Vec<ControllerMessage> {
+    vec![
+        ControllerMessage::Identify { addr: addr(7), zone: "zone-7".into() },
+        ControllerMessage::Consensus(Message::Commit { view: ViewNumber(201), revision: Revision(202) }),
+        ControllerMessage::NodeUpdates(nodes()),
+        ControllerMessage::RecentIncarnations(vec![203, 204]),
+        ControllerMessage::RequestNodes(vec![205, 206]),
+        ControllerMessage::LiveGateways(vec![gateway(8), gateway(9)]),
+        ControllerMessage::GatewayShutDown { incarnation: 207 },
+        ControllerMessage::Assignment(cut()),
+        ControllerMessage::ForwardChange {
+            incarnation: 208,
+            call: 209,
+            base_epoch: 210,
+            body: b"configuration".to_vec(),
+        },
+        ControllerMessage::ChangeOutcome {
+            incarnation: 211,
+            call: 212,
+            status: 412,
+            reason: "another version is in force".into(),
+        },
+        ControllerMessage::KnownControllers(vec![addr(10), addr(11)]),
+    ]
+}
+
+fn to_a_listener() -> Vec<ControllerToGateway> {
+    let controllers =
+        [12, 13].map(|number| ControllerEndpoint { addr: addr(number), zone: format!("zone-{number}") });
+    vec![
+        ControllerToGateway::Config { revision: 301, config: plan() },
+        ControllerToGateway::NodeUpdates(nodes()),
+        ControllerToGateway::SnapshotComplete,
+        ControllerToGateway::Heartbeat {
+            sender: 302,
+            revision: 303,
+            holds_lease: true,
+            hops: 3,
+            fencing_token: 304,
+            controllers: controllers.to_vec(),
+        },
+        ControllerToGateway::Assignment(cut()),
+        ControllerToGateway::InspectionReport("what is held here".into()),
+        ControllerToGateway::ForceViewResult(Ok(305)),
+        ControllerToGateway::ForceViewResult(Err("a majority is heard".into())),
+    ]
+}
+
+#[test]
+fn given_recorded_messages_when_encoded_and_decoded_then_bytes_and_values_are_the_same() {
+    let mut fixtures = Fixtures::open("wire_format.hex");
+    let peers = between_controllers().into_iter().map(GatewayToController::Peer);
+    for message in to_a_teller().into_iter().chain(peers) {
+        fixtures.check(recorded_name_of_inward(&message), &message);
+    }
+    for message in to_a_listener() {
+        fixtures.check(recorded_name_of_outward(&message), &message);
+    }
+    fixtures.finish();
+}
+
+#[test]
+fn given_recorded_datagrams_when_encoded_and_decoded_then_bytes_and_values_are_the_same() {
+    let mut fixtures = Fixtures::open("shuffle_format.hex");
+    fixtures.check("shuffle-asked", &ShuffleDatagram { is_reply: false, sample: descriptors() });
+    fixtures.check("shuffle-answered", &ShuffleDatagram { is_reply: true, sample: descriptors() });
+    fixtures.finish();
+}
+
+#[test]
+fn given_a_recorded_stream_when_messages_are_framed_then_its_bytes_are_the_same_and_are_read_back() {
+    let mut fixtures = Fixtures::open("frame_format.hex");
+    let messages = [
+        GatewayToController::ShuttingDown,
+        GatewayToController::ForceView { lost: vec![addr(14), addr(15)] },
+    ];
+    let mut written = Buffer::default();
+    messages.iter().for_each(|message| write_message(&mut written, message));
+    let recorded = fixtures.take("two-frames");
+    assert_eq!(written.data(), recorded);
+
+    let mut stream = Buffer::default();
+    stream.push(&recorded);
+    for message in messages {
+        assert_eq!(read_message(&mut stream, LARGEST_MESSAGE), Ok(Some(message)));
+    }
+    assert_eq!(read_message::<GatewayToController>(&mut stream, LARGEST_MESSAGE), Ok(None));
+    fixtures.finish();
+}
