--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -43,7 +43,7 @@
 
     // ---- Events ----------------------------------------------------------------------------
 
-    /// A list of nodes, or word that the source of lists is gone.
+    /// A list of nodes arrived, or the source of lists is gone.
     pub fn list_nodes(&mut self, now: Nanos, mode: ListMode, nodes: &[Node]) {
         let kind = match mode {
             ListMode::Lost => return self.router.list_lost(now),
--- a/crates/fernknot-bench-adapter/src/wire.rs
+++ b/crates/fernknot-bench-adapter/src/wire.rs
@@ -59,7 +59,7 @@
     pub since_ms: f64,
 }
 
-/// What a list says of a node.
+/// The health of a node by a list.
 #[derive(Clone, Copy, Deserialize)]
 pub enum NodeHealth {
     Running,
@@ -134,7 +134,7 @@
     pub query_number: u64,
     #[serde(rename = "effort")]
     pub effort_ms: Option<f64>,
-    /// The share of a part in the whole answer.
+    /// The share of a part in the complete answer.
     #[serde(rename = "heft", default)]
     pub weight: f64,
 }
--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -52,7 +52,7 @@
 pub(crate) struct PlannedQuery {
     pub at: Nanos,
     pub asked: Asked,
-    /// The blocks that truly hold matches.
+    /// The blocks that truly match.
     pub matches: Vec<ShardId>,
 }
 
@@ -267,7 +267,7 @@
         self.engine.answered(self.now, part, number, value, report);
     }
 
-    /// A block's answer of the first phase: it names itself if it truly holds matches.
+    /// A block's answer of the first phase: it names itself if it truly matches.
     fn match_value(&self, multiget: MultigetId, shard: ShardId) -> String {
         let query = self.query_of.get(&multiget);
         let is_match = query.is_some_and(|query| self.queries[*query].matches.contains(&shard));
--- a/crates/fernknot-experiments/src/stores.rs
+++ b/crates/fernknot-experiments/src/stores.rs
@@ -7,7 +7,7 @@
 use rand_distr::{Distribution, Exp, Gamma};
 use std::collections::VecDeque;
 
-/// A spell lasts as long as the script says, times a factor between these.
+/// A spell lasts the script's mean length times a factor between these.
 const SPELL_FACTORS: std::ops::Range<f64> = 0.5..1.5;
 
 /// One attempt of a part, as it reached a store.
--- a/crates/fernknot-experiments/src/two_phase/figures.rs
+++ b/crates/fernknot-experiments/src/two_phase/figures.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The longest query that is told apart, in microseconds.
+/// The longest query that is distinguished, in microseconds.
 const MAX_QUERY_MICROS: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
--- a/crates/fernknot-fault-tests/src/error.rs
+++ b/crates/fernknot-fault-tests/src/error.rs
@@ -33,10 +33,10 @@
     #[error("no fernknot-router beside {0}: build it first")]
     NoRouterProgram(PathBuf),
     /// The processes, relays or stand-ins could not be set up.
-    #[error("the rig: {0}")]
+    #[error("the processes could not be set up: {0}")]
     Setup(std::io::Error),
     /// The routers did not become ready before the first fault.
-    #[error("the trial never got ready: {0}")]
+    #[error("the routers never became ready: {0}")]
     NeverReady(Box<FaultTestError>),
     /// A router could not be started.
     #[error("router {router}: {source}")]
@@ -66,7 +66,7 @@
         limit: Duration,
     },
     /// A condition of the schedule did not come true in time.
-    #[error("{condition}: router {router} says {view}")]
+    #[error("{condition}: router {router} shows {view}")]
     NeverTrue {
         /// What was awaited, of whom, at whom.
         condition: String,
--- a/crates/fernknot-fault-tests/src/history.rs
+++ b/crates/fernknot-fault-tests/src/history.rs
@@ -19,9 +19,9 @@
     pub observer: usize,
     /// The router whose status it is.
     pub member: usize,
-    /// The status before, by the word of the log.
+    /// The status before, as the log names it.
     pub from: String,
-    /// The status after, by the word of the log.
+    /// The status after, as the log names it.
     pub to: String,
     /// The line of the log.
     pub log_line: String,
@@ -42,7 +42,7 @@
 /// A fault that was injected, or its end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultEvent {
-    /// A router was killed, suspended or told to end.
+    /// A router was killed, suspended or asked to end.
     Down {
         /// The router.
         router: usize,
@@ -80,7 +80,7 @@
     pub store_calls: Vec<Vec<String>>,
     /// The status changes that routers logged.
     pub status_changes: Vec<StatusChange>,
-    /// The faults that the checker is told of, in the order of time.
+    /// The faults that the checker knows of, in the order of time.
     pub fault_events: Vec<(Duration, FaultEvent)>,
 }
 
--- a/crates/fernknot-fault-tests/src/router_process.rs
+++ b/crates/fernknot-fault-tests/src/router_process.rs
@@ -85,7 +85,7 @@
             .map_err(|source| FaultTestError::Signal { router, source })
     }
 
-    /// Waits for the end of a process that was told to end.
+    /// Waits for the end of a process that was killed or asked to end.
     pub fn reap(&mut self) {
         if let Some(mut child) = self.child.take() {
             // Only a process that is not this one's child could not be waited for.
--- a/crates/fernknot-fault-tests/src/router_view.rs
+++ b/crates/fernknot-fault-tests/src/router_view.rs
@@ -11,9 +11,9 @@
 
 /// A router's membership view, as `GET /fleet` shows it.
 pub(crate) struct RouterView {
-    /// What it says of itself.
+    /// What it reports of itself.
     pub own: BTreeMap<String, String>,
-    /// The status word of each other router, by its number.
+    /// The status of each other router, by its number.
     pub statuses: BTreeMap<usize, String>,
 }
 
@@ -42,7 +42,7 @@
     text.lines().find_map(|line| line.strip_prefix(SENT_DATAGRAMS_COUNTER)?.parse().ok())
 }
 
-/// The whole answer to a GET, head and body.
+/// The answer to a GET, head and body.
 pub(crate) fn http_get(address: SocketAddr, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
--- a/crates/fernknot-fault-tests/src/scenarios.rs
+++ b/crates/fernknot-fault-tests/src/scenarios.rs
@@ -8,7 +8,7 @@
 pub const NAMES: [&str; 12] = [
     "crash", "pause", "loss", "late", "pair", "one-way", "hears", "speaks", "split", "herd", "roll", "again",
 ];
-/// Scenarios with a fault that the checker is not told of, and the promise that it has to find broken.
+/// Scenarios with a fault that is hidden from the checker, and the promise that it has to find broken.
 pub const SEEDED_BUGS: [(&str, &str); 2] = [("planted-lost", NO_FALSE_FAILURE), ("planted-stop", ONE_ANSWER)];
 
 /// Requests a second of all clients together.
--- a/crates/fernknot-fault-tests/src/schedule.rs
+++ b/crates/fernknot-fault-tests/src/schedule.rs
@@ -50,7 +50,7 @@
         from: Routers,
         /// Their receivers.
         to: Routers,
-        /// The checker is not told, so that it finds a broken promise: a seeded bug.
+        /// It is hidden from the checker, so that this finds a broken promise: a seeded bug.
         #[serde(rename = "secret", default)]
         hidden: bool,
     },
@@ -106,7 +106,7 @@
         #[serde(rename = "is")]
         statuses: Vec<String>,
     },
-    /// Waits until each observer says this of its own view.
+    /// Waits until each observer reports this of its own view.
     #[serde(rename = "view")]
     AwaitView {
         /// The routers that are asked.
--- a/crates/fernknot-fault-tests/tests/routers_keep_their_promises.rs
+++ b/crates/fernknot-fault-tests/tests/routers_keep_their_promises.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_fault_that_the_checker_is_not_told_of_breaks_the_promise_that_it_should() {
+fn a_fault_that_is_hidden_from_the_checker_breaks_the_promise_that_it_should() {
     for (name, promise) in SEEDED_BUGS {
         let mut schedule = scenario(name, 5, 3, PERIOD_MS).unwrap();
         schedule.load_per_s = 100.0;
--- a/crates/fernknot-membership/src/action.rs
+++ b/crates/fernknot-membership/src/action.rs
@@ -36,7 +36,7 @@
     },
     /// The local router refutes a suspicion or failure of itself by a higher incarnation.
     Refuted {
-        /// The router that held it.
+        /// The router that reported it.
         accuser: RouterId,
         /// The new incarnation.
         incarnation: Incarnation,
--- a/crates/fernknot-membership/src/cause.rs
+++ b/crates/fernknot-membership/src/cause.rs
@@ -11,7 +11,7 @@
 pub enum EvidenceSource {
     /// The router is configured; nothing was heard of it yet.
     Configured,
-    /// The router said so itself.
+    /// The router itself.
     Member,
     /// The local router's own probe, or a suspicion that timed out here.
     LocalProbe,
@@ -33,7 +33,7 @@
 /// Who reported a status, when, and how it became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cause {
-    /// The router that holds this status first hand.
+    /// The router that knows this status first hand.
     pub reporter: RouterId,
     /// When the local router learned of it, by the host's clock.
     pub at: Nanos,
--- a/crates/fernknot-membership/src/link.rs
+++ b/crates/fernknot-membership/src/link.rs
@@ -7,7 +7,7 @@
 /// Its [`Display`](fmt::Display) form is the one of the operator's view (`docs/membership-operations.md`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
-    /// No probe has said anything yet.
+    /// No probe has ended yet.
     #[default]
     Unknown,
     /// Datagrams pass both ways.
@@ -49,7 +49,7 @@
         self.state
     }
 
-    /// Takes what one probe says of the link. A good one counts at once.
+    /// Takes what one probe shows of the link. A good one counts at once.
     pub fn observe(&mut self, observed: LinkState) {
         if observed == LinkState::Bidirectional {
             *self = LinkTracker { state: observed, observed, consecutive: 0 };
--- a/crates/fernknot-membership/src/local_router.rs
+++ b/crates/fernknot-membership/src/local_router.rs
@@ -1,11 +1,11 @@
-//! What the local router says of itself.
+//! What the local router claims of itself.
 
 use crate::identity::{Incarnation, RouterId};
 use crate::message::Update;
 use crate::status::{Status, VersionedStatus};
 use fernknot::interface::Nanos;
 
-/// What the local router says of itself.
+/// What the local router claims of itself.
 pub(crate) struct LocalRouter {
     pub id: RouterId,
     /// A hash of its configured name, to detect another process with the same name.
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes an incarnation past the reported one, if that one overrides what this router says of itself.
+    /// Takes an incarnation past the reported one, if that one overrides what this router claims of itself.
     pub fn refute(&mut self, reported: VersionedStatus) -> bool {
         if self.has_left || reported <= VersionedStatus::alive(self.incarnation) {
             return false;
--- a/crates/fernknot-membership/src/member_table.rs
+++ b/crates/fernknot-membership/src/member_table.rs
@@ -184,7 +184,7 @@
 }
 
 /// Whether another router passes on that this live one failed. It is taken for a suspicion with all its accusers, as
-/// the member may have refuted it where the update comes from: after a partition heals, each side brings what it held
+/// the member may have refuted it where the update comes from: after a partition heals, each side brings what it knew
 /// of the other.
 fn is_hearsay_failure(
     settings: &MembershipSettings,
--- a/crates/fernknot-membership/src/message.rs
+++ b/crates/fernknot-membership/src/message.rs
@@ -9,8 +9,8 @@
 
 /// The version of the message format. Messages of another one are rejected.
 pub const MESSAGE_VERSION: u8 = 1;
-/// The first byte of each datagram of this protocol. What routers tell each other of nodes never begins with it: there
-/// it would be a count of entries, of which so many do not fit into a datagram.
+/// The first byte of each datagram of this protocol. Datagrams about node load never begin with it: there it would be
+/// a count of entries, of which so many do not fit into a datagram.
 pub const DATAGRAM_PREFIX: u8 = 0xff;
 
 /// About the bytes of one update, to estimate how many do not fit.
@@ -93,7 +93,7 @@
     pub member: RouterId,
     /// The status, and the incarnation that it is about.
     pub state: VersionedStatus,
-    /// The router that holds this first hand, where it is not the member itself.
+    /// The router that knows this first hand, where it is not the member itself.
     pub reporter: Option<RouterId>,
 }
 
@@ -114,7 +114,7 @@
 }
 
 impl Update {
-    /// Whether only the member itself can say so first.
+    /// Whether only the member itself can claim that first.
     pub(crate) fn is_own_claim(&self) -> bool {
         matches!(self.state.status, Status::Alive | Status::Left)
     }
--- a/crates/fernknot-membership/src/prober.rs
+++ b/crates/fernknot-membership/src/prober.rs
@@ -1,4 +1,4 @@
-//! The failure detector: direct and indirect probes, and what an unanswered one says.
+//! The failure detector: direct and indirect probes, and the conclusions from an unanswered one.
 
 use crate::identity::RouterId;
 use crate::link::LinkState;
@@ -129,7 +129,7 @@
     state.learn(now, probe.target, suspected, state.local_cause(now));
 }
 
-/// What the probe says of the link, where the target turns out to be running.
+/// What the probe shows of the link, where the target turns out to be running.
 fn observed_link(state: &ProtocolState, now: Nanos, probe: &Probe, member: &Member) -> Option<LinkState> {
     let heard_since = |since: Nanos| member.last_heard.is_some_and(|at| at >= since);
     match probe.relayed_ack {
--- a/crates/fernknot-membership/src/protocol.rs
+++ b/crates/fernknot-membership/src/protocol.rs
@@ -249,7 +249,7 @@
     }
 
     /// Among how many routers to share limits that count for all of them together: the live ones. In a minority, or
-    /// with a view that is settling, all of them, so that the two sides of a partition do not take the whole each.
+    /// with a view that is settling, all of them, so that the two sides of a partition do not take the full limit each.
     pub fn quota_sharers(&self, now: Nanos) -> usize {
         let count = self.live_count();
         if self.is_settling(now) || !self.has_majority(now) { count.total } else { count.live.max(1) }
--- a/crates/fernknot-membership/src/receiver.rs
+++ b/crates/fernknot-membership/src/receiver.rs
@@ -71,7 +71,7 @@
     state.learn(now, update.member, update.state, cause);
 }
 
-/// Takes a new incarnation where others hold something else of the local router. The same report coming again finds
+/// Takes a new incarnation where others report something else of the local router. The same report arriving again finds
 /// the incarnation past it already.
 fn refute(state: &mut ProtocolState, reported: VersionedStatus, accuser: RouterId) {
     if !state.local.refute(reported) {
@@ -152,7 +152,7 @@
     }
 }
 
-/// A router that counts as failed can refute that only once it is told: the answer carries its status.
+/// A router that counts as failed can refute that only once it knows: the answer carries its status.
 fn answer_gossip(state: &mut ProtocolState, from: RouterId) {
     if state.members.get(from).is_some_and(|member| member.is_failed()) {
         state.outbox.push(from, MessageBody::Gossip);
--- a/crates/fernknot-membership/src/sender.rs
+++ b/crates/fernknot-membership/src/sender.rs
@@ -32,7 +32,7 @@
     Action::Send { to, bytes }
 }
 
-/// The local router's own departure; and what is held of the receiver, as it alone can refute that.
+/// The local router's own departure; and the receiver's status, which it alone can refute.
 fn mandatory_updates(state: &ProtocolState, to: RouterId) -> Vec<Update> {
     let departure = state.local.has_left.then(|| state.local.update());
     let receiver = state.members.get(to);
@@ -51,7 +51,7 @@
     if id == state.local.id { Some(state.local.update()) } else { state.members.get(id).map(Member::update) }
 }
 
-/// A router that has just started knows nobody, and is told of some live ones in each message.
+/// A router that has just started knows nobody, and gets some live ones in each message.
 fn add_random_members(state: &mut ProtocolState, now: Nanos, to: RouterId, updates: &mut Vec<Update>) {
     let window = state.settings.settling_time();
     let is_new = state.members.get(to).is_some_and(|member| member.has_just_started(now, window));
--- a/crates/fernknot-membership/src/settings.rs
+++ b/crates/fernknot-membership/src/settings.rs
@@ -16,9 +16,9 @@
 pub struct MembershipSettings {
     /// SWIM's protocol period: one other router is probed in each.
     pub probe_period: Nanos,
-    /// The most datagrams sent in any second.
+    /// The maximum of datagrams sent in any second.
     pub datagrams_per_s: f64,
-    /// The most bytes of one datagram.
+    /// The maximum size of one datagram, in bytes.
     pub max_datagram_bytes: usize,
     /// Which parts of the protocol are on.
     pub variant: Variant,
@@ -49,7 +49,7 @@
 const DIRECT_PROBE_PERIODS: f64 = 0.4;
 /// Periods within which a second failed probe of the same router makes a suspicion.
 const SECOND_FAILURE_PERIODS: f64 = 6.0;
-/// Periods within which a requester must have been heard for a relayed probe to say that it is heard.
+/// Periods within which a requester must have been heard for an indirect probe to confirm that it is heard.
 const RECENTLY_HEARD_PERIODS: f64 = 2.0;
 
 impl MembershipSettings {
--- a/crates/fernknot-membership/src/state.rs
+++ b/crates/fernknot-membership/src/state.rs
@@ -101,8 +101,8 @@
         }
     }
 
-    /// One of many failed members is back: a partition healed, and the other side holds the local router for failed as
-    /// well. A new incarnation saves each of them from saying so.
+    /// One of many failed members is back: a partition healed, and the other side takes the local router for failed as
+    /// well. A new incarnation refutes that before each of them reports it.
     fn detect_healed_partition(&mut self, now: Nanos, change: &StateChange) {
         let was_partitioned = change.failed_before as f64 >= PARTITION_SHARE * self.router_count() as f64;
         if was_partitioned && self.local.announce(now, self.settings.settling_time()) {
@@ -132,7 +132,7 @@
         !self.members.is_empty() && self.health.hears_nobody(&self.settings, now)
     }
 
-    /// Whether the silence of others says something of them, rather than of the local router.
+    /// Whether the silence of others is evidence against them, rather than against the local router.
     pub fn may_accuse(&self, now: Nanos) -> bool {
         !self.settings.is_full() || !self.health.is_listening(now) && !self.is_isolated(now)
     }
--- a/crates/fernknot-membership/src/status.rs
+++ b/crates/fernknot-membership/src/status.rs
@@ -7,7 +7,7 @@
 /// A router's liveness, in the order in which one status overrides another at the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Status {
-    /// It answers, or nothing says that it does not.
+    /// Nothing is known against it.
     Alive,
     /// It did not answer a probe, and has some time to refute the suspicion.
     Suspected {
--- a/crates/fernknot-membership/tests/status_lattice_model.rs
+++ b/crates/fernknot-membership/tests/status_lattice_model.rs
@@ -9,7 +9,7 @@
 
 const NEVER_GOES_BACK: &str = "a status never goes back to an older incarnation";
 const NO_INVENTED_INCARNATION: &str = "nobody is known by an incarnation that it never had";
-const ALL_AGREE_IN_THE_END: &str = "in the end all hold each running router for alive";
+const ALL_AGREE_IN_THE_END: &str = "in the end all agree that each running router is alive";
 const SOMEONE_FAILS: &str = "someone counts as failed";
 
 /// The highest incarnation, and updates in flight at once.
--- a/crates/fernknot-placement/src/change.rs
+++ b/crates/fernknot-placement/src/change.rs
@@ -13,7 +13,7 @@
 pub enum MigrationStage {
     /// The targets copy; the old owners answer.
     Prepared,
-    /// Either side may answer: a node that no longer owns the range says so.
+    /// Either side may answer: a node that no longer owns the range redirects.
     Moving,
     /// The targets answer. A change of this stage names them as owners.
     Done,
@@ -66,6 +66,6 @@
     Snapshot,
     /// The endpoint list.
     EndpointList,
-    /// A node that was asked: the last word within an epoch.
+    /// A node that was asked: authoritative within an epoch.
     Owner,
 }
--- a/crates/fernknot-placement/src/lib.rs
+++ b/crates/fernknot-placement/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`snapshot`] that keeps a map over a restart. It has no I/O and no clock. No program calls it yet:
 //! `docs/placement.md` says what is missing until the router in service does.
 //!
-//! A map may be stale, have gaps, and receive changes in any order. The owner has the last word: a wrong map costs a
-//! hop, never a wrong answer.
+//! A map may be stale, have gaps, and receive changes in any order. The owner is authoritative: a wrong map costs a hop,
+//! never a wrong answer.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-placement/src/placement_map.rs
+++ b/crates/fernknot-placement/src/placement_map.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Merges neighbours in and around this range that say the same, so that changes do not split the map ever finer.
+    /// Merges neighbours in and around this range with equal states, so that changes do not split the map ever finer.
     fn merge_equal_neighbours(&mut self, range: KeyRange) {
         let before =
             range.first.checked_sub(1).and_then(|key| self.lookup(key)).map(|(known, _)| known.first);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Whether two ranges touch and say the same.
+    /// Whether two ranges touch and have equal states.
     fn is_mergeable(&self, left: u64, right: u64) -> bool {
         match (self.ranges.get(&left), self.ranges.get(&right)) {
             (Some(one), Some(other)) => one.last.checked_add(1) == Some(right) && one.state == other.state,
--- a/crates/fernknot-placement/src/snapshot.rs
+++ b/crates/fernknot-placement/src/snapshot.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Why a snapshot was rejected as a whole.
+/// Why a snapshot was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
     /// It does not begin with the magic number.
@@ -88,7 +88,7 @@
 ///
 /// # Errors
 ///
-/// Any [`SnapshotError`]: a snapshot is read as a whole or not at all.
+/// Any [`SnapshotError`]: nothing of a rejected snapshot is used.
 pub fn decode(bytes: &[u8], now: Nanos) -> Result<PlacementMap, SnapshotError> {
     let body = verified_body(bytes)?;
     let rows: Vec<Row> = postcard::from_bytes(body).map_err(|_| SnapshotError::MalformedRows)?;
--- a/crates/fernknot-placement/tests/common/mod.rs
+++ b/crates/fernknot-placement/tests/common/mod.rs
@@ -52,7 +52,7 @@
     map
 }
 
-/// What the map says, key by key.
+/// What the map has, key by key.
 pub fn by_key(map: &PlacementMap) -> BTreeMap<u64, (Epoch, Owners)> {
     let known = (0..KEYS).filter_map(|key| map.lookup(key).map(|(_, state)| (key, state)));
     known.map(|(key, state)| (key, (state.epoch, state.owners.clone()))).collect()
--- a/crates/fernknot-placement/tests/maps_follow_changes.rs
+++ b/crates/fernknot-placement/tests/maps_follow_changes.rs
@@ -17,7 +17,7 @@
 proptest! {
     #![proptest_config(config(500))]
 
-    /// Guards routing: whatever is reported, the map says of each key what a plain list of keys says.
+    /// Guards routing: whatever is reported, the map has for each key what a plain list of keys has.
     #[test]
     fn the_map_agrees_with_a_plain_list_of_keys(changes in prop::collection::vec(any_change(), 1..60)) {
         let mut map = PlacementMap::default();
--- a/crates/fernknot-placement/tests/migration_model.rs
+++ b/crates/fernknot-placement/tests/migration_model.rs
@@ -189,9 +189,9 @@
     }
 
     fn split(&mut self, router: usize, part: usize, targets: &[ForwardTarget]) {
-        let whole = &mut self.routers[router].parts[part];
-        let route = whole.route.clone();
-        (whole.in_flight, whole.split) = (false, true);
+        let split = &mut self.routers[router].parts[part];
+        let route = split.route.clone();
+        (split.in_flight, split.split) = (false, true);
         for target in targets {
             let index = self.routers[router].parts.len();
             self.routers[router].parts.push(Part::new(route.split_off(target.range), true));
--- a/crates/fernknot-placement/tests/snapshots_are_read_whole_or_not_at_all.rs
+++ b/crates/fernknot-placement/tests/snapshots_are_complete_or_rejected.rs
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn what_a_snapshot_says_gives_way_within_its_epoch() {
+fn a_snapshot_is_overridden_within_its_epoch() {
     let mut map = PlacementMap::default();
     map.apply(Nanos(1), &change(0, 9, 3, &[1]), Source::Owner);
     let mut map = snapshot::decode(&snapshot::encode(&map), Nanos(2)).unwrap();
     let outcome = map.apply(Nanos(3), &change(0, 9, 3, &[2]), Source::EndpointList);
     assert_eq!((outcome.changed, outcome.conflicting), (1, 1));
     let outcome = map.apply(Nanos(4), &change(0, 9, 3, &[3]), Source::Owner);
-    assert_eq!((outcome.changed, outcome.conflicting), (1, 1), "the owner has the last word");
+    assert_eq!((outcome.changed, outcome.conflicting), (1, 1), "the owner overrides the list");
     let outcome = map.apply(Nanos(5), &change(0, 9, 3, &[2]), Source::EndpointList);
     assert_eq!((outcome.changed, outcome.conflicting), (0, 1), "and keeps it against the list");
     let outcome = map.apply(Nanos(6), &change(0, 9, 2, &[9]), Source::Owner);
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AskedBlock {
     pub answered: bool,
-    /// What its filter said when the query began.
+    /// Its filter's answer when the query began.
     pub filter_answer: FilterAnswer,
 }
 
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -175,7 +175,7 @@
     }
 }
 
-/// What the cached filters say of the blocks that the first phase asks.
+/// The cached filters' answers for the blocks that the first phase asks.
 fn ask_filters(
     filters: &mut Option<TermFilterCache>,
     query: &TwoPhaseQuery,
--- a/crates/fernknot-two-phase/src/term_filter_cache.rs
+++ b/crates/fernknot-two-phase/src/term_filter_cache.rs
@@ -10,7 +10,7 @@
 /// What an entry costs beside its filter, in bytes: its key, version, links and position in the index.
 pub const ENTRY_OVERHEAD_BYTES: usize = 96;
 
-/// What a block's filter says of a query.
+/// The answer of a block's filter to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FilterAnswer {
     /// There is no filter, or the query names no terms.
@@ -82,7 +82,7 @@
         self.entries.peek(&shard).map(|entry| entry.version)
     }
 
-    /// What the filter of a block says of a query for all of these terms, by their fingerprints.
+    /// The answer of a block's filter to a query for all of these terms, by their fingerprints.
     pub fn check(&mut self, shard: ShardId, terms: &[u64]) -> FilterAnswer {
         match self.entries.get(&shard) {
             Some(entry) if !terms.is_empty() => {
--- a/crates/fernknot-two-phase/src/use_case_statistics.rs
+++ b/crates/fernknot-two-phase/src/use_case_statistics.rs
@@ -12,7 +12,7 @@
 const LIKELY_QUANTILE: f64 = 0.5;
 /// No second phase of its size was quicker than this share of the recent ones.
 const LEAST_QUANTILE: f64 = 0.05;
-/// Second phases are told apart by their number of parts, in so many powers of two.
+/// Second phases are distinguished by their number of parts, in so many powers of two.
 const SIZE_CLASSES: usize = 12;
 /// The weight of one query in the running means.
 const GAIN: f64 = 0.05;
@@ -35,7 +35,7 @@
     stale_rate: RunningMean,
 }
 
-/// The chances of a match, by what a block's filter says.
+/// The chances of a match, by the answer of a block's filter.
 #[derive(Clone, Copy)]
 pub(crate) struct MatchChances {
     match_rate: f64,
@@ -101,8 +101,8 @@
         let both = (first + second).0.max(1);
         let second = if both > target.0 { target.times(second.0 as f64 / both as f64) } else { second };
         let least = target.times(1.0 - self.settings.first_most);
-        let most = target.times(1.0 - self.settings.first_least);
-        second.clamp(least, most)
+        let greatest = target.times(1.0 - self.settings.first_least);
+        second.clamp(least, greatest)
     }
 
     /// By what such second phases took; without any, the middle of what the settings leave.
