--- a/crates/fernknot-membership/src/cause.rs
+++ b/crates/fernknot-membership/src/cause.rs
@@ -6,7 +6,7 @@
 
 /// How a status became known to the local router.
 ///
-/// Its [`Display`](fmt::Display) form is the one of the operator's view (`docs/membership-operations.md`).
+/// Its [`Display`](fmt::Display) form is the one of the operator's view (`docs/operating-router.md`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvidenceSource {
     /// The router is configured; nothing was heard of it yet.
--- a/crates/fernknot-membership/src/link.rs
+++ b/crates/fernknot-membership/src/link.rs
@@ -4,7 +4,7 @@
 
 /// The link between the local router and another one.
 ///
-/// Its [`Display`](fmt::Display) form is the one of the operator's view (`docs/membership-operations.md`).
+/// Its [`Display`](fmt::Display) form is the one of the operator's view (`docs/operating-router.md`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
     /// No probe has ended yet.
--- a/crates/fernknot-membership/src/report.rs
+++ b/crates/fernknot-membership/src/report.rs
@@ -11,7 +11,7 @@
 /// A router's status as operators see it: no rounds, and routers never heard of apart.
 ///
 /// Its [`Display`](fmt::Display) form is the one of logs and of the operator's view
-/// (`docs/membership-operations.md`).
+/// (`docs/operating-router.md`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedStatus {
     /// Configured, and never heard of.
