--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -137,8 +137,8 @@
     }
 
     pub fn datagram_received(&mut self, now: Nanos, datagram: &Datagram) {
-        if let Some(news) = self.tags.read(&hex::decode(&datagram.bytes_hex)) {
-            self.router.told(now, PeerId(datagram.sender), &news);
+        if let Some(updates) = self.tags.read(&hex::decode(&datagram.bytes_hex)) {
+            self.router.told(now, PeerId(datagram.sender), &updates);
         }
     }
 
@@ -201,8 +201,8 @@
         }
     }
 
-    fn publish(&self, news: &[(NodeId, News)], actions: &mut Vec<Action>) {
-        for datagram in self.tags.write(news, MAX_DATAGRAM_BYTES) {
+    fn publish(&self, updates: &[(NodeId, News)], actions: &mut Vec<Action>) {
+        for datagram in self.tags.write(updates, MAX_DATAGRAM_BYTES) {
             let bytes_hex = hex::encode(&datagram);
             actions.push(Action::PublishDatagram { instance: self.number, bytes_hex });
         }
--- a/crates/fernknot-fault-tests/src/history.rs
+++ b/crates/fernknot-fault-tests/src/history.rs
@@ -1,7 +1,7 @@
 //! What a test run left behind: requests, calls of stores, status changes and injected faults.
 
 use crate::clients::{Request, RequestOutcome};
-use crate::status_words::FAILED;
+use crate::status_names::FAILED;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/fernknot-fault-tests/src/lib.rs
+++ b/crates/fernknot-fault-tests/src/lib.rs
@@ -23,6 +23,6 @@
 pub mod runner;
 pub mod scenarios;
 pub mod schedule;
-pub mod status_words;
+pub mod status_names;
 
 pub use error::{FaultTestError, ScheduleError};
--- a/crates/fernknot-fault-tests/src/router_view.rs
+++ b/crates/fernknot-fault-tests/src/router_view.rs
@@ -23,10 +23,10 @@
         let lines = text.lines().skip_while(|line| !line.contains(" incarnation="));
         let mut view = RouterView { own: BTreeMap::new(), statuses: BTreeMap::new() };
         for (index, line) in lines.enumerate() {
-            let mut words = line.split(' ');
-            let (Some(address), Some(status)) = (words.next(), words.next()) else { continue };
+            let mut fields = line.split(' ');
+            let (Some(address), Some(status)) = (fields.next(), fields.next()) else { continue };
             if index == 0 {
-                let pairs = words.filter_map(|word| word.split_once('='));
+                let pairs = fields.filter_map(|field| field.split_once('='));
                 view.own = pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect();
             } else if let Some(router) = public.iter().position(|public| public.to_string() == address) {
                 view.statuses.insert(router, status.to_string());
--- a/crates/fernknot-fault-tests/src/runner.rs
+++ b/crates/fernknot-fault-tests/src/runner.rs
@@ -8,7 +8,7 @@
 use crate::history::History;
 use crate::router_view::RouterView;
 use crate::schedule::{Schedule, Step};
-use crate::status_words::ALIVE;
+use crate::status_names::ALIVE;
 use rustix::process::Signal;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -106,7 +106,7 @@
         }
         Step::AwaitView { observers, key, value } => await_own_view(cluster, observers, key, *value)?,
         Step::Sustain { ms } => thread::sleep(Duration::from_millis(*ms)),
-        Step::Settle { periods } => thread::sleep(probe_period(schedule).mul_f64(*periods as f64)),
+        Step::WaitPeriods { periods } => thread::sleep(probe_period(schedule).mul_f64(*periods as f64)),
     }
     Ok(())
 }
--- a/crates/fernknot-fault-tests/src/scenarios.rs
+++ b/crates/fernknot-fault-tests/src/scenarios.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::{NO_FALSE_FAILURE, ONE_ANSWER};
 use crate::schedule::{Routers, Schedule, Step};
-use crate::status_words::{ALIVE, FAILED, LEFT, SUSPECTED};
+use crate::status_names::{ALIVE, FAILED, LEFT, SUSPECTED};
 
 /// The names of all scenarios, as the command line takes them.
 pub const NAMES: [&str; 12] = [
@@ -121,7 +121,7 @@
             Step::Suspend { routers: victim.clone() },
             self.sustain(5.0),
             Step::Resume { routers: victim },
-            Step::Settle { periods: 20 },
+            Step::WaitPeriods { periods: 20 },
         ]
     }
 
@@ -139,7 +139,7 @@
         vec![
             partition(&victim, &other),
             partition(&other, &victim),
-            Step::Settle { periods: 30 },
+            Step::WaitPeriods { periods: 30 },
             await_status(&self.all, &self.all, &[ALIVE, SUSPECTED]),
             self.heal(),
         ]
@@ -149,7 +149,7 @@
     fn broken_one_way(&self) -> Vec<Step> {
         vec![
             partition(&[self.victim], &[self.other]),
-            Step::Settle { periods: 30 },
+            Step::WaitPeriods { periods: 30 },
             await_status(&self.all, &self.all, &[ALIVE, SUSPECTED]),
             self.heal(),
         ]
@@ -173,7 +173,7 @@
             partition(&others, &victim),
             await_view(&victim, "alone", true),
             await_view(&victim, "majority", false),
-            Step::Settle { periods: 20 },
+            Step::WaitPeriods { periods: 20 },
             await_status(&victim, &others, &[ALIVE, SUSPECTED]),
             self.heal(),
         ]
@@ -223,7 +223,7 @@
             Step::Start { routers: vec![self.victim] },
             // The restarted one has to hear of all; that the others never noticed is as good.
             self.await_all_alive(),
-            Step::Settle { periods: 5 },
+            Step::WaitPeriods { periods: 5 },
         ];
         std::iter::repeat_n(restart, RESTARTS).flatten().collect()
     }
@@ -242,7 +242,7 @@
         let victim = vec![self.victim];
         vec![
             Step::StallConnections { routers: victim.clone() },
-            Step::Settle { periods: 5 },
+            Step::WaitPeriods { periods: 5 },
             Step::Kill { routers: victim.clone() },
             Step::Start { routers: victim.clone() },
             Step::RestoreConnections { routers: victim },
--- a/crates/fernknot-fault-tests/src/schedule.rs
+++ b/crates/fernknot-fault-tests/src/schedule.rs
@@ -102,7 +102,7 @@
         /// The routers that they are asked about.
         #[serde(rename = "of")]
         members: Routers,
-        /// Status words of `GET /fleet` ([`status_words`](crate::status_words)).
+        /// Status names of `GET /fleet` ([`status_names`](crate::status_names)).
         #[serde(rename = "is")]
         statuses: Vec<String>,
     },
@@ -125,7 +125,8 @@
         ms: u64,
     },
     /// Some time after a fault by which all would have shown that was going to.
-    Settle {
+    #[serde(rename = "settle")]
+    WaitPeriods {
         /// How long, in probe periods.
         periods: u64,
     },
@@ -184,7 +185,7 @@
             Step::Partition { from, to, .. } | Step::Heal { from, to } => [from.clone(), to.clone()].concat(),
             Step::AwaitStatus { observers, members, .. } => [observers.clone(), members.clone()].concat(),
             Step::AwaitView { observers, .. } => observers.clone(),
-            Step::Degrade { .. } | Step::Sustain { .. } | Step::Settle { .. } => Routers::new(),
+            Step::Degrade { .. } | Step::Sustain { .. } | Step::WaitPeriods { .. } => Routers::new(),
         }
     }
 
--- a/crates/fernknot-fault-tests/src/status_words.rs
+++ b/crates/fernknot-fault-tests/src/status_names.rs
@@ -1,4 +1,4 @@
-//! The words by which a router's log and `GET /fleet` name another router's status (`docs/operating-router.md`).
+//! The names by which a router's log and `GET /fleet` give another router's status (`docs/operating-router.md`).
 
 /// It runs.
 pub const ALIVE: &str = "alive";
