--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -30,6 +30,7 @@
 }
 
 impl Instance {
+    /// An instance that starts now.
     pub fn new(now: Nanos, start: InstanceStarted) -> Result<Instance, AdapterError> {
         let settings = start.settings.site().map_err(AdapterError::Settings)?;
         Ok(Instance {
@@ -78,6 +79,7 @@
         id
     }
 
+    /// A query, or a part of one, arrives.
     pub fn arrive(&mut self, now: Nanos, arrival: QueryOrPart) {
         if arrival.is_query() {
             self.query_arrives(now, arrival);
@@ -113,6 +115,7 @@
         self.router.take_part(now, &arrival);
     }
 
+    /// An attempt of a part ended.
     pub fn attempt_ended(&mut self, now: Nanos, ended: &AttemptEnded) -> Result<(), AdapterError> {
         let outcome = outcome(ended.status)?;
         let Some(part) = self.queries.part(&ended.part_name) else { return Ok(()) };
@@ -130,18 +133,21 @@
         Ok(())
     }
 
+    /// A node reported its load without a part.
     pub fn load_reported(&mut self, report: &LoadReported) {
         if let Some(node) = self.nodes.id(&report.node) {
             self.router.reported(node, load_report(&report.load));
         }
     }
 
+    /// Another router sent a datagram.
     pub fn datagram_received(&mut self, now: Nanos, datagram: &Datagram) {
         if let Some(updates) = self.tags.read(&hex::decode(&datagram.bytes_hex)) {
             self.router.told(now, PeerId(datagram.sender), &updates);
         }
     }
 
+    /// A query's client is gone.
     pub fn client_timed_out(&mut self, query_name: &str) {
         if let Some(multiget) = self.queries.query(query_name) {
             self.router.lapsed(multiget);
--- a/crates/fernknot-bench-adapter/src/names.rs
+++ b/crates/fernknot-bench-adapter/src/names.rs
@@ -55,6 +55,7 @@
 }
 
 impl QueryNames {
+    /// Names a query.
     pub fn add_query(&mut self, query: MultigetId, name: String) {
         self.by_name.insert(name.clone(), Named::Query(query));
         let entry = QueryEntry { name, part_names: Vec::new(), attempts_in_flight: 0, is_over: false };
@@ -86,6 +87,7 @@
         }
     }
 
+    /// The name of a known query.
     pub fn query_name(&self, query: MultigetId) -> Option<String> {
         self.queries.get(&query).map(|entry| entry.name.clone())
     }
@@ -95,12 +97,14 @@
         self.queries.get(&part.of).map(|entry| entry.part_names[part.index].clone())
     }
 
+    /// An attempt of a part of this query was sent.
     pub fn attempt_started(&mut self, query: MultigetId) {
         if let Some(entry) = self.queries.get_mut(&query) {
             entry.attempts_in_flight += 1;
         }
     }
 
+    /// An attempt of a part of this query ended.
     pub fn attempt_ended(&mut self, query: MultigetId) {
         if let Some(entry) = self.queries.get_mut(&query) {
             entry.attempts_in_flight = entry.attempts_in_flight.saturating_sub(1);
@@ -108,6 +112,7 @@
         self.forget_if_done(query);
     }
 
+    /// This query has had its final answer, or its client's time-out.
     pub fn query_over(&mut self, query: MultigetId) {
         if let Some(entry) = self.queries.get_mut(&query) {
             entry.is_over = true;
--- a/crates/fernknot-bench-adapter/src/wire.rs
+++ b/crates/fernknot-bench-adapter/src/wire.rs
@@ -21,24 +21,35 @@
 
 /// An event that the adapter takes notice of.
 pub enum Event {
+    /// `directory`: nodes under a number.
     Directory(Directory),
+    /// `powerOn`: an instance begins.
     InstanceStarted(Box<InstanceStarted>),
+    /// `down`: an instance is gone.
     InstanceStopped(InstanceOnly),
+    /// `view`: an instance gets a list of nodes.
     NodeList(NodeList),
+    /// `order`: a query or a part of one arrives.
     QueryOrPart(QueryOrPart),
+    /// `finished`: an attempt of a part ended.
     AttemptEnded(AttemptEnded),
+    /// `statusBack`: a node reported its load.
     LoadReported(LoadReported),
+    /// `lapsed`: a query's client is gone.
     ClientTimedOut(ClientTimedOut),
+    /// `datagram`: another router sent a datagram.
     Datagram(Datagram),
-    /// Only the instance matters: it is asked for its decisions.
+    /// `bell` or `streaming`: only the instance matters; it is asked for its decisions.
     Wake(InstanceOnly),
 }
 
 /// Nodes under a number by which later events name them.
 #[derive(Deserialize)]
 pub struct Directory {
+    /// The number.
     #[serde(rename = "sheet")]
     pub number: u64,
+    /// The nodes.
     #[serde(rename = "nodesList")]
     pub nodes: Vec<Node>,
 }
@@ -46,13 +57,16 @@
 /// A node of a list.
 #[derive(Deserialize)]
 pub struct Node {
+    /// Its name.
     #[serde(rename = "node")]
     pub name: String,
     /// The place whose shards it holds.
     #[serde(rename = "cell")]
     pub place: u32,
+    /// The zone that it is in, where that is known.
     #[serde(rename = "campus")]
     pub zone: Option<u32>,
+    /// Its health.
     pub health: NodeHealth,
     /// Since when it has been so, in milliseconds.
     #[serde(rename = "since", default)]
@@ -62,19 +76,25 @@
 /// The health of a node by a list.
 #[derive(Clone, Copy, Deserialize)]
 pub enum NodeHealth {
+    /// It takes parts.
     Running,
+    /// It takes no new parts.
     #[serde(rename = "Stopping")]
     Draining,
+    /// It is gone.
     Deleted,
 }
 
 /// An instance begins.
 #[derive(Deserialize)]
 pub struct InstanceStarted {
+    /// The instance's number.
     #[serde(rename = "router")]
     pub instance: u64,
+    /// Determines the random choices of the instance.
     #[serde(rename = "prng")]
     pub seed: u64,
+    /// The settings, as the bench gives them.
     #[serde(rename = "facts")]
     pub settings: Facts,
 }
@@ -82,6 +102,7 @@
 /// An event of which only the instance matters.
 #[derive(Deserialize)]
 pub struct InstanceOnly {
+    /// The instance's number.
     #[serde(rename = "router")]
     pub instance: u64,
 }
@@ -89,8 +110,10 @@
 /// An instance gets a list of nodes.
 #[derive(Deserialize)]
 pub struct NodeList {
+    /// The instance's number.
     #[serde(rename = "router")]
     pub instance: u64,
+    /// What the list holds.
     pub mode: ListMode,
     /// The number of a directory.
     #[serde(rename = "sheet")]
@@ -100,10 +123,13 @@
 /// What a list of nodes holds.
 #[derive(Clone, Copy, Deserialize, PartialEq)]
 pub enum ListMode {
+    /// What has changed since the last list.
     #[serde(rename = "incr")]
     Changes,
+    /// All nodes.
     #[serde(rename = "total")]
     Full,
+    /// All nodes, as another instance knows them.
     #[serde(rename = "warm_copy")]
     FullFromPeer,
     /// The source of lists is gone.
@@ -114,24 +140,31 @@
 /// A query, or one part of it.
 #[derive(Deserialize)]
 pub struct QueryOrPart {
+    /// The instance's number.
     #[serde(rename = "router")]
     pub instance: u64,
     /// The wire's name of it.
     #[serde(rename = "req")]
     pub name: String,
+    /// The customer's number.
     #[serde(rename = "project", default)]
     pub customer: usize,
+    /// The use case's number.
     #[serde(rename = "lane", default)]
     pub use_case: usize,
     /// The shard of a part; negative for the query itself.
     #[serde(rename = "rangeNo")]
     pub shard: f64,
+    /// When the client stops waiting, in milliseconds.
     #[serde(rename = "clientDeadline")]
     pub client_deadline_ms: f64,
+    /// Whether the client asks again.
     #[serde(rename = "retry", default)]
     pub is_retry: bool,
+    /// The number that a query has in common with its parts.
     #[serde(rename = "query")]
     pub query_number: u64,
+    /// The expected work, in milliseconds, where that is known.
     #[serde(rename = "effort")]
     pub effort_ms: Option<f64>,
     /// The share of a part in the complete answer.
@@ -140,6 +173,7 @@
 }
 
 impl QueryOrPart {
+    /// Whether this is the query itself, not a part of it.
     pub fn is_query(&self) -> bool {
         self.shard < 0.0
     }
@@ -148,6 +182,7 @@
 /// An attempt of a part ended.
 #[derive(Deserialize)]
 pub struct AttemptEnded {
+    /// The instance's number.
     #[serde(rename = "router")]
     pub instance: u64,
     /// The wire's name of the part.
@@ -156,11 +191,15 @@
     /// How it ended, in the manner of HTTP.
     #[serde(rename = "how")]
     pub status: u32,
+    /// How long it took, in milliseconds.
     #[serde(rename = "duration", default)]
     pub took_ms: f64,
+    /// The number of the attempt, from 0 for each part.
     #[serde(rename = "sendNo", default)]
     pub attempt: u32,
+    /// The node's name.
     pub node: String,
+    /// The node's load, by the names of its figures.
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
 }
@@ -168,9 +207,12 @@
 /// A node reported its load without a part.
 #[derive(Deserialize)]
 pub struct LoadReported {
+    /// The instance's number.
     #[serde(rename = "router")]
     pub instance: u64,
+    /// The node's name.
     pub node: String,
+    /// The node's load, by the names of its figures.
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
 }
@@ -178,6 +220,7 @@
 /// The client of a query is gone.
 #[derive(Deserialize)]
 pub struct ClientTimedOut {
+    /// The instance's number.
     #[serde(rename = "router")]
     pub instance: u64,
     /// The wire's name of the query.
@@ -188,8 +231,10 @@
 /// Another router sent a datagram.
 #[derive(Deserialize)]
 pub struct Datagram {
+    /// The instance's number.
     #[serde(rename = "router")]
     pub instance: u64,
+    /// The number of the router that sent it.
     pub sender: u32,
     /// In hexadecimal digits.
     #[serde(rename = "msg")]
@@ -199,6 +244,7 @@
 /// A line of output.
 #[derive(Serialize)]
 pub struct Reply {
+    /// What the instances want done, in their order.
     #[serde(rename = "output")]
     pub actions: Vec<Action>,
 }
@@ -206,6 +252,7 @@
 /// What an instance wants done. The wire's names stand in the attributes.
 #[derive(Serialize)]
 pub enum Action {
+    /// Sends a part to a node.
     #[serde(rename = "transmit")]
     SendPart {
         #[serde(rename = "router")]
@@ -216,6 +263,7 @@
         #[serde(rename = "stopAt")]
         stop_at_ms: f64,
     },
+    /// Cancels an attempt.
     #[serde(rename = "withdraw")]
     CancelAttempt {
         #[serde(rename = "router")]
@@ -225,6 +273,7 @@
         #[serde(rename = "sendNo")]
         attempt: u32,
     },
+    /// Asks for a `bell` after some time.
     #[serde(rename = "timer")]
     SetTimer {
         #[serde(rename = "router")]
@@ -233,6 +282,7 @@
         after_ms: f64,
         label: u64,
     },
+    /// Ends a query with an error.
     #[serde(rename = "finishError")]
     FailQuery {
         #[serde(rename = "router")]
@@ -240,6 +290,7 @@
         #[serde(rename = "req")]
         query_name: String,
     },
+    /// Ends a query without having run it.
     #[serde(rename = "bounce")]
     RejectQuery {
         #[serde(rename = "router")]
@@ -249,6 +300,7 @@
         #[serde(rename = "wait")]
         retry_after_ms: f64,
     },
+    /// Gives a query's answer.
     #[serde(rename = "wrapUp")]
     CompleteQuery {
         #[serde(rename = "router")]
@@ -258,12 +310,14 @@
         #[serde(rename = "full")]
         is_complete: bool,
     },
+    /// Asks for the list of nodes and its changes.
     #[serde(rename = "streamChanges")]
     SubscribeToNodeList {
         #[serde(rename = "router")]
         instance: u64,
         full: bool,
     },
+    /// Sends a datagram to all other routers.
     #[serde(rename = "publish")]
     PublishDatagram {
         #[serde(rename = "router")]
--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -50,7 +50,9 @@
 
 /// One query that a client will send.
 pub(crate) struct PlannedQuery {
+    /// When the client sends it.
     pub at: Nanos,
+    /// The query as the engine gets it.
     pub asked: Asked,
     /// The blocks that truly match.
     pub matches: Vec<ShardId>,
@@ -59,18 +61,24 @@
 /// How one query ended.
 #[derive(Clone, Debug)]
 pub(crate) struct QueryEnd {
+    /// The time from sending to the end.
     pub took: Nanos,
     /// `None` where the client's time-out came first.
     pub verdict: Option<Verdict>,
+    /// How far the query had come.
     pub stage: Ended,
 }
 
 /// What happened to a query, and the attempts that were sent for it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct QueryRecord {
+    /// How it ended; `None` before that.
     pub end: Option<QueryEnd>,
+    /// Parts of the first phase that were sent.
     pub first_phase_parts: u64,
+    /// Parts of the second phase that were sent.
     pub second_phase_parts: u64,
+    /// Whether parts of the second phase were sent at all.
     pub second_phase_opened: bool,
     /// Parts sent after the final answer: none, by the rules.
     pub parts_after_end: u64,
@@ -87,13 +95,17 @@
 
 /// What is simulated.
 pub(crate) struct SimulationConfig {
+    /// Determines all random choices.
     pub seed: u64,
+    /// The settings of the engine.
     pub site: SiteFacts,
     /// By use case.
     pub phases: Vec<Option<PhaseFacts>>,
     /// Stores at each of the site's places.
     pub stores_per_place: usize,
+    /// How stores behave.
     pub script: StoreScript,
+    /// The queries of all clients.
     pub queries: Vec<PlannedQuery>,
     /// When the load ends.
     pub end: Nanos,
@@ -118,6 +130,7 @@
 }
 
 impl EngineSimulation {
+    /// A simulation before its first event.
     pub fn new(config: SimulationConfig) -> EngineSimulation {
         let SimulationConfig { seed, site, phases, stores_per_place, script, queries, end } = config;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/fernknot-experiments/src/event_queue.rs
+++ b/crates/fernknot-experiments/src/event_queue.rs
@@ -18,10 +18,12 @@
 }
 
 impl<E> EventQueue<E> {
+    /// An empty queue.
     pub fn new() -> EventQueue<E> {
         EventQueue { heap: BinaryHeap::new(), scheduled: 0 }
     }
 
+    /// Schedules an event.
     pub fn schedule(&mut self, at: Nanos, event: E) {
         self.scheduled += 1;
         self.heap.push(Scheduled { at, sequence: self.scheduled, event });
--- a/crates/fernknot-experiments/src/membership/cold_budget.rs
+++ b/crates/fernknot-experiments/src/membership/cold_budget.rs
@@ -16,10 +16,12 @@
 }
 
 impl BudgetShare {
+    /// An equal part for each router.
     pub fn new(routers: u32) -> BudgetShare {
         BudgetShare { share: 1.0 / f64::from(routers), sharers: f64::from(routers) }
     }
 
+    /// The part that this router takes, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
--- a/crates/fernknot-experiments/src/membership/fault_plan.rs
+++ b/crates/fernknot-experiments/src/membership/fault_plan.rs
@@ -38,12 +38,15 @@
 /// Two routers in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Link {
+    /// The sender.
     pub from: u32,
+    /// The receiver.
     pub to: u32,
 }
 
 /// All faults of a run.
 pub(super) struct FaultPlan {
+    /// Each fault with its time.
     pub faults: Vec<(Nanos, Fault)>,
     /// From when on routers are expected to find together again, if ever.
     pub recovers_at: Option<Nanos>,
@@ -61,6 +64,7 @@
 }
 
 impl FaultPlan {
+    /// The faults of a scenario, drawn at random where it has a choice.
     pub fn new(scenario: Scenario, routers: u32, rng: &mut ChaCha8Rng) -> FaultPlan {
         match scenario {
             Scenario::Crash => FaultPlan::crash(routers, rng),
--- a/crates/fernknot-experiments/src/membership/figures.rs
+++ b/crates/fernknot-experiments/src/membership/figures.rs
@@ -50,6 +50,7 @@
 pub(super) struct Durations(Vec<u64>);
 
 impl Durations {
+    /// Adds one.
     pub fn add(&mut self, duration: Nanos) {
         self.0.push(duration.0);
     }
--- a/crates/fernknot-experiments/src/membership/fixed_heartbeat.rs
+++ b/crates/fernknot-experiments/src/membership/fixed_heartbeat.rs
@@ -25,22 +25,27 @@
 }
 
 impl FixedHeartbeat {
+    /// A router that sends its first heartbeat at this time.
     pub fn new(own: u32, routers: u32, first_heartbeat: Nanos) -> FixedHeartbeat {
         FixedHeartbeat { own, routers, peers: BTreeMap::new(), next_heartbeat: first_heartbeat }
     }
 
+    /// When the next turn is due.
     pub fn next_wakeup(&self) -> Nanos {
         self.next_heartbeat
     }
 
+    /// Whether this router takes the other one for failed.
     pub fn is_failed(&self, router: u32) -> bool {
         self.peers.get(&router).is_some_and(|peer| peer.is_failed)
     }
 
+    /// The most often that one router counted as failed or came back.
     pub fn max_failure_changes(&self) -> u32 {
         self.peers.values().map(|peer| peer.failure_changes).max().unwrap_or(0)
     }
 
+    /// One turn of the event loop.
     pub fn turn(&mut self, now: Nanos, inbox: impl IntoIterator<Item = Input>) -> Vec<Output> {
         let mut outputs = Vec::new();
         for input in inbox {
--- a/crates/fernknot-experiments/src/membership/host.rs
+++ b/crates/fernknot-experiments/src/membership/host.rs
@@ -30,11 +30,15 @@
 
 /// What a process is started with.
 pub(super) struct ProcessStart {
+    /// The seed of the run.
     pub seed: u64,
+    /// The router's number.
     pub router: u32,
+    /// How many routers there are.
     pub routers: u32,
     /// How often this router was started before.
     pub starts: u64,
+    /// The time of the start.
     pub now: Nanos,
 }
 
@@ -114,7 +118,9 @@
 /// What a host sent.
 #[derive(Default)]
 pub(super) struct Traffic {
+    /// Datagrams in all.
     pub datagrams: u64,
+    /// Bytes in all.
     pub bytes: u64,
     /// Datagrams in the second that was the worst so far.
     pub max_per_second: u64,
@@ -123,6 +129,7 @@
 }
 
 impl Traffic {
+    /// Counts a datagram.
     pub fn add(&mut self, now: Nanos, bytes: usize) {
         let second = now.0 / NANOS_PER_SECOND;
         self.datagrams += 1;
@@ -140,12 +147,15 @@
     inbox: VecDeque<Input>,
     /// The wake-up that counts; earlier ones are passed over.
     pub wake_at: Nanos,
+    /// What it sent.
     pub traffic: Traffic,
+    /// Its part of a cold node's budget.
     pub budget: BudgetShare,
     starts: u64,
 }
 
 impl Host {
+    /// A router without a process.
     pub fn new(routers: u32) -> Host {
         Host {
             process: None,
@@ -163,6 +173,7 @@
         self.process.is_some()
     }
 
+    /// Whether its process stands still.
     pub fn is_suspended(&self) -> bool {
         self.is_suspended
     }
@@ -172,27 +183,32 @@
         self.has_process() && !self.is_suspended
     }
 
+    /// How often a process was started.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
+    /// Starts a process.
     pub fn start(&mut self, process: Process, routers: u32) {
         self.budget.process_started(routers, self.starts > 0);
         self.starts += 1;
         self.process = Some(process);
     }
 
+    /// The process is gone at once, with what waits for it.
     pub fn kill(&mut self) {
         self.process = None;
         self.inbox.clear();
     }
 
+    /// The process announces that it leaves.
     pub fn leave(&mut self, now: Nanos) {
         if let Some(Process::Protocol(protocol)) = &mut self.process {
             protocol.leave(now);
         }
     }
 
+    /// The process stands still, or runs on.
     pub fn set_suspended(&mut self, is_suspended: bool) {
         self.is_suspended = is_suspended;
     }
@@ -224,6 +240,7 @@
         self.process.as_ref().is_some_and(|process| process.is_gone(router))
     }
 
+    /// The most often that one router counted as failed or came back here.
     pub fn max_failure_changes(&self) -> u32 {
         self.process.as_ref().map_or(0, Process::max_failure_changes)
     }
--- a/crates/fernknot-experiments/src/membership/network.rs
+++ b/crates/fernknot-experiments/src/membership/network.rs
@@ -23,15 +23,18 @@
 }
 
 impl Network {
+    /// A network without a fault yet.
     pub fn new(scenario: Scenario, routers: u32, broken_links: BTreeSet<Link>) -> Network {
         let burst_until = vec![Nanos(0); routers as usize];
         Network { scenario, routers, broken_links, is_faulty: false, burst_until }
     }
 
+    /// Whether the scenario's fault lasts.
     pub fn is_faulty(&self) -> bool {
         self.is_faulty
     }
 
+    /// Begins or ends the scenario's fault.
     pub fn set_faulty(&mut self, is_faulty: bool) {
         self.is_faulty = is_faulty;
     }
--- a/crates/fernknot-experiments/src/membership/process_io.rs
+++ b/crates/fernknot-experiments/src/membership/process_io.rs
@@ -2,7 +2,9 @@
 
 /// A datagram that arrived.
 pub(super) struct Input {
+    /// The sender.
     pub from: u32,
+    /// The datagram.
     pub bytes: Vec<u8>,
 }
 
--- a/crates/fernknot-experiments/src/membership/simulation.rs
+++ b/crates/fernknot-experiments/src/membership/simulation.rs
@@ -60,6 +60,7 @@
 }
 
 impl MembershipSimulation {
+    /// A run before its first event.
     pub fn new(variant: Variant, scenario: Scenario, routers: u32, seed: u64) -> MembershipSimulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut events = EventQueue::new();
@@ -86,6 +87,7 @@
         }
     }
 
+    /// Runs until this time.
     pub fn run(&mut self, until: Nanos) {
         while let Some((at, event)) = self.events.pop().filter(|(at, _)| *at <= until) {
             self.now = at;
--- a/crates/fernknot-experiments/src/two_phase/workload.rs
+++ b/crates/fernknot-experiments/src/two_phase/workload.rs
@@ -35,7 +35,9 @@
 
 /// The queries of one run, and when the load ends.
 pub(super) struct Workload {
+    /// The queries, in the order of their times.
     pub queries: Vec<PlannedQuery>,
+    /// When the load ends.
     pub end: Nanos,
 }
 
--- a/crates/fernknot-fault-tests/src/addresses.rs
+++ b/crates/fernknot-fault-tests/src/addresses.rs
@@ -30,6 +30,7 @@
 }
 
 impl RunAddresses {
+    /// Addresses that no run of this process had before.
     pub fn new() -> RunAddresses {
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         RunAddresses { network: std::process::id() % NETWORKS + NETWORKS * (run % 2), run }
--- a/crates/fernknot-fault-tests/src/connection_relay.rs
+++ b/crates/fernknot-fault-tests/src/connection_relay.rs
@@ -43,6 +43,7 @@
 }
 
 impl ConnectionRelay {
+    /// Listens on a free port, and relays to this address.
     pub fn start(to: SocketAddr) -> Result<ConnectionRelay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -53,6 +54,7 @@
         Ok(relay)
     }
 
+    /// Changes what happens to all connections.
     pub fn set_mode(&self, mode: ConnectionMode) {
         self.mode.0.store(mode as u8, Ordering::Relaxed);
     }
--- a/crates/fernknot-fault-tests/src/datagram_relay.rs
+++ b/crates/fernknot-fault-tests/src/datagram_relay.rs
@@ -19,6 +19,7 @@
 /// What happens to datagrams from one router to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LinkFaults {
+    /// Whether all datagrams are dropped.
     pub blocked: bool,
     /// The share of datagrams that is dropped, from 0 to 1.
     pub loss: f64,
--- a/crates/fernknot-fault-tests/src/router_config.rs
+++ b/crates/fernknot-fault-tests/src/router_config.rs
@@ -14,7 +14,9 @@
 pub(crate) struct RouterAddresses<'a> {
     /// Where the list names each router.
     pub public: &'a [SocketAddr],
+    /// Where the router receives datagrams.
     pub private: SocketAddr,
+    /// Where routers send what is for all of them.
     pub broadcast: SocketAddr,
 }
 
--- a/crates/fernknot-fault-tests/src/router_process.rs
+++ b/crates/fernknot-fault-tests/src/router_process.rs
@@ -74,10 +74,12 @@
         Ok(log)
     }
 
+    /// Whether there is a process, suspended or not.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> Result<(), FaultTestError> {
         let router = self.number;
         let child = self.child.as_ref().ok_or(FaultTestError::NotRunning(router))?;
@@ -93,6 +95,7 @@
         }
     }
 
+    /// Changes what happens to the router's connections to all stores.
     pub fn set_connection_mode(&self, mode: ConnectionMode) {
         for relay in &self.store_relays {
             relay.set_mode(mode);
--- a/crates/fernknot-membership/src/link.rs
+++ b/crates/fernknot-membership/src/link.rs
@@ -45,6 +45,7 @@
 }
 
 impl LinkTracker {
+    /// The link's state.
     pub fn state(&self) -> LinkState {
         self.state
     }
--- a/crates/fernknot-membership/src/local_health.rs
+++ b/crates/fernknot-membership/src/local_health.rs
@@ -20,6 +20,7 @@
 }
 
 impl LocalHealth {
+    /// A process that starts now, and expects its first turn at `first_turn_due`.
     pub fn new(settings: &MembershipSettings, now: Nanos, first_turn_due: Nanos) -> LocalHealth {
         LocalHealth {
             score: 0,
@@ -32,6 +33,7 @@
         }
     }
 
+    /// The score, from 0 (good) to `MAX_SCORE`.
     pub fn score(&self) -> u32 {
         self.score
     }
@@ -43,32 +45,39 @@
         late_by
     }
 
+    /// When the last turn of the host's loop began.
     pub fn last_turn(&self) -> Nanos {
         self.last_turn
     }
 
+    /// The next turn is due at this time.
     pub fn expect_turn(&mut self, at: Nanos) {
         self.next_turn_due = at;
     }
 
+    /// A message of any other router arrived.
     pub fn message_received(&mut self, now: Nanos) {
         self.last_heard = now;
     }
 
+    /// Whether any other router was heard at or after this time.
     pub fn heard_since(&self, since: Nanos) -> bool {
         self.last_heard >= since
     }
 
+    /// Suspects nobody before this time.
     pub fn listen_until(&mut self, until: Nanos) {
         self.listens_until = self.listens_until.max(until);
     }
 
+    /// Raises the score: a sign of a fault here.
     pub fn degrade(&mut self) {
         if self.scoring {
             self.score = (self.score + 1).min(MAX_SCORE);
         }
     }
 
+    /// Lowers the score: a probe was acknowledged.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
@@ -83,6 +92,7 @@
         now - self.last_heard > self.lengthen(settings.isolation_timeout())
     }
 
+    /// Whether the time of listening after a stall lasts.
     pub fn is_listening(&self, now: Nanos) -> bool {
         now < self.listens_until
     }
--- a/crates/fernknot-membership/src/local_router.rs
+++ b/crates/fernknot-membership/src/local_router.rs
@@ -7,11 +7,13 @@
 
 /// What the local router claims of itself.
 pub(crate) struct LocalRouter {
+    /// Its id.
     pub id: RouterId,
     /// A hash of its configured name, to detect another process with the same name.
     pub name_hash: u32,
     /// When the process started, by the wall clock in milliseconds.
     pub started_ms: u64,
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// It announced that it leaves.
     pub has_left: bool,
@@ -21,6 +23,7 @@
 }
 
 impl LocalRouter {
+    /// A process that has just started.
     pub fn new(id: RouterId, name_hash: u32, started_ms: u64) -> LocalRouter {
         LocalRouter {
             id,
@@ -59,6 +62,7 @@
         (self.started_ms, self.id) > (other_started_ms, other)
     }
 
+    /// The update that passes its own status on.
     pub fn update(&self) -> Update {
         let status = if self.has_left { Status::Left } else { Status::Alive };
         let state = VersionedStatus { incarnation: self.incarnation, status };
--- a/crates/fernknot-membership/src/member.rs
+++ b/crates/fernknot-membership/src/member.rs
@@ -109,6 +109,7 @@
         if now - self.last_at < window { self.count } else { 0 }
     }
 
+    /// Counts one more.
     pub fn add(&mut self, now: Nanos, window: Nanos) {
         *self = Refutations { count: self.recent(now, window) + 1, last_at: now };
     }
--- a/crates/fernknot-membership/src/member_table.rs
+++ b/crates/fernknot-membership/src/member_table.rs
@@ -31,8 +31,11 @@
 
 /// A change of one member's state.
 pub(crate) struct StateChange {
+    /// The member.
     pub member: RouterId,
+    /// Its state before.
     pub before: VersionedStatus,
+    /// Its state now.
     pub after: VersionedStatus,
     /// Members that counted as failed before the change.
     pub failed_before: usize,
@@ -66,26 +69,32 @@
         removed
     }
 
+    /// How many members there are.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
+    /// Whether the router is a member.
     pub fn contains(&self, id: RouterId) -> bool {
         self.members.contains_key(&id)
     }
 
+    /// The member of this id.
     pub fn get(&self, id: RouterId) -> Option<&Member> {
         self.members.get(&id)
     }
 
+    /// The member of this id, to change it.
     pub fn get_mut(&mut self, id: RouterId) -> Option<&mut Member> {
         self.members.get_mut(&id)
     }
 
+    /// All members, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
@@ -97,14 +106,17 @@
         after.chain(before).map(|(id, _)| *id).collect()
     }
 
+    /// The ids of members that count as running, ascending.
     pub fn live_ids(&self) -> Vec<RouterId> {
         self.iter().filter(|member| member.state.is_live()).map(|member| member.id).collect()
     }
 
+    /// The ids of members that count as failed, ascending.
     pub fn failed_ids(&self) -> Vec<RouterId> {
         self.iter().filter(|member| member.is_failed()).map(|member| member.id).collect()
     }
 
+    /// The suspected members, in the order of their ids.
     pub fn suspected(&self) -> impl Iterator<Item = &Member> {
         self.suspected.iter().filter_map(|id| self.members.get(id))
     }
--- a/crates/fernknot-membership/src/outbox.rs
+++ b/crates/fernknot-membership/src/outbox.rs
@@ -20,14 +20,17 @@
 }
 
 impl Outbox {
+    /// An empty outbox with this rate limit.
     pub fn new(datagrams_per_s: f64, now: Nanos) -> Outbox {
         Outbox { waiting: VecDeque::new(), rate_limit: RateLimit::new(datagrams_per_s, now) }
     }
 
+    /// Whether no message waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
+    /// Lets a message wait, if there is room.
     pub fn push(&mut self, to: RouterId, body: MessageBody) {
         if self.waiting.len() < MAX_WAITING {
             self.waiting.push_back((to, body));
--- a/crates/fernknot-membership/src/probe.rs
+++ b/crates/fernknot-membership/src/probe.rs
@@ -10,8 +10,11 @@
 /// A probe of one router: a direct ping first, then indirect pings through relays.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
+    /// The router that is probed.
     pub target: RouterId,
+    /// The number by which acknowledgements name the probe.
     pub number: u32,
+    /// When the first ping was sent.
     pub sent_at: Nanos,
     /// Routers asked to probe the target, at least 1; 0 before any was asked.
     pub relays_asked: usize,
@@ -24,6 +27,7 @@
 /// Probes: the one in progress, and those relayed for others.
 #[derive(Default)]
 pub(crate) struct Probes {
+    /// The local router's own probe, if one is in progress.
     pub current: Option<Probe>,
     relayed: VecDeque<RelayedProbe>,
     last_number: u32,
--- a/crates/fernknot-membership/src/probe_targets.rs
+++ b/crates/fernknot-membership/src/probe_targets.rs
@@ -24,6 +24,7 @@
 }
 
 impl ProbeTargets {
+    /// No targets yet; the first turn is at this time.
     pub fn new(settings: &MembershipSettings, first_turn: Nanos) -> ProbeTargets {
         let period = settings.probe_period.0;
         ProbeTargets {
@@ -35,14 +36,17 @@
         }
     }
 
+    /// Takes the targets in the order of the ring.
     pub fn set_ring(&mut self, ring: Vec<RouterId>) {
         self.ring = ring;
     }
 
+    /// The targets in the order of the ring.
     pub fn ring(&self) -> &[RouterId] {
         &self.ring
     }
 
+    /// When the next probe is due.
     pub fn next_turn(&self) -> Nanos {
         self.next_turn
     }
--- a/crates/fernknot-membership/src/prober.rs
+++ b/crates/fernknot-membership/src/prober.rs
@@ -13,7 +13,9 @@
 
 /// A direct probe to send.
 pub(crate) struct DirectProbe {
+    /// The router to ping.
     pub target: RouterId,
+    /// The number of the probe.
     pub number: u32,
 }
 
--- a/crates/fernknot-membership/src/state.rs
+++ b/crates/fernknot-membership/src/state.rs
@@ -23,17 +23,27 @@
 
 /// The state of one router's membership protocol.
 pub(crate) struct ProtocolState {
+    /// What the host set.
     pub settings: MembershipSettings,
+    /// What the local router claims of itself.
     pub local: LocalRouter,
+    /// What is known of the others.
     pub members: MemberTable,
+    /// How far the local router may trust itself.
     pub health: LocalHealth,
+    /// Whom to probe, and when.
     pub targets: ProbeTargets,
+    /// The probe in progress, and those relayed for others.
     pub probes: Probes,
+    /// Which statuses are to be passed on.
     pub updates: UpdateQueue,
+    /// Messages that wait, and the rate limit.
     pub outbox: Outbox,
+    /// What the host is to do, or to record.
     pub actions: VecDeque<Action>,
     /// When the next datagram may be sent for the updates alone.
     pub next_gossip: Nanos,
+    /// The source of all random choices.
     pub rng: ChaCha8Rng,
 }
 
@@ -43,6 +53,7 @@
         self.members.len() + 1
     }
 
+    /// Takes the list of all other routers.
     pub fn set_routers(&mut self, now: Nanos, listed: &BTreeSet<RouterId>) {
         for id in self.members.set_routers(now, listed) {
             self.updates.remove(id);
--- a/crates/fernknot-membership/src/update_queue.rs
+++ b/crates/fernknot-membership/src/update_queue.rs
@@ -22,6 +22,7 @@
 }
 
 impl UpdateQueue {
+    /// Passes a member's status on, from now on.
     pub fn add(&mut self, member: RouterId) {
         self.sends.insert(member, 0);
     }
@@ -31,10 +32,12 @@
         self.sends.insert(member, max_sends(routers).saturating_sub(LOW_PRIORITY_SENDS));
     }
 
+    /// Forgets a member.
     pub fn remove(&mut self, member: RouterId) {
         self.sends.remove(&member);
     }
 
+    /// Whether some update is worth a datagram of its own.
     pub fn has_fresh(&self) -> bool {
         self.sends.values().any(|sends| *sends < FRESH_SENDS)
     }
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -10,6 +10,7 @@
 /// A block that the first phase asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AskedBlock {
+    /// Whether its answer arrived.
     pub answered: bool,
     /// Its filter's answer when the query began.
     pub filter_answer: FilterAnswer,
@@ -18,6 +19,7 @@
 /// A block that the second phase may fetch.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
+    /// The block.
     pub block: CandidateBlock,
     /// The chance that it is fetched, as far as is known; 1 once it is named.
     pub fetch_chance: f64,
@@ -36,6 +38,7 @@
 }
 
 impl Candidate {
+    /// A candidate before the first answer.
     pub fn new(block: CandidateBlock, fetch_chance: f64) -> Candidate {
         Candidate { block, fetch_chance, named: false, outcome: Outcome::NotFetched }
     }
@@ -43,12 +46,17 @@
 
 /// A query from its begin to its end.
 pub(crate) struct QueryInFlight {
+    /// Its use case.
     pub use_case: UseCaseId,
+    /// When it began.
     pub began_at: Nanos,
     /// The time for both phases: the latency target, or the client's time-out if that is less.
     pub target: Nanos,
+    /// When the first phase ended; `None` while it runs.
     pub second_phase_opened_at: Option<Nanos>,
+    /// The blocks of the first phase.
     pub asked: BTreeMap<ShardId, AskedBlock>,
+    /// The blocks that the second phase may fetch.
     pub candidates: BTreeMap<ShardId, Candidate>,
     /// Fingerprints.
     pub terms: Vec<u64>,
@@ -60,6 +68,7 @@
 
 /// What the second phase fetches, and what that leaves.
 pub(crate) struct FetchPlan {
+    /// The blocks to fetch.
     pub blocks: Vec<CandidateBlock>,
     /// The share of the answer that was ruled out, and so needs no part.
     pub ruled_out_weight: f64,
@@ -70,10 +79,12 @@
 }
 
 impl QueryInFlight {
+    /// Whether the first phase has ended.
     pub fn is_second_phase_open(&self) -> bool {
         self.second_phase_opened_at.is_some()
     }
 
+    /// Whether every block of the first phase has answered.
     pub fn is_first_phase_complete(&self) -> bool {
         self.asked.values().all(|asked| asked.answered)
     }
@@ -83,6 +94,7 @@
         self.candidates.values().map(|candidate| candidate.fetch_chance).sum()
     }
 
+    /// How many candidates were named so far.
     pub fn named_count(&self) -> usize {
         self.candidates.values().filter(|candidate| candidate.named).count()
     }
--- a/crates/fernknot-two-phase/src/use_case_statistics.rs
+++ b/crates/fernknot-two-phase/src/use_case_statistics.rs
@@ -25,6 +25,7 @@
 
 /// The statistics of one use case, and its settings.
 pub(crate) struct UseCaseStatistics {
+    /// The settings of the use case.
     pub settings: PhaseFacts,
     first_phases: RecentDurations,
     /// By size class.
@@ -43,6 +44,7 @@
 }
 
 impl MatchChances {
+    /// The chance of a match for a block with this filter answer.
     pub fn of(&self, answer: FilterAnswer) -> f64 {
         match answer {
             FilterAnswer::CannotMatch => self.stale_rate,
@@ -53,6 +55,7 @@
 }
 
 impl UseCaseStatistics {
+    /// Nothing is known yet.
     pub fn new(now: Nanos, settings: &PhaseFacts) -> UseCaseStatistics {
         UseCaseStatistics {
             settings: settings.clone(),
@@ -63,6 +66,7 @@
         }
     }
 
+    /// The chances by what is known now.
     pub fn match_chances(&self) -> MatchChances {
         MatchChances {
             match_rate: self.match_rate.get().unwrap_or(INITIAL_MATCH_RATE),
@@ -80,10 +84,12 @@
         self.stale_rate.add_from(Some(INITIAL_STALE_RATE), f64::from(u8::from(matched)), GAIN);
     }
 
+    /// A first phase took so long.
     pub fn record_first_phase(&mut self, now: Nanos, took: Nanos) {
         self.first_phases.record(now, took);
     }
 
+    /// A second phase with so many parts took so long.
     pub fn record_second_phase(&mut self, now: Nanos, parts: usize, took: Nanos) {
         self.second_phases[size_class(parts as f64)].record(now, took);
     }
