--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk, seen from the event loop: read once at the start, and written by a thread of its own.
 
 use fernknot_consensus::{PersistentState, WriteId};
-use fernknot_storage::{Capacity, Storage, StorageError};
+use fernknot_storage::{Capacity, CompletedWrite, Storage, StorageError};
 use fernknot_telemetry::part;
 use mio::Waker;
 use std::net::SocketAddrV4;
@@ -131,9 +131,9 @@
 }
 
 fn completed_writes(storage: &mut Storage) -> Vec<(WriteId, bool)> {
-    let tracked = storage.take_completed().into_iter().filter(|(write_id, _)| *write_id != UNTRACKED_WRITE);
+    let tracked = storage.take_completed().into_iter().filter(|write| write.write_id != UNTRACKED_WRITE);
     tracked
-        .map(|(write_id, result)| {
+        .map(|CompletedWrite { write_id, result }| {
             if let Err(error) = &result {
                 log::warn!(target: part::STORAGE, "{error}");
             }
