--- a/crates/fernknot-cli/tests/commands.rs
+++ b/crates/fernknot-cli/tests/commands.rs
@@ -32,6 +32,11 @@
 #[test_case(&["views", "force", "127.0.0.1:1", "--lost", "127.0.0.1:2", "--yes-the-others-are-lost"], 1, "connect to 127.0.0.1:1: "; "nobody to force it at")]
 #[test_case(&["plan-capacity", "--nodes", "many"], 2, "--nodes: many"; "no number")]
 #[test_case(&["demo", "--seconds", "-1"], 2, "seconds"; "no time")]
+#[test_case(&["show", "relays", "127.0.0.1:1"], 1, "connect to 127.0.0.1:1: "; "relays of nobody")]
+#[test_case(&["show", "homes", "127.0.0.1:1"], 1, "connect to 127.0.0.1:1: "; "the earlier name of relays")]
+#[test_case(&["show", "duties", "127.0.0.1:1"], 1, "connect to 127.0.0.1:1: "; "the earlier name of ownership")]
+#[test_case(&["plan-capacity", "--controllers", "5"], 0, "controller, each of 5"; "a size")]
+#[test_case(&["plan-capacity", "--registrars", "5"], 0, "controller, each of 5"; "the earlier name of a size")]
 fn given_these_arguments_then_the_exit_code_and_the_message_for_the_user_are(
     arguments: &[&str],
     code: i32,
