--- a/crates/fernknot-cli/src/main.rs
+++ b/crates/fernknot-cli/src/main.rs
@@ -31,7 +31,7 @@
        fernknot views force ADDR --lost ADDR[,ADDR...] --yes-the-others-are-lost
                                                        makes a view of what is left, when more disks are lost for good
                                                        than may be (`--lost none`: all disks are older copies
-                                                       of themselves); see docs/operating.md before
+                                                       of themselves); see docs/operating-system.md before
        fernknot demo [--gateways N] [--seconds N]      starts a system on loopback and sends it queries
        fernknot measure gateways|nodes|routes|changes|queries|shards
                         [--sizes N,N...] [--seconds N] [--gateways N] [--zones N] [--json]
--- a/crates/fernknot-consensus/src/view_activation.rs
+++ b/crates/fernknot-consensus/src/view_activation.rs
@@ -162,10 +162,10 @@
     fn is_excluded_by(&self, chosen: &ChosenView) -> bool {
         let previous = self.view().number;
         let state = &self.disk.state;
-        let vouched_for_nothing =
+        let accepted_nothing =
             state.state_view == ViewNumber(0) && state.accepted.is_none() && !self.is_changing_view();
         let is_later_era = previous > ViewNumber(0) && chosen.view.number.era() > previous.era();
-        is_later_era && !vouched_for_nothing && !chosen.view.has_voter_id(self.member_id())
+        is_later_era && !accepted_nothing && !chosen.view.has_voter_id(self.member_id())
     }
 
     /// Continues as a new member: what was on the disk counts for nothing any more, and is overwritten.
