--- a/crates/fernknot-gateway/tests/stage/mod.rs
+++ b/crates/fernknot-gateway/tests/stage/mod.rs
@@ -466,7 +466,7 @@
             return self.soon();
         }
         let Some(link) = self.ports.connections.get_mut(&berth) else { return };
-        let lost = |step, kind: ErrorKind| NetError { step, peer: addr("10.9.0.1:999"), why: kind.into() };
+        let lost = |step, kind: ErrorKind| NetError { step, peer: addr("10.9.0.1:999"), source: kind.into() };
         match arrival {
             Arrival::Accepted { .. } => {}
             Arrival::Up => {
--- a/crates/fernknot-gateway/tests/stories/bodies.rs
+++ b/crates/fernknot-gateway/tests/stories/bodies.rs
@@ -71,7 +71,7 @@
         "comes whole" => story.comes(berth, &"x".repeat(BODY - 4)),
         "goes" => {
             let (peer, why) = ("10.9.0.1:999".parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
-            let why = NetError { step: "read from", peer, why };
+            let why = NetError { step: "read from", peer, source: why };
             story.ports.connections.remove(&berth);
             story.turn(vec![Event::Closed { connection: berth, was_open: true, error: why }]);
         }
--- a/crates/fernknot-gateway/tests/stories/mod.rs
+++ b/crates/fernknot-gateway/tests/stories/mod.rs
@@ -103,7 +103,7 @@
         let berth = self.controller;
         self.ports.connections.remove(&berth);
         let (peer, why) = (REGISTRAR.parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
-        let why = NetError { step: "read from", peer, why };
+        let why = NetError { step: "read from", peer, source: why };
         self.turn(vec![Event::Closed { connection: berth, was_open: true, error: why }]);
         while self.controller == berth {
             self.waits(TURN);
@@ -185,7 +185,7 @@
         rest.push(text.as_bytes());
         self.ports.unread_after_reset.insert(berth, rest);
         let (peer, why) = (NODE.parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
-        let why = NetError { step: "read from", peer, why };
+        let why = NetError { step: "read from", peer, source: why };
         self.turn(vec![
             Event::Received { connection: berth },
             Event::Closed { connection: berth, was_open: true, error: why },
--- /dev/null
+++ b/crates/fernknot-net/src/connection.rs
@@ -0,0 +1,117 @@
+//! One TCP connection with its buffers.
+
+use fernknot_protocol::buffer::Buffer;
+use mio::net::TcpStream;
+use std::io::{ErrorKind, Read, Write};
+use std::net::SocketAddrV4;
+
+/// Bytes that one system call reads at most, and that the buffer of an idle connection keeps.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+
+/// A connection and the bytes that wait to be consumed or written.
+pub(crate) struct Connection {
+    pub(crate) stream: TcpStream,
+    pub(crate) peer: SocketAddrV4,
+    /// The handshake is complete.
+    pub(crate) is_open: bool,
+    /// The peer has closed its sending side, and all of its bytes have been read.
+    pub(crate) read_closed: bool,
+    /// The peer has closed or reset the connection: what is left to read ends with that.
+    pub(crate) hung_up: bool,
+    pub(crate) input: Buffer,
+    pub(crate) output: Buffer,
+    /// To be closed once the output is written.
+    pub(crate) closing: bool,
+}
+
+/// What one pass of reading gave.
+pub(crate) struct ReadProgress {
+    /// Whether any bytes were received.
+    pub(crate) received: bool,
+    /// Why the pass ended.
+    pub(crate) end: ReadEnd,
+}
+
+/// Why a pass of reading ended.
+pub(crate) enum ReadEnd {
+    /// The socket has no more bytes for now.
+    Drained,
+    /// The input buffer is full; the socket may have more.
+    BufferFull,
+    /// The peer has closed its sending side.
+    Closed,
+    /// The connection failed.
+    Failed(std::io::Error),
+}
+
+/// What one pass of writing achieved.
+pub(crate) enum WriteProgress {
+    /// All output is written.
+    Flushed,
+    /// The socket takes no more for now.
+    Blocked,
+}
+
+impl Connection {
+    pub(crate) fn new(stream: TcpStream, peer: SocketAddrV4, is_open: bool) -> Connection {
+        Connection {
+            stream,
+            peer,
+            is_open,
+            read_closed: false,
+            hung_up: false,
+            input: Buffer::default(),
+            output: Buffer::default(),
+            closing: false,
+        }
+    }
+
+    /// Reads until the socket is empty or the input holds `read_ahead` bytes.
+    pub(crate) fn read(&mut self, read_ahead: usize) -> ReadProgress {
+        let mut received = false;
+        let end = loop {
+            if self.input.len() >= read_ahead {
+                break ReadEnd::BufferFull;
+            }
+            let space = self.input.space(READ_CHUNK_BYTES.min(read_ahead));
+            let size = space.len();
+            match self.stream.read(space) {
+                Ok(0) => {
+                    self.read_closed = true;
+                    break ReadEnd::Closed;
+                }
+                Ok(count) => {
+                    self.input.filled(count);
+                    received = true;
+                    // A short read has emptied the socket, and mio reports what is received later. After the peer
+                    // has hung up it reports nothing more: the end or the reset behind the bytes has to be read now.
+                    if count < size && !self.hung_up {
+                        break ReadEnd::Drained;
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break ReadEnd::Drained,
+                Err(error) => break ReadEnd::Failed(error),
+            }
+        };
+        ReadProgress { received, end }
+    }
+
+    /// Writes as much of the output as the socket takes.
+    ///
+    /// # Errors
+    /// The connection failed.
+    pub(crate) fn write(&mut self) -> std::io::Result<WriteProgress> {
+        while !self.output.is_empty() {
+            match self.stream.write(self.output.data()) {
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(count) => self.output.consume(count),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(WriteProgress::Blocked),
+                Err(error) => return Err(error),
+            }
+        }
+        self.output.shrink(READ_CHUNK_BYTES);
+        Ok(WriteProgress::Flushed)
+    }
+}
--- /dev/null
+++ b/crates/fernknot-net/src/connection_table.rs
@@ -0,0 +1,180 @@
+//! The open connections of an event loop, and the work that each of them waits for.
+
+use crate::connection::{Connection, ReadEnd, WriteProgress};
+use crate::error::NetError;
+use crate::event::{ConnectionId, Event};
+use fernknot_protocol::buffer::Buffer;
+use mio::Registry;
+use mio::event::Source;
+use std::collections::{BTreeSet, HashMap};
+
+/// All connections, those that are still opening among them.
+pub(crate) struct ConnectionTable {
+    connections: HashMap<ConnectionId, Connection>,
+    /// Bytes that are read ahead of their consumer, for each connection.
+    read_ahead: usize,
+    /// Connections with output to be written at the next poll.
+    pending_writes: BTreeSet<ConnectionId>,
+    /// Connections whose sockets may have more bytes than were read, since the input buffer was full.
+    pending_reads: BTreeSet<ConnectionId>,
+    /// Input that was not consumed when the last poll reported a connection as closed.
+    unread_inputs: HashMap<ConnectionId, Buffer>,
+}
+
+impl ConnectionTable {
+    pub(crate) fn new(read_ahead: usize) -> ConnectionTable {
+        ConnectionTable {
+            connections: HashMap::new(),
+            read_ahead,
+            pending_writes: BTreeSet::new(),
+            pending_reads: BTreeSet::new(),
+            unread_inputs: HashMap::new(),
+        }
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.connections.len()
+    }
+
+    pub(crate) fn insert(&mut self, id: ConnectionId, connection: Connection) {
+        self.connections.insert(id, connection);
+    }
+
+    pub(crate) fn get(&self, id: ConnectionId) -> Option<&Connection> {
+        self.connections.get(&id)
+    }
+
+    pub(crate) fn input(&mut self, id: ConnectionId) -> Option<&mut Buffer> {
+        self.connections.get_mut(&id).map(|connection| &mut connection.input)
+    }
+
+    pub(crate) fn output(&mut self, id: ConnectionId) -> Option<&mut Buffer> {
+        let connection = self.connections.get_mut(&id).filter(|connection| !connection.closing)?;
+        self.pending_writes.insert(id);
+        Some(&mut connection.output)
+    }
+
+    pub(crate) fn take_unread_input(&mut self, id: ConnectionId) -> Option<Buffer> {
+        self.unread_inputs.remove(&id)
+    }
+
+    pub(crate) fn drop_unread_inputs(&mut self) {
+        self.unread_inputs.clear();
+    }
+
+    /// Closes at once. No event follows.
+    pub(crate) fn close(&mut self, registry: &Registry, id: ConnectionId) {
+        if let Some(mut connection) = self.connections.remove(&id) {
+            let _ = connection.stream.deregister(registry);
+        }
+        self.pending_writes.remove(&id);
+        self.pending_reads.remove(&id);
+    }
+
+    /// Closes once all output is written. No event follows.
+    pub(crate) fn close_after_flush(&mut self, registry: &Registry, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if connection.output.is_empty() && !self.pending_writes.contains(&id) {
+            return self.close(registry, id);
+        }
+        connection.closing = true;
+        self.pending_writes.insert(id);
+    }
+
+    /// Writes the pending output of all connections.
+    pub(crate) fn flush(&mut self, registry: &Registry, events: &mut Vec<Event>) {
+        while let Some(id) = self.pending_writes.pop_first() {
+            self.write_output(registry, id, events);
+        }
+    }
+
+    /// Takes the connections to be read on, since their input has been consumed. What nobody consumes is not read on,
+    /// and does not keep the loop awake.
+    pub(crate) fn take_resumable_reads(&mut self) -> Vec<ConnectionId> {
+        let (connections, read_ahead) = (&self.connections, self.read_ahead);
+        let has_space =
+            |id: &ConnectionId| connections.get(id).is_none_or(|found| found.input.len() < read_ahead);
+        let resumable: Vec<ConnectionId> = self.pending_reads.iter().copied().filter(has_space).collect();
+        for id in &resumable {
+            self.pending_reads.remove(id);
+        }
+        resumable
+    }
+
+    /// The peer has closed or reset the connection; what it sent before is still to be read.
+    pub(crate) fn set_hung_up(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.hung_up = true;
+        }
+    }
+
+    /// The socket is writable: a connection that was opening is open or has failed, and output can be written on.
+    pub(crate) fn handle_writable(&mut self, registry: &Registry, id: ConnectionId, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if !connection.is_open {
+            match connection.stream.take_error() {
+                Ok(Some(error)) | Err(error) => {
+                    return self.connection_failed(registry, id, "connect to", error, events);
+                }
+                Ok(None) if connection.stream.peer_addr().is_err() => return,
+                Ok(None) => {
+                    connection.is_open = true;
+                    events.push(Event::Connected { connection: id });
+                }
+            }
+        }
+        if !connection.output.is_empty() {
+            self.write_output(registry, id, events);
+        }
+    }
+
+    fn write_output(&mut self, registry: &Registry, id: ConnectionId, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|found| found.is_open) else { return };
+        match connection.write() {
+            Ok(WriteProgress::Flushed) if connection.closing => self.close(registry, id),
+            Ok(WriteProgress::Flushed | WriteProgress::Blocked) => {}
+            Err(error) => self.connection_failed(registry, id, "write to", error, events),
+        }
+    }
+
+    /// Reads what the socket has.
+    pub(crate) fn read_input(&mut self, registry: &Registry, id: ConnectionId, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if !connection.is_open || connection.read_closed {
+            return;
+        }
+        let progress = connection.read(self.read_ahead);
+        if progress.received {
+            events.push(Event::Received { connection: id });
+        }
+        match progress.end {
+            ReadEnd::Drained => {}
+            ReadEnd::BufferFull => _ = self.pending_reads.insert(id),
+            ReadEnd::Closed => events.push(Event::ReadClosed { connection: id }),
+            ReadEnd::Failed(error) => self.connection_failed(registry, id, "read from", error, events),
+        }
+    }
+
+    /// Closes a connection that has failed, and reports it unless the host had already closed it.
+    fn connection_failed(
+        &mut self,
+        registry: &Registry,
+        id: ConnectionId,
+        step: &'static str,
+        source: std::io::Error,
+        events: &mut Vec<Event>,
+    ) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let (was_open, peer, is_closing) = (connection.is_open, connection.peer, connection.closing);
+        let unread = std::mem::take(&mut connection.input);
+        self.close(registry, id);
+        if is_closing {
+            return;
+        }
+        if !unread.is_empty() {
+            self.unread_inputs.insert(id, unread);
+        }
+        let error = NetError { step, peer, source };
+        events.push(Event::Closed { connection: id, was_open, error });
+    }
+}
--- a/crates/fernknot-net/src/lib.rs
+++ b/crates/fernknot-net/src/lib.rs
@@ -1,14 +1,25 @@
-//! Connections of one process: accepted, opened, read, written and closed by one loop. Nothing here
-//! knows what the bytes mean.
+//! The sockets of one process. An [`EventLoop`] accepts, begins, reads, writes and closes its connections, and reports
+//! what happened as [`Event`]s; nothing here knows what the bytes mean.
 //!
-//! A host turns the [`Dock`] and gets back what happened. Every connection has a [`Berth`], which is never
-//! given to another connection, so that news of one that has gone cannot be taken for another's.
+//! The package owns the sockets, their buffers, the signal flags and nothing else. The hosts of `fernknot-gateway` and
+//! `fernknot-controller` drive an event loop; a state machine that only needs connections is lent a [`Network`], which
+//! simulations implement too. Every connection has a [`ConnectionId`] that is never given to another one, so that an
+//! event of a closed connection cannot be mistaken for another's.
 
-mod dock;
-mod ports;
+#![deny(missing_docs)]
+
+mod connection;
+mod connection_table;
+mod datagrams;
+mod error;
+mod event;
+mod event_loop;
+mod network;
 mod signals;
 
-pub use dock::{ConnectionId, Event, EventLoop, EventLoopSettings, NetError};
+pub use error::NetError;
+pub use event::{ConnectionId, Event};
+pub use event_loop::{EventLoop, EventLoopSettings};
 pub use fernknot_protocol::buffer::Buffer;
-pub use ports::Network;
+pub use network::Network;
 pub use signals::Signals;
--- a/crates/fernknot-net/src/signals.rs
+++ b/crates/fernknot-net/src/signals.rs
@@ -1,31 +1,33 @@
-//! The orders that the platform gives a process.
+//! The signals by which the platform asks a process to stop or to read its settings again.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Signals noted as they come and taken by the loop at its next turn; a signal ends the loop's wait.
+/// Signals that were received and not handled yet. A signal also ends the event loop's wait.
 pub struct Signals {
     terminate: Arc<AtomicBool>,
     hang_up: Arc<AtomicBool>,
 }
 
 impl Signals {
+    /// Begins to record SIGTERM and SIGHUP.
+    ///
     /// # Errors
-    /// Where the system refuses a handler.
+    /// The operating system refuses a handler.
     pub fn install() -> std::io::Result<Signals> {
-        let (term, hup) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        signal_hook::flag::register(SIGTERM, term.clone())?;
-        signal_hook::flag::register(SIGHUP, hup.clone())?;
-        Ok(Signals { terminate: term, hang_up: hup })
+        let (terminate, hang_up) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        signal_hook::flag::register(SIGTERM, terminate.clone())?;
+        signal_hook::flag::register(SIGHUP, hang_up.clone())?;
+        Ok(Signals { terminate, hang_up })
     }
 
-    /// Whether the order to stop came since the last call.
+    /// Whether SIGTERM was received since the last call: the process is to stop.
     pub fn take_stop_request(&self) -> bool {
         self.terminate.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether the settings were said to have changed since the last call.
+    /// Whether SIGHUP was received since the last call: the settings file has changed.
     pub fn take_reload_request(&self) -> bool {
         self.hang_up.swap(false, Ordering::Relaxed)
     }
--- a/crates/fernknot-simulator/src/gateways.rs
+++ b/crates/fernknot-simulator/src/gateways.rs
@@ -577,7 +577,7 @@
                 let opened = link.is_open;
                 process.ports.unread_after_reset.insert(berth, link.input);
                 let kind = if opened { ErrorKind::ConnectionReset } else { ErrorKind::ConnectionRefused };
-                let why = NetError { step: "read from", peer: gateway_addr(at), why: kind.into() };
+                let why = NetError { step: "read from", peer: gateway_addr(at), source: kind.into() };
                 if !link.is_closing {
                     self.push_gateway_event(
                         at,
--- a/crates/fernknot-simulator/src/ports.rs
+++ b/crates/fernknot-simulator/src/ports.rs
@@ -55,7 +55,7 @@
 impl Network for SimulatedPorts {
     fn connect(&mut self, peer: SocketAddrV4) -> Result<ConnectionId, NetError> {
         if self.is_full {
-            return Err(NetError { step: "connect to", peer, why: ErrorKind::QuotaExceeded.into() });
+            return Err(NetError { step: "connect to", peer, source: ErrorKind::QuotaExceeded.into() });
         }
         let berth = self.new_id();
         self.add_connection(berth, false);
