--- /dev/null
+++ b/crates/fernknot-http-api/src/dispatcher.rs
@@ -0,0 +1,87 @@
+//! Finds the endpoint of a request and has its handler answer it.
+
+use crate::endpoint::{Endpoint, MatchedRequest};
+use crate::reply::Reply;
+use fernknot_protocol::http::Request;
+
+/// Answers the calls of one endpoint. `S` identifies a call whose answer comes later.
+pub trait Handler<C: Endpoint, S> {
+    /// The answer, or `None` when it is sent later; `pending` then says which call it belongs to.
+    fn handle(&mut self, call: C, pending: S) -> Option<C::Answer>;
+}
+
+/// What became of a request.
+#[derive(Debug)]
+pub enum DispatchOutcome {
+    /// The reply is known.
+    Ready(Reply),
+    /// The reply is sent later, to the call that the request was dispatched with.
+    Pending,
+}
+
+type HandleFn<H, S> = fn(&mut H, MatchedRequest<'_>, S) -> DispatchOutcome;
+
+struct Route<H, S> {
+    method: &'static str,
+    path: &'static str,
+    handle: HandleFn<H, S>,
+}
+
+/// All endpoints that `H` handles.
+pub struct Dispatcher<H, S> {
+    routes: Vec<Route<H, S>>,
+}
+
+impl<H, S> Default for Dispatcher<H, S> {
+    fn default() -> Dispatcher<H, S> {
+        Dispatcher { routes: Vec::new() }
+    }
+}
+
+impl<H, S> Dispatcher<H, S> {
+    /// Adds an endpoint. Where several match a request, the one added first gets it.
+    pub fn with_endpoint<C: Endpoint>(mut self) -> Dispatcher<H, S>
+    where
+        H: Handler<C, S>,
+    {
+        self.routes.push(Route { method: C::METHOD, path: C::PATH, handle: parse_and_handle::<C, H, S> });
+        self
+    }
+
+    /// Has the endpoint that a request matches handle it. The reply is 404 for a path that no endpoint has, and 405 for
+    /// a method that no endpoint of the path has.
+    pub fn dispatch(&self, handler: &mut H, request: &Request, pending: S) -> DispatchOutcome {
+        let path = request.path();
+        let mut path_exists = false;
+        for route in &self.routes {
+            let Some(segment) = match_path(route.path, path) else { continue };
+            path_exists = true;
+            if route.method == request.method {
+                return (route.handle)(handler, MatchedRequest { request, segment }, pending);
+            }
+        }
+        DispatchOutcome::Ready(match path_exists {
+            true => Reply::error(405, "this path has no such method"),
+            false => Reply::error(404, "no such path"),
+        })
+    }
+}
+
+fn parse_and_handle<C: Endpoint, H: Handler<C, S>, S>(
+    handler: &mut H,
+    matched: MatchedRequest<'_>,
+    pending: S,
+) -> DispatchOutcome {
+    match C::parse(matched).map(|call| handler.handle(call, pending)) {
+        Ok(Some(answer)) => DispatchOutcome::Ready(answer.into()),
+        Ok(None) => DispatchOutcome::Pending,
+        Err(rejection) => DispatchOutcome::Ready(rejection),
+    }
+}
+
+/// The segment that stands for the pattern's `*`, if the path matches the pattern.
+fn match_path<'a>(pattern: &str, path: &'a str) -> Option<&'a str> {
+    let Some((before, after)) = pattern.split_once('*') else { return (pattern == path).then_some("") };
+    let segment = path.strip_prefix(before)?.strip_suffix(after)?;
+    (!segment.is_empty() && !segment.contains('/')).then_some(segment)
+}
--- a/crates/fernknot-http-api/src/lib.rs
+++ b/crates/fernknot-http-api/src/lib.rs
@@ -1,12 +1,23 @@
-//! Calls over HTTP with JSON. A call and its answer are a pair of types ([`Call`]); who serves them says how for
-//! each pair ([`Serve`]), and one generic handler ([`Desk`]) finds the pair of a request, reads it, has it served
-//! and writes the answer. No sockets: a [`Tap`] reads requests from the bytes of one connection.
+//! Typed calls over HTTP/1.1 and JSON, for servers without sockets.
+//!
+//! A call and its answer are a pair of types ([`Endpoint`]); the server says how each pair is handled ([`Handler`]),
+//! and a [`Dispatcher`] finds the endpoint of a request, parses the call and has it handled. An
+//! [`HttpServerConnection`] reads requests from the bytes of one connection and writes the replies in their order.
+//!
+//! The package owns the format of replies and the order of calls on a connection. The controller serves nodes and
+//! operators with it, and the simulator reads the controller's replies through it.
 
-mod call;
-mod desk;
-mod tap;
+#![deny(missing_docs)]
 
-pub use call::{Body, Endpoint, MatchedRequest, Reply};
-pub use desk::{DispatchOutcome, Dispatcher, Handler};
+mod connection;
+mod dispatcher;
+mod endpoint;
+mod reply;
+mod settings;
+
+pub use connection::{HttpServerConnection, ReadOutcome, SeededBug};
+pub use dispatcher::{DispatchOutcome, Dispatcher, Handler};
+pub use endpoint::{Endpoint, MatchedRequest};
 pub use fernknot_protocol::http::Request;
-pub use tap::{HttpServerConnection, HttpServerSettings, ReadOutcome, SeededBug};
+pub use reply::{Body, Reply};
+pub use settings::HttpServerSettings;
--- a/crates/fernknot-http-api/tests/calls.rs
+++ b/crates/fernknot-http-api/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Pairs of calls and answers behind the one handler, and the requests of one connection.
+//! Endpoints behind a dispatcher, and the requests of one connection.
 
 use assert_matches::assert_matches;
 use fernknot_http_api::{
@@ -23,30 +23,30 @@
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/people/*/greet";
 
-    fn parse(asked: MatchedRequest<'_>) -> Result<Greet, Reply> {
-        match asked.request.body.is_empty() {
+    fn parse(matched: MatchedRequest<'_>) -> Result<Greet, Reply> {
+        match matched.request.body.is_empty() {
             true => Err(Reply::error(400, "say something")),
-            false => Ok(Greet(asked.segment.to_string())),
+            false => Ok(Greet(matched.segment.to_string())),
         }
     }
 }
 
 #[derive(Default)]
-struct Host {
-    later: Vec<u64>,
+struct Server {
+    pending: Vec<u64>,
 }
 
-impl Handler<Greet, u64> for Host {
-    fn handle(&mut self, call: Greet, slot: u64) -> Option<Greeted> {
+impl Handler<Greet, u64> for Server {
+    fn handle(&mut self, call: Greet, pending: u64) -> Option<Greeted> {
         if call.0 == "shy" {
-            self.later.push(slot);
+            self.pending.push(pending);
             return None;
         }
         Some(Greeted(call.0))
     }
 }
 
-fn facts() -> HttpServerSettings {
+fn settings() -> HttpServerSettings {
     HttpServerSettings::new(100, 64.0, 1000).expect("enough of all")
 }
 
@@ -56,13 +56,13 @@
     input
 }
 
-fn served(method: &str, path: &str, body: &str) -> (Host, DispatchOutcome) {
+fn dispatch(method: &str, path: &str, body: &str) -> (Server, DispatchOutcome) {
     let text = format!("{method} {path} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let (mut host, mut out) = (Host::default(), Buffer::default());
-    let pulled = HttpServerConnection::default().read_request(&mut input(&text), &mut out, &facts());
-    let ReadOutcome::Request(request) = pulled else { panic!("no request: {pulled:?}") };
-    let served = Dispatcher::default().with_endpoint::<Greet>().dispatch(&mut host, &request, 5);
-    (host, served)
+    let (mut server, mut output) = (Server::default(), Buffer::default());
+    let outcome = HttpServerConnection::default().read_request(&mut input(&text), &mut output, &settings());
+    let ReadOutcome::Request(request) = outcome else { panic!("no request: {outcome:?}") };
+    let outcome = Dispatcher::default().with_endpoint::<Greet>().dispatch(&mut server, &request, 5);
+    (server, outcome)
 }
 
 #[test_case("POST", "/people/ann/greet", "hi", 418; "of the pair")]
@@ -72,47 +72,47 @@
 #[test_case("POST", "/people//greet", "hi", 404; "without a name")]
 #[test_case("POST", "/people/ann/bob/greet", "hi", 404; "with two names")]
 #[test_case("POST", "/people/greet", "hi", 404; "that is too short for the pattern")]
-fn given_a_desk_when_a_request_comes_then_it_is_served_as_its_pair_says(
+fn given_a_dispatcher_when_a_request_comes_then_its_endpoint_answers_it(
     method: &str,
     path: &str,
     body: &str,
     status: u16,
 ) {
-    assert_matches!(served(method, path, body).1, DispatchOutcome::Ready(reply) if reply.status == status);
+    assert_matches!(dispatch(method, path, body).1, DispatchOutcome::Ready(reply) if reply.status == status);
 }
 
 #[test]
-fn given_a_host_that_needs_time_when_a_request_comes_then_its_slot_is_kept_for_the_answer() {
-    let (host, served) = served("POST", "/people/shy/greet", "hi");
-    assert_matches!(served, DispatchOutcome::Pending);
-    assert_eq!(host.later, [5]);
+fn given_a_handler_that_needs_time_when_a_request_comes_then_its_call_stays_pending() {
+    let (server, outcome) = dispatch("POST", "/people/shy/greet", "hi");
+    assert_matches!(outcome, DispatchOutcome::Pending);
+    assert_eq!(server.pending, [5]);
 }
 
 #[test]
 fn given_two_requests_at_once_when_the_first_waits_then_the_second_is_read_after_its_answer() {
     let mut input = input("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n");
-    let (mut tap, mut out) = (HttpServerConnection::default(), Buffer::default());
-    assert_matches!(tap.read_request(&mut input, &mut out, &facts()), ReadOutcome::Request(request) if request.target == "/a");
-    assert_matches!(tap.read_request(&mut input, &mut out, &facts()), ReadOutcome::Incomplete);
-    assert!(tap.write_reply(&mut out, 1, &Reply::ok(), false), "it goes on");
-    assert_matches!(tap.read_request(&mut input, &mut out, &facts()), ReadOutcome::Request(request) if request.target == "/b");
-    assert!(!tap.write_reply(&mut out, 2, &Reply::ok(), false), "the caller wanted it closed");
+    let (mut connection, mut output) = (HttpServerConnection::default(), Buffer::default());
+    assert_matches!(connection.read_request(&mut input, &mut output, &settings()), ReadOutcome::Request(request) if request.target == "/a");
+    assert_matches!(connection.read_request(&mut input, &mut output, &settings()), ReadOutcome::Incomplete);
+    assert!(connection.write_reply(&mut output, 1, &Reply::ok(), false), "the connection stays open");
+    assert_matches!(connection.read_request(&mut input, &mut output, &settings()), ReadOutcome::Request(request) if request.target == "/b");
+    assert!(!connection.write_reply(&mut output, 2, &Reply::ok(), false), "the caller wanted it closed");
 }
 
 #[test]
 fn given_a_body_over_the_bound_when_it_is_announced_then_it_is_refused_before_it_comes() {
     let mut input = input("POST /a HTTP/1.1\r\nContent-Length: 1001\r\n\r\n");
-    let mut out = Buffer::default();
+    let mut output = Buffer::default();
     assert_matches!(
-        HttpServerConnection::default().read_request(&mut input, &mut out, &facts()),
+        HttpServerConnection::default().read_request(&mut input, &mut output, &settings()),
         ReadOutcome::Rejected
     );
-    let text = String::from_utf8_lossy(out.data()).into_owned();
+    let text = String::from_utf8_lossy(output.data()).into_owned();
     assert!(text.starts_with("HTTP/1.1 413 "), "{text}");
 }
 
 #[test]
-fn given_words_with_quotes_when_a_call_is_refused_then_its_reason_is_sound_json() {
+fn given_a_reason_with_quotes_when_a_call_is_rejected_then_the_reply_is_valid_json() {
     let reply = Reply::error(400, "routes[0].name: \"a\\b\"\nis bad");
     assert_eq!(reply.body.bytes(), br#"{"error":"routes[0].name: \"a\\b\"\nis bad"}"#);
 }
