--- /dev/null
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -0,0 +1,449 @@
+//! The requests in flight, the engine that decides on their attempts, and the connections that carry these.
+
+use crate::counters::NodeCounters;
+use crate::decisions::Decisions;
+use crate::engine_setup::LOOP_GRANULARITY_MS;
+use crate::headers;
+use crate::nodes::{Attempt, EndpointChange, NodeChanges, NodeConnections, ReadOutcome};
+use crate::requests::{FinalResponse, PendingRequest, RequestTable, ResponseClass, classify_response};
+use crate::routing::RoutedRequest;
+use crate::seeded_bug::SeededBug;
+use fernknot::interface::*;
+use fernknot_engine::{AskerId, Verdict};
+use fernknot_net::{ConnectionId, Network};
+use fernknot_protocol::http::Response;
+use fernknot_protocol::multiget::Asked;
+use fernknot_router_config::Limits;
+use fernknot_telemetry::part;
+
+/// How long an idle connection may be reused until a node states a time-out.
+const DEFAULT_NODE_IDLE_MS: f64 = 4000.0;
+/// A connection is reused for this share of the time-out that its node states, so that nothing is sent into a
+/// connection that the node is closing.
+const NODE_IDLE_SHARE: f64 = 0.75;
+
+/// Attempts in flight. Without an engine, which starts with the first configuration, there are none.
+pub(crate) struct Attempts {
+    decisions: Decisions,
+    requests: RequestTable,
+    connections: NodeConnections,
+    node_idle_timeout: Nanos,
+    counters: NodeCounters,
+    seeded_bug: Option<SeededBug>,
+}
+
+impl Attempts {
+    pub(crate) fn new() -> Attempts {
+        Attempts {
+            decisions: Decisions::default(),
+            requests: RequestTable::default(),
+            connections: NodeConnections::default(),
+            node_idle_timeout: Nanos::from_millis(DEFAULT_NODE_IDLE_MS),
+            counters: NodeCounters::default(),
+            seeded_bug: None,
+        }
+    }
+
+    pub(crate) fn set_seeded_bug(&mut self, bug: SeededBug) {
+        self.seeded_bug = Some(bug);
+    }
+
+    pub(crate) fn requests(&self) -> &RequestTable {
+        &self.requests
+    }
+
+    pub(crate) fn connections(&self) -> &NodeConnections {
+        &self.connections
+    }
+
+    pub(crate) fn counters(&self) -> &NodeCounters {
+        &self.counters
+    }
+
+    pub(crate) fn decisions(&self) -> &Decisions {
+        &self.decisions
+    }
+
+    pub(crate) fn decisions_mut(&mut self) -> &mut Decisions {
+        &mut self.decisions
+    }
+
+    // ---- Requests --------------------------------------------------------------------------
+
+    /// Hands a request to the engine, which decides on its attempts.
+    pub(crate) fn start(
+        &mut self,
+        now: Nanos,
+        client: ConnectionId,
+        routed: RoutedRequest,
+    ) -> Option<AskerId> {
+        let id = self.requests.next_id();
+        let deadline = now + routed.timeout;
+        let shard_count = routed.parts.len();
+        let multiget = Asked {
+            id: routed.attempt_id.clone(),
+            use_case: routed.config.use_case(routed.route),
+            key: None,
+            wait: routed.timeout,
+            repeat: false,
+            text: String::new(),
+            parts: routed.parts,
+            second: None,
+        };
+        let RoutedRequest { request, config, route, attempt_id, .. } = routed;
+        let mut pending =
+            PendingRequest::new(client, config, route, attempt_id, deadline, request, shard_count);
+        pending.multiget = self.decisions.start_request(now, id, deadline, multiget)?;
+        self.requests.insert(id, pending);
+        Some(id)
+    }
+
+    /// The client of a request has gone.
+    pub(crate) fn cancel(&mut self, now: Nanos, id: AskerId) {
+        let Some(request) = self.requests.remove(id) else { return };
+        self.decisions.cancel_request(now, request.multiget);
+    }
+
+    /// Ends a request on which the engine has decided.
+    pub(crate) fn complete<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: AskerId,
+        verdict: Verdict,
+        network: &mut N,
+    ) -> Option<CompletedRequest> {
+        let is_unsent = verdict == Verdict::BrokenOff && self.withdraw_unsent(now, id, network);
+        let request = self.requests.remove(id)?;
+        let may_reject = is_unsent || self.seeded_bug == Some(SeededBug::RejectAfterAttempt);
+        let verdict = match verdict {
+            Verdict::BrokenOff if may_reject => Verdict::Dismissed { wait: None },
+            verdict => verdict,
+        };
+        Some(CompletedRequest { request, verdict })
+    }
+
+    /// Whether nothing of a request was sent, and nothing of it will be. Guards against a 502 or 504 where nothing can
+    /// have been executed, and against a 503 where something may have been: only a connection that never opened counts
+    /// as one over which nothing was sent, and it is closed before the client is told.
+    fn withdraw_unsent<N: Network>(&mut self, now: Nanos, id: AskerId, network: &mut N) -> bool {
+        let Some(request) = self.requests.get(id) else { return false };
+        let has_bug = self.seeded_bug == Some(SeededBug::RejectAfterClose);
+        let never_opened = |id: &ConnectionId| network.is_opening(*id) || has_bug && !network.is_open(*id);
+        if request.was_sent || !request.opening_connections.iter().all(never_opened) {
+            return false;
+        }
+        let opening = request.opening_connections.clone();
+        self.abandon_unopened(now, opening, network);
+        true
+    }
+
+    // ---- Attempts --------------------------------------------------------------------------
+
+    /// Sends an attempt; where that fails, the engine is told.
+    pub(crate) fn send<N: Network>(&mut self, now: Nanos, attempt: Attempt, node: NodeId, network: &mut N) {
+        if let Err(outcome) = self.try_send(now, attempt, node, network) {
+            self.decisions.attempt_ended(now, attempt, outcome);
+        }
+    }
+
+    fn try_send<N: Network>(
+        &mut self,
+        now: Nanos,
+        attempt: Attempt,
+        node: NodeId,
+        network: &mut N,
+    ) -> Result<(), Outcome> {
+        let request = self.requests.of_part(attempt.part).ok_or(Outcome::NeverSent)?;
+        let (idle, expired) = self.connections.take_idle(now, node, &request.used_connections);
+        for id in expired {
+            network.close(id);
+        }
+        let addr = self.connections.endpoint(node).ok_or(Outcome::NeverSent)?.addr;
+        let id = match idle.filter(|id| network.is_open(*id)) {
+            Some(id) => {
+                self.connections.assign(id, attempt);
+                request.was_sent = true;
+                id
+            }
+            None => {
+                let id = network.connect(addr).map_err(|_| Outcome::Unreachable)?;
+                self.counters.connections_opened += 1;
+                self.connections.insert(now, id, node, attempt);
+                request.opening_connections.push(id);
+                id
+            }
+        };
+        if self.seeded_bug != Some(SeededBug::RetryOnSameConnection) {
+            request.used_connections.push(id);
+        }
+        self.connections.set_expects_no_body(id, request.expects_no_body);
+        let endpoint = self.connections.endpoint(node).ok_or(Outcome::NeverSent)?;
+        let output = network.output(id).ok_or(Outcome::NeverSent)?;
+        request.write_to_node(output, &endpoint.incarnation, request.deadline - now);
+        Ok(())
+    }
+
+    /// The engine no longer waits for an attempt.
+    pub(crate) fn abandon<N: Network>(
+        &mut self,
+        now: Nanos,
+        attempt: Attempt,
+        outcome: Outcome,
+        network: &mut N,
+    ) {
+        if let Some(id) = self.connections.connection_of(attempt) {
+            if network.is_opening(id) {
+                self.requests.remove_opening_connection(attempt.part, id);
+            }
+            self.connections.remove(id);
+            network.close(id);
+        }
+        self.decisions.attempt_ended(now, attempt, outcome);
+    }
+
+    /// The connections to a node are not reused, since it may hang.
+    pub(crate) fn renew_connections<N: Network>(&mut self, now: Nanos, node: NodeId, network: &mut N) {
+        if self.seeded_bug == Some(SeededBug::RetryAfterTimeout) {
+            for id in self.connections.in_flight(Some(node), Nanos(u64::MAX)) {
+                self.connection_failed(now, id, Outcome::NeverSent, network);
+            }
+        }
+        for id in self.connections.retire_connections(node) {
+            network.close(id);
+        }
+    }
+
+    /// Abandons connections that are not open yet. Nothing of what they carry has been sent. Guards against taking one
+    /// that was open and is closed, which has still to be reported, for one that never was.
+    fn abandon_unopened<N: Network>(&mut self, now: Nanos, ids: Vec<ConnectionId>, network: &mut N) {
+        for id in ids {
+            let has_bug = self.seeded_bug == Some(SeededBug::ClosedCountsAsUnopened);
+            if network.is_opening(id) || has_bug && !network.is_open(id) {
+                self.connection_failed(now, id, Outcome::Unreachable, network);
+            }
+        }
+    }
+
+    /// Closes connections that have been idle for too long, and abandons those that were begun at this time or before
+    /// and are not open yet.
+    pub(crate) fn close_expired<N: Network>(&mut self, now: Nanos, begun_until: Nanos, network: &mut N) {
+        for id in self.connections.remove_expired(now) {
+            network.close(id);
+        }
+        let in_flight = self.connections.in_flight(None, begun_until);
+        self.abandon_unopened(now, in_flight, network);
+    }
+
+    // ---- Nodes and their connections -------------------------------------------------------
+
+    /// Tells the engine which nodes have changed, and closes connections to those that are gone.
+    pub(crate) fn apply_node_changes<N: Network>(
+        &mut self,
+        now: Nanos,
+        changes: NodeChanges,
+        known_nodes: usize,
+        network: &mut N,
+    ) {
+        self.decisions.set_groups(changes.groups);
+        for id in self.apply_endpoint_changes(changes.endpoints) {
+            network.close(id);
+        }
+        // What has not been sent by now may not reach a node that leaves: its connection may take seconds to open.
+        for node in changes.leaving {
+            let in_flight = self.connections.in_flight(Some(node), Nanos(u64::MAX));
+            self.abandon_unopened(now, in_flight, network);
+        }
+        if !changes.entries.is_empty() {
+            log::info!(target: part::NODES, "{} changes, {known_nodes} known", changes.entries.len());
+            self.decisions.apply_node_entries(&changes.entries);
+        }
+    }
+
+    /// Returns the idle connections to nodes that are gone, to be closed.
+    fn apply_endpoint_changes(&mut self, changes: Vec<EndpointChange>) -> Vec<ConnectionId> {
+        let mut idle = Vec::new();
+        for change in changes {
+            match change {
+                EndpointChange::Add { node, incarnation, addr } => {
+                    self.connections.add_endpoint(node, &incarnation, addr);
+                }
+                EndpointChange::Remove { node } => idle.extend(self.connections.remove_endpoint(node)),
+            }
+        }
+        idle
+    }
+
+    /// The incarnation that a node's identifier stands for, while the node may get attempts.
+    pub(crate) fn incarnation(&self, node: NodeId) -> Option<String> {
+        self.connections.endpoint(node).map(|endpoint| endpoint.incarnation.clone())
+    }
+
+    /// A connection to a node was reported as closed.
+    pub(crate) fn connection_closed<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        was_open: bool,
+        network: &mut N,
+    ) {
+        let may_have_run = was_open && self.seeded_bug != Some(SeededBug::RetryAfterReset);
+        let outcome = if may_have_run { Outcome::Broken } else { Outcome::Unreachable };
+        self.connection_failed(now, id, outcome, network);
+    }
+
+    fn connection_failed<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        outcome: Outcome,
+        network: &mut N,
+    ) {
+        network.close(id);
+        let Some(attempt) = self.connections.remove(id) else { return };
+        if outcome == Outcome::Unreachable {
+            self.requests.remove_opening_connection(attempt.part, id);
+        }
+        self.decisions.attempt_ended(now, attempt, outcome);
+    }
+
+    // ---- Responses of nodes ----------------------------------------------------------------
+
+    /// Reads a connection to a node. Returns the node if another incarnation has answered in its place.
+    pub(crate) fn read<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        read_closed: bool,
+        limits: &Limits,
+        network: &mut N,
+    ) -> Option<NodeId> {
+        match self.connections.read(id, network.input(id)?, read_closed, limits) {
+            ReadOutcome::Incomplete => None,
+            ReadOutcome::Invalid => {
+                self.counters.invalid_responses += 1;
+                self.connection_failed(now, id, Outcome::Broken, network);
+                None
+            }
+            ReadOutcome::Response { attempt, node, response } => {
+                self.handle_response(now, id, attempt, response, network).then_some(node)
+            }
+        }
+    }
+
+    /// The same for a response that was complete before its connection failed.
+    pub(crate) fn read_remaining<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        limits: &Limits,
+        network: &mut N,
+    ) -> Option<NodeId> {
+        let input = network.take_unread_input(id)?;
+        match self.connections.read_remaining(id, input, limits) {
+            ReadOutcome::Response { attempt, node, response } => {
+                self.handle_response(now, id, attempt, response, network).then_some(node)
+            }
+            ReadOutcome::Incomplete | ReadOutcome::Invalid => None,
+        }
+    }
+
+    /// Returns whether another incarnation has answered than the one that was meant.
+    fn handle_response<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        attempt: Attempt,
+        mut response: Response,
+        network: &mut N,
+    ) -> bool {
+        response.framed |= self.seeded_bug == Some(SeededBug::TruncatedIsComplete);
+        if let Some(timeout_s) = response.header("keep-alive").and_then(headers::keep_alive_timeout_s) {
+            self.node_idle_timeout = Nanos::from_millis(timeout_s as f64 * 1e3).times(NODE_IDLE_SHARE);
+        }
+        let class = self.classify(attempt, &response);
+        self.release_connection(now, id, &class, network);
+        self.record_response(now, attempt, class, response)
+    }
+
+    fn classify(&mut self, attempt: Attempt, response: &Response) -> ResponseClass {
+        let Some(request) = self.requests.of_part(attempt.part) else { return ResponseClass::Failure };
+        let attempt_id = match self.seeded_bug {
+            Some(SeededBug::MatchByConnection) => response.header(headers::ATTEMPT_ID).unwrap_or_default(),
+            _ => &request.attempt_id,
+        };
+        classify_response(response, attempt_id)
+    }
+
+    /// After a response, its connection is idle or closed.
+    fn release_connection<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        class: &ResponseClass,
+        network: &mut N,
+    ) {
+        if *class == ResponseClass::Mismatched {
+            self.counters.mismatched_responses += 1;
+            self.connections.remove(id);
+            network.close(id);
+        } else if !self.connections.release(id, now + self.node_idle_timeout) {
+            network.close(id);
+        }
+    }
+
+    /// Returns whether another incarnation has answered than the one that was meant.
+    fn record_response(
+        &mut self,
+        now: Nanos,
+        attempt: Attempt,
+        class: ResponseClass,
+        response: Response,
+    ) -> bool {
+        let request = self.requests.of_part(attempt.part);
+        match class {
+            ResponseClass::Part => {
+                if let Some(request) = request {
+                    request.add_part(attempt.part.index, response);
+                }
+                self.decisions.attempt_answered(now, attempt);
+            }
+            ResponseClass::NotExecuted { wrong_node } => {
+                self.decisions.attempt_ended(now, attempt, Outcome::TurnedAway);
+                self.counters.wrong_node_responses += u64::from(wrong_node);
+                return wrong_node;
+            }
+            ResponseClass::Failure => {
+                if let Some(request) = request {
+                    request.record_failure(response);
+                }
+                self.decisions.attempt_ended(now, attempt, Outcome::Error);
+            }
+            ResponseClass::Mismatched => self.decisions.attempt_ended(now, attempt, Outcome::Broken),
+        }
+        false
+    }
+}
+
+/// A request on which the engine has decided.
+pub(crate) struct CompletedRequest {
+    pub(crate) request: PendingRequest,
+    verdict: Verdict,
+}
+
+impl CompletedRequest {
+    /// The response to the client. A merged body is written into `merged`.
+    pub(crate) fn response<'a>(&'a self, now: Nanos, merged: &'a mut Vec<u8>) -> FinalResponse<'a> {
+        let granularity = Nanos::from_millis(LOOP_GRANULARITY_MS);
+        match &self.verdict {
+            Verdict::Settled { .. } => {
+                let merged = self.request.merged_response(merged);
+                merged.unwrap_or_else(|| self.request.error_response(502))
+            }
+            Verdict::Dismissed { wait } => self.request.rejection(wait.unwrap_or(granularity)),
+            Verdict::BrokenOff if now + granularity >= self.request.deadline => {
+                self.request.error_response(504)
+            }
+            Verdict::BrokenOff => self.request.error_response(502),
+        }
+    }
+}
--- /dev/null
+++ b/crates/fernknot-gateway/src/clients/connections.rs
@@ -0,0 +1,260 @@
+//! All connections of clients: requests read from them, responses written to them, and their time-outs.
+
+use super::connection::ClientConnection;
+use super::rejection::{LocalReply, Rejection};
+use crate::listeners::ListenAddress;
+use crate::requests::FinalResponse;
+use crate::seeded_bug::SeededBug;
+use fernknot::interface::Nanos;
+use fernknot_engine::AskerId;
+use fernknot_net::{ConnectionId, Network};
+use fernknot_protocol::http::{Answer, GO_ON, Request};
+use fernknot_router_config::Limits;
+use std::collections::HashMap;
+
+/// What was read from a connection.
+pub(crate) enum ClientRead {
+    /// A complete request, and where it came in.
+    Request(ListenAddress, Request),
+    /// A request that is rejected.
+    Rejected(Rejection),
+}
+
+/// How long clients may take, by the configuration in force.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ClientTimeouts {
+    /// How long a connection may be idle.
+    pub(crate) idle: Nanos,
+    /// How long a request may take to arrive.
+    pub(crate) receive: Nanos,
+}
+
+/// The connections of clients.
+#[derive(Default)]
+pub(crate) struct ClientConnections {
+    connections: HashMap<ConnectionId, ClientConnection>,
+    /// Bytes kept for the bodies of incomplete requests, over all connections.
+    partial_body_bytes: usize,
+    seeded_bug: Option<SeededBug>,
+}
+
+impl ClientConnections {
+    pub(crate) fn set_seeded_bug(&mut self, bug: SeededBug) {
+        self.seeded_bug = Some(bug);
+    }
+
+    /// Takes a connection that was accepted; it may be idle for so long until a response says otherwise.
+    pub(crate) fn accept(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        listen_address: ListenAddress,
+        idle_timeout: Nanos,
+    ) {
+        self.remove(id);
+        self.connections.insert(id, ClientConnection::new(listen_address, now, idle_timeout));
+    }
+
+    pub(crate) fn contains(&self, id: ConnectionId) -> bool {
+        self.connections.contains_key(&id)
+    }
+
+    /// Forgets a connection; its pending request is returned.
+    pub(crate) fn remove(&mut self, id: ConnectionId) -> Option<AskerId> {
+        let connection = self.connections.remove(&id)?;
+        self.partial_body_bytes -= connection.partial_body_bytes;
+        connection.pending
+    }
+
+    /// Whether all connections that are left came in at the readiness address.
+    pub(crate) fn are_all_readiness(&self) -> bool {
+        self.connections.values().all(|connection| connection.listen_address == ListenAddress::Ready)
+    }
+
+    /// A request waits for its response; the next one is read after that.
+    pub(crate) fn set_pending(&mut self, id: ConnectionId, request: AskerId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.pending = Some(request);
+        }
+    }
+
+    /// Reads the next request, unless one is pending. Bodies that are incomplete may take `max_partial_body_bytes`
+    /// together: guards the memory against many clients that each send a large body slowly.
+    pub(crate) fn read<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        limits: &Limits,
+        max_partial_body_bytes: usize,
+        network: &mut N,
+    ) -> Option<ClientRead> {
+        let connection = self.connections.get_mut(&id)?;
+        // What is pipelined behind a request waits for its response.
+        if connection.pending.is_some() && self.seeded_bug != Some(SeededBug::ConcurrentPipelining) {
+            return None;
+        }
+        let read = connection.reader.read(network.input(id)?, limits);
+        let partial_body_bytes = self.count_partial_body(id);
+        let connection = self.connections.get_mut(&id)?;
+        match read {
+            Ok(Some(request)) => {
+                (connection.is_receiving, connection.waiting_since) = (false, now);
+                (connection.keep_alive, connection.is_http_1_0) = (request.keep, request.old);
+                connection.expects_no_body = request.method == "HEAD";
+                Some(ClientRead::Request(connection.listen_address, request))
+            }
+            Ok(None) if partial_body_bytes > max_partial_body_bytes => {
+                Some(ClientRead::Rejected(Rejection::TooManyPartialBodies))
+            }
+            Ok(None) => {
+                wait_for_rest(now, id, connection, network);
+                None
+            }
+            Err(error) => Some(ClientRead::Rejected(Rejection::Malformed(error))),
+        }
+    }
+
+    /// Counts what a client has sent of an incomplete body; returns the bytes of all clients together.
+    fn count_partial_body(&mut self, id: ConnectionId) -> usize {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            let before = std::mem::replace(&mut connection.partial_body_bytes, connection.reader.kept());
+            self.partial_body_bytes = self.partial_body_bytes - before + connection.partial_body_bytes;
+        }
+        self.partial_body_bytes
+    }
+
+    /// Writes the reply to a request that is rejected.
+    pub(crate) fn reject<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        rejection: Rejection,
+        is_stopping: bool,
+        network: &mut N,
+    ) {
+        if let Some(connection) = self.connections.get_mut(&id)
+            && rejection.closes_connection()
+        {
+            connection.keep_alive = false;
+        }
+        self.write_reply(now, id, &rejection.reply(), is_stopping, network);
+    }
+
+    /// Writes a reply of the gateway itself.
+    pub(crate) fn write_reply<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        reply: &LocalReply<'_>,
+        is_stopping: bool,
+        network: &mut N,
+    ) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let keep_alive = connection.keep_alive && !is_stopping;
+        let head = Answer {
+            status: reply.status,
+            kind: "text/plain",
+            wait: reply.retry_after.map(|time| time.as_millis() / 1e3),
+            keep: keep_alive,
+            old: connection.is_http_1_0,
+        };
+        (connection.pending, connection.waiting_since) = (None, now);
+        let expects_no_body = std::mem::take(&mut connection.expects_no_body);
+        if let Some(output) = network.output(id) {
+            head.write(output, reply.body);
+            // A client that sent a `HEAD` would take a body for its next response.
+            let surplus = if expects_no_body { reply.body.len() } else { 0 };
+            output.truncate(output.len() - surplus);
+        }
+        if !keep_alive {
+            self.remove(id);
+            network.close_after_flush(id);
+        }
+    }
+
+    /// Writes the response to the pending request, which was read under a configuration by which connections may be
+    /// idle for so long. Returns whether the connection stays open.
+    pub(crate) fn write_response<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        response: &FinalResponse<'_>,
+        idle_ms: u64,
+        is_stopping: bool,
+        network: &mut N,
+    ) -> bool {
+        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        let keep_alive = connection.keep_alive && !connection.is_http_1_0 && !is_stopping;
+        (connection.pending, connection.waiting_since) = (None, now);
+        connection.expects_no_body = false;
+        // The client is told a little less than the gateway keeps to, so that it does not send into a closing connection.
+        let idle_s = (idle_ms / 1000).saturating_sub(1);
+        connection.set_idle_timeout(Nanos::from_millis(idle_ms as f64), idle_s > 0);
+        if let Some(output) = network.output(id) {
+            response.write(output, keep_alive, idle_s);
+        }
+        if !keep_alive {
+            self.remove(id);
+            network.close_after_flush(id);
+        }
+        keep_alive
+    }
+
+    /// Connections that have been idle, or receiving one request, for too long. What a client was told of its idle
+    /// time holds against a configuration that has shortened it since.
+    pub(crate) fn timed_out(&self, now: Nanos, timeouts: ClientTimeouts) -> Vec<ConnectionId> {
+        self.matching(|connection| {
+            let timeout = match connection.is_receiving {
+                true => timeouts.receive,
+                false => timeouts.idle.max(connection.idle_timeout),
+            };
+            connection.pending.is_none() && now - connection.waiting_since > timeout
+        })
+    }
+
+    /// Whether a request has begun to arrive.
+    pub(crate) fn is_receiving(&self, id: ConnectionId) -> bool {
+        self.connections.get(&id).is_some_and(|connection| connection.is_receiving)
+    }
+
+    /// Closes a connection at once.
+    pub(crate) fn close<N: Network>(&mut self, id: ConnectionId, network: &mut N) {
+        self.remove(id);
+        network.close(id);
+    }
+
+    /// Closes the connections without a pending or arriving request.
+    pub(crate) fn close_idle<N: Network>(&mut self, network: &mut N) {
+        for id in self.matching(ClientConnection::is_idle) {
+            self.close(id, network);
+        }
+    }
+
+    /// Sorted, so that a run can be replayed.
+    fn matching(&self, is_wanted: impl Fn(&ClientConnection) -> bool) -> Vec<ConnectionId> {
+        let wanted = self.connections.iter().filter(|(_, connection)| is_wanted(connection));
+        let mut ids: Vec<ConnectionId> = wanted.map(|(id, _)| *id).collect();
+        ids.sort();
+        ids
+    }
+}
+
+/// A request is incomplete: notes since when it has been arriving, and lets the client send its body.
+fn wait_for_rest<N: Network>(
+    now: Nanos,
+    id: ConnectionId,
+    connection: &mut ClientConnection,
+    network: &mut N,
+) {
+    let has_input = network.input(id).is_some_and(|input| !input.is_empty());
+    let is_receiving = connection.reader.is_open() || has_input;
+    if is_receiving && !connection.is_receiving {
+        connection.waiting_since = now;
+    }
+    connection.is_receiving = is_receiving;
+    if connection.reader.wants_leave()
+        && let Some(output) = network.output(id)
+    {
+        output.push(GO_ON);
+    }
+}
--- /dev/null
+++ b/crates/fernknot-gateway/src/clients/mod.rs
@@ -0,0 +1,8 @@
+//! Connections of clients, and of the platform that asks for readiness.
+
+mod connection;
+mod connections;
+mod rejection;
+
+pub(crate) use connections::{ClientConnections, ClientRead, ClientTimeouts};
+pub(crate) use rejection::{LocalReply, Rejection};
--- /dev/null
+++ b/crates/fernknot-gateway/src/clients/rejection.rs
@@ -0,0 +1,71 @@
+//! Responses that a gateway gives itself, without asking a node.
+
+use fernknot::decide::FIRST_WAIT;
+use fernknot::interface::Nanos;
+use fernknot_protocol::http::BadHttp;
+
+/// A plain-text response.
+pub(crate) struct LocalReply<'a> {
+    pub(crate) status: u16,
+    pub(crate) retry_after: Option<Nanos>,
+    pub(crate) body: &'a [u8],
+}
+
+impl<'a> LocalReply<'a> {
+    pub(crate) fn new(status: u16, body: &'a [u8]) -> LocalReply<'a> {
+        LocalReply { status, retry_after: None, body }
+    }
+}
+
+/// Why a client's request is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Rejection {
+    /// No configuration is in force yet.
+    NoConfig,
+    /// No route matches.
+    NoRoute,
+    /// `Attempt-Id` is missing, or a node would not get it unchanged.
+    InvalidAttemptId,
+    /// It is no valid HTTP, or too large.
+    Malformed(BadHttp),
+    /// The bodies that are arriving take all the memory they may.
+    TooManyPartialBodies,
+    /// It did not arrive completely in time.
+    ReceiveTimeout,
+}
+
+impl Rejection {
+    pub(crate) fn reply(&self) -> LocalReply<'static> {
+        let retry_after = match self {
+            Rejection::NoConfig | Rejection::TooManyPartialBodies => Some(FIRST_WAIT),
+            _ => None,
+        };
+        LocalReply { status: self.status(), retry_after, body: self.body() }
+    }
+
+    /// Whether the connection is closed after the reply, since where the next request would begin is not known.
+    pub(crate) fn closes_connection(&self) -> bool {
+        matches!(self, Rejection::Malformed(_) | Rejection::TooManyPartialBodies | Rejection::ReceiveTimeout)
+    }
+
+    fn status(&self) -> u16 {
+        match self {
+            Rejection::NoConfig | Rejection::TooManyPartialBodies => 503,
+            Rejection::NoRoute => 404,
+            Rejection::InvalidAttemptId => 400,
+            Rejection::Malformed(error) => error.status,
+            Rejection::ReceiveTimeout => 408,
+        }
+    }
+
+    fn body(&self) -> &'static [u8] {
+        match self {
+            Rejection::NoConfig => b"no configuration yet\n",
+            Rejection::NoRoute => b"no route\n",
+            Rejection::InvalidAttemptId => b"Attempt-Id is missing or unfit\n",
+            Rejection::Malformed(error) => error.why.as_bytes(),
+            Rejection::TooManyPartialBodies => b"too much is coming at once\n",
+            Rejection::ReceiveTimeout => b"the request did not come whole in time\n",
+        }
+    }
+}
--- a/crates/fernknot-gateway/src/gateway.rs
+++ b/crates/fernknot-gateway/src/gateway.rs
@@ -1,665 +1,508 @@
-//! One gateway without sockets, clock or signals: what happens becomes calls on the engine, and the engine's orders
-//! are carried out over the ports that it is lent.
-
-mod downstream;
-mod upstream;
-
-use crate::asks::PendingRequest;
-use crate::clients::{ClientConnection, ClientConnections, ListenAddress};
-use crate::lines::NodeConnections;
-use crate::news::{LocalState, Update, UpdateRelay};
-use crate::routes::{ConfigSnapshot, EngineIds};
+//! One gateway without sockets, clock or signals: events become inputs of its parts, and what these decide is carried
+//! out over the network that it is lent.
+
+use crate::attempts::Attempts;
+use crate::budget::BudgetShare;
+use crate::clients::{ClientConnections, ClientRead, LocalReply, Rejection};
+use crate::counters::{ClientCounters, Levels, counters_text};
+use crate::discovery::Discovery;
+use crate::engine_setup::site_facts;
+use crate::error::GatewayError;
+use crate::listeners::{ListenAddress, ListenerIds};
+use crate::nodes::{Attempt, NodeChanges, NodeTable};
+use crate::routing::Routing;
+use crate::seeded_bug::SeededBug;
+use crate::settings::{GatewaySettings, ZoneIds, controller_seeds, inner_addr, max_connections};
+use crate::shutdown::{Shutdown, ShutdownPhase};
+use crate::stall::StallDetector;
+use crate::updates::{LocalState, Update, UpdateRelay};
 use fernknot::interface::*;
-use fernknot::state::Mwc;
-use fernknot_engine::{AskerId, Engine, Order};
+use fernknot_engine::{AskerId, Order, Verdict};
 use fernknot_net::{ConnectionId, Event, Network};
-use fernknot_ownership::{GatewayRecord as Me, IncarnationId, OwnedKeysSettings, confirmation_timeout};
+use fernknot_ownership::{GatewayRecord, IncarnationId, OwnedKeysSettings, confirmation_timeout};
 use fernknot_peer_sampling::{PeerDescriptor, Role};
-use fernknot_registry::{NodeDirectory, NodeDirectoryLimits, NodeRecord};
-use fernknot_router_config::{Limits, SocketFacts};
-use fernknot_rpc::{InspectionTopic, ShuffleProtocol, Subscription};
-use fernknot_schema::{ClientLimits, ProcessSettings, RoutingConfig};
-use std::collections::{BTreeMap, HashMap, HashSet};
+use fernknot_protocol::http::Request;
+use fernknot_registry::NodeRecord;
+use fernknot_rpc::InspectionTopic;
+use fernknot_schema::{ProcessSettings, RoutingConfig};
+use fernknot_telemetry::part;
 use std::net::SocketAddrV4;
-use std::rc::Rc;
-
-/// Descriptors that are neither clients' nor nodes'.
-const RESERVED_DESCRIPTORS: usize = 220;
-/// Granularity of the loop, which is also the estimate's network term.
-const LOOP_GRANULARITY_MS: f64 = 3.0;
-/// A stand-still of the loop past this share of `apply_ms` is one of the process.
-const STALL_SHARE_OF_APPLY: f64 = 1.0 / 6.0;
-/// Views are shuffled once in so many times `contact_ms`.
-const SHUFFLE_INTERVAL_CONTACTS: f64 = 2.0;
-/// Names of services are looked through once in so many times `contact_ms`.
-const ID_SWEEP_INTERVAL_CONTACTS: f64 = 2.0;
-/// A connection to a node that is not up by this share of `drain_cutoff_ms` is given up.
-const CONNECT_TIMEOUT_SHARE: f64 = 0.25;
-/// The part of the memory that bodies of clients may take while they come.
-const PARTIAL_BODIES_MEMORY_SHARE: f64 = 1.0 / 8.0;
-/// The readiness calls that the platform may need to hear that a gateway leaves, with a little more.
-const MIN_UNREADY_TIME: Nanos = Nanos(2_600_000_000);
-
-/// Where a gateway listens; the host opens these and says by which berths.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListenerIds {
-    /// For clients.
-    pub front: ConnectionId,
-    /// For those that ask whether it is ready.
-    pub ready: ConnectionId,
-    /// For other processes of the system.
-    pub inner: ConnectionId,
-}
 
-/// Breaks planted for the checkers, which must find each one.
-#[doc(hidden)]
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SeededBug {
-    /// An answer belongs to what its connection carries, whatever id it bears.
-    MatchByConnection,
-    /// What a connection carried when it was reset counts as never sent.
-    RetryAfterReset,
-    /// A node that is silent for long counts as if nothing had been sent to it.
-    RetryAfterTimeout,
-    /// A request that may have run is told a 503.
-    RejectAfterAttempt,
-    /// A request may go again over a connection that carried it.
-    RetryOnSameConnection,
-    /// A connection that was up and is gone counts as one that never came up.
-    ClosedCountsAsUnopened,
-    /// A request whose connection was up and is gone counts as one that was never sent, once it is broken off.
-    RejectAfterClose,
-    /// An answer whose end no head tells counts as whole.
-    TruncatedIsComplete,
-    /// Of pipelined requests all are taken in hand at once.
-    ConcurrentPipelining,
-}
+/// The time between two sweeps for what has timed out.
+const SWEEP_INTERVAL: Nanos = Nanos(500_000_000);
 
-/// The brain of one gateway. It has no socket, clock, signal or file.
+/// One gateway, which has no socket, clock, signal or file.
 ///
-/// A host feeds it what happened to its connections with [`turn`](Gateway::turn), and lends it its [`Ports`]; all
-/// that it has to say goes out there. It wants another turn when something happens, and without news at
-/// [`due`](Gateway::due). Times are nanoseconds since any one moment before the first turn, and never go back.
-/// [`stop`](Gateway::stop) is the order to stop, and [`is_out`](Gateway::is_out) says after each turn whether it has
-/// been followed. Where [`wants_seeds`](Gateway::wants_seeds), the host reads its settings anew and tells
-/// [`seeds`](Gateway::seeds).
+/// A host passes it what happened to its connections with [`step`](Gateway::step) and lends it its [`Network`], over
+/// which it sends. It wants another step after each event, and without one at [`next_wakeup`](Gateway::next_wakeup).
+/// Times are nanoseconds since any one moment before the first step, and never decrease.
+///
+/// [`stop`](Gateway::stop) begins a graceful shutdown, and [`poll_shutdown`](Gateway::poll_shutdown) says after each
+/// step whether it is complete. Where [`take_settings_reload_request`](Gateway::take_settings_reload_request) says so,
+/// the host reads its settings again and passes the seeds to [`set_seeds`](Gateway::set_seeds).
 pub struct Gateway {
-    settings: ProcessSettings,
-    http_limits: Limits,
-    listeners: ListenerIds,
+    settings: GatewaySettings,
+    /// Identifies this incarnation, and seeds its random numbers.
     seed: u64,
-    rng: Mwc,
-    engine: Option<Engine>,
+    listeners: ListenerIds,
     clients: ClientConnections,
-    requests: HashMap<AskerId, PendingRequest>,
-    request_by_multiget: HashMap<MultigetId, AskerId>,
-    next_request_id: u64,
-    node_connections: NodeConnections,
-    engine_ids: EngineIds,
-    node_list: NodeDirectory,
-    /// What the module was told of the lives of each service.
-    known_nodes: HashMap<ShardId, BTreeMap<String, (NodeId, Health)>>,
-    next_node_id: u32,
-    config: Option<Rc<ConfigSnapshot>>,
+    routing: Routing,
+    attempts: Attempts,
+    nodes: NodeTable,
     update_relay: UpdateRelay,
-    peer_sampling: ShuffleProtocol,
+    /// A source of updates has sent a complete snapshot.
     is_synchronized: bool,
-    budget_sharers: Option<u32>,
-    /// How long an idle line to a node may be used again, as nodes tell.
-    node_idle_timeout: Nanos,
-    stop_requested_at: Option<Nanos>,
+    discovery: Discovery,
+    budget: BudgetShare,
+    shutdown: Shutdown,
+    stall_detector: StallDetector,
     next_sweep_at: Nanos,
-    next_id_sweep_at: Nanos,
-    last_step_at: Nanos,
-    next_reload_at: Nanos,
-    wants_settings_reload: bool,
-    counters: Counters,
-    seeded_bug: Option<SeededBug>,
-}
-
-#[derive(Default)]
-struct Counters {
-    requests: u64,
-    unrouted: u64,
-    no_config: u64,
-    malformed: u64,
-    overloaded: u64,
-    mismatched_responses: u64,
-    invalid_responses: u64,
-    connections_opened: u64,
-    wrong_node_responses: u64,
+    counters: ClientCounters,
 }
 
 impl Gateway {
-    /// A gateway that listens at these doors. `seed` is the number of its life and its chance: no two lives of a
-    /// system may have the same.
+    /// A gateway that listens at these sockets. `seed` is the identifier of its incarnation and the seed of its random
+    /// numbers: no two incarnations of a system may have the same.
     ///
     /// # Errors
-    /// Less memory, or fewer connections, than anything can be done with.
-    pub fn new(facts: ProcessSettings, doors: ListenerIds, seed: u64) -> Result<Gateway, String> {
-        let bounds = &facts.bounds;
-        let links = max_connections(&facts);
-        let inner_addr = inner_addr(&facts);
-        let seeds = controller_seeds(&facts);
-        let me = Me { incarnation: IncarnationId(seed), addr: inner_addr, zone: facts.zone.clone() };
-        let own = PeerDescriptor {
-            addr: inner_addr,
+    /// There is less memory, or there are fewer connections, than a gateway needs.
+    pub fn new(process: ProcessSettings, listeners: ListenerIds, seed: u64) -> Result<Gateway, GatewayError> {
+        let settings = GatewaySettings::new(&process);
+        let (addr, seeds) = (inner_addr(&process), controller_seeds(&process));
+        let heartbeat_interval = Nanos::from_millis(process.heartbeat_interval_ms);
+        let descriptor = PeerDescriptor {
+            addr,
             role: Role::Gateway,
-            zone: facts.zone.clone(),
+            zone: process.zone.clone(),
             incarnation: seed,
             age_ms: 0,
         };
-        let contact = Nanos::from_millis(bounds.contact_ms);
-        let window = Nanos::from_millis(bounds.retry_window_s * 1e3);
-        let beat = Nanos::from_millis(facts.heartbeat_interval_ms);
-        let shuffles = ShuffleProtocol::new(own, &seeds, contact.times(SHUFFLE_INTERVAL_CONTACTS), seed);
-        let shared = OwnedKeysSettings {
+        let record = GatewayRecord { incarnation: IncarnationId(seed), addr, zone: process.zone.clone() };
+        let ownership = OwnedKeysSettings {
             max_keys: 0,
-            handover_timeout: Nanos::from_millis(bounds.apply_ms),
-            confirmation_timeout: confirmation_timeout(contact, beat),
-            budget_window: window,
-        };
-        let mains = UpdateRelay::new(me, &seeds, shared, seed);
-        let socket_facts = SocketFacts {
-            use_cases: Vec::new(),
-            shards: 0,
-            streams: 1,
-            batch: 1,
-            idle: Nanos::from_millis(4000.0),
-            connect_within: Nanos::from_millis(1000.0),
-            drain_grace: Nanos::from_millis(bounds.drain_cutoff_ms),
-            longest_wait: Nanos::from_millis(3000.0),
-            phases: Vec::new(),
-            position: 0,
-            zones: Vec::new(),
+            handover_timeout: settings.apply,
+            confirmation_timeout: confirmation_timeout(settings.contact, heartbeat_interval),
+            budget_window: settings.retry_window,
         };
-        let limits = Limits::new(links, facts.limits.memory_mb, &socket_facts)?;
+        let memory_mb = process.limits.memory_mb;
         Ok(Gateway {
-            http_limits: limits,
-            listeners: doors,
             seed,
-            rng: Mwc::new(seed),
-            engine: None,
+            listeners,
             clients: ClientConnections::default(),
-            requests: HashMap::new(),
-            request_by_multiget: HashMap::new(),
-            next_request_id: 0,
-            node_connections: NodeConnections::default(),
-            engine_ids: EngineIds::default(),
-            node_list: NodeDirectory::new(beat, NodeDirectoryLimits::default()),
-            known_nodes: HashMap::new(),
-            next_node_id: 0,
-            config: None,
-            update_relay: mains,
-            peer_sampling: shuffles,
+            routing: Routing::new(&settings, max_connections(&process), memory_mb, seed)?,
+            attempts: Attempts::new(),
+            nodes: NodeTable::new(heartbeat_interval, ZoneIds::new(&process)),
+            update_relay: UpdateRelay::new(record, &seeds, ownership, seed),
             is_synchronized: false,
-            budget_sharers: None,
-            node_idle_timeout: Nanos::from_millis(4000.0),
-            stop_requested_at: None,
+            discovery: Discovery::new(descriptor, &seeds, &settings, seed),
+            budget: BudgetShare::new(process.bounds.retry_slack),
+            shutdown: Shutdown::new(Nanos::from_millis(process.bounds.grace_s * 1e3)),
+            stall_detector: StallDetector::new(settings.apply),
             next_sweep_at: Nanos(0),
-            next_id_sweep_at: Nanos(0),
-            last_step_at: Nanos(0),
-            next_reload_at: Nanos(0),
-            wants_settings_reload: false,
-            counters: Counters::default(),
-            seeded_bug: None,
-            settings: facts,
+            counters: ClientCounters::default(),
+            settings,
         })
     }
 
-    /// The same with a break in it.
+    /// The same gateway with a bug, for the tests of checkers.
     #[doc(hidden)]
-    pub fn with_seeded_bug(self, plant: SeededBug) -> Gateway {
-        Gateway { seeded_bug: Some(plant), ..self }
+    pub fn with_seeded_bug(mut self, bug: SeededBug) -> Gateway {
+        self.clients.set_seeded_bug(bug);
+        self.attempts.set_seeded_bug(bug);
+        self
     }
 
-    /// Takes what happened up to now, does what is due, and says over the ports what there is to say.
-    pub fn step<P: Network>(&mut self, now: Nanos, events: impl IntoIterator<Item = Event>, ports: &mut P) {
-        self.detect_stall(now);
+    /// Handles what happened up to now, does what is due, and sends what there is to send.
+    pub fn step<N: Network>(&mut self, now: Nanos, events: impl IntoIterator<Item = Event>, network: &mut N) {
+        if let Some(gap) = self.stall_detector.step(now) {
+            log::warn!(target: part::PROCESS, "the event loop stalled for {:.0} ms", gap.as_millis());
+            self.update_relay.resume_after_stall(now);
+        }
         for event in events {
-            self.handle_event(now, event, ports);
+            self.handle_event(now, event, network);
         }
-        self.poll_update_relay(now, ports);
-        self.run_engine(now, ports);
+        self.poll_update_relay(now, network);
+        self.run_engine(now, network);
         if now >= self.next_sweep_at {
-            self.sweep(now, ports);
+            self.sweep(now, network);
         }
     }
 
-    /// When it wants a turn without news.
+    /// When the gateway wants a step without an event.
     pub fn next_wakeup(&self) -> Nanos {
-        let due = self.engine.as_ref().and_then(|engine| engine.due()).unwrap_or(Nanos(u64::MAX));
-        due.min(self.update_relay.next_wakeup()).min(self.next_sweep_at)
-    }
-
-    /// The order to stop: says farewell, is no longer ready, and answers what is in hand.
-    pub fn stop<P: Network>(&mut self, now: Nanos, ports: &mut P) {
-        if self.stop_requested_at.is_none() {
-            self.stop_requested_at = Some(now);
-            log::info!(target: "gateway", "told to stop, {} requests in hand", self.requests.len());
-            self.update_relay.announce_leaving(ports);
-        }
+        let engine = self.attempts.decisions().next_wakeup().unwrap_or(Nanos(u64::MAX));
+        engine.min(self.update_relay.next_wakeup()).min(self.next_sweep_at)
     }
 
-    /// The settings name these controllers now, at their inner addresses.
+    /// The settings name these controllers now, by their inner addresses.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.update_relay.add_controllers(seeds);
-        self.peer_sampling.set_seeds(seeds);
+        self.discovery.set_seeds(seeds);
     }
 
-    /// Whether nobody that it knows tells it news, so that settings may name others; says so once.
+    /// Whether no known source sends updates, so that the host is to read the settings again, which may name others.
+    /// Each request is returned once.
     pub fn take_settings_reload_request(&mut self) -> bool {
-        std::mem::take(&mut self.wants_settings_reload)
+        self.discovery.take_settings_reload_request()
     }
 
-    /// After the order to stop: whether all is answered, or the grace is nearly over. What has been written has still
-    /// to go out.
-    pub fn poll_shutdown<P: Network>(&mut self, now: Nanos, ports: &mut P) -> bool {
-        let Some(since) = self.stop_requested_at else { return false };
-        let grace = Nanos::from_millis(self.settings.bounds.grace_s * 1e3);
-        let gone = now - since;
-        if gone >= grace.times(0.92) {
-            return true;
-        }
-        // The platform needs two calls to see that this gateway is not ready; until then it sends more.
-        if gone < MIN_UNREADY_TIME.min(grace.times(0.6)) {
-            return false;
+    // ---- Shutdown --------------------------------------------------------------------------
+
+    /// Begins a graceful shutdown: the gateway is no longer ready, and completes what is in flight.
+    pub fn stop<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        if self.shutdown.request(now) {
+            let in_flight = self.attempts.requests().len();
+            log::info!(target: part::PROCESS, "stop requested, {in_flight} requests in flight");
+            self.update_relay.announce_shutdown(network);
         }
-        ports.stop_listening(self.listeners.front);
-        for berth in self.clients.idle() {
-            self.clients.remove(berth);
-            ports.close(berth);
+    }
+
+    /// Goes on with a shutdown. Returns whether it is complete: all requests are answered, or the grace is nearly over.
+    /// Pending output has still to be written then.
+    pub fn poll_shutdown<N: Network>(&mut self, now: Nanos, network: &mut N) -> bool {
+        match self.shutdown.phase(now) {
+            ShutdownPhase::Running | ShutdownPhase::Unready => false,
+            ShutdownPhase::Expired => true,
+            ShutdownPhase::Draining => {
+                network.stop_listening(self.listeners.front);
+                self.clients.close_idle(network);
+                self.attempts.requests().is_empty() && self.clients.are_all_readiness()
+            }
         }
-        self.requests.is_empty()
-            && self.clients.iter().all(|client| client.listen_address == ListenAddress::Ready)
     }
 
     fn is_ready(&self) -> bool {
-        self.stop_requested_at.is_none() && self.config.is_some() && self.is_synchronized
+        !self.shutdown.is_requested() && self.routing.config().is_some() && self.is_synchronized
     }
 
-    fn handle_event<P: Network>(&mut self, now: Nanos, event: Event, ports: &mut P) {
+    // ---- Events ----------------------------------------------------------------------------
+
+    fn handle_event<N: Network>(&mut self, now: Nanos, event: Event, network: &mut N) {
         match event {
-            Event::Accepted { connection: berth, listener: at, .. } if at == self.listeners.inner => {
-                self.update_relay.add_connection(berth)
-            }
-            Event::Accepted { connection: berth, listener: at, .. } => {
-                let door =
-                    if at == self.listeners.front { ListenAddress::Front } else { ListenAddress::Ready };
-                debug_assert!(at == self.listeners.front || at == self.listeners.ready);
-                let client = ClientConnection::new(door, now, self.client_idle_timeout());
-                self.clients.insert(berth, client);
-            }
-            Event::Connected { .. } => {}
-            Event::Received { connection: berth } => self.handle_input(now, berth, false, ports),
-            Event::ReadClosed { connection: berth } => {
-                if self.clients.contains(berth) {
-                    self.client_closed(now, berth, ports);
-                } else {
-                    self.handle_input(now, berth, true, ports);
-                    if self.update_relay.owns_connection(berth) {
-                        ports.close(berth);
-                        self.update_relay.connection_closed(now, berth);
-                    }
-                }
-            }
-            Event::Closed { connection: berth, was_open: opened, error: why } => {
-                if self.node_connections.contains(berth) {
-                    log::debug!(target: "line", "{why}");
-                    self.read_remaining_response(now, berth, ports);
-                    let may_have_run = opened && self.seeded_bug != Some(SeededBug::RetryAfterReset);
-                    let outcome = if may_have_run { Outcome::Broken } else { Outcome::Unreachable };
-                    self.node_connection_failed(now, berth, outcome, ports);
-                } else if self.update_relay.owns_connection(berth) {
-                    self.update_relay.connection_closed(now, berth);
+            Event::Accepted { connection, listener, .. } => self.accept(now, connection, listener),
+            Event::Connected { .. } | Event::Woken => {}
+            Event::Received { connection } => self.read(now, connection, false, network),
+            Event::ReadClosed { connection } => self.handle_read_closed(now, connection, network),
+            Event::Closed { connection, was_open, error } => {
+                if self.attempts.connections().contains(connection) {
+                    log::debug!(target: part::CONNECTIONS, "{error}");
+                    self.handle_node_closed(now, connection, was_open, network);
+                } else if self.update_relay.owns_connection(connection) {
+                    self.update_relay.connection_closed(now, connection);
                 } else {
-                    self.client_closed(now, berth, ports);
+                    self.handle_client_closed(now, connection, network);
                 }
             }
-            Event::Datagram { from, bytes } => {
-                if let Some(answer) = self.peer_sampling.handle_datagram(now, from, &bytes) {
-                    ports.send_datagram(from, &answer);
-                }
-            }
-            Event::Woken => {}
+            Event::Datagram { from, bytes } => self.discovery.handle_datagram(now, from, &bytes, network),
         }
     }
 
-    fn handle_input<P: Network>(&mut self, now: Nanos, berth: ConnectionId, ended: bool, ports: &mut P) {
-        if self.node_connections.contains(berth) {
-            self.read_node(now, berth, ended, ports);
-        } else if self.update_relay.owns_connection(berth) {
-            self.read_updates(now, berth, ports);
-        } else {
-            self.read_client(now, berth, ports);
+    fn accept(&mut self, now: Nanos, connection: ConnectionId, listener: ConnectionId) {
+        if listener == self.listeners.inner {
+            return self.update_relay.accept(connection);
         }
+        debug_assert!(listener == self.listeners.front || listener == self.listeners.ready);
+        let is_front = listener == self.listeners.front;
+        let address = if is_front { ListenAddress::Front } else { ListenAddress::Ready };
+        self.clients.accept(now, connection, address, self.routing.client_timeouts().idle);
     }
 
-    // ---- News ------------------------------------------------------------------------------
-
-    /// What those that listen here are told.
-    fn local_state<'a>(
-        pinned: &'a Option<Rc<ConfigSnapshot>>,
-        pool: &'a NodeDirectory,
-        whole: bool,
-        ready: bool,
-    ) -> LocalState<'a> {
-        let plan = pinned.as_ref().map(|pinned| (pinned.revision, &pinned.config));
-        LocalState { node_list: pool, config: plan, is_synchronized: whole, is_ready: ready }
+    fn read<N: Network>(&mut self, now: Nanos, id: ConnectionId, read_closed: bool, network: &mut N) {
+        if self.attempts.connections().contains(id) {
+            let limits = self.routing.http_limits();
+            let wrong_node = self.attempts.read(now, id, read_closed, limits, network);
+            self.handle_wrong_node(now, wrong_node, network);
+        } else if self.update_relay.owns_connection(id) {
+            self.read_updates(now, id, network);
+        } else {
+            self.read_client(now, id, network);
+        }
     }
 
-    fn poll_update_relay<P: Network>(&mut self, now: Nanos, ports: &mut P) {
-        let ready = self.is_ready();
-        let held = Gateway::local_state(&self.config, &self.node_list, self.is_synchronized, ready);
-        self.update_relay.poll(now, ports, &held);
+    fn handle_read_closed<N: Network>(&mut self, now: Nanos, id: ConnectionId, network: &mut N) {
+        if self.clients.contains(id) {
+            return self.handle_client_closed(now, id, network);
+        }
+        self.read(now, id, true, network);
+        if self.update_relay.owns_connection(id) {
+            network.close(id);
+            self.update_relay.connection_closed(now, id);
+        }
     }
 
-    fn read_updates<P: Network>(&mut self, now: Nanos, berth: ConnectionId, ports: &mut P) {
-        let (mut news, fence, ready) = (Vec::new(), self.update_relay.fencing_token(), self.is_ready());
-        let held = Gateway::local_state(&self.config, &self.node_list, self.is_synchronized, ready);
-        self.update_relay.read_input(now, berth, ports, &held, &mut news);
-        if self.update_relay.fencing_token() > fence {
-            self.update_relay.forward_assignment(ports);
-        }
-        news.into_iter().for_each(|news| self.apply_update(now, news, ports));
+    fn handle_node_closed<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        was_open: bool,
+        network: &mut N,
+    ) {
+        let wrong_node = self.attempts.read_remaining(now, id, self.routing.http_limits(), network);
+        self.handle_wrong_node(now, wrong_node, network);
+        self.attempts.connection_closed(now, id, was_open, network);
     }
 
-    /// Guards against taking a stand-still of this process for silence of the others.
-    fn detect_stall(&mut self, now: Nanos) {
-        let gap = now - std::mem::replace(&mut self.last_step_at, now);
-        if gap > Nanos::from_millis(self.settings.bounds.apply_ms).times(STALL_SHARE_OF_APPLY) {
-            log::warn!(target: "gateway", "The loop stood still for {:.0} ms.", gap.as_millis());
-            self.update_relay.resume_after_stall(now);
+    fn handle_client_closed<N: Network>(&mut self, now: Nanos, id: ConnectionId, network: &mut N) {
+        network.close(id);
+        if let Some(request) = self.clients.remove(id) {
+            self.attempts.cancel(now, request);
         }
     }
 
-    fn apply_update<P: Network>(&mut self, now: Nanos, news: Update, ports: &mut P) {
-        match news {
-            Update::Config { revision: order, config: plan } => self.apply_config(now, order, plan, ports),
-            Update::Nodes(facts) => {
-                // Only what is news here goes on, so that it never goes in a circle.
-                let is_news = |fact: &&NodeRecord| {
-                    let held = self.node_list.get(&fact.id);
-                    held.is_none_or(|held| held.state != fact.state || held.sequence < fact.sequence)
-                };
-                let fresh: Vec<NodeRecord> = facts.iter().filter(is_news).cloned().collect();
-                self.node_list.apply_updates(now, &facts);
-                self.update_relay.forward_nodes(ports, &fresh);
-                self.refresh_changed_nodes(now, ports);
-            }
-            Update::Complete { watermark: mark, scope: share } => {
-                let services = match &share {
-                    Subscription::All => None,
-                    Subscription::Services(names) => Some(&names[..]),
-                };
-                self.node_list.finish_snapshot(mark, services);
-                if !std::mem::replace(&mut self.is_synchronized, true) {
-                    self.update_relay.forward_complete(ports);
+    // ---- Clients ---------------------------------------------------------------------------
+
+    /// Reads and handles the requests of a client until one is pending or none is complete.
+    fn read_client<N: Network>(&mut self, now: Nanos, id: ConnectionId, network: &mut N) {
+        loop {
+            let limits = self.routing.http_limits();
+            // One body that the configuration allows is always accepted.
+            let max_partial_body_bytes = self.settings.max_partial_body_bytes.max(limits.body);
+            match self.clients.read(now, id, limits, max_partial_body_bytes, network) {
+                None => return,
+                Some(ClientRead::Rejected(rejection)) => return self.reject(now, id, rejection, network),
+                Some(ClientRead::Request(ListenAddress::Ready, request)) => {
+                    self.serve_admin(now, id, &request, network);
                 }
-            }
-            Update::OperatorQuestion { connection: berth, question } => {
-                let text = match question {
-                    InspectionTopic::Counters => self.counters_text(now),
-                    InspectionTopic::Nodes => {
-                        let line = |fact: &NodeRecord| {
-                            let NodeRecord { id, service, addr, zone, state, .. } = fact;
-                            format!("{id} {service} {addr} {zone} {state:?}\n")
-                        };
-                        self.node_list.records().map(line).collect()
-                    }
-                    other => self.update_relay.describe(other),
-                };
-                self.update_relay.answer_operator(ports, berth, text);
-            }
-            Update::SourceHealthy => {
-                self.node_list.record_source_heartbeat(now);
-                let sharers = self.update_relay.budget_sharers(now);
-                if sharers != self.budget_sharers {
-                    self.budget_sharers = sharers;
-                    let free = self.budget_slack();
-                    if let Some(engine) = &mut self.engine {
-                        engine.slack(free);
-                        sharers.iter().for_each(|count| engine.shared_by(now, *count as usize));
-                    }
+                Some(ClientRead::Request(ListenAddress::Front, request)) => {
+                    self.start_request(now, id, request, network);
                 }
             }
         }
     }
 
-    /// This gateway's share of the slack of each service; none while the others may not count it.
-    fn budget_slack(&self) -> f64 {
-        self.budget_sharers
-            .map_or(0.0, |sharers| self.settings.bounds.retry_slack / f64::from(sharers.max(1)))
-    }
-
-    fn apply_config<P: Network>(&mut self, now: Nanos, order: u64, plan: RoutingConfig, ports: &mut P) {
-        // Guards against going back: only what is later in the one order is ever taken.
-        if self.config.as_ref().is_some_and(|held| held.revision >= order) {
-            return;
-        }
-        let longest = plan.routes.iter().map(|route| route.deadline_ms).max().unwrap_or(0);
-        let keep = Nanos::from_millis(longest as f64 * 2.0 + 10_000.0);
-        log::info!(target: "plan", "version {} with {} routes is in force", plan.epoch, plan.routes.len());
-        self.http_limits.head = plan.limits.header_bytes as usize;
-        self.http_limits.body = plan.limits.body_bytes as usize;
-        let (pinned, cases, freed) = self.engine_ids.snapshot(now, order, plan, keep);
-        if let Some(engine) = &mut self.engine {
-            freed.into_iter().for_each(|case| engine.retire(case));
-        }
-        match &mut self.engine {
-            Some(engine) => cases.iter().for_each(|(case, facts)| engine.use_case(now, *case, facts)),
-            None => {
-                let shortest = cases.iter().map(|(_, facts)| facts.goal).filter(|goal| goal.0 > 0).min();
-                let site = SiteFacts {
-                    routers: self.budget_sharers.unwrap_or(1).max(1) as usize,
-                    use_cases: cases.into_iter().map(|(_, facts)| facts).collect(),
-                    shortest_goal: shortest,
-                    customers: Vec::new(),
-                    tick: Nanos::from_millis(LOOP_GRANULARITY_MS),
-                    cold: ColdFacts::default(),
-                    budget: Some(BudgetFacts {
-                        free: self.budget_slack(),
-                        share: self.settings.bounds.retry_ratio,
-                        window: Nanos::from_millis(self.settings.bounds.retry_window_s * 1e3),
-                        each_shard: true,
-                    }),
-                    places: u32::MAX,
-                    width: 1,
-                    cancel: true,
-                    second_copies: true,
-                    most_hand_offs: 1,
-                    longest_wait: shortest,
-                    must_ask: false,
-                    peers: false,
-                    by_work: false,
-                    zone: Some(zone_id(&self.settings, &self.settings.zone)),
-                    // What a client waits for tells when it first asked, but a late answer still earns something.
-                    marks_repeats: true,
-                    // One that is refused twice costs a third of its worth, and a late answer earns as much.
-                    refusals_cost: true,
-                };
-                self.engine = Some(Engine::new(self.seed, site, &[], 0, now));
+    fn start_request<N: Network>(&mut self, now: Nanos, id: ConnectionId, request: Request, network: &mut N) {
+        self.counters.requests += 1;
+        match self.routing.route(request) {
+            Err(rejection) => self.reject(now, id, rejection, network),
+            Ok(routed) => {
+                if let Some(request) = self.attempts.start(now, id, routed) {
+                    self.clients.set_pending(id, request);
+                }
             }
         }
-        self.update_relay.forward_config(ports, order, &pinned.config);
-        self.update_relay.set_services(&pinned.config);
-        self.config = Some(Rc::new(pinned));
-        self.refresh_all_nodes(now, ports);
     }
 
-    /// Bytes that bodies of all clients together may take while they come; one that the version in force allows always
-    /// may.
-    fn max_partial_body_bytes(&self) -> usize {
-        let most =
-            (self.settings.limits.memory_mb * f64::from(1 << 20) * PARTIAL_BODIES_MEMORY_SHARE) as usize;
-        most.max(self.http_limits.body)
+    fn reject<N: Network>(&mut self, now: Nanos, id: ConnectionId, rejection: Rejection, network: &mut N) {
+        self.counters.count(rejection);
+        if let Rejection::Malformed(error) = rejection {
+            log::debug!(target: part::CONNECTIONS, "request rejected: {} {}", error.status, error.why);
+        }
+        self.clients.reject(now, id, rejection, self.shutdown.is_requested(), network);
     }
 
-    /// How long connections of clients may rest by the version in force.
-    fn client_idle_timeout(&self) -> Nanos {
-        let held = self.config.as_ref().map(|pinned| pinned.config.limits.idle_ms);
-        Nanos::from_millis(held.unwrap_or(ClientLimits::default().idle_ms) as f64)
+    /// Answers the platform, and readers of counters.
+    fn serve_admin<N: Network>(&mut self, now: Nanos, id: ConnectionId, request: &Request, network: &mut N) {
+        let counters;
+        let reply = match (request.method.as_str(), request.path()) {
+            ("GET", "/-/readiness") if self.is_ready() => LocalReply::new(200, b"ready\n"),
+            ("GET", "/-/readiness") => LocalReply::new(503, b"not ready\n"),
+            ("GET", "/-/counters") => {
+                counters = self.counters_text(now);
+                LocalReply::new(200, counters.as_bytes())
+            }
+            _ => LocalReply::new(404, b"unknown\n"),
+        };
+        self.clients.write_reply(now, id, &reply, self.shutdown.is_requested(), network);
     }
 
-    fn counters_text(&self, now: Nanos) -> String {
-        let counters = &self.counters;
-        let mut text = format!(
-            "requests {}\nunrouted {}\nunplanned {}\nbad {}\ncrowded {}\nstrays {}\nspoilt {}\nlines_opened {}\nstrangers {}\n\
-             in_hand {}\nlines {}\nnodes {}\nservices {}\nversion {}\n",
-            counters.requests,
-            counters.unrouted,
-            counters.no_config,
-            counters.malformed,
-            counters.overloaded,
-            counters.mismatched_responses,
-            counters.invalid_responses,
-            counters.connections_opened,
-            counters.wrong_node_responses,
-            self.requests.len(),
-            self.node_connections.len(),
-            self.known_nodes.values().map(BTreeMap::len).sum::<usize>(),
-            self.engine_ids.service_count(),
-            self.config.as_ref().map_or(0, |pinned| pinned.config.epoch),
-        );
-        let old = Nanos::from_millis(self.settings.bounds.drain_cutoff_ms);
-        let fresh = self.update_relay.config_age(now).is_some_and(|ago| ago <= old);
-        text += &format!("news_old {}\n", u8::from(!fresh));
-        if let Some(engine) = &self.engine {
-            text += &engine.counters.text();
+    /// Writes the response to a request on which the engine has decided, and reads the client's next one.
+    fn complete_request<N: Network>(&mut self, now: Nanos, id: AskerId, verdict: Verdict, network: &mut N) {
+        let Some(completed) = self.attempts.complete(now, id, verdict, network) else { return };
+        let mut merged = Vec::new();
+        let response = completed.response(now, &mut merged);
+        let client = completed.request.client;
+        let idle_ms = completed.request.config.config.limits.idle_ms;
+        let is_stopping = self.shutdown.is_requested();
+        if self.clients.write_response(now, client, &response, idle_ms, is_stopping, network) {
+            self.read_client(now, client, network);
         }
-        text
     }
 
-    // ---- Orders ----------------------------------------------------------------------------
+    // ---- Attempts and nodes ----------------------------------------------------------------
 
-    fn run_engine<P: Network>(&mut self, now: Nanos, ports: &mut P) {
-        loop {
-            let Some(engine) = &mut self.engine else { return };
-            let due = engine.due().is_some_and(|at| at <= now);
-            if !due && !engine.has_news() {
-                return;
-            }
-            while let Some(order) = self.engine.as_mut().and_then(|engine| engine.next(now)) {
-                self.execute_action(now, order, ports);
+    /// Carries out the engine's actions until none is due.
+    fn run_engine<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        while self.attempts.decisions().is_due(now) {
+            while let Some(action) = self.attempts.decisions_mut().poll_action(now) {
+                self.execute_action(now, action, network);
             }
         }
     }
 
-    fn execute_action<P: Network>(&mut self, now: Nanos, order: Order, ports: &mut P) {
-        match order {
+    fn execute_action<N: Network>(&mut self, now: Nanos, action: Order, network: &mut N) {
+        match action {
             Order::Send { part, no, node } => {
-                if let Err(outcome) = self.send_attempt(now, part, no, node, ports)
-                    && let Some(engine) = &mut self.engine
-                {
-                    engine.ended(now, part, no, outcome, LoadReport::default());
-                }
+                self.attempts.send(now, Attempt { part, number: no }, node, network);
             }
             Order::Abandon { part, no, outcome } => {
-                if let Some(berth) = self.node_connections.connection_of(part, no) {
-                    if ports.is_opening(berth) {
-                        self.remove_opening_connection(part, berth);
-                    }
-                    self.node_connections.remove(berth);
-                    ports.close(berth);
-                }
-                if let Some(engine) = &mut self.engine {
-                    engine.ended(now, part, no, outcome, LoadReport::default());
-                }
-            }
-            Order::Answer { asker, verdict, .. } => self.complete_request(now, asker, verdict, ports),
-            Order::Renew { node } => {
-                if self.seeded_bug == Some(SeededBug::RetryAfterTimeout) {
-                    for berth in self.node_connections.in_flight(Some(node), Nanos(u64::MAX)) {
-                        self.node_connection_failed(now, berth, Outcome::NeverSent, ports);
-                    }
-                }
-                self.node_connections
-                    .retire_connections(node)
-                    .into_iter()
-                    .for_each(|berth| ports.close(berth));
+                self.attempts.abandon(now, Attempt { part, number: no }, outcome, network);
             }
+            Order::Answer { asker, verdict, .. } => self.complete_request(now, asker, verdict, network),
+            Order::Renew { node } => self.attempts.renew_connections(now, node, network),
             Order::FollowList | Order::Tell { .. } => {}
         }
     }
 
-    // ---- Now and then ----------------------------------------------------------------------
+    /// Another incarnation has answered at the address of a node, which is gone then.
+    fn handle_wrong_node<N: Network>(&mut self, now: Nanos, node: Option<NodeId>, network: &mut N) {
+        let Some(incarnation) = node.and_then(|node| self.attempts.incarnation(node)) else { return };
+        if self.nodes.mark_lost(now, &incarnation) {
+            self.apply_recent_node_changes(now, network);
+        }
+    }
 
-    fn sweep<P: Network>(&mut self, now: Nanos, ports: &mut P) {
-        self.next_sweep_at = now + Nanos::from_millis(500.0);
-        for berth in self.node_connections.remove_expired(now) {
-            ports.close(berth);
+    fn apply_recent_node_changes<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        if !self.attempts.decisions().has_engine() {
+            return self.nodes.skip_recent_changes();
         }
-        let opens = Nanos::from_millis(self.settings.bounds.drain_cutoff_ms).times(CONNECT_TIMEOUT_SHARE);
-        let waiting = self.node_connections.in_flight(None, now - opens);
-        self.abandon_unopened(now, waiting, ports);
-        let limits = self.config.as_ref().map(|pinned| &pinned.config.limits);
-        let header_ms = limits.map_or(ClientLimits::default().header_ms, |limits| limits.header_ms);
-        let sending = Nanos::from_millis(header_ms as f64).times(2.0);
-        for (berth, coming) in self.clients.timed_out(now, self.client_idle_timeout(), sending) {
-            if coming {
-                if let Some(client) = self.clients.get_mut(berth) {
-                    client.keep_alive = false;
-                }
-                self.reply_locally(now, berth, 408, None, b"the request did not come whole in time\n", ports);
-            } else {
-                self.clients.remove(berth);
-                ports.close(berth);
-            }
+        let changes = self.nodes.recent_changes(self.routing.ids());
+        self.apply_node_changes(now, changes, network);
+    }
+
+    fn apply_node_changes<N: Network>(&mut self, now: Nanos, changes: NodeChanges, network: &mut N) {
+        let known_nodes = self.nodes.engine_node_count();
+        self.attempts.apply_node_changes(now, changes, known_nodes, network);
+    }
+
+    // ---- Updates ---------------------------------------------------------------------------
+
+    fn poll_update_relay<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        let state = LocalState {
+            nodes: self.nodes.directory(),
+            config: self.routing.config().map(|config| (config.revision, &config.config)),
+            is_synchronized: self.is_synchronized,
+            is_ready: self.is_ready(),
+        };
+        self.update_relay.poll(now, network, &state);
+    }
+
+    fn read_updates<N: Network>(&mut self, now: Nanos, id: ConnectionId, network: &mut N) {
+        let state = LocalState {
+            nodes: self.nodes.directory(),
+            config: self.routing.config().map(|config| (config.revision, &config.config)),
+            is_synchronized: self.is_synchronized,
+            is_ready: self.is_ready(),
+        };
+        let mut updates = Vec::new();
+        let token = self.update_relay.fencing_token();
+        self.update_relay.read(now, id, network, &state, &mut updates);
+        if self.update_relay.fencing_token() > token {
+            self.update_relay.forward_assignment(network);
         }
-        while let Some((to, bytes)) = self.peer_sampling.poll_datagram(now) {
-            ports.send_datagram(to, &bytes);
+        for update in updates {
+            self.apply_update(now, update, network);
         }
-        let apply = Nanos::from_millis(self.settings.bounds.apply_ms);
-        if self.update_relay.config_age(now).is_none_or(|ago| ago > apply) {
-            // Controllers that no seed and no pulse names any more are found through neighbours, or by settings
-            // that changed without a word.
-            self.update_relay.add_controllers(&self.peer_sampling.candidate_controllers());
-            if now >= self.next_reload_at {
-                self.next_reload_at = now + Nanos::from_millis(self.settings.bounds.contact_ms);
-                self.wants_settings_reload = true;
+    }
+
+    fn apply_update<N: Network>(&mut self, now: Nanos, update: Update, network: &mut N) {
+        match update {
+            Update::Config { revision, config } => self.apply_config(now, revision, config, network),
+            Update::Nodes(records) => {
+                let new = self.nodes.apply_updates(now, &records);
+                self.update_relay.forward_nodes(network, &new);
+                self.apply_recent_node_changes(now, network);
+            }
+            Update::SnapshotComplete { watermark, subscription } => {
+                self.nodes.finish_snapshot(watermark, &subscription);
+                if !std::mem::replace(&mut self.is_synchronized, true) {
+                    self.update_relay.forward_snapshot_complete(network);
+                }
+            }
+            Update::SourceHealthy => self.handle_source_heartbeat(now),
+            Update::Inspect { connection, topic } => {
+                let report = self.inspect(now, topic);
+                self.update_relay.send_report(network, connection, report);
             }
         }
-        self.node_list.expire(now);
-        self.refresh_changed_nodes(now, ports);
-        if now >= self.next_id_sweep_at {
-            self.next_id_sweep_at =
-                now + Nanos::from_millis(self.settings.bounds.contact_ms).times(ID_SWEEP_INTERVAL_CONTACTS);
-            self.release_unused_ids(now);
+    }
+
+    fn handle_source_heartbeat(&mut self, now: Nanos) {
+        self.nodes.record_source_heartbeat(now);
+        let sharers = self.update_relay.budget_sharers(now);
+        if self.budget.set_sharers(sharers) {
+            self.attempts.decisions_mut().set_budget(now, self.budget.slack(), sharers);
         }
     }
 
-    /// Gives up the numbers of services that no version names which is in force or which a request in hand was taken
-    /// under, and of which neither the list nor the module knows any node.
-    fn release_unused_ids(&mut self, now: Nanos) {
-        let Some(pinned) = &self.config else { return };
-        let mut versions = BTreeMap::from([(pinned.revision, pinned)]);
-        self.requests.values().for_each(|ask| _ = versions.entry(ask.config.revision).or_insert(&ask.config));
-        let named = versions.values().flat_map(|pinned| pinned.services());
-        let listed = self.node_list.services();
-        let in_use: HashSet<&str> = named.chain(listed).collect();
-        // What was spent on further tries of a service counts by its number, in this window and the one before.
-        let keep = Nanos::from_millis(self.settings.bounds.retry_window_s * 1e3).times(2.0);
-        self.engine_ids.release_unused(now, keep, |service| in_use.contains(service));
+    fn apply_config<N: Network>(
+        &mut self,
+        now: Nanos,
+        revision: u64,
+        config: RoutingConfig,
+        network: &mut N,
+    ) {
+        let Some((snapshot, change)) = self.routing.apply(now, revision, config) else { return };
+        let (epoch, routes) = (snapshot.config.epoch, snapshot.config.routes.len());
+        log::info!(target: part::ROUTING_CONFIG, "epoch {epoch} with {routes} routes is in force");
+        let decisions = self.attempts.decisions_mut();
+        if decisions.has_engine() {
+            decisions.apply_use_cases(now, &change);
+        } else {
+            let use_cases = change.use_cases.into_iter().map(|(_, facts)| facts).collect();
+            decisions.start_engine(now, site_facts(&self.settings, &self.budget, use_cases), self.seed);
+        }
+        self.update_relay.forward_config(network, revision, &snapshot.config);
+        self.update_relay.set_services(&snapshot.config);
+        let changes = self.nodes.all_changes(self.routing.ids());
+        self.apply_node_changes(now, changes, network);
     }
-}
 
-/// The module's number for a zone.
-fn zone_id(facts: &ProcessSettings, name: &str) -> ZoneId {
-    let place = facts.zones.keys().position(|zone| zone == name);
-    ZoneId(place.map_or(u32::MAX, |place| place as u32))
-}
+    // ---- Sweeps ----------------------------------------------------------------------------
+
+    /// Closes and forgets what has timed out.
+    fn sweep<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        self.next_sweep_at = now + SWEEP_INTERVAL;
+        self.attempts.close_expired(now, now - self.settings.connect_timeout, network);
+        self.sweep_clients(now, network);
+        self.discovery.send_due(now, network);
+        // Controllers that no seed and no heartbeat names any more are found through other processes.
+        if self.update_relay.config_age(now).is_none_or(|age| age > self.settings.apply) {
+            self.update_relay.add_controllers(&self.discovery.find_controllers(now));
+        }
+        self.nodes.expire(now);
+        self.apply_recent_node_changes(now, network);
+        let (in_flight, listed) = (self.attempts.requests().iter(), self.nodes.directory().services());
+        self.routing.release_unused_ids(now, in_flight, listed);
+    }
 
-/// Connections that a gateway with these settings may have at once, of all kinds.
-pub fn max_connections(facts: &ProcessSettings) -> usize {
-    (facts.limits.fd_limit as usize).saturating_sub(RESERVED_DESCRIPTORS).max(64)
-}
+    fn sweep_clients<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        for id in self.clients.timed_out(now, self.routing.client_timeouts()) {
+            if self.clients.is_receiving(id) {
+                self.reject(now, id, Rejection::ReceiveTimeout, network);
+            } else {
+                self.clients.close(id, network);
+            }
+        }
+    }
 
-/// Where a gateway with these settings is spoken to by other processes of the system.
-pub fn inner_addr(facts: &ProcessSettings) -> SocketAddrV4 {
-    SocketAddrV4::new(facts.ip, facts.port_range.0)
-}
+    // ---- Inspection ------------------------------------------------------------------------
 
-/// The inner addresses of the controllers that the settings name.
-pub fn controller_seeds(facts: &ProcessSettings) -> Vec<SocketAddrV4> {
-    facts.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), facts.port_range.0 + 1)).collect()
+    /// What this gateway knows, for a person to read.
+    fn inspect(&self, now: Nanos, topic: InspectionTopic) -> String {
+        match topic {
+            InspectionTopic::Counters => self.counters_text(now),
+            InspectionTopic::Nodes => {
+                let line = |record: &NodeRecord| {
+                    let NodeRecord { id, service, addr, zone, state, .. } = record;
+                    format!("{id} {service} {addr} {zone} {state:?}\n")
+                };
+                self.nodes.directory().records().map(line).collect()
+            }
+            other => self.update_relay.describe(other),
+        }
+    }
+
+    fn counters_text(&self, now: Nanos) -> String {
+        let config_age = self.update_relay.config_age(now);
+        let levels = Levels {
+            requests_in_flight: self.attempts.requests().len(),
+            node_connections: self.attempts.connections().len(),
+            nodes: self.nodes.engine_node_count(),
+            services: self.routing.service_count(),
+            config_epoch: self.routing.config().map_or(0, |snapshot| snapshot.config.epoch),
+            is_config_stale: config_age.is_none_or(|age| age > self.settings.drain_cutoff),
+        };
+        let text = counters_text(&self.counters, self.attempts.counters(), &levels);
+        text + &self.attempts.decisions().counters_text()
+    }
 }
--- a/crates/fernknot-gateway/src/host.rs
+++ b/crates/fernknot-gateway/src/host.rs
@@ -1,113 +1,109 @@
 //! The program's host: sockets, clock, signals and the settings file around one [`Gateway`].
 
-use crate::gateway::{Gateway, ListenerIds, controller_seeds, inner_addr, max_connections};
+use crate::gateway::Gateway;
+use crate::listeners::ListenerIds;
+use crate::settings::{controller_seeds, inner_addr, max_connections};
 use fernknot::interface::Nanos;
-use fernknot_net::{EventLoop, EventLoopSettings, NetError, Signals};
+use fernknot_net::process::{Clock, ProcessError, SettingsFile};
+use fernknot_net::{EventLoop, EventLoopSettings, Signals};
 use fernknot_schema::ProcessSettings;
-use std::path::PathBuf;
-use std::time::{Duration, Instant};
-use thiserror::Error;
+use fernknot_telemetry::part;
+use std::net::SocketAddrV4;
+use std::time::Duration;
 
-/// Bytes read ahead on one connection.
+/// Bytes read ahead of their consumer on one connection.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
-/// The longest wait of one turn.
+/// The longest wait for events.
 const MAX_WAIT: Nanos = Nanos(250_000_000);
 
-/// Why the program can't run.
-#[derive(Debug, Error)]
-pub enum HostError {
-    #[error("settings: {0}")]
-    Settings(String),
-    #[error("{step}: {why}")]
-    System { step: &'static str, why: std::io::Error },
-    #[error(transparent)]
-    Network(#[from] NetError),
-}
-
 /// The program.
 pub struct Host {
     node_name: String,
     zone: String,
-    settings_path: PathBuf,
+    settings_file: SettingsFile,
     event_loop: EventLoop,
     signals: Signals,
-    started_at: Instant,
+    clock: Clock,
     gateway: Gateway,
 }
 
 impl Host {
-    /// Listens. `seed` must differ from start to start and from machine to machine.
+    /// Begins to listen. `seed` must differ from start to start and from machine to machine.
     ///
     /// # Errors
-    /// Where the settings miss what a gateway needs, or the system refuses it.
-    pub fn new(facts: ProcessSettings, path: PathBuf, seed: u64) -> Result<Host, HostError> {
-        let system = |step| move |why| HostError::System { step, why };
-        let silence = Duration::from_nanos((facts.bounds.apply_ms * 1e6) as u64);
-        let mut dock = EventLoop::new(EventLoopSettings {
-            max_connections: max_connections(&facts),
-            read_ahead_bytes: READ_AHEAD_BYTES,
-            unacknowledged_timeout: silence,
-        })
-        .map_err(system("poll"))?;
-        let missing = |name: &str| HostError::Settings(format!("bind_addrs.{name} is missing"));
-        let front = dock.listen(facts.bind_addrs.front_addr.ok_or_else(|| missing("front_addr"))?)?;
-        let ready = dock.listen(facts.bind_addrs.ready_addr.ok_or_else(|| missing("ready_addr"))?)?;
-        let inner = dock.listen(inner_addr(&facts))?;
-        dock.listen_datagrams(inner_addr(&facts))?;
-        let (name, zone) = (facts.node_name.clone(), facts.zone.clone());
-        let brain =
-            Gateway::new(facts, ListenerIds { front, ready, inner }, seed).map_err(HostError::Settings)?;
-        let signals = Signals::install().map_err(system("watch for signals"))?;
-        Ok(Host {
-            node_name: name,
-            zone,
-            settings_path: path,
-            event_loop: dock,
-            signals,
-            started_at: Instant::now(),
-            gateway: brain,
-        })
+    /// The settings lack what a gateway needs, or the operating system refuses it.
+    pub fn new(
+        settings: ProcessSettings,
+        settings_file: SettingsFile,
+        seed: u64,
+    ) -> Result<Host, ProcessError> {
+        let mut event_loop =
+            EventLoop::new(event_loop_settings(&settings)).map_err(ProcessError::system("poll"))?;
+        let listeners = listen(&settings, &mut event_loop)?;
+        let (node_name, zone) = (settings.node_name.clone(), settings.zone.clone());
+        let gateway = Gateway::new(settings, listeners, seed)
+            .map_err(|error| ProcessError::Settings(error.to_string()))?;
+        let signals = Signals::install().map_err(ProcessError::system("watch for signals"))?;
+        Ok(Host { node_name, zone, settings_file, event_loop, signals, clock: Clock::start(), gateway })
     }
 
-    fn now(&self) -> Nanos {
-        Nanos(self.started_at.elapsed().as_nanos() as u64)
-    }
-
-    /// Serves until the order to stop has been carried out.
+    /// Serves until a requested shutdown is complete.
     pub fn run(&mut self) {
+        log::info!(target: part::PROCESS, "{} serves in {}", self.node_name, self.zone);
         let mut events = Vec::new();
-        log::info!(target: "gateway", "{} serves in {}", self.node_name, self.zone);
         loop {
-            let wait = (self.gateway.next_wakeup() - self.now()).min(MAX_WAIT);
+            let wait = (self.gateway.next_wakeup() - self.clock.now()).min(MAX_WAIT);
             self.event_loop.poll(Some(Duration::from_nanos(wait.0)), &mut events);
-            let now = self.now();
+            let now = self.clock.now();
             self.gateway.step(now, events.drain(..), &mut self.event_loop);
-            if self.signals.take_stop_request() {
-                self.gateway.stop(now, &mut self.event_loop);
-            }
-            if self.signals.take_reload_request() {
-                log::info!(target: "gateway", "told that its settings changed");
-                self.reload_seeds();
-            }
-            if self.gateway.take_settings_reload_request() {
-                self.reload_seeds();
-            }
+            self.handle_requests(now);
             if self.gateway.poll_shutdown(now, &mut self.event_loop) {
-                // What is written last has to be on its way.
+                // Sends what was written last.
                 self.event_loop.poll(Some(Duration::ZERO), &mut events);
-                log::info!(target: "gateway", "out");
+                log::info!(target: part::PROCESS, "stopped");
                 return;
             }
         }
     }
 
+    /// Handles signals, and the gateway's request for other seeds.
+    fn handle_requests(&mut self, now: Nanos) {
+        if self.signals.take_stop_request() {
+            self.gateway.stop(now, &mut self.event_loop);
+        }
+        if self.signals.take_reload_request() {
+            log::info!(target: part::SETTINGS, "a signal says that the file has changed");
+            self.reload_seeds();
+        }
+        if self.gateway.take_settings_reload_request() {
+            self.reload_seeds();
+        }
+    }
+
     fn reload_seeds(&mut self) {
-        let Ok(bytes) = std::fs::read(&self.settings_path) else { return };
-        match ProcessSettings::parse(&bytes) {
-            Ok(facts) => self.gateway.set_seeds(&controller_seeds(&facts)),
-            Err(faults) => faults
-                .iter()
-                .for_each(|fault| log::warn!(target: "settings", "{}: {}", fault.path, fault.reason)),
+        if let Some(settings) = self.settings_file.reload() {
+            self.gateway.set_seeds(&controller_seeds(&settings));
         }
     }
 }
+
+fn event_loop_settings(settings: &ProcessSettings) -> EventLoopSettings {
+    EventLoopSettings {
+        max_connections: max_connections(settings),
+        read_ahead_bytes: READ_AHEAD_BYTES,
+        unacknowledged_timeout: Duration::from_nanos((settings.bounds.apply_ms * 1e6) as u64),
+    }
+}
+
+/// Listens at the addresses of the settings.
+fn listen(settings: &ProcessSettings, event_loop: &mut EventLoop) -> Result<ListenerIds, ProcessError> {
+    let required = |addr: Option<SocketAddrV4>, name: &str| {
+        addr.ok_or_else(|| ProcessError::Settings(format!("bind_addrs.{name} is missing")))
+    };
+    let front = event_loop.listen(required(settings.bind_addrs.front_addr, "front_addr")?)?;
+    let ready = event_loop.listen(required(settings.bind_addrs.ready_addr, "ready_addr")?)?;
+    let inner_addr = inner_addr(settings);
+    let inner = event_loop.listen(inner_addr)?;
+    event_loop.listen_datagrams(inner_addr)?;
+    Ok(ListenerIds { front, ready, inner })
+}
--- a/crates/fernknot-gateway/src/lib.rs
+++ b/crates/fernknot-gateway/src/lib.rs
@@ -1,20 +1,44 @@
 //! The system's data plane: one gateway between clients and nodes.
 //!
-//! A [`Gateway`] has no socket, clock, signal or file: the program's host ([`host`]) or a simulation feeds it what
-//! happens to its connections, with a time, lends it its ports ([`fernknot_net::Ports`]), and asks it when it
-//! wants to be called again. What is on its connections are bytes: HTTP with clients and nodes, the words of
-//! `fernknot-rpc` with controllers and other gateways.
+//! A [`Gateway`] owns what is in flight: the connections of clients and to nodes, the requests and their attempts, the
+//! configuration in force and the list of nodes. It has no socket, clock, signal or file. The program's host ([`host`])
+//! or a simulation passes it what happens to its connections, with a time, lends it a network
+//! ([`fernknot_net::Network`]), and asks it when it wants to be called again. What is on its connections are bytes:
+//! HTTP/1.1 with clients and nodes, messages of `fernknot-rpc` with controllers and other gateways.
 //!
-//! In `gateway` its clients' side and its nodes' side stand apart (`downstream`, `upstream`); `clients` and `lines`
-//! hold the connections of either, `asks` the requests in hand, `routes` the configuration, `news` the streams by which
+//! [`Gateway`] only routes. `clients` holds the connections of clients, `attempts` the requests in flight with the
+//! engine's decisions and the connections to [`nodes`], `routing` the configuration, `updates` the streams by which
 //! nodes and configurations become known.
 
-pub mod asks;
-pub mod clients;
+#![deny(missing_docs)]
+
+mod attempts;
+mod budget;
+mod clients;
+mod config_snapshot;
+mod counters;
+mod decisions;
+mod discovery;
+mod engine_ids;
+mod engine_setup;
+mod error;
 mod gateway;
+mod headers;
 pub mod host;
-pub mod lines;
-mod news;
-pub mod routes;
+mod listeners;
+pub mod nodes;
+pub mod requests;
+mod routing;
+mod seeded_bug;
+mod settings;
+mod shutdown;
+mod stall;
+mod updates;
+mod use_case;
 
-pub use gateway::{Gateway, ListenerIds, SeededBug, controller_seeds, inner_addr, max_connections};
+pub use config_snapshot::ConfigSnapshot;
+pub use engine_ids::{EngineIds, SnapshotChange};
+pub use error::GatewayError;
+pub use gateway::Gateway;
+pub use listeners::ListenerIds;
+pub use seeded_bug::SeededBug;
--- /dev/null
+++ b/crates/fernknot-gateway/src/nodes/mod.rs
@@ -0,0 +1,7 @@
+//! Nodes: which there are, and the connections to them.
+
+mod connections;
+mod node_table;
+
+pub use connections::{Attempt, NodeConnections, NodeEndpoint, ReadOutcome};
+pub(crate) use node_table::{EndpointChange, NodeChanges, NodeTable};
--- /dev/null
+++ b/crates/fernknot-gateway/src/requests/mod.rs
@@ -0,0 +1,9 @@
+//! Requests of clients that are in flight, and the responses that nodes and the gateway give to them.
+
+mod pending_request;
+mod request_table;
+mod response;
+
+pub use pending_request::PendingRequest;
+pub(crate) use request_table::RequestTable;
+pub use response::{FinalResponse, ResponseClass, classify_response};
--- /dev/null
+++ b/crates/fernknot-gateway/src/requests/request_table.rs
@@ -0,0 +1,64 @@
+//! All requests in flight, by the identifiers that clients' connections and the engine have for them.
+
+use super::pending_request::PendingRequest;
+use fernknot::interface::*;
+use fernknot_engine::AskerId;
+use fernknot_net::ConnectionId;
+use std::collections::HashMap;
+
+/// The requests in flight.
+#[derive(Default)]
+pub(crate) struct RequestTable {
+    requests: HashMap<AskerId, PendingRequest>,
+    by_multiget: HashMap<MultigetId, AskerId>,
+    next_id: u64,
+}
+
+impl RequestTable {
+    /// An identifier that no request had before.
+    pub(crate) fn next_id(&mut self) -> AskerId {
+        let id = AskerId(self.next_id);
+        self.next_id += 1;
+        id
+    }
+
+    pub(crate) fn insert(&mut self, id: AskerId, request: PendingRequest) {
+        self.by_multiget.insert(request.multiget, id);
+        self.requests.insert(id, request);
+    }
+
+    pub(crate) fn remove(&mut self, id: AskerId) -> Option<PendingRequest> {
+        let request = self.requests.remove(&id)?;
+        self.by_multiget.remove(&request.multiget);
+        Some(request)
+    }
+
+    pub(crate) fn get(&self, id: AskerId) -> Option<&PendingRequest> {
+        self.requests.get(&id)
+    }
+
+    /// The request that a part belongs to.
+    pub(crate) fn of_part(&mut self, part: PartId) -> Option<&mut PendingRequest> {
+        let id = self.by_multiget.get(&part.of)?;
+        self.requests.get_mut(id)
+    }
+
+    /// A connection that was begun for a part is known never to have opened.
+    pub(crate) fn remove_opening_connection(&mut self, part: PartId, connection: ConnectionId) {
+        if let Some(request) = self.of_part(part) {
+            request.opening_connections.retain(|opening| *opening != connection);
+        }
+    }
+
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &PendingRequest> {
+        self.requests.values()
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+}
--- /dev/null
+++ b/crates/fernknot-gateway/src/requests/response.rs
@@ -0,0 +1,91 @@
+//! What a response of a node is worth, and how a response to a client is written.
+
+use crate::headers;
+use fernknot_net::Buffer;
+use fernknot_protocol::http::Response;
+use std::io::Write;
+
+/// What a response of a node means for the attempt that its connection carries.
+#[derive(Debug, PartialEq, Eq)]
+pub enum ResponseClass {
+    /// A sealed, complete answer.
+    Part,
+    /// The node did not execute the request.
+    NotExecuted {
+        /// Another incarnation than the one that was meant has answered.
+        wrong_node: bool,
+    },
+    /// The node may have executed the request, and has no valid answer.
+    Failure,
+    /// A response to another attempt, or to none.
+    Mismatched,
+}
+
+/// Classifies a response by its head. Guards against a late response in the place of another, a truncated one, and a
+/// failure that has a seal.
+pub fn classify_response(response: &Response, attempt_id: &str) -> ResponseClass {
+    if response.header(headers::ATTEMPT_ID) != Some(attempt_id) {
+        return ResponseClass::Mismatched;
+    }
+    let is_sealed = response.header(headers::ANSWER_SEAL).is_some_and(|seal| !seal.is_empty());
+    let is_encoded = response.header("content-encoding").is_some();
+    match response.status {
+        200..300 if is_sealed && response.framed && !is_encoded => ResponseClass::Part,
+        421 => ResponseClass::NotExecuted { wrong_node: true },
+        _ if response.header(headers::NOT_EXECUTED).is_some() => {
+            ResponseClass::NotExecuted { wrong_node: false }
+        }
+        _ => ResponseClass::Failure,
+    }
+}
+
+/// A response to a client, as it is written.
+pub struct FinalResponse<'a> {
+    /// The HTTP status code.
+    pub status: u16,
+    /// Header fields without those that concern the connection or the length.
+    pub headers: Vec<(&'a str, String)>,
+    /// The body; empty for a response to `HEAD`.
+    pub body: &'a [u8],
+    /// The value of `Content-Length` where it is not the length of `body`: in a response to `HEAD`.
+    pub content_length: Option<&'a str>,
+}
+
+impl FinalResponse<'_> {
+    /// Writes the response. The connection stays open after it if `keep_alive`; the client may then reuse it for
+    /// `idle_s` seconds, which a value of 0 leaves unsaid.
+    pub fn write(&self, output: &mut Buffer, keep_alive: bool, idle_s: u64) {
+        // Writing to a buffer does not fail.
+        let _ = write!(output, "HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
+        for (name, value) in &self.headers {
+            let _ = write!(output, "{name}: {value}\r\n");
+        }
+        let _ = match keep_alive {
+            true if idle_s > 0 => write!(output, "Keep-Alive: timeout={idle_s}\r\n"),
+            true => Ok(()),
+            false => write!(output, "Connection: close\r\n"),
+        };
+        let _ = match self.content_length {
+            Some(length) => write!(output, "Content-Length: {length}\r\n\r\n"),
+            None => write!(output, "Content-Length: {}\r\n\r\n", self.body.len()),
+        };
+        output.push(self.body);
+    }
+}
+
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        408 => "Request Timeout",
+        413 => "Content Too Large",
+        431 => "Request Header Fields Too Large",
+        500 => "Internal Server Error",
+        501 => "Not Implemented",
+        502 => "Bad Gateway",
+        503 => "Service Unavailable",
+        504 => "Gateway Timeout",
+        _ => "Answer",
+    }
+}
--- /dev/null
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -0,0 +1,217 @@
+//! The configuration in force, and which services a request is for by it.
+
+use crate::clients::{ClientTimeouts, Rejection};
+use crate::config_snapshot::ConfigSnapshot;
+use crate::engine_ids::{EngineIds, SnapshotChange};
+use crate::error::GatewayError;
+use crate::headers;
+use crate::requests::PendingRequest;
+use crate::settings::GatewaySettings;
+use fernknot::interface::*;
+use fernknot::state::Mwc;
+use fernknot_protocol::http::Request;
+use fernknot_protocol::multiget::AskedPart;
+use fernknot_router_config::{Limits, SocketFacts};
+use fernknot_schema::{ClientLimits, RouteTarget, RoutingConfig};
+use std::collections::{BTreeMap, HashSet};
+use std::rc::Rc;
+
+/// Unused identifiers are looked for once in so many times `contact_ms`.
+const ID_SWEEP_INTERVAL_CONTACTS: f64 = 2.0;
+/// A request may take so many times `header_ms` to arrive.
+const RECEIVE_TIMEOUT_HEADERS: f64 = 2.0;
+/// A use case is kept after its route has been removed: for so many times the longest deadline, and some time more.
+const USE_CASE_RETENTION_DEADLINES: f64 = 2.0;
+const USE_CASE_RETENTION_MS: f64 = 10_000.0;
+/// What was spent on retries of a service counts by its identifier in this many windows.
+const ID_RETENTION_WINDOWS: f64 = 2.0;
+
+/// A request with the services that answer it.
+pub(crate) struct RoutedRequest {
+    pub(crate) request: Request,
+    pub(crate) config: Rc<ConfigSnapshot>,
+    /// The index of its route in the configuration.
+    pub(crate) route: usize,
+    pub(crate) attempt_id: String,
+    /// How long the client waits.
+    pub(crate) timeout: Nanos,
+    pub(crate) parts: Vec<AskedPart>,
+}
+
+/// The configuration in force.
+pub(crate) struct Routing {
+    config: Option<Rc<ConfigSnapshot>>,
+    ids: EngineIds,
+    http_limits: Limits,
+    rng: Mwc,
+    id_sweep_interval: Nanos,
+    id_retention: Nanos,
+    next_id_sweep_at: Nanos,
+}
+
+impl Routing {
+    /// No configuration yet.
+    pub(crate) fn new(
+        settings: &GatewaySettings,
+        max_connections: usize,
+        memory_mb: f64,
+        rng_seed: u64,
+    ) -> Result<Routing, GatewayError> {
+        let limits = Limits::new(max_connections, memory_mb, &socket_facts(settings));
+        Ok(Routing {
+            config: None,
+            ids: EngineIds::default(),
+            http_limits: limits.map_err(GatewayError::ResourceLimits)?,
+            rng: Mwc::new(rng_seed),
+            id_sweep_interval: settings.contact.times(ID_SWEEP_INTERVAL_CONTACTS),
+            id_retention: settings.retry_window.times(ID_RETENTION_WINDOWS),
+            next_id_sweep_at: Nanos(0),
+        })
+    }
+
+    /// The configuration in force.
+    pub(crate) fn config(&self) -> Option<&Rc<ConfigSnapshot>> {
+        self.config.as_ref()
+    }
+
+    /// The engine's identifiers.
+    pub(crate) fn ids(&mut self) -> &mut EngineIds {
+        &mut self.ids
+    }
+
+    pub(crate) fn service_count(&self) -> usize {
+        self.ids.service_count()
+    }
+
+    /// Bounds of messages over HTTP.
+    pub(crate) fn http_limits(&self) -> &Limits {
+        &self.http_limits
+    }
+
+    /// The time-outs of clients' connections.
+    pub(crate) fn client_timeouts(&self) -> ClientTimeouts {
+        let default = ClientLimits::default();
+        let limits = self.config.as_ref().map_or(&default, |config| &config.config.limits);
+        ClientTimeouts {
+            idle: Nanos::from_millis(limits.idle_ms as f64),
+            receive: Nanos::from_millis(limits.header_ms as f64).times(RECEIVE_TIMEOUT_HEADERS),
+        }
+    }
+
+    /// Puts a configuration in force; `None` if its revision is not above the one in force. Guards against going back.
+    pub(crate) fn apply(
+        &mut self,
+        now: Nanos,
+        revision: u64,
+        config: RoutingConfig,
+    ) -> Option<(Rc<ConfigSnapshot>, UseCaseChange)> {
+        if self.config.as_ref().is_some_and(|current| current.revision >= revision) {
+            return None;
+        }
+        let longest_ms = config.routes.iter().map(|route| route.deadline_ms).max().unwrap_or(0);
+        let retention_ms = longest_ms as f64 * USE_CASE_RETENTION_DEADLINES + USE_CASE_RETENTION_MS;
+        self.http_limits.head = config.limits.header_bytes as usize;
+        self.http_limits.body = config.limits.body_bytes as usize;
+        let change = self.ids.snapshot(now, revision, config, Nanos::from_millis(retention_ms));
+        let SnapshotChange { snapshot, use_cases, released } = change;
+        let snapshot = Rc::new(snapshot);
+        self.config = Some(snapshot.clone());
+        Some((snapshot, UseCaseChange { use_cases, released }))
+    }
+
+    /// Finds the route and the services of a request.
+    pub(crate) fn route(&mut self, request: Request) -> Result<RoutedRequest, Rejection> {
+        let config = self.config.clone().ok_or(Rejection::NoConfig)?;
+        let host = request.header("host").unwrap_or_default();
+        let index = config.find(host, request.path()).ok_or(Rejection::NoRoute)?;
+        let attempt_id = request.header(headers::ATTEMPT_ID);
+        let attempt_id = attempt_id.filter(|id| headers::is_valid_attempt_id(id));
+        let attempt_id = attempt_id.ok_or(Rejection::InvalidAttemptId)?.to_string();
+        let route = config.route(index);
+        let requested = request.header(headers::DEADLINE_MS).and_then(|text| text.trim().parse::<u64>().ok());
+        let timeout_ms = requested.unwrap_or(u64::MAX).min(route.deadline_ms);
+        let parts = self.parts(&route.target);
+        Ok(RoutedRequest {
+            request,
+            config,
+            route: index,
+            attempt_id,
+            timeout: Nanos(timeout_ms.saturating_mul(1_000_000)),
+            parts,
+        })
+    }
+
+    /// One part for each service that answers, all of the same weight.
+    fn parts(&mut self, target: &RouteTarget) -> Vec<AskedPart> {
+        let services: Vec<&str> = match target {
+            RouteTarget::Service(service) => vec![service],
+            RouteTarget::WeightedServices(services) => vec![self.pick_weighted_service(services)],
+            RouteTarget::Fanout { shards, .. } => shards.iter().map(String::as_str).collect(),
+        };
+        let weight = 1.0 / services.len().max(1) as f64;
+        let part = |service| AskedPart { shard: self.ids.shard(service), weight, effort: None };
+        services.into_iter().map(part).collect()
+    }
+
+    /// Draws one of the services that share a route, by their weights.
+    fn pick_weighted_service<'a>(&mut self, services: &'a [(String, f64)]) -> &'a str {
+        let total: f64 = services.iter().map(|(_, weight)| weight.max(0.0)).sum();
+        let mut left = self.rng.share() * total;
+        let drawn = services.iter().find(|(_, weight)| {
+            left -= weight.max(0.0);
+            left < 0.0 && *weight > 0.0
+        });
+        // Rounding may leave none.
+        let last = || services.iter().rfind(|(_, weight)| *weight > 0.0);
+        drawn.or_else(last).map_or("", |(name, _)| name)
+    }
+
+    /// Releases, now and then, the identifiers of services that no revision names which is in force or which a request
+    /// in flight was read under, and that have no listed node.
+    pub(crate) fn release_unused_ids<'a>(
+        &mut self,
+        now: Nanos,
+        in_flight: impl Iterator<Item = &'a PendingRequest>,
+        listed: impl Iterator<Item = &'a str>,
+    ) {
+        if now < self.next_id_sweep_at {
+            return;
+        }
+        self.next_id_sweep_at = now + self.id_sweep_interval;
+        let Some(config) = &self.config else { return };
+        let mut revisions = BTreeMap::from([(config.revision, config)]);
+        for request in in_flight {
+            revisions.entry(request.config.revision).or_insert(&request.config);
+        }
+        let mut in_use: HashSet<&str> = revisions.values().flat_map(|config| config.services()).collect();
+        for service in listed {
+            in_use.insert(service);
+        }
+        self.ids.release_unused(now, self.id_retention, |service| in_use.contains(service));
+    }
+}
+
+/// What a new configuration changes in the engine.
+pub(crate) struct UseCaseChange {
+    /// The use case of each route, by identifier.
+    pub(crate) use_cases: Vec<(UseCaseId, UseCaseFacts)>,
+    /// Use cases that no request has any more.
+    pub(crate) released: Vec<UseCaseId>,
+}
+
+/// The facts that the bounds of HTTP messages are made of. Only sizes are used; the rest has plausible values.
+fn socket_facts(settings: &GatewaySettings) -> SocketFacts {
+    SocketFacts {
+        use_cases: Vec::new(),
+        shards: 0,
+        streams: 1,
+        batch: 1,
+        idle: Nanos::from_millis(4000.0),
+        connect_within: Nanos::from_millis(1000.0),
+        drain_grace: settings.drain_cutoff,
+        longest_wait: Nanos::from_millis(3000.0),
+        phases: Vec::new(),
+        position: 0,
+        zones: Vec::new(),
+    }
+}
--- /dev/null
+++ b/crates/fernknot-gateway/src/updates/mod.rs
@@ -0,0 +1,11 @@
+//! Updates of configuration, nodes and ownership: taken from a controller or from the relay of the zone, and forwarded
+//! to the gateways that subscribe here.
+
+mod ownership;
+mod relay;
+mod sources;
+mod state;
+mod subscribers;
+
+pub(crate) use relay::UpdateRelay;
+pub(crate) use state::{LocalState, Update};
--- /dev/null
+++ b/crates/fernknot-gateway/src/updates/relay.rs
@@ -0,0 +1,492 @@
+//! Routes updates: from the sources that `fernknot-distribution` chooses to this gateway and to its subscribers.
+
+use super::ownership::Ownership;
+use super::sources::{Source, SourceStream, SourceStreams};
+use super::state::{LocalState, Update};
+use super::subscribers::{Subscribers, select, send};
+use fernknot::interface::Nanos;
+use fernknot_distribution::{Action, ControllerEndpoint, Relays, RelaysLimits, SourceHeartbeat, Topic};
+use fernknot_net::{ConnectionId, Network};
+use fernknot_ownership::{Assignment, FencingToken, GatewayRecord, OwnedKeysSettings};
+use fernknot_registry::NodeRecord;
+use fernknot_rpc::{
+    ControllerEndpoint as ControllerAddress, ControllerToGateway, GatewayToController, InspectionTopic,
+    Subscription, read_message, write_message,
+};
+use fernknot_schema::RoutingConfig;
+use fernknot_telemetry::part;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddrV4;
+
+/// Bytes of one message: a configuration of the largest size that an operator may send.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
+/// The interval of this gateway's own heartbeats, in intervals of its sources' heartbeats.
+const HEARTBEAT_INTERVALS: f64 = 2.0;
+/// A subscriber that has sent no heartbeat for this many of its intervals may be gone.
+const HEARTBEAT_TIMEOUT_INTERVALS: f64 = 3.0;
+/// Why an operator's request to force a view is rejected here.
+const NO_VIEW_REASON: &str = "a gateway is in no view; order it at a controller";
+
+/// The streams of updates that reach and leave a gateway.
+pub(crate) struct UpdateRelay {
+    this_gateway: GatewayRecord,
+    /// Chooses the sources.
+    relays: Relays,
+    sources: SourceStreams,
+    subscribers: Subscribers,
+    ownership: Ownership,
+    heartbeat_interval: Nanos,
+    next_heartbeat_at: Nanos,
+    /// The controllers that are known, by inner address, with their zones; the zone of a seed is not known.
+    controllers: BTreeMap<SocketAddrV4, String>,
+    /// Services that the configuration in force names.
+    services: BTreeSet<String>,
+    /// The controller that the newest heartbeat comes from.
+    last_heartbeat_from: u64,
+}
+
+/// A gateway that subscribes here.
+struct NewSubscriber {
+    gateway: GatewayRecord,
+    subscription: Subscription,
+    /// The revision of the configuration that it has; 0 for none.
+    revision: u64,
+}
+
+impl UpdateRelay {
+    /// A relay without streams. Handing over a relayed topic may take as long as a configuration to be in force
+    /// everywhere, which `settings` has as its hand-over time-out.
+    pub(crate) fn new(
+        this_gateway: GatewayRecord,
+        seeds: &[SocketAddrV4],
+        settings: OwnedKeysSettings,
+        rng_seed: u64,
+    ) -> UpdateRelay {
+        let (incarnation, zone, apply) =
+            (this_gateway.incarnation, &this_gateway.zone, settings.handover_timeout);
+        let mut relay = UpdateRelay {
+            relays: Relays::new(incarnation, zone, apply, RelaysLimits::default(), rng_seed),
+            ownership: Ownership::new(&this_gateway, settings),
+            this_gateway,
+            sources: SourceStreams::default(),
+            subscribers: Subscribers::default(),
+            heartbeat_interval: Relays::heartbeat_interval(apply).times(HEARTBEAT_INTERVALS),
+            next_heartbeat_at: Nanos(0),
+            controllers: BTreeMap::new(),
+            services: BTreeSet::new(),
+            last_heartbeat_from: 0,
+        };
+        relay.add_controllers(seeds);
+        relay
+    }
+
+    /// Adds controllers that may answer at these inner addresses.
+    pub(crate) fn add_controllers(&mut self, addrs: &[SocketAddrV4]) {
+        for addr in addrs {
+            self.controllers.entry(*addr).or_default();
+        }
+        self.controllers_changed();
+    }
+
+    fn controllers_changed(&mut self) {
+        let endpoint =
+            |(addr, zone): (&SocketAddrV4, &String)| ControllerEndpoint { addr: *addr, zone: zone.clone() };
+        let endpoints: Vec<ControllerEndpoint> = self.controllers.iter().map(endpoint).collect();
+        self.relays.set_controllers(&endpoints);
+    }
+
+    /// The services that the configuration in force names.
+    pub(crate) fn set_services(&mut self, config: &RoutingConfig) {
+        self.relays.set_services(config.services.iter().map(|service| service.name.as_str()));
+        self.services = config.services.iter().map(|service| service.name.clone()).collect();
+    }
+
+    /// How long ago a source in touch with the controllers spoke for the configuration.
+    pub(crate) fn config_age(&self, now: Nanos) -> Option<Nanos> {
+        self.relays.time_since_lease(now, &Topic::Configuration)
+    }
+
+    /// The event loop has stalled: what was not received meanwhile says nothing of the sources.
+    pub(crate) fn resume_after_stall(&mut self, now: Nanos) {
+        self.relays.reset_liveness(now);
+    }
+
+    /// By how many gateways the budget is shared; `None` while this one may take no share.
+    pub(crate) fn budget_sharers(&self, now: Nanos) -> Option<u32> {
+        self.ownership.budget_sharers(now)
+    }
+
+    /// The fencing token of the newest assignment.
+    pub(crate) fn fencing_token(&self) -> FencingToken {
+        self.ownership.fencing_token()
+    }
+
+    /// When the relay wants to be polled without an event.
+    pub(crate) fn next_wakeup(&self) -> Nanos {
+        self.relays.wakes_at().min(self.next_heartbeat_at)
+    }
+
+    // ---- Connections -----------------------------------------------------------------------
+
+    /// Takes a connection that was accepted at the inner address.
+    pub(crate) fn accept(&mut self, id: ConnectionId) {
+        self.subscribers.accept(id);
+    }
+
+    /// Whether a connection is a stream of updates, or was accepted at the inner address.
+    pub(crate) fn owns_connection(&self, id: ConnectionId) -> bool {
+        self.sources.contains(id) || self.subscribers.contains(id)
+    }
+
+    /// A connection is closed.
+    pub(crate) fn connection_closed(&mut self, now: Nanos, id: ConnectionId) {
+        if let Some(addr) = self.subscribers.remove(id) {
+            self.relays.subscribe(addr, []);
+        }
+        if let Some(stream) = self.sources.remove(id) {
+            let Source { kind, addr } = stream.source;
+            log::info!(target: part::CONNECTIONS, "the stream of updates from {addr} is lost");
+            self.relays.source_lost(now, addr, kind);
+        }
+    }
+
+    // ---- Subscriptions of this gateway -----------------------------------------------------
+
+    /// Subscribes and unsubscribes as the relays' actions say, and sends the heartbeats that are due.
+    pub(crate) fn poll<N: Network>(&mut self, now: Nanos, network: &mut N, state: &LocalState<'_>) {
+        while let Some(action) = self.relays.poll_action(now) {
+            match action {
+                Action::Subscribe { addr, kind, topics } => {
+                    self.subscribe(now, network, state, Source { kind, addr }, &topics);
+                }
+                Action::Unsubscribe { addr, kind } => self.sources.close(Source { kind, addr }, network),
+                Action::ForwardHeartbeat { to, heartbeat } => {
+                    let message = self.heartbeat_message(heartbeat);
+                    self.subscribers.multicast(network, &to, &message);
+                }
+            }
+        }
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + self.heartbeat_interval;
+            self.send_heartbeats(now, network, state.is_ready);
+        }
+    }
+
+    fn subscribe<N: Network>(
+        &mut self,
+        now: Nanos,
+        network: &mut N,
+        state: &LocalState<'_>,
+        source: Source,
+        topics: &[Topic],
+    ) {
+        let carries_config = topics.contains(&Topic::Configuration);
+        let subscription = self.subscription(topics);
+        let known = self.sources.connection_of(source);
+        if let Some(stream) = known.and_then(|id| self.sources.get_mut(id))
+            && stream.subscription == subscription
+        {
+            stream.carries_config = carries_config;
+            return;
+        }
+        let id = match known.map_or_else(|| network.connect(source.addr), Ok) {
+            Ok(id) => id,
+            Err(error) => {
+                log::warn!(target: part::CONNECTIONS, "{error}");
+                return self.relays.source_lost(now, source.addr, source.kind);
+            }
+        };
+        if let Some(output) = network.output(id) {
+            write_message(output, &self.subscribe_message(state, subscription.clone()));
+        }
+        let watermark = state.nodes.begin_snapshot();
+        self.sources.insert(id, SourceStream { source, subscription, carries_config, watermark });
+    }
+
+    fn subscribe_message(&self, state: &LocalState<'_>, subscription: Subscription) -> GatewayToController {
+        GatewayToController::Subscribe {
+            gateway: self.this_gateway.clone(),
+            ready: state.is_ready,
+            subscription,
+            revision: state.config.map_or(0, |(revision, _)| revision),
+        }
+    }
+
+    fn subscription(&self, topics: &[Topic]) -> Subscription {
+        let service = |topic: &Topic| match topic {
+            Topic::Configuration => None,
+            Topic::Service(name) => Some(name.to_string()),
+        };
+        let names: Vec<String> = topics.iter().filter_map(service).collect();
+        match names.len() >= self.services.len() {
+            true => Subscription::All,
+            false => Subscription::Services(names),
+        }
+    }
+
+    /// Tells each source that this gateway is live, and the source of the configuration which of its subscribers are.
+    /// Relays of several topics subscribe to each other in circles: over all streams, reports of gateways that are gone
+    /// would circulate for ever, and grow. The streams of the configuration alone form a tree.
+    fn send_heartbeats<N: Network>(&self, now: Nanos, network: &mut N, is_ready: bool) {
+        let since = now - self.heartbeat_interval.times(HEARTBEAT_TIMEOUT_INTERVALS);
+        for (id, stream) in self.sources.iter() {
+            let Some(output) = network.output(id) else { continue };
+            write_message(output, &GatewayToController::Heartbeat { ready: is_ready });
+            if !stream.carries_config {
+                continue;
+            }
+            let live = self.subscribers.live_gateways(since, stream.source.addr);
+            if !live.is_empty() {
+                write_message(output, &GatewayToController::RelayedHeartbeats(live));
+            }
+        }
+    }
+
+    /// Tells the sources that this gateway stops, so that nobody waits for it.
+    pub(crate) fn announce_shutdown<N: Network>(&mut self, network: &mut N) {
+        self.ownership.begin_shutdown();
+        for (id, _) in self.sources.iter() {
+            if let Some(output) = network.output(id) {
+                write_message(output, &GatewayToController::ShuttingDown);
+            }
+        }
+    }
+
+    // ---- Messages --------------------------------------------------------------------------
+
+    /// Reads the messages that were received. What concerns the gateway itself is added to `updates`.
+    pub(crate) fn read<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        network: &mut N,
+        state: &LocalState<'_>,
+        updates: &mut Vec<Update>,
+    ) {
+        loop {
+            let Some(input) = network.input(id) else { return };
+            let read = if self.sources.contains(id) {
+                let message = read_message::<ControllerToGateway>(input, MAX_MESSAGE_BYTES);
+                message.map(|message| {
+                    message.map(|message| self.handle_source_message(now, id, message, updates))
+                })
+            } else {
+                let message = read_message::<GatewayToController>(input, MAX_MESSAGE_BYTES);
+                message.map(|message| {
+                    message.map(|message| {
+                        self.handle_subscriber_message(now, id, message, network, state, updates);
+                    })
+                })
+            };
+            match read {
+                Ok(Some(())) => {}
+                Ok(None) => return,
+                Err(error) => {
+                    log::warn!(target: part::CONNECTIONS, "a message is rejected: {error}");
+                    network.close(id);
+                    return self.connection_closed(now, id);
+                }
+            }
+        }
+    }
+
+    fn handle_source_message(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        message: ControllerToGateway,
+        updates: &mut Vec<Update>,
+    ) {
+        let Some(stream) = self.sources.get(id) else { return };
+        let (source, watermark) = (stream.source, stream.watermark);
+        self.relays.record_message(now, source.addr, source.kind);
+        match message {
+            ControllerToGateway::Heartbeat {
+                sender,
+                revision,
+                holds_lease,
+                hops,
+                fencing_token,
+                controllers,
+            } => {
+                let heartbeat = SourceHeartbeat {
+                    revision,
+                    registry_version: 0,
+                    fencing_token: FencingToken(fencing_token),
+                    has_lease: holds_lease,
+                    hops,
+                };
+                self.relays.record_heartbeat(now, source.addr, source.kind, heartbeat);
+                if holds_lease {
+                    self.handle_leased_heartbeat(now, sender, heartbeat.fencing_token, controllers);
+                    updates.push(Update::SourceHealthy);
+                }
+            }
+            ControllerToGateway::Config { revision, config } => {
+                updates.push(Update::Config { revision, config });
+            }
+            ControllerToGateway::NodeUpdates(records) => updates.push(Update::Nodes(records)),
+            ControllerToGateway::SnapshotComplete => {
+                let subscription = stream.subscription.clone();
+                updates.push(Update::SnapshotComplete { watermark, subscription });
+            }
+            ControllerToGateway::Assignment(assignment) => self.handle_assignment(now, assignment),
+            ControllerToGateway::InspectionReport(_) | ControllerToGateway::ForceViewResult(_) => {}
+        }
+    }
+
+    fn handle_leased_heartbeat(
+        &mut self,
+        now: Nanos,
+        sender: u64,
+        fencing_token: FencingToken,
+        controllers: Vec<ControllerAddress>,
+    ) {
+        self.last_heartbeat_from = sender;
+        self.ownership.confirm(now, fencing_token);
+        if !controllers.is_empty() {
+            self.controllers = controllers.into_iter().map(|known| (known.addr, known.zone)).collect();
+            self.controllers_changed();
+        }
+    }
+
+    fn handle_assignment(&mut self, now: Nanos, assignment: Assignment) {
+        if assignment.fencing_token <= self.fencing_token() {
+            return;
+        }
+        let (count, token) = (assignment.gateways.len(), assignment.fencing_token.0);
+        log::info!(target: part::OWNERSHIP, "{count} gateways are live by the assignment under {token}");
+        self.ownership.apply(now, assignment);
+        self.relays.apply_assignment(now, self.ownership.assignment());
+    }
+
+    fn handle_subscriber_message<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        message: GatewayToController,
+        network: &mut N,
+        state: &LocalState<'_>,
+        updates: &mut Vec<Update>,
+    ) {
+        match message {
+            GatewayToController::Subscribe { gateway, subscription, revision, .. } => {
+                let subscriber = NewSubscriber { gateway, subscription, revision };
+                self.handle_subscribe(now, id, subscriber, network, state);
+            }
+            GatewayToController::Heartbeat { .. } => self.subscribers.record_heartbeat(now, id),
+            GatewayToController::RelayedHeartbeats(gateways) => {
+                self.subscribers.set_descendants(id, gateways);
+            }
+            GatewayToController::ShuttingDown => {
+                if let Some(addr) = self.subscribers.unsubscribe(id) {
+                    self.relays.subscribe(addr, []);
+                }
+            }
+            GatewayToController::Inspect(topic) => updates.push(Update::Inspect { connection: id, topic }),
+            GatewayToController::ForceView { .. } => {
+                let rejection = Err(NO_VIEW_REASON.into());
+                send(network, id, &ControllerToGateway::ForceViewResult(rejection));
+            }
+            GatewayToController::Peer(_) => {}
+        }
+    }
+
+    /// A gateway subscribes here: it gets all that this one knows.
+    fn handle_subscribe<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        subscriber: NewSubscriber,
+        network: &mut N,
+        state: &LocalState<'_>,
+    ) {
+        let NewSubscriber { gateway, subscription, revision } = subscriber;
+        self.subscribers.identify(id);
+        if !self.relays.subscribe(gateway.addr, self.topics(&subscription)) {
+            network.close(id);
+            return self.connection_closed(now, id);
+        }
+        let records = select(&subscription, state.nodes.records(), &self.services);
+        self.subscribers.insert(now, id, gateway, subscription);
+        if self.ownership.is_assigned() {
+            let assignment = self.ownership.assignment().clone();
+            send(network, id, &ControllerToGateway::Assignment(assignment));
+        }
+        if let Some((current, config)) = state.config.filter(|(current, _)| *current > revision) {
+            let config = config.clone();
+            send(network, id, &ControllerToGateway::Config { revision: current, config });
+        }
+        send(network, id, &ControllerToGateway::NodeUpdates(records));
+        if state.is_synchronized {
+            send(network, id, &ControllerToGateway::SnapshotComplete);
+        }
+    }
+
+    fn topics(&self, subscription: &Subscription) -> Vec<Topic> {
+        let mut topics: Vec<Topic> = match subscription {
+            Subscription::All => self.services.iter().map(|name| Topic::service(name)).collect(),
+            Subscription::Services(names) => names.iter().map(|name| Topic::service(name)).collect(),
+        };
+        topics.push(Topic::Configuration);
+        topics
+    }
+
+    // ---- Forwarding ------------------------------------------------------------------------
+
+    fn heartbeat_message(&self, heartbeat: SourceHeartbeat) -> ControllerToGateway {
+        let address =
+            |(addr, zone): (&SocketAddrV4, &String)| ControllerAddress { addr: *addr, zone: zone.clone() };
+        ControllerToGateway::Heartbeat {
+            sender: self.last_heartbeat_from,
+            revision: heartbeat.revision,
+            holds_lease: heartbeat.has_lease,
+            hops: heartbeat.hops,
+            fencing_token: heartbeat.fencing_token.0,
+            controllers: self.controllers.iter().map(address).collect(),
+        }
+    }
+
+    /// Forwards a configuration that is new here.
+    pub(crate) fn forward_config<N: Network>(&self, network: &mut N, revision: u64, config: &RoutingConfig) {
+        if !self.subscribers.is_empty() {
+            let config = config.clone();
+            self.subscribers.broadcast(network, &ControllerToGateway::Config { revision, config });
+        }
+    }
+
+    /// Forwards the newest assignment.
+    pub(crate) fn forward_assignment<N: Network>(&self, network: &mut N) {
+        let assignment = self.ownership.assignment().clone();
+        self.subscribers.broadcast(network, &ControllerToGateway::Assignment(assignment));
+    }
+
+    /// Forwards that this gateway has a complete snapshot.
+    pub(crate) fn forward_snapshot_complete<N: Network>(&self, network: &mut N) {
+        self.subscribers.broadcast(network, &ControllerToGateway::SnapshotComplete);
+    }
+
+    /// Forwards records that are new here.
+    pub(crate) fn forward_nodes<N: Network>(&self, network: &mut N, records: &[NodeRecord]) {
+        self.subscribers.forward_nodes(network, records, &self.services);
+    }
+
+    // ---- Inspection ------------------------------------------------------------------------
+
+    /// What this gateway knows of relays, ownership or controllers, for a person to read.
+    pub(crate) fn describe(&self, topic: InspectionTopic) -> String {
+        match topic {
+            InspectionTopic::Relays => self.sources.describe() + &self.subscribers.describe(),
+            InspectionTopic::Ownership => self.ownership.describe(),
+            _ => {
+                let line = |(addr, zone): (&SocketAddrV4, &String)| format!("controller {addr} {zone}\n");
+                self.controllers.iter().map(line).collect()
+            }
+        }
+    }
+
+    /// Sends an operator what was asked for.
+    pub(crate) fn send_report<N: Network>(&self, network: &mut N, id: ConnectionId, report: String) {
+        send(network, id, &ControllerToGateway::InspectionReport(report));
+    }
+}
--- /dev/null
+++ b/crates/fernknot-gateway/src/updates/sources.rs
@@ -0,0 +1,82 @@
+//! Streams of updates that this gateway has subscribed to.
+
+use fernknot_distribution::SourceKind;
+use fernknot_net::{ConnectionId, Network};
+use fernknot_rpc::Subscription;
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+/// A process that sends updates.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Source {
+    pub(super) kind: SourceKind,
+    pub(super) addr: SocketAddrV4,
+}
+
+/// One stream.
+pub(super) struct SourceStream {
+    pub(super) source: Source,
+    pub(super) subscription: Subscription,
+    /// The configuration comes from this source, which is told of the gateways that subscribe here; no other is.
+    pub(super) carries_config: bool,
+    /// The directory's watermark when the subscription was sent.
+    pub(super) watermark: u64,
+}
+
+/// All streams.
+#[derive(Default)]
+pub(super) struct SourceStreams {
+    streams: BTreeMap<ConnectionId, SourceStream>,
+    by_source: BTreeMap<Source, ConnectionId>,
+}
+
+impl SourceStreams {
+    pub(super) fn insert(&mut self, id: ConnectionId, stream: SourceStream) {
+        self.by_source.insert(stream.source, id);
+        self.streams.insert(id, stream);
+    }
+
+    pub(super) fn contains(&self, id: ConnectionId) -> bool {
+        self.streams.contains_key(&id)
+    }
+
+    pub(super) fn get(&self, id: ConnectionId) -> Option<&SourceStream> {
+        self.streams.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut SourceStream> {
+        self.streams.get_mut(&id)
+    }
+
+    pub(super) fn connection_of(&self, source: Source) -> Option<ConnectionId> {
+        self.by_source.get(&source).copied()
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = (ConnectionId, &SourceStream)> {
+        self.streams.iter().map(|(id, stream)| (*id, stream))
+    }
+
+    /// Closes the stream from a source.
+    pub(super) fn close<N: Network>(&mut self, source: Source, network: &mut N) {
+        if let Some(id) = self.by_source.remove(&source) {
+            self.streams.remove(&id);
+            network.close(id);
+        }
+    }
+
+    /// Forgets a stream whose connection is closed.
+    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<SourceStream> {
+        let stream = self.streams.remove(&id)?;
+        self.by_source.remove(&stream.source);
+        Some(stream)
+    }
+
+    /// The sources, for a person to read.
+    pub(super) fn describe(&self) -> String {
+        let line = |stream: &SourceStream| {
+            let Source { kind, addr } = stream.source;
+            format!("subscribed to {kind:?} {addr}\n")
+        };
+        self.streams.values().map(line).collect()
+    }
+}
--- /dev/null
+++ b/crates/fernknot-gateway/src/use_case.rs
@@ -0,0 +1,56 @@
+//! What the engine has to know of a route.
+
+use fernknot::decide::{LATE_SHARE, earnings};
+use fernknot::interface::*;
+use fernknot_schema::{Route, RouteTarget, TrafficClass};
+
+/// What tells use cases apart. Requests in flight under an earlier revision are judged by the facts of their use case,
+/// so that a route with another quorum or other effects needs another one.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct UseCaseKey {
+    host: String,
+    path_prefix: String,
+    traffic_class: TrafficClass,
+    /// The bits of the quorum's share, since `f64` has no `Eq`.
+    quorum_bits: u64,
+}
+
+impl UseCaseKey {
+    pub(crate) fn new(route: &Route) -> UseCaseKey {
+        UseCaseKey {
+            host: route.authority.clone(),
+            path_prefix: route.path_prefix.clone(),
+            traffic_class: route.traffic_class,
+            quorum_bits: quorum(route).to_bits(),
+        }
+    }
+}
+
+/// The share of a route's shards that a response needs.
+fn quorum(route: &Route) -> f64 {
+    match &route.target {
+        RouteTarget::Fanout { quorum, .. } => *quorum,
+        _ => 1.0,
+    }
+}
+
+/// The engine's description of a route.
+pub(crate) fn use_case_settings(route: &Route) -> UseCaseFacts {
+    let effect = match route.traffic_class {
+        TrafficClass::Mutating => Effect::SingleUse,
+        _ => Effect::Replayable,
+    };
+    UseCaseFacts {
+        goal: Nanos::from_millis(route.target_ms as f64),
+        hard_limit: Nanos::from_millis(route.deadline_ms as f64),
+        earnings: earnings(route.rank),
+        late_share: LATE_SHARE,
+        squared: matches!(route.target, RouteTarget::Fanout { .. }),
+        effect,
+        stretch: 0.0,
+        need: 1.0,
+        floor: quorum(route),
+        second_step: false,
+        most_hand_offs: Some(route.max_attempts.max(1)),
+    }
+}
