--- a/crates/fernknot-gateway/src/clients/connections.rs
+++ b/crates/fernknot-gateway/src/clients/connections.rs
@@ -14,8 +14,8 @@
 
 /// What was read from a connection.
 pub(crate) enum ClientRead {
-    /// A complete request, and where it came in.
-    Request(ListenAddress, Request),
+    /// A complete request.
+    Request(Request),
     /// A request that is rejected.
     Rejected(Rejection),
 }
@@ -55,6 +55,11 @@
         self.connections.insert(id, ClientConnection::new(listen_address, now, idle_timeout));
     }
 
+    /// Where a connection was accepted.
+    pub(crate) fn listen_address(&self, id: ConnectionId) -> Option<ListenAddress> {
+        self.connections.get(&id).map(|connection| connection.listen_address)
+    }
+
     pub(crate) fn contains(&self, id: ConnectionId) -> bool {
         self.connections.contains_key(&id)
     }
@@ -101,7 +106,7 @@
                 (connection.is_receiving, connection.waiting_since) = (false, now);
                 (connection.keep_alive, connection.is_http_1_0) = (request.keep, request.old);
                 connection.expects_no_body = request.method == "HEAD";
-                Some(ClientRead::Request(connection.listen_address, request))
+                Some(ClientRead::Request(request))
             }
             Ok(None) if partial_body_bytes > max_partial_body_bytes => {
                 Some(ClientRead::Rejected(Rejection::TooManyPartialBodies))
--- /dev/null
+++ b/crates/fernknot-gateway/src/data_plane.rs
@@ -0,0 +1,275 @@
+//! The way of requests: from clients, by the configuration in force, to nodes and back.
+
+use crate::attempts::Attempts;
+use crate::budget::BudgetShare;
+use crate::clients::{ClientConnections, ClientRead, Rejection};
+use crate::config_snapshot::ConfigSnapshot;
+use crate::counters::ClientCounters;
+use crate::engine_setup::initial_site;
+use crate::error::GatewayError;
+use crate::listeners::ListenAddress;
+use crate::nodes::{Attempt, NodeChanges, NodeTable};
+use crate::routing::Routing;
+use crate::seeded_bug::SeededBug;
+use crate::settings::{GatewaySettings, ZoneIds, max_connections};
+use crate::updates::LocalState;
+use fernknot::interface::*;
+use fernknot_engine::{AskerId, Order, Verdict};
+use fernknot_net::{ConnectionId, Network};
+use fernknot_protocol::http::Request;
+use fernknot_schema::{ProcessSettings, RoutingConfig};
+use fernknot_telemetry::part;
+use std::rc::Rc;
+
+/// Clients, their requests, and the nodes that these are sent to.
+pub(crate) struct DataPlane {
+    settings: GatewaySettings,
+    /// Seeds the engine's random numbers.
+    seed: u64,
+    pub(crate) clients: ClientConnections,
+    pub(crate) routing: Routing,
+    pub(crate) attempts: Attempts,
+    pub(crate) nodes: NodeTable,
+    budget: BudgetShare,
+    pub(crate) counters: ClientCounters,
+    /// Connections are closed after the responses that they wait for.
+    pub(crate) is_stopping: bool,
+}
+
+impl DataPlane {
+    /// No connections, no configuration and no nodes.
+    pub(crate) fn new(
+        process: &ProcessSettings,
+        settings: GatewaySettings,
+        seed: u64,
+    ) -> Result<DataPlane, GatewayError> {
+        let routing = Routing::new(&settings, max_connections(process), process.limits.memory_mb, seed)?;
+        let heartbeat_interval = Nanos::from_millis(process.heartbeat_interval_ms);
+        Ok(DataPlane {
+            settings,
+            seed,
+            clients: ClientConnections::default(),
+            routing,
+            attempts: Attempts::new(),
+            nodes: NodeTable::new(heartbeat_interval, ZoneIds::new(process)),
+            budget: BudgetShare::new(process.bounds.retry_slack),
+            counters: ClientCounters::default(),
+            is_stopping: false,
+        })
+    }
+
+    pub(crate) fn set_seeded_bug(&mut self, bug: SeededBug) {
+        self.clients.set_seeded_bug(bug);
+        self.attempts.set_seeded_bug(bug);
+    }
+
+    // ---- Clients ---------------------------------------------------------------------------
+
+    /// Takes a connection that was accepted for clients or for the platform.
+    pub(crate) fn accept_client(&mut self, now: Nanos, id: ConnectionId, address: ListenAddress) {
+        self.clients.accept(now, id, address, self.routing.client_timeouts().idle);
+    }
+
+    /// Reads and starts the requests of a client until one is pending or none is complete.
+    pub(crate) fn serve_client<N: Network>(&mut self, now: Nanos, id: ConnectionId, network: &mut N) {
+        while let Some(request) = self.read_request(now, id, network) {
+            self.start_request(now, id, request, network);
+        }
+    }
+
+    /// Reads the next request. One that cannot be read is rejected.
+    pub(crate) fn read_request<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        network: &mut N,
+    ) -> Option<Request> {
+        let limits = self.routing.http_limits();
+        // One body that the configuration allows is always accepted.
+        let max_partial_body_bytes = self.settings.max_partial_body_bytes.max(limits.body);
+        match self.clients.read(now, id, limits, max_partial_body_bytes, network)? {
+            ClientRead::Request(request) => Some(request),
+            ClientRead::Rejected(rejection) => {
+                self.reject(now, id, rejection, network);
+                None
+            }
+        }
+    }
+
+    fn start_request<N: Network>(&mut self, now: Nanos, id: ConnectionId, request: Request, network: &mut N) {
+        self.counters.requests += 1;
+        match self.routing.route(request) {
+            Err(rejection) => self.reject(now, id, rejection, network),
+            Ok(routed) => {
+                if let Some(request) = self.attempts.start(now, id, routed) {
+                    self.clients.set_pending(id, request);
+                }
+            }
+        }
+    }
+
+    fn reject<N: Network>(&mut self, now: Nanos, id: ConnectionId, rejection: Rejection, network: &mut N) {
+        self.counters.count(rejection);
+        if let Rejection::Malformed(error) = rejection {
+            log::debug!(target: part::CONNECTIONS, "request rejected: {} {}", error.status, error.why);
+        }
+        self.clients.reject(now, id, rejection, self.is_stopping, network);
+    }
+
+    /// Writes the response to a request on which the engine has decided, and serves the client's next ones.
+    fn complete_request<N: Network>(&mut self, now: Nanos, id: AskerId, verdict: Verdict, network: &mut N) {
+        let Some(completed) = self.attempts.complete(now, id, verdict, network) else { return };
+        let mut merged = Vec::new();
+        let response = completed.response(now, &mut merged);
+        let client = completed.request.client;
+        let idle_ms = completed.request.config.config.limits.idle_ms;
+        if self.clients.write_response(now, client, &response, idle_ms, self.is_stopping, network) {
+            self.serve_client(now, client, network);
+        }
+    }
+
+    /// A client has closed its connection, or the connection has failed.
+    pub(crate) fn client_closed<N: Network>(&mut self, now: Nanos, id: ConnectionId, network: &mut N) {
+        network.close(id);
+        if let Some(request) = self.clients.remove(id) {
+            self.attempts.cancel(now, request);
+        }
+    }
+
+    // ---- Connections to nodes --------------------------------------------------------------
+
+    /// Reads a connection to a node.
+    pub(crate) fn read_node<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        read_closed: bool,
+        network: &mut N,
+    ) {
+        let wrong_node = self.attempts.read(now, id, read_closed, self.routing.http_limits(), network);
+        self.handle_wrong_node(now, wrong_node, network);
+    }
+
+    /// A connection to a node was reported as closed.
+    pub(crate) fn node_connection_closed<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        was_open: bool,
+        network: &mut N,
+    ) {
+        let wrong_node = self.attempts.read_remaining(now, id, self.routing.http_limits(), network);
+        self.handle_wrong_node(now, wrong_node, network);
+        self.attempts.connection_closed(now, id, was_open, network);
+    }
+
+    /// Another incarnation has answered at the address of a node, which is gone then.
+    fn handle_wrong_node<N: Network>(&mut self, now: Nanos, node: Option<NodeId>, network: &mut N) {
+        let Some(incarnation) = node.and_then(|node| self.attempts.incarnation(node)) else { return };
+        if self.nodes.mark_lost(now, &incarnation) {
+            self.apply_recent_node_changes(now, network);
+        }
+    }
+
+    // ---- Engine ----------------------------------------------------------------------------
+
+    /// Carries out the engine's actions until none is due.
+    pub(crate) fn run_engine<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        while self.attempts.decisions().is_due(now) {
+            while let Some(action) = self.attempts.decisions_mut().poll_action(now) {
+                self.execute_action(now, action, network);
+            }
+        }
+    }
+
+    fn execute_action<N: Network>(&mut self, now: Nanos, action: Order, network: &mut N) {
+        match action {
+            Order::Send { part, no, node } => {
+                self.attempts.send(now, Attempt { part, number: no }, node, network);
+            }
+            Order::Abandon { part, no, outcome } => {
+                self.attempts.abandon(now, Attempt { part, number: no }, outcome, network);
+            }
+            Order::Answer { asker, verdict, .. } => self.complete_request(now, asker, verdict, network),
+            Order::Renew { node } => self.attempts.renew_connections(now, node, network),
+            Order::FollowList | Order::Tell { .. } => {}
+        }
+    }
+
+    // ---- Configuration, nodes and budget ---------------------------------------------------
+
+    /// Puts a configuration in force, unless one of its revision or a later one is.
+    pub(crate) fn apply_config(
+        &mut self,
+        now: Nanos,
+        revision: u64,
+        config: RoutingConfig,
+    ) -> Option<Rc<ConfigSnapshot>> {
+        let (snapshot, change) = self.routing.apply(now, revision, config)?;
+        let (epoch, routes) = (snapshot.config.epoch, snapshot.config.routes.len());
+        log::info!(target: part::ROUTING_CONFIG, "epoch {epoch} with {routes} routes is in force");
+        let decisions = self.attempts.decisions_mut();
+        if decisions.has_engine() {
+            decisions.apply_use_cases(now, &change);
+        } else {
+            let use_cases = change.use_cases.into_iter().map(|(_, use_case)| use_case).collect();
+            decisions.start_engine(now, initial_site(&self.settings, &self.budget, use_cases), self.seed);
+        }
+        Some(snapshot)
+    }
+
+    /// Tells the engine of all nodes that differ from what it was told before.
+    pub(crate) fn apply_all_node_changes<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        let changes = self.nodes.all_changes(self.routing.ids());
+        self.apply_node_changes(now, changes, network);
+    }
+
+    /// The same for the nodes of services that have changed since the last call.
+    pub(crate) fn apply_recent_node_changes<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        if !self.attempts.decisions().has_engine() {
+            return self.nodes.skip_recent_changes();
+        }
+        let changes = self.nodes.recent_changes(self.routing.ids());
+        self.apply_node_changes(now, changes, network);
+    }
+
+    fn apply_node_changes<N: Network>(&mut self, now: Nanos, changes: NodeChanges, network: &mut N) {
+        let known_nodes = self.nodes.engine_node_count();
+        self.attempts.apply_node_changes(now, changes, known_nodes, network);
+    }
+
+    /// What the sources and subscribers of updates are told of this gateway.
+    pub(crate) fn local_state(&self, is_synchronized: bool, is_ready: bool) -> LocalState<'_> {
+        let config = self.routing.config().map(|config| (config.revision, &config.config));
+        LocalState { nodes: self.nodes.directory(), config, is_synchronized, is_ready }
+    }
+
+    /// By how many gateways the budget for retries is shared.
+    pub(crate) fn set_budget_sharers(&mut self, now: Nanos, sharers: Option<u32>) {
+        if self.budget.set_sharers(sharers) {
+            self.attempts.decisions_mut().set_budget(now, self.budget.slack(), sharers);
+        }
+    }
+
+    // ---- Sweeps ----------------------------------------------------------------------------
+
+    /// Closes connections that have timed out.
+    pub(crate) fn sweep_connections<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        self.attempts.close_expired(now, now - self.settings.connect_timeout, network);
+        for id in self.clients.timed_out(now, self.routing.client_timeouts()) {
+            if self.clients.is_receiving(id) {
+                self.reject(now, id, Rejection::ReceiveTimeout, network);
+            } else {
+                self.clients.close(id, network);
+            }
+        }
+    }
+
+    /// Forgets nodes that are no longer reported, and identifiers that are out of use.
+    pub(crate) fn sweep_nodes<N: Network>(&mut self, now: Nanos, network: &mut N) {
+        self.nodes.expire(now);
+        self.apply_recent_node_changes(now, network);
+        let (in_flight, listed) = (self.attempts.requests().iter(), self.nodes.directory().services());
+        self.routing.release_unused_ids(now, in_flight, listed);
+    }
+}
--- a/crates/fernknot-gateway/src/decisions.rs
+++ b/crates/fernknot-gateway/src/decisions.rs
@@ -28,8 +28,8 @@
         for use_case in &change.released {
             engine.retire(*use_case);
         }
-        for (use_case, facts) in &change.use_cases {
-            engine.use_case(now, *use_case, facts);
+        for (id, use_case) in &change.use_cases {
+            engine.use_case(now, *id, use_case);
         }
     }
 
--- a/crates/fernknot-gateway/src/engine_setup.rs
+++ b/crates/fernknot-gateway/src/engine_setup.rs
@@ -1,4 +1,4 @@
-//! The facts that an engine starts with.
+//! What an engine is told at its start.
 
 use crate::budget::BudgetShare;
 use crate::settings::GatewaySettings;
@@ -8,12 +8,12 @@
 pub(crate) const LOOP_GRANULARITY_MS: f64 = 3.0;
 
 /// The site of an engine that starts with these use cases.
-pub(crate) fn site_facts(
+pub(crate) fn initial_site(
     settings: &GatewaySettings,
     budget: &BudgetShare,
     use_cases: Vec<UseCaseFacts>,
 ) -> SiteFacts {
-    let shortest_goal = use_cases.iter().map(|facts| facts.goal).filter(|goal| goal.0 > 0).min();
+    let shortest_goal = use_cases.iter().map(|use_case| use_case.goal).filter(|goal| goal.0 > 0).min();
     SiteFacts {
         routers: budget.sharers().unwrap_or(1).max(1) as usize,
         use_cases,
--- a/crates/fernknot-gateway/src/lib.rs
+++ b/crates/fernknot-gateway/src/lib.rs
@@ -6,9 +6,9 @@
 //! ([`fernknot_net::Network`]), and asks it when it wants to be called again. What is on its connections are bytes:
 //! HTTP/1.1 with clients and nodes, messages of `fernknot-rpc` with controllers and other gateways.
 //!
-//! [`Gateway`] only routes. `clients` holds the connections of clients, `attempts` the requests in flight with the
-//! engine's decisions and the connections to [`nodes`], `routing` the configuration, `updates` the streams by which
-//! nodes and configurations become known.
+//! [`Gateway`] only routes events. `data_plane` is the way of requests: `clients` has the connections of clients,
+//! `routing` the configuration, `attempts` the requests in flight with the engine's `decisions` and the connections to
+//! [`nodes`]. `updates` has the streams by which nodes and configurations become known.
 
 #![deny(missing_docs)]
 
@@ -17,6 +17,7 @@
 mod clients;
 mod config_snapshot;
 mod counters;
+mod data_plane;
 mod decisions;
 mod discovery;
 mod engine_ids;
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -57,7 +57,7 @@
         memory_mb: f64,
         rng_seed: u64,
     ) -> Result<Routing, GatewayError> {
-        let limits = Limits::new(max_connections, memory_mb, &socket_facts(settings));
+        let limits = Limits::new(max_connections, memory_mb, &unused_socket_settings(settings));
         Ok(Routing {
             config: None,
             ids: EngineIds::default(),
@@ -199,8 +199,8 @@
     pub(crate) released: Vec<UseCaseId>,
 }
 
-/// The facts that the bounds of HTTP messages are made of. Only sizes are used; the rest has plausible values.
-fn socket_facts(settings: &GatewaySettings) -> SocketFacts {
+/// What else bounds are made of. A gateway uses only the sizes of HTTP messages, which do not depend on it.
+fn unused_socket_settings(settings: &GatewaySettings) -> SocketFacts {
     SocketFacts {
         use_cases: Vec::new(),
         shards: 0,
--- a/crates/fernknot-gateway/src/updates/relay.rs
+++ b/crates/fernknot-gateway/src/updates/relay.rs
@@ -309,16 +309,17 @@
                 fencing_token,
                 controllers,
             } => {
+                let fencing_token = FencingToken(fencing_token);
                 let heartbeat = SourceHeartbeat {
                     revision,
                     registry_version: 0,
-                    fencing_token: FencingToken(fencing_token),
+                    fencing_token,
                     has_lease: holds_lease,
                     hops,
                 };
                 self.relays.record_heartbeat(now, source.addr, source.kind, heartbeat);
                 if holds_lease {
-                    self.handle_leased_heartbeat(now, sender, heartbeat.fencing_token, controllers);
+                    self.handle_leased_heartbeat(now, sender, fencing_token, controllers);
                     updates.push(Update::SourceHealthy);
                 }
             }
--- a/crates/fernknot-http-api/src/settings.rs
+++ b/crates/fernknot-http-api/src/settings.rs
@@ -20,15 +20,14 @@
         memory_mb: f64,
         max_body_bytes: usize,
     ) -> Result<HttpServerSettings, String> {
-        let mut limits = Limits::new(max_connections, memory_mb, &unused_socket_facts())?;
+        let mut limits = Limits::new(max_connections, memory_mb, &unused_socket_settings())?;
         limits.body = max_body_bytes;
         Ok(HttpServerSettings { limits })
     }
 }
 
-/// The facts that times and counts of the limits are made of. Readers of requests use only the sizes, which don't
-/// depend on them.
-fn unused_socket_facts() -> SocketFacts {
+/// What times and counts of the limits are made of. Readers of requests use only the sizes, which do not depend on it.
+fn unused_socket_settings() -> SocketFacts {
     SocketFacts {
         use_cases: Vec::new(),
         shards: 0,
