--- a/crates/fernknot-gateway/src/updates/mod.rs
+++ b/crates/fernknot-gateway/src/updates/mod.rs
@@ -1,6 +1,7 @@
 //! Updates of configuration, nodes and ownership: taken from a controller or from the relay of the zone, and forwarded
 //! to the gateways that subscribe here.
 
+mod controllers;
 mod ownership;
 mod relay;
 mod sources;
--- a/crates/fernknot-gateway/src/updates/relay.rs
+++ b/crates/fernknot-gateway/src/updates/relay.rs
@@ -1,21 +1,22 @@
 //! Routes updates: from the sources that `fernknot-distribution` chooses to this gateway and to its subscribers.
 
+use super::controllers::KnownControllers;
 use super::ownership::Ownership;
 use super::sources::{Source, SourceStream, SourceStreams};
 use super::state::{LocalState, Update};
 use super::subscribers::{Subscribers, select, send};
 use fernknot::interface::Nanos;
-use fernknot_distribution::{Action, ControllerEndpoint, Relays, RelaysLimits, SourceHeartbeat, Topic};
+use fernknot_distribution::{Action, Relays, RelaysLimits, SourceHeartbeat, Topic};
 use fernknot_net::{ConnectionId, Network};
 use fernknot_ownership::{Assignment, FencingToken, GatewayRecord, OwnedKeysSettings};
 use fernknot_registry::NodeRecord;
 use fernknot_rpc::{
-    ControllerEndpoint as ControllerAddress, ControllerToGateway, GatewayToController, InspectionTopic,
-    Subscription, read_message, write_message,
+    ControllerEndpoint, ControllerToGateway, GatewayToController, InspectionTopic, Subscription,
+    read_message, write_message,
 };
 use fernknot_schema::RoutingConfig;
 use fernknot_telemetry::part;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
 /// Bytes of one message: a configuration of the largest size that an operator may send.
@@ -37,8 +38,7 @@
     ownership: Ownership,
     heartbeat_interval: Nanos,
     next_heartbeat_at: Nanos,
-    /// The controllers that are known, by inner address, with their zones; the zone of a seed is not known.
-    controllers: BTreeMap<SocketAddrV4, String>,
+    controllers: KnownControllers,
     /// Services that the configuration in force names.
     services: BTreeSet<String>,
     /// The controller that the newest heartbeat comes from.
@@ -72,7 +72,7 @@
             subscribers: Subscribers::default(),
             heartbeat_interval: Relays::heartbeat_interval(apply).times(HEARTBEAT_INTERVALS),
             next_heartbeat_at: Nanos(0),
-            controllers: BTreeMap::new(),
+            controllers: KnownControllers::default(),
             services: BTreeSet::new(),
             last_heartbeat_from: 0,
         };
@@ -82,17 +82,8 @@
 
     /// Adds controllers that may answer at these inner addresses.
     pub(crate) fn add_controllers(&mut self, addrs: &[SocketAddrV4]) {
-        for addr in addrs {
-            self.controllers.entry(*addr).or_default();
-        }
-        self.controllers_changed();
-    }
-
-    fn controllers_changed(&mut self) {
-        let endpoint =
-            |(addr, zone): (&SocketAddrV4, &String)| ControllerEndpoint { addr: *addr, zone: zone.clone() };
-        let endpoints: Vec<ControllerEndpoint> = self.controllers.iter().map(endpoint).collect();
-        self.relays.set_controllers(&endpoints);
+        self.controllers.add_seeds(addrs);
+        self.relays.set_controllers(&self.controllers.endpoints());
     }
 
     /// The services that the configuration in force names.
@@ -309,17 +300,15 @@
                 fencing_token,
                 controllers,
             } => {
-                let fencing_token = FencingToken(fencing_token);
                 let heartbeat = SourceHeartbeat {
                     revision,
                     registry_version: 0,
-                    fencing_token,
+                    fencing_token: FencingToken(fencing_token),
                     has_lease: holds_lease,
                     hops,
                 };
-                self.relays.record_heartbeat(now, source.addr, source.kind, heartbeat);
+                self.handle_heartbeat(now, source, heartbeat, sender, controllers);
                 if holds_lease {
-                    self.handle_leased_heartbeat(now, sender, fencing_token, controllers);
                     updates.push(Update::SourceHealthy);
                 }
             }
@@ -336,18 +325,23 @@
         }
     }
 
-    fn handle_leased_heartbeat(
+    fn handle_heartbeat(
         &mut self,
         now: Nanos,
+        source: Source,
+        heartbeat: SourceHeartbeat,
         sender: u64,
-        fencing_token: FencingToken,
-        controllers: Vec<ControllerAddress>,
+        controllers: Vec<ControllerEndpoint>,
     ) {
+        self.relays.record_heartbeat(now, source.addr, source.kind, heartbeat);
+        if !heartbeat.has_lease {
+            return;
+        }
         self.last_heartbeat_from = sender;
-        self.ownership.confirm(now, fencing_token);
+        self.ownership.confirm(now, heartbeat.fencing_token);
         if !controllers.is_empty() {
-            self.controllers = controllers.into_iter().map(|known| (known.addr, known.zone)).collect();
-            self.controllers_changed();
+            self.controllers.replace(controllers);
+            self.relays.set_controllers(&self.controllers.endpoints());
         }
     }
 
@@ -436,15 +430,13 @@
     // ---- Forwarding ------------------------------------------------------------------------
 
     fn heartbeat_message(&self, heartbeat: SourceHeartbeat) -> ControllerToGateway {
-        let address =
-            |(addr, zone): (&SocketAddrV4, &String)| ControllerAddress { addr: *addr, zone: zone.clone() };
         ControllerToGateway::Heartbeat {
             sender: self.last_heartbeat_from,
             revision: heartbeat.revision,
             holds_lease: heartbeat.has_lease,
             hops: heartbeat.hops,
             fencing_token: heartbeat.fencing_token.0,
-            controllers: self.controllers.iter().map(address).collect(),
+            controllers: self.controllers.reported(),
         }
     }
 
@@ -479,10 +471,7 @@
         match topic {
             InspectionTopic::Relays => self.sources.describe() + &self.subscribers.describe(),
             InspectionTopic::Ownership => self.ownership.describe(),
-            _ => {
-                let line = |(addr, zone): (&SocketAddrV4, &String)| format!("controller {addr} {zone}\n");
-                self.controllers.iter().map(line).collect()
-            }
+            _ => self.controllers.describe(),
         }
     }
 
