--- a/crates/fernknot-gateway/tests/answers.rs
+++ b/crates/fernknot-gateway/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What nodes answer, and what clients get of it.
+//! What nodes answer, and what clients receive of it.
 
 mod common;
 
@@ -18,13 +18,13 @@
 #[test_case("200 OK", SEALED, ResponseClass::Part; "a success with its seal")]
 #[test_case("200 OK", OWN, ResponseClass::Failure; "a success without a seal")]
 #[test_case("200 OK", "Attempt-Id: a1\r\nAnswer-Seal: s\r\nContent-Encoding: gzip\r\n", ResponseClass::Failure; "coded bytes")]
-#[test_case("200 OK", "Attempt-Id: a0\r\nAnswer-Seal: s\r\n", ResponseClass::Mismatched; "the late answer to another try")]
+#[test_case("200 OK", "Attempt-Id: a0\r\nAnswer-Seal: s\r\n", ResponseClass::Mismatched; "the late response to another attempt")]
 #[test_case("200 OK", "Answer-Seal: s\r\n", ResponseClass::Mismatched; "an answer to nobody knows what")]
 #[test_case("500 Oops", SEALED, ResponseClass::Failure; "a failure that bears a seal")]
-#[test_case("503 Full", "Attempt-Id: a1\r\nNot-Executed: 1\r\n", ResponseClass::NotExecuted { wrong_node: false }; "turned away")]
+#[test_case("503 Full", "Attempt-Id: a1\r\nNot-Executed: 1\r\n", ResponseClass::NotExecuted { wrong_node: false }; "rejected")]
 #[test_case("503 Full", OWN, ResponseClass::Failure; "a 503 that does not say so may have run")]
-#[test_case("421 Other", OWN, ResponseClass::NotExecuted { wrong_node: true }; "another life at the address")]
-fn given_a_head_then_its_worth_is(status: &str, headers: &str, wanted: ResponseClass) {
+#[test_case("421 Other", OWN, ResponseClass::NotExecuted { wrong_node: true }; "another incarnation at the address")]
+fn given_a_response_head_then_its_class_is(status: &str, headers: &str, wanted: ResponseClass) {
     let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 2\r\n\r\nok");
     assert_eq!(classify_response(&response(&text), "a1"), wanted);
 }
@@ -91,7 +91,7 @@
     for (index, records) in ["0000000000000001", "0000000000000003", "0000000000000002"].iter().enumerate() {
         pending_request.add_part(index, response(&part(&format!("s{index}"), records)));
     }
-    // A twin that comes later does not replace what is in.
+    // A duplicate that arrives later does not replace the first.
     pending_request.add_part(0, response(&part("twin", "9999999999999999")));
     let mut merged = Vec::new();
     let answer = pending_request.merged_response(&mut merged).unwrap();
@@ -112,7 +112,7 @@
 }
 
 #[test_case(500, 500; "a node's own failure is passed on unchanged")]
-#[test_case(503, 502; "a promise that may be untrue is not")]
+#[test_case(503, 502; "a rejection that may be untrue is not")]
 #[test_case(429, 502; "nor is this one")]
 fn given_a_node_that_failed_then_the_client_gets(node: u16, client: u16) {
     let text = "GET /a/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a1\r\n\r\n";
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn given_a_whole_answer_then_the_line_serves_again() {
+fn given_a_complete_response_then_the_connection_is_reused() {
     let (mut connections, id, _) = busy_connection();
     let mut input = buffer(&part("s", "0000000000000001"));
     assert!(matches!(connections.read(id, &mut input, false, &limits()), ReadOutcome::Response { .. }));
@@ -145,7 +145,8 @@
 }
 
 #[test]
-fn given_a_request_that_a_line_carried_when_it_goes_to_that_node_again_then_it_takes_another_line() {
+fn given_a_request_that_a_connection_carried_when_it_is_retried_at_that_node_then_it_takes_another_connection()
+ {
     let (mut connections, id, _) = busy_connection();
     connections.read(id, &mut buffer(&part("s", "0000000000000001")), false, &limits());
     assert!(connections.release(id, Nanos(10)));
@@ -154,23 +155,23 @@
 }
 
 #[test]
-fn given_bytes_behind_an_answer_then_the_line_is_not_used_again() {
+fn given_bytes_behind_a_response_then_the_connection_is_not_reused() {
     let (mut connections, id, _) = busy_connection();
     let mut input = buffer(&(part("s", "0000000000000001") + "HTTP/1.1 200 OK\r\n"));
     assert!(matches!(connections.read(id, &mut input, false, &limits()), ReadOutcome::Response { .. }));
     assert!(!connections.release(id, Nanos(10)));
 }
 
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nshort", true; "an answer cut short")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nshort", true; "a truncated answer")]
 #[test_case("not an answer at all\r\n\r\n", false; "bytes that form none")]
-fn given_no_answer_then_the_line_is_spoilt(text: &str, ended: bool) {
+fn given_no_response_then_the_connection_is_invalid(text: &str, ended: bool) {
     let (mut connections, id, part) = busy_connection();
     assert!(matches!(connections.read(id, &mut buffer(text), ended, &limits()), ReadOutcome::Invalid));
     assert_eq!(connections.remove(id), Some(first_attempt(part)));
 }
 
 #[test]
-fn given_bytes_on_an_idle_line_then_they_belong_to_nobody() {
+fn given_bytes_on_an_idle_connection_then_it_is_invalid() {
     let (mut connections, id, _) = busy_connection();
     let mut input = buffer(&part("s", "0000000000000001"));
     connections.read(id, &mut input, false, &limits());
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn given_a_life_that_is_gone_then_its_idle_lines_are_closed_and_others_not_used_again() {
+fn given_an_incarnation_that_is_gone_then_its_idle_connections_are_closed_and_others_not_reused() {
     let (mut connections, id, _) = busy_connection();
     let other = ConnectionId(4);
     connections.insert(Nanos(0), other, NodeId(1), first_attempt(PartId { of: MultigetId(2), index: 0 }));
@@ -192,8 +193,8 @@
 }
 
 #[test_case(config(shards(4, 0.5)), false; "another quorum")]
-#[test_case(config(shards(3, 0.75)), true; "another cut of the index")]
-fn given_a_version_with_then_the_number_stays_only_if_what_is_open_may_be_judged_by_it(
+#[test_case(config(shards(3, 0.75)), true; "another layout of the index")]
+fn given_a_revision_with_then_the_use_case_stays_only_if_requests_in_flight_may_be_judged_by_it(
     next: RoutingConfig,
     stays: bool,
 ) {
@@ -204,7 +205,7 @@
 }
 
 #[test]
-fn given_a_service_out_of_use_for_long_when_it_comes_back_then_its_number_is_another() {
+fn given_a_service_out_of_use_for_long_when_it_comes_back_then_its_identifier_is_another() {
     let mut ids = EngineIds::default();
     let retention = Nanos(100);
     let first = ids.shard("s");
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn given_a_service_used_again_in_time_then_its_number_stays() {
+fn given_a_service_used_again_in_time_then_its_identifier_stays() {
     let mut ids = EngineIds::default();
     let retention = Nanos(100);
     let first = ids.shard("s");
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn given_a_version_that_drops_a_route_then_its_number_is_free_only_once_nothing_of_it_is_in_hand() {
+fn given_a_revision_that_drops_a_route_then_its_use_case_is_released_only_once_nothing_of_it_is_in_flight() {
     let mut ids = EngineIds::default();
     let retention = Nanos(100);
     let first = ids.snapshot(Nanos(0), 1, config(RouteTarget::Service("s".into())), retention).snapshot;
--- /dev/null
+++ b/crates/fernknot-gateway/tests/scenarios/mod.rs
@@ -0,0 +1,250 @@
+//! Scenarios of one gateway, step by step, at the level of bytes.
+
+use crate::simulation::{CONTROLLER, settings};
+use fernknot::interface::Nanos;
+use fernknot_gateway::{Gateway, ListenerIds};
+use fernknot_net::{ConnectionId, Event, NetError};
+use fernknot_ownership::Assignment;
+use fernknot_registry::{NodeRecord, NodeState};
+use fernknot_rpc::{ControllerEndpoint, ControllerToGateway, write_message};
+use fernknot_schema::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass};
+use fernknot_simulator::ports::{PortAction, SimulatedPorts};
+
+mod attempts;
+mod identifiers;
+mod idle_connections;
+mod partial_bodies;
+mod resets;
+
+const NODE: &str = "10.128.0.1:8080";
+/// The longest time between two steps.
+const STEP_INTERVAL: Nanos = Nanos(10_000_000);
+const HEARTBEAT_INTERVAL: Nanos = Nanos(100_000_000);
+
+pub struct Scenario {
+    now: Nanos,
+    gateway: Gateway,
+    network: SimulatedPorts,
+    listeners: ListenerIds,
+    controller: ConnectionId,
+    /// Connections to the node that were begun, oldest first.
+    node_connections: Vec<ConnectionId>,
+    closed: Vec<ConnectionId>,
+    revision: u64,
+}
+
+/// A configuration with one service of one node, to which requests under `/m/` are sent once at most.
+pub fn config(limits: ClientLimits) -> RoutingConfig {
+    let route = Route {
+        name: "m".into(),
+        authority: "h.example".into(),
+        path_prefix: "/m/".into(),
+        traffic_class: TrafficClass::Mutating,
+        deadline_ms: 900,
+        target_ms: 150,
+        rank: 0,
+        target: RouteTarget::Service("lone".into()),
+        max_attempts: 1,
+    };
+    let service = Service {
+        name: "lone".into(),
+        probe_path: "/health".into(),
+        max_connections: 60,
+        protocol: "h1".into(),
+        tls: false,
+    };
+    RoutingConfig { epoch: 0, routes: vec![route], services: vec![service], limits }
+}
+
+impl Scenario {
+    /// A gateway with so much memory that has this configuration and knows the node.
+    pub fn begin(memory_mb: u64, config: RoutingConfig) -> Scenario {
+        let mut network = SimulatedPorts::default();
+        let listeners =
+            ListenerIds { front: network.new_id(), ready: network.new_id(), inner: network.new_id() };
+        let gateway = Gateway::new(settings(memory_mb), listeners, 7).unwrap();
+        let (node_connections, closed) = (Vec::new(), Vec::new());
+        let controller = ConnectionId(0);
+        let mut scenario = Scenario {
+            now: Nanos(0),
+            gateway,
+            network,
+            listeners,
+            controller,
+            node_connections,
+            closed,
+            revision: 0,
+        };
+        scenario.step(Vec::new());
+        scenario.send_update(&ControllerToGateway::Assignment(Assignment::default()));
+        scenario.send_update(&ControllerToGateway::NodeUpdates(vec![node_record("lone", NodeState::Ready)]));
+        scenario.apply_config(config);
+        scenario.send_update(&ControllerToGateway::SnapshotComplete);
+        scenario.send_heartbeat();
+        scenario
+    }
+
+    /// The controller sends a heartbeat with its lease.
+    pub fn send_heartbeat(&mut self) {
+        let addr = CONTROLLER.parse().unwrap();
+        let controllers = vec![ControllerEndpoint { addr, zone: "north".into() }];
+        let revision = self.revision;
+        self.send_update(&ControllerToGateway::Heartbeat {
+            sender: 1,
+            revision: revision,
+            holds_lease: true,
+            hops: 0,
+            fencing_token: 0,
+            controllers,
+        });
+    }
+
+    /// Time passes, with heartbeats of the controller.
+    pub fn advance_with_heartbeats(&mut self, span: Nanos) {
+        let end = self.now + span;
+        while self.now < end {
+            self.advance(HEARTBEAT_INTERVAL);
+            self.send_heartbeat();
+        }
+    }
+
+    /// The stream from the controller breaks, and over the next one it sends all that it knows of nodes.
+    pub fn reconnect_source(&mut self, nodes: Vec<NodeRecord>) {
+        let id = self.controller;
+        self.network.connections.remove(&id);
+        let (peer, kind) = (CONTROLLER.parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
+        let error = NetError { step: "read from", peer, source: kind };
+        self.step(vec![Event::Closed { connection: id, was_open: true, error }]);
+        while self.controller == id {
+            self.advance(STEP_INTERVAL);
+        }
+        self.send_update(&ControllerToGateway::NodeUpdates(nodes));
+        self.send_update(&ControllerToGateway::SnapshotComplete);
+        self.send_heartbeat();
+    }
+
+    /// The controller sends a message.
+    pub fn send_update(&mut self, message: &ControllerToGateway) {
+        write_message(&mut self.network.connections.get_mut(&self.controller).unwrap().input, message);
+        let id = self.controller;
+        self.step(vec![Event::Received { connection: id }]);
+    }
+
+    /// The controller sends the next configuration.
+    pub fn apply_config(&mut self, config: RoutingConfig) {
+        self.revision += 1;
+        self.send_update(&ControllerToGateway::Config {
+            revision: self.revision,
+            config: RoutingConfig { epoch: self.revision, ..config },
+        });
+    }
+
+    /// One step with these events.
+    pub fn step(&mut self, events: Vec<Event>) {
+        self.gateway.step(self.now, events, &mut self.network);
+        for action in std::mem::take(&mut self.network.actions) {
+            match action {
+                PortAction::Connect(id, to) if to == CONTROLLER.parse().unwrap() => {
+                    self.controller = id;
+                    self.network.connections.get_mut(&id).unwrap().is_open = true;
+                }
+                PortAction::Connect(id, _) => self.node_connections.push(id),
+                PortAction::Close(id) => self.closed.push(id),
+                PortAction::StopListening => {}
+            }
+        }
+    }
+
+    /// Time passes, and nothing happens.
+    pub fn advance(&mut self, span: Nanos) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now = (self.now + STEP_INTERVAL).min(end);
+            self.step(Vec::new());
+        }
+    }
+
+    /// A client connects.
+    pub fn connect_client(&mut self) -> ConnectionId {
+        let id = self.network.new_id();
+        self.network.add_connection(id, true);
+        let peer = "10.9.0.1:999".parse().unwrap();
+        self.step(vec![Event::Accepted { connection: id, listener: self.listeners.front, peer }]);
+        id
+    }
+
+    /// The platform connects, and sends a request.
+    pub fn ask_platform(&mut self, text: &str) -> ConnectionId {
+        let id = self.network.new_id();
+        self.network.add_connection(id, true);
+        let peer = "10.9.0.1:999".parse().unwrap();
+        self.step(vec![Event::Accepted { connection: id, listener: self.listeners.ready, peer }]);
+        self.receive(id, text);
+        id
+    }
+
+    /// Bytes arrive on a connection.
+    pub fn receive(&mut self, id: ConnectionId, text: &str) {
+        self.network.connections.get_mut(&id).unwrap().input.push(text.as_bytes());
+        self.step(vec![Event::Received { connection: id }]);
+    }
+
+    /// Bytes and a reset arrive on a connection, and both are reported in one step.
+    pub fn receive_then_reset(&mut self, id: ConnectionId, text: &str) {
+        let mut input = self.network.connections.remove(&id).unwrap().input;
+        input.push(text.as_bytes());
+        self.network.unread_after_reset.insert(id, input);
+        let (peer, kind) = (NODE.parse().unwrap(), std::io::ErrorKind::ConnectionReset.into());
+        let error = NetError { step: "read from", peer, source: kind };
+        self.step(vec![
+            Event::Received { connection: id },
+            Event::Closed { connection: id, was_open: true, error },
+        ]);
+        self.network.unread_after_reset.clear();
+    }
+
+    /// What the gateway has written on a connection since the last call.
+    pub fn take_output(&mut self, id: ConnectionId) -> String {
+        let Some(connection) = self.network.connections.get_mut(&id) else { return String::new() };
+        let text = String::from_utf8_lossy(connection.output.data()).into_owned();
+        connection.output.consume(text.len());
+        text
+    }
+
+    /// The connection to the node that was begun last opens; returns what is sent over it.
+    pub fn open_node_connection(&mut self) -> (ConnectionId, String) {
+        let id = *self.node_connections.last().expect("no connection was begun");
+        self.network.connections.get_mut(&id).unwrap().is_open = true;
+        self.step(vec![Event::Connected { connection: id }]);
+        (id, self.take_output(id))
+    }
+
+    /// Whether the gateway has closed a connection, or does so once all is written.
+    pub fn is_closed(&self, id: ConnectionId) -> bool {
+        self.network.connections.get(&id).is_none_or(|connection| connection.is_closing)
+    }
+}
+
+/// The one node, as it is reported.
+pub fn node_record(service: &str, state: NodeState) -> NodeRecord {
+    NodeRecord {
+        id: format!("i-{service}"),
+        service: service.into(),
+        addr: NODE.parse().unwrap(),
+        zone: "north".into(),
+        state,
+        capacity: 8,
+        warm_up_left_ms: 0,
+        sequence: 1 + u64::from(state != NodeState::Ready),
+    }
+}
+
+/// A request that may run once at most, with what its client will wait.
+pub fn request(id: &str, deadline_ms: u64) -> String {
+    format!("GET /m/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {id}\r\nDeadline-Ms: {deadline_ms}\r\n\r\n")
+}
+
+/// A node's complete response.
+pub fn answer(id: &str) -> String {
+    format!("HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nAnswer-Seal: s-{id}\r\nContent-Length: 2\r\n\r\nok")
+}
--- /dev/null
+++ b/crates/fernknot-gateway/tests/simulation/controller.rs
@@ -0,0 +1,134 @@
+//! A controller as a gateway sees it: assignments, configurations, nodes and heartbeats.
+
+use super::{CONTROLLER, Completion, SENDING, SETTLING, Scheduled, Simulation, addr};
+use fernknot::interface::Nanos;
+use fernknot_net::{Buffer, ConnectionId};
+use fernknot_ownership::{Assignment, FencingToken, GatewayRecord};
+use fernknot_registry::NodeRecord;
+use fernknot_rpc::{
+    ControllerEndpoint, ControllerToGateway, GatewayToController, read_message, write_message,
+};
+use std::collections::BTreeMap;
+
+pub const APPLY_MS: f64 = 1500.0;
+const HEARTBEAT_INTERVAL: Nanos = Nanos(100_000_000);
+
+#[derive(Default)]
+pub struct Controller {
+    subscribers: BTreeMap<ConnectionId, Subscriber>,
+    /// The fencing token of the newest assignment.
+    fencing_token: u64,
+}
+
+#[derive(Default)]
+struct Subscriber {
+    input: Buffer,
+    gateway: Option<GatewayRecord>,
+    /// How many configurations there were when it was sent the last one.
+    config_count: usize,
+}
+
+impl Controller {
+    pub fn connection_closed(&mut self, id: ConnectionId) {
+        self.subscribers.remove(&id);
+    }
+}
+
+impl Simulation {
+    fn send_update(
+        &mut self,
+        id: ConnectionId,
+        message: &ControllerToGateway,
+        completion: Option<Completion>,
+    ) {
+        let mut output = Buffer::default();
+        write_message(&mut output, message);
+        self.send_in_pieces(id, output.data().to_vec(), completion);
+    }
+
+    pub fn controller_receives(&mut self, id: ConnectionId, bytes: &[u8]) {
+        self.controller.subscribers.entry(id).or_default().input.push(bytes);
+        loop {
+            let Some(subscriber) = self.controller.subscribers.get_mut(&id) else { return };
+            match read_message::<GatewayToController>(&mut subscriber.input, 1 << 20) {
+                Ok(Some(GatewayToController::Subscribe { gateway, .. })) => {
+                    subscriber.gateway = Some(gateway.clone());
+                    self.controller.fencing_token += 1;
+                    let fencing_token = FencingToken::new(1, self.controller.fencing_token as u32);
+                    let cut = Assignment {
+                        fencing_token: fencing_token,
+                        gateways: vec![gateway],
+                        presumed_alive: 1,
+                    };
+                    self.send_update(id, &ControllerToGateway::Assignment(cut), None);
+                    let settings = self.node_records();
+                    self.send_update(id, &ControllerToGateway::NodeUpdates(settings), None);
+                    self.send_config(id);
+                    self.send_update(id, &ControllerToGateway::SnapshotComplete, None);
+                    self.send_heartbeat(id);
+                }
+                Ok(Some(_)) => {}
+                Ok(None) => return,
+                Err(error) => return self.checker.violation(format!("a word that is none: {error}")),
+            }
+        }
+    }
+
+    fn send_config(&mut self, id: ConnectionId) {
+        let newest = self.configs.len();
+        let Some(subscriber) =
+            self.controller.subscribers.get_mut(&id).filter(|subscriber| subscriber.config_count < newest)
+        else {
+            return;
+        };
+        subscriber.config_count = newest;
+        let config = self.configs[newest - 1].clone();
+        self.send_update(
+            id,
+            &ControllerToGateway::Config { revision: newest as u64, config: config },
+            Some(Completion::Config(newest - 1)),
+        );
+    }
+
+    fn send_heartbeat(&mut self, id: ConnectionId) {
+        let controllers = vec![ControllerEndpoint { addr: addr(CONTROLLER), zone: "north".into() }];
+        let fencing_token = FencingToken::new(1, self.controller.fencing_token as u32).0;
+        let revision = self.configs.len() as u64;
+        let heartbeat = ControllerToGateway::Heartbeat {
+            sender: 1,
+            revision: revision,
+            holds_lease: true,
+            hops: 0,
+            fencing_token: fencing_token,
+            controllers,
+        };
+        self.send_update(id, &heartbeat, None);
+    }
+
+    fn subscribed(&self) -> Vec<ConnectionId> {
+        self.controller
+            .subscribers
+            .iter()
+            .filter(|(_, subscriber)| subscriber.gateway.is_some())
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// Sends heartbeats, and configurations that are new.
+    pub fn heartbeat(&mut self, again: bool) {
+        for id in self.subscribed() {
+            self.send_config(id);
+            self.send_heartbeat(id);
+        }
+        if again && self.now < SENDING + SETTLING {
+            self.schedule(self.now + HEARTBEAT_INTERVAL, Scheduled::Heartbeat { again });
+        }
+    }
+
+    /// Sends records of nodes to all subscribers.
+    pub fn report_nodes(&mut self, settings: &[NodeRecord]) {
+        for id in self.subscribed() {
+            self.send_update(id, &ControllerToGateway::NodeUpdates(settings.to_vec()), None);
+        }
+    }
+}
--- a/crates/fernknot-gateway/tests/stage/chance.rs
+++ b/crates/fernknot-gateway/tests/simulation/rng.rs
@@ -1,11 +1,11 @@
-//! The chance of a run.
+//! The random numbers of a run.
 
 use fernknot::interface::Nanos;
 
-/// Chance from a seed (splitmix64), so that a case can be played again.
-pub struct Chance(pub u64);
+/// SplitMix64, so that a seed replays its run.
+pub struct Rng(pub u64);
 
-impl Chance {
+impl Rng {
     pub fn draw(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -18,7 +18,7 @@
         (self.draw() % bound.max(1) as u64) as usize
     }
 
-    /// True so many times in a thousand.
+    /// True with a probability of so many in a thousand.
     pub fn odds(&mut self, of_1000: usize) -> bool {
         self.under(1000) < of_1000
     }
--- a/crates/fernknot-net/tests/event_loop.rs
+++ b/crates/fernknot-net/tests/event_loop.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn given_bytes_and_an_end_that_come_at_once_then_both_are_told() {
+fn given_bytes_and_an_end_that_come_at_once_then_both_are_reported() {
     let (mut event_loop, connection, mut remote) = event_loop();
     remote.write_all(b"all of it").unwrap();
     drop(remote);
@@ -62,7 +62,7 @@
 
 #[test_case(9; "a few bytes")]
 #[test_case(40_000; "more than one read takes")]
-fn given_bytes_and_a_reset_that_come_at_once_then_both_are_told_and_the_bytes_are_left(count: usize) {
+fn given_bytes_and_a_reset_that_come_at_once_then_both_are_reported_and_the_bytes_are_left(count: usize) {
     let (mut event_loop, connection, mut remote) = event_loop();
     let bytes = vec![b'x'; count];
     remote.write_all(&bytes).unwrap();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn given_bytes_of_a_connection_that_went_when_nobody_takes_them_then_the_next_turn_drops_them() {
+fn given_unread_input_of_a_closed_connection_when_nobody_takes_it_then_the_next_poll_drops_it() {
     let (mut event_loop, connection, mut remote) = event_loop();
     remote.write_all(b"late").unwrap();
     socket2::SockRef::from(&remote).set_linger(Some(Duration::ZERO)).unwrap();
