--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -2,10 +2,9 @@
 
 use crate::counters::NodeCounters;
 use crate::decisions::Decisions;
-use crate::engine_setup::LOOP_GRANULARITY_MS;
 use crate::headers;
-use crate::nodes::{Attempt, EndpointChange, NodeChanges, NodeConnections, ReadOutcome};
-use crate::requests::{FinalResponse, PendingRequest, RequestTable, ResponseClass, classify_response};
+use crate::nodes::{AttemptKey, EndpointChange, NodeChanges, NodeConnections, ReadOutcome};
+use crate::requests::{CompletedRequest, PendingRequest, RequestTable, ResponseClass, classify_response};
 use crate::routing::RoutedRequest;
 use crate::seeded_bug::SeededBug;
 use fernknot::interface::*;
@@ -140,7 +139,13 @@
     // ---- Attempts --------------------------------------------------------------------------
 
     /// Sends an attempt; where that fails, the engine is told.
-    pub(crate) fn send<N: Network>(&mut self, now: Nanos, attempt: Attempt, node: NodeId, network: &mut N) {
+    pub(crate) fn send<N: Network>(
+        &mut self,
+        now: Nanos,
+        attempt: AttemptKey,
+        node: NodeId,
+        network: &mut N,
+    ) {
         if let Err(outcome) = self.try_send(now, attempt, node, network) {
             self.decisions.attempt_ended(now, attempt, outcome);
         }
@@ -149,7 +154,7 @@
     fn try_send<N: Network>(
         &mut self,
         now: Nanos,
-        attempt: Attempt,
+        attempt: AttemptKey,
         node: NodeId,
         network: &mut N,
     ) -> Result<(), Outcome> {
@@ -187,7 +192,7 @@
     pub(crate) fn abandon<N: Network>(
         &mut self,
         now: Nanos,
-        attempt: Attempt,
+        attempt: AttemptKey,
         outcome: Outcome,
         network: &mut N,
     ) {
@@ -352,7 +357,7 @@
         &mut self,
         now: Nanos,
         id: ConnectionId,
-        attempt: Attempt,
+        attempt: AttemptKey,
         mut response: Response,
         network: &mut N,
     ) -> bool {
@@ -365,7 +370,7 @@
         self.record_response(now, attempt, class, response)
     }
 
-    fn classify(&mut self, attempt: Attempt, response: &Response) -> ResponseClass {
+    fn classify(&mut self, attempt: AttemptKey, response: &Response) -> ResponseClass {
         let Some(request) = self.requests.of_part(attempt.part) else { return ResponseClass::Failure };
         let attempt_id = match self.seeded_bug {
             Some(SeededBug::MatchByConnection) => response.header(headers::ATTEMPT_ID).unwrap_or_default(),
@@ -395,7 +400,7 @@
     fn record_response(
         &mut self,
         now: Nanos,
-        attempt: Attempt,
+        attempt: AttemptKey,
         class: ResponseClass,
         response: Response,
     ) -> bool {
@@ -423,27 +428,3 @@
         false
     }
 }
-
-/// A request on which the engine has decided.
-pub(crate) struct CompletedRequest {
-    pub(crate) request: PendingRequest,
-    verdict: Verdict,
-}
-
-impl CompletedRequest {
-    /// The response to the client. A merged body is written into `merged`.
-    pub(crate) fn response<'a>(&'a self, now: Nanos, merged: &'a mut Vec<u8>) -> FinalResponse<'a> {
-        let granularity = Nanos::from_millis(LOOP_GRANULARITY_MS);
-        match &self.verdict {
-            Verdict::Settled { .. } => {
-                let merged = self.request.merged_response(merged);
-                merged.unwrap_or_else(|| self.request.error_response(502))
-            }
-            Verdict::Dismissed { wait } => self.request.rejection(wait.unwrap_or(granularity)),
-            Verdict::BrokenOff if now + granularity >= self.request.deadline => {
-                self.request.error_response(504)
-            }
-            Verdict::BrokenOff => self.request.error_response(502),
-        }
-    }
-}
--- a/crates/fernknot-gateway/src/data_plane.rs
+++ b/crates/fernknot-gateway/src/data_plane.rs
@@ -8,7 +8,7 @@
 use crate::engine_setup::initial_site;
 use crate::error::GatewayError;
 use crate::listeners::ListenAddress;
-use crate::nodes::{Attempt, NodeChanges, NodeTable};
+use crate::nodes::{AttemptKey, NodeChanges, NodeTable};
 use crate::routing::Routing;
 use crate::seeded_bug::SeededBug;
 use crate::settings::{GatewaySettings, ZoneIds, max_connections};
@@ -185,10 +185,10 @@
     fn execute_action<N: Network>(&mut self, now: Nanos, action: Order, network: &mut N) {
         match action {
             Order::Send { part, no, node } => {
-                self.attempts.send(now, Attempt { part, number: no }, node, network);
+                self.attempts.send(now, AttemptKey { part, number: no }, node, network);
             }
             Order::Abandon { part, no, outcome } => {
-                self.attempts.abandon(now, Attempt { part, number: no }, outcome, network);
+                self.attempts.abandon(now, AttemptKey { part, number: no }, outcome, network);
             }
             Order::Answer { asker, verdict, .. } => self.complete_request(now, asker, verdict, network),
             Order::Renew { node } => self.attempts.renew_connections(now, node, network),
--- a/crates/fernknot-gateway/src/decisions.rs
+++ b/crates/fernknot-gateway/src/decisions.rs
@@ -1,6 +1,6 @@
 //! The engine that decides on attempts, which starts with the first configuration.
 
-use crate::nodes::Attempt;
+use crate::nodes::AttemptKey;
 use crate::routing::UseCaseChange;
 use fernknot::interface::*;
 use fernknot_engine::{AskerId, Engine, Order};
@@ -74,14 +74,14 @@
     }
 
     /// A node has answered an attempt.
-    pub(crate) fn attempt_answered(&mut self, now: Nanos, attempt: Attempt) {
+    pub(crate) fn attempt_answered(&mut self, now: Nanos, attempt: AttemptKey) {
         if let Some(engine) = &mut self.engine {
             engine.answered(now, attempt.part, attempt.number, String::new(), LoadReport::default());
         }
     }
 
     /// An attempt has ended without an answer.
-    pub(crate) fn attempt_ended(&mut self, now: Nanos, attempt: Attempt, outcome: Outcome) {
+    pub(crate) fn attempt_ended(&mut self, now: Nanos, attempt: AttemptKey, outcome: Outcome) {
         if let Some(engine) = &mut self.engine {
             engine.ended(now, attempt.part, attempt.number, outcome, LoadReport::default());
         }
--- a/crates/fernknot-gateway/src/nodes/connections.rs
+++ b/crates/fernknot-gateway/src/nodes/connections.rs
@@ -9,7 +9,7 @@
 
 /// Identifies one attempt to have a part of a request executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Attempt {
+pub struct AttemptKey {
     /// The part of a request.
     pub part: PartId,
     /// The number of the attempt among those of the part.
@@ -20,7 +20,7 @@
 struct NodeConnection {
     node: NodeId,
     /// The attempt that the connection carries.
-    attempt: Option<Attempt>,
+    attempt: Option<AttemptKey>,
     reader: ResponseReader,
     /// The response to the attempt has no body.
     expects_no_body: bool,
@@ -48,7 +48,7 @@
     /// A complete response.
     Response {
         /// The attempt that the connection carried.
-        attempt: Attempt,
+        attempt: AttemptKey,
         /// The node that the connection leads to.
         node: NodeId,
         /// The response.
@@ -63,7 +63,7 @@
 pub struct NodeConnections {
     connections: HashMap<ConnectionId, NodeConnection>,
     endpoints: HashMap<NodeId, NodeEndpoint>,
-    by_attempt: HashMap<Attempt, ConnectionId>,
+    by_attempt: HashMap<AttemptKey, ConnectionId>,
 }
 
 impl NodeConnections {
@@ -172,7 +172,7 @@
     }
 
     /// Adds a connection that was begun for an attempt.
-    pub fn insert(&mut self, now: Nanos, id: ConnectionId, node: NodeId, attempt: Attempt) {
+    pub fn insert(&mut self, now: Nanos, id: ConnectionId, node: NodeId, attempt: AttemptKey) {
         let connection = NodeConnection {
             node,
             attempt: Some(attempt),
@@ -187,7 +187,7 @@
     }
 
     /// An idle connection carries an attempt.
-    pub fn assign(&mut self, id: ConnectionId, attempt: Attempt) {
+    pub fn assign(&mut self, id: ConnectionId, attempt: AttemptKey) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.attempt = Some(attempt);
             self.by_attempt.insert(attempt, id);
@@ -202,12 +202,12 @@
     }
 
     /// The connection that carries an attempt.
-    pub fn connection_of(&self, attempt: Attempt) -> Option<ConnectionId> {
+    pub fn connection_of(&self, attempt: AttemptKey) -> Option<ConnectionId> {
         self.by_attempt.get(&attempt).copied()
     }
 
     /// Forgets a connection; the attempt that it carried is returned.
-    pub fn remove(&mut self, id: ConnectionId) -> Option<Attempt> {
+    pub fn remove(&mut self, id: ConnectionId) -> Option<AttemptKey> {
         let connection = self.connections.remove(&id)?;
         if let Some(endpoint) = self.endpoints.get_mut(&connection.node) {
             endpoint.idle_connections.retain(|idle| *idle != id);
--- a/crates/fernknot-gateway/src/nodes/mod.rs
+++ b/crates/fernknot-gateway/src/nodes/mod.rs
@@ -3,5 +3,5 @@
 mod connections;
 mod node_table;
 
-pub use connections::{Attempt, NodeConnections, NodeEndpoint, ReadOutcome};
+pub use connections::{AttemptKey, NodeConnections, NodeEndpoint, ReadOutcome};
 pub(crate) use node_table::{EndpointChange, NodeChanges, NodeTable};
--- a/crates/fernknot-gateway/src/requests/mod.rs
+++ b/crates/fernknot-gateway/src/requests/mod.rs
@@ -1,9 +1,11 @@
 //! Requests of clients that are in flight, and the responses that nodes and the gateway give to them.
 
+mod completed_request;
 mod pending_request;
 mod request_table;
 mod response;
 
+pub(crate) use completed_request::CompletedRequest;
 pub use pending_request::PendingRequest;
 pub(crate) use request_table::RequestTable;
 pub use response::{FinalResponse, ResponseClass, classify_response};
--- a/crates/fernknot-gateway/tests/answers.rs
+++ b/crates/fernknot-gateway/tests/answers.rs
@@ -4,7 +4,7 @@
 
 use common::{buffer, limits, request, response};
 use fernknot::interface::*;
-use fernknot_gateway::nodes::{Attempt, NodeConnections, ReadOutcome};
+use fernknot_gateway::nodes::{AttemptKey, NodeConnections, ReadOutcome};
 use fernknot_gateway::requests::{PendingRequest, ResponseClass, classify_response};
 use fernknot_gateway::{ConfigSnapshot, EngineIds};
 use fernknot_net::{Buffer, ConnectionId};
@@ -122,8 +122,8 @@
     assert_eq!(pending_request.error_response(502).status, client);
 }
 
-fn first_attempt(part: PartId) -> Attempt {
-    Attempt { part, number: HandOffNo(0) }
+fn first_attempt(part: PartId) -> AttemptKey {
+    AttemptKey { part, number: HandOffNo(0) }
 }
 
 /// A connection that carries the first attempt of a part.
--- a/crates/fernknot-gateway/tests/scenarios/mod.rs
+++ b/crates/fernknot-gateway/tests/scenarios/mod.rs
@@ -91,7 +91,7 @@
         let revision = self.revision;
         self.send_update(&ControllerToGateway::Heartbeat {
             sender: 1,
-            revision: revision,
+            revision,
             holds_lease: true,
             hops: 0,
             fencing_token: 0,
--- a/crates/fernknot-gateway/tests/simulation/controller.rs
+++ b/crates/fernknot-gateway/tests/simulation/controller.rs
@@ -55,11 +55,7 @@
                     subscriber.gateway = Some(gateway.clone());
                     self.controller.fencing_token += 1;
                     let fencing_token = FencingToken::new(1, self.controller.fencing_token as u32);
-                    let cut = Assignment {
-                        fencing_token: fencing_token,
-                        gateways: vec![gateway],
-                        presumed_alive: 1,
-                    };
+                    let cut = Assignment { fencing_token, gateways: vec![gateway], presumed_alive: 1 };
                     self.send_update(id, &ControllerToGateway::Assignment(cut), None);
                     let settings = self.node_records();
                     self.send_update(id, &ControllerToGateway::NodeUpdates(settings), None);
@@ -85,7 +81,7 @@
         let config = self.configs[newest - 1].clone();
         self.send_update(
             id,
-            &ControllerToGateway::Config { revision: newest as u64, config: config },
+            &ControllerToGateway::Config { revision: newest as u64, config },
             Some(Completion::Config(newest - 1)),
         );
     }
@@ -96,10 +92,10 @@
         let revision = self.configs.len() as u64;
         let heartbeat = ControllerToGateway::Heartbeat {
             sender: 1,
-            revision: revision,
+            revision,
             holds_lease: true,
             hops: 0,
-            fencing_token: fencing_token,
+            fencing_token,
             controllers,
         };
         self.send_update(id, &heartbeat, None);
