--- a/crates/fernknot-testbed/src/rig.rs
+++ b/crates/fernknot-testbed/src/rig.rs
@@ -446,7 +446,9 @@
 
     /// The version that a gateway says it has; 0 for none.
     pub fn gateway_version(&self, at: usize) -> u64 {
-        self.gateway_counter(at, "version").unwrap_or(0)
+        let epoch = self.gateway_counter(at, "config_epoch");
+        // Gateways of earlier releases, which may be named as programs, call it `version`.
+        epoch.or_else(|| self.gateway_counter(at, "version")).unwrap_or(0)
     }
 
     /// A counter of a gateway.
