--- a/crates/fernknot-gateway/src/nodes/node_table.rs
+++ b/crates/fernknot-gateway/src/nodes/node_table.rs
@@ -112,7 +112,7 @@
 
     /// Forgets which services have changed: there is no engine yet, and it is told of all nodes once there is one.
     pub(crate) fn skip_recent_changes(&mut self) {
-        self.directory.take_changed_services();
+        let _ = self.directory.take_changed_services();
     }
 
     fn changes_of(&mut self, services: impl IntoIterator<Item = String>, ids: &mut EngineIds) -> NodeChanges {
