--- a/crates/fernknot-gateway/src/settings.rs
+++ b/crates/fernknot-gateway/src/settings.rs
@@ -20,12 +20,12 @@
 
 /// Where a gateway with these settings accepts connections of other processes of the system.
 pub fn inner_addr(settings: &ProcessSettings) -> SocketAddrV4 {
-    SocketAddrV4::new(settings.ip, settings.port_range.0)
+    SocketAddrV4::new(settings.ip, settings.port_range.first)
 }
 
 /// The inner addresses of the controllers that the settings name.
 pub fn controller_seeds(settings: &ProcessSettings) -> Vec<SocketAddrV4> {
-    let inner_port = settings.port_range.0 + 1;
+    let inner_port = settings.port_range.first + 1;
     settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), inner_port)).collect()
 }
 
