--- a/crates/fernknot-simulator/src/gateways/arrivals.rs
+++ b/crates/fernknot-simulator/src/gateways/arrivals.rs
@@ -97,7 +97,7 @@
         let was_open = port.is_open;
         process.ports.unread_after_reset.insert(connection, port.input);
         let kind = if was_open { ErrorKind::ConnectionReset } else { ErrorKind::ConnectionRefused };
-        let error = NetError { step: "read from", peer: gateway_addr(index), why: kind.into() };
+        let error = NetError { step: "read from", peer: gateway_addr(index), source: kind.into() };
         if !port.is_closing {
             self.push_gateway_event(index, NetworkEvent::Closed { connection, was_open, error });
         }
