--- a/crates/fernknot-protocol/src/frames.rs
+++ b/crates/fernknot-protocol/src/frames.rs
@@ -104,7 +104,7 @@
 pub fn next<'a>(buffer: &'a Buffer, limits: &Limits) -> Result<Option<RawFrame<'a>>, &'static str> {
     let Some((head, rest)) = buffer.data().split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_le_bytes(*head) as usize;
-    if length == 0 || length > limits.frame {
+    if length == 0 || length > limits.max_frame_bytes {
         return Err("a frame's length is unfit");
     }
     if rest.len() < length {
--- a/crates/fernknot-protocol/src/http.rs
+++ b/crates/fernknot-protocol/src/http.rs
@@ -70,7 +70,7 @@
             self.open = request_head(buffer, limits)?;
         }
         let Some((request, framing)) = &mut self.open else { return Ok(None) };
-        let done = framing.read(buffer, &mut request.body, limits.body, limits.chunk_line)?;
+        let done = framing.read(buffer, &mut request.body, limits.body, limits.max_chunk_line_bytes)?;
         Ok(self.open.take_if(|_| done).map(|(request, _)| request))
     }
 }
@@ -80,7 +80,7 @@
 }
 
 fn request_head(buffer: &mut Buffer, limits: &Limits) -> Result<Option<(Request, Framing)>, BadHttp> {
-    let mut headers = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut headers = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut parsed = httparse::Request::new(&mut headers);
     let head = match parsed.parse(buffer.data()) {
         Ok(Status::Complete(head)) if head <= limits.head => head,
@@ -201,7 +201,8 @@
             }
         }
         let Some((response, framing)) = &mut self.open else { return Ok(None) };
-        let done = framing.read(buffer, &mut response.body, limits.list, limits.chunk_line)?;
+        let done =
+            framing.read(buffer, &mut response.body, limits.max_list_bytes, limits.max_chunk_line_bytes)?;
         let done = done || ended && matches!(framing, Framing::ToEnd);
         Ok(self.open.take_if(|_| done).map(|(response, _)| response))
     }
@@ -227,7 +228,7 @@
 }
 
 fn response_head(buffer: &mut Buffer, limits: &Limits) -> Result<Option<(Response, Framing)>, BadHttp> {
-    let mut headers = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut headers = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut parsed = httparse::Response::new(&mut headers);
     let head = match parsed.parse(buffer.data()) {
         Ok(Status::Complete(head)) => head,
--- a/crates/fernknot-protocol/src/multiget.rs
+++ b/crates/fernknot-protocol/src/multiget.rs
@@ -87,7 +87,7 @@
         request.header("req-id").filter(|id| is_name(id, limits)).ok_or((400, "Req-Id missing or unfit"))?;
     let wait = request.header("req-deadline").and_then(|text| text.trim().parse::<f64>().ok());
     let wait = wait.filter(|wait| wait.is_finite() && *wait > 0.0).map(|wait| Nanos::from_millis(wait * 1e3));
-    let wait = wait.filter(|wait| *wait <= limits.client_wait);
+    let wait = wait.filter(|wait| *wait <= limits.max_client_wait);
     let wait = wait.ok_or((400, "Req-Deadline missing or unfit"))?;
     let keyed = facts.use_cases[use_case].1;
     let key = request.header("idempotency-key").filter(|_| keyed);
@@ -130,7 +130,7 @@
         }
     }
     let whole: f64 = buckets.iter().map(|bucket| bucket.part).sum();
-    if (whole - 1.0).abs() > limits.share_slack {
+    if (whole - 1.0).abs() > limits.share_tolerance {
         return Err((400, "the parts' shares make no whole"));
     }
     let part = |bucket: &Bucket| AskedPart {
@@ -165,8 +165,8 @@
     if !phases.names_others && second.iter().any(|part| !asked.contains(&part.shard)) {
         return Err((400, "a block is to be fetched that is not asked for matches"));
     }
-    let fits = |term: &Cow<str>| !term.is_empty() && term.len() <= limits.term;
-    if body.first.terms.len() > limits.terms || !body.first.terms.iter().all(fits) {
+    let fits = |term: &Cow<str>| !term.is_empty() && term.len() <= limits.max_term_bytes;
+    if body.first.terms.len() > limits.max_terms || !body.first.terms.iter().all(fits) {
         return Err((400, "terms unfit"));
     }
     let terms = body.first.terms.into_iter().map(Cow::into_owned).collect();
@@ -177,7 +177,7 @@
 /// Names go into frames, whose words end at spaces, commas and line ends.
 fn is_name(text: &str, limits: &Limits) -> bool {
     let fits = |byte: u8| byte.is_ascii_graphic() && byte != b',';
-    !text.is_empty() && text.len() <= limits.name && text.bytes().all(fits)
+    !text.is_empty() && text.len() <= limits.max_name_bytes && text.bytes().all(fits)
 }
 
 #[derive(Serialize)]
--- a/crates/fernknot-protocol/src/news.rs
+++ b/crates/fernknot-protocol/src/news.rs
@@ -19,7 +19,7 @@
 impl Tags {
     /// Names a node; an id that is used again loses its old name. Ids are given in turn.
     pub fn add(&mut self, name: &str, node: NodeId) {
-        let hash = fernknot_router_config::print(name);
+        let hash = fernknot_router_config::fingerprint(name);
         let tag = (hash ^ (hash >> 16)) as u16;
         match self.of.get_mut(node.0 as usize) {
             Some(held) => {
--- a/crates/fernknot-router-config/src/lib.rs
+++ b/crates/fernknot-router-config/src/lib.rs
@@ -6,4 +6,4 @@
 
 pub use facts::{Facts, PhaseFacts, Silent, SocketFacts, Split};
 pub use limits::Limits;
-pub use start::{First, FleetStart, Start, Told, print};
+pub use start::{MembershipSettings, PeerAddresses, Precedence, RouterConfig, fingerprint};
--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -12,68 +12,68 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Connections of clients and to nodes.
-    pub clients: usize,
-    pub node_links: usize,
+    pub max_clients: usize,
+    pub max_node_connections: usize,
     /// Bytes of a request's head and body, of a frame, and of a list.
     pub head: usize,
     pub body: usize,
-    pub frame: usize,
-    pub list: usize,
-    pub headers: usize,
+    pub max_frame_bytes: usize,
+    pub max_list_bytes: usize,
+    pub max_headers: usize,
     /// Bytes that a chunk's head, or all trailers, may take.
-    pub chunk_line: usize,
+    pub max_chunk_line_bytes: usize,
     /// Bytes of a name given by others: a request's id or key, a part's id.
-    pub name: usize,
+    pub max_name_bytes: usize,
     /// How far the shares of a multiget's parts may be from one in all, by rounding.
-    pub share_slack: f64,
+    pub share_tolerance: f64,
     /// The longest wait that a client may ask for.
-    pub client_wait: Nanos,
+    pub max_client_wait: Nanos,
     /// Past so many, the place of a node that is gone is given to a new one.
-    pub nodes: usize,
+    pub nodes_before_reuse: usize,
     /// Bytes that an idle connection's buffer may keep.
-    pub kept: usize,
+    pub idle_buffer_bytes: usize,
     /// Bytes of one connection that are read, or made ready to be written, ahead of what is done
     /// with them; more than a head's.
-    pub turn: usize,
+    pub read_ahead_bytes: usize,
     /// Bytes of a datagram, and datagrams that one turn reads.
-    pub datagram: usize,
-    pub datagrams: usize,
+    pub max_datagram_bytes: usize,
+    pub max_datagrams_per_turn: usize,
     /// Given-up parts that a connection remembers, to tell a late answer from a strange one.
-    pub given_up: usize,
+    pub max_remembered_cancellations: usize,
     /// Bytes that summaries of blocks may take, terms that a query may name, and bytes of one.
-    pub sketches: usize,
-    pub terms: usize,
-    pub term: usize,
+    pub max_sketch_bytes: usize,
+    pub max_terms: usize,
+    pub max_term_bytes: usize,
     /// Bytes of log that wait for standard error.
-    pub log: usize,
+    pub max_pending_log_bytes: usize,
     /// A connection to a node is closed after so long without use, before the node closes it.
-    pub node_idle: Nanos,
-    pub connect_within: Nanos,
+    pub node_idle_timeout: Nanos,
+    pub connect_timeout: Nanos,
     /// A frame that has begun to come may take so long.
-    pub frame_within: Nanos,
+    pub frame_timeout: Nanos,
     pub drain_grace: Nanos,
     /// A client's connection may be idle for so long.
-    pub client_idle: Nanos,
+    pub client_idle_timeout: Nanos,
     /// A client may take so long for all of a request, and for any of its answer.
-    pub request_within: Nanos,
-    pub client_stalls: Nanos,
+    pub request_timeout: Nanos,
+    pub response_stall_timeout: Nanos,
     /// How long the other side may take to close a connection that has been ended.
-    pub closing: Nanos,
+    pub close_timeout: Nanos,
     /// How long a watch waits, how much longer its answer may take, and the waits between tries.
-    pub watch: Nanos,
-    pub watch_late: Nanos,
+    pub watch_wait: Nanos,
+    pub watch_grace: Nanos,
     /// The least time between two calls of a watch, well under what it may pause.
-    pub watch_pace: Nanos,
-    pub retry_first: Nanos,
-    pub retry_most: Nanos,
+    pub min_watch_interval: Nanos,
+    pub initial_backoff: Nanos,
+    pub max_backoff: Nanos,
     /// How long clients are still served after the order to stop, and how long the answers to the last of
     /// them may take.
-    pub linger: Nanos,
-    pub last_answers: Nanos,
+    pub shutdown_linger: Nanos,
+    pub final_response_timeout: Nanos,
     /// The last part of the linger, in which connections are handed over one by one.
-    pub hand_over: Nanos,
+    pub connection_handover: Nanos,
     /// When accepting is tried again after descriptors ran out.
-    pub accept_again: Nanos,
+    pub accept_retry_delay: Nanos,
 }
 
 impl Limits {
@@ -95,45 +95,45 @@
         // The order to stop leaves the longest wait, three seconds at most, and 0.7 s.
         let linger = facts.longest_wait.clamp(millis(700), seconds(3));
         Ok(Limits {
-            clients: (free * 2 / 3).min(affordable),
-            node_links: free / 3,
+            max_clients: (free * 2 / 3).min(affordable),
+            max_node_connections: free / 3,
             head: 16 * 1024,
             body,
-            frame: body,
-            list: 1024 * 1024,
-            headers: 64,
-            chunk_line: 4 * 1024,
-            name: 128,
-            share_slack: 0.01,
-            client_wait: seconds(24 * 3600),
-            nodes: 4096,
-            kept: 4 * 1024,
-            turn,
-            datagram: 256,
-            datagrams: 4096,
-            given_up: 1024,
+            max_frame_bytes: body,
+            max_list_bytes: 1024 * 1024,
+            max_headers: 64,
+            max_chunk_line_bytes: 4 * 1024,
+            max_name_bytes: 128,
+            share_tolerance: 0.01,
+            max_client_wait: seconds(24 * 3600),
+            nodes_before_reuse: 4096,
+            idle_buffer_bytes: 4 * 1024,
+            read_ahead_bytes: turn,
+            max_datagram_bytes: 256,
+            max_datagrams_per_turn: 4096,
+            max_remembered_cancellations: 1024,
             // A sixteenth of the memory; none is taken where no use case has phases.
-            sketches: (memory_mb * 1024.0 * 1024.0 / 16.0) as usize,
-            terms: 64,
-            term: 256,
-            log: 64 * 1024,
-            node_idle: facts.idle.times(0.8),
-            connect_within: facts.connect_within,
-            frame_within: facts.connect_within,
+            max_sketch_bytes: (memory_mb * 1024.0 * 1024.0 / 16.0) as usize,
+            max_terms: 64,
+            max_term_bytes: 256,
+            max_pending_log_bytes: 64 * 1024,
+            node_idle_timeout: facts.idle.times(0.8),
+            connect_timeout: facts.connect_within,
+            frame_timeout: facts.connect_within,
             drain_grace: facts.drain_grace,
-            client_idle: seconds(60),
-            request_within: facts.longest_wait.min(millis(2500)),
-            client_stalls: seconds(30),
-            closing: seconds(2),
-            watch: seconds(10),
-            watch_late: seconds(2),
-            watch_pace: millis(20),
-            retry_first: millis(50),
-            retry_most: seconds(1),
-            linger,
-            last_answers: millis(600),
-            hand_over: linger.times(0.5),
-            accept_again: millis(100),
+            client_idle_timeout: seconds(60),
+            request_timeout: facts.longest_wait.min(millis(2500)),
+            response_stall_timeout: seconds(30),
+            close_timeout: seconds(2),
+            watch_wait: seconds(10),
+            watch_grace: seconds(2),
+            min_watch_interval: millis(20),
+            initial_backoff: millis(50),
+            max_backoff: seconds(1),
+            shutdown_linger: linger,
+            final_response_timeout: millis(600),
+            connection_handover: linger.times(0.5),
+            accept_retry_delay: millis(100),
         })
     }
 }
--- a/crates/fernknot-router-config/src/start.rs
+++ b/crates/fernknot-router-config/src/start.rs
@@ -40,27 +40,27 @@
 
 /// How routers reach each other, where they may.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct PeerAddresses {
     pub listen: SocketAddr,
     /// In the order of their numbers, this router among them.
     pub peers: Vec<SocketAddr>,
-    pub all: SocketAddr,
+    pub all_peers: SocketAddr,
 }
 
 /// How routers keep track of each other.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetStart {
+pub struct MembershipSettings {
     /// One other router is probed in each.
-    pub period: Nanos,
+    pub probe_period: Nanos,
     /// The most datagrams that a router sends for it in a second.
-    pub datagrams_per_s: f64,
+    pub max_datagrams_per_s: f64,
     /// Prints of the routers' addresses and of this one's name, the same at every router.
-    pub routers: Vec<u32>,
-    pub name: u32,
+    pub router_fingerprints: Vec<u32>,
+    pub name_fingerprint: u32,
 }
 
 #[derive(Debug)]
-pub struct Start {
+pub struct RouterConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -68,9 +68,9 @@
     /// Failed hand-offs and connections are logged too.
     pub verbose: bool,
     /// The list as it was last known, in discovery's form.
-    pub known: Option<Box<RawValue>>,
-    pub told: Option<Told>,
-    pub fleet: Option<FleetStart>,
+    pub last_known_list: Option<Box<RawValue>>,
+    pub peer_addresses: Option<PeerAddresses>,
+    pub membership: Option<MembershipSettings>,
     pub site: SiteFacts,
     pub sockets: SocketFacts,
     pub limits: Limits,
@@ -78,26 +78,29 @@
 
 /// Which goes first where the environment and the file both say something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum First {
+pub enum Precedence {
     Environment,
     /// For a file that is read again: the environment still says what it said at the start.
     File,
 }
 
-impl Start {
+impl RouterConfig {
     /// Messages name the key at fault.
-    pub fn read(first: First, variable: impl Fn(&str) -> Option<String>) -> Result<Start, String> {
+    pub fn read(
+        first: Precedence,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<RouterConfig, String> {
         let path = variable("ROUTER_CONFIG").ok_or("ROUTER_CONFIG: not set")?;
         let text =
             std::fs::read_to_string(&path).map_err(|error| format!("ROUTER_CONFIG: {path}: {error}"))?;
-        Start::parse(&text, first, variable)
+        RouterConfig::parse(&text, first, variable)
     }
 
     pub fn parse(
         text: &str,
-        first: First,
+        first: Precedence,
         variable: impl Fn(&str) -> Option<String>,
-    ) -> Result<Start, String> {
+    ) -> Result<RouterConfig, String> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
             let path = error.path().to_string();
@@ -105,7 +108,7 @@
         })?;
         let given = |name: &str, key: &str, value: Option<String>| {
             let (environment, file) = (variable(name), value);
-            let given = if first == First::File { file.or(environment) } else { environment.or(file) };
+            let given = if first == Precedence::File { file.or(environment) } else { environment.or(file) };
             given.ok_or(format!("{key}: missing, and {name} is not set"))
         };
         let name = given("ROUTER_NAME", "name", file.name)?;
@@ -125,7 +128,7 @@
             .map_err(|_| format!("seed: {:?} is not 16 hex digits", file.seed))?;
         let told = match (site.peers && site.routers > 1, file.peer_listen, file.peers_all) {
             (false, _, _) => None,
-            (true, Some(own), Some(all)) => Some(Told {
+            (true, Some(own), Some(all)) => Some(PeerAddresses {
                 listen: address("peer_listen", &own)?,
                 peers: file
                     .peers
@@ -133,22 +136,22 @@
                     .enumerate()
                     .map(|(index, peer)| address(&format!("peers[{index}]"), peer))
                     .collect::<Result<_, _>>()?,
-                all: address("peers_all", &all)?,
+                all_peers: address("peers_all", &all)?,
             }),
             (true, None, _) => return Err("peer_listen: missing, though settings.allowed.peers".to_string()),
             (true, _, None) => return Err("peers_all: missing, though settings.allowed.peers".to_string()),
         };
         let fleet =
             file.fleet.map(|given| fleet(&given, &name, told.as_ref(), sockets.position)).transpose()?;
-        Ok(Start {
+        Ok(RouterConfig {
             name,
             listen: address("listen", &listen)?,
             discovery: address("discovery", &discovery)?,
             seed,
             verbose,
-            known: file.known,
-            told,
-            fleet,
+            last_known_list: file.known,
+            peer_addresses: told,
+            membership: fleet,
             limits: Limits::new(file.limits.sockets, file.limits.memory_mb, &sockets)?,
             site,
             sockets,
@@ -172,11 +175,16 @@
 }
 
 /// FNV-1a: a short name that is the same at every router.
-pub fn print(text: &str) -> u32 {
+pub fn fingerprint(text: &str) -> u32 {
     text.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-fn fleet(given: &FleetGiven, name: &str, told: Option<&Told>, position: usize) -> Result<FleetStart, String> {
+fn fleet(
+    given: &FleetGiven,
+    name: &str,
+    told: Option<&PeerAddresses>,
+    position: usize,
+) -> Result<MembershipSettings, String> {
     let told = told.ok_or("fleet: needs settings.allowed.peers, and more than one of settings.balancers")?;
     let (period, datagrams_per_s) = (given.period.unwrap_or(400.0), given.datagrams.unwrap_or(16.0));
     if !(20.0..=60_000.0).contains(&period) {
@@ -190,7 +198,7 @@
     if position >= told.peers.len() {
         return Err(format!("settings.position: {position} is none of the {} of peers", told.peers.len()));
     }
-    let routers: Vec<u32> = told.peers.iter().map(|peer| print(&peer.to_string())).collect();
+    let routers: Vec<u32> = told.peers.iter().map(|peer| fingerprint(&peer.to_string())).collect();
     for (index, id) in routers.iter().enumerate() {
         if let Some(first) = routers[..index].iter().position(|other| other == id) {
             return Err(format!(
@@ -198,5 +206,10 @@
             ));
         }
     }
-    Ok(FleetStart { period: Nanos::from_millis(period), datagrams_per_s, routers, name: print(name) })
+    Ok(MembershipSettings {
+        probe_period: Nanos::from_millis(period),
+        max_datagrams_per_s: datagrams_per_s,
+        router_fingerprints: routers,
+        name_fingerprint: fingerprint(name),
+    })
 }
--- a/crates/fernknot-router-config/tests/start.rs
+++ b/crates/fernknot-router-config/tests/start.rs
@@ -1,7 +1,7 @@
 //! What stops a start, and what a start makes of its limits.
 
 use fernknot::interface::{Effect, Nanos, ZoneId};
-use fernknot_router_config::{First, Silent, Start};
+use fernknot_router_config::{Precedence, RouterConfig, Silent};
 use serde_json::{Value, json};
 use test_case::test_case;
 
@@ -56,14 +56,14 @@
         }
         _ => changed(path, value),
     };
-    let error = Start::parse(&text, First::Environment, |_| None).unwrap_err();
+    let error = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap_err();
     assert!(error.starts_with(message) && !error.contains('\n'), "{error}");
 }
 
 #[test]
 fn a_use_case_has_phases_where_it_says_so() {
     let text = changed("/settings/classes/1/phases", json!({"leastFirst": 0.3, "silent": "leave"}));
-    let phases = Start::parse(&text, First::Environment, |_| None).unwrap().sockets.phases;
+    let phases = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap().sockets.phases;
     assert!(phases[0].is_none() && phases[2].is_none());
     let facts = phases[1].as_ref().unwrap();
     assert_eq!((facts.first_least, facts.first_most, facts.silent), (0.3, 0.8, Silent::Leave));
@@ -77,7 +77,7 @@
 
 #[test]
 fn what_the_move_brought_is_off_unless_it_is_set() {
-    let site = |text: &str| Start::parse(text, First::Environment, |_| None).unwrap().site;
+    let site = |text: &str| RouterConfig::parse(text, Precedence::Environment, |_| None).unwrap().site;
     let old = site(EXAMPLE);
     assert_eq!((old.by_work, old.marks_repeats, old.zone), (false, true, None));
     let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
@@ -94,7 +94,7 @@
     let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
     config["settings"]["allowed"]["peers"] = json!(true);
     config["settings"]["balancers"] = json!(2);
-    let parse = |config: &Value| Start::parse(&config.to_string(), First::Environment, |_| None);
+    let parse = |config: &Value| RouterConfig::parse(&config.to_string(), Precedence::Environment, |_| None);
     assert!(parse(&config).unwrap_err().starts_with("peer_listen: "));
     config["peer_listen"] = json!("127.0.0.1:1");
     assert!(parse(&config).unwrap_err().starts_with("peers_all: "));
@@ -107,12 +107,14 @@
 fn the_environment_goes_before_the_file_and_unknown_keys_are_passed_over() {
     let variable = |name: &str| (name == "ROUTER_LISTEN").then(|| "127.0.0.1:9".to_string());
     let novel = changed("/settings/novel", json!([1]));
-    let again = Start::parse(&novel, First::File, variable).unwrap();
+    let again = RouterConfig::parse(&novel, Precedence::File, variable).unwrap();
     assert_ne!(again.listen.port(), 9, "read again, the file goes first");
-    let start = Start::parse(&novel, First::Environment, variable).unwrap();
+    let start = RouterConfig::parse(&novel, Precedence::Environment, variable).unwrap();
     assert_eq!((start.listen.port(), start.discovery.port(), start.name.as_str()), (9, 8500, "n0"));
     let loud = |name: &str| (name == "ROUTER_LOG").then(|| "loud".to_string());
-    assert!(Start::parse(EXAMPLE, First::Environment, loud).unwrap_err().starts_with("ROUTER_LOG: "));
+    assert!(
+        RouterConfig::parse(EXAMPLE, Precedence::Environment, loud).unwrap_err().starts_with("ROUTER_LOG: ")
+    );
     assert_eq!(start.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!(start.site.use_cases[2].effect, Effect::Referenced(Nanos(3_000_000_000)));
     assert!(start.sockets.use_cases[2].1 && !start.sockets.use_cases[0].1);
@@ -123,13 +125,15 @@
 #[test_case(65536, 64.0; "many sockets, little memory")]
 fn limits_stay_within_what_is_told(sockets: usize, memory_mb: f64) {
     let text = changed("/limits", json!({"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}));
-    let limits = Start::parse(&text, First::Environment, |_| None).unwrap().limits;
-    assert!(limits.clients >= 8 && limits.node_links >= 5);
-    assert!(limits.clients + limits.node_links + 16 <= sockets);
-    assert!(limits.turn > limits.head);
-    let buffered = limits.clients * (2 * limits.turn + limits.body);
+    let limits = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap().limits;
+    assert!(limits.max_clients >= 8 && limits.max_node_connections >= 5);
+    assert!(limits.max_clients + limits.max_node_connections + 16 <= sockets);
+    assert!(limits.read_ahead_bytes > limits.head);
+    let buffered = limits.max_clients * (2 * limits.read_ahead_bytes + limits.body);
     assert!(buffered as f64 <= memory_mb * 1024.0 * 1024.0 / 2.0);
-    assert!(limits.node_idle < Nanos(15_000_000_000) && limits.watch_pace < Nanos(200_000_000));
+    assert!(
+        limits.node_idle_timeout < Nanos(15_000_000_000) && limits.min_watch_interval < Nanos(200_000_000)
+    );
 }
 
 /// The example as one of three routers that may talk, with membership as given.
@@ -147,11 +151,11 @@
 
 #[test]
 fn membership_is_off_unless_asked_for_and_has_defaults() {
-    let parse = |text: &str| Start::parse(text, First::Environment, |_| None).unwrap().fleet;
+    let parse = |text: &str| RouterConfig::parse(text, Precedence::Environment, |_| None).unwrap().membership;
     assert_eq!(parse(EXAMPLE), None);
     let fleet = parse(&with_fleet(json!({}), |_| {})).unwrap();
     assert_eq!(
-        (fleet.period, fleet.datagrams_per_s, fleet.routers.len()),
+        (fleet.probe_period, fleet.max_datagrams_per_s, fleet.router_fingerprints.len()),
         (Nanos::from_millis(400.0), 16.0, 3)
     );
 }
@@ -163,6 +167,7 @@
 #[test_case(json!({}), |config| config["settings"]["position"] = json!(3), "settings.position: 3 "; "not among the peers")]
 #[test_case(json!({}), |config| config["peers"][2] = json!("127.0.0.1:7946"), "peers[2]: "; "one address twice")]
 fn a_fault_in_membership_is_told_with_its_key(fleet: Value, change: fn(&mut Value), message: &str) {
-    let error = Start::parse(&with_fleet(fleet, change), First::Environment, |_| None).unwrap_err();
+    let error =
+        RouterConfig::parse(&with_fleet(fleet, change), Precedence::Environment, |_| None).unwrap_err();
     assert!(error.starts_with(message), "{error}");
 }
--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -15,7 +15,7 @@
 use calloop::signals::{Signal, Signals};
 use fernknot::interface::*;
 use fernknot_engine::{Engine, Order};
-use fernknot_router_config::{First, Start};
+use fernknot_router_config::{Precedence, RouterConfig};
 use slog::{Level, info, warn};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -30,9 +30,9 @@
     peers: Option<Peers>,
 }
 
-pub fn run(start: Start) -> Result<(), String> {
+pub fn run(start: RouterConfig) -> Result<(), String> {
     let level = if start.verbose { Level::Debug } else { Level::Info };
-    let (lines, log) = Lines::new(start.limits.log, level);
+    let (lines, log) = Lines::new(start.limits.max_pending_log_bytes, level);
     let told = |what: &'static str| move |error: std::io::Error| format!("{what}: {error}");
     let mut events: EventLoop<'static, Heard> =
         EventLoop::try_new().map_err(|error| format!("event loop: {error}"))?;
@@ -45,14 +45,20 @@
     let clock = Clock::new();
     let now = clock.now();
     let clients = Clients::new(&handle, start.listen).map_err(told("listen"))?;
-    let fleet = start.fleet.as_ref().zip(start.told.as_ref()).map(|(fleet, told)| {
-        Membership::new(start.seed, fleet, told, start.sockets.position, start.limits.datagram, now)
+    let fleet = start.membership.as_ref().zip(start.peer_addresses.as_ref()).map(|(fleet, told)| {
+        Membership::new(start.seed, fleet, told, start.sockets.position, start.limits.max_datagram_bytes, now)
     });
-    let peers = start.told.map(|told| Peers::new(&handle, told, start.sockets.position));
+    let peers = start.peer_addresses.map(|told| Peers::new(&handle, told, start.sockets.position));
     let peers = peers.transpose().map_err(told("peer_listen"))?;
     let core = Core {
         now,
-        engine: Engine::new(start.seed, start.site, &start.sockets.phases, start.limits.sketches, now),
+        engine: Engine::new(
+            start.seed,
+            start.site,
+            &start.sockets.phases,
+            start.limits.max_sketch_bytes,
+            now,
+        ),
         facts: start.sockets,
         counters: Counters::default(),
         timers: BTreeSet::new(),
@@ -69,7 +75,11 @@
         App { core, lines, clock, clients, nodes, discovery: Discovery::new(start.discovery), peers };
     let mut heard = Heard::default();
     info!(app.core.log, "started"; "name" => start.name, "listen" => %start.listen);
-    app.discovery.start_lists(&mut app.core, &mut app.nodes, start.known.as_deref().map(|known| known.get()));
+    app.discovery.start_lists(
+        &mut app.core,
+        &mut app.nodes,
+        start.last_known_list.as_deref().map(|known| known.get()),
+    );
     app.turn(&mut heard);
     while !app.is_done() {
         let timeout = app.timeout();
@@ -102,8 +112,8 @@
         let core = &mut self.core;
         if core.stop_by.is_none() {
             info!(core.log, "told to stop"; "owed" => core.engine.table.owed);
-            let until = core.now + core.limits.linger;
-            core.stop_by = Some(until + core.limits.last_answers);
+            let until = core.now + core.limits.shutdown_linger;
+            core.stop_by = Some(until + core.limits.final_response_timeout);
             core.timers.insert((until, Timer::Linger));
             core.fleet.iter_mut().for_each(|fleet| fleet.leave(core.now));
         }
@@ -114,14 +124,16 @@
     /// against a new file.
     fn read_again(&mut self) {
         let core = &mut self.core;
-        match Start::read(First::File, crate::variable) {
+        match RouterConfig::read(Precedence::File, crate::variable) {
             Ok(start) => {
                 core.counters.configurations_taken += 1;
                 info!(core.log, "configuration taken"; "discovery" => %start.discovery);
                 core.limits = start.limits;
                 self.discovery.move_discovery(core, start.discovery);
                 // Where membership is on, the list of routers may change while they run.
-                if let (Some(fleet), Some(given), Some(told)) = (&mut core.fleet, start.fleet, start.told) {
+                if let (Some(fleet), Some(given), Some(told)) =
+                    (&mut core.fleet, start.membership, start.peer_addresses)
+                {
                     fleet.list(core.now, &given, &told);
                     self.peers.iter_mut().for_each(|peers| peers.list(told.clone(), start.sockets.position));
                 }
--- a/crates/fernknot-router/src/clients.rs
+++ b/crates/fernknot-router/src/clients.rs
@@ -100,7 +100,7 @@
     /// Accepts what waits, up to the limit; there, idle connections make room.
     pub fn accept(&mut self, core: &mut Core) {
         while let Some(listener) = self.listener.as_ref().map(|(listener, _)| listener.clone()) {
-            while self.by_id.len() >= core.limits.clients {
+            while self.by_id.len() >= core.limits.max_clients {
                 if !self.end_oldest_idle(core) {
                     self.paused = true;
                     return;
@@ -123,7 +123,7 @@
                     // Guards against a loop that spins while descriptors have run out.
                     core.counters.client_connections_refused += 1;
                     warn!(core.log, "accepting waits"; "why" => error.to_string());
-                    core.timers.insert((core.now + core.limits.accept_again, Timer::Accept));
+                    core.timers.insert((core.now + core.limits.accept_retry_delay, Timer::Accept));
                     return;
                 }
             }
@@ -132,7 +132,7 @@
 
     fn add_client(&mut self, core: &mut Core, id: ClientId, link: Link) {
         core.counters.client_connections += 1;
-        let due = core.now + core.limits.request_within;
+        let due = core.now + core.limits.request_timeout;
         core.timers.insert((due, Timer::Client(id)));
         let client = Client {
             link,
@@ -210,7 +210,7 @@
     fn read_client(&mut self, core: &mut Core, id: ClientId) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
         let was_idle = client.is_idle();
-        let filled = client.link.fill(core.limits.turn);
+        let filled = client.link.fill(core.limits.read_ahead_bytes);
         // Guards against requests that come byte by byte without end: their time runs from the first.
         if was_idle && !client.is_idle() {
             client.moved = core.now;
@@ -243,9 +243,9 @@
                         self.answer(core, id, 400, None, b"request cut off");
                     }
                     Ok(None) => {
-                        client.link.input.shrink(core.limits.kept);
-                        client.link.output.shrink(core.limits.kept);
-                        let due = client.moved + core.limits.request_within;
+                        client.link.input.shrink(core.limits.idle_buffer_bytes);
+                        client.link.output.shrink(core.limits.idle_buffer_bytes);
+                        let due = client.moved + core.limits.request_timeout;
                         if !client.is_idle() && due < client.due {
                             core.timers.remove(&(client.due, Timer::Client(id)));
                             client.due = due;
@@ -309,7 +309,7 @@
         let left = client.link.input.len();
         client.link.input.consume(left);
         core.timers.remove(&(client.due, Timer::Client(id)));
-        client.due = core.now + core.limits.closing;
+        client.due = core.now + core.limits.close_timeout;
         core.timers.insert((client.due, Timer::Client(id)));
         self.more.push(id);
     }
@@ -318,14 +318,15 @@
     /// yet, where one stops as another comes back, and the others against coming all at once.
     fn hands_over(&self, core: &Core, id: ClientId) -> bool {
         let share = (id.0 % HAND_OVERS) as f64 / HAND_OVERS as f64;
-        let left = core.limits.last_answers + core.limits.hand_over.times(1.0 - share);
+        let left = core.limits.final_response_timeout + core.limits.connection_handover.times(1.0 - share);
         core.lingered || core.stop_by.is_some_and(|by| core.now + left >= by)
     }
 
     /// Ends those connections between requests that are handed over by now. Guards the first request of a
     /// client that came after the order to stop: it has had no other router to go to, so it may ask once.
     pub fn end_idle_clients(&mut self, core: &mut Core) {
-        let told = core.stop_by.map(|by| by - core.limits.last_answers - core.limits.linger);
+        let told =
+            core.stop_by.map(|by| by - core.limits.final_response_timeout - core.limits.shutdown_linger);
         let new = |client: &Client| !core.lingered && !client.asked && Some(client.moved) >= told;
         let idle = self
             .by_id
@@ -343,14 +344,14 @@
         let Some(client) = self.by_id.get_mut(&id) else { return };
         let still = match client.stage {
             // Guards against those that connect and say nothing.
-            Stage::Reading if client.is_idle() && client.asked => core.limits.client_idle,
-            Stage::Reading => core.limits.request_within,
-            Stage::Writing => core.limits.client_stalls,
+            Stage::Reading if client.is_idle() && client.asked => core.limits.client_idle_timeout,
+            Stage::Reading => core.limits.request_timeout,
+            Stage::Writing => core.limits.response_stall_timeout,
             Stage::Held(_) => Nanos(u64::MAX),
             Stage::Ending => return self.drop_client(core, id),
         };
         let end = client.moved + still;
-        let stalls = core.now + core.limits.client_stalls;
+        let stalls = core.now + core.limits.response_stall_timeout;
         client.due = if end > core.now { end.min(stalls) } else { stalls };
         core.timers.insert((client.due, Timer::Client(id)));
         if end > core.now {
--- a/crates/fernknot-router/src/discovery.rs
+++ b/crates/fernknot-router/src/discovery.rs
@@ -39,7 +39,7 @@
 
     /// Takes the list as it was last known, and asks for the present one.
     pub fn start_lists(&mut self, core: &mut Core, nodes: &mut Nodes, known: Option<&str>) {
-        self.retry = core.limits.retry_first;
+        self.retry = core.limits.initial_backoff;
         match known.map(|known| discovery::list(known.as_bytes())) {
             Some(Ok(list)) if !list.nodes.is_empty() => self.listed(core, nodes, List { full: true, ..list }),
             Some(Err(why)) => warn!(core.log, "the known list is not used"; "why" => why),
@@ -56,7 +56,7 @@
         self.address = address;
         self.link = None;
         self.watch = Watch::default();
-        self.retry = core.limits.retry_first;
+        self.retry = core.limits.initial_backoff;
         self.ask_discovery(core);
     }
 
@@ -78,9 +78,9 @@
         (self.asked, self.paused) = (core.now, false);
         let Discovery { link, watch, address, .. } = self;
         let Some(link) = link else { return };
-        let waits = watch.ask(&mut link.output, *address, core.limits.watch);
-        let wait = if waits { core.limits.watch } else { Nanos(0) };
-        self.set_discovery_due(core, wait + core.limits.watch_late);
+        let waits = watch.ask(&mut link.output, *address, core.limits.watch_wait);
+        let wait = if waits { core.limits.watch_wait } else { Nanos(0) };
+        self.set_discovery_due(core, wait + core.limits.watch_grace);
         self.flush_discovery(core);
     }
 
@@ -97,7 +97,7 @@
         self.flush_discovery(core);
         let Some(link) = &mut self.link else { return };
         link.readable |= readiness.readable;
-        let filled = link.fill(2 * core.limits.list);
+        let filled = link.fill(2 * core.limits.max_list_bytes);
         let ended = link.ended;
         if self.paused {
             // Between calls the agent may close; the next one connects anew.
@@ -112,10 +112,10 @@
                 if !keep || ended {
                     self.link = None;
                 }
-                self.retry = core.limits.retry_first;
+                self.retry = core.limits.initial_backoff;
                 self.listed(core, nodes, list);
                 // Guards against calls without end should an agent not wait as it is asked to.
-                let next = self.asked + core.limits.watch_pace;
+                let next = self.asked + core.limits.min_watch_interval;
                 if next > core.now {
                     self.paused = true;
                     self.set_discovery_due(core, next - core.now);
@@ -138,7 +138,7 @@
         self.paused = true;
         core.engine.list_lost(core.now);
         let wait = self.retry;
-        self.retry = wait.times(2.0).min(core.limits.retry_most);
+        self.retry = wait.times(2.0).min(core.limits.max_backoff);
         self.set_discovery_due(core, wait);
     }
 
--- a/crates/fernknot-router/src/hand_offs.rs
+++ b/crates/fernknot-router/src/hand_offs.rs
@@ -66,7 +66,7 @@
             sent = link.release(&name).is_some_and(|carried| carried.stage != Stage::Waiting);
             if sent {
                 link.given_up.push_back(name.clone());
-                if link.given_up.len() > core.limits.given_up {
+                if link.given_up.len() > core.limits.max_remembered_cancellations {
                     link.given_up.pop_front();
                 }
                 link.waiting.push_back(Item::GiveUp(name));
--- a/crates/fernknot-router/src/main.rs
+++ b/crates/fernknot-router/src/main.rs
@@ -16,7 +16,7 @@
 mod nodes;
 mod peers;
 
-use fernknot_router_config::{First, Start};
+use fernknot_router_config::{Precedence, RouterConfig};
 use std::process::ExitCode;
 
 fn variable(name: &str) -> Option<String> {
@@ -24,7 +24,7 @@
 }
 
 fn main() -> ExitCode {
-    let start = match Start::read(First::Environment, variable) {
+    let start = match RouterConfig::read(Precedence::Environment, variable) {
         Ok(start) => start,
         Err(message) => {
             eprintln!("fernknot-router: {message}");
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -2,7 +2,7 @@
 
 use fernknot::interface::Nanos;
 use fernknot_membership::{Fleet, FleetFacts, Refused, RouterId, Step, Variant};
-use fernknot_router_config::{FleetStart, Told};
+use fernknot_router_config::{MembershipSettings, PeerAddresses};
 use slog::{Logger, info, warn};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,30 +31,30 @@
 }
 
 /// The id and address of each router of a list.
-fn listed(start: &FleetStart, told: &Told) -> BTreeMap<RouterId, SocketAddr> {
-    start.routers.iter().copied().map(RouterId).zip(told.peers.iter().copied()).collect()
+fn listed(start: &MembershipSettings, told: &PeerAddresses) -> BTreeMap<RouterId, SocketAddr> {
+    start.router_fingerprints.iter().copied().map(RouterId).zip(told.peers.iter().copied()).collect()
 }
 
 impl Membership {
     pub fn new(
         seed: u64,
-        start: &FleetStart,
-        told: &Told,
+        start: &MembershipSettings,
+        told: &PeerAddresses,
         position: usize,
         datagram: usize,
         now: Nanos,
     ) -> Membership {
         let addresses = listed(start, told);
         let facts = FleetFacts {
-            period: start.period,
-            datagrams_per_s: start.datagrams_per_s,
+            period: start.probe_period,
+            datagrams_per_s: start.max_datagrams_per_s,
             datagram,
             variant: Variant::Fleet,
         };
         // The position was checked against the list.
-        let own = RouterId(start.routers.get(position).copied().unwrap_or_default());
+        let own = RouterId(start.router_fingerprints.get(position).copied().unwrap_or_default());
         let others = addresses.keys().copied();
-        let fleet = Fleet::new(seed, facts, own, start.name, now.0 / 1_000_000, others, now);
+        let fleet = Fleet::new(seed, facts, own, start.name_fingerprint, now.0 / 1_000_000, others, now);
         Membership {
             fleet,
             sharers: addresses.len(),
@@ -66,7 +66,7 @@
     }
 
     /// Takes another list of the fleet.
-    pub fn list(&mut self, now: Nanos, start: &FleetStart, told: &Told) {
+    pub fn list(&mut self, now: Nanos, start: &MembershipSettings, told: &PeerAddresses) {
         self.addresses = listed(start, told);
         self.fleet.list(now, self.addresses.keys().copied());
     }
--- a/crates/fernknot-router/src/node_links.rs
+++ b/crates/fernknot-router/src/node_links.rs
@@ -15,7 +15,7 @@
 
 impl Nodes {
     pub fn open_link(&mut self, core: &mut Core, node: NodeId) -> Option<LinkId> {
-        if self.links.len() >= core.limits.node_links {
+        if self.links.len() >= core.limits.max_node_connections {
             let idle = self.links.iter().filter(|(_, link)| link.is_idle());
             let oldest = idle.map(|(id, link)| (link.used, *id)).min();
             self.close_link(core, oldest?.1);
@@ -31,8 +31,8 @@
                 return None;
             }
         };
-        let due = core.now + core.limits.connect_within;
-        let idle_at = core.now + core.limits.node_idle;
+        let due = core.now + core.limits.connect_timeout;
+        let idle_at = core.now + core.limits.node_idle_timeout;
         core.timers.insert((due, Timer::Link(id)));
         core.timers.insert((idle_at, Timer::NodeIdle(id)));
         let opened = NodeLink {
@@ -89,7 +89,7 @@
         let Some(held) = self.links.get_mut(&id) else { return };
         // Room for one frame whole, so that it can be read.
         let before = held.link.input.len();
-        let filled = held.link.fill(core.limits.frame + core.limits.turn);
+        let filled = held.link.fill(core.limits.max_frame_bytes + core.limits.read_ahead_bytes);
         if held.link.input.len() > before {
             held.heard = core.now;
         }
@@ -108,7 +108,7 @@
                 Ok(Some(Frame::Probed)) => {}
                 Ok(Some(Frame::Unusable(words))) => return self.bad_frame(core, id, &words),
                 Ok(None) => {
-                    held.link.input.shrink(core.limits.kept);
+                    held.link.input.shrink(core.limits.idle_buffer_bytes);
                     self.watch_rest(core, id, fresh);
                     break;
                 }
@@ -223,7 +223,7 @@
             core.timers.remove(&(due, Timer::Link(id)));
         }
         if rest && held.due.is_none() {
-            let due = core.now + core.limits.frame_within;
+            let due = core.now + core.limits.frame_timeout;
             held.due = Some(due);
             core.timers.insert((due, Timer::Link(id)));
         }
@@ -234,13 +234,13 @@
     pub fn node_idle(&mut self, core: &mut Core, id: LinkId) {
         let Some(held) = self.links.get_mut(&id) else { return };
         let idle = held.is_idle();
-        if idle && held.used + core.limits.node_idle <= core.now {
+        if idle && held.used + core.limits.node_idle_timeout <= core.now {
             core.counters.node_connections_idle_closed += 1;
             self.close_link(core, id);
             return;
         }
         let from = if idle { held.used } else { core.now };
-        held.idle_at = from + core.limits.node_idle;
+        held.idle_at = from + core.limits.node_idle_timeout;
         core.timers.insert((held.idle_at, Timer::NodeIdle(id)));
     }
 
@@ -280,7 +280,7 @@
             while let Some(item) = outbox.take_back(&mut link.output) {
                 waiting.push_front(item);
             }
-            link.output.shrink(core.limits.kept);
+            link.output.shrink(core.limits.idle_buffer_bytes);
             if blocked || held.waiting.is_empty() {
                 break;
             }
@@ -291,7 +291,7 @@
     /// Puts what waits into the output buffer, less what is not to be sent any more.
     fn encode(&mut self, core: &mut Core, id: LinkId) {
         while let Some(held) = self.links.get_mut(&id) {
-            if held.link.output.len() >= core.limits.turn {
+            if held.link.output.len() >= core.limits.read_ahead_bytes {
                 return;
             }
             let Some(item) = held.waiting.pop_front() else { return };
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -93,7 +93,7 @@
                 && slot.grace.is_some_and(|grace| grace < now)
         };
         let slots = &mut self.slots;
-        let full = slots.len() >= core.limits.nodes;
+        let full = slots.len() >= core.limits.nodes_before_reuse;
         let index = slots.iter().position(|slot| full && unused(slot)).unwrap_or(slots.len());
         let (id, health) = (NodeId(index as u32), Health::Running);
         let slot = Slot { address, place, health, since, links: Vec::new(), grace: None };
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -6,19 +6,19 @@
 use fernknot::interface::{News, NodeId, PeerId};
 use fernknot_membership::MARK;
 use fernknot_protocol::news::Tags;
-use fernknot_router_config::Told;
+use fernknot_router_config::PeerAddresses;
 use std::io::{ErrorKind, Result};
 use std::net::UdpSocket;
 use std::rc::Rc;
 
 pub struct Peers {
     socket: Rc<UdpSocket>,
-    told: Told,
+    told: PeerAddresses,
     own: usize,
 }
 
 impl Peers {
-    pub fn new(handle: &Handle, told: Told, own: usize) -> Result<Peers> {
+    pub fn new(handle: &Handle, told: PeerAddresses, own: usize) -> Result<Peers> {
         let socket = Rc::new(UdpSocket::bind(told.listen)?);
         socket.set_nonblocking(true)?;
         watch(handle, socket.clone(), Source::Peers)?;
@@ -26,8 +26,8 @@
     }
 
     pub fn tell(&self, core: &mut Core, tags: &Tags, news: &[(NodeId, News)]) {
-        for message in tags.write(news, core.limits.datagram) {
-            match self.socket.send_to(&message, self.told.all) {
+        for message in tags.write(news, core.limits.max_datagram_bytes) {
+            match self.socket.send_to(&message, self.told.all_peers) {
                 Ok(_) => core.counters.datagrams_sent += 1,
                 // Datagrams may be lost anywhere; one that the system does not take is lost here.
                 Err(_) => core.counters.datagrams_dropped += 1,
@@ -50,14 +50,14 @@
     }
 
     /// Takes another list of routers; numbers of those that tell of nodes follow it.
-    pub fn list(&mut self, told: Told, own: usize) {
+    pub fn list(&mut self, told: PeerAddresses, own: usize) {
         (self.told, self.own) = (told, own);
     }
 
     pub fn hear(&self, core: &mut Core, tags: &Tags) {
-        let mut message = vec![0; core.limits.datagram + 1];
+        let mut message = vec![0; core.limits.max_datagram_bytes + 1];
         // Guards the rest of the turn against a flood.
-        for _ in 0..core.limits.datagrams {
+        for _ in 0..core.limits.max_datagrams_per_turn {
             match self.socket.recv_from(&mut message) {
                 Ok((length, from)) => {
                     if let Some(fleet) =
@@ -67,7 +67,7 @@
                         continue;
                     }
                     let known = self.told.peers.iter().position(|peer| *peer == from);
-                    let fits = |index: &usize| *index != self.own && length <= core.limits.datagram;
+                    let fits = |index: &usize| *index != self.own && length <= core.limits.max_datagram_bytes;
                     let from = known.filter(fits).map(|index| PeerId(index as u32));
                     match from.and_then(|from| Some((from, tags.read(&message[..length])?))) {
                         Some((from, news)) => {
--- a/examples/stand-in/src/lib.rs
+++ b/examples/stand-in/src/lib.rs
@@ -7,12 +7,14 @@
 pub use discovery::Discovery;
 pub use node::{Behaviour, Call, DataNode};
 
-use fernknot_router_config::{First, Limits, Start};
+use fernknot_router_config::{Limits, Precedence, RouterConfig};
 
 /// The configuration that newcomers and tests start from.
 pub const CONFIG: &str = include_str!("../../config.json");
 
 /// The limits of that configuration.
 pub fn limits() -> Limits {
-    Start::parse(CONFIG, First::Environment, |_| None).expect("the example configuration is sound").limits
+    RouterConfig::parse(CONFIG, Precedence::Environment, |_| None)
+        .expect("the example configuration is sound")
+        .limits
 }
