--- a/crates/fernknot-router-config/src/lib.rs
+++ b/crates/fernknot-router-config/src/lib.rs
@@ -1,9 +1,27 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Configuration of the router in service: the one place where it is parsed, validated and defaulted.
+//!
+//! [`RouterConfig`] is all that a router process is started with, from its environment and a JSON file. The
+//! `settings` object of that file is [`Facts`]; the decision module, which also runs without sockets, is given
+//! what [`Facts::site`] makes of it. Nothing here holds state: a configuration that is read again is parsed anew.
 
-mod facts;
+#![deny(missing_docs)]
+
+mod error;
+mod fingerprint;
 mod limits;
-mod start;
+mod membership;
+mod phase_settings;
+mod phases;
+mod router;
+mod settings;
+mod site;
+mod sockets;
 
-pub use facts::{Facts, PhaseFacts, Silent, SocketFacts, Split};
+pub use error::{ConfigError, ConfigFault};
+pub use fingerprint::fingerprint;
 pub use limits::Limits;
-pub use start::{MembershipSettings, PeerAddresses, Precedence, RouterConfig, fingerprint};
+pub use membership::{MembershipSettings, PeerAddresses};
+pub use phases::{PhaseFacts, Silent, Split};
+pub use router::{Precedence, RouterConfig};
+pub use settings::Facts;
+pub use sockets::SocketFacts;
--- /dev/null
+++ b/crates/fernknot-router-config/src/membership.rs
@@ -0,0 +1,105 @@
+//! How routers reach each other, and how they keep track of which of them are alive.
+
+use crate::error::{ConfigError, ConfigFault};
+use crate::fingerprint::fingerprint;
+use fernknot::interface::Nanos;
+use serde::Deserialize;
+use std::net::SocketAddr;
+
+const DEFAULT_PROBE_PERIOD_MS: f64 = 400.0;
+const MIN_PROBE_PERIOD_MS: f64 = 20.0;
+const MAX_PROBE_PERIOD_MS: f64 = 60_000.0;
+const DEFAULT_DATAGRAMS_PER_S: f64 = 16.0;
+const MAX_DATAGRAMS_PER_S: f64 = 10_000.0;
+/// Fewer would not let a router answer those that probe it.
+const MIN_DATAGRAMS_PER_PERIOD: f64 = 4.0;
+
+/// How routers reach each other, where they may.
+#[derive(Clone, Debug)]
+pub struct PeerAddresses {
+    /// Where this router receives datagrams.
+    pub listen: SocketAddr,
+    /// All routers in the order of their positions, this router among them.
+    pub peers: Vec<SocketAddr>,
+    /// The address whose datagrams reach all routers.
+    pub all_peers: SocketAddr,
+}
+
+/// How routers keep track of each other.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MembershipSettings {
+    /// One other router is probed in each period.
+    pub probe_period: Nanos,
+    /// The most datagrams that a router sends for membership in a second.
+    pub max_datagrams_per_s: f64,
+    /// Fingerprints of all routers' addresses, in the order of their positions.
+    pub router_fingerprints: Vec<u32>,
+    /// The fingerprint of this router's name.
+    pub name_fingerprint: u32,
+}
+
+/// The `fleet` object of the file; membership is off where it is left out.
+#[derive(Deserialize)]
+// The name stands in messages of the parser, which operators see.
+#[serde(deny_unknown_fields)]
+pub(crate) struct FleetGiven {
+    /// Milliseconds.
+    period: Option<f64>,
+    /// A second.
+    datagrams: Option<f64>,
+}
+
+impl FleetGiven {
+    /// Validated for the router of this name and position.
+    pub(crate) fn validate(
+        &self,
+        name: &str,
+        addresses: Option<&PeerAddresses>,
+        position: usize,
+    ) -> Result<MembershipSettings, ConfigError> {
+        let addresses = addresses.ok_or_else(|| ConfigError::new("fleet", ConfigFault::NeedsPeers))?;
+        let period_ms = self.period.unwrap_or(DEFAULT_PROBE_PERIOD_MS);
+        let max_datagrams_per_s = self.datagrams.unwrap_or(DEFAULT_DATAGRAMS_PER_S);
+        check_period(period_ms)?;
+        check_datagrams(max_datagrams_per_s, period_ms)?;
+        let peers = addresses.peers.len();
+        if position >= peers {
+            let fault = ConfigFault::UnknownPeerPosition { position, peers };
+            return Err(ConfigError::new("settings.position", fault));
+        }
+        Ok(MembershipSettings {
+            probe_period: Nanos::from_millis(period_ms),
+            max_datagrams_per_s,
+            router_fingerprints: distinct_fingerprints(&addresses.peers)?,
+            name_fingerprint: fingerprint(name),
+        })
+    }
+}
+
+fn check_period(period_ms: f64) -> Result<(), ConfigError> {
+    if (MIN_PROBE_PERIOD_MS..=MAX_PROBE_PERIOD_MS).contains(&period_ms) {
+        return Ok(());
+    }
+    let bounds = format!("{MIN_PROBE_PERIOD_MS} and {MAX_PROBE_PERIOD_MS} milliseconds");
+    Err(ConfigError::new("fleet.period", ConfigFault::OutOfRange { value: period_ms, bounds }))
+}
+
+fn check_datagrams(datagrams_per_s: f64, period_ms: f64) -> Result<(), ConfigError> {
+    let min = MIN_DATAGRAMS_PER_PERIOD * 1000.0 / period_ms;
+    if datagrams_per_s >= min && datagrams_per_s <= MAX_DATAGRAMS_PER_S {
+        return Ok(());
+    }
+    let bounds = format!("{min} and {MAX_DATAGRAMS_PER_S} a second");
+    Err(ConfigError::new("fleet.datagrams", ConfigFault::OutOfRange { value: datagrams_per_s, bounds }))
+}
+
+/// The fingerprints of the peers' addresses, of which no two may be the same.
+fn distinct_fingerprints(peers: &[SocketAddr]) -> Result<Vec<u32>, ConfigError> {
+    let fingerprints: Vec<u32> = peers.iter().map(|peer| fingerprint(&peer.to_string())).collect();
+    for (index, own) in fingerprints.iter().enumerate() {
+        if let Some(first) = fingerprints[..index].iter().position(|other| other == own) {
+            return Err(ConfigError::new(format!("peers[{index}]"), ConfigFault::DuplicatePeer(first)));
+        }
+    }
+    Ok(fingerprints)
+}
--- /dev/null
+++ b/crates/fernknot-router-config/src/router.rs
@@ -0,0 +1,198 @@
+//! All that a router process is started with: its environment, and the file that the environment names.
+
+use crate::error::{ConfigError, ConfigFault};
+use crate::limits::Limits;
+use crate::membership::{FleetGiven, MembershipSettings, PeerAddresses};
+use crate::settings::Facts;
+use crate::sockets::SocketFacts;
+use fernknot::interface::SiteFacts;
+use serde::Deserialize;
+use serde_json::value::RawValue;
+use std::net::SocketAddr;
+
+/// All that a router process is started with.
+#[derive(Debug)]
+pub struct RouterConfig {
+    /// The router's name in its log.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Where discovery answers.
+    pub discovery: SocketAddr,
+    /// The seed of the router's random numbers.
+    pub seed: u64,
+    /// Failed attempts and connections are logged too.
+    pub verbose: bool,
+    /// The endpoint list as it was last known, in discovery's form.
+    pub last_known_list: Option<Box<RawValue>>,
+    /// How routers reach each other, if they may and there is more than one.
+    pub peer_addresses: Option<PeerAddresses>,
+    /// How routers keep track of each other, if they do.
+    pub membership: Option<MembershipSettings>,
+    /// The configuration of the decision module.
+    pub site: SiteFacts,
+    /// What the sockets need of the settings beside it.
+    pub sockets: SocketFacts,
+    /// Sizes, counts and times that bound what the router uses.
+    pub limits: Limits,
+}
+
+/// Which of the environment and the file decides where both set a value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Precedence {
+    /// At the start of the process.
+    Environment,
+    /// For a file that is read again: the environment still holds what it held at the start.
+    File,
+}
+
+/// The configuration file as it is written.
+#[derive(Deserialize)]
+// The name stands in messages of the parser, which operators see.
+struct File {
+    name: Option<String>,
+    listen: Option<String>,
+    discovery: Option<String>,
+    seed: String,
+    limits: Bounds,
+    peer_listen: Option<String>,
+    #[serde(default)]
+    peers: Vec<String>,
+    peers_all: Option<String>,
+    known: Option<Box<RawValue>>,
+    fleet: Option<FleetGiven>,
+    settings: Facts,
+}
+
+/// The `limits` object of the file.
+#[derive(Deserialize)]
+// The name stands in messages of the parser, which operators see.
+struct Bounds {
+    memory_mb: f64,
+    sockets: usize,
+}
+
+impl RouterConfig {
+    /// Reads the file that the environment variable `ROUTER_CONFIG` names; `variable` looks up the environment.
+    ///
+    /// # Errors
+    /// The variable is not set, the file cannot be read, or as of [`RouterConfig::parse`].
+    pub fn read(
+        precedence: Precedence,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<RouterConfig, ConfigError> {
+        let error = |fault| ConfigError::new("ROUTER_CONFIG", fault);
+        let path = variable("ROUTER_CONFIG").ok_or_else(|| error(ConfigFault::NotSet))?;
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(error(ConfigFault::UnreadableFile { path, source })),
+        };
+        RouterConfig::parse(&text, precedence, variable)
+    }
+
+    /// Parses and validates the text of a configuration file; `variable` looks up the environment.
+    ///
+    /// # Errors
+    /// The first key that is missing or unusable.
+    pub fn parse(
+        text: &str,
+        precedence: Precedence,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<RouterConfig, ConfigError> {
+        let file = parse_file(text)?;
+        let overridable = |name: &'static str, key: &str, value: &Option<String>| {
+            let (environment, file) = (variable(name), value.clone());
+            let chosen = match precedence {
+                Precedence::Environment => environment.or(file),
+                Precedence::File => file.or(environment),
+            };
+            chosen.ok_or_else(|| ConfigError::new(key, ConfigFault::MissingAndNotSet(name)))
+        };
+        let name = overridable("ROUTER_NAME", "name", &file.name)?;
+        let listen = overridable("ROUTER_LISTEN", "listen", &file.listen)?;
+        let discovery = overridable("ROUTER_DISCOVERY", "discovery", &file.discovery)?;
+        let verbose = is_verbose(variable("ROUTER_LOG"))?;
+        let site = decision_settings(&file.settings)?;
+        let sockets = file.settings.sockets().map_err(|error| error.below("settings"))?;
+        let seed = parse_seed(&file.seed)?;
+        let peer_addresses = peer_addresses(&file, &site)?;
+        let membership = match &file.fleet {
+            Some(raw) => Some(raw.validate(&name, peer_addresses.as_ref(), sockets.position)?),
+            None => None,
+        };
+        Ok(RouterConfig {
+            name,
+            listen: parse_address("listen", &listen)?,
+            discovery: parse_address("discovery", &discovery)?,
+            seed,
+            verbose,
+            last_known_list: file.known,
+            peer_addresses,
+            membership,
+            limits: Limits::new(file.limits.sockets, file.limits.memory_mb, &sockets)?,
+            site,
+            sockets,
+        })
+    }
+}
+
+fn parse_file(text: &str) -> Result<File, ConfigError> {
+    let mut deserializer = serde_json::Deserializer::from_str(text);
+    serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+        let path = error.path().to_string();
+        malformed(&path, error.into_inner().to_string())
+    })
+}
+
+/// An error of the parser. Its path ends above a missing field, whose name stands only in the message.
+fn malformed(path: &str, message: String) -> ConfigError {
+    let missing = message.strip_prefix("missing field `").and_then(|rest| rest.split_once('`'));
+    match (path, missing) {
+        (".", Some((key, _))) => ConfigError::new(key, ConfigFault::Missing),
+        (path, Some((key, _))) => ConfigError::new(key, ConfigFault::Missing).below(path),
+        (".", None) => ConfigError::new("the configuration", ConfigFault::Malformed(message)),
+        (path, None) => ConfigError::new(path, ConfigFault::Malformed(message)),
+    }
+}
+
+fn is_verbose(level: Option<String>) -> Result<bool, ConfigError> {
+    match level.as_deref() {
+        None | Some("info") => Ok(false),
+        Some("debug") => Ok(true),
+        Some(other) => Err(ConfigError::new("ROUTER_LOG", ConfigFault::UnknownLogLevel(other.to_string()))),
+    }
+}
+
+fn decision_settings(settings: &Facts) -> Result<SiteFacts, ConfigError> {
+    let mut site = settings.site().map_err(|error| error.below("settings"))?;
+    // On sockets a multiget is one request with one answer: there is no second step.
+    site.use_cases.iter_mut().for_each(|use_case| use_case.second_step = false);
+    Ok(site)
+}
+
+fn parse_seed(text: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(text, 16)
+        .map_err(|_| ConfigError::new("seed", ConfigFault::InvalidSeed(text.to_string())))
+}
+
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::new(key, ConfigFault::InvalidAddress(text.to_string())))
+}
+
+/// The peers' addresses, which are required where routers may talk and there is more than one.
+fn peer_addresses(file: &File, site: &SiteFacts) -> Result<Option<PeerAddresses>, ConfigError> {
+    if !site.peers || site.routers <= 1 {
+        return Ok(None);
+    }
+    let missing = |key: &str| ConfigError::new(key, ConfigFault::MissingPeerAddress);
+    let listen = file.peer_listen.as_deref().ok_or_else(|| missing("peer_listen"))?;
+    let all_peers = file.peers_all.as_deref().ok_or_else(|| missing("peers_all"))?;
+    let peers = file.peers.iter().enumerate();
+    Ok(Some(PeerAddresses {
+        listen: parse_address("peer_listen", listen)?,
+        peers: peers
+            .map(|(index, peer)| parse_address(&format!("peers[{index}]"), peer))
+            .collect::<Result<_, _>>()?,
+        all_peers: parse_address("peers_all", all_peers)?,
+    }))
+}
--- /dev/null
+++ b/crates/fernknot-router-config/src/settings.rs
@@ -0,0 +1,143 @@
+//! The settings object as it is written: the form of its keys, before anything is validated.
+//!
+//! The fields have the names of their keys in snake case.
+
+use crate::phases::{Silent, Split};
+use serde::Deserialize;
+
+/// The settings object as the bench and the router's file give it. Unknown keys are ignored.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct Facts {
+    #[serde(default)]
+    pub(crate) accounts: Vec<Account>,
+    pub(crate) allowed: Allowed,
+    pub(crate) balancers: usize,
+    pub(crate) classes: Vec<Class>,
+    pub(crate) discovery: String,
+    pub(crate) family_info: FamilyInfo,
+    pub(crate) rules: Rules,
+    #[serde(default)]
+    pub(crate) worth_by: WorthBy,
+    pub(crate) locality: Option<u32>,
+    #[serde(default)]
+    pub(crate) zones: Vec<String>,
+    #[serde(default)]
+    pub(crate) client_habits: ClientHabits,
+    pub(crate) position: Option<usize>,
+    /// Milliseconds.
+    pub(crate) tick: f64,
+}
+
+#[derive(Default, Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct ClientHabits {
+    pub(crate) marks_retry: Option<bool>,
+}
+
+/// What the value of an answer is counted by.
+#[derive(Clone, Copy, Default, PartialEq, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub(crate) enum WorthBy {
+    #[default]
+    Request,
+    Work,
+}
+
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Account {
+    pub(crate) quota_per_s: f64,
+}
+
+/// What a router may do. Durations are in milliseconds.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Allowed {
+    #[serde(default)]
+    pub(crate) cancel: bool,
+    #[serde(default)]
+    pub(crate) peers: bool,
+    pub(crate) try_limit: u32,
+    #[serde(default)]
+    pub(crate) max_retry_after: f64,
+    #[serde(default)]
+    pub(crate) retry_after: bool,
+    #[serde(default)]
+    pub(crate) second_copies: bool,
+    pub(crate) conn_idle: Option<f64>,
+    pub(crate) connect_timeout: Option<f64>,
+    pub(crate) max_streams: Option<usize>,
+}
+
+/// A use case. Durations are in milliseconds.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Class {
+    #[serde(default)]
+    pub(crate) aim_stretch: f64,
+    #[serde(default)]
+    pub(crate) name: String,
+    pub(crate) on_time: f64,
+    pub(crate) deadline: f64,
+    pub(crate) effect: ClassEffect,
+    #[serde(default)]
+    pub(crate) late_share: f64,
+    #[serde(default)]
+    pub(crate) repeat_window: f64,
+    pub(crate) worth: f64,
+    pub(crate) phases: Option<PhasesGiven>,
+}
+
+/// A use case that may be asked in two phases; every key may be left out.
+#[derive(Deserialize)]
+// The name stands in messages of the parser, which operators see.
+#[serde(rename_all = "camelCase", deny_unknown_fields)]
+pub(crate) struct PhasesGiven {
+    pub(crate) least_first: Option<f64>,
+    pub(crate) most_first: Option<f64>,
+    pub(crate) silent: Option<Silent>,
+    pub(crate) names_others: Option<bool>,
+    pub(crate) least_matches: Option<f64>,
+    pub(crate) split: Option<Split>,
+    pub(crate) refuses: Option<bool>,
+    pub(crate) prunes: Option<bool>,
+}
+
+/// Whether a request of a class may be repeated.
+#[derive(Clone, Copy, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub(crate) enum ClassEffect {
+    Safe,
+    Keyed,
+    Unsafe,
+}
+
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct FamilyInfo {
+    pub(crate) places: u32,
+    pub(crate) width: u32,
+    pub(crate) slabs: Option<u32>,
+    pub(crate) bundle_max: Option<usize>,
+    #[serde(default)]
+    pub(crate) class_fetch: Vec<f64>,
+    #[serde(default)]
+    pub(crate) min_share: Vec<f64>,
+    #[serde(default)]
+    pub(crate) class_need: Vec<f64>,
+}
+
+/// Durations are in milliseconds.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Rules {
+    pub(crate) free_resends: Option<f64>,
+    pub(crate) extra_share: Option<f64>,
+    pub(crate) counted_over: Option<f64>,
+    pub(crate) cold_from: f64,
+    pub(crate) cold: f64,
+    pub(crate) fall_multiple: f64,
+    pub(crate) fall: f64,
+    pub(crate) drain_grace: Option<f64>,
+}
--- /dev/null
+++ b/crates/fernknot-router-config/src/site.rs
@@ -0,0 +1,97 @@
+//! What the decision module is given of the settings.
+
+use crate::error::{ConfigError, ConfigFault};
+use crate::settings::{Class, ClassEffect, Facts, FamilyInfo, Rules, WorthBy};
+use fernknot::interface::{BudgetFacts, ColdFacts, Effect, Nanos, SiteFacts, UseCaseFacts, ZoneId};
+
+impl Facts {
+    /// The configuration of the decision module.
+    ///
+    /// # Errors
+    /// The router's zone is not among `zones`, or a budget of retries has no window. The key is relative to the
+    /// settings object.
+    pub fn site(&self) -> Result<SiteFacts, ConfigError> {
+        self.check_zone()?;
+        let use_cases = self.classes.iter().enumerate();
+        Ok(SiteFacts {
+            routers: self.balancers,
+            use_cases: use_cases.map(|(index, class)| use_case(index, class, &self.family_info)).collect(),
+            shortest_goal: None,
+            customers: self.accounts.iter().map(|account| account.quota_per_s).collect(),
+            tick: Nanos::from_millis(self.tick),
+            cold: warm_up(&self.rules),
+            budget: retry_budget(&self.rules)?,
+            places: self.family_info.places,
+            width: self.family_info.width,
+            cancel: self.allowed.cancel,
+            second_copies: self.allowed.second_copies,
+            most_hand_offs: self.allowed.try_limit,
+            longest_wait: self
+                .allowed
+                .retry_after
+                .then_some(Nanos::from_millis(self.allowed.max_retry_after)),
+            must_ask: self.discovery == "ask",
+            peers: self.allowed.peers,
+            marks_repeats: self.client_habits.marks_retry.unwrap_or(true),
+            refusals_cost: false,
+            zone: self.locality.filter(|_| self.zones.len() > 1).map(ZoneId),
+            by_work: self.worth_by == WorthBy::Work,
+        })
+    }
+
+    /// Guards against a router that takes every node for one of another zone.
+    fn check_zone(&self) -> Result<(), ConfigError> {
+        let zones = self.zones.len();
+        match self.locality.filter(|zone| *zone as usize >= zones.max(1)) {
+            Some(zone) => Err(ConfigError::new("locality", ConfigFault::UnknownZone { zone, zones })),
+            None => Ok(()),
+        }
+    }
+}
+
+fn use_case(index: usize, class: &Class, family: &FamilyInfo) -> UseCaseFacts {
+    let at_index = |list: &[f64], default: f64| list.get(index).copied().unwrap_or(default);
+    let need = at_index(&family.class_need, 1.0);
+    UseCaseFacts {
+        goal: Nanos::from_millis(class.on_time),
+        hard_limit: Nanos::from_millis(class.deadline),
+        earnings: class.worth,
+        late_share: class.late_share,
+        squared: false,
+        effect: match class.effect {
+            ClassEffect::Safe => Effect::Replayable,
+            ClassEffect::Keyed => Effect::Referenced(Nanos::from_millis(class.repeat_window)),
+            ClassEffect::Unsafe => Effect::SingleUse,
+        },
+        stretch: class.aim_stretch,
+        need,
+        floor: at_index(&family.min_share, need),
+        second_step: at_index(&family.class_fetch, 0.0) > 0.0,
+        most_hand_offs: None,
+    }
+}
+
+fn warm_up(rules: &Rules) -> ColdFacts {
+    ColdFacts {
+        from: rules.cold_from,
+        warm_after: Nanos::from_millis(rules.cold),
+        multiple: rules.fall_multiple,
+        window: Nanos::from_millis(rules.fall),
+    }
+}
+
+/// The budget of retries, if there is one.
+fn retry_budget(rules: &Rules) -> Result<Option<BudgetFacts>, ConfigError> {
+    if rules.free_resends.is_none() && rules.extra_share.is_none() {
+        return Ok(None);
+    }
+    let window = rules
+        .counted_over
+        .ok_or_else(|| ConfigError::new("rules.countedOver", ConfigFault::MissingBudgetWindow))?;
+    Ok(Some(BudgetFacts {
+        free: rules.free_resends.unwrap_or(0.0),
+        share: rules.extra_share.unwrap_or(0.0),
+        window: Nanos::from_millis(window),
+        each_shard: false,
+    }))
+}
--- a/crates/fernknot-router-config/tests/start.rs
+++ b/crates/fernknot-router-config/tests/router_config.rs
@@ -1,4 +1,4 @@
-//! What stops a start, and what a start makes of its limits.
+//! Which configurations are rejected, and what is made of those that are accepted.
 
 use fernknot::interface::{Effect, Nanos, ZoneId};
 use fernknot_router_config::{Precedence, RouterConfig, Silent};
@@ -7,7 +7,7 @@
 
 const EXAMPLE: &str = include_str!("../../../examples/config.json");
 
-/// The example with one thing changed; `null` takes it out.
+/// The example with one value changed; `null` removes its key.
 fn changed(path: &str, value: Value) -> String {
     let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
     let (parent, key) = path.rsplit_once('/').unwrap();
@@ -39,15 +39,15 @@
 #[test_case("/settings/locality", json!(3), "settings.locality: 3 "; "a zone that is not named")]
 #[test_case("/settings/locality", json!("a"), "settings.locality: "; "a zone by name")]
 #[test_case("/settings/zones", json!([1]), "settings.zones[0]: "; "a zone without a name")]
-#[test_case("/settings/worthBy", json!("weight"), "settings.worthBy: "; "strange earnings")]
+#[test_case("/settings/worthBy", json!("weight"), "settings.worthBy: "; "unknown value unit")]
 #[test_case("/settings/clientHabits", json!({"marksRetry": 1}), "settings.clientHabits.marksRetry: "; "no yes or no")]
-#[test_case("/settings/rules/extraShare", json!(0.1), "settings.rules.countedOver: "; "ration without its window")]
+#[test_case("/settings/rules/extraShare", json!(0.1), "settings.rules.countedOver: "; "budget without its window")]
 #[test_case("/settings/classes/0/phases", json!({"leastFirst": 0}), "settings.classes[0].phases.leastFirst: 0 "; "no share")]
 #[test_case("/settings/classes/0/phases", json!({"leastFirst": 0.7, "mostFirst": 0.6}), "settings.classes[0].phases.mostFirst: 0.6 "; "bounds crossed")]
 #[test_case("/settings/classes/1/phases", json!({"leastMatches": 1.5}), "settings.classes[1].phases.leastMatches: 1.5 "; "over one")]
 #[test_case("/settings/classes/0/phases", json!({"silent": "wait"}), "settings.classes[0].phases.silent: "; "strange silence")]
 #[test_case("/settings/classes/0/phases", json!({"lestFirst": 0.1}), "settings.classes[0].phases.lestFirst: unknown"; "a key misspelt")]
-fn a_fault_is_told_with_its_key(path: &str, value: Value, message: &str) {
+fn an_error_names_its_key(path: &str, value: Value, message: &str) {
     let text = match path {
         "/settings/classes/0/effect" | "/settings/classes/1/name" => {
             let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
@@ -56,7 +56,7 @@
         }
         _ => changed(path, value),
     };
-    let error = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap_err();
+    let error = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap_err().to_string();
     assert!(error.starts_with(message) && !error.contains('\n'), "{error}");
 }
 
@@ -65,18 +65,18 @@
     let text = changed("/settings/classes/1/phases", json!({"leastFirst": 0.3, "silent": "leave"}));
     let phases = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap().sockets.phases;
     assert!(phases[0].is_none() && phases[2].is_none());
-    let facts = phases[1].as_ref().unwrap();
-    assert_eq!((facts.first_least, facts.first_most, facts.silent), (0.3, 0.8, Silent::Leave));
+    let phases = phases[1].as_ref().unwrap();
+    assert_eq!((phases.first_least, phases.first_most, phases.silent), (0.3, 0.8, Silent::Leave));
     assert_eq!(
-        (facts.least, facts.goal),
+        (phases.least, phases.goal),
         (0.5, Nanos(1_500_000_000)),
         "the use case's own least share and goal"
     );
-    assert!(facts.refuses && facts.prunes && !facts.names_others);
+    assert!(phases.refuses && phases.prunes && !phases.names_others);
 }
 
 #[test]
-fn what_the_move_brought_is_off_unless_it_is_set() {
+fn zones_and_value_by_work_are_off_unless_they_are_set() {
     let site = |text: &str| RouterConfig::parse(text, Precedence::Environment, |_| None).unwrap().site;
     let old = site(EXAMPLE);
     assert_eq!((old.by_work, old.marks_repeats, old.zone), (false, true, None));
@@ -95,12 +95,12 @@
     config["settings"]["allowed"]["peers"] = json!(true);
     config["settings"]["balancers"] = json!(2);
     let parse = |config: &Value| RouterConfig::parse(&config.to_string(), Precedence::Environment, |_| None);
-    assert!(parse(&config).unwrap_err().starts_with("peer_listen: "));
+    assert!(parse(&config).unwrap_err().to_string().starts_with("peer_listen: "));
     config["peer_listen"] = json!("127.0.0.1:1");
-    assert!(parse(&config).unwrap_err().starts_with("peers_all: "));
+    assert!(parse(&config).unwrap_err().to_string().starts_with("peers_all: "));
     config["peers_all"] = json!("127.0.0.1:2");
     config["peers"] = json!(["127.0.0.1:3", "x"]);
-    assert!(parse(&config).unwrap_err().starts_with("peers[1]: "));
+    assert!(parse(&config).unwrap_err().to_string().starts_with("peers[1]: "));
 }
 
 #[test]
@@ -113,7 +113,10 @@
     assert_eq!((start.listen.port(), start.discovery.port(), start.name.as_str()), (9, 8500, "n0"));
     let loud = |name: &str| (name == "ROUTER_LOG").then(|| "loud".to_string());
     assert!(
-        RouterConfig::parse(EXAMPLE, Precedence::Environment, loud).unwrap_err().starts_with("ROUTER_LOG: ")
+        RouterConfig::parse(EXAMPLE, Precedence::Environment, loud)
+            .unwrap_err()
+            .to_string()
+            .starts_with("ROUTER_LOG: ")
     );
     assert_eq!(start.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!(start.site.use_cases[2].effect, Effect::Referenced(Nanos(3_000_000_000)));
@@ -123,7 +126,7 @@
 #[test_case(1024, 192.0; "as on scored days")]
 #[test_case(40, 8.0; "the least")]
 #[test_case(65536, 64.0; "many sockets, little memory")]
-fn limits_stay_within_what_is_told(sockets: usize, memory_mb: f64) {
+fn limits_stay_within_the_sockets_and_memory_that_are_given(sockets: usize, memory_mb: f64) {
     let text = changed("/limits", json!({"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}));
     let limits = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap().limits;
     assert!(limits.max_clients >= 8 && limits.max_node_connections >= 5);
@@ -137,14 +140,14 @@
 }
 
 /// The example as one of three routers that may talk, with membership as given.
-fn with_fleet(fleet: Value, change: impl Fn(&mut Value)) -> String {
+fn with_membership(membership: Value, change: impl Fn(&mut Value)) -> String {
     let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
     config["settings"]["allowed"]["peers"] = json!(true);
     config["settings"]["balancers"] = json!(3);
     config["peer_listen"] = json!("127.0.0.1:7946");
     config["peers_all"] = json!("127.0.0.9:7946");
     config["peers"] = json!(["127.0.0.1:7946", "127.0.0.2:7946", "127.0.0.3:7946"]);
-    config["fleet"] = fleet;
+    config["fleet"] = membership;
     change(&mut config);
     config.to_string()
 }
@@ -153,9 +156,9 @@
 fn membership_is_off_unless_asked_for_and_has_defaults() {
     let parse = |text: &str| RouterConfig::parse(text, Precedence::Environment, |_| None).unwrap().membership;
     assert_eq!(parse(EXAMPLE), None);
-    let fleet = parse(&with_fleet(json!({}), |_| {})).unwrap();
+    let membership = parse(&with_membership(json!({}), |_| {})).unwrap();
     assert_eq!(
-        (fleet.probe_period, fleet.max_datagrams_per_s, fleet.router_fingerprints.len()),
+        (membership.probe_period, membership.max_datagrams_per_s, membership.router_fingerprints.len()),
         (Nanos::from_millis(400.0), 16.0, 3)
     );
 }
@@ -166,8 +169,9 @@
 #[test_case(json!({}), |config| config["settings"]["allowed"]["peers"] = json!(false), "fleet: needs settings.allowed.peers"; "routers that may not talk")]
 #[test_case(json!({}), |config| config["settings"]["position"] = json!(3), "settings.position: 3 "; "not among the peers")]
 #[test_case(json!({}), |config| config["peers"][2] = json!("127.0.0.1:7946"), "peers[2]: "; "one address twice")]
-fn a_fault_in_membership_is_told_with_its_key(fleet: Value, change: fn(&mut Value), message: &str) {
-    let error =
-        RouterConfig::parse(&with_fleet(fleet, change), Precedence::Environment, |_| None).unwrap_err();
+fn an_error_in_membership_names_its_key(membership: Value, change: fn(&mut Value), message: &str) {
+    let error = RouterConfig::parse(&with_membership(membership, change), Precedence::Environment, |_| None)
+        .unwrap_err()
+        .to_string();
     assert!(error.starts_with(message), "{error}");
 }
--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -140,7 +140,7 @@
             }
             Err(why) => {
                 core.counters.configurations_bad += 1;
-                warn!(core.log, "the new configuration is not taken"; "why" => why);
+                warn!(core.log, "the new configuration is not taken"; "why" => why.to_string());
             }
         }
     }
