--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -5,7 +5,7 @@
 use fernknot::decide::Router;
 use fernknot::interface::*;
 use fernknot_protocol::matches;
-use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, Said};
+use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, BlockState};
 use fernknot_router_config::PhaseFacts;
 use fernknot_two_phase::{Block, Phases, Query, print_of};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -20,7 +20,7 @@
         /// The index of each part that is in, and the hand-off that answered it.
         found_by: Vec<(usize, HandOffNo)>,
         /// What is said of each block of a query in two phases.
-        blocks: Option<Vec<(ShardId, Said)>>,
+        blocks: Option<Vec<(ShardId, BlockState)>>,
     },
     /// Asking again is harmless, after this wait where there is one.
     Dismissed {
@@ -428,9 +428,9 @@
             (Verdict::Settled { whole, blocks, .. }, _) => {
                 for (_, said) in blocks.iter().flatten() {
                     match said {
-                        Said::Fetched => counters.blocks_fetched += 1,
-                        Said::Pruned => counters.blocks_pruned += 1,
-                        Said::Missing | Said::Unasked => counters.blocks_unasked += 1,
+                        BlockState::Fetched => counters.blocks_fetched += 1,
+                        BlockState::Pruned => counters.blocks_pruned += 1,
+                        BlockState::Missing | BlockState::Unasked => counters.blocks_unasked += 1,
                     }
                 }
                 match whole {
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use fernknot::interface::*;
 use fernknot_engine::{AskerId, Ended, Engine, Order, PartOf, Verdict};
-use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, Said};
+use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, BlockState};
 use fernknot_router_config::{PhaseFacts, Silent, Split};
 
 pub const GOAL: f64 = 1000.0;
@@ -320,7 +320,7 @@
     }
 
     /// What the final answer says of each block, in order.
-    pub fn said(&self, asker: u64) -> Vec<(u32, Said)> {
+    pub fn said(&self, asker: u64) -> Vec<(u32, BlockState)> {
         match self.final_of(asker).map(|given| &given.verdict) {
             Some(Verdict::Settled { blocks: Some(blocks), .. }) => {
                 blocks.iter().map(|(shard, said)| (shard.0, *said)).collect()
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -5,7 +5,7 @@
 use common::*;
 use fernknot::interface::*;
 use fernknot_engine::{PartOf, Verdict};
-use fernknot_protocol::multiget::Said;
+use fernknot_protocol::multiget::BlockState;
 use fernknot_router_config::{PhaseFacts, Silent};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -149,7 +149,7 @@
     for given in &host.finals {
         let Verdict::Settled { whole, found, blocks: Some(blocks), .. } = &given.verdict else { continue };
         let fetched: Vec<ShardId> =
-            blocks.iter().filter(|(_, said)| *said == Said::Fetched).map(|(shard, _)| *shard).collect();
+            blocks.iter().filter(|(_, said)| *said == BlockState::Fetched).map(|(shard, _)| *shard).collect();
         let mut values: Vec<ShardId> = found.iter().map(|(shard, _)| *shard).collect();
         values.sort();
         assert_eq!(values, fetched, "{given:?}");
@@ -158,17 +158,17 @@
         let asked = &seen.asked[&given.asker].2;
         let spoke = |shard: u32| seen.names_itself.get(&(given.asker, shard)).copied();
         let all = asked.iter().all(|shard| spoke(*shard).is_some());
-        for (shard, _) in blocks.iter().filter(|(_, said)| *said == Said::Pruned) {
+        for (shard, _) in blocks.iter().filter(|(_, said)| *said == BlockState::Pruned) {
             assert_eq!(spoke(shard.0), Some(false), "{shard:?} {given:?}");
             assert!(!names_others || all, "{given:?}");
         }
         assert_eq!(blocks.len(), asked.len(), "every block is accounted for");
-        let done = blocks.iter().all(|(_, said)| matches!(said, Said::Fetched | Said::Pruned));
+        let done = blocks.iter().all(|(_, said)| matches!(said, BlockState::Fetched | BlockState::Pruned));
         assert!(!whole || done, "{given:?}");
         // No part of a phase that was never opened, and none for what was ruled out.
         for sent in host.all(given.asker, PartOf::Fetch) {
             let said = blocks.iter().find(|(shard, _)| shard.0 == sent.shard).map(|(_, said)| *said);
-            assert!(matches!(said, Some(Said::Fetched | Said::Missing)), "{sent:?} {given:?}");
+            assert!(matches!(said, Some(BlockState::Fetched | BlockState::Missing)), "{sent:?} {given:?}");
         }
     }
     // Memory is back to where it began.
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -6,7 +6,7 @@
 use fernknot::interface::*;
 use fernknot_engine::{Ended, PartOf, Verdict};
 use fernknot_protocol::matches::{self, Match, Names};
-use fernknot_protocol::multiget::Said;
+use fernknot_protocol::multiget::BlockState;
 use fernknot_router_config::{PhaseFacts, Silent};
 use fernknot_two_phase::print_of;
 use test_case::test_case;
@@ -34,7 +34,7 @@
         matches!(&given.verdict, Verdict::Settled { whole: true, found: given, .. } if *given == found),
         "{given:?}"
     );
-    let (pruned, fetched) = (Said::Pruned, Said::Fetched);
+    let (pruned, fetched) = (BlockState::Pruned, BlockState::Fetched);
     assert_eq!(host.said(asker), [(0, pruned), (1, fetched), (2, pruned), (3, fetched)]);
     let counters = &host.engine.counters;
     assert_eq!((counters.phased_whole, counters.blocks_fetched, counters.blocks_pruned), (1, 2, 2));
@@ -48,7 +48,7 @@
     host.say(asker, &ALL, &[]);
     let given = host.final_of(asker).unwrap();
     assert!(is_whole(given) && given.at == host.now, "{given:?}");
-    assert_eq!(host.said(asker), ALL.map(|shard| (shard, Said::Pruned)));
+    assert_eq!(host.said(asker), ALL.map(|shard| (shard, BlockState::Pruned)));
     assert!(host.all(asker, PartOf::Fetch).is_empty());
 }
 
@@ -145,7 +145,12 @@
         assert!(host.all(asker, PartOf::Fetch).is_empty());
     } else {
         assert!(matches!(given.verdict, Verdict::Settled { whole: false, .. }), "{given:?}");
-        let said = [(0, Said::Pruned), (1, Said::Fetched), (2, Said::Pruned), (3, Said::Unasked)];
+        let said = [
+            (0, BlockState::Pruned),
+            (1, BlockState::Fetched),
+            (2, BlockState::Pruned),
+            (3, BlockState::Unasked),
+        ];
         assert_eq!(host.said(asker), said);
     }
 }
@@ -163,7 +168,12 @@
     host.answer(asker, PartOf::Fetch, 0, "zero");
     host.answer(asker, PartOf::Fetch, 2, "two");
     host.pass(60.0);
-    let said = [(0, Said::Fetched), (1, Said::Unasked), (2, Said::Fetched), (3, Said::Unasked)];
+    let said = [
+        (0, BlockState::Fetched),
+        (1, BlockState::Unasked),
+        (2, BlockState::Fetched),
+        (3, BlockState::Unasked),
+    ];
     assert_eq!(host.said(asker), said);
     assert!(!is_whole(host.final_of(asker).unwrap()));
 }
@@ -254,7 +264,7 @@
     let given = host.final_of(asker).unwrap();
     assert!(matches!(given.verdict, Verdict::Settled { whole: false, .. }), "{given:?}");
     assert!(given.at - start <= GOAL);
-    assert_eq!(host.said(asker), [(0, Said::Fetched), (3, Said::Missing)]);
+    assert_eq!(host.said(asker), [(0, BlockState::Fetched), (3, BlockState::Missing)]);
 }
 
 #[test_case(REPLAYABLE, Outcome::Broken, true; "replayable, broken: another store")]
@@ -320,7 +330,7 @@
     for sent in host.out(asker, PartOf::Fetch) {
         host.answer_sent(&sent, "value");
     }
-    assert!(host.said(asker).contains(&(3, Said::Fetched)), "the fetch that was opened stands");
+    assert!(host.said(asker).contains(&(3, BlockState::Fetched)), "the fetch that was opened stands");
 }
 
 #[test]
--- a/crates/fernknot-protocol/src/body.rs
+++ b/crates/fernknot-protocol/src/body.rs
@@ -1,17 +1,17 @@
 //! A message's body: by its length, in chunks, or up to the end of the connection.
 
 use crate::buffer::Buffer;
-use crate::http::BadHttp;
+use crate::http::HttpError;
 
 #[derive(Debug)]
-pub enum Framing {
+pub enum BodyFraming {
     Length(usize),
-    Chunks(Chunks),
+    Chunks(ChunkState),
     ToEnd,
 }
 
 #[derive(Debug, Default)]
-pub enum Chunks {
+pub enum ChunkState {
     #[default]
     Size,
     Data(usize),
@@ -20,11 +20,11 @@
     Trailers(usize),
 }
 
-const TOO_LARGE: BadHttp = BadHttp { status: 413, why: "body too large" };
-const BAD_CHUNK: BadHttp = BadHttp { status: 400, why: "bad chunk" };
+const TOO_LARGE: HttpError = HttpError { status: 413, why: "body too large" };
+const BAD_CHUNK: HttpError = HttpError { status: 400, why: "bad chunk" };
 
 /// The framing that a head's lines tell; `None` where they tell none.
-pub fn framing(headers: &[httparse::Header]) -> Result<Option<Framing>, BadHttp> {
+pub fn framing(headers: &[httparse::Header]) -> Result<Option<BodyFraming>, HttpError> {
     let named = |name: &str| {
         let name = name.to_string();
         headers
@@ -32,7 +32,7 @@
             .filter(move |header| header.name.eq_ignore_ascii_case(&name))
             .map(|header| header.value)
     };
-    let bad = |why| Err(BadHttp { status: 400, why });
+    let bad = |why| Err(HttpError { status: 400, why });
     let lengths: Vec<&[u8]> = named("content-length").collect();
     let mut coded = named("transfer-encoding");
     if let Some(coding) = coded.next() {
@@ -42,8 +42,8 @@
             return bad("length and coding both");
         }
         return match coding.trim_ascii().eq_ignore_ascii_case(b"chunked") {
-            true => Ok(Some(Framing::Chunks(Chunks::default()))),
-            false => Err(BadHttp { status: 501, why: "unknown transfer coding" }),
+            true => Ok(Some(BodyFraming::Chunks(ChunkState::default()))),
+            false => Err(HttpError { status: 501, why: "unknown transfer coding" }),
         };
     }
     let Some(first) = lengths.first() else { return Ok(None) };
@@ -52,12 +52,12 @@
     }
     let digits = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
     match std::str::from_utf8(first).ok().filter(|_| digits).and_then(|text| text.parse().ok()) {
-        Some(length) => Ok(Some(Framing::Length(length))),
+        Some(length) => Ok(Some(BodyFraming::Length(length))),
         None => bad("bad length"),
     }
 }
 
-impl Framing {
+impl BodyFraming {
     /// Moves what has come into `body`; true once it is all there. `line` bounds a chunk's head.
     pub fn read(
         &mut self,
@@ -65,60 +65,61 @@
         body: &mut Vec<u8>,
         most: usize,
         line: usize,
-    ) -> Result<bool, BadHttp> {
+    ) -> Result<bool, HttpError> {
         match self {
-            Framing::Length(length) if *length > most => Err(TOO_LARGE),
-            Framing::Length(length) => {
+            BodyFraming::Length(length) if *length > most => Err(TOO_LARGE),
+            BodyFraming::Length(length) => {
                 body.reserve_exact(*length - body.len());
                 take(buffer, body, *length - body.len());
                 Ok(body.len() == *length)
             }
-            Framing::ToEnd => {
+            BodyFraming::ToEnd => {
                 take(buffer, body, usize::MAX);
                 if body.len() > most { Err(TOO_LARGE) } else { Ok(false) }
             }
-            Framing::Chunks(chunks) => chunks.read(buffer, body, most, line),
+            BodyFraming::Chunks(chunks) => chunks.read(buffer, body, most, line),
         }
     }
 }
 
-impl Chunks {
+impl ChunkState {
     fn read(
         &mut self,
         buffer: &mut Buffer,
         body: &mut Vec<u8>,
         most: usize,
         line: usize,
-    ) -> Result<bool, BadHttp> {
+    ) -> Result<bool, HttpError> {
         loop {
             match self {
-                Chunks::Size => match httparse::parse_chunk_size(buffer.data()) {
+                ChunkState::Size => match httparse::parse_chunk_size(buffer.data()) {
                     Ok(httparse::Status::Complete((_, size))) if size > (most - body.len()) as u64 => {
                         return Err(TOO_LARGE);
                     }
                     Ok(httparse::Status::Complete((head, size))) => {
                         buffer.consume(head);
-                        *self = if size == 0 { Chunks::Trailers(0) } else { Chunks::Data(size as usize) };
+                        *self =
+                            if size == 0 { ChunkState::Trailers(0) } else { ChunkState::Data(size as usize) };
                     }
                     Ok(httparse::Status::Partial) if buffer.len() <= line => return Ok(false),
                     _ => return Err(BAD_CHUNK),
                 },
-                Chunks::Data(left) => {
+                ChunkState::Data(left) => {
                     *left -= take(buffer, body, *left);
                     if *left > 0 {
                         return Ok(false);
                     }
-                    *self = Chunks::DataEnd;
+                    *self = ChunkState::DataEnd;
                 }
-                Chunks::DataEnd => match buffer.data() {
+                ChunkState::DataEnd => match buffer.data() {
                     [b'\r', b'\n', ..] => {
                         buffer.consume(2);
-                        *self = Chunks::Size;
+                        *self = ChunkState::Size;
                     }
                     [] | [b'\r'] => return Ok(false),
                     _ => return Err(BAD_CHUNK),
                 },
-                Chunks::Trailers(passed) => {
+                ChunkState::Trailers(passed) => {
                     let end = buffer.data().iter().position(|byte| *byte == b'\n');
                     let Some(end) = end else {
                         return if *passed + buffer.len() > line { Err(BAD_CHUNK) } else { Ok(false) };
--- a/crates/fernknot-protocol/src/discovery.rs
+++ b/crates/fernknot-protocol/src/discovery.rs
@@ -47,27 +47,31 @@
     pub zone: Option<String>,
     pub health: Health,
     /// Unix time of its last start; zero for long ago.
-    pub since: Nanos,
+    pub started_at: Nanos,
 }
 
 #[derive(Debug, PartialEq)]
-pub struct List {
+pub struct NodeList {
     pub generation: u64,
-    pub full: bool,
+    pub is_full: bool,
     pub nodes: Vec<ListedNode>,
     /// What is wrong with the entries that were left out.
-    pub bad: Vec<String>,
+    pub rejected_entries: Vec<String>,
 }
 
 /// A list in discovery's form. An entry that cannot be read does not cost the others.
-pub fn list(json: &[u8]) -> Result<List, String> {
+pub fn parse_list(json: &[u8]) -> Result<NodeList, String> {
     let listed: Listed = serde_json::from_slice(json).map_err(|error| format!("not a list: {error}"))?;
-    let mut list =
-        List { generation: listed.generation, full: listed.reset, nodes: Vec::new(), bad: Vec::new() };
+    let mut list = NodeList {
+        generation: listed.generation,
+        is_full: listed.reset,
+        nodes: Vec::new(),
+        rejected_entries: Vec::new(),
+    };
     for entry in listed.instances {
         match node(entry.get()) {
             Ok(node) => list.nodes.push(node),
-            Err(why) => list.bad.push(why),
+            Err(why) => list.rejected_entries.push(why),
         }
     }
     Ok(list)
@@ -93,7 +97,7 @@
         place: entry.cell.map(PlaceId),
         zone: entry.zone,
         health,
-        since: Nanos::from_millis(entry.started_at_ms),
+        started_at: Nanos::from_millis(entry.started_at_ms),
         name: entry.instance_id,
     })
 }
@@ -107,7 +111,7 @@
 
 impl Watch {
     /// Writes the next call; true if its answer may take as long as `wait`.
-    pub fn ask(&mut self, out: &mut Buffer, host: SocketAddr, wait: Nanos) -> bool {
+    pub fn write_request(&mut self, out: &mut Buffer, host: SocketAddr, wait: Nanos) -> bool {
         self.reader = ResponseReader::default();
         let query = self
             .generation
@@ -125,16 +129,16 @@
         buffer: &mut Buffer,
         ended: bool,
         limits: &Limits,
-    ) -> Result<Option<(List, bool)>, String> {
+    ) -> Result<Option<(NodeList, bool)>, String> {
         let response = self.reader.read(buffer, ended, limits).map_err(|bad| bad.why.to_string())?;
         let Some(response) = response else { return Ok(None) };
         let refused = || format!("answered {}", response.status);
-        let list = if response.status == 200 { list(&response.body) } else { Err(refused()) };
+        let list = if response.status == 200 { parse_list(&response.body) } else { Err(refused()) };
         match list {
             Ok(list) => {
                 // Changes of an older version than the one in hand continue nothing: discovery has
                 // begun anew, so all of its list is asked for.
-                let goes_back = !list.full && self.generation.is_some_and(|held| list.generation < held);
+                let goes_back = !list.is_full && self.generation.is_some_and(|held| list.generation < held);
                 self.generation = Some(list.generation).filter(|_| !goes_back);
                 Ok(Some((list, response.keep)))
             }
--- a/crates/fernknot-protocol/src/frames.rs
+++ b/crates/fernknot-protocol/src/frames.rs
@@ -11,7 +11,7 @@
     pub id: &'a str,
     pub shard: u32,
     /// Milliseconds that the router will wait.
-    pub wait: u64,
+    pub timeout_ms: u64,
     pub key: Option<&'a str>,
     /// Of a query in two phases: which one, and the version of the block's summary that the router keeps.
     pub phase: Option<CallPhase>,
@@ -35,31 +35,38 @@
     }
 }
 
-pub fn call<'a>(out: &mut Buffer, parts: impl Iterator<Item = CallPart<'a>>) {
+pub fn write_call<'a>(out: &mut Buffer, parts: impl Iterator<Item = CallPart<'a>>) {
     let mut rest = Vec::new();
     for part in parts {
         let key = part.key.map(|key| format!(",k={key}")).unwrap_or_default();
         // Writing to a vector does not fail.
         let phase = CallPhase::words(part.phase);
-        let _ = writeln!(rest, "{} {} d={}{key}{phase} {}", part.id, part.shard, part.wait, part.text.len());
+        let _ = writeln!(
+            rest,
+            "{} {} d={}{key}{phase} {}",
+            part.id,
+            part.shard,
+            part.timeout_ms,
+            part.text.len()
+        );
         rest.extend_from_slice(part.text.as_bytes());
     }
-    frame(out, b'A', &rest);
+    write_frame(out, b'A', &rest);
 }
 
-pub fn give_up(out: &mut Buffer, id: &str) {
-    frame(out, b'B', id.as_bytes());
+pub fn write_cancel(out: &mut Buffer, id: &str) {
+    write_frame(out, b'B', id.as_bytes());
 }
 
 /// The form of every frame, for both sides.
-pub fn frame(out: &mut Buffer, letter: u8, rest: &[u8]) {
+pub fn write_frame(out: &mut Buffer, letter: u8, rest: &[u8]) {
     out.push(&(rest.len() as u32 + 1).to_le_bytes());
     out.push(&[letter]);
     out.push(rest);
 }
 
 /// The parts of a call as a node reads them: id, shard, list and text; `None` if it is not one.
-pub fn calls(mut rest: &[u8]) -> Option<Vec<(&str, u32, &str, &str)>> {
+pub fn read_call(mut rest: &[u8]) -> Option<Vec<(&str, u32, &str, &str)>> {
     let mut parts = Vec::new();
     while !rest.is_empty() {
         let end = rest.iter().position(|byte| *byte == b'\n')?;
@@ -73,35 +80,35 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    Hit,
+pub enum CallStatus {
+    Success,
     Fault,
     Overload,
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    Ended {
+    Response {
         id: String,
-        end: End,
-        report: LoadReport,
+        status: CallStatus,
+        load: LoadReport,
         value: Vec<u8>,
     },
     /// A probe's answer; this router sends none.
-    Probed,
+    HealthCheckResponse,
     /// The node could not use a frame and closes.
-    Unusable(String),
+    Rejected(String),
 }
 
 /// A frame as it came, and the bytes that it takes in all.
 pub struct RawFrame<'a> {
-    pub letter: u8,
-    pub rest: &'a [u8],
+    pub kind: u8,
+    pub payload: &'a [u8],
     pub length: usize,
 }
 
 /// The next frame, whatever it is; it stays in the buffer.
-pub fn next<'a>(buffer: &'a Buffer, limits: &Limits) -> Result<Option<RawFrame<'a>>, &'static str> {
+pub fn peek_frame<'a>(buffer: &'a Buffer, limits: &Limits) -> Result<Option<RawFrame<'a>>, &'static str> {
     let Some((head, rest)) = buffer.data().split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_le_bytes(*head) as usize;
     if length == 0 || length > limits.max_frame_bytes {
@@ -110,15 +117,17 @@
     if rest.len() < length {
         return Ok(None);
     }
-    Ok(Some(RawFrame { letter: rest[0], rest: &rest[1..length], length: 4 + length }))
+    Ok(Some(RawFrame { kind: rest[0], payload: &rest[1..length], length: 4 + length }))
 }
 
 pub fn read(buffer: &mut Buffer, limits: &Limits) -> Result<Option<Frame>, &'static str> {
-    let Some(RawFrame { letter, rest, length }) = next(buffer, limits)? else { return Ok(None) };
+    let Some(RawFrame { kind: letter, payload: rest, length }) = peek_frame(buffer, limits)? else {
+        return Ok(None);
+    };
     let frame = match letter {
-        b'C' | b'D' => Frame::Probed,
+        b'C' | b'D' => Frame::HealthCheckResponse,
         b'E' => ended(rest)?,
-        b'F' => Frame::Unusable(String::from_utf8_lossy(rest).into_owned()),
+        b'F' => Frame::Rejected(String::from_utf8_lossy(rest).into_owned()),
         _ => return Err("a frame's letter is unknown"),
     };
     buffer.consume(length);
@@ -132,16 +141,16 @@
     let (id, end, _score, report) = (word()?, word()?, word()?, word()?);
     let id = std::str::from_utf8(id).map_err(|_| "an answer's id is no text")?;
     let end = match end {
-        b"hit" => End::Hit,
-        b"fault" => End::Fault,
-        b"overload" => End::Overload,
+        b"hit" => CallStatus::Success,
+        b"fault" => CallStatus::Fault,
+        b"overload" => CallStatus::Overload,
         _ => return Err("an answer's end is unknown"),
     };
-    Ok(Frame::Ended {
+    Ok(Frame::Response {
         id: id.to_string(),
-        end,
+        status: end,
         // Guards a good answer against a report that cannot be read.
-        report: report::from_text(&String::from_utf8_lossy(report)),
+        load: report::from_text(&String::from_utf8_lossy(report)),
         value: rest[line + 1..].to_vec(),
     })
 }
--- a/crates/fernknot-protocol/src/http.rs
+++ b/crates/fernknot-protocol/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1, both sides: requests read and answers written for clients, the reverse for discovery.
 
-use crate::body::{Framing, framing};
+use crate::body::{BodyFraming, framing};
 use crate::buffer::Buffer;
 use fernknot_router_config::Limits;
 use httparse::Status;
@@ -8,7 +8,7 @@
 
 /// What cannot be read. Where the message ends is not certain then, so the connection ends too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadHttp {
+pub struct HttpError {
     pub status: u16,
     pub why: &'static str,
 }
@@ -46,7 +46,7 @@
 /// Reads one request after the other.
 #[derive(Debug, Default)]
 pub struct RequestReader {
-    open: Option<(Request, Framing)>,
+    open: Option<(Request, BodyFraming)>,
 }
 
 impl RequestReader {
@@ -65,7 +65,7 @@
         self.open.as_mut().is_some_and(|(request, _)| std::mem::take(&mut request.expects))
     }
 
-    pub fn read(&mut self, buffer: &mut Buffer, limits: &Limits) -> Result<Option<Request>, BadHttp> {
+    pub fn read(&mut self, buffer: &mut Buffer, limits: &Limits) -> Result<Option<Request>, HttpError> {
         if self.open.is_none() {
             self.open = request_head(buffer, limits)?;
         }
@@ -79,16 +79,16 @@
     (header.name.to_string(), String::from_utf8_lossy(header.value).into_owned())
 }
 
-fn request_head(buffer: &mut Buffer, limits: &Limits) -> Result<Option<(Request, Framing)>, BadHttp> {
+fn request_head(buffer: &mut Buffer, limits: &Limits) -> Result<Option<(Request, BodyFraming)>, HttpError> {
     let mut headers = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut parsed = httparse::Request::new(&mut headers);
     let head = match parsed.parse(buffer.data()) {
         Ok(Status::Complete(head)) if head <= limits.head => head,
         Ok(Status::Partial) if buffer.len() <= limits.head => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(BadHttp { status: 431, why: "head too large" });
+            return Err(HttpError { status: 431, why: "head too large" });
         }
-        Err(_) => return Err(BadHttp { status: 400, why: "not HTTP" }),
+        Err(_) => return Err(HttpError { status: 400, why: "not HTTP" }),
     };
     let old = parsed.version == Some(0);
     let says = |name: &str, word: &str| {
@@ -106,7 +106,7 @@
         old,
         expects: !old && says("expect", "100-continue"),
     };
-    let framing = framing(parsed.headers)?.unwrap_or(Framing::Length(0));
+    let framing = framing(parsed.headers)?.unwrap_or(BodyFraming::Length(0));
     buffer.consume(head);
     Ok(Some((request, framing)))
 }
@@ -182,7 +182,7 @@
 
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    open: Option<(Response, Framing)>,
+    open: Option<(Response, BodyFraming)>,
 }
 
 impl ResponseReader {
@@ -192,7 +192,7 @@
         buffer: &mut Buffer,
         ended: bool,
         limits: &Limits,
-    ) -> Result<Option<Response>, BadHttp> {
+    ) -> Result<Option<Response>, HttpError> {
         while self.open.is_none() {
             let Some((response, framing)) = response_head(buffer, limits)? else { return Ok(None) };
             // An interim answer announces the real one.
@@ -203,7 +203,7 @@
         let Some((response, framing)) = &mut self.open else { return Ok(None) };
         let done =
             framing.read(buffer, &mut response.body, limits.max_list_bytes, limits.max_chunk_line_bytes)?;
-        let done = done || ended && matches!(framing, Framing::ToEnd);
+        let done = done || ended && matches!(framing, BodyFraming::ToEnd);
         Ok(self.open.take_if(|_| done).map(|(response, _)| response))
     }
 }
@@ -217,7 +217,7 @@
         &mut self,
         buffer: &mut Buffer,
         limits: &Limits,
-    ) -> Result<Option<Response>, BadHttp> {
+    ) -> Result<Option<Response>, HttpError> {
         while let Some((response, _)) = response_head(buffer, limits)? {
             if response.status >= 200 {
                 return Ok(Some(Response { framed: true, ..response }));
@@ -227,13 +227,13 @@
     }
 }
 
-fn response_head(buffer: &mut Buffer, limits: &Limits) -> Result<Option<(Response, Framing)>, BadHttp> {
+fn response_head(buffer: &mut Buffer, limits: &Limits) -> Result<Option<(Response, BodyFraming)>, HttpError> {
     let mut headers = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut parsed = httparse::Response::new(&mut headers);
     let head = match parsed.parse(buffer.data()) {
         Ok(Status::Complete(head)) => head,
         Ok(Status::Partial) if buffer.len() <= limits.head => return Ok(None),
-        _ => return Err(BadHttp { status: 502, why: "not an HTTP answer" }),
+        _ => return Err(HttpError { status: 502, why: "not an HTTP answer" }),
     };
     let status = parsed.code.unwrap_or_default();
     let closes = parsed.headers.iter().any(|header| {
@@ -245,6 +245,6 @@
     let to_end = framing.is_none() && !empty;
     let keep = parsed.version == Some(1) && !closes && !to_end;
     buffer.consume(head);
-    let framing = if empty { Framing::Length(0) } else { framing.unwrap_or(Framing::ToEnd) };
+    let framing = if empty { BodyFraming::Length(0) } else { framing.unwrap_or(BodyFraming::ToEnd) };
     Ok(Some((Response { status, headers, body: Vec::new(), keep, framed: !to_end }, framing)))
 }
--- a/crates/fernknot-protocol/src/multiget.rs
+++ b/crates/fernknot-protocol/src/multiget.rs
@@ -76,7 +76,7 @@
 pub type Unfit = (u16, &'static str);
 
 /// What a client asks for.
-pub fn asked(request: &Request, facts: &SocketFacts, limits: &Limits) -> Result<Asked, Unfit> {
+pub fn parse_multiget(request: &Request, facts: &SocketFacts, limits: &Limits) -> Result<Asked, Unfit> {
     let name = request.path().trim_start_matches('/').split('/').next().unwrap_or("");
     let use_case = facts.use_cases.iter().position(|(known, _)| known == name);
     let use_case = use_case.ok_or((404, "unknown use case"))?;
@@ -181,7 +181,7 @@
 }
 
 #[derive(Serialize)]
-struct Found<'a> {
+struct FoundItem<'a> {
     bucket: u32,
     item: &'a str,
 }
@@ -189,7 +189,7 @@
 /// What an answer in two phases says of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Said {
+pub enum BlockState {
     Fetched,
     Pruned,
     Missing,
@@ -197,28 +197,28 @@
 }
 
 #[derive(Serialize)]
-struct BlockSaid {
+struct BlockStatus {
     bucket: u32,
-    state: Said,
+    state: BlockState,
 }
 
 #[derive(Serialize)]
-struct Settled<'a> {
+struct ResponseBody<'a> {
     finished: bool,
-    found: Vec<Found<'a>>,
+    found: Vec<FoundItem<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    blocks: Option<Vec<BlockSaid>>,
+    blocks: Option<Vec<BlockStatus>>,
 }
 
 /// The body of an answer from the parts that are in, and from what is said of each block of a query in
 /// two phases.
-pub fn settled<'a>(
+pub fn response_body<'a>(
     whole: bool,
     parts: impl Iterator<Item = (ShardId, &'a str)>,
-    blocks: Option<&[(ShardId, Said)]>,
+    blocks: Option<&[(ShardId, BlockState)]>,
 ) -> Vec<u8> {
-    let found = parts.map(|(shard, item)| Found { bucket: shard.0, item }).collect();
-    let said = |(shard, state): &(ShardId, Said)| BlockSaid { bucket: shard.0, state: *state };
+    let found = parts.map(|(shard, item)| FoundItem { bucket: shard.0, item }).collect();
+    let said = |(shard, state): &(ShardId, BlockState)| BlockStatus { bucket: shard.0, state: *state };
     let blocks = blocks.map(|blocks| blocks.iter().map(said).collect());
-    serde_json::to_vec(&Settled { finished: whole, found, blocks }).unwrap_or_default()
+    serde_json::to_vec(&ResponseBody { finished: whole, found, blocks }).unwrap_or_default()
 }
--- a/crates/fernknot-protocol/src/outbox.rs
+++ b/crates/fernknot-protocol/src/outbox.rs
@@ -4,7 +4,7 @@
 use crate::buffer::Buffer;
 use std::collections::VecDeque;
 
-struct Framed<T> {
+struct PendingFrame<T> {
     /// The connection's count of bytes before it and after it.
     from: u64,
     to: u64,
@@ -12,7 +12,7 @@
 }
 
 pub struct Outbox<T> {
-    frames: VecDeque<Framed<T>>,
+    frames: VecDeque<PendingFrame<T>>,
     encoded: u64,
     written: u64,
 }
@@ -25,15 +25,15 @@
 
 impl<T> Outbox<T> {
     /// Notes a frame of so many bytes that has just been put into the buffer.
-    pub fn add(&mut self, length: usize, item: T) {
+    pub fn push(&mut self, length: usize, item: T) {
         let from = self.encoded;
         self.encoded += length as u64;
-        self.frames.push_back(Framed { from, to: self.encoded, item });
+        self.frames.push_back(PendingFrame { from, to: self.encoded, item });
     }
 
     /// Notes that so many bytes have gone out. `begun` is told each frame that has begun, and
     /// whether all of it is out; those are forgotten.
-    pub fn wrote(&mut self, count: usize, mut begun: impl FnMut(&T, bool)) {
+    pub fn record_written(&mut self, count: usize, mut begun: impl FnMut(&T, bool)) {
         self.written += count as u64;
         while let Some(frame) = self.frames.front().filter(|frame| frame.from < self.written) {
             let whole = frame.to <= self.written;
@@ -47,7 +47,7 @@
 
     /// Takes the last frame out of the buffer again, unless it has begun. Guards against sending
     /// what is called off, or what its node must not get any more, while the socket takes nothing.
-    pub fn take_back(&mut self, out: &mut Buffer) -> Option<T> {
+    pub fn pop_unwritten(&mut self, out: &mut Buffer) -> Option<T> {
         let frame = self.frames.pop_back_if(|frame| frame.from >= self.written)?;
         out.truncate((frame.from - self.written) as usize);
         self.encoded = frame.from;
@@ -76,21 +76,21 @@
         let (mut outbox, mut out) = (Outbox::default(), Buffer::default());
         for (item, length) in [('a', 5), ('b', 7), ('c', 4)] {
             out.push(item.to_string().repeat(length).as_bytes());
-            outbox.add(length, item);
+            outbox.push(length, item);
         }
         let (mut all, mut some) = (String::new(), String::new());
         // Byte by byte, as a socket may take them.
         for _ in 0..count {
             some.clear();
-            outbox.wrote(1, |item, whole| if whole { all.push(*item) } else { some.push(*item) });
+            outbox.record_written(1, |item, whole| if whole { all.push(*item) } else { some.push(*item) });
             out.consume(1);
         }
         let mut taken = String::new();
-        while let Some(item) = outbox.take_back(&mut out) {
+        while let Some(item) = outbox.pop_unwritten(&mut out) {
             taken.push(item);
         }
         assert_eq!((all.as_str(), some.as_str(), taken.as_str()), (whole, begun, back));
         assert!(out.data().iter().all(|byte| begun.as_bytes().contains(byte)));
-        outbox.wrote(out.len(), |item, whole| assert!(whole && begun.contains(*item)));
+        outbox.record_written(out.len(), |item, whole| assert!(whole && begun.contains(*item)));
     }
 }
--- a/crates/fernknot-protocol/tests/machines.rs
+++ b/crates/fernknot-protocol/tests/machines.rs
@@ -2,8 +2,8 @@
 
 use fernknot::interface::*;
 use fernknot_protocol::buffer::Buffer;
-use fernknot_protocol::discovery::{Watch, list};
-use fernknot_protocol::frames::{self, CallPart, CallPhase, End, Frame};
+use fernknot_protocol::discovery::{Watch, parse_list};
+use fernknot_protocol::frames::{self, CallPart, CallPhase, CallStatus, Frame};
 use fernknot_protocol::http::{Answer, Request, RequestReader, ResponseReader};
 use fernknot_protocol::multiget;
 use fernknot_router_config::{Limits, PhaseFacts, Silent, SocketFacts, Split};
@@ -163,12 +163,12 @@
 fn a_multiget_is_read_with_all_that_it_says() {
     let body = r#"{"body":"a\u00e9\"\n","seed":1,"buckets":[{"bucket":3,"part":0.5,"effort":9000,"seed":"00"},{"part":0.5,"bucket":0}]}"#;
     let head = "Req-Id: 9b.x\r\nReq-Deadline: 0.480\r\nReq-Retry: 1\r\nIdempotency-Key: k1\r\n";
-    let asked = multiget::asked(&request("/mark/7?x=1", head, body), &facts(), &limits()).unwrap();
+    let asked = multiget::parse_multiget(&request("/mark/7?x=1", head, body), &facts(), &limits()).unwrap();
     assert_eq!((asked.id.as_str(), asked.use_case, asked.key.as_deref()), ("9b.x", UseCaseId(1), Some("k1")));
     assert_eq!((asked.wait, asked.repeat, asked.text.as_str()), (Nanos(480_000_000), true, "a\u{e9}\"\n"));
     let shards: Vec<_> = asked.parts.iter().map(|part| (part.shard.0, part.weight, part.effort)).collect();
     assert_eq!(shards, [(3, 0.5, Some(Nanos(9_000_000))), (0, 0.5, None)]);
-    let plain = multiget::asked(&request("/page", head, body), &facts(), &limits()).unwrap();
+    let plain = multiget::parse_multiget(&request("/page", head, body), &facts(), &limits()).unwrap();
     assert_eq!(plain.key, None);
 }
 
@@ -179,7 +179,7 @@
 fn unusable_heads_are_unfit(head: &str) {
     let body = r#"{"buckets":[{"bucket":0,"part":1}],"body":""}"#;
     let request = request("/mark", &format!("Req-Id: a\r\n{head}"), body);
-    assert_eq!(multiget::asked(&request, &facts(), &limits()).unwrap_err().0, 400);
+    assert_eq!(multiget::parse_multiget(&request, &facts(), &limits()).unwrap_err().0, 400);
 }
 
 const HEAD: &str = "Req-Id: a\r\nReq-Deadline: 1\r\nIdempotency-Key: k\r\n";
@@ -188,7 +188,7 @@
 fn a_query_in_two_phases_is_read_with_both() {
     let body = r#"{"match":{"body":"find","terms":["beach"]},"fetch":{"body":"get","buckets":[
         {"bucket":2,"part":0.75,"effort":9000},{"bucket":0,"part":0.25}]}}"#;
-    let asked = multiget::asked(&request("/page", HEAD, body), &facts(), &limits()).unwrap();
+    let asked = multiget::parse_multiget(&request("/page", HEAD, body), &facts(), &limits()).unwrap();
     let second = asked.second.unwrap();
     assert_eq!(
         (asked.text.as_str(), second.text.as_str(), second.terms),
@@ -200,7 +200,7 @@
     assert_eq!(parts(&asked.parts), [(2, 0.75, false), (0, 0.25, false)]);
     assert_eq!(parts(&second.parts), [(2, 0.75, true), (0, 0.25, false)]);
     // Elsewhere such a body is what it ever was: none that can be used.
-    let elsewhere = multiget::asked(&request("/mark", HEAD, body), &facts(), &limits());
+    let elsewhere = multiget::parse_multiget(&request("/mark", HEAD, body), &facts(), &limits());
     assert_eq!(elsewhere.unwrap_err(), (400, "body unfit"));
 }
 
@@ -220,7 +220,7 @@
     "a block is to be fetched that is not asked for matches"; "a block that nothing could name"
 )]
 fn unusable_queries_in_two_phases_are_unfit(body: &str, why: &str) {
-    let unfit = multiget::asked(&request("/page", HEAD, body), &facts(), &limits()).unwrap_err();
+    let unfit = multiget::parse_multiget(&request("/page", HEAD, body), &facts(), &limits()).unwrap_err();
     assert_eq!(unfit, (400, why));
 }
 
@@ -228,15 +228,19 @@
 fn where_blocks_name_others_some_may_be_fetched_that_are_not_asked() {
     let facts = SocketFacts { phases: vec![Some(phases(true))], ..facts() };
     let body = format!(r#"{{"match":{{"body":"","buckets":[{{"bucket":1,"part":1}}]}},{BOTH}}}"#);
-    let asked = multiget::asked(&request("/page", HEAD, &body), &facts, &limits()).unwrap();
+    let asked = multiget::parse_multiget(&request("/page", HEAD, &body), &facts, &limits()).unwrap();
     assert_eq!((asked.parts[0].shard, asked.second.unwrap().parts[0].shard), (ShardId(1), ShardId(0)));
 }
 
 #[test]
 fn an_answer_in_two_phases_says_what_became_of_each_block() {
-    use multiget::Said;
-    let said = [(ShardId(3), Said::Fetched), (ShardId(4), Said::Pruned), (ShardId(5), Said::Unasked)];
-    let body = multiget::settled(false, [(ShardId(3), "x")].into_iter(), Some(&said));
+    use multiget::BlockState;
+    let said = [
+        (ShardId(3), BlockState::Fetched),
+        (ShardId(4), BlockState::Pruned),
+        (ShardId(5), BlockState::Unasked),
+    ];
+    let body = multiget::response_body(false, [(ShardId(3), "x")].into_iter(), Some(&said));
     let read: serde_json::Value = serde_json::from_slice(&body).unwrap();
     let state = |bucket, state| serde_json::json!({"bucket": bucket, "state": state});
     let blocks = [state(3, "fetched"), state(4, "pruned"), state(5, "unasked")];
@@ -246,7 +250,7 @@
 #[test]
 fn values_pass_unchanged() {
     let value = "q\"\\\n\u{1}\u{2028}\u{1f600}";
-    let body = multiget::settled(false, [(ShardId(3), value)].into_iter(), None);
+    let body = multiget::response_body(false, [(ShardId(3), value)].into_iter(), None);
     let read: serde_json::Value = serde_json::from_slice(&body).unwrap();
     assert_eq!(read, serde_json::json!({"finished": false, "found": [{"bucket": 3, "item": value}]}));
 }
@@ -260,16 +264,16 @@
 
 fn framed(frames: &[(u8, &[u8])]) -> Vec<u8> {
     let mut out = Buffer::default();
-    frames.iter().for_each(|(letter, rest)| frames::frame(&mut out, *letter, rest));
+    frames.iter().for_each(|(letter, rest)| frames::write_frame(&mut out, *letter, rest));
     out.data().to_vec()
 }
 
 #[test]
 fn frames_are_read_however_they_are_cut() {
-    let ended = |id: &str, end, waiting, value: &[u8]| Frame::Ended {
+    let ended = |id: &str, end, waiting, value: &[u8]| Frame::Response {
         id: id.into(),
-        end,
-        report: LoadReport { busy_share: None, waiting },
+        status: end,
+        load: LoadReport { busy_share: None, waiting },
         value: value.to_vec(),
     };
     let bytes = framed(&[
@@ -281,12 +285,12 @@
         (b'F', b"no such letter"),
     ]);
     let want = vec![
-        ended("a.3", End::Hit, Some(4.0), b"va\nlue"),
-        ended("a.4", End::Fault, None, b""),
-        Frame::Probed,
-        ended("a.5", End::Hit, None, b"v"),
-        ended("b.0", End::Overload, None, b""),
-        Frame::Unusable("no such letter".into()),
+        ended("a.3", CallStatus::Success, Some(4.0), b"va\nlue"),
+        ended("a.4", CallStatus::Fault, None, b""),
+        Frame::HealthCheckResponse,
+        ended("a.5", CallStatus::Success, None, b"v"),
+        ended("b.0", CallStatus::Overload, None, b""),
+        Frame::Rejected("no such letter".into()),
     ];
     assert_eq!(frames_of(&bytes), (want, None));
 }
@@ -305,14 +309,14 @@
 
 #[test]
 fn a_call_is_read_as_it_was_written() {
-    let part = |id, key, text| CallPart { id, shard: 3, wait: 240, key, phase: None, text };
+    let part = |id, key, text| CallPart { id, shard: 3, timeout_ms: 240, key, phase: None, text };
     let mut out = Buffer::default();
-    frames::call(&mut out, [part("a.3", Some("5c"), "x\ny"), part("b.3", None, "")].into_iter());
-    let frame = frames::next(&out, &limits()).unwrap().unwrap();
-    assert_eq!((frame.letter, frame.length), (b'A', out.len()));
-    let parts = frames::calls(frame.rest).unwrap();
+    frames::write_call(&mut out, [part("a.3", Some("5c"), "x\ny"), part("b.3", None, "")].into_iter());
+    let frame = frames::peek_frame(&out, &limits()).unwrap().unwrap();
+    assert_eq!((frame.kind, frame.length), (b'A', out.len()));
+    let parts = frames::read_call(frame.payload).unwrap();
     assert_eq!(parts, [("a.3", 3, "d=240,k=5c", "x\ny"), ("b.3", 3, "d=240", "")]);
-    assert_eq!(frames::calls(&frame.rest[..frame.rest.len() - 8]), None);
+    assert_eq!(frames::read_call(&frame.payload[..frame.payload.len() - 8]), None);
 }
 
 #[test_case(None, "d=240,k=5c"; "plain, as ever")]
@@ -320,11 +324,11 @@
 #[test_case(Some(CallPhase::Match { version: Some(7) }), "d=240,k=5c,p=match,v=7"; "with a version")]
 #[test_case(Some(CallPhase::Fetch), "d=240,k=5c,p=fetch"; "a fetch")]
 fn the_list_of_a_part_tells_its_phase(phase: Option<CallPhase>, list: &str) {
-    let part = CallPart { id: "a,m.3", shard: 3, wait: 240, key: Some("5c"), phase, text: "x" };
+    let part = CallPart { id: "a,m.3", shard: 3, timeout_ms: 240, key: Some("5c"), phase, text: "x" };
     let mut out = Buffer::default();
-    frames::call(&mut out, [part].into_iter());
-    let frame = frames::next(&out, &limits()).unwrap().unwrap();
-    assert_eq!(frames::calls(frame.rest).unwrap(), [("a,m.3", 3, list, "x")]);
+    frames::write_call(&mut out, [part].into_iter());
+    let frame = frames::peek_frame(&out, &limits()).unwrap().unwrap();
+    assert_eq!(frames::read_call(frame.payload).unwrap(), [("a,m.3", 3, list, "x")]);
 }
 
 const NODE: &str = r#"{"instanceId":"s-1","hostPort":"127.0.0.1:8443","cell":3,"lifecycle":"draining","startedAtMs":1700000000000}"#;
@@ -338,25 +342,25 @@
 #[test_case("7", 0, 1; "no entry at all")]
 fn one_bad_entry_costs_no_other(entry: &str, read: usize, bad: usize) {
     let json = format!(r#"{{"generation":9,"reset":true,"instances":[{entry},{NODE}]}}"#);
-    let list = list(json.as_bytes()).unwrap();
-    assert_eq!((list.generation, list.nodes.len(), list.bad.len()), (9, read + 1, bad));
+    let list = parse_list(json.as_bytes()).unwrap();
+    assert_eq!((list.generation, list.nodes.len(), list.rejected_entries.len()), (9, read + 1, bad));
     let sound = list.nodes.last().unwrap();
     assert_eq!((sound.health, sound.place), (Health::Draining, Some(PlaceId(3))));
-    assert_eq!(sound.since, Nanos(1_700_000_000_000_000_000));
+    assert_eq!(sound.started_at, Nanos(1_700_000_000_000_000_000));
 }
 
 /// What the watch asks next, after an answer with this body.
 fn asks_after(first: &str, then: &str) -> String {
     let (mut watch, host) = (Watch::default(), "127.0.0.1:8500".parse().unwrap());
     for body in [first, then] {
-        watch.ask(&mut Buffer::default(), host, Nanos(20_000_000_000));
+        watch.write_request(&mut Buffer::default(), host, Nanos(20_000_000_000));
         let mut input = Buffer::default();
         Answer { status: 200, kind: "application/json", wait: None, keep: true, old: false }
             .write(&mut input, body.as_bytes());
         let _ = watch.read(&mut input, false, &limits());
     }
     let mut out = Buffer::default();
-    watch.ask(&mut out, host, Nanos(20_000_000_000));
+    watch.write_request(&mut out, host, Nanos(20_000_000_000));
     String::from_utf8(out.data().to_vec()).unwrap().lines().next().unwrap().to_string()
 }
 
--- a/crates/fernknot-router/src/clients.rs
+++ b/crates/fernknot-router/src/clients.rs
@@ -391,7 +391,7 @@
                 let text = core.fleet.as_ref().map(|fleet| fleet.text(core.now)).unwrap_or_default();
                 self.answer(core, id, 200, None, text.as_bytes());
             }
-            _ => match multiget::asked(&request, &core.facts, &core.limits) {
+            _ => match multiget::parse_multiget(&request, &core.facts, &core.limits) {
                 // Guards a client's open request against another's under its id: nodes know no other name.
                 Ok(asked) if core.engine.table.is_open(&asked.id) => {
                     core.counters.bad_requests += 1;
@@ -438,7 +438,7 @@
         match verdict {
             Verdict::Settled { whole, found, blocks, .. } => {
                 let values = found.iter().map(|(shard, value)| (*shard, value.as_str()));
-                let body = multiget::settled(whole, values, blocks.as_deref());
+                let body = multiget::response_body(whole, values, blocks.as_deref());
                 // Guards clients that hold to the protocol's limit, and this router's memory.
                 if body.len() > core.limits.body {
                     core.counters.broken_off += 1;
--- a/crates/fernknot-router/src/discovery.rs
+++ b/crates/fernknot-router/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::nodes::Nodes;
 use calloop::Readiness;
 use fernknot::interface::*;
-use fernknot_protocol::discovery::{self, List, Watch};
+use fernknot_protocol::discovery::{self, NodeList, Watch};
 use slog::{info, warn};
 use std::net::SocketAddr;
 
@@ -40,8 +40,10 @@
     /// Takes the list as it was last known, and asks for the present one.
     pub fn start_lists(&mut self, core: &mut Core, nodes: &mut Nodes, known: Option<&str>) {
         self.retry = core.limits.initial_backoff;
-        match known.map(|known| discovery::list(known.as_bytes())) {
-            Some(Ok(list)) if !list.nodes.is_empty() => self.listed(core, nodes, List { full: true, ..list }),
+        match known.map(|known| discovery::parse_list(known.as_bytes())) {
+            Some(Ok(list)) if !list.nodes.is_empty() => {
+                self.listed(core, nodes, NodeList { is_full: true, ..list })
+            }
             Some(Err(why)) => warn!(core.log, "the known list is not used"; "why" => why),
             _ => {}
         }
@@ -78,7 +80,7 @@
         (self.asked, self.paused) = (core.now, false);
         let Discovery { link, watch, address, .. } = self;
         let Some(link) = link else { return };
-        let waits = watch.ask(&mut link.output, *address, core.limits.watch_wait);
+        let waits = watch.write_request(&mut link.output, *address, core.limits.watch_wait);
         let wait = if waits { core.limits.watch_wait } else { Nanos(0) };
         self.set_discovery_due(core, wait + core.limits.watch_grace);
         self.flush_discovery(core);
@@ -150,21 +152,21 @@
         }
     }
 
-    fn listed(&mut self, core: &mut Core, nodes: &mut Nodes, list: List) {
-        for why in &list.bad {
+    fn listed(&mut self, core: &mut Core, nodes: &mut Nodes, list: NodeList) {
+        for why in &list.rejected_entries {
             core.counters.list_entries_bad += 1;
             warn!(core.log, "an entry of the list is left out"; "why" => why.clone());
         }
-        let kind = if list.full { ListKind::Full } else { ListKind::Changes };
+        let kind = if list.is_full { ListKind::Full } else { ListKind::Changes };
         match kind {
             ListKind::Full => core.counters.lists_full += 1,
             ListKind::Changes => core.counters.lists_changes += 1,
         }
-        if list.full || !list.nodes.is_empty() {
+        if list.is_full || !list.nodes.is_empty() {
             let entries = nodes.note_nodes(core, &list);
             core.engine.list(kind, &entries);
-            info!(core.log, "listed"; "generation" => list.generation, "full" => list.full, "nodes" => entries.len());
+            info!(core.log, "listed"; "generation" => list.generation, "full" => list.is_full, "nodes" => entries.len());
         }
-        core.has_list |= list.full;
+        core.has_list |= list.is_full;
     }
 }
--- a/crates/fernknot-router/src/node_links.rs
+++ b/crates/fernknot-router/src/node_links.rs
@@ -8,7 +8,7 @@
 use calloop::Readiness;
 use fernknot::interface::*;
 use fernknot_engine::PartOf;
-use fernknot_protocol::frames::{self, CallPart, CallPhase, End, Frame};
+use fernknot_protocol::frames::{self, CallPart, CallPhase, CallStatus, Frame};
 use fernknot_protocol::outbox::Outbox;
 use slog::{debug, warn};
 use std::collections::{HashMap, VecDeque};
@@ -100,13 +100,13 @@
             let read = frames::read(&mut held.link.input, &core.limits);
             fresh |= matches!(read, Ok(Some(_)));
             match read {
-                Ok(Some(Frame::Ended { id: name, end, report, value })) => {
+                Ok(Some(Frame::Response { id: name, status: end, load: report, value })) => {
                     if !self.answered(core, id, &name, end, report, value) {
                         return self.bad_frame(core, id, "an answer to what was never sent");
                     }
                 }
-                Ok(Some(Frame::Probed)) => {}
-                Ok(Some(Frame::Unusable(words))) => return self.bad_frame(core, id, &words),
+                Ok(Some(Frame::HealthCheckResponse)) => {}
+                Ok(Some(Frame::Rejected(words))) => return self.bad_frame(core, id, &words),
                 Ok(None) => {
                     held.link.input.shrink(core.limits.idle_buffer_bytes);
                     self.watch_rest(core, id, fresh);
@@ -138,7 +138,7 @@
         core: &mut Core,
         id: LinkId,
         name: &str,
-        end: End,
+        end: CallStatus,
         report: LoadReport,
         value: Vec<u8>,
     ) -> bool {
@@ -153,13 +153,15 @@
         let Some(carried) = held.release(name) else { return false };
         let (part, no) = (carried.part, carried.no);
         match (end, String::from_utf8(value)) {
-            (End::Hit, Ok(value)) => {
+            (CallStatus::Success, Ok(value)) => {
                 self.on.remove(&(part, no));
                 core.engine.answered(core.now, part, no, value, report);
             }
             // A value that is no text cannot be passed on as it is.
-            (End::Hit, Err(_)) | (End::Fault, _) => self.end(core, part, no, Outcome::Error, report),
-            (End::Overload, _) => self.end(core, part, no, Outcome::TurnedAway, report),
+            (CallStatus::Success, Err(_)) | (CallStatus::Fault, _) => {
+                self.end(core, part, no, Outcome::Error, report)
+            }
+            (CallStatus::Overload, _) => self.end(core, part, no, Outcome::TurnedAway, report),
         }
         true
     }
@@ -268,7 +270,7 @@
             let Some(held) = self.links.get_mut(&id) else { return };
             let Ok(count) = held.link.flush() else { return self.link_broken(core, id) };
             let NodeLink { outbox, carried, link, waiting, .. } = held;
-            outbox.wrote(count, |item, whole| {
+            outbox.record_written(count, |item, whole| {
                 let Item::Call(parts) = item else { return };
                 for part in parts.iter().filter_map(|(part, _)| core.engine.table.part(*part)) {
                     if let Some(carried) = carried.get_mut(&part.id) {
@@ -277,7 +279,7 @@
                 }
             });
             let blocked = !link.output.is_empty();
-            while let Some(item) = outbox.take_back(&mut link.output) {
+            while let Some(item) = outbox.pop_unwritten(&mut link.output) {
                 waiting.push_front(item);
             }
             link.output.shrink(core.limits.idle_buffer_bytes);
@@ -318,7 +320,7 @@
             let Some(held) = self.links.get_mut(&id) else { return };
             let before = held.link.output.len();
             match &item {
-                Item::GiveUp(name) => frames::give_up(&mut held.link.output, name),
+                Item::GiveUp(name) => frames::write_cancel(&mut held.link.output, name),
                 Item::Call(parts) => {
                     let asked = parts.iter().filter_map(|(part, no)| {
                         let multiget = core.engine.table.get(part.of)?;
@@ -327,7 +329,7 @@
                         Some(CallPart {
                             id: &state.id,
                             shard: state.shard.0,
-                            wait: left.0.div_ceil(1_000_000),
+                            timeout_ms: left.0.div_ceil(1_000_000),
                             key: multiget.key(state),
                             phase: match state.of {
                                 PartOf::Plain => None,
@@ -340,11 +342,11 @@
                             text: multiget.text(state),
                         })
                     });
-                    frames::call(&mut held.link.output, asked);
+                    frames::write_call(&mut held.link.output, asked);
                 }
             }
             held.used = core.now;
-            held.outbox.add(held.link.output.len() - before, item);
+            held.outbox.push(held.link.output.len() - before, item);
         }
     }
 }
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -4,7 +4,7 @@
 use crate::ids::{LinkId, Timer};
 use crate::node_link::{NodeLink, Stage};
 use fernknot::interface::*;
-use fernknot_protocol::discovery::List;
+use fernknot_protocol::discovery::NodeList;
 use fernknot_protocol::news::Tags;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
 
 impl Nodes {
     /// Notes what a list says; what the module is to be told of it comes back.
-    pub fn note_nodes(&mut self, core: &mut Core, list: &List) -> Vec<NodeEntry> {
+    pub fn note_nodes(&mut self, core: &mut Core, list: &NodeList) -> Vec<NodeEntry> {
         let mut entries = Vec::new();
         let mut named = HashSet::new();
         for listed in &list.nodes {
@@ -54,20 +54,27 @@
             let place = listed.place.or(slot.map(|slot| slot.place));
             // One that is gone and was never known changes nothing.
             let (Some(address), Some(place)) = (address, place) else { continue };
-            let id = known.unwrap_or_else(|| self.add_node(core, &listed.name, address, place, listed.since));
+            let id =
+                known.unwrap_or_else(|| self.add_node(core, &listed.name, address, place, listed.started_at));
             named.insert(id);
             let slot = &mut self.slots[id.0 as usize];
-            let moved = slot.address != address || slot.since != listed.since;
-            (slot.address, slot.place, slot.since) = (address, place, listed.since);
+            let moved = slot.address != address || slot.since != listed.started_at;
+            (slot.address, slot.place, slot.since) = (address, place, listed.started_at);
             if moved {
                 self.retire_links(core, id);
             }
             self.set_health(core, id, listed.health);
             let zone = core.facts.zones.iter().position(|zone| listed.zone.as_ref() == Some(zone));
             let zone = zone.map(|zone| ZoneId(zone as u32));
-            entries.push(NodeEntry { node: id, place, zone, health: listed.health, since: listed.since });
+            entries.push(NodeEntry {
+                node: id,
+                place,
+                zone,
+                health: listed.health,
+                since: listed.started_at,
+            });
         }
-        if list.full {
+        if list.is_full {
             let all = 0..self.slots.len() as u32;
             all.map(NodeId)
                 .filter(|id| !named.contains(id))
--- a/crates/fernknot-two-phase/src/phases.rs
+++ b/crates/fernknot-two-phase/src/phases.rs
@@ -5,7 +5,7 @@
 use fernknot::interface::*;
 use fernknot::state::RunningMean;
 use fernknot_protocol::matches::{Match, Names};
-use fernknot_protocol::multiget::Said;
+use fernknot_protocol::multiget::BlockState;
 use fernknot_router_config::{PhaseFacts, Silent, Split};
 use std::collections::{BTreeMap, HashMap};
 
@@ -344,14 +344,18 @@
     /// What is to be said of each block of a multiget whose second phase was opened; `is_in` tells
     /// whether a block's value is in the answer. Pruned: every match answer that could have named it is
     /// in, and none did. Missing: its value was asked for and is not in. Unasked: neither.
-    pub fn account(&self, id: MultigetId, is_in: impl Fn(ShardId) -> bool) -> Option<Vec<(ShardId, Said)>> {
+    pub fn account(
+        &self,
+        id: MultigetId,
+        is_in: impl Fn(ShardId) -> bool,
+    ) -> Option<Vec<(ShardId, BlockState)>> {
         let open = self.open.get(&id)?;
         let state = |(shard, known): (&ShardId, &Known)| {
             let state = match (known.fetched, known.ruled_out) {
-                (true, _) if is_in(*shard) => Said::Fetched,
-                (true, _) => Said::Missing,
-                (false, true) => Said::Pruned,
-                (false, false) => Said::Unasked,
+                (true, _) if is_in(*shard) => BlockState::Fetched,
+                (true, _) => BlockState::Missing,
+                (false, true) => BlockState::Pruned,
+                (false, false) => BlockState::Unasked,
             };
             (*shard, state)
         };
--- a/examples/stand-in/src/node.rs
+++ b/examples/stand-in/src/node.rs
@@ -110,10 +110,12 @@
     let limits = crate::limits();
     let mut input = Buffer::default();
     loop {
-        let Ok(frame) = frames::next(&input, &limits) else { return unusable(&mut stream, "unfit length") };
-        if let Some(RawFrame { letter, rest, length }) = frame {
+        let Ok(frame) = frames::peek_frame(&input, &limits) else {
+            return unusable(&mut stream, "unfit length");
+        };
+        if let Some(RawFrame { kind: letter, payload: rest, length }) = frame {
             match letter {
-                b'A' => match frames::calls(rest) {
+                b'A' => match frames::read_call(rest) {
                     Some(calls) => {
                         for (id, shard, list, text) in calls {
                             let call = Call { id: id.into(), shard, list: list.into(), text: text.into() };
@@ -194,6 +196,6 @@
 
 fn write(stream: &mut TcpStream, letter: u8, rest: &[u8]) -> Result<()> {
     let mut out = Buffer::default();
-    frames::frame(&mut out, letter, rest);
+    frames::write_frame(&mut out, letter, rest);
     stream.write_all(out.data())
 }
