--- a/crates/fernknot-protocol/src/buffer.rs
+++ b/crates/fernknot-protocol/src/buffer.rs
@@ -1,68 +1,76 @@
-//! The bytes of one direction of a connection: grows as needed and is compacted in place.
+//! The bytes of one direction of a connection.
 
+/// A queue of bytes that grows as needed and is compacted in place.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
-    from: usize,
-    to: usize,
+    start: usize,
+    end: usize,
 }
 
 impl Buffer {
+    /// The bytes that have been put in and not consumed.
     pub fn data(&self) -> &[u8] {
-        &self.bytes[self.from..self.to]
+        &self.bytes[self.start..self.end]
     }
 
+    /// How many bytes [`Buffer::data`] has.
     pub fn len(&self) -> usize {
-        self.to - self.from
+        self.end - self.start
     }
 
+    /// Whether there are no bytes to consume.
     pub fn is_empty(&self) -> bool {
-        self.from == self.to
+        self.start == self.end
     }
 
-    /// Room for at least so many bytes behind what is held; `filled` says how many came.
+    /// Space to write at least so many bytes behind the data; [`Buffer::filled`] then says how many were written.
     pub fn space(&mut self, least: usize) -> &mut [u8] {
-        if self.bytes.len() - self.to < least {
-            self.bytes.copy_within(self.from..self.to, 0);
-            (self.from, self.to) = (0, self.to - self.from);
-            let wanted = self.to + least;
-            if self.bytes.len() < wanted {
-                self.bytes.resize(wanted.next_power_of_two(), 0);
+        if self.bytes.len() - self.end < least {
+            self.bytes.copy_within(self.start..self.end, 0);
+            (self.start, self.end) = (0, self.end - self.start);
+            let needed = self.end + least;
+            if self.bytes.len() < needed {
+                self.bytes.resize(needed.next_power_of_two(), 0);
             }
         }
-        &mut self.bytes[self.to..]
+        &mut self.bytes[self.end..]
     }
 
+    /// Adds the first so many bytes of [`Buffer::space`] to the data.
     pub fn filled(&mut self, count: usize) {
-        self.to += count;
+        self.end += count;
     }
 
+    /// Adds bytes to the end of the data.
     pub fn push(&mut self, bytes: &[u8]) {
         self.space(bytes.len())[..bytes.len()].copy_from_slice(bytes);
         self.filled(bytes.len());
     }
 
+    /// Removes so many bytes, or all, from the front of the data.
     pub fn consume(&mut self, count: usize) {
-        self.from += count.min(self.len());
+        self.start += count.min(self.len());
         if self.is_empty() {
-            (self.from, self.to) = (0, 0);
+            (self.start, self.end) = (0, 0);
         }
     }
 
-    /// Keeps the first so many bytes.
+    /// Keeps the first so many bytes of the data.
     pub fn truncate(&mut self, len: usize) {
-        self.to = self.from + len.min(self.len());
+        self.end = self.start + len.min(self.len());
     }
 
-    /// Gives back what an empty buffer holds beyond `kept`.
+    /// Frees the memory of an empty buffer that has more than `kept` bytes.
     pub fn shrink(&mut self, kept: usize) {
         if self.is_empty() && self.bytes.len() > kept {
             self.bytes = Vec::new();
-            (self.from, self.to) = (0, 0);
+            (self.start, self.end) = (0, 0);
         }
     }
 }
 
+/// Writing to a buffer does not fail.
 impl std::io::Write for Buffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.push(bytes);
--- /dev/null
+++ b/crates/fernknot-protocol/src/http/request.rs
@@ -0,0 +1,110 @@
+//! Requests of clients.
+
+use super::head;
+use crate::body::{BodyFraming, BodyLimits, framing};
+use crate::buffer::Buffer;
+use crate::http_error::HttpError;
+use fernknot_router_config::Limits;
+use httparse::Status;
+
+/// A request that has been read completely.
+#[derive(Debug, Default)]
+pub struct Request {
+    /// The method as it was sent.
+    pub method: String,
+    /// The path with the query.
+    pub target: String,
+    headers: Vec<(String, String)>,
+    /// The body, without its framing.
+    pub body: Vec<u8>,
+    /// The connection is kept after the response.
+    pub keep: bool,
+    /// The request is of HTTP/1.0, so that a kept connection must be announced.
+    pub old: bool,
+    /// The client waits for an interim response before it sends the body.
+    pub expects: bool,
+}
+
+impl Request {
+    /// The value of the first line of this name, in any case of letters.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        head::find(&self.headers, name)
+    }
+
+    /// All lines of the head, in the order in which they came.
+    pub fn headers(&self) -> &[(String, String)] {
+        &self.headers
+    }
+
+    /// The target without the query.
+    pub fn path(&self) -> &str {
+        self.target.split('?').next().unwrap_or("")
+    }
+}
+
+/// Reads the requests of one connection, one after the other.
+#[derive(Debug, Default)]
+pub struct RequestReader {
+    /// A request whose head has been read, but not all of its body.
+    pending: Option<(Request, BodyFraming)>,
+}
+
+impl RequestReader {
+    /// Whether a head has been read whose body is not complete.
+    pub fn is_open(&self) -> bool {
+        self.pending.is_some()
+    }
+
+    /// Bytes of memory kept for a body that is not complete: those that came, and space for the length that its head
+    /// announced.
+    pub fn kept(&self) -> usize {
+        self.pending.as_ref().map_or(0, |(request, _)| request.body.capacity())
+    }
+
+    /// Whether the client waits for [`GO_ON`](super::GO_ON) before it sends the body; true once a request.
+    pub fn wants_leave(&mut self) -> bool {
+        self.pending.as_mut().is_some_and(|(request, _)| std::mem::take(&mut request.expects))
+    }
+
+    /// The next request, once it is complete in `buffer`; its bytes are consumed.
+    ///
+    /// # Errors
+    /// The bytes are no request, or one beyond the limits.
+    pub fn read(&mut self, buffer: &mut Buffer, limits: &Limits) -> Result<Option<Request>, HttpError> {
+        if self.pending.is_none() {
+            self.pending = read_head(buffer, limits)?;
+        }
+        let Some((request, framing)) = &mut self.pending else { return Ok(None) };
+        let body_limits =
+            BodyLimits { max_body_bytes: limits.body, max_line_bytes: limits.max_chunk_line_bytes };
+        let is_complete = framing.read(buffer, &mut request.body, body_limits)?;
+        Ok(self.pending.take_if(|_| is_complete).map(|(request, _)| request))
+    }
+}
+
+fn read_head(buffer: &mut Buffer, limits: &Limits) -> Result<Option<(Request, BodyFraming)>, HttpError> {
+    let mut headers = vec![httparse::EMPTY_HEADER; limits.max_headers];
+    let mut parsed = httparse::Request::new(&mut headers);
+    let head_bytes = match parsed.parse(buffer.data()) {
+        Ok(Status::Complete(bytes)) if bytes <= limits.head => bytes,
+        Ok(Status::Partial) if buffer.len() <= limits.head => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => {
+            return Err(HttpError { status: 431, why: "head too large" });
+        }
+        Err(_) => return Err(HttpError { status: 400, why: "not HTTP" }),
+    };
+    let old = parsed.version == Some(0);
+    let connection = |token| head::has_token(parsed.headers, "connection", token);
+    let request = Request {
+        method: parsed.method.unwrap_or_default().to_string(),
+        target: parsed.path.unwrap_or_default().to_string(),
+        headers: parsed.headers.iter().map(head::text).collect(),
+        body: Vec::new(),
+        keep: if old { connection("keep-alive") } else { !connection("close") },
+        old,
+        expects: !old && head::has_token(parsed.headers, "expect", "100-continue"),
+    };
+    let framing = framing(parsed.headers)?.unwrap_or(BodyFraming::Length(0));
+    buffer.consume(head_bytes);
+    Ok(Some((request, framing)))
+}
--- a/crates/fernknot-protocol/src/news.rs
+++ b/crates/fernknot-protocol/src/news.rs
@@ -1,5 +1,7 @@
-//! What routers tell each other, as bytes: how many hand-offs were sent, two bytes for the node of
-//! each; then, for each one that ended, two bytes for its node and one for how it ended.
+//! What routers tell each other of nodes, as bytes.
+//!
+//! A message has a byte with the number of attempts that were sent and two bytes for the node of each; then, for each
+//! attempt that ended, two bytes for its node and one for how it ended: a latency, [`OVERDUE`] or [`FAILED`].
 
 use fernknot::interface::{Nanos, News, NodeId};
 use std::collections::HashMap;
@@ -7,12 +9,17 @@
 const OVERDUE: u8 = 254;
 const FAILED: u8 = 255;
 /// Steps of a latency's code for each doubling, from a tenth of a millisecond.
-const STEPS: f64 = 12.0;
+const STEPS_PER_DOUBLING: f64 = 12.0;
+const UNITS_PER_MS: f64 = 10.0;
+const TAG_BYTES: usize = 2;
+const ENDED_BYTES: usize = TAG_BYTES + 1;
 
 /// Short names of nodes that are the same at every router. One that two nodes share names neither.
 #[derive(Default)]
 pub struct Tags {
-    of: Vec<u16>,
+    /// By the nodes' ids.
+    tags: Vec<u16>,
+    /// `None` for a tag that two nodes share.
     nodes: HashMap<u16, Option<NodeId>>,
 }
 
@@ -21,92 +28,68 @@
     pub fn add(&mut self, name: &str, node: NodeId) {
         let hash = fernknot_router_config::fingerprint(name);
         let tag = (hash ^ (hash >> 16)) as u16;
-        match self.of.get_mut(node.0 as usize) {
-            Some(held) => {
-                let old = std::mem::replace(held, tag);
+        match self.tags.get_mut(node.0 as usize) {
+            Some(known) => {
+                let old = std::mem::replace(known, tag);
                 self.nodes.remove(&old);
             }
-            None => self.of.push(tag),
+            None => self.tags.push(tag),
         }
         self.nodes.entry(tag).and_modify(|node| *node = None).or_insert(Some(node));
     }
 
-    /// The messages that hold all news, each of at most so many bytes. A node without a name is
-    /// left out.
-    pub fn write(&self, news: &[(NodeId, News)], most: usize) -> Vec<Vec<u8>> {
-        let (sent, ended): (Vec<_>, Vec<_>) = news.iter().partition(|(_, what)| *what == News::Sent);
+    /// The messages that hold all updates, each of at most so many bytes. A node without a name is left out.
+    pub fn write(&self, updates: &[(NodeId, News)], max_bytes: usize) -> Vec<Vec<u8>> {
+        let (sent, ended): (Vec<_>, Vec<_>) = updates.iter().partition(|(_, update)| *update == News::Sent);
         let mut messages = Vec::new();
-        let mut bytes = vec![0];
-        for (node, what) in sent.into_iter().chain(ended) {
-            let Some(tag) = self.of.get(node.0 as usize) else { continue };
-            if bytes.len() + 3 > most || bytes[0] == u8::MAX {
-                messages.push(std::mem::replace(&mut bytes, vec![0]));
+        let mut message = vec![0];
+        for (node, update) in sent.into_iter().chain(ended) {
+            let Some(tag) = self.tags.get(node.0 as usize) else { continue };
+            if message.len() + ENDED_BYTES > max_bytes || message[0] == u8::MAX {
+                messages.push(std::mem::replace(&mut message, vec![0]));
             }
-            bytes.extend(tag.to_be_bytes());
-            match what {
-                News::Sent => bytes[0] += 1,
-                News::Answered(took) => {
-                    let code = (took.as_millis() * 10.0).max(1.0).log2() * STEPS;
-                    bytes.push(code.round().min(f64::from(OVERDUE - 1)) as u8);
-                }
-                News::Overdue => bytes.push(OVERDUE),
-                News::Failed => bytes.push(FAILED),
+            message.extend(tag.to_be_bytes());
+            match update {
+                News::Sent => message[0] += 1,
+                News::Answered(took) => message.push(encode_latency(took)),
+                News::Overdue => message.push(OVERDUE),
+                News::Failed => message.push(FAILED),
             }
         }
-        messages.extend((bytes.len() > 1).then_some(bytes));
+        messages.extend((message.len() > 1).then_some(message));
         messages
     }
 
     /// What a message says of nodes that are known here; nothing if it was cut off.
     pub fn read(&self, bytes: &[u8]) -> Option<Vec<(NodeId, News)>> {
-        let (sent, rest) = bytes.split_first()?;
-        let (sent, ended) = rest.split_at_checked(2 * usize::from(*sent))?;
-        if ended.len() % 3 != 0 {
+        let (sent_count, rest) = bytes.split_first()?;
+        let (sent, ended) = rest.split_at_checked(TAG_BYTES * usize::from(*sent_count))?;
+        if ended.len() % ENDED_BYTES != 0 {
             return None;
         }
-        let sent = sent.chunks_exact(2).map(|tag| (tag, News::Sent));
-        let ended = ended.chunks_exact(3).map(|entry| match entry[2] {
-            OVERDUE => (&entry[..2], News::Overdue),
-            FAILED => (&entry[..2], News::Failed),
-            code => {
-                (&entry[..2], News::Answered(Nanos::from_millis((f64::from(code) / STEPS).exp2() / 10.0)))
-            }
-        });
-        let known = |(tag, what): (&[u8], News)| {
+        let sent = sent.chunks_exact(TAG_BYTES).map(|tag| (tag, News::Sent));
+        let ended =
+            ended.chunks_exact(ENDED_BYTES).map(|entry| (&entry[..TAG_BYTES], decode_end(entry[TAG_BYTES])));
+        let known = |(tag, update): (&[u8], News)| {
             let node = self.nodes.get(&u16::from_be_bytes([tag[0], tag[1]]))?;
-            node.map(|node| (node, what))
+            node.map(|node| (node, update))
         };
         Some(sent.chain(ended).filter_map(known).collect())
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn encode_latency(latency: Nanos) -> u8 {
+    let code = (latency.as_millis() * UNITS_PER_MS).max(1.0).log2() * STEPS_PER_DOUBLING;
+    code.round().min(f64::from(OVERDUE - 1)) as u8
+}
 
-    #[test]
-    fn what_is_written_is_read_and_what_is_cut_off_or_strange_is_left_out() {
-        let mut tags = Tags::default();
-        tags.add("10.0.0.1:80", NodeId(0));
-        tags.add("10.0.0.2:80", NodeId(1));
-        let took = News::Answered(Nanos::from_millis(200.0));
-        let news = [
-            (NodeId(1), News::Sent),
-            (NodeId(0), News::Overdue),
-            (NodeId(1), News::Failed),
-            (NodeId(0), took),
-        ];
-        let messages = tags.write(&news, 256);
-        let read = tags.read(&messages[0]).unwrap();
-        assert_eq!(read[..3], news[..3]);
-        let (node, News::Answered(told)) = read[3] else { panic!("{read:?}") };
-        assert!(node == NodeId(0) && (180.0..220.0).contains(&told.as_millis()));
-        for cut in [0, 1, 2, 4, 5, messages[0].len() - 1] {
-            assert_eq!(tags.read(&messages[0][..cut]), None, "cut at {cut}");
+fn decode_end(code: u8) -> News {
+    match code {
+        OVERDUE => News::Overdue,
+        FAILED => News::Failed,
+        code => {
+            let millis = (f64::from(code) / STEPS_PER_DOUBLING).exp2() / UNITS_PER_MS;
+            News::Answered(Nanos::from_millis(millis))
         }
-        assert_eq!(Tags::default().read(&messages[0]), Some(Vec::new()));
-        let split = tags.write(&news, 8);
-        assert!(split.len() > 1 && split.iter().all(|message| message.len() <= 8));
-        assert_eq!(split.iter().flat_map(|message| tags.read(message).unwrap()).count(), news.len());
     }
 }
--- a/crates/fernknot-protocol/tests/machines.rs
+++ b/crates/fernknot-protocol/tests/machines.rs
@@ -3,7 +3,7 @@
 use fernknot::interface::*;
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::discovery::{Watch, parse_list};
-use fernknot_protocol::frames::{self, CallPart, CallPhase, CallStatus, Frame};
+use fernknot_protocol::frames::{self, CallPart, CallPhase, CallStatus, Frame, ReceivedPart};
 use fernknot_protocol::http::{Answer, Request, RequestReader, ResponseReader};
 use fernknot_protocol::multiget;
 use fernknot_router_config::{Limits, PhaseFacts, Silent, SocketFacts, Split};
@@ -179,7 +179,12 @@
 fn unusable_heads_are_unfit(head: &str) {
     let body = r#"{"buckets":[{"bucket":0,"part":1}],"body":""}"#;
     let request = request("/mark", &format!("Req-Id: a\r\n{head}"), body);
-    assert_eq!(multiget::parse_multiget(&request, &facts(), &limits()).unwrap_err().0, 400);
+    assert_eq!(multiget::parse_multiget(&request, &facts(), &limits()).unwrap_err().status(), 400);
+}
+
+/// How a request that is rejected is answered.
+fn status_and_text(error: multiget::RequestError) -> (u16, String) {
+    (error.status(), error.to_string())
 }
 
 const HEAD: &str = "Req-Id: a\r\nReq-Deadline: 1\r\nIdempotency-Key: k\r\n";
@@ -201,7 +206,7 @@
     assert_eq!(parts(&second.parts), [(2, 0.75, true), (0, 0.25, false)]);
     // Elsewhere such a body is what it ever was: none that can be used.
     let elsewhere = multiget::parse_multiget(&request("/mark", HEAD, body), &facts(), &limits());
-    assert_eq!(elsewhere.unwrap_err(), (400, "body unfit"));
+    assert_eq!(status_and_text(elsewhere.unwrap_err()), (400, "body unfit".to_string()));
 }
 
 const BOTH: &str = r#""fetch":{"body":"","buckets":[{"bucket":0,"part":1}]}"#;
@@ -221,7 +226,7 @@
 )]
 fn unusable_queries_in_two_phases_are_unfit(body: &str, why: &str) {
     let unfit = multiget::parse_multiget(&request("/page", HEAD, body), &facts(), &limits()).unwrap_err();
-    assert_eq!(unfit, (400, why));
+    assert_eq!(status_and_text(unfit), (400, why.to_string()));
 }
 
 #[test]
@@ -258,7 +263,7 @@
 fn frames_of(bytes: &[u8]) -> (Vec<Frame>, Option<String>) {
     same_however_cut(bytes, || {
         let limits = limits();
-        move |buffer: &mut Buffer| frames::read(buffer, &limits).map_err(str::to_string)
+        move |buffer: &mut Buffer| frames::read(buffer, &limits).map_err(|error| error.to_string())
     })
 }
 
@@ -315,7 +320,8 @@
     let frame = frames::peek_frame(&out, &limits()).unwrap().unwrap();
     assert_eq!((frame.kind, frame.length), (b'A', out.len()));
     let parts = frames::read_call(frame.payload).unwrap();
-    assert_eq!(parts, [("a.3", 3, "d=240,k=5c", "x\ny"), ("b.3", 3, "d=240", "")]);
+    let received = |id, options, text| ReceivedPart { id, shard: 3, options, text };
+    assert_eq!(parts, [received("a.3", "d=240,k=5c", "x\ny"), received("b.3", "d=240", "")]);
     assert_eq!(frames::read_call(&frame.payload[..frame.payload.len() - 8]), None);
 }
 
@@ -328,7 +334,8 @@
     let mut out = Buffer::default();
     frames::write_call(&mut out, [part].into_iter());
     let frame = frames::peek_frame(&out, &limits()).unwrap().unwrap();
-    assert_eq!(frames::read_call(frame.payload).unwrap(), [("a,m.3", 3, list, "x")]);
+    let received = ReceivedPart { id: "a,m.3", shard: 3, options: list, text: "x" };
+    assert_eq!(frames::read_call(frame.payload).unwrap(), [received]);
 }
 
 const NODE: &str = r#"{"instanceId":"s-1","hostPort":"127.0.0.1:8443","cell":3,"lifecycle":"draining","startedAtMs":1700000000000}"#;
--- a/crates/fernknot-router/src/clients.rs
+++ b/crates/fernknot-router/src/clients.rs
@@ -398,9 +398,9 @@
                     self.answer(core, id, 409, None, b"a request of this id is open");
                 }
                 Ok(asked) => self.take(core, id, asked),
-                Err((status, why)) => {
+                Err(error) => {
                     core.counters.bad_requests += 1;
-                    self.answer(core, id, status, None, why.as_bytes());
+                    self.answer(core, id, error.status(), None, error.to_string().as_bytes());
                 }
             },
         }
--- a/crates/fernknot-router/src/discovery.rs
+++ b/crates/fernknot-router/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::nodes::Nodes;
 use calloop::Readiness;
 use fernknot::interface::*;
-use fernknot_protocol::discovery::{self, NodeList, Watch};
+use fernknot_protocol::discovery::{self, NodeList, Watch, WatchUpdate};
 use slog::{info, warn};
 use std::net::SocketAddr;
 
@@ -44,7 +44,9 @@
             Some(Ok(list)) if !list.nodes.is_empty() => {
                 self.listed(core, nodes, NodeList { is_full: true, ..list })
             }
-            Some(Err(why)) => warn!(core.log, "the known list is not used"; "why" => why),
+            Some(Err(error)) => {
+                warn!(core.log, "the known list is not used"; "why" => error.to_string());
+            }
             _ => {}
         }
         self.ask_discovery(core);
@@ -110,8 +112,8 @@
         }
         let read = self.watch.read(&mut link.input, ended, &core.limits);
         match (read, filled) {
-            (Ok(Some((list, keep))), _) => {
-                if !keep || ended {
+            (Ok(Some(WatchUpdate { list, keeps_connection })), _) => {
+                if !keeps_connection || ended {
                     self.link = None;
                 }
                 self.retry = core.limits.initial_backoff;
@@ -125,7 +127,7 @@
                     self.ask_discovery(core);
                 }
             }
-            (Err(why), _) => self.discovery_failed(core, &why),
+            (Err(error), _) => self.discovery_failed(core, &error.to_string()),
             (Ok(None), Err(error)) => self.discovery_failed(core, &error.to_string()),
             (Ok(None), Ok(_)) if ended => self.discovery_failed(core, "answer cut off"),
             (Ok(None), Ok(_)) => {}
@@ -155,7 +157,7 @@
     fn listed(&mut self, core: &mut Core, nodes: &mut Nodes, list: NodeList) {
         for why in &list.rejected_entries {
             core.counters.list_entries_bad += 1;
-            warn!(core.log, "an entry of the list is left out"; "why" => why.clone());
+            warn!(core.log, "an entry of the list is left out"; "why" => why.to_string());
         }
         let kind = if list.is_full { ListKind::Full } else { ListKind::Changes };
         match kind {
--- a/crates/fernknot-router/src/node_links.rs
+++ b/crates/fernknot-router/src/node_links.rs
@@ -112,7 +112,7 @@
                     self.watch_rest(core, id, fresh);
                     break;
                 }
-                Err(why) => return self.bad_frame(core, id, why),
+                Err(error) => return self.bad_frame(core, id, &error.to_string()),
             }
         }
         match filled {
--- a/examples/stand-in/src/node.rs
+++ b/examples/stand-in/src/node.rs
@@ -2,7 +2,7 @@
 
 use fernknot::interface::ShardId;
 use fernknot_protocol::buffer::Buffer;
-use fernknot_protocol::frames::{self, RawFrame};
+use fernknot_protocol::frames::{self, RawFrame, ReceivedPart};
 use fernknot_protocol::matches::{self, Match, Names};
 use std::io::{Read, Result, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -113,12 +113,12 @@
         let Ok(frame) = frames::peek_frame(&input, &limits) else {
             return unusable(&mut stream, "unfit length");
         };
-        if let Some(RawFrame { kind: letter, payload: rest, length }) = frame {
-            match letter {
-                b'A' => match frames::read_call(rest) {
+        if let Some(RawFrame { kind, payload, length }) = frame {
+            match kind {
+                b'A' => match frames::read_call(payload) {
                     Some(calls) => {
-                        for (id, shard, list, text) in calls {
-                            let call = Call { id: id.into(), shard, list: list.into(), text: text.into() };
+                        for ReceivedPart { id, shard, options, text } in calls {
+                            let call = Call { id: id.into(), shard, list: options.into(), text: text.into() };
                             state.calls.lock().expect("no panic before").push(call.clone());
                             answer(&mut stream, number, state, &call)?;
                         }
@@ -126,10 +126,10 @@
                     None => return unusable(&mut stream, "unfit call"),
                 },
                 b'B' => {
-                    let id = String::from_utf8_lossy(rest).into_owned();
+                    let id = String::from_utf8_lossy(payload).into_owned();
                     state.given_up.lock().expect("no panic before").push(id);
                 }
-                b'C' | b'D' => write(&mut stream, letter, b"hit")?,
+                b'C' | b'D' => write(&mut stream, kind, b"hit")?,
                 _ => return unusable(&mut stream, "unknown letter"),
             }
             input.consume(length);
