--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -1,28 +1,35 @@
-//! The loop: each turn reads all that is ready, tells the module, pulls decisions until there are
-//! none, and writes.
+//! The event loop: each turn reads all that is ready, gives it to the engine, pulls actions until there are none, and
+//! writes.
 
 use crate::clients::Clients;
 use crate::clock::Clock;
-use crate::core::Core;
+use crate::context::Context;
 use crate::counters::Counters;
 use crate::discovery::Discovery;
-use crate::ids::{Heard, Source, Timer};
-use crate::logs::Lines;
+use crate::error::RunError;
+use crate::events::{ReadyEvents, Source, Timer};
+use crate::log_queue::LogQueue;
 use crate::membership::Membership;
+use crate::node_connection::AttemptId;
 use crate::nodes::Nodes;
 use crate::peers::Peers;
-use calloop::EventLoop;
+use crate::tcp_connection::EventLoopHandle;
 use calloop::signals::{Signal, Signals};
-use fernknot::interface::*;
+use calloop::{EventLoop, Readiness};
+use fernknot::interface::Nanos;
 use fernknot_engine::{Engine, Order};
 use fernknot_router_config::{Precedence, RouterConfig};
 use slog::{Level, info, warn};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+const NANOS_PER_US: u64 = 1000;
+/// The longest wait of the event loop when nothing is due.
+const MAX_WAIT: Nanos = Nanos(1_000_000_000);
+
 struct App {
-    core: Core,
-    lines: Lines,
+    context: Context,
+    log_queue: LogQueue,
     clock: Clock,
     clients: Clients,
     nodes: Nodes,
@@ -30,215 +37,262 @@
     peers: Option<Peers>,
 }
 
-pub fn run(start: RouterConfig) -> Result<(), String> {
-    let level = if start.verbose { Level::Debug } else { Level::Info };
-    let (lines, log) = Lines::new(start.limits.max_pending_log_bytes, level);
-    let told = |what: &'static str| move |error: std::io::Error| format!("{what}: {error}");
-    let mut events: EventLoop<'static, Heard> =
-        EventLoop::try_new().map_err(|error| format!("event loop: {error}"))?;
-    let handle = events.handle();
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
-        .map_err(|error| format!("signals: {error}"))?;
-    handle
-        .insert_source(signals, |event, _, heard: &mut Heard| heard.signals.push(event.signal()))
-        .map_err(|error| format!("signals: {error}"))?;
-    let clock = Clock::new();
-    let now = clock.now();
-    let clients = Clients::new(&handle, start.listen).map_err(told("listen"))?;
-    let fleet = start.membership.as_ref().zip(start.peer_addresses.as_ref()).map(|(fleet, told)| {
-        Membership::new(start.seed, fleet, told, start.sockets.position, start.limits.max_datagram_bytes, now)
-    });
-    let peers = start.peer_addresses.map(|told| Peers::new(&handle, told, start.sockets.position));
-    let peers = peers.transpose().map_err(told("peer_listen"))?;
-    let core = Core {
-        now,
-        engine: Engine::new(
-            start.seed,
-            start.site,
-            &start.sockets.phases,
-            start.limits.max_sketch_bytes,
-            now,
-        ),
-        facts: start.sockets,
-        counters: Counters::default(),
-        timers: BTreeSet::new(),
-        fleet,
-        has_list: false,
-        stop_by: None,
-        lingered: false,
-        limits: start.limits,
-        log,
-        handle,
-    };
-    let nodes = Nodes { tags: peers.as_ref().map(|_| Default::default()), ..Nodes::default() };
-    let mut app =
-        App { core, lines, clock, clients, nodes, discovery: Discovery::new(start.discovery), peers };
-    let mut heard = Heard::default();
-    info!(app.core.log, "started"; "name" => start.name, "listen" => %start.listen);
-    app.discovery.start_lists(
-        &mut app.core,
-        &mut app.nodes,
-        start.last_known_list.as_deref().map(|known| known.get()),
-    );
-    app.turn(&mut heard);
+/// Runs the router until it is told to stop and all that it owes has been answered.
+pub fn run(config: RouterConfig) -> Result<(), RunError> {
+    let mut event_loop: EventLoop<'static, ReadyEvents> =
+        EventLoop::try_new().map_err(RunError::EventLoop)?;
+    let handle = event_loop.handle();
+    watch_signals(&handle)?;
+    let (name, listen, last_known_list) =
+        (config.name.clone(), config.listen, config.last_known_list.clone());
+    let mut app = App::new(config, handle)?;
+    let mut events = ReadyEvents::default();
+    info!(app.context.log, "started"; "name" => name, "listen" => %listen);
+    let last_known_list = last_known_list.as_deref().map(|list| list.get());
+    app.discovery.start(&mut app.context, &mut app.nodes, last_known_list);
+    app.turn(&mut events);
     while !app.is_done() {
-        let timeout = app.timeout();
-        events.dispatch(Some(timeout), &mut heard).map_err(|error| format!("event loop: {error}"))?;
-        app.turn(&mut heard);
+        event_loop.dispatch(Some(app.timeout()), &mut events).map_err(RunError::EventLoop)?;
+        app.turn(&mut events);
     }
-    info!(app.core.log, "stopped"; "counters" => app.core.counters_text().trim().replace('\n', ", "));
-    app.lines.flush();
+    let counters = app.context.counters_text();
+    info!(app.context.log, "stopped"; "counters" => counters.trim().replace('\n', ", "));
+    app.log_queue.flush();
+    Ok(())
+}
+
+fn watch_signals(event_loop: &EventLoopHandle) -> Result<(), RunError> {
+    let signals =
+        Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(RunError::Signals)?;
+    event_loop
+        .insert_source(signals, |event, _, events: &mut ReadyEvents| events.signals.push(event.signal()))
+        .map_err(|error| RunError::SignalSource(Box::new(error)))?;
     Ok(())
 }
 
 impl App {
+    fn new(config: RouterConfig, event_loop: EventLoopHandle) -> Result<App, RunError> {
+        let level = if config.verbose { Level::Debug } else { Level::Info };
+        let (log_queue, log) = LogQueue::new(config.limits.max_pending_log_bytes, level);
+        let clock = Clock::new();
+        let now = clock.now();
+        let clients = Clients::new(&event_loop, config.listen).map_err(RunError::Listen)?;
+        let membership = new_membership(&config, now);
+        let position = config.sockets.position;
+        let peers = config.peer_addresses.map(|addresses| Peers::new(&event_loop, addresses, position));
+        let peers = peers.transpose().map_err(RunError::PeerListen)?;
+        let sketch_bytes = config.limits.max_sketch_bytes;
+        let context = Context {
+            now,
+            engine: Engine::new(config.seed, config.site, &config.sockets.phases, sketch_bytes, now),
+            settings: config.sockets,
+            counters: Counters::default(),
+            timers: BTreeSet::new(),
+            membership,
+            has_list: false,
+            stop_deadline: None,
+            has_lingered: false,
+            limits: config.limits,
+            log,
+            event_loop,
+        };
+        let nodes = Nodes { tags: peers.as_ref().map(|_| Default::default()), ..Nodes::default() };
+        let discovery = Discovery::new(config.discovery);
+        Ok(App { context, log_queue, clock, clients, nodes, discovery, peers })
+    }
+
     /// The next time at which something is due.
     fn next_due(&self) -> Option<Nanos> {
-        let timer = self.core.timers.first().map(|(at, _)| *at);
-        let fleet = self.core.fleet.as_ref().map(Membership::due);
-        timer.into_iter().chain(self.core.engine.due()).chain(fleet).min()
+        let timer = self.context.timers.first().map(|(at, _)| *at);
+        let membership = self.context.membership.as_ref().map(Membership::due);
+        timer.into_iter().chain(self.context.engine.due()).chain(membership).min()
     }
 
+    /// How long the event loop may wait.
     fn timeout(&self) -> Duration {
         if self.clients.has_more() || self.nodes.has_more() {
             return Duration::ZERO;
         }
-        let next = self.next_due().unwrap_or(self.core.now + Nanos(1_000_000_000));
+        let next = self.next_due().unwrap_or(self.context.now + MAX_WAIT);
         // To the nanosecond; were the loop to wake early, it would only wait once more.
         Duration::from_nanos((next - self.clock.now()).0)
     }
 
+    fn is_done(&self) -> bool {
+        self.context.has_lingered && self.context.engine.table.owed == 0 && !self.clients.are_busy()
+    }
+
+    /// Begins a graceful shutdown.
     fn stop(&mut self) {
-        let core = &mut self.core;
-        if core.stop_by.is_none() {
-            info!(core.log, "told to stop"; "owed" => core.engine.table.owed);
-            let until = core.now + core.limits.shutdown_linger;
-            core.stop_by = Some(until + core.limits.final_response_timeout);
-            core.timers.insert((until, Timer::Linger));
-            core.fleet.iter_mut().for_each(|fleet| fleet.leave(core.now));
+        let context = &mut self.context;
+        if context.stop_deadline.is_some() {
+            return;
+        }
+        info!(context.log, "stopping"; "owed" => context.engine.table.owed);
+        let linger_end = context.now + context.limits.shutdown_linger;
+        context.stop_deadline = Some(linger_end + context.limits.final_response_timeout);
+        context.set_timer(linger_end, Timer::ShutdownLinger);
+        if let Some(membership) = &mut context.membership {
+            membership.leave(context.now);
         }
     }
 
-    /// Takes the configuration anew, as far as a running router can: its limits, and where discovery
-    /// is. One that cannot be used changes nothing. Guards what is in hand and every connection
-    /// against a new file.
-    fn read_again(&mut self) {
-        let core = &mut self.core;
+    /// Reads the configuration anew, as far as a running router can change: its limits, and where discovery is. One
+    /// that cannot be used changes nothing. Guards what is pending and every connection against a new file.
+    fn reload(&mut self) {
+        let context = &mut self.context;
         match RouterConfig::read(Precedence::File, crate::variable) {
-            Ok(start) => {
-                core.counters.configurations_taken += 1;
-                info!(core.log, "configuration taken"; "discovery" => %start.discovery);
-                core.limits = start.limits;
-                self.discovery.move_discovery(core, start.discovery);
-                // Where membership is on, the list of routers may change while they run.
-                if let (Some(fleet), Some(given), Some(told)) =
-                    (&mut core.fleet, start.membership, start.peer_addresses)
-                {
-                    fleet.list(core.now, &given, &told);
-                    self.peers.iter_mut().for_each(|peers| peers.list(told.clone(), start.sockets.position));
-                }
+            Ok(config) => {
+                context.counters.configurations_taken += 1;
+                info!(context.log, "configuration taken"; "discovery" => %config.discovery);
+                self.apply_config(config);
             }
-            Err(why) => {
-                core.counters.configurations_bad += 1;
-                warn!(core.log, "the new configuration is not taken"; "why" => why.to_string());
+            Err(error) => {
+                context.counters.configurations_bad += 1;
+                warn!(context.log, "the new configuration is not taken"; "why" => error.to_string());
             }
         }
     }
 
-    fn is_done(&self) -> bool {
-        self.core.lingered && self.core.engine.table.owed == 0 && !self.clients.are_busy()
+    fn apply_config(&mut self, config: RouterConfig) {
+        let context = &mut self.context;
+        context.limits = config.limits;
+        self.discovery.change_address(context, config.discovery);
+        // Where membership is on, the list of routers may change while they run.
+        let new = config.membership.zip(config.peer_addresses);
+        if let Some((membership, (settings, addresses))) = context.membership.as_mut().zip(new) {
+            membership.change_routers(context.now, &settings, &addresses);
+            if let Some(peers) = &mut self.peers {
+                peers.change_addresses(addresses, config.sockets.position);
+            }
+        }
     }
 
-    fn turn(&mut self, heard: &mut Heard) {
-        self.core.now = self.clock.now();
-        self.core.counters.turns += 1;
-        self.core.fleet.iter_mut().for_each(|fleet| fleet.woke(self.core.now));
-        if let Some(at) = self.next_due() {
-            let late = (self.core.now - at).0 / 1000;
-            self.core.counters.longest_late_us = self.core.counters.longest_late_us.max(late);
-        }
-        for signal in std::mem::take(&mut heard.signals) {
+    fn turn(&mut self, events: &mut ReadyEvents) {
+        self.begin_turn();
+        for signal in std::mem::take(&mut events.signals) {
             match signal {
-                Signal::SIGHUP => self.read_again(),
+                Signal::SIGHUP => self.reload(),
                 _ => self.stop(),
             }
         }
-        let App { core, clients, nodes, discovery, peers, .. } = self;
-        for (source, readiness) in std::mem::take(&mut heard.ready) {
-            match source {
-                Source::Listener => clients.accept(core),
-                Source::Client(id) => clients.client_ready(core, id, readiness),
-                Source::Node(id) => nodes.node_ready(core, id, readiness),
-                Source::Discovery => discovery.discovery_ready(core, nodes, readiness),
-                Source::Peers => {
-                    if let (Some(peers), Some(tags)) = (peers.as_ref(), &nodes.tags) {
-                        peers.hear(core, tags);
-                    }
-                }
-            }
+        for (source, readiness) in std::mem::take(&mut events.sockets) {
+            self.socket_ready(source, readiness);
         }
-        clients.read_more_clients(core);
-        nodes.read_more_nodes(core);
-        while let Some((at, timer)) = self.core.timers.first().copied().filter(|(at, _)| *at <= self.core.now)
-        {
-            self.core.timers.remove(&(at, timer));
-            self.due(timer);
+        self.clients.read_more_clients(&mut self.context);
+        self.nodes.read_more_nodes(&mut self.context);
+        self.run_timers();
+        if self.context.stop_deadline.is_some() {
+            self.clients.end_idle_clients(&mut self.context);
         }
-        let App { core, clients, .. } = self;
-        if core.stop_by.is_some() {
-            clients.end_idle_clients(core);
+        self.run_actions();
+        if let Some(peers) = &self.peers {
+            peers.send_membership(&mut self.context);
         }
-        loop {
-            while let Some(order) = self.core.engine.next(self.core.now) {
-                self.act(order);
+        self.end_turn();
+    }
+
+    fn begin_turn(&mut self) {
+        self.context.now = self.clock.now();
+        self.context.counters.turns += 1;
+        if let Some(membership) = &mut self.context.membership {
+            membership.woke(self.context.now);
+        }
+        if let Some(at) = self.next_due() {
+            let late_us = (self.context.now - at).0 / NANOS_PER_US;
+            let counters = &mut self.context.counters;
+            counters.longest_late_us = counters.longest_late_us.max(late_us);
+        }
+    }
+
+    fn end_turn(&mut self) {
+        self.log_queue.flush();
+        let took_us = (self.clock.now() - self.context.now).0 / NANOS_PER_US;
+        let counters = &mut self.context.counters;
+        counters.longest_turn_us = counters.longest_turn_us.max(took_us);
+    }
+
+    fn socket_ready(&mut self, source: Source, readiness: Readiness) {
+        let App { context, clients, nodes, discovery, peers, .. } = self;
+        match source {
+            Source::Listener => clients.accept(context),
+            Source::Client(id) => clients.client_ready(context, id, readiness),
+            Source::Node(id) => nodes.node_ready(context, id, readiness),
+            Source::Discovery => discovery.ready(context, nodes, readiness),
+            Source::Peers => {
+                if let (Some(peers), Some(tags)) = (peers.as_ref(), &nodes.tags) {
+                    peers.receive(context, tags);
+                }
             }
-            let App { core, clients, nodes, .. } = self;
-            nodes.place_calls(core);
-            nodes.flush_nodes(core);
-            clients.flush_clients(core);
-            if !core.engine.has_news() && nodes.pulled.is_empty() {
-                break;
+        }
+    }
+
+    fn run_timers(&mut self) {
+        while let Some((at, timer)) = self.context.timers.first().copied() {
+            if at > self.context.now {
+                return;
             }
+            self.context.cancel_timer(at, timer);
+            self.timer_due(timer);
         }
-        let App { core, peers, .. } = self;
-        peers.iter().for_each(|peers| peers.keep_track(core));
-        self.lines.flush();
-        let took = (self.clock.now() - self.core.now).0 / 1000;
-        self.core.counters.longest_turn_us = self.core.counters.longest_turn_us.max(took);
     }
 
-    fn due(&mut self, timer: Timer) {
-        let App { core, clients, nodes, discovery, .. } = self;
+    fn timer_due(&mut self, timer: Timer) {
+        let App { context, clients, nodes, discovery, .. } = self;
         match timer {
-            Timer::Link(id) => nodes.link_late(core, id),
-            Timer::NodeIdle(id) => nodes.node_idle(core, id),
-            Timer::DrainGrace(node) => nodes.drained(core, node),
-            Timer::Client(id) => clients.client_due(core, id),
-            Timer::Accept => clients.accept(core),
-            Timer::Discovery => discovery.discovery_due(core),
-            Timer::Linger => {
-                clients.accept(core);
+            Timer::NodeConnection(id) => nodes.deadline_passed(context, id),
+            Timer::NodeIdle(id) => nodes.idle_timer_due(context, id),
+            Timer::DrainGrace(node) => nodes.grace_over(context, node),
+            Timer::Client(id) => clients.client_timer_due(context, id),
+            Timer::Accept => clients.accept(context),
+            Timer::Discovery => discovery.timer_due(context),
+            Timer::ShutdownLinger => {
+                clients.accept(context);
                 clients.stop_listening();
-                core.lingered = true;
+                context.has_lingered = true;
             }
         }
     }
 
-    /// Carries out one order.
-    fn act(&mut self, order: Order) {
-        let App { core, clients, nodes, peers, .. } = self;
-        match order {
-            Order::Send { part, no, node } => nodes.send(part, no, node),
-            Order::Abandon { part, no, outcome } => nodes.abandon(core, part, no, outcome),
-            Order::Answer { asker, verdict, ended } => clients.give(core, asker, verdict, ended),
+    /// Pulls actions of the engine and writes what they cause, until there is nothing left to do.
+    fn run_actions(&mut self) {
+        loop {
+            while let Some(action) = self.context.engine.next(self.context.now) {
+                self.run_action(action);
+            }
+            let App { context, clients, nodes, .. } = self;
+            nodes.place_calls(context);
+            nodes.flush_nodes(context);
+            clients.flush_clients(context);
+            if !context.engine.has_news() && nodes.unplaced.is_empty() {
+                break;
+            }
+        }
+    }
+
+    fn run_action(&mut self, action: Order) {
+        let App { context, clients, nodes, peers, .. } = self;
+        match action {
+            Order::Send { part, no, node } => nodes.send(AttemptId { part, number: no }, node),
+            Order::Abandon { part, no, outcome } => {
+                nodes.abandon(context, AttemptId { part, number: no }, outcome);
+            }
+            Order::Answer { asker, verdict, ended } => clients.answer(context, asker, verdict, ended),
             // Discovery is watched from the start, whether or not that must be asked for.
             Order::FollowList => {}
-            Order::Renew { node } => nodes.renew_links(core, node),
+            Order::Renew { node } => nodes.renew_connections(context, node),
             Order::Tell { news } => {
                 if let (Some(peers), Some(tags)) = (peers, &nodes.tags) {
-                    peers.tell(core, tags, &news);
+                    peers.send_updates(context, tags, &news);
                 }
             }
         }
     }
 }
+
+fn new_membership(config: &RouterConfig, now: Nanos) -> Option<Membership> {
+    let settings = config.membership.as_ref()?;
+    let addresses = config.peer_addresses.as_ref()?;
+    let (position, datagram_bytes) = (config.sockets.position, config.limits.max_datagram_bytes);
+    Some(Membership::new(config.seed, settings, addresses, position, datagram_bytes, now))
+}
--- /dev/null
+++ b/crates/fernknot-router/src/client_requests.rs
@@ -0,0 +1,141 @@
+//! Requests of clients, and the responses to them.
+
+use crate::client::ClientState;
+use crate::clients::Clients;
+use crate::context::Context;
+use crate::events::ClientId;
+use fernknot::interface::Nanos;
+use fernknot_engine::{AskerId, Ended, Verdict};
+use fernknot_protocol::http::{Answer, Request};
+use fernknot_protocol::multiget;
+use slog::debug;
+
+const MILLIS_PER_SECOND: f64 = 1e3;
+
+impl Clients {
+    pub fn handle_request(&mut self, context: &mut Context, id: ClientId, request: Request) {
+        let Some(client) = self.by_id.get_mut(&id) else { return };
+        client.keeps_connection = request.keep;
+        client.is_http_1_0 = request.old;
+        client.has_requested = true;
+        match (request.method.as_str(), request.path()) {
+            ("HEAD", _) => {
+                // Its response has no body, whose length a head would announce.
+                client.keeps_connection = false;
+                self.respond(context, id, 405, None, b"");
+            }
+            ("GET", "/up") => {
+                let is_ready = context.has_list && context.stop_deadline.is_none();
+                let (status, body) = if is_ready { (200, "up\n") } else { (503, "not ready\n") };
+                self.respond(context, id, status, None, body.as_bytes());
+            }
+            ("GET", "/counters") => {
+                let text = context.counters_text();
+                self.respond(context, id, 200, None, text.as_bytes());
+            }
+            ("GET", "/fleet") if context.membership.is_some() => {
+                let membership = context.membership.as_ref();
+                let text = membership.map(|membership| membership.text(context.now)).unwrap_or_default();
+                self.respond(context, id, 200, None, text.as_bytes());
+            }
+            _ => self.handle_multiget(context, id, &request),
+        }
+    }
+
+    fn handle_multiget(&mut self, context: &mut Context, id: ClientId, request: &Request) {
+        match multiget::parse_multiget(request, &context.settings, &context.limits) {
+            // Guards a client's open request against another's under its id: nodes know no other name.
+            Ok(asked) if context.engine.table.is_open(&asked.id) => {
+                context.counters.bad_requests += 1;
+                self.respond(context, id, 409, None, b"a request of this id is open");
+            }
+            Ok(asked) => self.take_multiget(context, id, asked),
+            Err(error) => {
+                context.counters.bad_requests += 1;
+                self.respond(context, id, error.status(), None, error.to_string().as_bytes());
+            }
+        }
+    }
+
+    fn take_multiget(&mut self, context: &mut Context, id: ClientId, asked: multiget::Asked) {
+        // Guards what comes late in a stop against the end of the process.
+        let client_end = (context.now + asked.wait).min(context.stop_deadline.unwrap_or(Nanos(u64::MAX)));
+        let multiget = context.engine.take(context.now, AskerId(id.0), client_end, asked);
+        if let Some(client) = self.by_id.get_mut(&id) {
+            client.state = ClientState::Pending(multiget);
+            client.was_probed = false;
+        }
+    }
+
+    /// Answers a request that cannot be read, and ends the connection after it.
+    pub fn reject_request(&mut self, context: &mut Context, id: ClientId, status: u16, why: &str) {
+        context.counters.bad_requests += 1;
+        if let Some(client) = self.by_id.get_mut(&id) {
+            client.keeps_connection = false;
+        }
+        self.respond(context, id, status, None, why.as_bytes());
+    }
+
+    /// Puts a response on its way.
+    fn respond(
+        &mut self,
+        context: &mut Context,
+        id: ClientId,
+        status: u16,
+        retry_after_s: Option<f64>,
+        body: &[u8],
+    ) {
+        let is_handed_over = self.is_handed_over(context, id);
+        let Some(client) = self.by_id.get_mut(&id) else { return };
+        client.keeps_connection &= !is_handed_over;
+        let is_json = status == 200 && body.starts_with(b"{");
+        let head = Answer {
+            status,
+            kind: if is_json { "application/json" } else { "text/plain" },
+            wait: retry_after_s,
+            keep: client.keeps_connection,
+            old: client.is_http_1_0,
+        };
+        head.write(&mut client.tcp.output, body);
+        client.state = ClientState::Writing;
+        client.last_progress = context.now;
+        self.unflushed.push(id);
+    }
+
+    /// Gives the final answer to a pending multiget.
+    pub fn answer(&mut self, context: &mut Context, asker: AskerId, verdict: Verdict, ended: Ended) {
+        let id = ClientId(asker.0);
+        if ended != Ended::Plain && !matches!(verdict, Verdict::Settled { .. }) {
+            debug!(context.log, "a query in two phases is given up"; "in" => ?ended);
+        }
+        match verdict {
+            Verdict::Settled { whole, found, blocks, .. } => {
+                let values = found.iter().map(|(shard, value)| (*shard, value.as_str()));
+                let body = multiget::response_body(whole, values, blocks.as_deref());
+                self.respond_with_values(context, id, whole, &body);
+            }
+            Verdict::Dismissed { wait } => {
+                context.counters.dismissed += 1;
+                let retry_after_s = wait.map(|wait| wait.as_millis() / MILLIS_PER_SECOND);
+                self.respond(context, id, 503, retry_after_s, b"dismissed");
+            }
+            Verdict::BrokenOff => {
+                context.counters.broken_off += 1;
+                self.respond(context, id, 502, None, b"broken off");
+            }
+        }
+    }
+
+    fn respond_with_values(&mut self, context: &mut Context, id: ClientId, is_complete: bool, body: &[u8]) {
+        // Guards clients that hold to the protocol's limit, and this router's memory.
+        if body.len() > context.limits.body {
+            context.counters.broken_off += 1;
+            return self.respond(context, id, 502, None, b"answer too large");
+        }
+        match is_complete {
+            true => context.counters.settled_whole += 1,
+            false => context.counters.settled_in_part += 1,
+        }
+        self.respond(context, id, 200, None, body);
+    }
+}
--- a/crates/fernknot-router/src/clock.rs
+++ b/crates/fernknot-router/src/clock.rs
@@ -1,21 +1,22 @@
-//! The host's clock: monotonic from the start of the process, counted from the Unix epoch, so that a
-//! node's start before this process can be told and a step of the wall clock moves no deadline.
+//! The clock of the process: monotonic from its start, counted from the Unix epoch, so that a node's start before this
+//! process can be expressed and a step of the wall clock moves no deadline.
 
 use fernknot::interface::Nanos;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 pub struct Clock {
-    start: Instant,
-    zero: Nanos,
+    started: Instant,
+    /// Unix time when the process started.
+    started_at: Nanos,
 }
 
 impl Clock {
     pub fn new() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), zero: Nanos(since_epoch.as_nanos() as u64) }
+        Clock { started: Instant::now(), started_at: Nanos(since_epoch.as_nanos() as u64) }
     }
 
     pub fn now(&self) -> Nanos {
-        self.zero + Nanos(self.start.elapsed().as_nanos() as u64)
+        self.started_at + Nanos(self.started.elapsed().as_nanos() as u64)
     }
 }
--- a/crates/fernknot-router/src/counters.rs
+++ b/crates/fernknot-router/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the sockets of a router have seen since its start.
+//! Counters of what the sockets of a router have seen since its start.
 
 fernknot_engine::counters!(
     bad_requests,
--- a/crates/fernknot-router/src/logs.rs
+++ b/crates/fernknot-router/src/log_queue.rs
@@ -1,4 +1,4 @@
-//! Lines to standard error that never block the loop: they wait, up to a limit, until it takes them.
+//! Log lines to standard error that never block the event loop: they wait, up to a limit, until it takes them.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use slog::{Drain, Key, LevelFilter, Logger, OwnedKVList, Record, Serializer, o};
@@ -9,22 +9,22 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 #[derive(Default)]
-struct Waiting {
+struct PendingLines {
     lines: VecDeque<String>,
     bytes: usize,
-    left_out: usize,
+    dropped_lines: usize,
 }
 
 /// What has been logged and not yet written.
 #[derive(Clone)]
-pub struct Lines {
-    waiting: Arc<Mutex<Waiting>>,
-    most: usize,
+pub struct LogQueue {
+    pending: Arc<Mutex<PendingLines>>,
+    max_bytes: usize,
 }
 
-struct Pairs<'a>(&'a mut String);
+struct KeyValueWriter<'a>(&'a mut String);
 
-impl Serializer for Pairs<'_> {
+impl Serializer for KeyValueWriter<'_> {
     fn emit_arguments(&mut self, key: Key, value: &fmt::Arguments) -> slog::Result {
         let text = value.to_string().replace('\n', " ");
         self.0.push_str(&format!(" {key}={text}"));
@@ -32,7 +32,7 @@
     }
 }
 
-impl Drain for Lines {
+impl Drain for LogQueue {
     type Ok = ();
     type Err = slog::Never;
 
@@ -41,37 +41,37 @@
         let mut line =
             format!("{}.{:03} {} {}", at.as_secs(), at.subsec_millis(), record.level(), record.msg());
         // Writing to a string does not fail.
-        let _ = slog::KV::serialize(&record.kv(), record, &mut Pairs(&mut line));
-        let _ = slog::KV::serialize(values, record, &mut Pairs(&mut line));
+        let _ = slog::KV::serialize(&record.kv(), record, &mut KeyValueWriter(&mut line));
+        let _ = slog::KV::serialize(values, record, &mut KeyValueWriter(&mut line));
         line.push('\n');
-        let mut waiting = self.held();
-        if waiting.bytes + line.len() > self.most {
-            waiting.left_out += 1;
+        let mut pending = self.lock_pending();
+        if pending.bytes + line.len() > self.max_bytes {
+            pending.dropped_lines += 1;
         } else {
-            waiting.bytes += line.len();
-            waiting.lines.push_back(line);
+            pending.bytes += line.len();
+            pending.lines.push_back(line);
         }
         Ok(())
     }
 }
 
-impl Lines {
+impl LogQueue {
     /// A log of this level and above.
-    pub fn new(most: usize, level: slog::Level) -> (Lines, Logger) {
-        let lines = Lines { waiting: Arc::default(), most };
-        (lines.clone(), Logger::root(LevelFilter::new(lines, level).fuse(), o!()))
+    pub fn new(max_bytes: usize, level: slog::Level) -> (LogQueue, Logger) {
+        let queue = LogQueue { pending: Arc::default(), max_bytes };
+        (queue.clone(), Logger::root(LevelFilter::new(queue, level).fuse(), o!()))
     }
 
-    /// The loop's one thread alone takes the lock, which the log's type asks for.
-    fn held(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    /// The one thread of the event loop alone takes the lock, which the logger's type requires.
+    fn lock_pending(&self) -> MutexGuard<'_, PendingLines> {
+        self.pending.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Writes what standard error takes without blocking: a pipe that polls as writable takes a
     /// line of these lengths whole.
     pub fn flush(&self) {
-        let mut waiting = self.held();
-        while let Some(line) = waiting.lines.front() {
+        let mut pending = self.lock_pending();
+        while let Some(line) = pending.lines.front() {
             let stderr = std::io::stderr();
             let mut fds = [PollFd::new(&stderr, PollFlags::OUT)];
             let ready =
@@ -79,13 +79,13 @@
             if !ready || stderr.lock().write_all(line.as_bytes()).is_err() {
                 return;
             }
-            waiting.bytes -= line.len();
-            waiting.lines.pop_front();
-            if waiting.lines.is_empty() && waiting.left_out > 0 {
-                let left_out = std::mem::take(&mut waiting.left_out);
-                let line = format!("{left_out} lines of the log were left out\n");
-                waiting.bytes += line.len();
-                waiting.lines.push_back(line);
+            pending.bytes -= line.len();
+            pending.lines.pop_front();
+            if pending.lines.is_empty() && pending.dropped_lines > 0 {
+                let dropped_lines = std::mem::take(&mut pending.dropped_lines);
+                let line = format!("{dropped_lines} lines of the log were left out\n");
+                pending.bytes += line.len();
+                pending.lines.push_back(line);
             }
         }
     }
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership on sockets: the fleet's words over the peers' datagrams, its changes in log and counters.
+//! Membership on sockets: its messages in the peers' datagrams, its changes in the log and counters.
 
 use fernknot::interface::Nanos;
 use fernknot_membership::{Fleet, FleetFacts, Refused, RouterId, Step, Variant};
@@ -21,71 +21,77 @@
 );
 
 pub struct Membership {
-    fleet: Fleet,
+    members: Fleet,
     addresses: BTreeMap<RouterId, SocketAddr>,
-    /// Among how many routers limits are shared, as the engine was told last.
+    /// Among how many routers limits are shared, as the engine knows it.
     sharers: usize,
-    majority: bool,
-    twice: bool,
+    has_majority: bool,
+    /// That another router has this one's name has been logged.
+    has_logged_duplicate: bool,
     pub counters: Counters,
 }
 
 /// The id and address of each router of a list.
-fn listed(start: &MembershipSettings, told: &PeerAddresses) -> BTreeMap<RouterId, SocketAddr> {
-    start.router_fingerprints.iter().copied().map(RouterId).zip(told.peers.iter().copied()).collect()
+fn addresses_by_id(
+    settings: &MembershipSettings,
+    addresses: &PeerAddresses,
+) -> BTreeMap<RouterId, SocketAddr> {
+    let ids = settings.router_fingerprints.iter().copied().map(RouterId);
+    ids.zip(addresses.peers.iter().copied()).collect()
 }
 
 impl Membership {
     pub fn new(
         seed: u64,
-        start: &MembershipSettings,
-        told: &PeerAddresses,
+        settings: &MembershipSettings,
+        peers: &PeerAddresses,
         position: usize,
-        datagram: usize,
+        datagram_bytes: usize,
         now: Nanos,
     ) -> Membership {
-        let addresses = listed(start, told);
-        let facts = FleetFacts {
-            period: start.probe_period,
-            datagrams_per_s: start.max_datagrams_per_s,
-            datagram,
+        let addresses = addresses_by_id(settings, peers);
+        let fleet_settings = FleetFacts {
+            period: settings.probe_period,
+            datagrams_per_s: settings.max_datagrams_per_s,
+            datagram: datagram_bytes,
             variant: Variant::Fleet,
         };
         // The position was checked against the list.
-        let own = RouterId(start.router_fingerprints.get(position).copied().unwrap_or_default());
+        let own = RouterId(settings.router_fingerprints.get(position).copied().unwrap_or_default());
         let others = addresses.keys().copied();
-        let fleet = Fleet::new(seed, facts, own, start.name_fingerprint, now.0 / 1_000_000, others, now);
+        let members =
+            Fleet::new(seed, fleet_settings, own, settings.name_fingerprint, now.0 / 1_000_000, others, now);
         Membership {
-            fleet,
+            members,
             sharers: addresses.len(),
             addresses,
-            majority: false,
-            twice: false,
+            has_majority: false,
+            has_logged_duplicate: false,
             counters: Counters::default(),
         }
     }
 
-    /// Takes another list of the fleet.
-    pub fn list(&mut self, now: Nanos, start: &MembershipSettings, told: &PeerAddresses) {
-        self.addresses = listed(start, told);
-        self.fleet.list(now, self.addresses.keys().copied());
+    /// Takes another list of routers.
+    pub fn change_routers(&mut self, now: Nanos, settings: &MembershipSettings, peers: &PeerAddresses) {
+        self.addresses = addresses_by_id(settings, peers);
+        self.members.list(now, self.addresses.keys().copied());
     }
 
     pub fn woke(&mut self, now: Nanos) {
-        self.fleet.woke(now);
+        self.members.woke(now);
     }
 
     pub fn due(&self) -> Nanos {
-        self.fleet.due()
+        self.members.due()
     }
 
     pub fn leave(&mut self, now: Nanos) {
-        self.fleet.leave(now);
+        self.members.leave(now);
     }
 
-    pub fn heard(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         let id = self.addresses.iter().find(|(_, address)| **address == from).map(|(id, _)| *id);
-        let count = match self.fleet.heard(now, id, bytes) {
+        let count = match self.members.heard(now, id, bytes) {
             Ok(()) => &mut self.counters.fleet_datagrams_taken,
             Err(Refused::Stranger) => &mut self.counters.fleet_strangers,
             Err(Refused::Version) => &mut self.counters.fleet_other_versions,
@@ -95,8 +101,8 @@
     }
 
     /// The next datagram to send, until there is none. What else happened goes to the log.
-    pub fn next(&mut self, now: Nanos, log: &Logger) -> Option<(SocketAddr, Vec<u8>)> {
-        while let Some(step) = self.fleet.next(now) {
+    pub fn next_datagram(&mut self, now: Nanos, log: &Logger) -> Option<(SocketAddr, Vec<u8>)> {
+        while let Some(step) = self.members.next(now) {
             match step {
                 Step::Send { to, bytes } => {
                     if let Some(address) = self.addresses.get(&to) {
@@ -115,7 +121,7 @@
                 }
                 Step::Twice { other, yields } => {
                     self.counters.fleet_names_twice += 1;
-                    if !std::mem::replace(&mut self.twice, true) {
+                    if !std::mem::replace(&mut self.has_logged_duplicate, true) {
                         let other = self.name(other);
                         warn!(log, "fleet: another router has this one's name"; "at" => other, "yields" => yields);
                     }
@@ -125,15 +131,15 @@
         None
     }
 
-    /// Among how many routers limits are shared, if that has changed; the word on the majority goes to the log.
-    pub fn newly_shared(&mut self, now: Nanos, log: &Logger) -> Option<usize> {
-        let majority = self.fleet.has_majority(now);
-        if majority != self.majority {
-            self.majority = majority;
-            let (lives, all) = self.fleet.count();
-            info!(log, "fleet: majority"; "held" => majority, "alive" => lives, "of" => all);
+    /// Among how many routers limits are shared, if that has changed; a change of majority goes to the log.
+    pub fn changed_sharers(&mut self, now: Nanos, log: &Logger) -> Option<usize> {
+        let has_majority = self.members.has_majority(now);
+        if has_majority != self.has_majority {
+            self.has_majority = has_majority;
+            let (alive, all) = self.members.count();
+            info!(log, "fleet: majority"; "held" => has_majority, "alive" => alive, "of" => all);
         }
-        let sharers = self.fleet.sharers(now);
+        let sharers = self.members.sharers(now);
         (std::mem::replace(&mut self.sharers, sharers) != sharers).then_some(sharers)
     }
 
@@ -141,26 +147,26 @@
         self.addresses.get(&id).map_or_else(|| format!("{:08x}", id.0), SocketAddr::to_string)
     }
 
-    /// The view: a line on this router, and one for each other.
+    /// The view of this router as text: a line on itself, and one for each other.
     pub fn text(&self, now: Nanos) -> String {
-        let (own, incarnation) = self.fleet.own();
-        let (lives, all) = self.fleet.count();
-        let state = match (self.fleet.has_yielded(), self.fleet.has_left()) {
+        let (own, incarnation) = self.members.own();
+        let (alive, all) = self.members.count();
+        let state = match (self.members.has_yielded(), self.members.has_left()) {
             (true, _) => "yielded",
             (_, true) => "left",
             _ => "own",
         };
         let mut text = format!(
-            "{} {state} incarnation={} alive={lives} of={all} majority={} young={} alone={} lateness={} sharers={}\n",
+            "{} {state} incarnation={} alive={alive} of={all} majority={} young={} alone={} lateness={} sharers={}\n",
             self.name(own),
             incarnation.0,
-            self.fleet.has_majority(now),
-            self.fleet.is_young(now),
-            self.fleet.is_alone(now),
-            self.fleet.lateness(),
+            self.members.has_majority(now),
+            self.members.is_young(now),
+            self.members.is_alone(now),
+            self.members.lateness(),
             self.sharers,
         );
-        for line in self.fleet.lines(now) {
+        for line in self.members.lines(now) {
             text += &format!(
                 "{} {} incarnation={} age_ms={} link={:?} by={} path={:?} verdicts={}\n",
                 self.name(line.id),
--- /dev/null
+++ b/crates/fernknot-router/src/node_writer.rs
@@ -0,0 +1,120 @@
+//! Frames that go to data nodes.
+
+use crate::context::Context;
+use crate::events::NodeConnectionId;
+use crate::node_connection::{AttemptId, NodeConnection, OutgoingFrame, WriteState};
+use crate::nodes::Nodes;
+use fernknot::interface::{NodeId, Outcome};
+use fernknot_engine::PartOf;
+use fernknot_protocol::frames::{self, CallPart, CallPhase};
+
+const NANOS_PER_MS: u64 = 1_000_000;
+
+impl Nodes {
+    pub fn flush_nodes(&mut self, context: &mut Context) {
+        for id in std::mem::take(&mut self.unflushed) {
+            self.flush_node(context, id);
+        }
+    }
+
+    fn flush_node(&mut self, context: &mut Context, id: NodeConnectionId) {
+        while self.connections.get(&id).is_some_and(|connection| connection.is_up) {
+            self.encode(context, id);
+            let Some(connection) = self.connections.get_mut(&id) else { return };
+            let Ok(count) = connection.tcp.flush() else { return self.connection_broken(context, id) };
+            record_written(context, connection, count);
+            let is_blocked = !connection.tcp.output.is_empty();
+            while let Some(frame) = connection.outbox.pop_unwritten(&mut connection.tcp.output) {
+                connection.queued.push_front(frame);
+            }
+            connection.tcp.output.shrink(context.limits.idle_buffer_bytes);
+            if is_blocked || connection.queued.is_empty() {
+                break;
+            }
+        }
+        self.close_if_retired(context, id);
+    }
+
+    /// Puts queued frames into the output buffer, without what is not to be sent any more.
+    fn encode(&mut self, context: &mut Context, id: NodeConnectionId) {
+        while let Some(connection) = self.connections.get_mut(&id) {
+            if connection.tcp.output.len() >= context.limits.read_ahead_bytes {
+                return;
+            }
+            let Some(frame) = connection.queued.pop_front() else { return };
+            let node = connection.node;
+            let frame = match frame {
+                OutgoingFrame::Cancel(_) => frame,
+                OutgoingFrame::Call(attempts) => {
+                    let sendable = self.sendable(context, node, attempts);
+                    if sendable.is_empty() {
+                        continue;
+                    }
+                    OutgoingFrame::Call(sendable)
+                }
+            };
+            let Some(connection) = self.connections.get_mut(&id) else { return };
+            write_frame(context, connection, frame);
+        }
+    }
+
+    /// Those of a call's attempts that are still to be sent; the others end.
+    fn sendable(&mut self, context: &mut Context, node: NodeId, attempts: Vec<AttemptId>) -> Vec<AttemptId> {
+        let is_grace_over = self.record(node).grace_end.is_some_and(|end| end <= context.now);
+        let mut sendable = Vec::new();
+        for attempt in attempts {
+            let multiget = context.engine.table.get(attempt.part.of);
+            if is_grace_over || multiget.is_none_or(|multiget| multiget.over) {
+                self.abandon(context, attempt, Outcome::NeverSent);
+            } else if context.engine.table.is_out(attempt.part, attempt.number) {
+                sendable.push(attempt);
+            }
+        }
+        sendable
+    }
+}
+
+/// Records that so many bytes have been written: how far each attempt's frame has come.
+fn record_written(context: &Context, connection: &mut NodeConnection, count: usize) {
+    let NodeConnection { outbox, pending, .. } = connection;
+    outbox.record_written(count, |frame, is_complete| {
+        let OutgoingFrame::Call(attempts) = frame else { return };
+        for part in attempts.iter().filter_map(|attempt| context.engine.table.part(attempt.part)) {
+            if let Some(attempt) = pending.get_mut(&part.id) {
+                attempt.state = if is_complete { WriteState::Written } else { WriteState::Begun };
+            }
+        }
+    });
+}
+
+fn write_frame(context: &Context, connection: &mut NodeConnection, frame: OutgoingFrame) {
+    let out = &mut connection.tcp.output;
+    let bytes_before = out.len();
+    match &frame {
+        OutgoingFrame::Cancel(part_id) => frames::write_cancel(out, part_id),
+        OutgoingFrame::Call(attempts) => {
+            let parts = attempts.iter().filter_map(|attempt| call_part(context, *attempt));
+            frames::write_call(out, parts);
+        }
+    }
+    connection.last_used = context.now;
+    connection.outbox.push(connection.tcp.output.len() - bytes_before, frame);
+}
+
+fn call_part(context: &Context, attempt: AttemptId) -> Option<CallPart<'_>> {
+    let multiget = context.engine.table.get(attempt.part.of)?;
+    let part = &multiget.parts[attempt.part.index];
+    let time_left = part.hand_offs.get(attempt.number.0 as usize)?.stop_at - context.now;
+    Some(CallPart {
+        id: &part.id,
+        shard: part.shard.0,
+        timeout_ms: time_left.0.div_ceil(NANOS_PER_MS),
+        key: multiget.key(part),
+        phase: match part.of {
+            PartOf::Plain => None,
+            PartOf::Match => Some(CallPhase::Match { version: context.engine.phases().version(part.shard) }),
+            PartOf::Fetch => Some(CallPhase::Fetch),
+        },
+        text: multiget.text(part),
+    })
+}
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -1,157 +1,167 @@
 //! Data nodes as they are listed.
 
-use crate::core::Core;
-use crate::ids::{LinkId, Timer};
-use crate::node_link::{NodeLink, Stage};
-use fernknot::interface::*;
-use fernknot_protocol::discovery::NodeList;
+use crate::context::Context;
+use crate::events::{NodeConnectionId, Timer};
+use crate::node_connection::{AttemptId, NodeConnection, WriteState};
+use fernknot::interface::{Health, Nanos, NodeEntry, NodeId, Outcome, PlaceId, ZoneId};
+use fernknot_protocol::discovery::{ListedNode, NodeList};
 use fernknot_protocol::news::Tags;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
 /// A data node as the list has it.
-pub struct Slot {
+pub struct NodeRecord {
     pub address: SocketAddr,
     pub place: PlaceId,
     pub health: Health,
-    pub since: Nanos,
-    pub links: Vec<LinkId>,
+    pub started_at: Nanos,
+    pub connections: Vec<NodeConnectionId>,
     /// When the grace ends that it was given when it began to drain or went.
-    pub grace: Option<Nanos>,
+    pub grace_end: Option<Nanos>,
 }
 
+/// All data nodes, the connections to them, and the attempts on these.
 #[derive(Default)]
 pub struct Nodes {
     pub ids: HashMap<String, NodeId>,
-    pub slots: Vec<Slot>,
-    pub links: HashMap<LinkId, NodeLink>,
-    pub next_link: u64,
-    /// Hand-offs of this pull that stand on no connection yet.
-    pub pulled: BTreeMap<NodeId, Vec<(PartId, HandOffNo)>>,
-    /// The connection that each hand-off out is on.
-    pub on: HashMap<(PartId, HandOffNo), LinkId>,
+    /// By the nodes' ids.
+    pub records: Vec<NodeRecord>,
+    pub connections: HashMap<NodeConnectionId, NodeConnection>,
+    pub next_connection: u64,
+    /// Attempts of this turn that are on no connection yet.
+    pub unplaced: BTreeMap<NodeId, Vec<AttemptId>>,
+    /// The connection that each attempt is on.
+    pub connection_of: HashMap<AttemptId, NodeConnectionId>,
     /// What nodes are called between routers, where routers may send each other messages.
     pub tags: Option<Tags>,
-    pub more: Vec<LinkId>,
-    pub dirty: Vec<LinkId>,
+    /// Connections with more to read.
+    pub readable: Vec<NodeConnectionId>,
+    /// Connections with something to write.
+    pub unflushed: Vec<NodeConnectionId>,
 }
 
 impl Nodes {
+    /// Whether a connection has more to read.
     pub fn has_more(&self) -> bool {
-        !self.more.is_empty()
+        !self.readable.is_empty()
     }
-}
 
-impl Nodes {
-    /// Notes what a list says; what the module is to be told of it comes back.
-    pub fn note_nodes(&mut self, core: &mut Core, list: &NodeList) -> Vec<NodeEntry> {
+    pub fn record(&self, id: NodeId) -> &NodeRecord {
+        &self.records[id.0 as usize]
+    }
+
+    pub fn record_mut(&mut self, id: NodeId) -> &mut NodeRecord {
+        &mut self.records[id.0 as usize]
+    }
+
+    /// Takes in a list; what the decision module is to be given of it comes back.
+    pub fn apply_list(&mut self, context: &mut Context, list: &NodeList) -> Vec<NodeEntry> {
         let mut entries = Vec::new();
-        let mut named = HashSet::new();
         for listed in &list.nodes {
-            let known = self.ids.get(&listed.name).copied();
-            let slot = known.map(|id| &self.slots[id.0 as usize]);
-            let address = listed.address.or(slot.map(|slot| slot.address));
-            let place = listed.place.or(slot.map(|slot| slot.place));
-            // One that is gone and was never known changes nothing.
-            let (Some(address), Some(place)) = (address, place) else { continue };
-            let id =
-                known.unwrap_or_else(|| self.add_node(core, &listed.name, address, place, listed.started_at));
-            named.insert(id);
-            let slot = &mut self.slots[id.0 as usize];
-            let moved = slot.address != address || slot.since != listed.started_at;
-            (slot.address, slot.place, slot.since) = (address, place, listed.started_at);
-            if moved {
-                self.retire_links(core, id);
-            }
-            self.set_health(core, id, listed.health);
-            let zone = core.facts.zones.iter().position(|zone| listed.zone.as_ref() == Some(zone));
-            let zone = zone.map(|zone| ZoneId(zone as u32));
-            entries.push(NodeEntry {
-                node: id,
-                place,
-                zone,
-                health: listed.health,
-                since: listed.started_at,
-            });
+            entries.extend(self.apply_entry(context, listed));
         }
         if list.is_full {
-            let all = 0..self.slots.len() as u32;
-            all.map(NodeId)
-                .filter(|id| !named.contains(id))
-                .for_each(|id| self.set_health(core, id, Health::Gone));
+            let listed: HashSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
+            for id in (0..self.records.len() as u32).map(NodeId).filter(|id| !listed.contains(id)) {
+                self.set_health(context, id, Health::Gone);
+            }
         }
         entries
     }
 
-    /// Guards against ids without end where nodes come under ever new names: past a limit, a new
-    /// one takes the place of one that is gone.
-    fn add_node(
+    /// Takes in one entry. One that is gone and was never known changes nothing.
+    fn apply_entry(&mut self, context: &mut Context, listed: &ListedNode) -> Option<NodeEntry> {
+        let known = self.ids.get(&listed.name).copied();
+        let record = known.map(|id| self.record(id));
+        let address = listed.address.or(record.map(|record| record.address))?;
+        let place = listed.place.or(record.map(|record| record.place))?;
+        let id = known.unwrap_or_else(|| self.add(context, listed, address, place));
+        let record = self.record_mut(id);
+        let has_moved = record.address != address || record.started_at != listed.started_at;
+        (record.address, record.place, record.started_at) = (address, place, listed.started_at);
+        if has_moved {
+            self.retire_connections(context, id);
+        }
+        self.set_health(context, id, listed.health);
+        let zone = context.settings.zones.iter().position(|zone| listed.zone.as_ref() == Some(zone));
+        let zone = zone.map(|zone| ZoneId(zone as u32));
+        Some(NodeEntry { node: id, place, zone, health: listed.health, since: listed.started_at })
+    }
+
+    /// Guards against ids without end where nodes come under ever new names: past a limit, a new one takes the id of
+    /// one that is gone.
+    fn add(
         &mut self,
-        core: &mut Core,
-        name: &str,
+        context: &mut Context,
+        listed: &ListedNode,
         address: SocketAddr,
         place: PlaceId,
-        since: Nanos,
     ) -> NodeId {
-        let now = core.now;
-        let unused = |slot: &Slot| {
-            slot.health == Health::Gone
-                && slot.links.is_empty()
-                && slot.grace.is_some_and(|grace| grace < now)
+        let now = context.now;
+        let is_unused = |record: &NodeRecord| {
+            record.health == Health::Gone
+                && record.connections.is_empty()
+                && record.grace_end.is_some_and(|end| end < now)
+        };
+        let count = self.records.len();
+        let is_full = count >= context.limits.nodes_before_reuse;
+        let index = self.records.iter().position(|record| is_full && is_unused(record)).unwrap_or(count);
+        let id = NodeId(index as u32);
+        let record = NodeRecord {
+            address,
+            place,
+            health: Health::Running,
+            started_at: listed.started_at,
+            connections: Vec::new(),
+            grace_end: None,
         };
-        let slots = &mut self.slots;
-        let full = slots.len() >= core.limits.nodes_before_reuse;
-        let index = slots.iter().position(|slot| full && unused(slot)).unwrap_or(slots.len());
-        let (id, health) = (NodeId(index as u32), Health::Running);
-        let slot = Slot { address, place, health, since, links: Vec::new(), grace: None };
-        if index == slots.len() {
-            slots.push(slot);
+        if index == count {
+            self.records.push(record);
         } else {
-            slots[index] = slot;
-            self.ids.retain(|_, held| *held != id);
+            self.records[index] = record;
+            self.ids.retain(|_, known| *known != id);
         }
-        self.ids.insert(name.to_string(), id);
+        self.ids.insert(listed.name.clone(), id);
         if let Some(tags) = &mut self.tags {
-            tags.add(name, id);
+            tags.add(&listed.name, id);
         }
         id
     }
 
-    fn set_health(&mut self, core: &mut Core, id: NodeId, health: Health) {
-        let grace = core.now + core.limits.drain_grace;
-        let slot = &mut self.slots[id.0 as usize];
-        slot.health = health;
+    fn set_health(&mut self, context: &mut Context, id: NodeId, health: Health) {
+        let grace_end = context.now + context.limits.drain_grace;
+        let record = self.record_mut(id);
+        record.health = health;
         if health == Health::Running {
-            slot.grace = None;
-        } else if slot.grace.is_none() {
-            slot.grace = Some(grace);
-            core.timers.insert((grace, Timer::DrainGrace(id)));
+            record.grace_end = None;
+        } else if record.grace_end.is_none() {
+            record.grace_end = Some(grace_end);
+            context.set_timer(grace_end, Timer::DrainGrace(id));
         }
     }
 
-    /// A node that moved or started anew: what is out on its old connections may still be answered.
-    fn retire_links(&mut self, core: &mut Core, id: NodeId) {
-        for link in self.slots[id.0 as usize].links.clone() {
-            if let Some(held) = self.links.get_mut(&link) {
-                held.old = true;
-                if held.is_idle() {
-                    self.close_link(core, link);
-                }
+    /// For a node that moved or restarted: what is in flight on its old connections may still be answered.
+    fn retire_connections(&mut self, context: &mut Context, id: NodeId) {
+        for connection_id in self.record(id).connections.clone() {
+            let Some(connection) = self.connections.get_mut(&connection_id) else { continue };
+            connection.is_retired = true;
+            if connection.is_idle() {
+                self.close_connection(context, connection_id);
             }
         }
     }
 
     /// The grace of a draining node has run out: what is unsent will not be sent.
-    pub fn drained(&mut self, core: &mut Core, id: NodeId) {
-        let slot = &self.slots[id.0 as usize];
-        if slot.grace.is_none_or(|grace| grace > core.now) {
+    pub fn grace_over(&mut self, context: &mut Context, id: NodeId) {
+        let record = self.record(id);
+        if record.grace_end.is_none_or(|end| end > context.now) {
             return;
         }
-        for link in slot.links.clone() {
-            let Some(held) = self.links.get(&link) else { continue };
-            let unsent = held.carried.values().filter(|carried| carried.stage == Stage::Waiting);
-            for (part, no) in unsent.map(|carried| (carried.part, carried.no)).collect::<Vec<_>>() {
-                self.abandon(core, part, no, Outcome::NeverSent);
+        for connection_id in record.connections.clone() {
+            let Some(connection) = self.connections.get(&connection_id) else { continue };
+            let unsent = connection.pending.values().filter(|attempt| attempt.state == WriteState::Queued);
+            for attempt in unsent.map(|attempt| attempt.id).collect::<Vec<_>>() {
+                self.abandon(context, attempt, Outcome::NeverSent);
             }
         }
     }
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -1,87 +1,92 @@
 //! Datagrams between query routers.
 
-use crate::core::Core;
-use crate::ids::Source;
-use crate::link::{Handle, watch};
+use crate::context::Context;
+use crate::events::Source;
+use crate::tcp_connection::{EventLoopHandle, watch};
 use fernknot::interface::{News, NodeId, PeerId};
 use fernknot_membership::MARK;
 use fernknot_protocol::news::Tags;
 use fernknot_router_config::PeerAddresses;
 use std::io::{ErrorKind, Result};
-use std::net::UdpSocket;
+use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
 pub struct Peers {
     socket: Rc<UdpSocket>,
-    told: PeerAddresses,
-    own: usize,
+    addresses: PeerAddresses,
+    /// The index of this router among the addresses.
+    own_position: usize,
 }
 
 impl Peers {
-    pub fn new(handle: &Handle, told: PeerAddresses, own: usize) -> Result<Peers> {
-        let socket = Rc::new(UdpSocket::bind(told.listen)?);
+    pub fn new(event_loop: &EventLoopHandle, addresses: PeerAddresses, own_position: usize) -> Result<Peers> {
+        let socket = Rc::new(UdpSocket::bind(addresses.listen)?);
         socket.set_nonblocking(true)?;
-        watch(handle, socket.clone(), Source::Peers)?;
-        Ok(Peers { socket, told, own })
+        watch(event_loop, socket.clone(), Source::Peers)?;
+        Ok(Peers { socket, addresses, own_position })
     }
 
-    pub fn tell(&self, core: &mut Core, tags: &Tags, news: &[(NodeId, News)]) {
-        for message in tags.write(news, core.limits.max_datagram_bytes) {
-            match self.socket.send_to(&message, self.told.all_peers) {
-                Ok(_) => core.counters.datagrams_sent += 1,
+    /// Sends updates on nodes to all peers.
+    pub fn send_updates(&self, context: &mut Context, tags: &Tags, updates: &[(NodeId, News)]) {
+        for message in tags.write(updates, context.limits.max_datagram_bytes) {
+            match self.socket.send_to(&message, self.addresses.all_peers) {
+                Ok(_) => context.counters.datagrams_sent += 1,
                 // Datagrams may be lost anywhere; one that the system does not take is lost here.
-                Err(_) => core.counters.datagrams_dropped += 1,
+                Err(_) => context.counters.datagrams_dropped += 1,
             }
         }
     }
 
-    /// Sends what membership has to say.
-    pub fn keep_track(&self, core: &mut Core) {
-        let Some(fleet) = core.fleet.as_mut() else { return };
-        while let Some((to, bytes)) = fleet.next(core.now, &core.log) {
+    /// Sends what membership has to send.
+    pub fn send_membership(&self, context: &mut Context) {
+        let Some(membership) = context.membership.as_mut() else { return };
+        while let Some((to, bytes)) = membership.next_datagram(context.now, &context.log) {
             match self.socket.send_to(&bytes, to) {
-                Ok(_) => fleet.counters.fleet_datagrams_sent += 1,
-                Err(_) => fleet.counters.fleet_datagrams_dropped += 1,
+                Ok(_) => membership.counters.fleet_datagrams_sent += 1,
+                Err(_) => membership.counters.fleet_datagrams_dropped += 1,
             }
         }
-        if let Some(routers) = fleet.newly_shared(core.now, &core.log) {
-            core.engine.shared_by(core.now, routers);
+        if let Some(routers) = membership.changed_sharers(context.now, &context.log) {
+            context.engine.shared_by(context.now, routers);
         }
     }
 
-    /// Takes another list of routers; numbers of those that tell of nodes follow it.
-    pub fn list(&mut self, told: PeerAddresses, own: usize) {
-        (self.told, self.own) = (told, own);
+    /// Takes another list of routers; the ids of peers follow it.
+    pub fn change_addresses(&mut self, addresses: PeerAddresses, own_position: usize) {
+        (self.addresses, self.own_position) = (addresses, own_position);
     }
 
-    pub fn hear(&self, core: &mut Core, tags: &Tags) {
-        let mut message = vec![0; core.limits.max_datagram_bytes + 1];
+    /// Reads the datagrams that have come.
+    pub fn receive(&self, context: &mut Context, tags: &Tags) {
+        let mut message = vec![0; context.limits.max_datagram_bytes + 1];
         // Guards the rest of the turn against a flood.
-        for _ in 0..core.limits.max_datagrams_per_turn {
+        for _ in 0..context.limits.max_datagrams_per_turn {
             match self.socket.recv_from(&mut message) {
-                Ok((length, from)) => {
-                    if let Some(fleet) =
-                        core.fleet.as_mut().filter(|_| message[..length].starts_with(&[MARK]))
-                    {
-                        fleet.heard(core.now, from, &message[..length]);
-                        continue;
-                    }
-                    let known = self.told.peers.iter().position(|peer| *peer == from);
-                    let fits = |index: &usize| *index != self.own && length <= core.limits.max_datagram_bytes;
-                    let from = known.filter(fits).map(|index| PeerId(index as u32));
-                    match from.and_then(|from| Some((from, tags.read(&message[..length])?))) {
-                        Some((from, news)) => {
-                            core.counters.datagrams_taken += 1;
-                            core.engine.told(core.now, from, &news);
-                        }
-                        None => core.counters.datagrams_dropped += 1,
-                    }
-                }
+                Ok((length, from)) => self.take_datagram(context, tags, from, &message[..length]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // An earlier datagram could not be delivered, as ICMP tells; the next may be.
+                // An earlier datagram could not be delivered, as ICMP reports; the next may be.
                 Err(_) => {}
             }
         }
     }
+
+    fn take_datagram(&self, context: &mut Context, tags: &Tags, from: SocketAddr, message: &[u8]) {
+        if message.starts_with(&[MARK])
+            && let Some(membership) = &mut context.membership
+        {
+            return membership.receive(context.now, from, message);
+        }
+        let position = self.addresses.peers.iter().position(|peer| *peer == from);
+        let is_valid = message.len() <= context.limits.max_datagram_bytes;
+        let peer = position.filter(|position| *position != self.own_position && is_valid);
+        let updates = peer.and_then(|position| Some((position, tags.read(message)?)));
+        match updates {
+            Some((position, updates)) => {
+                context.counters.datagrams_taken += 1;
+                context.engine.told(context.now, PeerId(position as u32), &updates);
+            }
+            None => context.counters.datagrams_dropped += 1,
+        }
+    }
 }
