--- /dev/null
+++ b/crates/fernknot-engine/src/action.rs
@@ -0,0 +1,72 @@
+//! What the host is to do, and how multigets end.
+
+use crate::multiget::{AskerId, Ended};
+use fernknot::interface::{HandOffNo, Nanos, News, NodeId, Outcome, PartId, ShardId};
+use fernknot_protocol::multiget::BlockState;
+
+/// The final answer to a multiget.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Verdict {
+    /// Parts are in: enough of them, or all that came by the end.
+    Settled {
+        /// Enough parts are in for a complete answer.
+        whole: bool,
+        /// The value of each part that is in.
+        found: Vec<(ShardId, String)>,
+        /// The index of each part that is in, and the attempt that answered it.
+        found_by: Vec<(usize, HandOffNo)>,
+        /// What became of each block of a query in two phases.
+        blocks: Option<Vec<(ShardId, BlockState)>>,
+    },
+    /// The multiget is rejected; a retry is harmless.
+    Dismissed {
+        /// The wait before a retry, where there is one.
+        wait: Option<Nanos>,
+    },
+    /// The multiget failed after parts of it may have run.
+    BrokenOff,
+}
+
+/// What the host is to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Order {
+    /// Sends an attempt to a node.
+    Send {
+        /// The part.
+        part: PartId,
+        /// The attempt's number among those of the part.
+        no: HandOffNo,
+        /// The node.
+        node: NodeId,
+    },
+    /// Stops waiting for an attempt. The host reports its end: this outcome, or that it was never sent.
+    Abandon {
+        /// The part.
+        part: PartId,
+        /// The attempt's number among those of the part.
+        no: HandOffNo,
+        /// The outcome of an attempt that was sent.
+        outcome: Outcome,
+    },
+    /// Gives a multiget its final answer.
+    Answer {
+        /// Who asked.
+        asker: AskerId,
+        /// The answer.
+        verdict: Verdict,
+        /// Where the multiget stood.
+        ended: Ended,
+    },
+    /// Asks for the list of nodes, and follows its changes.
+    FollowList,
+    /// Takes connections to a node out of use on which nothing has come since attempts were sent.
+    Renew {
+        /// The node.
+        node: NodeId,
+    },
+    /// Sends updates on nodes to the peers.
+    Tell {
+        /// What became of attempts, by their nodes.
+        news: Vec<(NodeId, News)>,
+    },
+}
--- a/crates/fernknot-engine/src/counters.rs
+++ b/crates/fernknot-engine/src/counters.rs
@@ -1,11 +1,17 @@
-//! What an engine has taken in and handed off since its start.
+//! Counters of what an engine has done since its start.
 
 /// A struct of counters, and their text: a line for each, name and value.
 #[macro_export]
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
+        /// Counters since the start, under the names that operators see.
         #[derive(Clone, Debug, Default)]
-        pub struct Counters { $(pub $name: u64),* }
+        pub struct Counters {
+            $(
+                #[doc = concat!("The counter `", stringify!($name), "`.")]
+                pub $name: u64,
+            )*
+        }
 
         impl Counters {
             /// A line for each, name and value.
--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -1,87 +1,37 @@
-//! The pull loop, and the carrying out of the module's decisions as far as that needs no socket.
+//! The pull loop, and the carrying out of the decision module's decisions as far as that needs no socket.
 
+use crate::action::{Order, Verdict};
 use crate::counters::Counters;
-use crate::table::{AskerId, HandOffState, Held, PartOf, PartState, Table};
+use crate::multiget::AskerId;
+use crate::part::{AttemptState, PartOf, PartState};
+use crate::table::MultigetTable;
 use fernknot::decide::Router;
-use fernknot::interface::*;
-use fernknot_protocol::matches;
-use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, BlockState};
+use fernknot::interface::{
+    Arrival, CustomerId, Decision, Ending, HandOffNo, ListKind, LoadReport, MultigetId, Nanos, News,
+    NodeEntry, NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteFacts, UseCaseFacts, UseCaseId,
+};
+use fernknot_protocol::multiget::{Asked, AskedPart};
 use fernknot_router_config::PhaseFacts;
-use fernknot_two_phase::{Block, Phases, Query, print_of};
-use std::collections::{BTreeSet, HashMap, VecDeque};
-
-/// The final answer to a multiget.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
-    Settled {
-        whole: bool,
-        /// The value of each part that is in.
-        found: Vec<(ShardId, String)>,
-        /// The index of each part that is in, and the hand-off that answered it.
-        found_by: Vec<(usize, HandOffNo)>,
-        /// What is said of each block of a query in two phases.
-        blocks: Option<Vec<(ShardId, BlockState)>>,
-    },
-    /// Asking again is harmless, after this wait where there is one.
-    Dismissed {
-        wait: Option<Nanos>,
-    },
-    BrokenOff,
-}
-
-/// Where a multiget stood when it got its final answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Plain,
-    FirstPhase,
-    /// In the second, before or after a part of it was handed off.
-    SecondPhase {
-        ran: bool,
-    },
-}
-
-/// What the host is to carry out.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Order {
-    /// Puts a hand-off on its way.
-    Send {
-        part: PartId,
-        no: HandOffNo,
-        node: NodeId,
-    },
-    /// Stops waiting for a hand-off. The host tells its end: this outcome, or that it was never sent.
-    Abandon {
-        part: PartId,
-        no: HandOffNo,
-        outcome: Outcome,
-    },
-    Answer {
-        asker: AskerId,
-        verdict: Verdict,
-        ended: Ended,
-    },
-    FollowList,
-    Renew {
-        node: NodeId,
-    },
-    Tell {
-        news: Vec<(NodeId, News)>,
-    },
-}
+use fernknot_two_phase::Phases;
+use std::collections::{BTreeSet, VecDeque};
 
+/// One query router without sockets or a clock.
 pub struct Engine {
-    module: Router,
-    phases: Phases,
-    pub table: Table,
+    pub(crate) decisions: Router,
+    pub(crate) phases: Phases,
+    /// The multigets in flight.
+    pub table: MultigetTable,
+    /// What has been done since the start.
     pub counters: Counters,
+    /// Attempts that ended, which the decision module has not been given yet.
     endings: VecDeque<Ending>,
-    /// When hand-offs that are out are no longer waited for.
-    stops: BTreeSet<(Nanos, PartId, HandOffNo)>,
-    wake: Option<Nanos>,
-    /// Ends are told to the module before a pull, not amid one.
-    pulling: bool,
-    /// Something was taken or has lapsed since the last pull began.
-    fresh: bool,
+    /// When attempts in flight are no longer waited for.
+    attempt_deadlines: BTreeSet<(Nanos, PartId, HandOffNo)>,
+    wake_at: Option<Nanos>,
+    /// Ends are given to the decision module before a pull, not amid one.
+    is_pulling: bool,
+    /// A multiget was taken or has lapsed since the last pull began.
+    has_input: bool,
 }
 
 impl Engine {
@@ -95,140 +45,113 @@
         now: Nanos,
     ) -> Engine {
         Engine {
-            module: Router::new(seed, site, now),
+            decisions: Router::new(seed, site, now),
             phases: Phases::new(now, phases, sketch_bytes),
-            table: Table::default(),
+            table: MultigetTable::default(),
             counters: Counters::default(),
             endings: VecDeque::new(),
-            stops: BTreeSet::new(),
-            wake: None,
-            pulling: false,
-            fresh: false,
+            attempt_deadlines: BTreeSet::new(),
+            wake_at: None,
+            is_pulling: false,
+            has_input: false,
         }
     }
 
-    // ---- What is learned -------------------------------------------------------------------
+    // ---- Inputs on nodes, peers and the configuration --------------------------------------
 
+    /// A list of nodes, or changes to it.
     pub fn list(&mut self, kind: ListKind, entries: &[NodeEntry]) {
-        self.module.list(kind, entries);
+        self.decisions.list(kind, entries);
     }
 
+    /// The list of nodes can no longer be followed.
     pub fn list_lost(&mut self, now: Nanos) {
-        self.module.list_lost(now);
+        self.decisions.list_lost(now);
     }
 
     /// Adds a use case at the next free id, or replaces one; see [`Router::use_case`].
     pub fn use_case(&mut self, now: Nanos, id: UseCaseId, facts: &UseCaseFacts) {
-        self.module.use_case(now, id, facts);
+        self.decisions.use_case(now, id, facts);
     }
 
-    /// Takes a use case away; its id may be used again once nothing of it is open.
+    /// Removes a use case; its id may be used again once nothing of it is open.
     pub fn retire(&mut self, id: UseCaseId) {
-        self.module.retire(id);
+        self.decisions.retire(id);
     }
 
-    /// This router's part of the further hand-offs that are free, from now on.
+    /// This router's part of the retries that are free, from now on.
     pub fn slack(&mut self, free: f64) {
-        self.module.slack(free);
+        self.decisions.slack(free);
     }
 
     /// From now on the work of this place is alike to that of all others in this group.
     pub fn group(&mut self, place: PlaceId, group: u32) {
-        self.module.group(place, group);
+        self.decisions.group(place, group);
     }
 
     /// Among how many routers limits are shared from now on.
     pub fn shared_by(&mut self, now: Nanos, routers: usize) {
-        self.module.shared_by(now, routers);
+        self.decisions.shared_by(now, routers);
     }
 
-    pub fn told(&mut self, now: Nanos, from: PeerId, news: &[(NodeId, News)]) {
-        self.module.told(now, from, news);
+    /// What a peer reports of its attempts, by their nodes.
+    pub fn apply_peer_updates(&mut self, now: Nanos, from: PeerId, updates: &[(NodeId, News)]) {
+        self.decisions.told(now, from, updates);
     }
 
+    // ---- Inputs on multigets ---------------------------------------------------------------
+
     /// Takes a multiget whose client waits until `client_end`.
     pub fn take(&mut self, now: Nanos, asker: AskerId, client_end: Nanos, mut asked: Asked) -> MultigetId {
         let multiget = self.table.take(asker, client_end, &mut asked);
         self.counters.multigets_taken += 1;
         self.counters.multigets_repeated += u64::from(asked.repeat);
         self.counters.parts_taken += asked.parts.len() as u64;
-        let second = asked.second.take().map(|second| self.begin(now, multiget, &mut asked, second));
-        // A guess at the whole work is one only if there is one for each part.
-        let add = |sum: Option<Nanos>, part: &AskedPart| Some(sum? + part.effort?);
+        let second = asked.second.take();
+        let second = second.and_then(|second| self.begin_phases(now, multiget, &mut asked, second));
         let arrival = Arrival {
             multiget,
             use_case: asked.use_case,
             customer: CustomerId(0),
             client_end,
             repeat: asked.repeat,
-            effort: asked.parts.iter().fold(Some(Nanos(0)), add),
-            second: second.flatten(),
+            effort: total_effort(&asked.parts),
+            second,
         };
-        self.module.take(now, &arrival);
+        self.decisions.take(now, &arrival);
         self.take_parts(now, multiget, 0, asked.parts.iter());
-        self.fresh = true;
+        self.has_input = true;
         multiget
     }
 
-    fn take_parts<'a>(
+    pub(crate) fn take_parts<'a>(
         &mut self,
         now: Nanos,
         of: MultigetId,
-        from: usize,
+        first_index: usize,
         parts: impl Iterator<Item = &'a AskedPart>,
     ) {
         for (index, part) in parts.enumerate() {
             let part = PartArrival {
-                part: PartId { of, index: from + index },
+                part: PartId { of, index: first_index + index },
                 shard: part.shard,
                 weight: part.weight,
                 effort: part.effort,
             };
-            self.module.take_part(now, &part);
+            self.decisions.take_part(now, &part);
         }
     }
 
-    /// Begins the first of two phases; what the module is to know of the second comes back.
-    fn begin(
-        &mut self,
-        now: Nanos,
-        id: MultigetId,
-        asked: &mut Asked,
-        second: AskedSecond,
-    ) -> Option<SecondFacts> {
-        self.counters.phased_taken += 1;
-        let block = |part: AskedPart| Block { shard: part.shard, weight: part.weight, effort: part.effort };
-        let query = Query {
-            use_case: asked.use_case,
-            wait: asked.wait,
-            asked: asked.parts.iter().map(|part| part.shard).collect(),
-            blocks: second.parts.into_iter().map(block).collect(),
-            terms: second.terms.iter().map(|term| print_of(term)).collect(),
-        };
-        let order = self.phases.begin(now, id, query);
-        let place: HashMap<ShardId, usize> =
-            order.into_iter().enumerate().map(|(place, shard)| (shard, place)).collect();
-        asked.parts.sort_by_key(|part| place.get(&part.shard).copied());
-        self.table.sort_parts(id, |part| place.get(&part.shard).copied());
-        self.phases.expectation(now, id)
-    }
-
     /// The client has gone; nothing more is owed.
     pub fn lapsed(&mut self, now: Nanos, multiget: MultigetId) {
         self.counters.lapsed += 1;
-        self.fresh = true;
-        self.module.lapsed(multiget);
-        if let Some(held) = self.table.get(multiget).filter(|held| held.is_phased() && !held.over) {
-            match held.is_opened() {
-                false => self.counters.first_phase_lapsed += 1,
-                true => self.counters.second_phase_lapsed += 1,
-            }
-            self.phases.over(now, multiget, held.second_ran());
-        }
+        self.has_input = true;
+        self.decisions.lapsed(multiget);
+        self.phases_lapsed(now, multiget);
         self.table.over(multiget);
     }
 
-    /// A node answered a hand-off with a value; empty where the host keeps values itself.
+    /// A node answered an attempt with a value; empty where the host keeps values itself.
     pub fn answered(&mut self, now: Nanos, part: PartId, no: HandOffNo, value: String, report: LoadReport) {
         let is_out = self.table.is_out(part, no);
         let Some(state) = self.table.part_mut(part).filter(|_| is_out) else { return };
@@ -242,205 +165,161 @@
         self.ended(now, part, no, outcome, report);
     }
 
-    /// Takes a block's answer of a first phase. Guards against a fetch that is silently smaller: a value
-    /// that cannot be read, or names what it may not, is a failed hand-off that may have run.
-    fn matched(&mut self, now: Nanos, part: PartId, value: &str) -> Outcome {
-        let Some(shard) = self.table.part(part).map(|part| part.shard) else { return Outcome::Error };
-        let Ok(answer) = matches::read(value) else {
-            self.counters.match_values_bad += 1;
-            return Outcome::Error;
-        };
-        match self.phases.matched(part.of, shard, answer) {
-            Ok(true) => {
-                if let Some(facts) = self.phases.expectation(now, part.of) {
-                    self.module.expect(part.of, facts);
-                }
-                Outcome::Answered
-            }
-            Ok(false) => {
-                self.counters.match_answers_late += 1;
-                Outcome::Answered
-            }
-            Err(_) => {
-                self.counters.match_values_bad += 1;
-                Outcome::Error
-            }
-        }
-    }
-
-    /// A hand-off ended in any other way. How it ended first counts.
+    /// An attempt ended in any other way. How it ended first counts.
     pub fn ended(&mut self, now: Nanos, part: PartId, no: HandOffNo, outcome: Outcome, report: LoadReport) {
-        let Some(hand_off) = self.table.hand_off_mut(part, no).filter(|hand_off| !hand_off.over) else {
+        let Some(attempt) = self.table.attempt_mut(part, no).filter(|attempt| !attempt.over) else {
             return;
         };
-        hand_off.over = true;
-        let (node, sent, stop_at) = (hand_off.node, hand_off.sent, hand_off.stop_at);
-        self.stops.remove(&(stop_at, part, no));
-        if let Some(held) = self.table.get_mut(part.of) {
-            held.out -= 1;
+        attempt.over = true;
+        let (node, sent, stop_at) = (attempt.node, attempt.sent, attempt.stop_at);
+        self.attempt_deadlines.remove(&(stop_at, part, no));
+        if let Some(multiget) = self.table.get_mut(part.of) {
+            multiget.out -= 1;
         }
-        let count = match outcome {
-            Outcome::Answered => &mut self.counters.outcome_answered,
-            Outcome::Error => &mut self.counters.outcome_error,
-            Outcome::TurnedAway => &mut self.counters.outcome_turned_away,
-            Outcome::TimedOut => &mut self.counters.outcome_timed_out,
-            Outcome::Unreachable => &mut self.counters.outcome_unreachable,
-            Outcome::Broken => &mut self.counters.outcome_broken,
-            Outcome::CalledOff => &mut self.counters.outcome_called_off,
-            Outcome::NeverSent => &mut self.counters.outcome_never_sent,
-        };
-        *count += 1;
+        *self.outcome_counter(outcome) += 1;
         self.endings.push_back(Ending { part, no, node, outcome, took: now - sent, report });
     }
 
-    // ---- What is known ---------------------------------------------------------------------
+    fn outcome_counter(&mut self, outcome: Outcome) -> &mut u64 {
+        let counters = &mut self.counters;
+        match outcome {
+            Outcome::Answered => &mut counters.outcome_answered,
+            Outcome::Error => &mut counters.outcome_error,
+            Outcome::TurnedAway => &mut counters.outcome_turned_away,
+            Outcome::TimedOut => &mut counters.outcome_timed_out,
+            Outcome::Unreachable => &mut counters.outcome_unreachable,
+            Outcome::Broken => &mut counters.outcome_broken,
+            Outcome::CalledOff => &mut counters.outcome_called_off,
+            Outcome::NeverSent => &mut counters.outcome_never_sent,
+        }
+    }
+
+    // ---- State -----------------------------------------------------------------------------
 
+    /// The queries in two phases.
     pub fn phases(&self) -> &Phases {
         &self.phases
     }
 
-    // ---- What is to be done ----------------------------------------------------------------
-
-    /// Whether there is something that the module has not been asked about.
+    /// Whether there is an input that the decision module has not been asked about.
     pub fn has_news(&self) -> bool {
-        self.fresh || !self.endings.is_empty()
+        self.has_input || !self.endings.is_empty()
     }
 
-    /// When to pull again without news.
+    /// When to pull again without an input.
     pub fn due(&self) -> Option<Nanos> {
-        self.stops.first().map(|(at, _, _)| *at).into_iter().chain(self.wake).min()
+        let deadline = self.attempt_deadlines.first().map(|(at, _, _)| *at);
+        deadline.into_iter().chain(self.wake_at).min()
     }
 
-    /// The next order, until there is none.
+    // ---- Actions ---------------------------------------------------------------------------
+
+    /// The next action, until there is none.
     pub fn next(&mut self, now: Nanos) -> Option<Order> {
-        while !self.pulling {
-            if let Some((at, part, no)) = self.stops.first().copied().filter(|(at, _, _)| *at <= now) {
-                self.stops.remove(&(at, part, no));
-                return Some(Order::Abandon { part, no, outcome: Outcome::TimedOut });
-            }
-            (self.pulling, self.fresh) = (true, false);
-            self.wake = self.wake.filter(|at| *at > now);
-            while let Some(ending) = self.endings.pop_front() {
-                self.module.ended(now, &ending);
-                self.table.forget(ending.part.of);
+        if !self.is_pulling {
+            if let Some(action) = self.next_timeout(now) {
+                return Some(action);
             }
+            self.begin_pull(now);
         }
-        while let Some(decision) = self.module.next(now) {
-            if let Some(order) = self.carry_out(now, decision) {
-                return Some(order);
+        while let Some(decision) = self.decisions.next(now) {
+            if let Some(action) = self.carry_out(now, decision) {
+                return Some(action);
             }
         }
-        self.pulling = false;
+        self.is_pulling = false;
         None
     }
 
+    fn next_timeout(&mut self, now: Nanos) -> Option<Order> {
+        let (at, part, no) = self.attempt_deadlines.first().copied().filter(|(at, _, _)| *at <= now)?;
+        self.attempt_deadlines.remove(&(at, part, no));
+        Some(Order::Abandon { part, no, outcome: Outcome::TimedOut })
+    }
+
+    fn begin_pull(&mut self, now: Nanos) {
+        (self.is_pulling, self.has_input) = (true, false);
+        self.wake_at = self.wake_at.filter(|at| *at > now);
+        while let Some(ending) = self.endings.pop_front() {
+            self.decisions.ended(now, &ending);
+            self.table.forget(ending.part.of);
+        }
+    }
+
     /// Carries out one decision; what is left of it for the host comes back.
     fn carry_out(&mut self, now: Nanos, decision: Decision) -> Option<Order> {
         match decision {
-            Decision::HandOff { part, node, stop_at } => self.hand_off(now, part, node, stop_at),
+            Decision::HandOff { part, node, stop_at } => self.start_attempt(now, part, node, stop_at),
             Decision::CallOff { part, no } => {
                 self.counters.hand_offs_called_off += 1;
                 Some(Order::Abandon { part, no, outcome: Outcome::CalledOff })
             }
             Decision::Settle { multiget, last: false, .. } => {
-                self.open(now, multiget);
+                self.open_second_phase(now, multiget);
                 None
             }
             Decision::Settle { multiget, whole, .. } => {
-                let held = self.table.get(multiget)?;
-                let found = held.parts.iter().filter_map(|part| Some((part.shard, part.value.clone()?)));
-                let found: Vec<(ShardId, String)> = found.collect();
-                let by = |(index, part): (usize, &PartState)| Some((index, part.answered_by?));
-                let found_by = held.parts.iter().enumerate().filter_map(by).collect();
-                let is_in = |shard| found.iter().any(|(found, _)| *found == shard);
-                let blocks =
-                    held.is_phased().then(|| self.phases.account(multiget, is_in).unwrap_or_default());
-                self.end(now, multiget, Verdict::Settled { whole, found, found_by, blocks })
+                let verdict = self.found(multiget, whole)?;
+                self.answer(now, multiget, verdict)
             }
             Decision::Dismiss { multiget, wait } => {
-                self.end(now, multiget, Verdict::Dismissed { wait: Some(wait).filter(|wait| wait.0 > 0) })
+                let wait = Some(wait).filter(|wait| wait.0 > 0);
+                self.answer(now, multiget, Verdict::Dismissed { wait })
             }
-            Decision::BreakOff { multiget } => self.end(now, multiget, Verdict::BrokenOff),
+            Decision::BreakOff { multiget } => self.answer(now, multiget, Verdict::BrokenOff),
             Decision::FollowList => Some(Order::FollowList),
             Decision::Renew { node } => Some(Order::Renew { node }),
             Decision::Tell { news } => Some(Order::Tell { news }),
             Decision::Wake { after } => {
                 let at = now + after;
-                self.wake = Some(self.wake.map_or(at, |set| set.min(at)));
+                self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
                 None
             }
         }
     }
 
-    fn hand_off(&mut self, now: Nanos, part: PartId, node: NodeId, stop_at: Nanos) -> Option<Order> {
-        let held = self.table.get_mut(part.of)?;
-        let stop_at = if stop_at.0 == 0 { held.client_end } else { stop_at.min(held.client_end) };
-        let hand_offs = &mut held.parts[part.index].hand_offs;
-        let no = HandOffNo(hand_offs.len() as u32);
-        hand_offs.push(HandOffState { node, sent: now, stop_at, over: false });
-        held.out += 1;
+    fn start_attempt(&mut self, now: Nanos, part: PartId, node: NodeId, stop_at: Nanos) -> Option<Order> {
+        let multiget = self.table.get_mut(part.of)?;
+        let stop_at = if stop_at.0 == 0 { multiget.client_end } else { stop_at.min(multiget.client_end) };
+        let attempts = &mut multiget.parts[part.index].hand_offs;
+        let no = HandOffNo(attempts.len() as u32);
+        attempts.push(AttemptState { node, sent: now, stop_at, over: false });
+        multiget.out += 1;
         self.counters.hand_offs += 1;
         self.counters.hand_offs_further += u64::from(no.0 > 0);
         if stop_at <= now {
             self.ended(now, part, no, Outcome::NeverSent, LoadReport::default());
             return None;
         }
-        self.stops.insert((stop_at, part, no));
+        self.attempt_deadlines.insert((stop_at, part, no));
         Some(Order::Send { part, no, node })
     }
 
-    /// Opens the second phase with the blocks that the first one left, if any.
-    fn open(&mut self, now: Nanos, multiget: MultigetId) {
-        let Some(fetch) = self.phases.open(now, multiget) else { return };
-        let Some(held) = self.table.get_mut(multiget) else { return };
-        let from = held.open(fetch.blocks.iter().map(|block| block.shard));
-        self.counters.phased_opened += 1;
-        self.module.second(multiget, fetch.step);
-        let part =
-            |block: Block| AskedPart { shard: block.shard, weight: block.weight, effort: block.effort };
-        let parts: Vec<AskedPart> = fetch.blocks.into_iter().map(part).collect();
-        self.take_parts(now, multiget, from, parts.iter());
+    /// The answer from the parts that are in.
+    fn found(&self, id: MultigetId, whole: bool) -> Option<Verdict> {
+        let multiget = self.table.get(id)?;
+        let found = multiget.parts.iter().filter_map(|part| Some((part.shard, part.value.clone()?)));
+        let found: Vec<_> = found.collect();
+        let answered_by = |(index, part): (usize, &PartState)| Some((index, part.answered_by?));
+        let found_by = multiget.parts.iter().enumerate().filter_map(answered_by).collect();
+        let is_found = |shard| found.iter().any(|(found, _)| *found == shard);
+        let blocks = multiget.is_phased().then(|| self.phases.account(id, is_found).unwrap_or_default());
+        Some(Verdict::Settled { whole, found, found_by, blocks })
     }
 
     /// Gives the final answer, if one is still owed.
-    fn end(&mut self, now: Nanos, multiget: MultigetId, verdict: Verdict) -> Option<Order> {
-        let held = self.table.get(multiget).filter(|held| !held.over)?;
-        let (asker, ended) = (held.asker, Engine::stage(held));
-        if ended != Ended::Plain {
-            self.count(&verdict, ended);
-            self.phases.over(now, multiget, ended == Ended::SecondPhase { ran: true });
+    fn answer(&mut self, now: Nanos, multiget: MultigetId, verdict: Verdict) -> Option<Order> {
+        let state = self.table.get(multiget).filter(|state| !state.over)?;
+        let (asker, ended) = (state.asker, state.stage());
+        if state.is_phased() {
+            self.phases_answered(now, multiget, &verdict, ended);
         }
         self.table.over(multiget);
         Some(Order::Answer { asker, verdict, ended })
     }
+}
 
-    fn stage(held: &Held) -> Ended {
-        match (held.is_phased(), held.is_opened()) {
-            (false, _) => Ended::Plain,
-            (true, false) => Ended::FirstPhase,
-            (true, true) => Ended::SecondPhase { ran: held.second_ran() },
-        }
-    }
-
-    fn count(&mut self, verdict: &Verdict, ended: Ended) {
-        let counters = &mut self.counters;
-        match (verdict, ended) {
-            (Verdict::Settled { whole, blocks, .. }, _) => {
-                for (_, said) in blocks.iter().flatten() {
-                    match said {
-                        BlockState::Fetched => counters.blocks_fetched += 1,
-                        BlockState::Pruned => counters.blocks_pruned += 1,
-                        BlockState::Missing | BlockState::Unasked => counters.blocks_unasked += 1,
-                    }
-                }
-                match whole {
-                    true => counters.phased_whole += 1,
-                    false => counters.phased_in_part += 1,
-                }
-            }
-            (_, Ended::SecondPhase { ran: false }) => counters.second_phase_refused += 1,
-            (_, Ended::SecondPhase { ran: true }) => counters.second_phase_failed += 1,
-            _ => counters.first_phase_refused += 1,
-        }
-    }
+/// The work of all parts; none if it is unknown for any, as a guess at the whole is one only if there is one for each.
+fn total_effort(parts: &[AskedPart]) -> Option<Nanos> {
+    parts.iter().try_fold(Nanos(0), |sum, part| Some(sum + part.effort?))
 }
--- a/crates/fernknot-engine/src/lib.rs
+++ b/crates/fernknot-engine/src/lib.rs
@@ -1,14 +1,23 @@
-//! One query router without sockets or a clock.
+//! One query router without sockets or a clock: the decision module, and the table of multigets in flight.
 //!
-//! A host feeds an [`Engine`] calls with a time (`take`, `ended`, `answered`, `list`, ...), which only
-//! update what is known, and then pulls orders with `next` until there are none. `due` tells when it
-//! wants to be pulled again without news. The router in real time, the lab in simulated time and the
-//! tests run this same code.
+//! A host feeds an [`Engine`] inputs with a time (`take`, `ended`, `answered`, `list`, ...), which only update its
+//! state, and then pulls actions with `next` until there are none. `due` returns when it has to be pulled again without
+//! an input. The router in service and the gateway in real time, the experiments in simulated time and the tests run
+//! this same code.
 
+#![deny(missing_docs)]
+
+mod action;
 mod counters;
 mod engine;
+mod multiget;
+mod part;
 mod table;
+mod two_phase;
 
+pub use action::{Order, Verdict};
 pub use counters::Counters;
-pub use engine::{Ended, Engine, Order, Verdict};
-pub use table::{AskerId, HandOffState, Held, PartOf, PartState, Table};
+pub use engine::Engine;
+pub use multiget::{AskerId, Ended, MultigetState};
+pub use part::{AttemptState, PartOf, PartState};
+pub use table::MultigetTable;
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -84,7 +84,7 @@
         match updates {
             Some((position, updates)) => {
                 context.counters.datagrams_taken += 1;
-                context.engine.told(context.now, PeerId(position as u32), &updates);
+                context.engine.apply_peer_updates(context.now, PeerId(position as u32), &updates);
             }
             None => context.counters.datagrams_dropped += 1,
         }
