--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -70,7 +70,8 @@
 
 impl Seen {
     fn note(&mut self, host: &Host, sent: &Sent, value: usize) {
-        let open = host.engine.table.get(sent.part.of).is_none_or(|held| held.is_opened() || held.over);
+        let open =
+            host.engine.table.get(sent.part.of).is_none_or(|multiget| multiget.is_opened() || multiget.over);
         let sound = VALUES[value].contains("\"blocks\":[#]") || VALUES[value].contains("\"blocks\":[]");
         let same = VALUES[value].contains("same");
         if sent.of == PartOf::Match && !open && (sound || same) {
--- a/crates/fernknot-engine/tests/plain.rs
+++ b/crates/fernknot-engine/tests/plain.rs
@@ -7,7 +7,7 @@
 use fernknot_engine::{PartOf, Verdict};
 
 #[test]
-fn given_a_host_that_keeps_values_when_a_query_is_settled_then_it_hears_whose_answers_count() {
+fn given_a_host_that_keeps_values_when_a_query_is_complete_then_it_learns_whose_answers_count() {
     let mut host = Host::new(site(), phases(), 3);
     let asker = host.ask(PLAIN, &[0, 1, 2]);
     host.answer(asker, PartOf::Plain, 2, "");
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn where_nothing_matches_the_answer_is_whole_at_once() {
+fn where_nothing_matches_the_answer_is_complete_at_once() {
     let mut host = host();
     let asker = host.ask(REPLAYABLE, &ALL);
     host.pass(20.0);
@@ -65,7 +65,7 @@
 #[test_case(r#"{"blocks":[1]}"#; "another block, where blocks name only themselves")]
 #[test_case("{\"blocks\":[0"; "cut off")]
 #[test_case("0"; "no match value")]
-fn a_bad_match_value_is_a_failed_hand_off_and_the_block_is_asked_again(value: &str) {
+fn a_bad_match_value_is_a_failed_attempt_and_the_block_is_asked_again(value: &str) {
     let mut host = host();
     let asker = host.ask(REPLAYABLE, &ALL);
     host.pass(10.0);
--- /dev/null
+++ b/crates/fernknot-protocol/tests/frames.rs
@@ -0,0 +1,87 @@
+//! Frames are read however they are cut, and calls as they were written.
+
+mod common;
+
+use common::{limits, same_however_cut};
+use fernknot::interface::LoadReport;
+use fernknot_protocol::buffer::Buffer;
+use fernknot_protocol::frames::{self, CallPart, CallPhase, CallStatus, Frame, ReceivedPart};
+use test_case::test_case;
+
+fn frames_of(bytes: &[u8]) -> (Vec<Frame>, Option<String>) {
+    same_however_cut(bytes, || {
+        let limits = limits();
+        move |buffer: &mut Buffer| frames::read(buffer, &limits).map_err(|error| error.to_string())
+    })
+}
+
+fn framed(frames: &[(u8, &[u8])]) -> Vec<u8> {
+    let mut out = Buffer::default();
+    frames.iter().for_each(|(letter, rest)| frames::write_frame(&mut out, *letter, rest));
+    out.data().to_vec()
+}
+
+#[test]
+fn frames_are_read_however_they_are_cut() {
+    let ended = |id: &str, end, waiting, value: &[u8]| Frame::Response {
+        id: id.into(),
+        status: end,
+        load: LoadReport { busy_share: None, waiting },
+        value: value.to_vec(),
+    };
+    let bytes = framed(&[
+        (b'E', b"a.3 hit 18 served_ps=2,pending=4\nva\nlue"),
+        (b'E', b"a.4 fault 0 -\n"),
+        (b'D', b"hit"),
+        (b'E', b"a.5 hit 1 \xff,pending\nv"),
+        (b'E', b"b.0 overload 1 -\n"),
+        (b'F', b"no such letter"),
+    ]);
+    let want = vec![
+        ended("a.3", CallStatus::Success, Some(4.0), b"va\nlue"),
+        ended("a.4", CallStatus::Fault, None, b""),
+        Frame::HealthCheckResponse,
+        ended("a.5", CallStatus::Success, None, b"v"),
+        ended("b.0", CallStatus::Overload, None, b""),
+        Frame::Rejected("no such letter".into()),
+    ];
+    assert_eq!(frames_of(&bytes), (want, None));
+}
+
+#[test_case(&framed(&[(b'Z', b"")]); "unknown letter")]
+#[test_case(&framed(&[(b'E', b"a.1 maybe 1 -\n")]); "unknown end")]
+#[test_case(&framed(&[(b'E', b"a.1 hit 1\n")]); "short line")]
+#[test_case(&framed(&[(b'E', b"a.1 hit 1 -")]); "no line")]
+#[test_case(&framed(&[(b'E', b"\xff hit 1 -\n")]); "no text")]
+#[test_case(&[0, 0, 0, 0]; "no letter")]
+#[test_case(&[255, 255, 255, 255]; "oversized")]
+fn bad_frames_are_refused(bytes: &[u8]) {
+    let (got, why) = frames_of(bytes);
+    assert!(got.is_empty() && why.is_some());
+}
+
+#[test]
+fn a_call_is_read_as_it_was_written() {
+    let part = |id, key, text| CallPart { id, shard: 3, timeout_ms: 240, key, phase: None, text };
+    let mut out = Buffer::default();
+    frames::write_call(&mut out, [part("a.3", Some("5c"), "x\ny"), part("b.3", None, "")].into_iter());
+    let frame = frames::peek_frame(&out, &limits()).unwrap().unwrap();
+    assert_eq!((frame.kind, frame.length), (b'A', out.len()));
+    let parts = frames::read_call(frame.payload).unwrap();
+    let received = |id, options, text| ReceivedPart { id, shard: 3, options, text };
+    assert_eq!(parts, [received("a.3", "d=240,k=5c", "x\ny"), received("b.3", "d=240", "")]);
+    assert_eq!(frames::read_call(&frame.payload[..frame.payload.len() - 8]), None);
+}
+
+#[test_case(None, "d=240,k=5c"; "plain, as ever")]
+#[test_case(Some(CallPhase::Match { version: None }), "d=240,k=5c,p=match"; "a match")]
+#[test_case(Some(CallPhase::Match { version: Some(7) }), "d=240,k=5c,p=match,v=7"; "with a version")]
+#[test_case(Some(CallPhase::Fetch), "d=240,k=5c,p=fetch"; "a fetch")]
+fn the_options_of_a_part_give_its_phase(phase: Option<CallPhase>, list: &str) {
+    let part = CallPart { id: "a,m.3", shard: 3, timeout_ms: 240, key: Some("5c"), phase, text: "x" };
+    let mut out = Buffer::default();
+    frames::write_call(&mut out, [part].into_iter());
+    let frame = frames::peek_frame(&out, &limits()).unwrap().unwrap();
+    let received = ReceivedPart { id: "a,m.3", shard: 3, options: list, text: "x" };
+    assert_eq!(frames::read_call(frame.payload).unwrap(), [received]);
+}
--- a/crates/fernknot-protocol/tests/outbox.rs
+++ b/crates/fernknot-protocol/tests/outbox.rs
@@ -11,7 +11,7 @@
 #[test_case(6, "a", "b", "c"; "one whole and one begun")]
 #[test_case(15, "ab", "c", ""; "all begun")]
 #[test_case(16, "abc", "", ""; "all whole")]
-fn a_frame_is_whole_with_its_last_byte_and_can_be_taken_back_before_its_first(
+fn a_frame_is_complete_with_its_last_byte_and_can_be_withdrawn_before_its_first(
     count: usize,
     whole: &str,
     begun: &str,
--- a/crates/fernknot-protocol/tests/peer_updates.rs
+++ b/crates/fernknot-protocol/tests/peer_updates.rs
@@ -14,8 +14,8 @@
     let messages = tags.write(&news, 256);
     let read = tags.read(&messages[0]).unwrap();
     assert_eq!(read[..3], news[..3]);
-    let (node, News::Answered(told)) = read[3] else { panic!("{read:?}") };
-    assert!(node == NodeId(0) && (180.0..220.0).contains(&told.as_millis()));
+    let (node, News::Answered(latency)) = read[3] else { panic!("{read:?}") };
+    assert!(node == NodeId(0) && (180.0..220.0).contains(&latency.as_millis()));
     for cut in [0, 1, 2, 4, 5, messages[0].len() - 1] {
         assert_eq!(tags.read(&messages[0][..cut]), None, "cut at {cut}");
     }
--- a/crates/fernknot-router/src/client.rs
+++ b/crates/fernknot-router/src/client.rs
@@ -17,9 +17,13 @@
     Closing,
 }
 
+/// One client's connection.
 pub struct Client {
+    /// The socket and its buffers.
     pub tcp: TcpConnection,
+    /// Parses the input.
     pub reader: RequestReader,
+    /// Where the connection stands.
     pub state: ClientState,
     /// The connection is kept after the response to the current request.
     pub keeps_connection: bool,
@@ -29,6 +33,7 @@
     pub has_requested: bool,
     /// When its request began to arrive, or bytes of its response were last written.
     pub last_progress: Nanos,
+    /// When its timer is due.
     pub timer_at: Nanos,
     /// It was sent an interim response to learn whether it has gone or only finished sending.
     pub was_probed: bool,
@@ -55,6 +60,7 @@
         self.state == ClientState::Reading && self.tcp.input.is_empty() && !self.reader.is_open()
     }
 
+    /// Drops what has been read.
     pub fn discard_input(&mut self) {
         self.tcp.input.consume(self.tcp.input.len());
     }
--- a/crates/fernknot-router/src/client_io.rs
+++ b/crates/fernknot-router/src/client_io.rs
@@ -26,18 +26,21 @@
         self.read_client(context, id);
     }
 
+    /// Reads on where the last turn stopped for its limit.
     pub fn read_more_clients(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.readable) {
             self.read_client(context, id);
         }
     }
 
+    /// Writes what this turn has put into output buffers.
     pub fn flush_clients(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.unflushed) {
             self.advance(context, id);
         }
     }
 
+    /// Reads what has come, up to the limit of a turn, and goes on with the connection.
     pub fn read_client(&mut self, context: &mut Context, id: ClientId) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
         let was_idle = client.is_idle();
--- a/crates/fernknot-router/src/client_requests.rs
+++ b/crates/fernknot-router/src/client_requests.rs
@@ -13,6 +13,7 @@
 const MILLIS_PER_SECOND: f64 = 1e3;
 
 impl Clients {
+    /// Answers a request, or gives its multiget to the engine.
     pub fn handle_request(&mut self, context: &mut Context, id: ClientId, request: Request) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
         client.keeps_connection = request.keep;
--- a/crates/fernknot-router/src/clients.rs
+++ b/crates/fernknot-router/src/clients.rs
@@ -15,9 +15,11 @@
 /// Steps in which a stopping router closes its connections.
 const HANDOVER_STEPS: u64 = 32;
 
+/// The listener and all clients' connections.
 pub struct Clients {
     listener: Option<(Rc<TcpListener>, RegistrationToken)>,
     event_loop: EventLoopHandle,
+    /// All connections.
     pub by_id: HashMap<ClientId, Client>,
     next_id: u64,
     /// Connections wait to be accepted because there are too many.
@@ -29,6 +31,7 @@
 }
 
 impl Clients {
+    /// Listens on an address.
     pub fn new(event_loop: &EventLoopHandle, listen: SocketAddr) -> Result<Clients> {
         let listener = Rc::new(TcpListener::bind(listen)?);
         listener.set_nonblocking(true)?;
@@ -49,6 +52,7 @@
         !self.readable.is_empty()
     }
 
+    /// Closes the listener; connections stay.
     pub fn stop_listening(&mut self) {
         if let Some((_, token)) = self.listener.take() {
             self.event_loop.remove(token);
--- a/crates/fernknot-router/src/context.rs
+++ b/crates/fernknot-router/src/context.rs
@@ -11,15 +11,23 @@
 use slog::Logger;
 use std::collections::BTreeSet;
 
+/// What all that stands on sockets shares.
 pub struct Context {
+    /// The log.
     pub log: Logger,
+    /// Where sockets are registered.
     pub event_loop: EventLoopHandle,
     /// When the running turn began.
     pub now: Nanos,
+    /// The limits; a configuration that is read again replaces them.
     pub limits: Limits,
+    /// The settings of the sockets.
     pub settings: SocketFacts,
+    /// The counters of the sockets.
     pub counters: Counters,
+    /// The query router without sockets.
     pub engine: Engine,
+    /// When timers are due.
     pub timers: BTreeSet<(Nanos, Timer)>,
     /// Which routers are alive, where that is asked for.
     pub membership: Option<Membership>,
@@ -38,10 +46,12 @@
         self.engine.counters.text() + &self.counters.text() + &membership.unwrap_or_default()
     }
 
+    /// Sets a timer; it is due in the first turn from this time on.
     pub fn set_timer(&mut self, at: Nanos, timer: Timer) {
         self.timers.insert((at, timer));
     }
 
+    /// Removes a timer that was set for this time.
     pub fn cancel_timer(&mut self, at: Nanos, timer: Timer) {
         self.timers.remove(&(at, timer));
     }
--- a/crates/fernknot-router/src/discovery.rs
+++ b/crates/fernknot-router/src/discovery.rs
@@ -10,6 +10,7 @@
 use slog::{info, warn};
 use std::net::SocketAddr;
 
+/// The watch on discovery.
 pub struct Discovery {
     address: SocketAddr,
     connection: Option<TcpConnection>,
@@ -25,6 +26,7 @@
 }
 
 impl Discovery {
+    /// A watch that has made no call.
     pub fn new(address: SocketAddr) -> Discovery {
         Discovery {
             address,
@@ -151,6 +153,7 @@
         self.set_timer(context, wait);
     }
 
+    /// The answer is late, or the wait before the next call is over.
     pub fn timer_due(&mut self, context: &mut Context) {
         self.timer_at = None;
         match self.is_paused {
--- a/crates/fernknot-router/src/events.rs
+++ b/crates/fernknot-router/src/events.rs
@@ -40,6 +40,8 @@
 /// Which sockets the event loop has found ready, and the signals that came.
 #[derive(Default)]
 pub struct ReadyEvents {
+    /// Sockets that are ready, in the order in which they were found.
     pub sockets: Vec<(Source, Readiness)>,
+    /// Signals, in the order in which they came.
     pub signals: Vec<Signal>,
 }
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -20,6 +20,7 @@
     fleet_names_twice,
 );
 
+/// The members, their addresses and the counters of this.
 pub struct Membership {
     members: Fleet,
     addresses: BTreeMap<RouterId, SocketAddr>,
@@ -28,6 +29,7 @@
     has_majority: bool,
     /// That another router has this one's name has been logged.
     has_logged_duplicate: bool,
+    /// The counters of membership.
     pub counters: Counters,
 }
 
@@ -41,6 +43,7 @@
 }
 
 impl Membership {
+    /// Begins membership for the router at a position of the list.
     pub fn new(
         seed: u64,
         settings: &MembershipSettings,
@@ -77,18 +80,22 @@
         self.members.list(now, self.addresses.keys().copied());
     }
 
+    /// A turn begins; see [`Fleet::woke`].
     pub fn woke(&mut self, now: Nanos) {
         self.members.woke(now);
     }
 
+    /// When membership has something to do without a datagram.
     pub fn due(&self) -> Nanos {
         self.members.due()
     }
 
+    /// This router stops, and the others are to know.
     pub fn leave(&mut self, now: Nanos) {
         self.members.leave(now);
     }
 
+    /// Takes a datagram.
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         let id = self.addresses.iter().find(|(_, address)| **address == from).map(|(id, _)| *id);
         let count = match self.members.heard(now, id, bytes) {
--- a/crates/fernknot-router/src/node_connection.rs
+++ b/crates/fernknot-router/src/node_connection.rs
@@ -8,7 +8,9 @@
 /// One attempt to have a part answered by a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
+    /// The part.
     pub part: PartId,
+    /// The attempt's number among those of the part.
     pub number: HandOffNo,
 }
 
@@ -25,9 +27,11 @@
 
 /// An attempt that waits for its answer.
 pub struct PendingAttempt {
+    /// The attempt.
     pub id: AttemptId,
     /// The call that it is a part of.
     pub call: u64,
+    /// How much of its frame has been written.
     pub state: WriteState,
 }
 
@@ -38,8 +42,11 @@
     Cancel(String),
 }
 
+/// A connection to a data node.
 pub struct NodeConnection {
+    /// The node.
     pub node: NodeId,
+    /// The socket and its buffers.
     pub tcp: TcpConnection,
     /// The connection has been set up.
     pub is_up: bool,
@@ -53,6 +60,7 @@
     pub pending: HashMap<String, PendingAttempt>,
     /// Calls with attempts that wait for an answer, and how many.
     pub attempts_by_call: HashMap<u64, usize>,
+    /// The number of the next call.
     pub next_call: u64,
     /// Parts that were cancelled, whose answers may still come.
     pub cancelled: VecDeque<String>,
@@ -60,6 +68,7 @@
     pub last_used: Nanos,
     /// When bytes last came.
     pub last_received: Nanos,
+    /// When the timer that closes it when idle is due.
     pub idle_timer_at: Nanos,
     /// When it must be up, or the frame that has begun to arrive must be complete.
     pub deadline: Option<Nanos>,
--- a/crates/fernknot-router/src/node_connections.rs
+++ b/crates/fernknot-router/src/node_connections.rs
@@ -90,6 +90,7 @@
         self.read_node(context, id);
     }
 
+    /// Closes a connection that takes no new calls once it is idle.
     pub fn close_if_retired(&mut self, context: &mut Context, id: NodeConnectionId) {
         if self.connections.get(&id).is_some_and(|connection| connection.is_retired && connection.is_idle()) {
             self.close_connection(context, id);
--- a/crates/fernknot-router/src/node_reader.rs
+++ b/crates/fernknot-router/src/node_reader.rs
@@ -9,12 +9,14 @@
 use fernknot_protocol::frames::{self, CallStatus, Frame};
 
 impl Nodes {
+    /// Reads on where the last turn stopped for its limit.
     pub fn read_more_nodes(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.readable) {
             self.read_node(context, id);
         }
     }
 
+    /// Reads what has come, up to the limit of a turn, and takes the frames that are complete.
     pub fn read_node(&mut self, context: &mut Context, id: NodeConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let bytes_before = connection.tcp.input.len();
--- a/crates/fernknot-router/src/node_writer.rs
+++ b/crates/fernknot-router/src/node_writer.rs
@@ -11,6 +11,7 @@
 const NANOS_PER_MS: u64 = 1_000_000;
 
 impl Nodes {
+    /// Writes what this turn has queued.
     pub fn flush_nodes(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.unflushed) {
             self.flush_node(context, id);
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -11,10 +11,15 @@
 
 /// A data node as the list has it.
 pub struct NodeRecord {
+    /// Where it accepts connections.
     pub address: SocketAddr,
+    /// Its failure domain.
     pub place: PlaceId,
+    /// Whether it takes calls.
     pub health: Health,
+    /// When it last started, as Unix time.
     pub started_at: Nanos,
+    /// The connections to it.
     pub connections: Vec<NodeConnectionId>,
     /// When the grace ends that it was given when it began to drain or went.
     pub grace_end: Option<Nanos>,
@@ -23,10 +28,13 @@
 /// All data nodes, the connections to them, and the attempts on these.
 #[derive(Default)]
 pub struct Nodes {
+    /// The nodes' ids by the names of the list.
     pub ids: HashMap<String, NodeId>,
     /// By the nodes' ids.
     pub records: Vec<NodeRecord>,
+    /// All connections to nodes.
     pub connections: HashMap<NodeConnectionId, NodeConnection>,
+    /// The id of the next connection.
     pub next_connection: u64,
     /// Attempts of this turn that are on no connection yet.
     pub unplaced: BTreeMap<NodeId, Vec<AttemptId>>,
@@ -46,10 +54,12 @@
         !self.readable.is_empty()
     }
 
+    /// The record of a node that is known.
     pub fn record(&self, id: NodeId) -> &NodeRecord {
         &self.records[id.0 as usize]
     }
 
+    /// The record of a node that is known, to be changed.
     pub fn record_mut(&mut self, id: NodeId) -> &mut NodeRecord {
         &mut self.records[id.0 as usize]
     }
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -11,6 +11,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
+/// The socket for datagrams between routers.
 pub struct Peers {
     socket: Rc<UdpSocket>,
     addresses: PeerAddresses,
@@ -19,6 +20,7 @@
 }
 
 impl Peers {
+    /// Listens on the router's own address.
     pub fn new(event_loop: &EventLoopHandle, addresses: PeerAddresses, own_position: usize) -> Result<Peers> {
         let socket = Rc::new(UdpSocket::bind(addresses.listen)?);
         socket.set_nonblocking(true)?;
--- a/crates/fernknot-router/src/tcp_connection.rs
+++ b/crates/fernknot-router/src/tcp_connection.rs
@@ -12,13 +12,17 @@
 /// Least space for a read.
 const READ_BYTES: usize = 2048;
 
+/// The event loop, as far as sockets are registered with it.
 pub type EventLoopHandle = LoopHandle<'static, ReadyEvents>;
 
+/// A TCP connection that is registered with the event loop, and removed from it when dropped.
 pub struct TcpConnection {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
     event_loop: EventLoopHandle,
+    /// Bytes that have been read.
     pub input: Buffer,
+    /// Bytes to be written.
     pub output: Buffer,
     /// Bytes may be waiting; the event loop reports only new ones.
     pub is_readable: bool,
@@ -50,6 +54,7 @@
 }
 
 impl TcpConnection {
+    /// Takes over a stream.
     pub fn new(event_loop: &EventLoopHandle, stream: TcpStream, source: Source) -> Result<TcpConnection> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
--- a/crates/fernknot-router/tests/end_to_end.rs
+++ b/crates/fernknot-router/tests/end_to_end.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_shard_without_nodes_is_dismissed_with_advice() {
+fn a_shard_without_nodes_is_rejected_with_advice() {
     let (router, nodes, _discovery) = deployment(&[Behaviour::Answer]);
     let answer = router.ask("page", &[0, 1], "2");
     assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: "), "{answer}");
@@ -59,7 +59,7 @@
 #[test_case(Behaviour::Strange, "frames_bad"; "an answer to what was never sent")]
 #[test_case(Behaviour::Endless, "frames_bad"; "a frame that never comes whole")]
 #[test_case(Behaviour::Noisy, "frames_bad"; "more than was asked for")]
-fn failed_hand_offs_are_told_apart_and_sent_on(behaviour: Behaviour, counter: &str) {
+fn failed_attempts_are_distinguished_and_retried(behaviour: Behaviour, counter: &str) {
     let (router, _nodes, _discovery) = deployment(&[behaviour, Behaviour::Answer, Behaviour::Answer]);
     until(counter, || {
         let answer = router.ask("page", &[0], "3");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran_so_that_a_keyed_multiget_may_be_dismissed() {
+fn a_refused_connection_never_ran_so_that_a_keyed_multiget_may_be_rejected() {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     discovery.put("s-0", free_address(), 0, "up");
     let router = Router::start(&config(), discovery.address);
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn a_silent_node_costs_no_more_than_the_clients_time_and_is_told_to_give_up() {
+fn a_silent_node_costs_no_more_than_the_clients_time_and_gets_a_cancellation() {
     let (router, nodes, _discovery) = deployment(&[Behaviour::Silent]);
     let start = Instant::now();
     let answer = router.ask("mark", &[0], "0.4");
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
-    until("the node told to give up", || nodes[0].given_up() == [nodes[0].calls()[0].id.clone()]);
+    until("the node received the cancellation", || nodes[0].given_up() == [nodes[0].calls()[0].id.clone()]);
 }
 
 #[test]
@@ -219,7 +219,7 @@
     until("its part at the node", || nodes[0].calls().len() == 1);
     drop(gone);
     until("its leaving", || router.counter("lapsed") == 1);
-    until("the node told", || nodes[0].given_up().len() == 1);
+    until("the node received it", || nodes[0].given_up().len() == 1);
     nodes[0].set(Behaviour::Late(Duration::from_millis(50)));
     let mut half = router.connect();
     half.write_all(request("page", &[0], "3", "").as_bytes()).unwrap();
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn told_to_stop_it_answers_what_it_took_then_ends_and_starts_again_at_once() {
+fn a_stopping_router_answers_what_it_took_then_ends_and_starts_again_at_once() {
     let (mut router, nodes, discovery) = deployment(&[Behaviour::Late(Duration::from_millis(200))]);
     let mut idle = router.connect();
     idle.write_all(request("page", &[0], "3", "").as_bytes()).unwrap();
@@ -285,18 +285,18 @@
 }
 
 #[test]
-fn told_to_stop_after_a_quiet_while_it_still_lets_clients_come() {
+fn a_router_that_stops_after_a_quiet_while_still_accepts_clients() {
     let (mut router, _nodes, _discovery) = deployment(&[Behaviour::Answer]);
     let quiet = Instant::now();
     until("a quiet while", || quiet.elapsed() > Duration::from_millis(900));
-    let told = Instant::now();
+    let stopped_at = Instant::now();
     router.signal(Signal::TERM);
     assert_eq!(router.child.wait().unwrap().code(), Some(0));
-    assert!(told.elapsed() > Duration::from_millis(600), "{:?}", told.elapsed());
+    assert!(stopped_at.elapsed() > Duration::from_millis(600), "{:?}", stopped_at.elapsed());
 }
 
 #[test]
-fn routers_tell_each_other_and_what_strangers_send_is_dropped() {
+fn routers_send_each_other_updates_and_what_strangers_send_is_dropped() {
     let (router, peer, own, node, _discovery) = with_peer(None);
     assert!(router.ask("page", &[0], "2").starts_with("HTTP/1.1 200"));
     let mut message = [0; 300];
@@ -384,7 +384,7 @@
 #[test_case("/page", HEAD, r#"{"buckets":[{"bucket":0,"part":0.5},{"bucket":1,"part":0.4}],"body":"x"}"#, 400; "shares that make no whole")]
 #[test_case("/page", HEAD, r#"{"buckets":[{"bucket":0,"part":1}],"#, 400; "cut off JSON")]
 #[test_case("/page", HEAD, "[[[[[[[[", 400; "not JSON")]
-fn bad_requests_are_told_so_and_the_connection_goes_on(path: &str, head: &str, body: &str, status: u16) {
+fn bad_requests_are_rejected_and_the_connection_goes_on(path: &str, head: &str, body: &str, status: u16) {
     let (router, nodes, _discovery) = deployment(&[Behaviour::Answer]);
     let mut stream = router.connect();
     write!(stream, "POST {path} HTTP/1.1\r\n{head}Content-Length: {}\r\n\r\n{body}", body.len()).unwrap();
@@ -434,7 +434,7 @@
 
 #[test_case("POST /page HTTP/1.1\r\nReq-Id: 1", "HTTP/1.1 408"; "half a request")]
 #[test_case("", ""; "nothing at all")]
-fn what_never_becomes_a_request_is_ended_within_the_longest_wait(text: &str, told: &str) {
+fn what_never_becomes_a_request_is_ended_within_the_longest_wait(text: &str, expected: &str) {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let mut config = config();
     for class in config["settings"]["classes"].as_array_mut().unwrap() {
@@ -446,7 +446,7 @@
     stream.write_all(text.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
-    assert!(answer.starts_with(told) && answer.is_empty() == told.is_empty(), "{answer}");
+    assert!(answer.starts_with(expected) && answer.is_empty() == expected.is_empty(), "{answer}");
 }
 
 #[test]
--- a/crates/fernknot-router/tests/migration.rs
+++ b/crates/fernknot-router/tests/migration.rs
@@ -68,8 +68,8 @@
         let before = routers.map(|router| router.counter("lists_changes"));
         let (name, address) = (format!("s-{node}"), self.nodes[node].address);
         self.discovery.put_raw(&name, &entry(&name, address, node % 2, "b", lifecycle, started));
-        let told = |(router, before): (&Router, u64)| router.counter("lists_changes") > before;
-        until("both told", || routers.into_iter().zip(before).all(told));
+        let has_changes = |(router, before): (&Router, u64)| router.counter("lists_changes") > before;
+        until("both have the changes", || routers.into_iter().zip(before).all(has_changes));
     }
 
     fn calls(&self, node: usize) -> usize {
