--- a/crates/fernknot-schema/src/paper.rs
+++ b/crates/fernknot-schema/src/raw_config.rs
@@ -1,17 +1,20 @@
-//! The operator's configuration as it stands in the JSON, read with `schematic`: its loader takes
-//! a string without any file, gives defaults, passes unknown keys and collects what is wrong with
-//! single settings. What concerns several settings at once is checked in [`crate::plan`].
+//! The operator's routing configuration under the keys of its JSON, loaded with `schematic`: its loader takes a string
+//! without any file, gives defaults, ignores unknown keys and collects the errors of single settings. What concerns
+//! several settings at once is checked in [`crate::routing_config_parser`].
 //!
-//! Its reader of JSON also takes comments; [`crate::plan`] reads the bytes strictly beforehand.
+//! Its JSON parser also accepts comments, so the bytes are parsed strictly beforehand.
 
 use schematic::{Config, ConfigError, ConfigLoader, Schematic, ValidateError, ValidateResult};
 use serde::{Deserialize, Deserializer, Serialize, de};
 
-use crate::plan::{ClientLimits, TrafficClass};
-use crate::walk::ValidationError;
+use crate::routing_config::{ClientLimits, TrafficClass};
+use crate::validation_error::ValidationError;
 
-/// A number of 0 or more that may come as `600` or as `600.0`; a fraction is rounded up, so that a
-/// short time never turns into none.
+/// The name of the text in error messages of `schematic`.
+const SOURCE_NAME: &str = "plan.json";
+
+/// A number of 0 or more that may come as `600` or as `600.0`; a fraction is rounded up, so that a short time never
+/// becomes 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct NonNegativeInteger(pub u64);
 
@@ -19,8 +22,8 @@
 
 impl<'de> Deserialize<'de> for NonNegativeInteger {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<NonNegativeInteger, D::Error> {
-        struct Number;
-        impl de::Visitor<'_> for Number {
+        struct NumberVisitor;
+        impl de::Visitor<'_> for NumberVisitor {
             type Value = NonNegativeInteger;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str("a number of 0 or more")
@@ -32,52 +35,56 @@
                 u64::try_from(number).map(NonNegativeInteger).map_err(|_| E::custom("is below 0"))
             }
             fn visit_f64<E: de::Error>(self, number: f64) -> Result<NonNegativeInteger, E> {
-                match number >= 0.0 && number < u64::MAX as f64 {
-                    true => Ok(NonNegativeInteger(number.ceil() as u64)),
-                    false => Err(E::custom("is below 0 or too large")),
+                if number >= 0.0 && number < u64::MAX as f64 {
+                    Ok(NonNegativeInteger(number.ceil() as u64))
+                } else {
+                    Err(E::custom("is below 0 or too large"))
                 }
             }
         }
-        from.deserialize_any(Number)
+        from.deserialize_any(NumberVisitor)
     }
 }
 
+/// The configuration; see [`crate::RoutingConfig`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawConfig {
     #[setting(required)]
-    pub epoch: Option<NonNegativeInteger>,
+    pub(crate) epoch: Option<NonNegativeInteger>,
     #[setting(nested, required)]
-    pub routes: Option<Vec<RawRoute>>,
+    pub(crate) routes: Option<Vec<RawRoute>>,
     #[setting(nested, required)]
-    pub backends: Option<Vec<RawService>>,
+    pub(crate) backends: Option<Vec<RawService>>,
     #[setting(nested)]
-    pub limits: RawClientLimits,
+    pub(crate) limits: RawClientLimits,
 }
 
+/// A route; see [`crate::Route`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawRoute {
-    pub name: String,
+    pub(crate) name: String,
     #[setting(required)]
-    pub authority: Option<String>,
+    pub(crate) authority: Option<String>,
     #[setting(required, validate = validate_path_prefix)]
-    pub path_prefix: Option<String>,
-    pub traffic_class: Option<RawTrafficClass>,
+    pub(crate) path_prefix: Option<String>,
+    pub(crate) traffic_class: Option<RawTrafficClass>,
     #[setting(validate = validate_positive)]
-    pub deadline_ms: Option<NonNegativeInteger>,
-    pub target_ms: Option<NonNegativeInteger>,
-    pub rank: NonNegativeInteger,
-    pub backend: Option<String>,
+    pub(crate) deadline_ms: Option<NonNegativeInteger>,
+    pub(crate) target_ms: Option<NonNegativeInteger>,
+    pub(crate) rank: NonNegativeInteger,
+    pub(crate) backend: Option<String>,
     #[setting(nested)]
-    pub shares: Option<Vec<RawWeightedService>>,
-    pub fanout: Option<Vec<String>>,
-    pub top_k: Option<NonNegativeInteger>,
+    pub(crate) shares: Option<Vec<RawWeightedService>>,
+    pub(crate) fanout: Option<Vec<String>>,
+    pub(crate) top_k: Option<NonNegativeInteger>,
     #[setting(validate = validate_fraction)]
-    pub quorum: Option<f64>,
-    pub tries: Option<NonNegativeInteger>,
+    pub(crate) quorum: Option<f64>,
+    pub(crate) tries: Option<NonNegativeInteger>,
 }
 
+/// Whether requests may be repeated; without a class they may not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RawTrafficClass {
@@ -86,46 +93,50 @@
     Mutating,
 }
 
+/// A service with its weight; see [`crate::RouteTarget`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawWeightedService {
     #[setting(required)]
-    pub backend: Option<String>,
+    pub(crate) backend: Option<String>,
     #[setting(required, validate = validate_weight)]
-    pub weight: Option<f64>,
+    pub(crate) weight: Option<f64>,
 }
 
+/// A service; see [`crate::Service`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawService {
     #[setting(required)]
-    pub name: Option<String>,
+    pub(crate) name: Option<String>,
     #[setting(default = "/health")]
-    pub probe_path: String,
-    pub max_conns: Option<NonNegativeInteger>,
+    pub(crate) probe_path: String,
+    pub(crate) max_conns: Option<NonNegativeInteger>,
     #[setting(default = "h1")]
-    pub protocol: String,
-    pub tls: bool,
+    pub(crate) protocol: String,
+    pub(crate) tls: bool,
 }
 
+/// What clients may send; see [`crate::ClientLimits`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawClientLimits {
-    pub header_bytes: Option<NonNegativeInteger>,
-    pub body_bytes: Option<NonNegativeInteger>,
-    pub header_ms: Option<NonNegativeInteger>,
-    pub idle_ms: Option<NonNegativeInteger>,
+    pub(crate) header_bytes: Option<NonNegativeInteger>,
+    pub(crate) body_bytes: Option<NonNegativeInteger>,
+    pub(crate) header_ms: Option<NonNegativeInteger>,
+    pub(crate) idle_ms: Option<NonNegativeInteger>,
 }
 
 impl RawClientLimits {
+    /// The limits, with the default for each that was not given.
     pub(crate) fn resolve(&self) -> ClientLimits {
-        let absent = ClientLimits::default();
-        let or = |given: Option<NonNegativeInteger>, absent| given.map_or(absent, |given| given.0);
+        let default = ClientLimits::default();
+        let given_or = |given: Option<NonNegativeInteger>, default| given.map_or(default, |given| given.0);
         ClientLimits {
-            header_bytes: or(self.header_bytes, absent.header_bytes),
-            body_bytes: or(self.body_bytes, absent.body_bytes),
-            header_ms: or(self.header_ms, absent.header_ms),
-            idle_ms: or(self.idle_ms, absent.idle_ms),
+            header_bytes: given_or(self.header_bytes, default.header_bytes),
+            body_bytes: given_or(self.body_bytes, default.body_bytes),
+            header_ms: given_or(self.header_ms, default.header_ms),
+            idle_ms: given_or(self.idle_ms, default.idle_ms),
         }
     }
 }
@@ -142,34 +153,33 @@
 }
 
 fn validate_path_prefix<D, C>(prefix: &str, _: &D, _: &C, _: bool) -> ValidateResult {
-    match prefix.starts_with('/') && prefix.ends_with('/') {
-        true => Ok(()),
-        false => Err(ValidateError::new("does not begin and end with a slash")),
-    }
+    check(prefix.starts_with('/') && prefix.ends_with('/'), "does not begin and end with a slash")
 }
 
 fn validate_positive<D, C>(number: &NonNegativeInteger, _: &D, _: &C, _: bool) -> ValidateResult {
-    if number.0 == 0 { Err(ValidateError::new("is 0")) } else { Ok(()) }
+    check(number.0 != 0, "is 0")
 }
 
-fn validate_fraction<D, C>(share: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
-    match (0.0..=1.0).contains(share) {
-        true => Ok(()),
-        false => Err(ValidateError::new("is not from 0 to 1")),
-    }
+fn validate_fraction<D, C>(fraction: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
+    check((0.0..=1.0).contains(fraction), "is not from 0 to 1")
 }
 
 fn validate_weight<D, C>(weight: &f64, _: &D, _: &C, _: bool) -> ValidateResult {
-    match *weight >= 0.0 && weight.is_finite() {
-        true => Ok(()),
-        false => Err(ValidateError::new("is below 0")),
-    }
+    check(*weight >= 0.0 && weight.is_finite(), "is below 0")
+}
+
+fn check(is_valid: bool, reason: &str) -> ValidateResult {
+    if is_valid { Ok(()) } else { Err(ValidateError::new(reason)) }
 }
 
-/// Reads the text, which is known to be JSON.
+/// Loads the text, which is known to be JSON.
+///
+/// # Errors
+///
+/// What is wrong with single settings.
 pub(crate) fn load(text: &str) -> Result<RawConfig, Vec<ValidationError>> {
     let mut loader = ConfigLoader::<RawConfig>::new();
-    let loaded = loader.code(text, "plan.json").and_then(|loader| loader.load());
+    let loaded = loader.code(text, SOURCE_NAME).and_then(|loader| loader.load());
     loaded.map(|loaded| loaded.config).map_err(validation_errors)
 }
 
