--- a/crates/fernknot-protocol/src/news.rs
+++ b/crates/fernknot-protocol/src/news.rs
@@ -1,7 +1,7 @@
 //! What routers tell each other of nodes, as bytes.
 //!
 //! A message has a byte with the number of attempts that were sent and two bytes for the node of each; then, for each
-//! attempt that ended, two bytes for its node and one for how it ended: a latency, [`OVERDUE`] or [`FAILED`].
+//! attempt that ended, two bytes for its node and one for how it ended: a latency, or one of two codes for no answer.
 
 use fernknot::interface::{Nanos, News, NodeId};
 use std::collections::HashMap;
