--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -12,13 +12,13 @@
 };
 use fernknot_protocol::multiget::{Asked, AskedPart};
 use fernknot_router_config::PhaseFacts;
-use fernknot_two_phase::Phases;
+use fernknot_two_phase::TwoPhasePlanner;
 use std::collections::{BTreeSet, VecDeque};
 
 /// One query router without sockets or a clock.
 pub struct Engine {
     pub(crate) decisions: Router,
-    pub(crate) phases: Phases,
+    pub(crate) phases: TwoPhasePlanner,
     /// The multigets in flight.
     pub table: MultigetTable,
     /// What has been done since the start.
@@ -46,7 +46,7 @@
     ) -> Engine {
         Engine {
             decisions: Router::new(seed, site, now),
-            phases: Phases::new(now, phases, sketch_bytes),
+            phases: TwoPhasePlanner::new(now, phases, sketch_bytes),
             table: MultigetTable::default(),
             counters: Counters::default(),
             endings: VecDeque::new(),
@@ -197,7 +197,7 @@
     // ---- State -----------------------------------------------------------------------------
 
     /// The queries in two phases.
-    pub fn phases(&self) -> &Phases {
+    pub fn phases(&self) -> &TwoPhasePlanner {
         &self.phases
     }
 
@@ -303,7 +303,8 @@
         let answered_by = |(index, part): (usize, &PartState)| Some((index, part.answered_by?));
         let found_by = multiget.parts.iter().enumerate().filter_map(answered_by).collect();
         let is_found = |shard| found.iter().any(|(found, _)| *found == shard);
-        let blocks = multiget.is_phased().then(|| self.phases.account(id, is_found).unwrap_or_default());
+        let blocks =
+            multiget.is_phased().then(|| self.phases.block_outcomes(id, is_found).unwrap_or_default());
         Some(Verdict::Settled { whole, found, found_by, blocks })
     }
 
--- a/crates/fernknot-engine/src/two_phase.rs
+++ b/crates/fernknot-engine/src/two_phase.rs
@@ -7,7 +7,7 @@
 use fernknot::interface::{MultigetId, Nanos, Outcome, PartId, SecondFacts, ShardId};
 use fernknot_protocol::matches;
 use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, BlockState};
-use fernknot_two_phase::{Block, Query, print_of};
+use fernknot_two_phase::{CandidateBlock, TwoPhaseQuery, term_fingerprint};
 use std::collections::HashMap;
 
 impl Engine {
@@ -20,20 +20,21 @@
         second: AskedSecond,
     ) -> Option<SecondFacts> {
         self.counters.phased_taken += 1;
-        let block = |part: AskedPart| Block { shard: part.shard, weight: part.weight, effort: part.effort };
-        let query = Query {
+        let candidate =
+            |part: AskedPart| CandidateBlock { shard: part.shard, weight: part.weight, effort: part.effort };
+        let query = TwoPhaseQuery {
             use_case: asked.use_case,
-            wait: asked.wait,
-            asked: asked.parts.iter().map(|part| part.shard).collect(),
-            blocks: second.parts.into_iter().map(block).collect(),
-            terms: second.terms.iter().map(|term| print_of(term)).collect(),
+            client_timeout: asked.wait,
+            first_phase_blocks: asked.parts.iter().map(|part| part.shard).collect(),
+            candidates: second.parts.into_iter().map(candidate).collect(),
+            terms: second.terms.iter().map(|term| term_fingerprint(term)).collect(),
         };
         let order = self.phases.begin(now, id, query);
         let rank: HashMap<ShardId, usize> =
             order.into_iter().enumerate().map(|(rank, shard)| (shard, rank)).collect();
         asked.parts.sort_by_key(|part| rank.get(&part.shard).copied());
         self.table.sort_parts(id, |part| rank.get(&part.shard).copied());
-        self.phases.expectation(now, id)
+        self.phases.second_phase_estimate(now, id)
     }
 
     /// Takes a block's answer of a first phase. Guards against a fetch that is silently smaller: a value that cannot be
@@ -44,10 +45,10 @@
             self.counters.match_values_bad += 1;
             return Outcome::Error;
         };
-        match self.phases.matched(part.of, shard, answer) {
+        match self.phases.record_match(part.of, shard, answer) {
             Ok(true) => {
-                if let Some(facts) = self.phases.expectation(now, part.of) {
-                    self.decisions.expect(part.of, facts);
+                if let Some(estimate) = self.phases.second_phase_estimate(now, part.of) {
+                    self.decisions.expect(part.of, estimate);
                 }
                 Outcome::Answered
             }
@@ -64,13 +65,16 @@
 
     /// Opens the second phase with the blocks that the first one left, if any.
     pub(crate) fn open_second_phase(&mut self, now: Nanos, id: MultigetId) {
-        let Some(fetch) = self.phases.open(now, id) else { return };
+        let Some(fetch) = self.phases.open_second_phase(now, id) else { return };
         let Some(multiget) = self.table.get_mut(id) else { return };
         let first_index = multiget.open(fetch.blocks.iter().map(|block| block.shard));
         self.counters.phased_opened += 1;
         self.decisions.second(id, fetch.step);
-        let part =
-            |block: Block| AskedPart { shard: block.shard, weight: block.weight, effort: block.effort };
+        let part = |block: CandidateBlock| AskedPart {
+            shard: block.shard,
+            weight: block.weight,
+            effort: block.effort,
+        };
         let parts: Vec<AskedPart> = fetch.blocks.into_iter().map(part).collect();
         self.take_parts(now, id, first_index, parts.iter());
     }
@@ -85,13 +89,13 @@
             false => self.counters.first_phase_lapsed += 1,
             true => self.counters.second_phase_lapsed += 1,
         }
-        self.phases.over(now, id, multiget.second_ran());
+        self.phases.finish(now, id, multiget.second_ran());
     }
 
     /// A query in two phases has its final answer.
     pub(crate) fn phases_answered(&mut self, now: Nanos, id: MultigetId, verdict: &Verdict, ended: Ended) {
         count(&mut self.counters, verdict, ended);
-        self.phases.over(now, id, ended == Ended::SecondPhase { ran: true });
+        self.phases.finish(now, id, ended == Ended::SecondPhase { ran: true });
     }
 }
 
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -1,7 +1,10 @@
 //! Membership on sockets: its messages in the peers' datagrams, its changes in the log and counters.
 
 use fernknot::interface::Nanos;
-use fernknot_membership::{Fleet, FleetFacts, Refused, RouterId, Step, Variant};
+use fernknot_membership::{
+    Action, MembershipProtocol, MembershipSettings as ProtocolSettings, RejectReason, ReportedStatus,
+    RouterId, Variant,
+};
 use fernknot_router_config::{MembershipSettings, PeerAddresses};
 use slog::{Logger, info, warn};
 use std::collections::BTreeMap;
@@ -20,9 +23,9 @@
     fleet_names_twice,
 );
 
-/// The members, their addresses and the counters of this.
+/// The membership protocol, the routers' addresses and the counters of both.
 pub struct Membership {
-    members: Fleet,
+    protocol: MembershipProtocol,
     addresses: BTreeMap<RouterId, SocketAddr>,
     /// Among how many routers limits are shared, as the engine knows it.
     sharers: usize,
@@ -53,19 +56,26 @@
         now: Nanos,
     ) -> Membership {
         let addresses = addresses_by_id(settings, peers);
-        let fleet_settings = FleetFacts {
-            period: settings.probe_period,
+        let protocol_settings = ProtocolSettings {
+            probe_period: settings.probe_period,
             datagrams_per_s: settings.max_datagrams_per_s,
-            datagram: datagram_bytes,
-            variant: Variant::Fleet,
+            max_datagram_bytes: datagram_bytes,
+            variant: Variant::Full,
         };
         // The position was checked against the list.
         let own = RouterId(settings.router_fingerprints.get(position).copied().unwrap_or_default());
         let others = addresses.keys().copied();
-        let members =
-            Fleet::new(seed, fleet_settings, own, settings.name_fingerprint, now.0 / 1_000_000, others, now);
+        let protocol = MembershipProtocol::new(
+            seed,
+            protocol_settings,
+            own,
+            settings.name_fingerprint,
+            now.0 / 1_000_000,
+            others,
+            now,
+        );
         Membership {
-            members,
+            protocol,
             sharers: addresses.len(),
             addresses,
             has_majority: false,
@@ -77,56 +87,57 @@
     /// Takes another list of routers.
     pub fn change_routers(&mut self, now: Nanos, settings: &MembershipSettings, peers: &PeerAddresses) {
         self.addresses = addresses_by_id(settings, peers);
-        self.members.list(now, self.addresses.keys().copied());
+        self.protocol.set_routers(now, self.addresses.keys().copied());
     }
 
-    /// A turn begins; see [`Fleet::woke`].
+    /// A turn begins; see [`MembershipProtocol::wake`].
     pub fn woke(&mut self, now: Nanos) {
-        self.members.woke(now);
+        self.protocol.wake(now);
     }
 
     /// When membership has something to do without a datagram.
     pub fn due(&self) -> Nanos {
-        self.members.due()
+        self.protocol.next_wakeup()
     }
 
     /// This router stops, and the others are to know.
     pub fn leave(&mut self, now: Nanos) {
-        self.members.leave(now);
+        self.protocol.leave(now);
     }
 
     /// Takes a datagram.
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         let id = self.addresses.iter().find(|(_, address)| **address == from).map(|(id, _)| *id);
-        let count = match self.members.heard(now, id, bytes) {
+        let count = match self.protocol.receive(now, id, bytes) {
             Ok(()) => &mut self.counters.fleet_datagrams_taken,
-            Err(Refused::Stranger) => &mut self.counters.fleet_strangers,
-            Err(Refused::Version) => &mut self.counters.fleet_other_versions,
-            Err(Refused::Broken) => &mut self.counters.fleet_broken,
+            Err(RejectReason::UnknownSender) => &mut self.counters.fleet_strangers,
+            Err(RejectReason::UnsupportedVersion) => &mut self.counters.fleet_other_versions,
+            Err(RejectReason::Malformed) => &mut self.counters.fleet_broken,
         };
         *count += 1;
     }
 
     /// The next datagram to send, until there is none. What else happened goes to the log.
     pub fn next_datagram(&mut self, now: Nanos, log: &Logger) -> Option<(SocketAddr, Vec<u8>)> {
-        while let Some(step) = self.members.next(now) {
-            match step {
-                Step::Send { to, bytes } => {
+        while let Some(action) = self.protocol.poll_action(now) {
+            match action {
+                Action::Send { to, bytes } => {
                     if let Some(address) = self.addresses.get(&to) {
                         return Some((*address, bytes));
                     }
                 }
-                Step::Changed { of, from, to, incarnation, cause } => {
-                    self.counters.fleet_held_lost += u64::from(to == "lost");
-                    self.counters.fleet_returned += u64::from(from == "lost" && to == "alive");
-                    info!(log, "fleet: a router"; "router" => self.name(of), "from" => from, "to" => to,
-                        "incarnation" => incarnation.0, "by" => self.name(cause.by), "path" => ?cause.path);
+                Action::StatusChanged { member, from, to, incarnation, cause } => {
+                    self.counters.fleet_held_lost += u64::from(to == ReportedStatus::Failed);
+                    self.counters.fleet_returned +=
+                        u64::from(from == ReportedStatus::Failed && to == ReportedStatus::Alive);
+                    info!(log, "fleet: a router"; "router" => self.name(member), "from" => %from, "to" => %to,
+                        "incarnation" => incarnation.0, "by" => self.name(cause.reporter), "path" => %cause.source);
                 }
-                Step::Refuted { by, incarnation } => {
+                Action::Refuted { accuser, incarnation } => {
                     self.counters.fleet_refuted += 1;
-                    info!(log, "fleet: refuted"; "by" => self.name(by), "incarnation" => incarnation.0);
+                    info!(log, "fleet: refuted"; "by" => self.name(accuser), "incarnation" => incarnation.0);
                 }
-                Step::Twice { other, yields } => {
+                Action::DuplicateName { other, yields } => {
                     self.counters.fleet_names_twice += 1;
                     if !std::mem::replace(&mut self.has_logged_duplicate, true) {
                         let other = self.name(other);
@@ -140,13 +151,13 @@
 
     /// Among how many routers limits are shared, if that has changed; a change of majority goes to the log.
     pub fn changed_sharers(&mut self, now: Nanos, log: &Logger) -> Option<usize> {
-        let has_majority = self.members.has_majority(now);
+        let has_majority = self.protocol.has_majority(now);
         if has_majority != self.has_majority {
             self.has_majority = has_majority;
-            let (alive, all) = self.members.count();
-            info!(log, "fleet: majority"; "held" => has_majority, "alive" => alive, "of" => all);
+            let count = self.protocol.live_count();
+            info!(log, "fleet: majority"; "held" => has_majority, "alive" => count.live, "of" => count.total);
         }
-        let sharers = self.members.sharers(now);
+        let sharers = self.protocol.quota_sharers(now);
         (std::mem::replace(&mut self.sharers, sharers) != sharers).then_some(sharers)
     }
 
@@ -156,34 +167,35 @@
 
     /// The view of this router as text: a line on itself, and one for each other.
     pub fn text(&self, now: Nanos) -> String {
-        let (own, incarnation) = self.members.own();
-        let (alive, all) = self.members.count();
-        let state = match (self.members.has_yielded(), self.members.has_left()) {
+        let count = self.protocol.live_count();
+        let state = match (self.protocol.has_yielded(), self.protocol.has_left()) {
             (true, _) => "yielded",
             (_, true) => "left",
             _ => "own",
         };
         let mut text = format!(
-            "{} {state} incarnation={} alive={alive} of={all} majority={} young={} alone={} lateness={} sharers={}\n",
-            self.name(own),
-            incarnation.0,
-            self.members.has_majority(now),
-            self.members.is_young(now),
-            self.members.is_alone(now),
-            self.members.lateness(),
+            "{} {state} incarnation={} alive={} of={} majority={} young={} alone={} lateness={} sharers={}\n",
+            self.name(self.protocol.local_id()),
+            self.protocol.incarnation().0,
+            count.live,
+            count.total,
+            self.protocol.has_majority(now),
+            self.protocol.is_settling(now),
+            self.protocol.is_isolated(now),
+            self.protocol.health_score(),
             self.sharers,
         );
-        for line in self.members.lines(now) {
+        for report in self.protocol.member_reports(now) {
             text += &format!(
-                "{} {} incarnation={} age_ms={} link={:?} by={} path={:?} verdicts={}\n",
-                self.name(line.id),
-                line.state,
-                line.incarnation.0,
-                line.age.0 / 1_000_000,
-                line.link,
-                self.name(line.cause.by),
-                line.cause.path,
-                line.changes,
+                "{} {} incarnation={} age_ms={} link={} by={} path={} verdicts={}\n",
+                self.name(report.id),
+                report.status,
+                report.incarnation.0,
+                report.age.0 / 1_000_000,
+                report.link,
+                self.name(report.cause.reporter),
+                report.cause.source,
+                report.failure_changes,
             );
         }
         text
--- a/crates/fernknot-router/src/node_writer.rs
+++ b/crates/fernknot-router/src/node_writer.rs
@@ -113,7 +113,9 @@
         key: multiget.key(part),
         phase: match part.of {
             PartOf::Plain => None,
-            PartOf::Match => Some(CallPhase::Match { version: context.engine.phases().version(part.shard) }),
+            PartOf::Match => {
+                Some(CallPhase::Match { version: context.engine.phases().filter_version(part.shard) })
+            }
             PartOf::Fetch => Some(CallPhase::Fetch),
         },
         text: multiget.text(part),
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -4,7 +4,7 @@
 use crate::events::Source;
 use crate::tcp_connection::{EventLoopHandle, watch};
 use fernknot::interface::{News, NodeId, PeerId};
-use fernknot_membership::MARK;
+use fernknot_membership::DATAGRAM_PREFIX;
 use fernknot_protocol::news::Tags;
 use fernknot_router_config::PeerAddresses;
 use std::io::{ErrorKind, Result};
@@ -74,7 +74,7 @@
     }
 
     fn take_datagram(&self, context: &mut Context, tags: &Tags, from: SocketAddr, message: &[u8]) {
-        if message.starts_with(&[MARK])
+        if message.starts_with(&[DATAGRAM_PREFIX])
             && let Some(membership) = &mut context.membership
         {
             return membership.receive(context.now, from, message);
