--- a/crates/fernknot-simulator/src/lib.rs
+++ b/crates/fernknot-simulator/src/lib.rs
@@ -1,32 +1,44 @@
-//! A flume is a channel for trials. The real controllers run here in one process and in simulated time, with all that
-//! is around them: links, disks, operators, nodes and listeners, and troubles from one seed. What was seen on the
-//! simulated wire is judged by code that shares nothing with what it judges. docs/flume.md says how it is used.
+//! Deterministic simulation of the control plane: the production controllers (and, on request, the production gateways)
+//! run in one process and in simulated time, with everything around them derived from one seed: links, disks,
+//! operators, nodes, clients and faults. What passes over the simulated wire is judged by checkers that share no code
+//! with what they judge. `docs/simulator.md` describes how it is used and what it covers.
 //!
-//! | Part | What it is |
+//! # Layers
+//!
+//! Each layer uses those above it in this table only.
+//!
+//! | Modules | Contents |
 //! |---|---|
-//! | [`play`] | one seed: the world is built, troubled, healed and judged |
-//! | [`world`] | the clock, links, disks and processes |
-//! | [`callers`] | operators and nodes, as the users' pages describe them |
-//! | [`listeners`] | the gateways' control side |
-//! | [`gateways`] | in plays of the whole system: the real gateways in place of listeners, and connections of bytes |
-//! | [`traffic`] | clients and what nodes do with requests |
-//! | [`wire_rules`] | the rules of requests |
-//! | [`wire`], [`ports`] | HTTP as it is read here, and ports without sockets |
-//! | [`troubles`] | what befalls the machines, and when |
-//! | [`judge`] | the rules |
-//! | [`register`] | linearizability of the operators' history |
-//! | [`chance`] | chance from a seed |
+//! | [`rng`], [`time`], `topology`, [`settings`], [`wire`], [`ports`], `http_request` | tools without a state of the run |
+//! | [`linearizability`], `checks` (but `history`) | observations, and the rules that they are held against |
+//! | `state` of each part, [`faults::schedule`], `event` | the data of a run |
+//! | `simulation` | the clock, and one struct that holds the state of all parts |
+//! | `network`, `controllers`, `control_clients`, `subscribers`, `gateways`, `traffic`, `faults`, `checks::history` | what each part does: an `impl Simulation` in each file |
+//! | `dispatch`, [`run`] | the loop's way to the parts; one run from its seed to the verdicts |
+
+#![deny(missing_docs)]
 
-pub mod callers;
-pub mod chance;
-pub mod gateways;
-pub mod judge;
-pub mod listeners;
-pub mod play;
+mod checks;
+mod control_clients;
+mod controllers;
+mod dispatch;
+mod event;
+mod gateways;
+mod http_request;
+mod network;
+mod simulation;
+mod subscribers;
+mod topology;
+mod traffic;
+
+pub mod faults;
+pub mod linearizability;
 pub mod ports;
-pub mod register;
-pub mod traffic;
-pub mod troubles;
+pub mod rng;
+pub mod run;
+pub mod settings;
+pub mod time;
 pub mod wire;
-pub mod wire_rules;
-pub mod world;
+
+pub use checks::requests::RequestEvent;
+pub use checks::rule::{Rule, Violation};
--- /dev/null
+++ b/crates/fernknot-simulator/src/run.rs
@@ -0,0 +1,142 @@
+//! One run from its seed to the verdicts of the checkers.
+
+use crate::checks::requests::RequestEvent;
+use crate::checks::rule::{Rule, Violation};
+use crate::faults::schedule::{Fault, draw_fault_schedule};
+use crate::linearizability::Version;
+use crate::rng::Rng;
+use crate::settings::Settings;
+use crate::simulation::Simulation;
+use crate::time::millis;
+use fernknot::interface::Nanos;
+use std::collections::BTreeMap;
+
+/// No fault happens before this: the system is founded first.
+const FIRST_FAULT_AT: Nanos = millis(2500);
+/// What the fault schedule's seed differs in from that of everything else.
+const SCHEDULE_SEED: u64 = 0x7200_b1e5;
+
+/// The result of a run.
+#[derive(Clone, Debug, Default)]
+pub struct Outcome {
+    /// Broken rules, the first few of each.
+    pub violations: Vec<Violation>,
+    /// Changes that operators sent.
+    pub changes: usize,
+    /// Reads that had a clear response.
+    pub reads: usize,
+    /// Drains that a machine in touch acknowledged.
+    pub drains: usize,
+    /// Faults that happened.
+    pub faults: usize,
+    /// What happened to requests, and how often.
+    pub counts: BTreeMap<RequestEvent, u64>,
+    /// The log, where one was asked for.
+    pub log: Vec<String>,
+}
+
+/// The faults that belong to the seed of these settings.
+pub fn fault_schedule(settings: &Settings) -> Vec<Fault> {
+    let rng = Rng::new(settings.seed ^ SCHEDULE_SEED);
+    draw_fault_schedule(&rng, FIRST_FAULT_AT, settings.fault_period)
+}
+
+/// Runs with the faults of the seed.
+pub fn simulate(settings: &Settings) -> Outcome {
+    simulate_with_faults(settings, fault_schedule(settings))
+}
+
+/// Runs with these faults.
+pub fn simulate_with_faults(settings: &Settings, faults: Vec<Fault>) -> Outcome {
+    let mut simulation = Simulation::new(settings.clone(), faults);
+    simulation.run_faults();
+    simulation.complete_changes();
+    simulation.read_everywhere();
+    simulation.check_requests();
+    simulation.check_history();
+    Outcome {
+        violations: simulation.observations.violations,
+        changes: simulation.observations.changes.len(),
+        reads: simulation.observations.reads.len(),
+        drains: simulation.observations.drain_count,
+        faults: simulation.faults.injected.len(),
+        counts: simulation.traffic.checker.counts,
+        log: simulation.log,
+    }
+}
+
+impl Simulation {
+    /// Faults, then their end, and then calm for as long as the rules ask.
+    fn run_faults(&mut self) {
+        let fault_period = self.settings.fault_period;
+        self.run_until(fault_period);
+        self.end_all_faults();
+        self.run_until(fault_period + millis(2000) + self.settings.bounds.contact_timeout);
+    }
+
+    /// Every change gets a clear response, and the system commits one more.
+    fn complete_changes(&mut self) {
+        let ack_deadline = self.settings.bounds.ack_deadline;
+        self.control_clients.is_closing = true;
+        self.resume_changes();
+        self.run_until(self.now + ack_deadline + millis(2000));
+        self.settings.max_changes += 1;
+        // Whoever has one change in force takes the next.
+        self.send_read(Some(0), None);
+        self.run_until(self.now + millis(2500));
+        let newest = self.control_clients.newest_known_epoch();
+        self.submit_change(0, newest, newest + 1);
+        self.run_until(self.now + ack_deadline + millis(500));
+        if !self.control_clients.pending_changes().is_empty() {
+            self.report(Rule::Acks, "at the end a change has no clear response".into());
+        }
+    }
+
+    /// In the end every controller hands out the newest acknowledged version, and every subscriber holds it.
+    fn read_everywhere(&mut self) {
+        let running = self.running_machines();
+        for machine in &running {
+            self.send_read(None, Some(*machine));
+        }
+        self.run_until(self.now + self.settings.bounds.ack_deadline);
+        let newest = self.observations.newest_acknowledged();
+        for machine in running {
+            self.check_final_read(machine, newest);
+        }
+        for (index, version) in self.subscribers.versions().into_iter().enumerate() {
+            if version != newest {
+                let text = format!("in the end subscriber {index} holds {version:?} and not {newest:?}");
+                self.report(Rule::Apply, text);
+            }
+        }
+    }
+
+    fn check_final_read(&mut self, machine: usize, newest: Option<Version>) {
+        match self.observations.final_reads.get(&machine).copied() {
+            None => self.report(Rule::Lost, format!("{machine} hands out nothing in the end")),
+            Some(found) if found != newest => {
+                let text = format!("in the end {machine} hands out {found:?}, acknowledged was {newest:?}");
+                self.report(Rule::Lost, text);
+            }
+            Some(_) => {}
+        }
+    }
+}
+
+/// Drops faults one at a time while the same rule still breaks, and returns those that are left.
+pub fn shrink(settings: &Settings) -> (Vec<Fault>, Outcome) {
+    let mut faults = fault_schedule(settings);
+    let mut outcome = simulate_with_faults(settings, faults.clone());
+    let Some(rule) = outcome.violations.first().map(|violation| violation.rule) else {
+        return (faults, outcome);
+    };
+    for dropped in (0..faults.len()).rev() {
+        let mut fewer = faults.clone();
+        fewer.remove(dropped);
+        let next = simulate_with_faults(settings, fewer.clone());
+        if next.violations.iter().any(|violation| violation.rule == rule) {
+            (faults, outcome) = (fewer, next);
+        }
+    }
+    (faults, outcome)
+}
