--- a/crates/fernknot-bench-adapter/src/error.rs
+++ b/crates/fernknot-bench-adapter/src/error.rs
@@ -27,7 +27,7 @@
     UnknownSheet,
     /// The settings of an instance were rejected.
     #[error("{0}")]
-    Settings(String),
+    Settings(#[from] fernknot_router_config::ConfigError),
     /// An event `finished` has a status that stands for no outcome.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u32),
--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -1,139 +1,178 @@
-//! Sizes, counts and times that bound what a router holds and waits for, filled once at its start.
+//! Sizes, counts and times that bound what a router uses and waits for, fixed at its start.
 
-use crate::facts::SocketFacts;
+use crate::error::{ConfigError, ConfigFault};
+use crate::sockets::SocketFacts;
 use fernknot::interface::Nanos;
 
-/// Descriptors that are neither clients' nor nodes': the loop's own, listener, discovery, datagrams,
+/// Descriptors that are neither clients' nor nodes': the event loop's own, listener, discovery, datagrams,
 /// signals, the three standard ones, and a few in reserve.
-const RESERVE: usize = 24;
-const LEAST_SOCKETS: usize = 40;
-const LEAST_MEMORY_MB: f64 = 8.0;
+const RESERVED_DESCRIPTORS: usize = 24;
+const MIN_SOCKETS: usize = 40;
+const MIN_MEMORY_MB: f64 = 8.0;
 
+const KIB: usize = 1024;
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+const MAX_BODY_BYTES: usize = 64 * KIB;
+const READ_AHEAD_BYTES: usize = 24 * KIB;
+/// The share of the memory that buffers of clients may take.
+const BUFFER_MEMORY_SHARE: f64 = 1.0 / 2.0;
+/// The share of the memory that summaries of blocks may take.
+const SKETCH_MEMORY_SHARE: f64 = 1.0 / 16.0;
+
+/// Bounds of a router, from the memory and sockets that it may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Connections of clients and to nodes.
-    pub clients: usize,
-    pub node_links: usize,
-    /// Bytes of a request's head and body, of a frame, and of a list.
+    /// The most connections of clients.
+    pub max_clients: usize,
+    /// The most connections to nodes.
+    pub max_node_connections: usize,
+    /// The most bytes of a request's head.
     pub head: usize,
+    /// The most bytes of a request's body.
     pub body: usize,
-    pub frame: usize,
-    pub list: usize,
-    pub headers: usize,
-    /// Bytes that a chunk's head, or all trailers, may take.
-    pub chunk_line: usize,
-    /// Bytes of a name given by others: a request's id or key, a part's id.
-    pub name: usize,
-    /// How far the shares of a multiget's parts may be from one in all, by rounding.
-    pub share_slack: f64,
+    /// The most bytes of a frame.
+    pub max_frame_bytes: usize,
+    /// The most bytes of an endpoint list.
+    pub max_list_bytes: usize,
+    /// The most header lines of a request or response.
+    pub max_headers: usize,
+    /// The most bytes that a chunk's head, or all trailers, may take.
+    pub max_chunk_line_bytes: usize,
+    /// The most bytes of a name given by others: a request's id or key, a part's id.
+    pub max_name_bytes: usize,
+    /// How far the sum of the shares of a multiget's parts may be from one, by rounding.
+    pub share_tolerance: f64,
     /// The longest wait that a client may ask for.
-    pub client_wait: Nanos,
-    /// Past so many, the place of a node that is gone is given to a new one.
-    pub nodes: usize,
-    /// Bytes that an idle connection's buffer may keep.
-    pub kept: usize,
+    pub max_client_wait: Nanos,
+    /// Beyond so many nodes, the id of a node that is gone is given to a new one.
+    pub nodes_before_reuse: usize,
+    /// The most bytes that an idle connection's buffer may keep.
+    pub idle_buffer_bytes: usize,
     /// Bytes of one connection that are read, or made ready to be written, ahead of what is done
     /// with them; more than a head's.
-    pub turn: usize,
-    /// Bytes of a datagram, and datagrams that one turn reads.
-    pub datagram: usize,
-    pub datagrams: usize,
-    /// Given-up parts that a connection remembers, to tell a late answer from a strange one.
-    pub given_up: usize,
-    /// Bytes that summaries of blocks may take, terms that a query may name, and bytes of one.
-    pub sketches: usize,
-    pub terms: usize,
-    pub term: usize,
-    /// Bytes of log that wait for standard error.
-    pub log: usize,
+    pub read_ahead_bytes: usize,
+    /// The most bytes of a datagram.
+    pub max_datagram_bytes: usize,
+    /// The most datagrams that are read in one turn of the event loop.
+    pub max_datagrams_per_turn: usize,
+    /// The most cancelled parts that a connection remembers, to tell a late answer from an unknown one.
+    pub max_remembered_cancellations: usize,
+    /// The most bytes that summaries of blocks may take.
+    pub max_sketch_bytes: usize,
+    /// The most terms that a query may name.
+    pub max_terms: usize,
+    /// The most bytes of a term.
+    pub max_term_bytes: usize,
+    /// The most bytes of log that wait for standard error.
+    pub max_pending_log_bytes: usize,
     /// A connection to a node is closed after so long without use, before the node closes it.
-    pub node_idle: Nanos,
-    pub connect_within: Nanos,
-    /// A frame that has begun to come may take so long.
-    pub frame_within: Nanos,
+    pub node_idle_timeout: Nanos,
+    /// The time-out of a connection attempt.
+    pub connect_timeout: Nanos,
+    /// A frame that has begun to arrive must be complete within this time.
+    pub frame_timeout: Nanos,
+    /// For how long calls are still sent to a node that drains or has left the list.
     pub drain_grace: Nanos,
     /// A client's connection may be idle for so long.
-    pub client_idle: Nanos,
-    /// A client may take so long for all of a request, and for any of its answer.
-    pub request_within: Nanos,
-    pub client_stalls: Nanos,
+    pub client_idle_timeout: Nanos,
+    /// A client must have sent all of a request within this time.
+    pub request_timeout: Nanos,
+    /// A client must take some of its response within this time.
+    pub response_stall_timeout: Nanos,
     /// How long the other side may take to close a connection that has been ended.
-    pub closing: Nanos,
-    /// How long a watch waits, how much longer its answer may take, and the waits between tries.
-    pub watch: Nanos,
-    pub watch_late: Nanos,
-    /// The least time between two calls of a watch, well under what it may pause.
-    pub watch_pace: Nanos,
-    pub retry_first: Nanos,
-    pub retry_most: Nanos,
-    /// How long clients are still served after the order to stop, and how long the answers to the last of
-    /// them may take.
-    pub linger: Nanos,
-    pub last_answers: Nanos,
-    /// The last part of the linger, in which connections are handed over one by one.
-    pub hand_over: Nanos,
-    /// When accepting is tried again after descriptors ran out.
-    pub accept_again: Nanos,
+    pub close_timeout: Nanos,
+    /// How long discovery may wait for a change before it answers a watch.
+    pub watch_wait: Nanos,
+    /// How much longer than `watch_wait` the answer to a watch may take.
+    pub watch_grace: Nanos,
+    /// The least time between two calls of a watch, well under the longest pause that it may make.
+    pub min_watch_interval: Nanos,
+    /// The backoff after the first failed call of discovery; it doubles with each further one.
+    pub initial_backoff: Nanos,
+    /// The longest backoff.
+    pub max_backoff: Nanos,
+    /// How long clients are still served after the signal to stop.
+    pub shutdown_linger: Nanos,
+    /// How long the responses to the last of them may take.
+    pub final_response_timeout: Nanos,
+    /// The last part of `shutdown_linger`, in which clients' connections are closed one by one.
+    pub connection_handover: Nanos,
+    /// When accepting is tried again after the process ran out of descriptors.
+    pub accept_retry_delay: Nanos,
 }
 
 impl Limits {
-    pub fn new(sockets: usize, memory_mb: f64, facts: &SocketFacts) -> Result<Limits, String> {
-        if sockets < LEAST_SOCKETS {
-            return Err(format!("limits.sockets: {sockets} is under {LEAST_SOCKETS}"));
-        }
-        if memory_mb.is_nan() || memory_mb < LEAST_MEMORY_MB {
-            return Err(format!("limits.memory_mb: {memory_mb} is under {LEAST_MEMORY_MB}"));
-        }
-        let seconds = |count: u64| Nanos(count * 1_000_000_000);
-        let millis = |count: u64| Nanos(count * 1_000_000);
-        let free = sockets - RESERVE;
-        let body = 64 * 1024;
-        let turn = 24 * 1024;
-        // Half the memory at most may stand in buffers, were every client to send all it may: a
-        // body, and as much of what follows as is read ahead, in a buffer of up to twice that.
-        let affordable = (memory_mb * 1024.0 * 1024.0 / 2.0) as usize / (body + 2 * turn);
-        // The order to stop leaves the longest wait, three seconds at most, and 0.7 s.
-        let linger = facts.longest_wait.clamp(millis(700), seconds(3));
+    /// The limits of a process that may use so many sockets and so much memory, in mebibytes.
+    ///
+    /// # Errors
+    /// Fewer sockets or less memory than a router can work with.
+    pub fn new(sockets: usize, memory_mb: f64, settings: &SocketFacts) -> Result<Limits, ConfigError> {
+        check_minimum("limits.sockets", sockets as f64, MIN_SOCKETS as f64)?;
+        check_minimum("limits.memory_mb", memory_mb, MIN_MEMORY_MB)?;
+        let free_sockets = sockets - RESERVED_DESCRIPTORS;
+        // The signal to stop leaves the longest wait, three seconds at most, and 0.7 s.
+        let shutdown_linger = settings.longest_wait.clamp(millis(700), seconds(3));
         Ok(Limits {
-            clients: (free * 2 / 3).min(affordable),
-            node_links: free / 3,
-            head: 16 * 1024,
-            body,
-            frame: body,
-            list: 1024 * 1024,
-            headers: 64,
-            chunk_line: 4 * 1024,
-            name: 128,
-            share_slack: 0.01,
-            client_wait: seconds(24 * 3600),
-            nodes: 4096,
-            kept: 4 * 1024,
-            turn,
-            datagram: 256,
-            datagrams: 4096,
-            given_up: 1024,
-            // A sixteenth of the memory; none is taken where no use case has phases.
-            sketches: (memory_mb * 1024.0 * 1024.0 / 16.0) as usize,
-            terms: 64,
-            term: 256,
-            log: 64 * 1024,
-            node_idle: facts.idle.times(0.8),
-            connect_within: facts.connect_within,
-            frame_within: facts.connect_within,
-            drain_grace: facts.drain_grace,
-            client_idle: seconds(60),
-            request_within: facts.longest_wait.min(millis(2500)),
-            client_stalls: seconds(30),
-            closing: seconds(2),
-            watch: seconds(10),
-            watch_late: seconds(2),
-            watch_pace: millis(20),
-            retry_first: millis(50),
-            retry_most: seconds(1),
-            linger,
-            last_answers: millis(600),
-            hand_over: linger.times(0.5),
-            accept_again: millis(100),
+            max_clients: (free_sockets * 2 / 3).min(affordable_clients(memory_mb)),
+            max_node_connections: free_sockets / 3,
+            head: 16 * KIB,
+            body: MAX_BODY_BYTES,
+            max_frame_bytes: MAX_BODY_BYTES,
+            max_list_bytes: 1024 * KIB,
+            max_headers: 64,
+            max_chunk_line_bytes: 4 * KIB,
+            max_name_bytes: 128,
+            share_tolerance: 0.01,
+            max_client_wait: seconds(24 * 3600),
+            nodes_before_reuse: 4096,
+            idle_buffer_bytes: 4 * KIB,
+            read_ahead_bytes: READ_AHEAD_BYTES,
+            max_datagram_bytes: 256,
+            max_datagrams_per_turn: 4096,
+            max_remembered_cancellations: 1024,
+            // None is taken where no use case has phases.
+            max_sketch_bytes: (memory_mb * BYTES_PER_MB * SKETCH_MEMORY_SHARE) as usize,
+            max_terms: 64,
+            max_term_bytes: 256,
+            max_pending_log_bytes: 64 * KIB,
+            node_idle_timeout: settings.idle.times(0.8),
+            connect_timeout: settings.connect_within,
+            frame_timeout: settings.connect_within,
+            drain_grace: settings.drain_grace,
+            client_idle_timeout: seconds(60),
+            request_timeout: settings.longest_wait.min(millis(2500)),
+            response_stall_timeout: seconds(30),
+            close_timeout: seconds(2),
+            watch_wait: seconds(10),
+            watch_grace: seconds(2),
+            min_watch_interval: millis(20),
+            initial_backoff: millis(50),
+            max_backoff: seconds(1),
+            shutdown_linger,
+            final_response_timeout: millis(600),
+            connection_handover: shutdown_linger.times(0.5),
+            accept_retry_delay: millis(100),
         })
     }
 }
+
+/// How many clients may send all that they are allowed to within the memory set apart for buffers: a body, and as much
+/// of what follows as is read ahead, in a buffer of up to twice that.
+fn affordable_clients(memory_mb: f64) -> usize {
+    (memory_mb * BYTES_PER_MB * BUFFER_MEMORY_SHARE) as usize / (MAX_BODY_BYTES + 2 * READ_AHEAD_BYTES)
+}
+
+fn check_minimum(key: &str, value: f64, min: f64) -> Result<(), ConfigError> {
+    if value.is_nan() || value < min {
+        return Err(ConfigError::new(key, ConfigFault::TooSmall { value, min }));
+    }
+    Ok(())
+}
+
+fn seconds(count: u64) -> Nanos {
+    Nanos(count * 1_000_000_000)
+}
+
+fn millis(count: u64) -> Nanos {
+    Nanos(count * 1_000_000)
+}
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -1,10 +1,11 @@
-//! Membership on sockets: the fleet's words over the peers' datagrams, its changes in log and counters.
+//! Membership on sockets: its messages in the peers' datagrams, its changes in the log and counters.
 
 use fernknot::interface::Nanos;
 use fernknot_membership::{
-    Action, MembershipProtocol, MembershipSettings, RejectReason, ReportedStatus, RouterId, Variant,
+    Action, MembershipProtocol, MembershipSettings as ProtocolSettings, RejectReason, ReportedStatus,
+    RouterId, Variant,
 };
-use fernknot_router_config::{FleetStart, Told};
+use fernknot_router_config::{MembershipSettings, PeerAddresses};
 use slog::{Logger, info, warn};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,71 +23,90 @@
     fleet_names_twice,
 );
 
+/// The membership protocol, the routers' addresses and the counters of both.
 pub struct Membership {
     protocol: MembershipProtocol,
     addresses: BTreeMap<RouterId, SocketAddr>,
-    /// Among how many routers limits are shared, as the engine was told last.
+    /// Among how many routers limits are shared, as the engine knows it.
     sharers: usize,
-    majority: bool,
-    twice: bool,
+    has_majority: bool,
+    /// That another router has this one's name has been logged.
+    has_logged_duplicate: bool,
+    /// The counters of membership.
     pub counters: Counters,
 }
 
 /// The id and address of each router of a list.
-fn listed(start: &FleetStart, told: &Told) -> BTreeMap<RouterId, SocketAddr> {
-    start.routers.iter().copied().map(RouterId).zip(told.peers.iter().copied()).collect()
+fn addresses_by_id(
+    settings: &MembershipSettings,
+    addresses: &PeerAddresses,
+) -> BTreeMap<RouterId, SocketAddr> {
+    let ids = settings.router_fingerprints.iter().copied().map(RouterId);
+    ids.zip(addresses.peers.iter().copied()).collect()
 }
 
 impl Membership {
+    /// Begins membership for the router at a position of the list.
     pub fn new(
         seed: u64,
-        start: &FleetStart,
-        told: &Told,
+        settings: &MembershipSettings,
+        peers: &PeerAddresses,
         position: usize,
-        datagram: usize,
+        datagram_bytes: usize,
         now: Nanos,
     ) -> Membership {
-        let addresses = listed(start, told);
-        let settings = MembershipSettings {
-            probe_period: start.period,
-            datagrams_per_s: start.datagrams_per_s,
-            max_datagram_bytes: datagram,
+        let addresses = addresses_by_id(settings, peers);
+        let protocol_settings = ProtocolSettings {
+            probe_period: settings.probe_period,
+            datagrams_per_s: settings.max_datagrams_per_s,
+            max_datagram_bytes: datagram_bytes,
             variant: Variant::Full,
         };
         // The position was checked against the list.
-        let own = RouterId(start.routers.get(position).copied().unwrap_or_default());
+        let own = RouterId(settings.router_fingerprints.get(position).copied().unwrap_or_default());
         let others = addresses.keys().copied();
-        let protocol =
-            MembershipProtocol::new(seed, settings, own, start.name, now.0 / 1_000_000, others, now);
+        let protocol = MembershipProtocol::new(
+            seed,
+            protocol_settings,
+            own,
+            settings.name_fingerprint,
+            now.0 / 1_000_000,
+            others,
+            now,
+        );
         Membership {
             protocol,
             sharers: addresses.len(),
             addresses,
-            majority: false,
-            twice: false,
+            has_majority: false,
+            has_logged_duplicate: false,
             counters: Counters::default(),
         }
     }
 
-    /// Takes another list of the fleet.
-    pub fn list(&mut self, now: Nanos, start: &FleetStart, told: &Told) {
-        self.addresses = listed(start, told);
+    /// Takes another list of routers.
+    pub fn change_routers(&mut self, now: Nanos, settings: &MembershipSettings, peers: &PeerAddresses) {
+        self.addresses = addresses_by_id(settings, peers);
         self.protocol.set_routers(now, self.addresses.keys().copied());
     }
 
+    /// A turn begins; see [`MembershipProtocol::wake`].
     pub fn woke(&mut self, now: Nanos) {
         self.protocol.wake(now);
     }
 
+    /// When membership has something to do without a datagram.
     pub fn due(&self) -> Nanos {
         self.protocol.next_wakeup()
     }
 
+    /// This router stops, and the others are to know.
     pub fn leave(&mut self, now: Nanos) {
         self.protocol.leave(now);
     }
 
-    pub fn heard(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
+    /// Takes a datagram.
+    pub fn receive(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         let id = self.addresses.iter().find(|(_, address)| **address == from).map(|(id, _)| *id);
         let count = match self.protocol.receive(now, id, bytes) {
             Ok(()) => &mut self.counters.fleet_datagrams_taken,
@@ -98,7 +118,7 @@
     }
 
     /// The next datagram to send, until there is none. What else happened goes to the log.
-    pub fn next(&mut self, now: Nanos, log: &Logger) -> Option<(SocketAddr, Vec<u8>)> {
+    pub fn next_datagram(&mut self, now: Nanos, log: &Logger) -> Option<(SocketAddr, Vec<u8>)> {
         while let Some(action) = self.protocol.poll_action(now) {
             match action {
                 Action::Send { to, bytes } => {
@@ -119,7 +139,7 @@
                 }
                 Action::DuplicateName { other, yields } => {
                     self.counters.fleet_names_twice += 1;
-                    if !std::mem::replace(&mut self.twice, true) {
+                    if !std::mem::replace(&mut self.has_logged_duplicate, true) {
                         let other = self.name(other);
                         warn!(log, "fleet: another router has this one's name"; "at" => other, "yields" => yields);
                     }
@@ -129,13 +149,13 @@
         None
     }
 
-    /// Among how many routers limits are shared, if that has changed; the word on the majority goes to the log.
-    pub fn newly_shared(&mut self, now: Nanos, log: &Logger) -> Option<usize> {
-        let majority = self.protocol.has_majority(now);
-        if majority != self.majority {
-            self.majority = majority;
+    /// Among how many routers limits are shared, if that has changed; a change of majority goes to the log.
+    pub fn changed_sharers(&mut self, now: Nanos, log: &Logger) -> Option<usize> {
+        let has_majority = self.protocol.has_majority(now);
+        if has_majority != self.has_majority {
+            self.has_majority = has_majority;
             let count = self.protocol.live_count();
-            info!(log, "fleet: majority"; "held" => majority, "alive" => count.live, "of" => count.total);
+            info!(log, "fleet: majority"; "held" => has_majority, "alive" => count.live, "of" => count.total);
         }
         let sharers = self.protocol.quota_sharers(now);
         (std::mem::replace(&mut self.sharers, sharers) != sharers).then_some(sharers)
@@ -145,7 +165,7 @@
         self.addresses.get(&id).map_or_else(|| format!("{:08x}", id.0), SocketAddr::to_string)
     }
 
-    /// The view: a line on this router, and one for each other.
+    /// The view of this router as text: a line on itself, and one for each other.
     pub fn text(&self, now: Nanos) -> String {
         let count = self.protocol.live_count();
         let state = match (self.protocol.has_yielded(), self.protocol.has_left()) {
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -3,7 +3,7 @@
 use crate::query::{CandidateBlock, MatchError};
 use crate::term_filter_cache::FilterAnswer;
 use fernknot::interface::{Nanos, ShardId, UseCaseId};
-use fernknot_protocol::multiget::Said;
+use fernknot_protocol::multiget::BlockState;
 use fernknot_router_config::{PhaseFacts, Silent};
 use std::collections::BTreeMap;
 
@@ -171,13 +171,13 @@
     }
 
     /// What the final answer says of each candidate.
-    pub fn block_outcomes(&self, is_in_answer: impl Fn(ShardId) -> bool) -> Vec<(ShardId, Said)> {
+    pub fn block_outcomes(&self, is_in_answer: impl Fn(ShardId) -> bool) -> Vec<(ShardId, BlockState)> {
         let outcome = |(shard, candidate): (&ShardId, &Candidate)| {
             let said = match candidate.outcome {
-                Outcome::Fetched if is_in_answer(*shard) => Said::Fetched,
-                Outcome::Fetched => Said::Missing,
-                Outcome::RuledOut => Said::Pruned,
-                Outcome::NotFetched => Said::Unasked,
+                Outcome::Fetched if is_in_answer(*shard) => BlockState::Fetched,
+                Outcome::Fetched => BlockState::Missing,
+                Outcome::RuledOut => BlockState::Pruned,
+                Outcome::NotFetched => BlockState::Unasked,
             };
             (*shard, said)
         };
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -6,7 +6,7 @@
 use crate::use_case_statistics::UseCaseStatistics;
 use fernknot::interface::{MultigetId, Nanos, SecondFacts, SecondStep, ShardId};
 use fernknot_protocol::matches::{Match, Names};
-use fernknot_protocol::multiget::Said;
+use fernknot_protocol::multiget::BlockState;
 use fernknot_router_config::{PhaseFacts, Silent};
 use std::collections::{BTreeMap, HashMap};
 
@@ -170,7 +170,7 @@
         &self,
         id: MultigetId,
         is_in_answer: impl Fn(ShardId) -> bool,
-    ) -> Option<Vec<(ShardId, Said)>> {
+    ) -> Option<Vec<(ShardId, BlockState)>> {
         self.in_flight.get(&id).map(|query| query.block_outcomes(is_in_answer))
     }
 }
