--- a/crates/fernknot-gateway/src/clients/rejection.rs
+++ b/crates/fernknot-gateway/src/clients/rejection.rs
@@ -2,7 +2,7 @@
 
 use fernknot::decide::FIRST_WAIT;
 use fernknot::interface::Nanos;
-use fernknot_protocol::http::BadHttp;
+use fernknot_protocol::http::HttpError;
 
 /// A plain-text response.
 pub(crate) struct LocalReply<'a> {
@@ -27,7 +27,7 @@
     /// `Attempt-Id` is missing, or a node would not get it unchanged.
     InvalidAttemptId,
     /// It is no valid HTTP, or too large.
-    Malformed(BadHttp),
+    Malformed(HttpError),
     /// The bodies that are arriving take all the memory they may.
     TooManyPartialBodies,
     /// It did not arrive completely in time.
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -57,11 +57,11 @@
         memory_mb: f64,
         rng_seed: u64,
     ) -> Result<Routing, GatewayError> {
-        let limits = Limits::new(max_connections, memory_mb, &unused_socket_settings(settings));
+        let http_limits = Limits::new(max_connections, memory_mb, &unused_socket_settings(settings))?;
         Ok(Routing {
             config: None,
             ids: EngineIds::default(),
-            http_limits: limits.map_err(GatewayError::ResourceLimits)?,
+            http_limits,
             rng: Mwc::new(rng_seed),
             id_sweep_interval: settings.contact.times(ID_SWEEP_INTERVAL_CONTACTS),
             id_retention: settings.retry_window.times(ID_RETENTION_WINDOWS),
--- a/crates/fernknot-simulator/src/gateways/processes.rs
+++ b/crates/fernknot-simulator/src/gateways/processes.rs
@@ -11,7 +11,7 @@
 use crate::time::{micros, millis};
 use crate::topology::{FIRST_GATEWAY, controller_addr};
 use fernknot::interface::Nanos;
-use fernknot_gateway::Gateway;
+use fernknot_gateway::{Gateway, GatewayError};
 use fernknot_net::{ConnectionId, Event as NetworkEvent};
 use fernknot_schema::ValidationError;
 use std::net::SocketAddrV4;
@@ -25,8 +25,8 @@
 enum GatewayStartError {
     #[error("it can't read its settings: {0:?}")]
     InvalidSettings(Vec<ValidationError>),
-    #[error("{0}")]
-    Rejected(String),
+    #[error(transparent)]
+    Rejected(#[from] GatewayError),
 }
 
 impl Simulation {
@@ -86,7 +86,7 @@
         let settings = process_settings(index, &self.discovery.seeds, &self.settings)
             .map_err(GatewayStartError::InvalidSettings)?;
         let listeners = self.gateways.processes[index].listeners;
-        let gateway = Gateway::new(settings, listeners, seed).map_err(GatewayStartError::Rejected)?;
+        let gateway = Gateway::new(settings, listeners, seed)?;
         Ok(match self.settings.seeded_bug {
             Some(SeededBug::Gateway(bug)) => gateway.with_seeded_bug(bug),
             _ => gateway,
