--- a/crates/fernknot-controller/src/host/mod.rs
+++ b/crates/fernknot-controller/src/host/mod.rs
@@ -6,14 +6,11 @@
 
 mod actions;
 mod connections;
-mod error;
 mod events;
 mod limits;
 mod run;
 mod settings;
-mod settings_file;
 mod state;
 
-pub use error::HostError;
 pub use settings::{UnsuitableSetting, UnsuitableSettings, check_settings};
 pub use state::Host;
--- a/crates/fernknot-controller/src/host/run.rs
+++ b/crates/fernknot-controller/src/host/run.rs
@@ -1,6 +1,6 @@
 //! The loop of the host.
 
-use crate::host::settings::{contact_timeout, duration, seed_addrs};
+use crate::host::settings::{contact_timeout, duration, seed_addrs, settings_check_interval};
 use crate::host::state::Host;
 use fernknot::interface::Nanos;
 use fernknot_telemetry::part;
@@ -43,30 +43,25 @@
             self.shutdown_deadline = Some(now + grace_period.times(SHUTDOWN_GRACE_SHARE));
             self.controller.begin_shutdown(now);
         }
-        if self.signals.take_reload_request() || now >= self.settings_file.next_check() {
+        if self.signals.take_reload_request() || now >= self.next_settings_check {
             self.reload_settings(now);
         }
     }
 
     /// Learns the seeds that the settings file names now, if it has been modified.
     fn reload_settings(&mut self, now: Nanos) {
-        match self.settings_file.read_if_modified(now) {
-            None => {}
-            Some(Ok(settings)) => {
-                if settings.seeds != self.settings.seeds {
-                    log::info!(target: part::SETTINGS, "{} seeds are named now", settings.seeds.len());
-                }
-                let seeds = seed_addrs(&settings);
-                self.controller.add_seeds(now, &seeds);
-                self.shuffle.set_seeds(&seeds);
-                self.settings.seeds = settings.seeds;
-            }
-            Some(Err(errors)) => {
-                for error in errors {
-                    log::warn!(target: part::SETTINGS, "the modified file is ignored: {error}");
-                }
-            }
+        self.next_settings_check = now + settings_check_interval(&self.settings);
+        if !self.settings_file.take_modified() {
+            return;
+        }
+        let Some(settings) = self.settings_file.reload() else { return };
+        if settings.seeds != self.settings.seeds {
+            log::info!(target: part::SETTINGS, "{} seeds are named now", settings.seeds.len());
         }
+        let seeds = seed_addrs(&settings);
+        self.controller.add_seeds(now, &seeds);
+        self.shuffle.set_seeds(&seeds);
+        self.settings.seeds = settings.seeds;
     }
 
     fn send_shuffles(&mut self, now: Nanos) {
@@ -93,7 +88,7 @@
     }
 
     fn next_timeout(&self, now: Nanos) -> Nanos {
-        let settings_check = self.settings_file.next_check();
+        let settings_check = self.next_settings_check;
         let shuffle = self.shuffle.next_timeout().unwrap_or(settings_check);
         let next = self.controller.next_timeout().min(settings_check).min(self.next_sweep).min(shuffle);
         match self.disk.is_writing() {
--- a/crates/fernknot-controller/src/host/settings.rs
+++ b/crates/fernknot-controller/src/host/settings.rs
@@ -11,6 +11,8 @@
 
 /// File descriptors that are needed beyond the reserved ones.
 const MIN_CONNECTIONS: u64 = 65;
+/// The settings file is looked at every so many heartbeat intervals.
+const SETTINGS_CHECK_HEARTBEATS: f64 = 2.0;
 
 /// Something that a controller needs beyond what the settings' own checks ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -33,10 +35,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnsuitableSettings(pub Vec<UnsuitableSetting>);
 
+impl UnsuitableSettings {
+    /// A sentence for each fault, which begins with its place in the file.
+    pub fn sentences(&self) -> Vec<String> {
+        self.0.iter().map(ToString::to_string).collect()
+    }
+}
+
 impl Display for UnsuitableSettings {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let faults: Vec<String> = self.0.iter().map(ToString::to_string).collect();
-        formatter.write_str(&faults.join("; "))
+        formatter.write_str(&self.sentences().join("; "))
     }
 }
 
@@ -87,8 +95,13 @@
     }
 }
 
+/// The interval at which the settings file is looked at.
+pub fn settings_check_interval(settings: &ProcessSettings) -> Nanos {
+    heartbeat_interval(settings).times(SETTINGS_CHECK_HEARTBEATS)
+}
+
 /// The usual interval between two heartbeats of a node.
-pub fn heartbeat_interval(settings: &ProcessSettings) -> Nanos {
+fn heartbeat_interval(settings: &ProcessSettings) -> Nanos {
     Nanos::from_millis(settings.heartbeat_interval_ms)
 }
 
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -3,26 +3,21 @@
 use crate::controller::Controller;
 use crate::disk::Disk;
 use crate::host::connections::Connections;
-use crate::host::error::HostError;
 use crate::host::limits::HostLimits;
 use crate::host::settings::{
-    check_settings, contact_timeout, controller_settings, duration, heartbeat_interval,
+    check_settings, contact_timeout, controller_settings, duration, settings_check_interval,
 };
-use crate::host::settings_file::SettingsFile;
 use crate::settings::ControllerSettings;
 use fernknot::interface::Nanos;
 use fernknot_http_api::HttpServerSettings;
+use fernknot_net::process::{Clock, ProcessError, SettingsFile};
 use fernknot_net::{ConnectionId, EventLoop, EventLoopSettings, Signals};
 use fernknot_peer_sampling::{PeerDescriptor, Role};
 use fernknot_rpc::ShuffleProtocol;
 use fernknot_schema::ProcessSettings;
 use fernknot_telemetry::part;
 use std::net::SocketAddrV4;
-use std::path::PathBuf;
-use std::time::Instant;
 
-/// The settings file is looked at every so many heartbeat intervals.
-const SETTINGS_CHECK_HEARTBEATS: f64 = 2.0;
 /// Partial views are shuffled once in so many contact timeouts, as at the gateways.
 const SHUFFLE_CONTACTS: f64 = 2.0;
 /// The share of the apply deadline after which a pending write makes the disk unhealthy.
@@ -32,9 +27,10 @@
 pub struct Host {
     pub(super) settings: ProcessSettings,
     pub(super) settings_file: SettingsFile,
+    pub(super) next_settings_check: Nanos,
     pub(super) limits: HostLimits,
     pub(super) http_settings: HttpServerSettings,
-    pub(super) started_at: Instant,
+    pub(super) clock: Clock,
     pub(super) event_loop: EventLoop,
     pub(super) signals: Signals,
     pub(super) control_listener: ConnectionId,
@@ -68,6 +64,20 @@
     }
 }
 
+/// Where nodes and operators call; checked settings name it.
+fn control_addr(settings: &ProcessSettings) -> SocketAddrV4 {
+    settings.bind_addrs.control_addr.unwrap_or(SocketAddrV4::new(settings.ip, 0))
+}
+
+fn http_settings(
+    settings: &ProcessSettings,
+    limits: &HostLimits,
+) -> Result<HttpServerSettings, ProcessError> {
+    let memory_mb = settings.limits.memory_mb;
+    HttpServerSettings::new(limits.max_connections, memory_mb, limits.max_config_bytes)
+        .map_err(ProcessError::Settings)
+}
+
 fn open_disk(settings: &ProcessSettings, event_loop: &EventLoop) -> Disk {
     let apply_deadline = Nanos::from_millis(settings.bounds.apply_ms);
     let write_timeout = duration(apply_deadline.times(WRITE_TIMEOUT_SHARE));
@@ -76,42 +86,38 @@
 }
 
 impl Host {
-    /// Listens, and begins to read the disk. `path` is that of the settings file; `seed` must differ from start to
+    /// Listens, and begins to read the disk. `settings` are those of `settings_file`; `seed` must differ from start to
     /// start and from machine to machine.
     ///
     /// # Errors
     /// Where the settings lack what a controller needs, or the system refuses it.
-    pub fn new(settings: ProcessSettings, path: PathBuf, seed: u64) -> Result<Host, HostError> {
-        check_settings(&settings)?;
-        let system = |step| move |source| HostError::System { step, source };
-        let signals = Signals::install().map_err(system("watch for signals"))?;
+    pub fn new(
+        settings: ProcessSettings,
+        settings_file: SettingsFile,
+        seed: u64,
+    ) -> Result<Host, ProcessError> {
+        check_settings(&settings).map_err(|unsuitable| ProcessError::Settings(unsuitable.to_string()))?;
+        let signals = Signals::install().map_err(ProcessError::system("watch for signals"))?;
         let limits = HostLimits::new(&settings);
         let controller_settings = controller_settings(&settings, seed);
         let loop_settings = event_loop_settings(&limits, &controller_settings);
-        let mut event_loop = EventLoop::new(loop_settings).map_err(system("poll"))?;
-        let control_addr = settings.bind_addrs.control_addr.unwrap_or(SocketAddrV4::new(settings.ip, 0));
-        let control_listener = event_loop.listen(control_addr)?;
+        let mut event_loop = EventLoop::new(loop_settings).map_err(ProcessError::system("poll"))?;
+        let control_listener = event_loop.listen(control_addr(&settings))?;
         let internal_listener = event_loop.listen(controller_settings.addr)?;
         event_loop.listen_datagrams(controller_settings.addr)?;
-        let http_settings = HttpServerSettings::new(
-            limits.max_connections,
-            settings.limits.memory_mb,
-            limits.max_config_bytes,
-        )
-        .map_err(HostError::Settings)?;
-        let check_interval = heartbeat_interval(&settings).times(SETTINGS_CHECK_HEARTBEATS);
         let mut host = Host {
+            http_settings: http_settings(&settings, &limits)?,
             shuffle: shuffle_protocol(&controller_settings),
             disk: open_disk(&settings, &event_loop),
-            settings_file: SettingsFile::new(path, check_interval),
-            started_at: event_loop.now(),
+            clock: Clock::start(),
+            next_settings_check: settings_check_interval(&settings),
             next_sweep: contact_timeout(&settings),
             controller: Controller::new(controller_settings, Nanos(0)),
             connections: Connections::default(),
             shutdown_deadline: None,
             settings,
+            settings_file,
             limits,
-            http_settings,
             event_loop,
             signals,
             control_listener,
@@ -130,7 +136,7 @@
 
     /// The time since the start of the host.
     pub(super) fn now(&self) -> Nanos {
-        Nanos(self.event_loop.now().saturating_duration_since(self.started_at).as_nanos() as u64)
+        self.clock.now()
     }
 
     /// Closes a connection without notifying the controller.
