--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -8,8 +8,8 @@
 };
 use fernknot::decide::Router;
 use fernknot::interface::{
-    Arrival, CustomerId, Decision, Ending, HandOffNo, Health, ListKind, LoadReport, MultigetId, Nanos, News,
-    NodeEntry, NodeId, Outcome, PartArrival, PeerId, PlaceId, ShardId, UseCaseId, ZoneId,
+    Arrival, CustomerId, Decision, Ending, HandOffNo, Health, ListKind, LoadReport, MultigetId, Nanos,
+    NodeEntry, NodeId, Outcome, PartArrival, PeerId, PlaceId, ShardId, Update, UseCaseId, ZoneId,
 };
 use fernknot_protocol::news::Tags;
 use std::collections::BTreeMap;
@@ -47,12 +47,12 @@
     /// A list of nodes arrived, or the source of lists is gone.
     pub fn list_nodes(&mut self, now: Nanos, mode: ListMode, nodes: &[Node]) {
         let kind = match mode {
-            ListMode::Lost => return self.router.list_lost(now),
+            ListMode::Lost => return self.router.list_failed(now),
             ListMode::Changes => ListKind::Changes,
             ListMode::Full | ListMode::FullFromPeer => ListKind::Full,
         };
         let entries: Vec<NodeEntry> = nodes.iter().map(|node| self.node_entry(node)).collect();
-        self.router.list(kind, &entries);
+        self.router.apply_list(kind, &entries);
     }
 
     fn node_entry(&mut self, node: &Node) -> NodeEntry {
@@ -99,7 +99,7 @@
             effort: query.effort_ms.map(Nanos::from_millis),
             second: None,
         };
-        self.router.take(now, &arrival);
+        self.router.multiget_arrived(now, &arrival);
         self.queries.add_query(multiget, query.name);
     }
 
@@ -112,7 +112,7 @@
             weight: part.weight,
             effort: part.effort_ms.map(Nanos::from_millis),
         };
-        self.router.take_part(now, &arrival);
+        self.router.part_arrived(now, &arrival);
     }
 
     /// An attempt of a part ended.
@@ -122,35 +122,35 @@
         let Some(node) = self.nodes.id(&ended.node) else { return Ok(()) };
         let ending = Ending {
             part,
-            no: HandOffNo(ended.attempt),
+            number: HandOffNo(ended.attempt),
             node,
             outcome,
             took: Nanos::from_millis(ended.took_ms),
             report: load_report(&ended.load),
         };
-        self.router.ended(now, &ending);
-        self.queries.attempt_ended(part.of);
+        self.router.attempt_ended(now, &ending);
+        self.queries.attempt_ended(part.multiget);
         Ok(())
     }
 
     /// A node reported its load without a part.
     pub fn load_reported(&mut self, report: &LoadReported) {
         if let Some(node) = self.nodes.id(&report.node) {
-            self.router.reported(node, load_report(&report.load));
+            self.router.load_reported(node, load_report(&report.load));
         }
     }
 
     /// Another router sent a datagram.
     pub fn datagram_received(&mut self, now: Nanos, datagram: &Datagram) {
         if let Some(updates) = self.tags.read(&hex::decode(&datagram.bytes_hex)) {
-            self.router.told(now, PeerId(datagram.sender), &updates);
+            self.router.apply_updates(now, PeerId(datagram.sender), &updates);
         }
     }
 
     /// A query's client is gone.
     pub fn client_timed_out(&mut self, query_name: &str) {
         if let Some(multiget) = self.queries.query(query_name) {
-            self.router.lapsed(multiget);
+            self.router.client_gone(multiget);
             self.queries.query_over(multiget);
         }
     }
@@ -159,7 +159,7 @@
 
     /// Appends all that the module decides now.
     pub fn poll_actions(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        while let Some(decision) = self.router.next(now) {
+        while let Some(decision) = self.router.poll_decision(now) {
             self.carry_out(decision, actions);
         }
     }
@@ -168,38 +168,38 @@
     fn carry_out(&mut self, decision: Decision, actions: &mut Vec<Action>) {
         let instance = self.number;
         match decision {
-            Decision::HandOff { part, node, stop_at } => {
+            Decision::SendAttempt { part, node, stop_at } => {
                 let Some(part_name) = self.queries.part_name(part) else { return };
-                self.queries.attempt_started(part.of);
+                self.queries.attempt_started(part.multiget);
                 let (node, stop_at_ms) = (self.nodes.name(node).to_string(), stop_at.as_millis());
                 actions.push(Action::SendPart { instance, part_name, node, stop_at_ms });
             }
-            Decision::CallOff { part, no } => {
+            Decision::CancelAttempt { part, number: no } => {
                 let Some(part_name) = self.queries.part_name(part) else { return };
                 actions.push(Action::CancelAttempt { instance, part_name, attempt: no.0 });
             }
-            Decision::Settle { multiget, whole, last } => {
+            Decision::Complete { multiget, complete: whole, last } => {
                 let Some(query_name) = self.queries.query_name(multiget) else { return };
                 actions.push(Action::CompleteQuery { instance, query_name, is_complete: whole });
                 if last {
                     self.queries.query_over(multiget);
                 }
             }
-            Decision::Dismiss { multiget, wait } => {
+            Decision::Reject { multiget, retry_after: wait } => {
                 let Some(query_name) = self.queries.query_name(multiget) else { return };
                 let retry_after_ms = wait.as_millis();
                 actions.push(Action::RejectQuery { instance, query_name, retry_after_ms });
                 self.queries.query_over(multiget);
             }
-            Decision::BreakOff { multiget } => {
+            Decision::Abort { multiget } => {
                 let Some(query_name) = self.queries.query_name(multiget) else { return };
                 actions.push(Action::FailQuery { instance, query_name });
                 self.queries.query_over(multiget);
             }
-            Decision::FollowList => actions.push(Action::SubscribeToNodeList { instance, full: true }),
+            Decision::RequestList => actions.push(Action::SubscribeToNodeList { instance, full: true }),
             // On the bench connections go silent only together with their nodes.
-            Decision::Renew { .. } => {}
-            Decision::Tell { news } => self.publish(&news, actions),
+            Decision::RenewConnections { .. } => {}
+            Decision::NotifyPeers { updates: news } => self.publish(&news, actions),
             Decision::Wake { after } => {
                 let after_ms = after.as_millis();
                 actions.push(Action::SetTimer { instance, after_ms, label: TIMER_LABEL });
@@ -207,7 +207,7 @@
         }
     }
 
-    fn publish(&self, updates: &[(NodeId, News)], actions: &mut Vec<Action>) {
+    fn publish(&self, updates: &[(NodeId, Update)], actions: &mut Vec<Action>) {
         for datagram in self.tags.write(updates, MAX_DATAGRAM_BYTES) {
             let bytes_hex = hex::encode(&datagram);
             actions.push(Action::PublishDatagram { instance: self.number, bytes_hex });
@@ -220,11 +220,11 @@
     Ok(match status {
         200 => Outcome::Answered,
         502 => Outcome::Error,
-        429 => Outcome::TurnedAway,
+        429 => Outcome::Rejected,
         408 => Outcome::TimedOut,
         521 => Outcome::Unreachable,
-        520 => Outcome::Broken,
-        444 => Outcome::CalledOff,
+        520 => Outcome::Invalid,
+        444 => Outcome::Cancelled,
         409 => Outcome::NeverSent,
         other => return Err(AdapterError::UnknownOutcome(other)),
     })
--- a/crates/fernknot-bench-adapter/src/names.rs
+++ b/crates/fernknot-bench-adapter/src/names.rs
@@ -65,7 +65,7 @@
     /// Numbers a part of a query; `None` if the query is unknown.
     pub fn add_part(&mut self, query: MultigetId, name: String) -> Option<PartId> {
         let entry = self.queries.get_mut(&query)?;
-        let part = PartId { of: query, index: entry.part_names.len() };
+        let part = PartId { multiget: query, index: entry.part_names.len() };
         entry.part_names.push(name.clone());
         self.by_name.insert(name, Named::Part(part));
         Some(part)
@@ -94,7 +94,7 @@
 
     /// The name of a part of a known query.
     pub fn part_name(&self, part: PartId) -> Option<String> {
-        self.queries.get(&part.of).map(|entry| entry.part_names[part.index].clone())
+        self.queries.get(&part.multiget).map(|entry| entry.part_names[part.index].clone())
     }
 
     /// An attempt of a part of this query was sent.
--- a/crates/fernknot-engine/benches/multiget.rs
+++ b/crates/fernknot-engine/benches/multiget.rs
@@ -5,34 +5,34 @@
 use fernknot_engine::{AskerId, Engine, Order};
 use fernknot_protocol::multiget::{Asked, AskedPart};
 
-fn site() -> SiteFacts {
-    let case = UseCaseFacts {
-        goal: Nanos::from_millis(1000.0),
+fn site() -> SiteSettings {
+    let case = UseCaseSettings {
+        latency_target: Nanos::from_millis(1000.0),
         hard_limit: Nanos::from_millis(3000.0),
-        earnings: 1.0,
+        value: 1.0,
         late_share: 0.0,
         squared: false,
-        effect: Effect::Replayable,
+        effect: Effect::Idempotent,
         stretch: 0.0,
-        need: 1.0,
-        floor: 1.0,
-        second_step: false,
-        most_hand_offs: None,
+        required: 1.0,
+        quorum: 1.0,
+        two_phase: false,
+        max_attempts: None,
     };
-    SiteFacts {
+    SiteSettings {
         routers: 1,
         use_cases: vec![case],
         shortest_goal: None,
         customers: Vec::new(),
         tick: Nanos::from_millis(1.0),
-        cold: ColdFacts::default(),
+        warmup: SlowStartSettings::default(),
         budget: None,
         places: 10,
         width: 1,
         cancel: true,
-        second_copies: true,
-        most_hand_offs: 3,
-        longest_wait: Some(Nanos::from_millis(500.0)),
+        hedging: true,
+        max_attempts: 3,
+        max_retry_after: Some(Nanos::from_millis(500.0)),
         must_ask: false,
         peers: false,
         by_work: false,
--- a/crates/fernknot-engine/src/action.rs
+++ b/crates/fernknot-engine/src/action.rs
@@ -1,7 +1,7 @@
 //! What the host is to do, and how multigets end.
 
 use crate::multiget::{AskerId, Ended};
-use fernknot::interface::{HandOffNo, Nanos, News, NodeId, Outcome, PartId, ShardId};
+use fernknot::interface::{HandOffNo, Nanos, NodeId, Outcome, PartId, ShardId, Update};
 use fernknot_protocol::multiget::BlockState;
 
 /// The final answer to a multiget.
@@ -67,6 +67,6 @@
     /// Sends updates on nodes to the peers.
     Tell {
         /// What became of attempts, by their nodes.
-        news: Vec<(NodeId, News)>,
+        news: Vec<(NodeId, Update)>,
     },
 }
--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -7,8 +7,8 @@
 use crate::table::MultigetTable;
 use fernknot::decide::Router;
 use fernknot::interface::{
-    Arrival, CustomerId, Decision, Ending, HandOffNo, ListKind, LoadReport, MultigetId, Nanos, News,
-    NodeEntry, NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteFacts, UseCaseFacts, UseCaseId,
+    Arrival, CustomerId, Decision, Ending, HandOffNo, ListKind, LoadReport, MultigetId, Nanos, NodeEntry,
+    NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteSettings, Update, UseCaseId, UseCaseSettings,
 };
 use fernknot_protocol::multiget::{Asked, AskedPart};
 use fernknot_router_config::PhaseFacts;
@@ -39,7 +39,7 @@
     /// `sketch_bytes`.
     pub fn new(
         seed: u64,
-        site: SiteFacts,
+        site: SiteSettings,
         phases: &[Option<PhaseFacts>],
         sketch_bytes: usize,
         now: Nanos,
@@ -61,42 +61,42 @@
 
     /// A list of nodes, or changes to it.
     pub fn list(&mut self, kind: ListKind, entries: &[NodeEntry]) {
-        self.decisions.list(kind, entries);
+        self.decisions.apply_list(kind, entries);
     }
 
     /// The list of nodes can no longer be followed.
     pub fn list_lost(&mut self, now: Nanos) {
-        self.decisions.list_lost(now);
+        self.decisions.list_failed(now);
     }
 
     /// Adds a use case at the next free id, or replaces one; see [`Router::use_case`].
-    pub fn use_case(&mut self, now: Nanos, id: UseCaseId, facts: &UseCaseFacts) {
-        self.decisions.use_case(now, id, facts);
+    pub fn use_case(&mut self, now: Nanos, id: UseCaseId, facts: &UseCaseSettings) {
+        self.decisions.set_use_case(now, id, facts);
     }
 
     /// Removes a use case; its id may be used again once nothing of it is open.
     pub fn retire(&mut self, id: UseCaseId) {
-        self.decisions.retire(id);
+        self.decisions.remove_use_case(id);
     }
 
     /// This router's part of the retries that are free, from now on.
     pub fn slack(&mut self, free: f64) {
-        self.decisions.slack(free);
+        self.decisions.set_free_attempts(free);
     }
 
     /// From now on the work of this place is alike to that of all others in this group.
     pub fn group(&mut self, place: PlaceId, group: u32) {
-        self.decisions.group(place, group);
+        self.decisions.set_group(place, group);
     }
 
     /// Among how many routers limits are shared from now on.
     pub fn shared_by(&mut self, now: Nanos, routers: usize) {
-        self.decisions.shared_by(now, routers);
+        self.decisions.set_router_count(now, routers);
     }
 
     /// What a peer reports of its attempts, by their nodes.
-    pub fn apply_peer_updates(&mut self, now: Nanos, from: PeerId, updates: &[(NodeId, News)]) {
-        self.decisions.told(now, from, updates);
+    pub fn apply_peer_updates(&mut self, now: Nanos, from: PeerId, updates: &[(NodeId, Update)]) {
+        self.decisions.apply_updates(now, from, updates);
     }
 
     // ---- Inputs on multigets ---------------------------------------------------------------
@@ -118,7 +118,7 @@
             effort: total_effort(&asked.parts),
             second,
         };
-        self.decisions.take(now, &arrival);
+        self.decisions.multiget_arrived(now, &arrival);
         self.take_parts(now, multiget, 0, asked.parts.iter());
         self.has_input = true;
         multiget
@@ -133,12 +133,12 @@
     ) {
         for (index, part) in parts.enumerate() {
             let part = PartArrival {
-                part: PartId { of, index: first_index + index },
+                part: PartId { multiget: of, index: first_index + index },
                 shard: part.shard,
                 weight: part.weight,
                 effort: part.effort,
             };
-            self.decisions.take_part(now, &part);
+            self.decisions.part_arrived(now, &part);
         }
     }
 
@@ -146,7 +146,7 @@
     pub fn lapsed(&mut self, now: Nanos, multiget: MultigetId) {
         self.counters.lapsed += 1;
         self.has_input = true;
-        self.decisions.lapsed(multiget);
+        self.decisions.client_gone(multiget);
         self.phases_lapsed(now, multiget);
         self.table.over(multiget);
     }
@@ -173,11 +173,11 @@
         attempt.over = true;
         let (node, sent, stop_at) = (attempt.node, attempt.sent, attempt.stop_at);
         self.attempt_deadlines.remove(&(stop_at, part, no));
-        if let Some(multiget) = self.table.get_mut(part.of) {
+        if let Some(multiget) = self.table.get_mut(part.multiget) {
             multiget.out -= 1;
         }
         *self.outcome_counter(outcome) += 1;
-        self.endings.push_back(Ending { part, no, node, outcome, took: now - sent, report });
+        self.endings.push_back(Ending { part, number: no, node, outcome, took: now - sent, report });
     }
 
     fn outcome_counter(&mut self, outcome: Outcome) -> &mut u64 {
@@ -185,11 +185,11 @@
         match outcome {
             Outcome::Answered => &mut counters.outcome_answered,
             Outcome::Error => &mut counters.outcome_error,
-            Outcome::TurnedAway => &mut counters.outcome_turned_away,
+            Outcome::Rejected => &mut counters.outcome_turned_away,
             Outcome::TimedOut => &mut counters.outcome_timed_out,
             Outcome::Unreachable => &mut counters.outcome_unreachable,
-            Outcome::Broken => &mut counters.outcome_broken,
-            Outcome::CalledOff => &mut counters.outcome_called_off,
+            Outcome::Invalid => &mut counters.outcome_broken,
+            Outcome::Cancelled => &mut counters.outcome_called_off,
             Outcome::NeverSent => &mut counters.outcome_never_sent,
         }
     }
@@ -222,7 +222,7 @@
             }
             self.begin_pull(now);
         }
-        while let Some(decision) = self.decisions.next(now) {
+        while let Some(decision) = self.decisions.poll_decision(now) {
             if let Some(action) = self.carry_out(now, decision) {
                 return Some(action);
             }
@@ -241,35 +241,35 @@
         (self.is_pulling, self.has_input) = (true, false);
         self.wake_at = self.wake_at.filter(|at| *at > now);
         while let Some(ending) = self.endings.pop_front() {
-            self.decisions.ended(now, &ending);
-            self.table.forget(ending.part.of);
+            self.decisions.attempt_ended(now, &ending);
+            self.table.forget(ending.part.multiget);
         }
     }
 
     /// Carries out one decision; what is left of it for the host comes back.
     fn carry_out(&mut self, now: Nanos, decision: Decision) -> Option<Order> {
         match decision {
-            Decision::HandOff { part, node, stop_at } => self.start_attempt(now, part, node, stop_at),
-            Decision::CallOff { part, no } => {
+            Decision::SendAttempt { part, node, stop_at } => self.start_attempt(now, part, node, stop_at),
+            Decision::CancelAttempt { part, number: no } => {
                 self.counters.hand_offs_called_off += 1;
-                Some(Order::Abandon { part, no, outcome: Outcome::CalledOff })
+                Some(Order::Abandon { part, no, outcome: Outcome::Cancelled })
             }
-            Decision::Settle { multiget, last: false, .. } => {
+            Decision::Complete { multiget, last: false, .. } => {
                 self.open_second_phase(now, multiget);
                 None
             }
-            Decision::Settle { multiget, whole, .. } => {
+            Decision::Complete { multiget, complete: whole, .. } => {
                 let verdict = self.found(multiget, whole)?;
                 self.answer(now, multiget, verdict)
             }
-            Decision::Dismiss { multiget, wait } => {
+            Decision::Reject { multiget, retry_after: wait } => {
                 let wait = Some(wait).filter(|wait| wait.0 > 0);
                 self.answer(now, multiget, Verdict::Dismissed { wait })
             }
-            Decision::BreakOff { multiget } => self.answer(now, multiget, Verdict::BrokenOff),
-            Decision::FollowList => Some(Order::FollowList),
-            Decision::Renew { node } => Some(Order::Renew { node }),
-            Decision::Tell { news } => Some(Order::Tell { news }),
+            Decision::Abort { multiget } => self.answer(now, multiget, Verdict::BrokenOff),
+            Decision::RequestList => Some(Order::FollowList),
+            Decision::RenewConnections { node } => Some(Order::Renew { node }),
+            Decision::NotifyPeers { updates: news } => Some(Order::Tell { news }),
             Decision::Wake { after } => {
                 let at = now + after;
                 self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
@@ -279,7 +279,7 @@
     }
 
     fn start_attempt(&mut self, now: Nanos, part: PartId, node: NodeId, stop_at: Nanos) -> Option<Order> {
-        let multiget = self.table.get_mut(part.of)?;
+        let multiget = self.table.get_mut(part.multiget)?;
         let stop_at = if stop_at.0 == 0 { multiget.client_end } else { stop_at.min(multiget.client_end) };
         let attempts = &mut multiget.parts[part.index].hand_offs;
         let no = HandOffNo(attempts.len() as u32);
--- a/crates/fernknot-engine/src/table.rs
+++ b/crates/fernknot-engine/src/table.rs
@@ -61,11 +61,11 @@
 
     /// A part of a multiget in the table.
     pub fn part(&self, id: PartId) -> Option<&PartState> {
-        self.multigets.get(&id.of)?.parts.get(id.index)
+        self.multigets.get(&id.multiget)?.parts.get(id.index)
     }
 
     pub(crate) fn part_mut(&mut self, id: PartId) -> Option<&mut PartState> {
-        self.multigets.get_mut(&id.of)?.parts.get_mut(id.index)
+        self.multigets.get_mut(&id.multiget)?.parts.get_mut(id.index)
     }
 
     /// An attempt of a multiget in the table.
--- a/crates/fernknot-engine/src/two_phase.rs
+++ b/crates/fernknot-engine/src/two_phase.rs
@@ -4,7 +4,7 @@
 use crate::counters::Counters;
 use crate::engine::Engine;
 use crate::multiget::Ended;
-use fernknot::interface::{MultigetId, Nanos, Outcome, PartId, SecondFacts, ShardId};
+use fernknot::interface::{MultigetId, Nanos, Outcome, PartId, SecondPhaseEstimate, ShardId};
 use fernknot_protocol::matches;
 use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, BlockState};
 use fernknot_two_phase::{CandidateBlock, TwoPhaseQuery, term_fingerprint};
@@ -18,7 +18,7 @@
         id: MultigetId,
         asked: &mut Asked,
         second: AskedSecond,
-    ) -> Option<SecondFacts> {
+    ) -> Option<SecondPhaseEstimate> {
         self.counters.phased_taken += 1;
         let candidate =
             |part: AskedPart| CandidateBlock { shard: part.shard, weight: part.weight, effort: part.effort };
@@ -45,10 +45,10 @@
             self.counters.match_values_bad += 1;
             return Outcome::Error;
         };
-        match self.phases.record_match(part.of, shard, answer) {
+        match self.phases.record_match(part.multiget, shard, answer) {
             Ok(true) => {
-                if let Some(estimate) = self.phases.second_phase_estimate(now, part.of) {
-                    self.decisions.expect(part.of, estimate);
+                if let Some(estimate) = self.phases.second_phase_estimate(now, part.multiget) {
+                    self.decisions.expect_second_phase(part.multiget, estimate);
                 }
                 Outcome::Answered
             }
@@ -69,7 +69,7 @@
         let Some(multiget) = self.table.get_mut(id) else { return };
         let first_index = multiget.open(fetch.blocks.iter().map(|block| block.shard));
         self.counters.phased_opened += 1;
-        self.decisions.second(id, fetch.step);
+        self.decisions.begin_second_phase(id, fetch.step);
         let part = |block: CandidateBlock| AskedPart {
             shard: block.shard,
             weight: block.weight,
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -17,34 +17,39 @@
 }
 
 /// Four places of so many nodes each; shard s is at place s modulo 4.
-pub fn site() -> SiteFacts {
-    let case = |effect| UseCaseFacts {
-        goal: ms(GOAL),
+pub fn site() -> SiteSettings {
+    let case = |effect| UseCaseSettings {
+        latency_target: ms(GOAL),
         hard_limit: ms(HARD),
-        earnings: 1.0,
+        value: 1.0,
         late_share: 0.0,
         squared: false,
         effect,
         stretch: 0.0,
-        need: 1.0,
-        floor: 0.5,
-        second_step: false,
-        most_hand_offs: None,
+        required: 1.0,
+        quorum: 0.5,
+        two_phase: false,
+        max_attempts: None,
     };
-    SiteFacts {
+    SiteSettings {
         routers: 1,
-        use_cases: vec![case(Effect::Replayable), case(Effect::SingleUse), case(Effect::Replayable)],
+        use_cases: vec![case(Effect::Idempotent), case(Effect::NonIdempotent), case(Effect::Idempotent)],
         shortest_goal: None,
         customers: Vec::new(),
         tick: ms(1.0),
-        cold: ColdFacts { from: 0.2, warm_after: ms(10_000.0), multiple: 2.0, window: ms(1000.0) },
-        budget: Some(BudgetFacts { free: 1000.0, share: 0.0, window: ms(10_000.0), each_shard: false }),
+        warmup: SlowStartSettings { from: 0.2, warm_after: ms(10_000.0), multiple: 2.0, window: ms(1000.0) },
+        budget: Some(RetryBudgetSettings {
+            free: 1000.0,
+            share: 0.0,
+            window: ms(10_000.0),
+            each_shard: false,
+        }),
         places: 4,
         width: 1,
         cancel: true,
-        second_copies: true,
-        most_hand_offs: 3,
-        longest_wait: Some(ms(500.0)),
+        hedging: true,
+        max_attempts: 3,
+        max_retry_after: Some(ms(500.0)),
         must_ask: false,
         peers: false,
         by_work: false,
@@ -107,7 +112,7 @@
 }
 
 impl Host {
-    pub fn new(site: SiteFacts, phases: PhaseFacts, nodes_a_place: u32) -> Host {
+    pub fn new(site: SiteSettings, phases: PhaseFacts, nodes_a_place: u32) -> Host {
         let now = 1_000_000.0;
         let given = [Some(phases.clone()), Some(phases), None];
         let mut engine = Engine::new(7, site, &given, 100_000, ms(now));
@@ -213,8 +218,8 @@
                 match order {
                     Order::Send { part, no, node } => {
                         let state = self.engine.table.part(part).unwrap();
-                        let asker = self.owners[&part.of];
-                        let proof = [Outcome::TurnedAway, Outcome::Unreachable, Outcome::NeverSent];
+                        let asker = self.owners[&part.multiget];
+                        let proof = [Outcome::Rejected, Outcome::Unreachable, Outcome::NeverSent];
                         let runs = |sent: &&Sent| {
                             sent.part == part && sent.outcome.is_none_or(|how| !proof.contains(&how))
                         };
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -34,7 +34,7 @@
     "no match value",
 ];
 const FAILURES: [Outcome; 5] =
-    [Outcome::Error, Outcome::TurnedAway, Outcome::Unreachable, Outcome::Broken, Outcome::NeverSent];
+    [Outcome::Error, Outcome::Rejected, Outcome::Unreachable, Outcome::Invalid, Outcome::NeverSent];
 
 fn step() -> impl Strategy<Value = Step> {
     let shards = prop::sample::subsequence((0u32..12).collect::<Vec<_>>(), 1..8);
@@ -70,8 +70,11 @@
 
 impl Seen {
     fn note(&mut self, host: &Host, sent: &Sent, value: usize) {
-        let open =
-            host.engine.table.get(sent.part.of).is_none_or(|multiget| multiget.is_opened() || multiget.over);
+        let open = host
+            .engine
+            .table
+            .get(sent.part.multiget)
+            .is_none_or(|multiget| multiget.is_opened() || multiget.over);
         let sound = VALUES[value].contains("\"blocks\":[#]") || VALUES[value].contains("\"blocks\":[]");
         let same = VALUES[value].contains("same");
         if sent.of == PartOf::Match && !open && (sound || same) {
@@ -120,7 +123,7 @@
     }
     host.pass(2.0 * HARD);
     for sent in host.sent.clone().into_iter().filter(|sent| !sent.over) {
-        host.end_hand_off(sent.part, sent.no, Outcome::Broken);
+        host.end_hand_off(sent.part, sent.no, Outcome::Invalid);
     }
     host.pull();
 }
@@ -140,9 +143,9 @@
         let verdict = host.final_of(sent.asker).map(|given| &given.verdict);
         let use_case = host.use_case_of(sent.asker);
         assert!(use_case != SINGLE_USE || sent.may_run_beside == 0, "{sent:?}");
-        let ran = sent.outcome.is_none_or(|how| {
-            !matches!(how, Outcome::TurnedAway | Outcome::Unreachable | Outcome::NeverSent)
-        });
+        let ran = sent
+            .outcome
+            .is_none_or(|how| !matches!(how, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent));
         let dismissed = matches!(verdict, Some(Verdict::Dismissed { .. }));
         assert!(use_case != SINGLE_USE || !ran || !dismissed, "dismissed though it may have run: {sent:?}");
     }
@@ -195,7 +198,7 @@
         steps in prop::collection::vec(step(), 300..500),
     ) {
         let names_others = facts.names_others;
-        let mut host = Host::new(SiteFacts { cancel, ..site() }, facts, 3);
+        let mut host = Host::new(SiteSettings { cancel, ..site() }, facts, 3);
         let mut seen = Seen::default();
         play(&mut host, &steps, &mut seen);
         check(&host, &seen, names_others);
--- a/crates/fernknot-engine/tests/plain.rs
+++ b/crates/fernknot-engine/tests/plain.rs
@@ -11,7 +11,7 @@
     let mut host = Host::new(site(), phases(), 3);
     let asker = host.ask(PLAIN, &[0, 1, 2]);
     host.answer(asker, PartOf::Plain, 2, "");
-    host.fail(asker, PartOf::Plain, 0, Outcome::TurnedAway);
+    host.fail(asker, PartOf::Plain, 0, Outcome::Rejected);
     host.answer(asker, PartOf::Plain, 0, "");
     host.pass(GOAL);
     let Some(Verdict::Settled { whole: false, found, found_by, .. }) =
@@ -25,16 +25,20 @@
 
 #[test]
 fn given_an_engine_that_runs_when_a_use_case_comes_then_it_is_served_by_its_own_limits() {
-    let budget = BudgetFacts { free: 0.0, share: 0.0, window: ms(10_000.0), each_shard: true };
-    let mut host = Host::new(SiteFacts { budget: Some(budget), ..site() }, phases(), 3);
-    let facts =
-        UseCaseFacts { need: 1.0, floor: 1.0, most_hand_offs: Some(2), ..site().use_cases.remove(PLAIN) };
+    let budget = RetryBudgetSettings { free: 0.0, share: 0.0, window: ms(10_000.0), each_shard: true };
+    let mut host = Host::new(SiteSettings { budget: Some(budget), ..site() }, phases(), 3);
+    let facts = UseCaseSettings {
+        required: 1.0,
+        quorum: 1.0,
+        max_attempts: Some(2),
+        ..site().use_cases.remove(PLAIN)
+    };
     host.engine.use_case(ms(host.now), UseCaseId(3), &facts);
     let tries = |host: &mut Host| {
         let asker = host.ask_plain(3, &[0]);
         for _ in 0..3 {
             if !host.out(asker, PartOf::Plain).is_empty() {
-                host.fail(asker, PartOf::Plain, 0, Outcome::TurnedAway);
+                host.fail(asker, PartOf::Plain, 0, Outcome::Rejected);
             }
         }
         host.all(asker, PartOf::Plain).len()
@@ -43,7 +47,7 @@
     host.engine.slack(5.0);
     assert_eq!(tries(&mut host), 2, "its own limit");
     host.engine.retire(UseCaseId(3));
-    let facts = UseCaseFacts { most_hand_offs: Some(1), ..facts };
+    let facts = UseCaseSettings { max_attempts: Some(1), ..facts };
     host.engine.use_case(ms(host.now), UseCaseId(3), &facts);
     assert_eq!(tries(&mut host), 1, "that of the one that came at its id");
 }
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -267,9 +267,9 @@
     assert_eq!(host.said(asker), [(0, BlockState::Fetched), (3, BlockState::Missing)]);
 }
 
-#[test_case(REPLAYABLE, Outcome::Broken, true; "replayable, broken: another store")]
+#[test_case(REPLAYABLE, Outcome::Invalid, true; "replayable, broken: another store")]
 #[test_case(SINGLE_USE, Outcome::Unreachable, true; "single-use, never reached: another store")]
-#[test_case(SINGLE_USE, Outcome::Broken, false; "single-use, broken: it may have run")]
+#[test_case(SINGLE_USE, Outcome::Invalid, false; "single-use, broken: it may have run")]
 fn a_store_that_dies_between_its_match_and_its_fetch(use_case: usize, outcome: Outcome, again: bool) {
     let mut host = host();
     let asker = host.ask(use_case, &[0, 1]);
@@ -288,11 +288,11 @@
 fn a_first_phase_may_be_repeated_whatever_its_use_case_says_of_effects() {
     let mut host = host();
     let asker = host.ask(SINGLE_USE, &[0]);
-    host.fail(asker, PartOf::Match, 0, Outcome::Broken);
+    host.fail(asker, PartOf::Match, 0, Outcome::Invalid);
     assert_eq!(host.out(asker, PartOf::Match).len(), 1);
     host.say(asker, &[0], &[0]);
     assert_eq!(host.out(asker, PartOf::Fetch).len(), 1);
-    host.fail(asker, PartOf::Fetch, 0, Outcome::Broken);
+    host.fail(asker, PartOf::Fetch, 0, Outcome::Invalid);
     host.pass(HARD);
     let given = host.final_of(asker).unwrap();
     assert_eq!((&given.verdict, host.all(asker, PartOf::Fetch).len()), (&Verdict::BrokenOff, 1));
@@ -317,7 +317,7 @@
 
 #[test]
 fn a_late_match_answer_is_counted_and_changes_nothing() {
-    let mut host = Host::new(SiteFacts { cancel: false, ..site() }, phases(), 3);
+    let mut host = Host::new(SiteSettings { cancel: false, ..site() }, phases(), 3);
     host.warm_up(12, &ALL, 20.0, 100.0);
     let asker = host.ask(REPLAYABLE, &ALL);
     let silent = host.out(asker, PartOf::Match)[3].clone();
@@ -335,8 +335,8 @@
 
 #[test]
 fn copies_of_first_phases_leave_second_ones_their_share_of_the_budget() {
-    let budget = BudgetFacts { free: 4.0, share: 0.0, window: ms(60_000.0), each_shard: false };
-    let mut host = Host::new(SiteFacts { budget: Some(budget), ..site() }, phases(), 3);
+    let budget = RetryBudgetSettings { free: 4.0, share: 0.0, window: ms(60_000.0), each_shard: false };
+    let mut host = Host::new(SiteSettings { budget: Some(budget), ..site() }, phases(), 3);
     host.warm_up(80, &ALL, 10.0, 20.0);
     let asker = host.ask(REPLAYABLE, &ALL);
     host.pass(400.0);
--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -4,7 +4,7 @@
 use crate::stores::{Job, Store, StoreScript};
 use fernknot::interface::{
     HandOffNo, Health, ListKind, LoadReport, MultigetId, Nanos, NodeEntry, NodeId, Outcome, PartId, PlaceId,
-    ShardId, SiteFacts,
+    ShardId, SiteSettings,
 };
 use fernknot_engine::{AskerId, Ended, Engine, Order, PartOf, Verdict};
 use fernknot_protocol::matches::{self, Match, Names};
@@ -98,7 +98,7 @@
     /// Determines all random choices.
     pub seed: u64,
     /// The settings of the engine.
-    pub site: SiteFacts,
+    pub site: SiteSettings,
     /// By use case.
     pub phases: Vec<Option<PhaseFacts>>,
     /// Stores at each of the site's places.
@@ -270,11 +270,11 @@
         let Attempt { part, number, .. } = attempt;
         let report = LoadReport::default();
         if !accepted {
-            return self.engine.ended(self.now, part, number, Outcome::TurnedAway, report);
+            return self.engine.ended(self.now, part, number, Outcome::Rejected, report);
         }
         let Some(state) = self.engine.table.part(part) else { return };
         let value = match state.of {
-            PartOf::Match => self.match_value(part.of, state.shard),
+            PartOf::Match => self.match_value(part.multiget, state.shard),
             PartOf::Plain | PartOf::Fetch => "value".to_string(),
         };
         self.engine.answered(self.now, part, number, value, report);
@@ -315,7 +315,7 @@
     fn send_part(&mut self, attempt: Attempt) {
         let part = self.engine.table.part(attempt.part);
         let is_fetch = part.is_some_and(|part| part.of == PartOf::Fetch);
-        if let Some(query) = self.query_of.get(&attempt.part.of) {
+        if let Some(query) = self.query_of.get(&attempt.part.multiget) {
             let record = &mut self.records[*query];
             record.parts_after_end += u64::from(record.end.is_some());
             record.second_phase_opened |= is_fetch;
--- a/crates/fernknot-experiments/src/two_phase/workload.rs
+++ b/crates/fernknot-experiments/src/two_phase/workload.rs
@@ -3,7 +3,9 @@
 use super::variant::Variant;
 use crate::engine_simulation::{PlannedQuery, START};
 use crate::stores::StoreScript;
-use fernknot::interface::{ColdFacts, Effect, Nanos, ShardId, SiteFacts, UseCaseFacts, UseCaseId};
+use fernknot::interface::{
+    Effect, Nanos, ShardId, SiteSettings, SlowStartSettings, UseCaseId, UseCaseSettings,
+};
 use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond};
 use fernknot_router_config::{PhaseFacts, Silent, Split};
 use rand::seq::SliceRandom;
@@ -55,38 +57,43 @@
     }
 }
 
-fn use_case_settings() -> UseCaseFacts {
-    UseCaseFacts {
-        goal: Nanos::from_millis(TARGET_MS),
+fn use_case_settings() -> UseCaseSettings {
+    UseCaseSettings {
+        latency_target: Nanos::from_millis(TARGET_MS),
         hard_limit: Nanos::from_millis(CLIENT_TIMEOUT_MS),
-        earnings: 1.0,
+        value: 1.0,
         late_share: 0.0,
         squared: false,
-        effect: Effect::Replayable,
+        effect: Effect::Idempotent,
         stretch: 0.0,
-        need: 1.0,
-        floor: 1.0,
-        second_step: false,
-        most_hand_offs: None,
+        required: 1.0,
+        quorum: 1.0,
+        two_phase: false,
+        max_attempts: None,
     }
 }
 
-pub(super) fn site_settings() -> SiteFacts {
+pub(super) fn site_settings() -> SiteSettings {
     let millis = Nanos::from_millis;
-    SiteFacts {
+    SiteSettings {
         routers: 1,
         use_cases: vec![use_case_settings()],
         shortest_goal: None,
         customers: Vec::new(),
         tick: millis(0.5),
-        cold: ColdFacts { from: 0.2, warm_after: millis(10_000.0), multiple: 2.0, window: millis(1000.0) },
+        warmup: SlowStartSettings {
+            from: 0.2,
+            warm_after: millis(10_000.0),
+            multiple: 2.0,
+            window: millis(1000.0),
+        },
         budget: None,
         places: PLACES,
         width: 1,
         cancel: true,
-        second_copies: true,
-        most_hand_offs: 3,
-        longest_wait: Some(millis(500.0)),
+        hedging: true,
+        max_attempts: 3,
+        max_retry_after: Some(millis(500.0)),
         must_ask: false,
         peers: false,
         by_work: false,
--- a/crates/fernknot-experiments/tests/stores.rs
+++ b/crates/fernknot-experiments/tests/stores.rs
@@ -18,7 +18,7 @@
         Spell { from: ms(30.0), to: ms(60.0), slowdown: Some(3.0) },
     ];
     let mut store = Store::new(spells, 4);
-    let part = PartId { of: MultigetId(1), index: 0 };
+    let part = PartId { multiget: MultigetId(1), index: 0 };
     assert!(store.enqueue(Job { part, attempt: HandOffNo(0), work: ms(work_ms) }));
     assert_eq!(store.start_next(ms(start_ms)).map(|at| at.as_millis().round()), Some(done_ms));
 }
--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -292,7 +292,7 @@
         network: &mut N,
     ) {
         let may_have_run = was_open && self.seeded_bug != Some(SeededBug::RetryAfterReset);
-        let outcome = if may_have_run { Outcome::Broken } else { Outcome::Unreachable };
+        let outcome = if may_have_run { Outcome::Invalid } else { Outcome::Unreachable };
         self.connection_failed(now, id, outcome, network);
     }
 
@@ -326,7 +326,7 @@
             ReadOutcome::Incomplete => None,
             ReadOutcome::Invalid => {
                 self.counters.invalid_responses += 1;
-                self.connection_failed(now, id, Outcome::Broken, network);
+                self.connection_failed(now, id, Outcome::Invalid, network);
                 None
             }
             ReadOutcome::Response { attempt, node, response } => {
@@ -413,7 +413,7 @@
                 self.decisions.attempt_answered(now, attempt);
             }
             ResponseClass::NotExecuted { wrong_node } => {
-                self.decisions.attempt_ended(now, attempt, Outcome::TurnedAway);
+                self.decisions.attempt_ended(now, attempt, Outcome::Rejected);
                 self.counters.wrong_node_responses += u64::from(wrong_node);
                 return wrong_node;
             }
@@ -423,7 +423,7 @@
                 }
                 self.decisions.attempt_ended(now, attempt, Outcome::Error);
             }
-            ResponseClass::Mismatched => self.decisions.attempt_ended(now, attempt, Outcome::Broken),
+            ResponseClass::Mismatched => self.decisions.attempt_ended(now, attempt, Outcome::Invalid),
         }
         false
     }
--- a/crates/fernknot-gateway/src/decisions.rs
+++ b/crates/fernknot-gateway/src/decisions.rs
@@ -18,7 +18,7 @@
     }
 
     /// Starts the engine with the first configuration.
-    pub(crate) fn start_engine(&mut self, now: Nanos, site: SiteFacts, seed: u64) {
+    pub(crate) fn start_engine(&mut self, now: Nanos, site: SiteSettings, seed: u64) {
         self.engine = Some(Engine::new(seed, site, &[], 0, now));
     }
 
--- a/crates/fernknot-gateway/src/engine_ids.rs
+++ b/crates/fernknot-gateway/src/engine_ids.rs
@@ -30,7 +30,7 @@
     /// The revision.
     pub snapshot: ConfigSnapshot,
     /// The use case of each route, by identifier.
-    pub use_cases: Vec<(UseCaseId, UseCaseFacts)>,
+    pub use_cases: Vec<(UseCaseId, UseCaseSettings)>,
     /// Use cases of earlier revisions that no request has any more.
     pub released: Vec<UseCaseId>,
 }
--- a/crates/fernknot-gateway/src/engine_setup.rs
+++ b/crates/fernknot-gateway/src/engine_setup.rs
@@ -11,17 +11,18 @@
 pub(crate) fn initial_site(
     settings: &GatewaySettings,
     budget: &BudgetShare,
-    use_cases: Vec<UseCaseFacts>,
-) -> SiteFacts {
-    let shortest_goal = use_cases.iter().map(|use_case| use_case.goal).filter(|goal| goal.0 > 0).min();
-    SiteFacts {
+    use_cases: Vec<UseCaseSettings>,
+) -> SiteSettings {
+    let shortest_goal =
+        use_cases.iter().map(|use_case| use_case.latency_target).filter(|goal| goal.0 > 0).min();
+    SiteSettings {
         routers: budget.sharers().unwrap_or(1).max(1) as usize,
         use_cases,
         shortest_goal,
         customers: Vec::new(),
         tick: Nanos::from_millis(LOOP_GRANULARITY_MS),
-        cold: ColdFacts::default(),
-        budget: Some(BudgetFacts {
+        warmup: SlowStartSettings::default(),
+        budget: Some(RetryBudgetSettings {
             free: budget.slack(),
             share: settings.retry_ratio,
             window: settings.retry_window,
@@ -30,9 +31,9 @@
         places: u32::MAX,
         width: 1,
         cancel: true,
-        second_copies: true,
-        most_hand_offs: 1,
-        longest_wait: shortest_goal,
+        hedging: true,
+        max_attempts: 1,
+        max_retry_after: shortest_goal,
         must_ask: false,
         peers: false,
         by_work: false,
--- a/crates/fernknot-gateway/src/requests/request_table.rs
+++ b/crates/fernknot-gateway/src/requests/request_table.rs
@@ -39,7 +39,7 @@
 
     /// The request that a part belongs to.
     pub(crate) fn of_part(&mut self, part: PartId) -> Option<&mut PendingRequest> {
-        let id = self.by_multiget.get(&part.of)?;
+        let id = self.by_multiget.get(&part.multiget)?;
         self.requests.get_mut(id)
     }
 
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -194,7 +194,7 @@
 /// What a new configuration changes in the engine.
 pub(crate) struct UseCaseChange {
     /// The use case of each route, by identifier.
-    pub(crate) use_cases: Vec<(UseCaseId, UseCaseFacts)>,
+    pub(crate) use_cases: Vec<(UseCaseId, UseCaseSettings)>,
     /// Use cases that no request has any more.
     pub(crate) released: Vec<UseCaseId>,
 }
--- a/crates/fernknot-gateway/src/use_case.rs
+++ b/crates/fernknot-gateway/src/use_case.rs
@@ -35,22 +35,22 @@
 }
 
 /// The engine's description of a route.
-pub(crate) fn use_case_settings(route: &Route) -> UseCaseFacts {
+pub(crate) fn use_case_settings(route: &Route) -> UseCaseSettings {
     let effect = match route.traffic_class {
-        TrafficClass::Mutating => Effect::SingleUse,
-        _ => Effect::Replayable,
+        TrafficClass::Mutating => Effect::NonIdempotent,
+        _ => Effect::Idempotent,
     };
-    UseCaseFacts {
-        goal: Nanos::from_millis(route.target_ms as f64),
+    UseCaseSettings {
+        latency_target: Nanos::from_millis(route.target_ms as f64),
         hard_limit: Nanos::from_millis(route.deadline_ms as f64),
-        earnings: earnings(route.rank),
+        value: earnings(route.rank),
         late_share: LATE_SHARE,
         squared: matches!(route.target, RouteTarget::Fanout { .. }),
         effect,
         stretch: 0.0,
-        need: 1.0,
-        floor: quorum(route),
-        second_step: false,
-        most_hand_offs: Some(route.max_attempts.max(1)),
+        required: 1.0,
+        quorum: quorum(route),
+        two_phase: false,
+        max_attempts: Some(route.max_attempts.max(1)),
     }
 }
--- a/crates/fernknot-gateway/tests/answers.rs
+++ b/crates/fernknot-gateway/tests/answers.rs
@@ -129,7 +129,7 @@
 /// A connection that carries the first attempt of a part.
 fn busy_connection() -> (NodeConnections, ConnectionId, PartId) {
     let (mut connections, id, part) =
-        (NodeConnections::default(), ConnectionId(3), PartId { of: MultigetId(1), index: 0 });
+        (NodeConnections::default(), ConnectionId(3), PartId { multiget: MultigetId(1), index: 0 });
     connections.add_endpoint(NodeId(1), "i-1", "10.0.0.1:80".parse().unwrap());
     connections.insert(Nanos(0), id, NodeId(1), first_attempt(part));
     (connections, id, part)
@@ -184,7 +184,12 @@
 fn given_an_incarnation_that_is_gone_then_its_idle_connections_are_closed_and_others_not_reused() {
     let (mut connections, id, _) = busy_connection();
     let other = ConnectionId(4);
-    connections.insert(Nanos(0), other, NodeId(1), first_attempt(PartId { of: MultigetId(2), index: 0 }));
+    connections.insert(
+        Nanos(0),
+        other,
+        NodeId(1),
+        first_attempt(PartId { multiget: MultigetId(2), index: 0 }),
+    );
     connections.read(other, &mut buffer(&part("s", "0000000000000001")), false, &limits());
     connections.release(other, Nanos(10));
     assert_eq!(connections.remove_endpoint(NodeId(1)), vec![other]);
--- a/crates/fernknot-membership/src/outbox.rs
+++ b/crates/fernknot-membership/src/outbox.rs
@@ -3,7 +3,7 @@
 use crate::identity::RouterId;
 use crate::message::MessageBody;
 use fernknot::interface::Nanos;
-use fernknot::state::Allowance;
+use fernknot::state::TokenBucket;
 use std::collections::VecDeque;
 
 /// Messages that may wait; more are dropped, and their senders ask again.
@@ -61,7 +61,7 @@
 
 /// A token bucket whose burst and rate together stay within the stated number in any second.
 struct RateLimit {
-    datagrams: Allowance,
+    datagrams: TokenBucket,
     burst: f64,
 }
 
@@ -69,7 +69,7 @@
     fn new(datagrams_per_s: f64, now: Nanos) -> RateLimit {
         let burst = (datagrams_per_s * BURST_SHARE).max(1.0);
         let rate = (datagrams_per_s - burst).max(MIN_RATE);
-        RateLimit { datagrams: Allowance::new(rate, burst, now), burst }
+        RateLimit { datagrams: TokenBucket::new(rate, burst, now), burst }
     }
 
     fn needed(&self, spare: f64) -> f64 {
--- a/crates/fernknot-protocol/src/news.rs
+++ b/crates/fernknot-protocol/src/news.rs
@@ -3,7 +3,7 @@
 //! A message has a byte with the number of attempts that were sent and two bytes for the node of each; then, for each
 //! attempt that ended, two bytes for its node and one for how it ended: a latency, or one of two codes for no answer.
 
-use fernknot::interface::{Nanos, News, NodeId};
+use fernknot::interface::{Nanos, NodeId, Update};
 use std::collections::HashMap;
 
 const OVERDUE: u8 = 254;
@@ -39,8 +39,8 @@
     }
 
     /// The messages that hold all updates, each of at most so many bytes. A node without a name is left out.
-    pub fn write(&self, updates: &[(NodeId, News)], max_bytes: usize) -> Vec<Vec<u8>> {
-        let (sent, ended): (Vec<_>, Vec<_>) = updates.iter().partition(|(_, update)| *update == News::Sent);
+    pub fn write(&self, updates: &[(NodeId, Update)], max_bytes: usize) -> Vec<Vec<u8>> {
+        let (sent, ended): (Vec<_>, Vec<_>) = updates.iter().partition(|(_, update)| *update == Update::Sent);
         let mut messages = Vec::new();
         let mut message = vec![0];
         for (node, update) in sent.into_iter().chain(ended) {
@@ -50,10 +50,10 @@
             }
             message.extend(tag.to_be_bytes());
             match update {
-                News::Sent => message[0] += 1,
-                News::Answered(took) => message.push(encode_latency(took)),
-                News::Overdue => message.push(OVERDUE),
-                News::Failed => message.push(FAILED),
+                Update::Sent => message[0] += 1,
+                Update::Answered(took) => message.push(encode_latency(took)),
+                Update::Overdue => message.push(OVERDUE),
+                Update::Failed => message.push(FAILED),
             }
         }
         messages.extend((message.len() > 1).then_some(message));
@@ -61,16 +61,16 @@
     }
 
     /// What a message says of nodes that are known here; nothing if it was cut off.
-    pub fn read(&self, bytes: &[u8]) -> Option<Vec<(NodeId, News)>> {
+    pub fn read(&self, bytes: &[u8]) -> Option<Vec<(NodeId, Update)>> {
         let (sent_count, rest) = bytes.split_first()?;
         let (sent, ended) = rest.split_at_checked(TAG_BYTES * usize::from(*sent_count))?;
         if ended.len() % ENDED_BYTES != 0 {
             return None;
         }
-        let sent = sent.chunks_exact(TAG_BYTES).map(|tag| (tag, News::Sent));
+        let sent = sent.chunks_exact(TAG_BYTES).map(|tag| (tag, Update::Sent));
         let ended =
             ended.chunks_exact(ENDED_BYTES).map(|entry| (&entry[..TAG_BYTES], decode_end(entry[TAG_BYTES])));
-        let known = |(tag, update): (&[u8], News)| {
+        let known = |(tag, update): (&[u8], Update)| {
             let node = self.nodes.get(&u16::from_be_bytes([tag[0], tag[1]]))?;
             node.map(|node| (node, update))
         };
@@ -83,13 +83,13 @@
     code.round().min(f64::from(OVERDUE - 1)) as u8
 }
 
-fn decode_end(code: u8) -> News {
+fn decode_end(code: u8) -> Update {
     match code {
-        OVERDUE => News::Overdue,
-        FAILED => News::Failed,
+        OVERDUE => Update::Overdue,
+        FAILED => Update::Failed,
         code => {
             let millis = (f64::from(code) / STEPS_PER_DOUBLING).exp2() / UNITS_PER_MS;
-            News::Answered(Nanos::from_millis(millis))
+            Update::Answered(Nanos::from_millis(millis))
         }
     }
 }
--- a/crates/fernknot-router-config/src/router.rs
+++ b/crates/fernknot-router-config/src/router.rs
@@ -5,7 +5,7 @@
 use crate::membership::{FleetGiven, MembershipSettings, PeerAddresses};
 use crate::settings::Facts;
 use crate::sockets::SocketFacts;
-use fernknot::interface::SiteFacts;
+use fernknot::interface::SiteSettings;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     /// How routers keep track of each other, if they do.
     pub membership: Option<MembershipSettings>,
     /// The configuration of the decision module.
-    pub site: SiteFacts,
+    pub site: SiteSettings,
     /// What the sockets need of the settings beside it.
     pub sockets: SocketFacts,
     /// Sizes, counts and times that bound what the router uses.
@@ -163,10 +163,10 @@
     }
 }
 
-fn decision_settings(settings: &Facts) -> Result<SiteFacts, ConfigError> {
+fn decision_settings(settings: &Facts) -> Result<SiteSettings, ConfigError> {
     let mut site = settings.site().map_err(|error| error.below("settings"))?;
     // On sockets a multiget is one request with one answer: there is no second step.
-    site.use_cases.iter_mut().for_each(|use_case| use_case.second_step = false);
+    site.use_cases.iter_mut().for_each(|use_case| use_case.two_phase = false);
     Ok(site)
 }
 
@@ -180,7 +180,7 @@
 }
 
 /// The peers' addresses, which are required where routers may talk and there is more than one.
-fn peer_addresses(file: &File, site: &SiteFacts) -> Result<Option<PeerAddresses>, ConfigError> {
+fn peer_addresses(file: &File, site: &SiteSettings) -> Result<Option<PeerAddresses>, ConfigError> {
     if !site.peers || site.routers <= 1 {
         return Ok(None);
     }
--- a/crates/fernknot-router-config/src/site.rs
+++ b/crates/fernknot-router-config/src/site.rs
@@ -2,7 +2,9 @@
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::settings::{Class, ClassEffect, Facts, FamilyInfo, Rules, WorthBy};
-use fernknot::interface::{BudgetFacts, ColdFacts, Effect, Nanos, SiteFacts, UseCaseFacts, ZoneId};
+use fernknot::interface::{
+    Effect, Nanos, RetryBudgetSettings, SiteSettings, SlowStartSettings, UseCaseSettings, ZoneId,
+};
 
 impl Facts {
     /// The configuration of the decision module.
@@ -10,23 +12,23 @@
     /// # Errors
     /// The router's zone is not among `zones`, or a budget of retries has no window. The key is relative to the
     /// settings object.
-    pub fn site(&self) -> Result<SiteFacts, ConfigError> {
+    pub fn site(&self) -> Result<SiteSettings, ConfigError> {
         self.check_zone()?;
         let use_cases = self.classes.iter().enumerate();
-        Ok(SiteFacts {
+        Ok(SiteSettings {
             routers: self.balancers,
             use_cases: use_cases.map(|(index, class)| use_case(index, class, &self.family_info)).collect(),
             shortest_goal: None,
             customers: self.accounts.iter().map(|account| account.quota_per_s).collect(),
             tick: Nanos::from_millis(self.tick),
-            cold: warm_up(&self.rules),
+            warmup: warm_up(&self.rules),
             budget: retry_budget(&self.rules)?,
             places: self.family_info.places,
             width: self.family_info.width,
             cancel: self.allowed.cancel,
-            second_copies: self.allowed.second_copies,
-            most_hand_offs: self.allowed.try_limit,
-            longest_wait: self
+            hedging: self.allowed.second_copies,
+            max_attempts: self.allowed.try_limit,
+            max_retry_after: self
                 .allowed
                 .retry_after
                 .then_some(Nanos::from_millis(self.allowed.max_retry_after)),
@@ -49,30 +51,30 @@
     }
 }
 
-fn use_case(index: usize, class: &Class, family: &FamilyInfo) -> UseCaseFacts {
+fn use_case(index: usize, class: &Class, family: &FamilyInfo) -> UseCaseSettings {
     let at_index = |list: &[f64], default: f64| list.get(index).copied().unwrap_or(default);
     let need = at_index(&family.class_need, 1.0);
-    UseCaseFacts {
-        goal: Nanos::from_millis(class.on_time),
+    UseCaseSettings {
+        latency_target: Nanos::from_millis(class.on_time),
         hard_limit: Nanos::from_millis(class.deadline),
-        earnings: class.worth,
+        value: class.worth,
         late_share: class.late_share,
         squared: false,
         effect: match class.effect {
-            ClassEffect::Safe => Effect::Replayable,
-            ClassEffect::Keyed => Effect::Referenced(Nanos::from_millis(class.repeat_window)),
-            ClassEffect::Unsafe => Effect::SingleUse,
+            ClassEffect::Safe => Effect::Idempotent,
+            ClassEffect::Keyed => Effect::Deduplicated(Nanos::from_millis(class.repeat_window)),
+            ClassEffect::Unsafe => Effect::NonIdempotent,
         },
         stretch: class.aim_stretch,
-        need,
-        floor: at_index(&family.min_share, need),
-        second_step: at_index(&family.class_fetch, 0.0) > 0.0,
-        most_hand_offs: None,
+        required: need,
+        quorum: at_index(&family.min_share, need),
+        two_phase: at_index(&family.class_fetch, 0.0) > 0.0,
+        max_attempts: None,
     }
 }
 
-fn warm_up(rules: &Rules) -> ColdFacts {
-    ColdFacts {
+fn warm_up(rules: &Rules) -> SlowStartSettings {
+    SlowStartSettings {
         from: rules.cold_from,
         warm_after: Nanos::from_millis(rules.cold),
         multiple: rules.fall_multiple,
@@ -81,14 +83,14 @@
 }
 
 /// The budget of retries, if there is one.
-fn retry_budget(rules: &Rules) -> Result<Option<BudgetFacts>, ConfigError> {
+fn retry_budget(rules: &Rules) -> Result<Option<RetryBudgetSettings>, ConfigError> {
     if rules.free_resends.is_none() && rules.extra_share.is_none() {
         return Ok(None);
     }
     let window = rules
         .counted_over
         .ok_or_else(|| ConfigError::new("rules.countedOver", ConfigFault::MissingBudgetWindow))?;
-    Ok(Some(BudgetFacts {
+    Ok(Some(RetryBudgetSettings {
         free: rules.free_resends.unwrap_or(0.0),
         share: rules.extra_share.unwrap_or(0.0),
         window: Nanos::from_millis(window),
--- a/crates/fernknot-router-config/tests/router_config.rs
+++ b/crates/fernknot-router-config/tests/router_config.rs
@@ -119,7 +119,7 @@
             .starts_with("ROUTER_LOG: ")
     );
     assert_eq!(start.seed, 0x8c1f_30d2_7a5b_e964);
-    assert_eq!(start.site.use_cases[2].effect, Effect::Referenced(Nanos(3_000_000_000)));
+    assert_eq!(start.site.use_cases[2].effect, Effect::Deduplicated(Nanos(3_000_000_000)));
     assert!(start.sockets.use_cases[2].1 && !start.sockets.use_cases[0].1);
 }
 
--- a/crates/fernknot-router/src/attempts.rs
+++ b/crates/fernknot-router/src/attempts.rs
@@ -104,7 +104,7 @@
         let AttemptId { part, number } = attempt;
         let state = context.engine.table.hand_off(part, number).filter(|state| !state.over);
         let Some(state) = state else { return };
-        if !matches!(outcome, Outcome::Answered | Outcome::CalledOff | Outcome::NeverSent) {
+        if !matches!(outcome, Outcome::Answered | Outcome::Cancelled | Outcome::NeverSent) {
             let (node, took) = (state.node.0, (context.now - state.sent).as_millis());
             debug!(context.log, "an attempt failed"; "node" => node, "how" => ?outcome, "took_ms" => took);
         }
--- a/crates/fernknot-router/src/node_connections.rs
+++ b/crates/fernknot-router/src/node_connections.rs
@@ -110,7 +110,7 @@
 
     /// The connection is gone: what was written completely may have run, anything else has not.
     pub fn connection_broken(&mut self, context: &mut Context, id: NodeConnectionId) {
-        self.connection_lost(context, id, Outcome::Broken);
+        self.connection_lost(context, id, Outcome::Invalid);
     }
 
     /// Ends all attempts of a connection; those that were written completely have the outcome `written`.
--- a/crates/fernknot-router/src/node_reader.rs
+++ b/crates/fernknot-router/src/node_reader.rs
@@ -99,7 +99,7 @@
             (CallStatus::Success, Err(_)) | (CallStatus::Fault, _) => {
                 self.end(context, attempt, Outcome::Error, load);
             }
-            (CallStatus::Overload, _) => self.end(context, attempt, Outcome::TurnedAway, load),
+            (CallStatus::Overload, _) => self.end(context, attempt, Outcome::Rejected, load),
         }
         true
     }
--- a/crates/fernknot-router/src/node_writer.rs
+++ b/crates/fernknot-router/src/node_writer.rs
@@ -64,7 +64,7 @@
         let is_grace_over = self.record(node).grace_end.is_some_and(|end| end <= context.now);
         let mut sendable = Vec::new();
         for attempt in attempts {
-            let multiget = context.engine.table.get(attempt.part.of);
+            let multiget = context.engine.table.get(attempt.part.multiget);
             if is_grace_over || multiget.is_none_or(|multiget| multiget.over) {
                 self.abandon(context, attempt, Outcome::NeverSent);
             } else if context.engine.table.is_out(attempt.part, attempt.number) {
@@ -103,7 +103,7 @@
 }
 
 fn call_part(context: &Context, attempt: AttemptId) -> Option<CallPart<'_>> {
-    let multiget = context.engine.table.get(attempt.part.of)?;
+    let multiget = context.engine.table.get(attempt.part.multiget)?;
     let part = &multiget.parts[attempt.part.index];
     let time_left = part.hand_offs.get(attempt.number.0 as usize)?.stop_at - context.now;
     Some(CallPart {
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::events::Source;
 use crate::tcp_connection::{EventLoopHandle, watch};
-use fernknot::interface::{News, NodeId, PeerId};
+use fernknot::interface::{NodeId, PeerId, Update};
 use fernknot_membership::DATAGRAM_PREFIX;
 use fernknot_protocol::news::Tags;
 use fernknot_router_config::PeerAddresses;
@@ -29,7 +29,7 @@
     }
 
     /// Sends updates on nodes to all peers.
-    pub fn send_updates(&self, context: &mut Context, tags: &Tags, updates: &[(NodeId, News)]) {
+    pub fn send_updates(&self, context: &mut Context, tags: &Tags, updates: &[(NodeId, Update)]) {
         for message in tags.write(updates, context.limits.max_datagram_bytes) {
             match self.socket.send_to(&message, self.addresses.all_peers) {
                 Ok(_) => context.counters.datagrams_sent += 1,
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -4,7 +4,7 @@
 use crate::query::{CandidateBlock, MatchError, SecondPhase, TwoPhaseQuery};
 use crate::term_filter_cache::{FilterAnswer, TermFilterCache};
 use crate::use_case_statistics::UseCaseStatistics;
-use fernknot::interface::{MultigetId, Nanos, SecondFacts, SecondStep, ShardId};
+use fernknot::interface::{MultigetId, Nanos, SecondPhaseEstimate, SecondPhaseStart, ShardId};
 use fernknot_protocol::matches::{Match, Names};
 use fernknot_protocol::multiget::BlockState;
 use fernknot_router_config::{PhaseFacts, Silent};
@@ -85,7 +85,7 @@
     }
 
     /// What the decision module is to know of the second phase while the first one runs; `None` once that has ended.
-    pub fn second_phase_estimate(&mut self, now: Nanos, id: MultigetId) -> Option<SecondFacts> {
+    pub fn second_phase_estimate(&mut self, now: Nanos, id: MultigetId) -> Option<SecondPhaseEstimate> {
         let query = self.in_flight.get(&id).filter(|query| !query.is_second_phase_open())?;
         let statistics = self.use_cases.get_mut(query.use_case.0)?.as_mut()?;
         let parts = query.expected_fetches();
@@ -94,7 +94,7 @@
         let is_fetch_certain = statistics.settings.refuses && named > 0;
         let least = if is_fetch_certain { statistics.least_second_phase(now, named) } else { Nanos(0) };
         let settings = &statistics.settings;
-        Some(SecondFacts {
+        Some(SecondPhaseEstimate {
             needs,
             // A rejection may rest on what is certain only, never on what is merely expected.
             needs_least: least.min(needs),
@@ -147,7 +147,7 @@
         }
         let may_reject = statistics.settings.refuses;
         let needs = may_reject.then(|| statistics.likely_second_phase(now, plan.blocks.len()));
-        let step = SecondStep { needs, base: plan.ruled_out_weight, whole: plan.is_complete };
+        let step = SecondPhaseStart { needs, base: plan.ruled_out_weight, whole: plan.is_complete };
         Some(SecondPhase { blocks: plan.blocks, step })
     }
 
--- a/crates/fernknot-two-phase/src/query.rs
+++ b/crates/fernknot-two-phase/src/query.rs
@@ -1,6 +1,6 @@
 //! What a caller hands in, and what it gets back for the second phase.
 
-use fernknot::interface::{Nanos, SecondStep, ShardId, UseCaseId};
+use fernknot::interface::{Nanos, SecondPhaseStart, ShardId, UseCaseId};
 use thiserror::Error;
 
 /// A block that the second phase of a query may fetch.
@@ -35,7 +35,7 @@
     /// The blocks to fetch.
     pub blocks: Vec<CandidateBlock>,
     /// What the decision module has to know of it.
-    pub step: SecondStep,
+    pub step: SecondPhaseStart,
 }
 
 /// Why an answer of the first phase cannot be used. The attempt failed and may have run.
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -23,7 +23,7 @@
         let Some(multiget) = self.open.get_mut(&id) else { return false };
         multiget.fresh = false;
         let (use_case, customer, second) = (multiget.use_case, multiget.customer, multiget.step_from > 0);
-        let left = multiget.aim_end - now;
+        let left = multiget.target_end - now;
         let (facts, opened, rest) = (multiget.second, multiget.opened, multiget.until - now);
         let parts = multiget.step().to_vec();
         self.use_cases[use_case.0].work.add(parts.iter().map(|part| part.size).sum(), SIZE_GAIN);
@@ -42,7 +42,7 @@
         let mut reached = opened.map_or(0.0, |step| step.base) + ROUNDING;
         let enough = offers.iter().position(|(_, _, part)| {
             reached += part.weight;
-            reached >= case.floor
+            reached >= case.quorum
         });
         let enough = &offers[..enough.map_or(offers.len(), |last| last + 1)];
         let delay = enough.last().map_or(Nanos(0), |(delay, _, _)| *delay);
@@ -53,7 +53,7 @@
         let level = if crowded { TARGET } else { LIKELY };
         let needs = opened.and_then(|step| step.needs);
         if needs.is_some_and(|needs| delay.max(needs) > rest || chance < level) {
-            self.shed_at = Some(now);
+            self.rejected_at = Some(now);
             self.give_up(now, id);
             return false;
         }
@@ -66,14 +66,14 @@
         let ahead = Nanos((usual * self.promised / self.nodes.len().max(1) as f64) as u64);
         let delay = if second { delay } else { delay + ahead };
         let by_work = self.by_work.then_some(1.0);
-        let yields = |case: &UseCase| by_work.or(case.work.get()).map_or(0.0, |work| case.earnings / work);
+        let yields = |case: &UseCase| by_work.or(case.work.get()).map_or(0.0, |work| case.value / work);
         let best = self.use_cases.iter().map(yields).fold(f64::MIN_POSITIVE, f64::max);
         let shed = FILL_LEAST + (FILL_BEST - FILL_LEAST) * yields(case) / best;
         let fill = if self.refusals_cost { 1.0 } else { shed };
         // What is dismissed draws nothing from its customer's share. Guards repeats from passing for a flood.
         let share = self.shares.get_mut(customer.0).filter(|_| !second);
         // A client that is short of time by its own doing is refused only what is past hope.
-        let aim = case.goal;
+        let aim = case.latency_target;
         let room = |fill: f64| aim.times(fill).min(left);
         if !second {
             self.met.add(delay.min(aim).0 as f64 / aim.0.max(1) as f64, SIZE_GAIN);
@@ -81,9 +81,9 @@
         let within = share.is_none_or(|share| delay <= room(fill) && share.draw(now));
         let room = room(if within { fill } else { fill.min(FILL_BEYOND) });
         if !second && delay > room {
-            let wait = self.longest_wait;
-            self.ready.push_back(Decision::Dismiss { multiget: id, wait });
-            self.shed_at = Some(now);
+            let wait = self.max_retry_after;
+            self.ready.push_back(Decision::Reject { multiget: id, retry_after: wait });
+            self.rejected_at = Some(now);
             self.end(id);
             return false;
         }
@@ -97,8 +97,8 @@
         offers.truncate(if scouting { 1 } else { offers.len() });
         self.open.get_mut(&id).into_iter().for_each(|multiget| multiget.scouting = scouting);
         let offered = offers.iter().filter_map(|(_, offer, part)| offer.as_ref().map(|offer| (offer, part)));
-        offered.for_each(|(offer, part)| self.hand_off(now, part.id, offer));
-        offers.iter().for_each(|(_, _, part)| self.copy(now, part.id));
+        offered.for_each(|(offer, part)| self.send_attempt(now, part.id, offer));
+        offers.iter().for_each(|(_, _, part)| self.hedge(now, part.id));
         true
     }
 }
--- a/src/decide/completion.rs
+++ b/src/decide/completion.rs
@@ -9,10 +9,10 @@
 
 impl Router {
     /// All that is decided of one multiget, in the order in which it matters.
-    pub(super) fn consider(&mut self, now: Nanos, id: MultigetId) {
+    pub(super) fn review(&mut self, now: Nanos, id: MultigetId) {
         let Some(multiget) = self.open.get(&id) else { return };
         if multiget.ended {
-            if multiget.parts.iter().all(|part| part.out().next().is_none()) {
+            if multiget.parts.iter().all(|part| part.pending().next().is_none()) {
                 self.open.remove(&id);
             }
             return;
@@ -21,17 +21,17 @@
             if multiget.fresh && !self.admit(now, id) {
                 return;
             }
-            self.mend(now, id);
+            self.retry_parts(now, id);
         }
         let Some(multiget) = self.open.get(&id).filter(|held| !held.ended) else { return };
         let case = &self.use_cases[multiget.use_case.0];
         // An answer has to reach the client, which asked up to a tick before it was heard, and the
         // host looks only once a tick. Guards against partial answers a moment too late.
-        let ends = [multiget.aim_end, multiget.until, multiget.client_end];
+        let ends = [multiget.target_end, multiget.until, multiget.client_end];
         let ends @ [aim_end, until, client_end] = ends.map(|end| end - self.tick.times(END_TICKS));
         let second = multiget.step_from > 0;
-        let whole = if second || multiget.second.is_some() { 1.0 } else { case.need };
-        let least = if second && case.floor >= case.need { 1.0 } else { case.floor };
+        let whole = if second || multiget.second.is_some() { 1.0 } else { case.required };
+        let least = if second && case.quorum >= case.required { 1.0 } else { case.quorum };
         let least = multiget.second.map_or(least, |facts| facts.least);
         let weigh = |keep: fn(&Part) -> bool| -> f64 {
             let weights = multiget.step().iter().filter(|part| keep(part)).map(|part| part.weight);
@@ -42,11 +42,11 @@
         let answered = weigh(|part| part.answered);
         let reachable = weigh(|part| part.answered || !part.given_up);
         if answered >= whole {
-            self.settle(now, id, !second || multiget.first_whole);
+            self.complete(now, id, !second || multiget.first_whole);
         } else if answered >= least
             && (reachable <= answered || now >= aim_end && !self.gains_late(now, multiget, answered, last))
         {
-            self.settle(now, id, false);
+            self.complete(now, id, false);
         } else if now >= client_end || !waits && (reachable < least || now >= until) {
             self.give_up(now, id);
         } else {
@@ -58,21 +58,21 @@
         }
     }
 
-    pub(super) fn settle(&mut self, now: Nanos, id: MultigetId, whole: bool) {
+    pub(super) fn complete(&mut self, now: Nanos, id: MultigetId, whole: bool) {
         let Some(multiget) = self.open.get_mut(&id) else { return };
         let case = &mut self.use_cases[multiget.use_case.0];
-        let last = multiget.step_from > 0 || !case.second_step && multiget.second.is_none();
-        self.ready.push_back(Decision::Settle { multiget: id, whole, last });
+        let last = multiget.step_from > 0 || !case.two_phase && multiget.second.is_none();
+        self.ready.push_back(Decision::Complete { multiget: id, complete: whole, last });
         if last {
             return self.end(id);
         }
         let from = multiget.step_from..multiget.parts.len();
         (multiget.step_from, multiget.first_whole, multiget.fresh) = (from.end, whole, true);
-        (multiget.aim_end, multiget.until) = multiget.whole_ends;
+        (multiget.target_end, multiget.until) = multiget.whole_ends;
         multiget.second = None;
         let until = multiget.client_end - self.tick.times(END_TICKS);
         self.promise(id, 0.0);
-        from.for_each(|index| self.call_off(PartId { of: id, index }));
+        from.for_each(|index| self.cancel_attempts(PartId { multiget: id, index }));
         self.look_again(id, until.max(now + self.tick));
     }
 
@@ -80,12 +80,12 @@
     /// harmless, so nothing may have run that must not run twice.
     pub(super) fn give_up(&mut self, now: Nanos, id: MultigetId) {
         let Some(multiget) = self.open.get(&id) else { return };
-        let lasts = |part: &&Part| part.effect != Effect::Replayable;
-        let ran = multiget.parts.iter().filter(lasts).any(|part| part.hand_offs.iter().any(may_have_run));
+        let lasts = |part: &&Part| part.effect != Effect::Idempotent;
+        let ran = multiget.parts.iter().filter(lasts).any(|part| part.attempts.iter().any(may_have_run));
         self.ready.push_back(if now < multiget.client_end && !ran {
-            Decision::Dismiss { multiget: id, wait: self.longest_wait }
+            Decision::Reject { multiget: id, retry_after: self.max_retry_after }
         } else {
-            Decision::BreakOff { multiget: id }
+            Decision::Abort { multiget: id }
         });
         self.end(id);
     }
@@ -95,17 +95,17 @@
         multiget.ended = true;
         self.promised -= std::mem::take(&mut multiget.promised);
         self.due.remove(&(multiget.look_at, id));
-        (0..multiget.parts.len()).for_each(|index| self.call_off(PartId { of: id, index }));
+        (0..multiget.parts.len()).for_each(|index| self.cancel_attempts(PartId { multiget: id, index }));
         self.touched.push_back(id);
     }
 
     /// Whether waiting until `last` promises more than the partial answer that can be given now.
     fn gains_late(&self, now: Nanos, multiget: &Multiget, answered: f64, last: Nanos) -> bool {
         let case = &self.use_cases[multiget.use_case.0];
-        let worth = if now < multiget.aim_end { case.late_share } else { 1.0 };
+        let worth = if now < multiget.target_end { case.late_share } else { 1.0 };
         let (mut mean, mut spread) = (answered, 0.0);
         for part in multiget.step().iter().filter(|part| !part.answered) {
-            let missed = self.missed(now, part, last - now);
+            let missed = self.chance_missed(now, part, last - now);
             mean += part.weight * (1.0 - missed);
             spread += part.weight * part.weight * missed * (1.0 - missed);
         }
@@ -122,7 +122,7 @@
 
     /// When a part that is not answered must be looked at again.
     pub(super) fn check_at(&self, now: Nanos, part: &Part) -> Nanos {
-        let overdue = part.out().map(|sent| sent.sent + self.patience(sent)).min();
+        let overdue = part.pending().map(|sent| sent.sent + self.patience(sent)).min();
         overdue.filter(|at| *at > now).unwrap_or(now + self.shortest_goal.times(DELAY_STEP))
     }
 
--- a/src/decide/hedging.rs
+++ b/src/decide/hedging.rs
@@ -35,7 +35,7 @@
         let all: f64 = sends.values().sum();
         let mut wanted = Vec::new();
         for ((shard, use_case), sent) in &sends {
-            if self.use_cases[use_case.0].effect == Effect::Replayable {
+            if self.use_cases[use_case.0].effect == Effect::Idempotent {
                 let (alone, copies) = self.least_copies(*shard, *use_case);
                 wanted.push((alone, *shard, *use_case, copies, *sent));
             }
@@ -55,7 +55,7 @@
         self.mean_copies = if all > 0.0 { 1.0 + extra / all } else { 1.0 };
         self.groups.halve();
         self.use_cases.iter_mut().for_each(|case| case.latencies.halve());
-        let span = self.cold.window.times(COLD_SPANS);
+        let span = self.warmup.window.times(COLD_SPANS);
         let warm =
             self.nodes.values().filter(|node| node.health == Health::Running && !self.is_cold(now, node));
         // Weighed by all other answers: a mean over replicas would sink with those of which nothing is asked.
@@ -78,7 +78,7 @@
                 node.halved_at = now;
                 node.latencies.halve();
                 node.failures.halve();
-                node.kinds.values_mut().for_each(Tally::halve);
+                node.kinds.values_mut().for_each(FailureRate::halve);
             }
             node.served.forget(now, span);
         }
@@ -86,7 +86,7 @@
         self.by_place.keep(|id| self.nodes.contains_key(id));
         let longest = self.budget.as_ref().map_or(RECOMPUTE, |rule| rule.window).max(RECOMPUTE) + RECOMPUTE;
         self.first_sends.forget(now, longest);
-        self.spent.forget(now, longest);
+        self.budget_use.forget(now, longest);
         // Guards the memory of a router that runs for days against shards that came and went.
         let mut turns = std::mem::take(&mut self.turns);
         turns.retain(|shard, _| self.places_of(*shard).any(|place| self.by_place.has(place)));
@@ -107,7 +107,7 @@
         let case = &self.use_cases[use_case.0];
         let size = case.size.get().unwrap_or(1.0);
         let mut nodes: Vec<&Node> = self.holders(shard).iter().map(|id| &self.nodes[id]).collect();
-        let goal = case.goal.0 as f64 / size;
+        let goal = case.latency_target.0 as f64 / size;
         let kind = (use_case, false);
         nodes.sort_by(|one, other| self.phi(other, kind, goal).total_cmp(&self.phi(one, kind, goal)));
         let mut alone = 0.0;
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -10,52 +10,52 @@
 impl Router {
     /// Guards a jam, in which all replicas slow together, against second copies.
     pub(super) fn is_shedding(&self, now: Nanos) -> bool {
-        self.shed_at.is_some_and(|at| now - at < self.shortest_goal.times(OVERDUE_GOAL))
+        self.rejected_at.is_some_and(|at| now - at < self.shortest_goal.times(OVERDUE_GOAL))
     }
 
     /// Whether one more copy keeps all further hand-offs under this share of the parts.
     pub(super) fn may_copy(&self, now: Nanos, share: f64) -> bool {
         let span = RECOMPUTE.times(2.0);
-        self.spent.all.further.within(now, span) + 1.0 < share * self.first_sends.within(now, span)
+        self.budget_use.all.retries.within(now, span) + 1.0 < share * self.first_sends.within(now, span)
     }
 
     /// Whether a part may be handed off again now: by its effect, its limit and the ration.
     pub(super) fn may_send_further(&self, now: Nanos, part: &Part) -> bool {
-        let Some(multiget) = self.open.get(&part.id.of) else { return false };
-        let out = part.out().next().is_some();
+        let Some(multiget) = self.open.get(&part.id.multiget) else { return false };
+        let out = part.pending().next().is_some();
         // Guards second phases against copies made in first ones.
         let share = if out && multiget.second.is_some() { FIRST_RATION } else { 1.0 };
         let rationed = self.budget.as_ref().is_some_and(|budget| {
-            let spent = self.spent.of(part.shard);
+            let spent = self.budget_use.of(part.shard);
             // Counted a little unkindly at both edges of the window.
-            let taken = spent.map_or(0.0, |spent| spent.taken.within(now, budget.window - self.tick));
-            let sent = spent.map_or(0.0, |spent| spent.further.within(now, budget.window + self.tick));
+            let taken = spent.map_or(0.0, |spent| spent.accepted.within(now, budget.window - self.tick));
+            let sent = spent.map_or(0.0, |spent| spent.retries.within(now, budget.window + self.tick));
             sent + 1.0 > share * (budget.free + budget.share * taken)
         });
-        !rationed && (!out || self.second_copies) && self.may_yet(now, part)
+        !rationed && (!out || self.hedging) && self.may_yet(now, part)
     }
 
     /// Whether a part may still be handed off at all: by its effect and its limit.
     pub(super) fn may_yet(&self, now: Nanos, part: &Part) -> bool {
-        let first_run = part.hand_offs.iter().filter(|sent| may_have_run(sent)).map(|sent| sent.sent).min();
+        let first_run = part.attempts.iter().filter(|sent| may_have_run(sent)).map(|sent| sent.sent).min();
         let allowed = match (part.effect, first_run) {
-            (Effect::Replayable, _) | (_, None) => true,
-            (Effect::Referenced(window), Some(first)) => now + self.tick < first + window,
-            (Effect::SingleUse, Some(_)) => false,
+            (Effect::Idempotent, _) | (_, None) => true,
+            (Effect::Deduplicated(window), Some(first)) => now + self.tick < first + window,
+            (Effect::NonIdempotent, Some(_)) => false,
         };
-        let most = self.use_cases[part.kind.0.0].most_hand_offs;
-        let most = most.map_or(self.most_hand_offs, |most| most as usize);
-        allowed && part.hand_offs.len() < most && !self.holders(part.shard).is_empty()
+        let most = self.use_cases[part.kind.0.0].max_attempts;
+        let most = most.map_or(self.max_attempts, |most| most as usize);
+        allowed && part.attempts.len() < most && !self.holders(part.shard).is_empty()
     }
 
     pub(super) fn is_cold(&self, now: Nanos, node: &Node) -> bool {
-        node.since.0 > 0 && now - node.since < self.cold.warm_after + self.cold.window
+        node.since.0 > 0 && now - node.since < self.warmup.warm_after + self.warmup.window
     }
 
     /// The share of its capacity that a replica has at least.
     pub(super) fn warmth(&self, now: Nanos, node: &Node) -> f64 {
-        let grown = (now - node.since).0 as f64 / self.cold.warm_after.0.max(1) as f64;
-        if node.since.0 > 0 { (self.cold.from + (1.0 - self.cold.from) * grown).min(1.0) } else { 1.0 }
+        let grown = (now - node.since).0 as f64 / self.warmup.warm_after.0.max(1) as f64;
+        if node.since.0 > 0 { (self.warmup.from + (1.0 - self.warmup.from) * grown).min(1.0) } else { 1.0 }
     }
 
     /// A cold replica takes this router's part of what the rule allows, by what warm ones answer to it and
@@ -67,15 +67,15 @@
         let Some((room, most)) = self.cold_room(now, node) else { return node.out.is_empty() };
         // Guards against routers whose part is under one each, all of which could send one at once: it
         // is open for as much of the time as they together may send of what is usually sent.
-        let share = COLD_CARE * self.cold.multiple * self.warmth(now, node) / self.busy_all;
+        let share = COLD_CARE * self.warmup.multiple * self.warmth(now, node) / self.busy_all;
         room >= 0.0 && (most >= 1.0 || room < share.max(most))
     }
 
     /// The sizes that a cold replica may be sent now, and those that one window allows. The first part
     /// waits for a random while, as all routers hear of a start at once.
     pub(super) fn cold_room(&self, now: Nanos, node: &Node) -> Option<(f64, f64)> {
-        let rate = COLD_CARE * self.cold.multiple * self.warmth(now, node) * self.bears.get()?;
-        let most = rate * self.cold.window.0 as f64;
+        let rate = COLD_CARE * self.warmup.multiple * self.warmth(now, node) * self.bears.get()?;
+        let most = rate * self.warmup.window.0 as f64;
         let (left, at) = node.cold_room;
         let room = left + rate * (now - at.max(node.since)).0 as f64;
         Some((if most >= 1.0 { room.min(most) } else { room - room.floor().max(0.0) }, most))
@@ -83,6 +83,6 @@
 }
 
 /// A hand-off that is out, or ended in any way that does not prove otherwise, may have run.
-pub(super) fn may_have_run(sent: &HandOff) -> bool {
-    !matches!(sent.outcome, Some(Outcome::TurnedAway | Outcome::Unreachable | Outcome::NeverSent))
+pub(super) fn may_have_run(sent: &Attempt) -> bool {
+    !matches!(sent.outcome, Some(Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent))
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -46,13 +46,13 @@
 /// Seconds of its share that a customer may use at once.
 const SHARE_SPAN: f64 = 2.0;
 /// What one message to the other routers may hold.
-const MOST_NEWS: usize = 80;
+const MAX_UPDATES: usize = 80;
 /// A share counts as reached when it falls short by no more than rounding.
 const ROUNDING: f64 = 0.00005;
 
 /// What an answer past its goal time earns where nothing is told, and when to come back before all is known.
 pub const LATE_SHARE: f64 = 1.0 / 3.0;
-pub const FIRST_WAIT: Nanos = Nanos(500_000_000);
+pub const FIRST_RETRY_AFTER: Nanos = Nanos(500_000_000);
 
 /// What a use case earns by its rank: each half as much as the one before.
 pub fn earnings(rank: u32) -> f64 {
@@ -60,8 +60,8 @@
 }
 
 impl Router {
-    pub fn new(seed: u64, facts: SiteFacts, now: Nanos) -> Router {
-        let goal = facts.use_cases.iter().map(|case| case.goal).min();
+    pub fn new(seed: u64, facts: SiteSettings, now: Nanos) -> Router {
+        let goal = facts.use_cases.iter().map(|case| case.latency_target).min();
         let least_goal = facts.shortest_goal.unwrap_or_default().max(facts.tick);
         let shortest_goal = goal.or(facts.shortest_goal).unwrap_or(RECOMPUTE).max(least_goal);
         let finest = facts.shortest_goal.map_or(shortest_goal, |_| least_goal).0 as f64 * FIRST_BIN;
@@ -70,24 +70,24 @@
         let use_cases = facts.use_cases.iter().map(|case| UseCase::new(case, &bins));
         let own_share = |rate: &f64| {
             let rate = rate / facts.routers.max(1) as f64;
-            Allowance::new(rate, rate.max(1.0) * SHARE_SPAN, now)
+            TokenBucket::new(rate, rate.max(1.0) * SHARE_SPAN, now)
         };
         Router {
             use_cases: use_cases.collect(),
-            sharers: facts.routers.max(1) as f64,
+            router_count: facts.routers.max(1) as f64,
             shares: facts.customers.iter().map(own_share).collect(),
             tick: facts.tick,
             shortest_goal,
             least_goal,
-            cold: facts.cold,
-            spent: Spending::new(facts.budget.as_ref().is_some_and(|budget| budget.each_shard)),
+            warmup: facts.warmup,
+            budget_use: RetryBudgetUse::new(facts.budget.as_ref().is_some_and(|budget| budget.each_shard)),
             budget: facts.budget,
             places: facts.places.max(1),
             width: facts.width.max(1),
             cancel: facts.cancel,
-            second_copies: facts.second_copies,
-            most_hand_offs: facts.most_hand_offs as usize,
-            longest_wait: facts.longest_wait.unwrap_or_default(),
+            hedging: facts.hedging,
+            max_attempts: facts.max_attempts as usize,
+            max_retry_after: facts.max_retry_after.unwrap_or_default(),
             ask_at: facts.must_ask.then_some(now),
             must_ask: facts.must_ask,
             peers: facts.peers && facts.routers > 1,
@@ -95,7 +95,7 @@
             zone: facts.zone,
             unmarked: !facts.marks_repeats,
             refusals_cost: facts.refusals_cost,
-            chance: Mwc::new(seed),
+            random: Mwc::new(seed),
             groups: Groups::new(&bins),
             bins,
             replan_at: now + RECOMPUTE,
@@ -105,28 +105,28 @@
         }
     }
 
-    pub fn next(&mut self, now: Nanos) -> Option<Decision> {
+    pub fn poll_decision(&mut self, now: Nanos) -> Option<Decision> {
         loop {
             if let Some(decision) = self.ready.pop_front() {
                 return Some(decision);
             }
             if self.ask_at.is_some_and(|at| at <= now) {
                 self.ask_at = None;
-                return Some(Decision::FollowList);
+                return Some(Decision::RequestList);
             }
             if now >= self.replan_at {
                 self.replan(now);
             } else if let Some(multiget) = self.touched.pop_front() {
-                self.consider(now, multiget);
+                self.review(now, multiget);
             } else if let Some(first) = self.due.first().copied().filter(|(at, _)| *at <= now) {
                 self.due.remove(&first);
                 self.touched.push_back(first.1);
-            } else if self.tell_at.is_some_and(|at| at <= now) {
-                let news = self.news.drain(..self.news.len().min(MOST_NEWS)).collect();
-                self.tell_at = self.tell_at.filter(|_| !self.news.is_empty());
-                return Some(Decision::Tell { news });
+            } else if self.notify_at.is_some_and(|at| at <= now) {
+                let news = self.updates.drain(..self.updates.len().min(MAX_UPDATES)).collect();
+                self.notify_at = self.notify_at.filter(|_| !self.updates.is_empty());
+                return Some(Decision::NotifyPeers { updates: news });
             } else {
-                let due = [self.due.first().map(|(at, _)| *at), self.ask_at, self.tell_at];
+                let due = [self.due.first().map(|(at, _)| *at), self.ask_at, self.notify_at];
                 let at = due.into_iter().flatten().fold(self.replan_at, Nanos::min);
                 if self.wake_at.is_some_and(|set| set > now && set <= at) {
                     return None;
--- a/src/decide/observation.rs
+++ b/src/decide/observation.rs
@@ -15,13 +15,13 @@
 
 impl Router {
     /// News of the list. What a full list leaves out is gone; what started anew is measured anew, and cold.
-    pub fn list(&mut self, kind: ListKind, entries: &[NodeEntry]) {
+    pub fn apply_list(&mut self, kind: ListKind, entries: &[NodeEntry]) {
         if kind == ListKind::Full {
             self.nodes.values_mut().for_each(|node| node.health = Health::Gone);
         }
         self.ask_wait = 0.0;
         for entry in entries {
-            let chance = &mut self.chance;
+            let chance = &mut self.random;
             let mut fresh = || {
                 let started = entry.since.0 > 0;
                 let wait = if started { chance.share() } else { 0.0 };
@@ -39,17 +39,17 @@
 
     /// The list's subscription broke or a call for it failed. Guards the list's service against a fleet that
     /// starts together: waits grow, and differ from router to router.
-    pub fn list_lost(&mut self, now: Nanos) {
-        let spread = 0.5 + self.chance.share();
+    pub fn list_failed(&mut self, now: Nanos) {
+        let spread = 0.5 + self.random.share();
         self.ask_wait = (self.ask_wait * 2.0).clamp(ASK_WAIT, ASK_MOST);
         self.ask_at = self.must_ask.then_some(now + RECOMPUTE.times(self.ask_wait * spread));
     }
 
     /// Adds a use case at the next free id, or replaces one, also for what is open. What was measured of it
     /// stays if only its times, worth and limit of hand-offs changed and it has not been taken away.
-    pub fn use_case(&mut self, _now: Nanos, id: UseCaseId, facts: &UseCaseFacts) {
+    pub fn set_use_case(&mut self, _now: Nanos, id: UseCaseId, facts: &UseCaseSettings) {
         let mut case = UseCase::new(facts, &self.bins);
-        let work = |case: &UseCase| (case.live, case.effect, case.need, case.floor, case.second_step);
+        let work = |case: &UseCase| (case.live, case.effect, case.required, case.quorum, case.two_phase);
         if let Some(old) = self.use_cases.get_mut(id.0) {
             if work(old) == work(&case) {
                 (case.size, case.work) = (old.size, old.work);
@@ -65,18 +65,18 @@
     }
 
     /// Takes a use case away, of which nothing new comes; its id may be used again once nothing is open.
-    pub fn retire(&mut self, id: UseCaseId) {
+    pub fn remove_use_case(&mut self, id: UseCaseId) {
         self.use_cases.get_mut(id.0).into_iter().for_each(|case| case.live = false);
         self.nodes.values_mut().for_each(|node| node.kinds.retain(|kind, _| kind.0 != id));
         self.set_shortest();
     }
 
     fn set_shortest(&mut self) {
-        let goals = self.use_cases.iter().filter(|case| case.live).map(|case| case.goal);
+        let goals = self.use_cases.iter().filter(|case| case.live).map(|case| case.latency_target);
         self.shortest_goal = goals.min().unwrap_or(self.shortest_goal).max(self.least_goal);
     }
 
-    pub fn take(&mut self, now: Nanos, arrival: &Arrival) {
+    pub fn multiget_arrived(&mut self, now: Nanos, arrival: &Arrival) {
         let Some(case) = self.use_cases.get_mut(arrival.use_case.0) else { return };
         let stretch = arrival.effort.unwrap_or_default().times(case.stretch);
         // The goal time of a repeat runs from the first try, which shows in what is left of its hard limit;
@@ -86,26 +86,26 @@
         let cut = (arrival.repeat || self.unmarked) && stay + self.tick.times(4.0) < case.stay;
         let asked = if cut { now.min(arrival.client_end - case.hard_limit) } else { now };
         let end = |after: Nanos| (asked + after + stretch).min(arrival.client_end).max(now);
-        let until = if case.late_share > 0.0 { arrival.client_end } else { end(case.goal) };
-        let multiget = Multiget::new(arrival, end(case.goal), until);
+        let until = if case.late_share > 0.0 { arrival.client_end } else { end(case.latency_target) };
+        let multiget = Multiget::new(arrival, end(case.latency_target), until);
         self.open.insert(arrival.multiget, multiget);
-        self.spent.all.taken.add(now, 1.0);
+        self.budget_use.all.accepted.add(now, 1.0);
         self.touched.push_back(arrival.multiget);
-        arrival.second.iter().for_each(|facts| self.expect(arrival.multiget, *facts));
+        arrival.second.iter().for_each(|facts| self.expect_second_phase(arrival.multiget, *facts));
     }
 
     /// What is known by now of a second phase. The first has the goal time less what the second is likely
     /// to need, and ends at once when the second can for certain not be in time any more.
-    pub fn expect(&mut self, id: MultigetId, facts: SecondFacts) {
+    pub fn expect_second_phase(&mut self, id: MultigetId, facts: SecondPhaseEstimate) {
         let Some(multiget) = self.open.get_mut(&id).filter(|held| held.step_from == 0) else { return };
         let (aim_end, until) = multiget.whole_ends;
-        (multiget.aim_end, multiget.until) = (aim_end - facts.needs, until - facts.needs_least);
+        (multiget.target_end, multiget.until) = (aim_end - facts.needs, until - facts.needs_least);
         multiget.second = Some(facts);
         self.touched.push_back(id);
     }
 
     /// Opens the second phase of a multiget whose first one was settled; its parts follow.
-    pub fn second(&mut self, id: MultigetId, step: SecondStep) {
+    pub fn begin_second_phase(&mut self, id: MultigetId, step: SecondPhaseStart) {
         let Some(multiget) = self.open.get_mut(&id).filter(|held| held.step_from > 0) else { return };
         (multiget.opened, multiget.first_whole) = (Some(step), step.whole);
         self.touched.push_back(id);
@@ -127,39 +127,39 @@
         size.clamp(1.0 / WIDEST, WIDEST)
     }
 
-    pub fn take_part(&mut self, now: Nanos, arrival: &PartArrival) {
-        let Some(use_case) = self.open.get(&arrival.part.of).map(|held| held.use_case) else { return };
+    pub fn part_arrived(&mut self, now: Nanos, arrival: &PartArrival) {
+        let Some(use_case) = self.open.get(&arrival.part.multiget).map(|held| held.use_case) else { return };
         let hint = arrival.effort.map(|effort| (effort.0.max(1) as f64).ln());
         let size = self.size_of(&self.use_cases[use_case.0], self.place_of(arrival.shard), hint);
         let case = &mut self.use_cases[use_case.0];
         case.size.add(size, SIZE_GAIN);
-        let Some(multiget) = self.open.get_mut(&arrival.part.of) else { return };
+        let Some(multiget) = self.open.get_mut(&arrival.part.multiget) else { return };
         // A first phase only asks.
-        let effect = if multiget.second.is_some() { Effect::Replayable } else { case.effect };
+        let effect = if multiget.second.is_some() { Effect::Idempotent } else { case.effect };
         let kind = (use_case, multiget.opened.is_some());
         multiget.parts.push(Part { hint, effect, kind, ..Part::new(arrival, use_case, size) });
-        self.spent.take(now, arrival.shard);
+        self.budget_use.accept(now, arrival.shard);
         if multiget.step().len() == 1 {
-            self.touched.push_back(arrival.part.of);
+            self.touched.push_back(arrival.part.multiget);
         }
     }
 
-    pub fn ended(&mut self, now: Nanos, ending: &Ending) {
-        self.reported(ending.node, ending.report);
-        let Some(multiget) = self.open.get_mut(&ending.part.of) else { return };
+    pub fn attempt_ended(&mut self, now: Nanos, ending: &Ending) {
+        self.load_reported(ending.node, ending.report);
+        let Some(multiget) = self.open.get_mut(&ending.part.multiget) else { return };
         let Some(part) = multiget.parts.get_mut(ending.part.index) else { return };
-        let Some(sent) = part.hand_offs.get_mut(ending.no.0 as usize) else { return };
+        let Some(sent) = part.attempts.get_mut(ending.number.0 as usize) else { return };
         if sent.outcome.replace(ending.outcome).is_some() {
             return;
         }
         let sent = sent.clone();
         part.answered |= ending.outcome == Outcome::Answered && !part.given_up && !multiget.ended;
-        self.touched.push_back(ending.part.of);
+        self.touched.push_back(ending.part.multiget);
         let Some(node) = self.nodes.get_mut(&sent.node) else { return };
-        node.out.remove(&(sent.sent, ending.part, ending.no.0 as usize));
+        node.out.remove(&(sent.sent, ending.part, ending.number.0 as usize));
         let group = self.groups.get_mut(node.place);
         let failed = ending.outcome != Outcome::Answered;
-        if !matches!(ending.outcome, Outcome::CalledOff | Outcome::NeverSent) {
+        if !matches!(ending.outcome, Outcome::Cancelled | Outcome::NeverSent) {
             // A replica that fails fast would look quick if only answers were measured; one that
             // fails some kind of work alone would look well if all kinds were counted together.
             let kind = node.kinds.entry(part.kind).or_default();
@@ -187,23 +187,23 @@
                 self.hints.add(hint, took.max(1.0).ln(), SIZE_GAIN);
             }
             self.use_cases[multiget.use_case.0].latencies.add(took);
-            group.pace.add(took / sent.ahead, PACE_GAIN);
-            node.pace.add_from(group.pace.get(), took / sent.ahead, PACE_GAIN);
+            group.pace.add(took / sent.queue_ahead, PACE_GAIN);
+            node.pace.add_from(group.pace.get(), took / sent.queue_ahead, PACE_GAIN);
         }
-        if !matches!(ending.outcome, Outcome::CalledOff | Outcome::NeverSent) {
-            self.tell(now, sent.node, if failed { News::Failed } else { News::Answered(ending.took) });
+        if !matches!(ending.outcome, Outcome::Cancelled | Outcome::NeverSent) {
+            self.notify(now, sent.node, if failed { Update::Failed } else { Update::Answered(ending.took) });
         }
     }
 
     /// A node's own account of its load, with an outcome or a probe's result.
-    pub fn reported(&mut self, node: NodeId, report: LoadReport) {
+    pub fn load_reported(&mut self, node: NodeId, report: LoadReport) {
         let node = self.nodes.get_mut(&node).into_iter();
         node.for_each(|node| node.busy_share = report.busy_share.or(node.busy_share));
     }
 
     /// What another router tells of its hand-offs: as good as our own for how a replica does and
     /// how much it holds. Guards routers that each see little of a node against sending it too much.
-    pub fn told(&mut self, now: Nanos, from: PeerId, news: &[(NodeId, News)]) {
+    pub fn apply_updates(&mut self, now: Nanos, from: PeerId, news: &[(NodeId, Update)]) {
         let lost_before = now - self.shortest_goal;
         for (id, what) in news {
             let Some(node) = self.nodes.get_mut(id) else { continue };
@@ -211,13 +211,13 @@
             let ahead = node.holds(lost_before) + 1.0;
             let sent = node.others.iter().position(|(by, _, _)| *by == from);
             match (*what, sent) {
-                (News::Sent, _) => node.others.push((from, now, ahead)),
+                (Update::Sent, _) => node.others.push((from, now, ahead)),
                 // Late is not lost: it stays work in hand until it has been out a goal time.
-                (News::Overdue, _) => node.latencies.add_miss(),
+                (Update::Overdue, _) => node.latencies.add_miss(),
                 (_, sent) => {
                     let sent = sent.map(|index| node.others.remove(index));
-                    node.failures.add(*what == News::Failed);
-                    if let News::Answered(took) = *what {
+                    node.failures.add(*what == Update::Failed);
+                    if let Update::Answered(took) = *what {
                         node.latencies.add(took.0 as f64);
                         let pace = sent.map(|(_, _, ahead)| took.0 as f64 / ahead);
                         let usual = self.groups.get(node.place).pace.get();
@@ -229,25 +229,25 @@
     }
 
     /// Among how many routers limits are shared from now on.
-    pub fn shared_by(&mut self, now: Nanos, routers: usize) {
-        let grown = self.sharers / routers.max(1) as f64;
-        self.sharers = routers.max(1) as f64;
+    pub fn set_router_count(&mut self, now: Nanos, routers: usize) {
+        let grown = self.router_count / routers.max(1) as f64;
+        self.router_count = routers.max(1) as f64;
         self.shares.iter_mut().for_each(|share| share.scale(now, grown));
         // What fewer routers were answered is more than the part of each of many. Guards cold replicas
         // against routers that come back; where some are lost, what others are answered grows by itself.
         self.bears.scale(grown.min(1.0));
     }
 
-    pub(super) fn tell(&mut self, now: Nanos, node: NodeId, what: News) {
+    pub(super) fn notify(&mut self, now: Nanos, node: NodeId, what: Update) {
         if self.peers {
-            self.news.push((node, what));
-            let wait = self.shortest_goal.times(if what == News::Sent { 0.0 } else { DELAY_STEP });
-            self.tell_at = Some(self.tell_at.map_or(now + wait, |at| at.min(now + wait)));
+            self.updates.push((node, what));
+            let wait = self.shortest_goal.times(if what == Update::Sent { 0.0 } else { DELAY_STEP });
+            self.notify_at = Some(self.notify_at.map_or(now + wait, |at| at.min(now + wait)));
         }
     }
 
     /// The client has gone; nothing more is owed.
-    pub fn lapsed(&mut self, id: MultigetId) {
+    pub fn client_gone(&mut self, id: MultigetId) {
         if self.open.get(&id).is_some_and(|held| !held.ended) {
             self.end(id);
         }
--- a/src/decide/replica_selection.rs
+++ b/src/decide/replica_selection.rs
@@ -7,11 +7,11 @@
 /// Replicas whose share of answers in time differs by less are equal.
 const PHI_STEP: f64 = 0.08;
 /// One in another zone goes before an equal one only if it is quicker by this share of the time left.
-const FAR: f64 = 0.25;
+const OTHER_ZONE_GAIN: f64 = 0.25;
 
 impl Router {
     /// The share of a replica's answers within `target`, over sizes; one not heard from counts as average.
-    pub(super) fn phi(&self, node: &Node, kind: Kind, target: f64) -> f64 {
+    pub(super) fn phi(&self, node: &Node, kind: WorkKind, target: f64) -> f64 {
         let group = self.groups.get(node.place);
         let average = (group.latencies.under(target) + 1.0) / (group.latencies.total() + 1.0);
         let in_time = (node.latencies.under(target) + PRIOR * average) / (node.latencies.total() + PRIOR);
@@ -33,17 +33,17 @@
 
     /// The replica for a part: the highest share of answers within what is left of the goal time, cut by the
     /// delay that its work in hand adds to the usual; equals by delay, zone and turn.
-    pub(super) fn choose(&self, now: Nanos, part: &Part, left: Nanos, planned: &Loads) -> Option<Offer> {
+    pub(super) fn choose(&self, now: Nanos, part: &Part, left: Nanos, planned: &Loads) -> Option<Candidate> {
         let holders = self.holders(part.shard);
-        let first = part.hand_offs.is_empty();
+        let first = part.attempts.is_empty();
         let turn = self.turns.get(&part.shard).filter(|_| first).copied().unwrap_or(0);
         let step = self.shortest_goal.0 as f64 * DELAY_STEP;
         let offer = |(index, id): (usize, &NodeId)| {
             let node = &self.nodes[id];
             let more = part.size + planned.get(id).copied().unwrap_or(0.0);
             let tried =
-                |sent: &HandOff| sent.node == *id && (sent.outcome.is_none() || self.is_fresh(now, sent));
-            if part.hand_offs.iter().any(tried) || !self.has_cold_room(now, node) {
+                |sent: &Attempt| sent.node == *id && (sent.outcome.is_none() || self.is_fresh(now, sent));
+            if part.attempts.iter().any(tried) || !self.has_cold_room(now, node) {
                 return None;
             }
             let delay = self.delay(now, node, more);
@@ -53,9 +53,9 @@
             let order = (index + holders.len() - turn % holders.len()) % holders.len();
             let far = self.zone.is_some() && node.zone != self.zone;
             // Bytes between zones are paid for: another zone has to be quicker by a share of the time left.
-            let lag = if far { left.0 as f64 * FAR } else { 0.0 };
+            let lag = if far { left.0 as f64 * OTHER_ZONE_GAIN } else { 0.0 };
             let key = (((delay + lag) / step) as u64, far, order);
-            Some((phi, key, Offer { node: *id, delay: Nanos(delay as u64), phi }))
+            Some((phi, key, Candidate { node: *id, delay: Nanos(delay as u64), phi }))
         };
         let offers: Vec<_> = holders.iter().enumerate().filter_map(offer).collect();
         let best = offers.iter().map(|(phi, _, _)| *phi).fold(0.0, f64::max);
@@ -64,7 +64,7 @@
     }
 
     /// What failed so lately would fail again.
-    pub(super) fn is_fresh(&self, now: Nanos, sent: &HandOff) -> bool {
+    pub(super) fn is_fresh(&self, now: Nanos, sent: &Attempt) -> bool {
         now - sent.sent < self.shortest_goal.times(OVERDUE_GOAL)
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId {
     /// The multiget that it belongs to.
-    pub of: MultigetId,
+    pub multiget: MultigetId,
     /// Its index among the parts of that multiget, in order of arrival.
     pub index: usize,
 }
@@ -84,22 +84,22 @@
 pub enum Effect {
     /// Idempotent: it may be repeated at any time.
     #[default]
-    Replayable,
+    Idempotent,
     /// A repeat is dropped for this long after the first hand-off that may have run.
-    Referenced(Nanos),
+    Deduplicated(Nanos),
     /// Non-idempotent: it must not run twice.
-    SingleUse,
+    NonIdempotent,
 }
 
 /// The settings of a use case: a kind of queries with one latency target and one value.
 #[derive(Clone, Debug, Default)]
-pub struct UseCaseFacts {
+pub struct UseCaseSettings {
     /// The latency target.
-    pub goal: Nanos,
+    pub latency_target: Nanos,
     /// How long a client waits in all, over all its tries.
     pub hard_limit: Nanos,
     /// The value of an answer in time, relative to other use cases.
-    pub earnings: f64,
+    pub value: f64,
     /// The worth of a late answer, as a share.
     pub late_share: f64,
     /// The worth of a partial answer is the square of the share that is in.
@@ -109,18 +109,18 @@
     /// The goal time grows by this multiple of the multiget's own work.
     pub stretch: f64,
     /// The share of the weight that makes an answer complete.
-    pub need: f64,
+    pub required: f64,
     /// The smallest share of the weight that may be answered at all (quorum).
-    pub floor: f64,
+    pub quorum: f64,
     /// Its queries run in two phases.
-    pub second_step: bool,
+    pub two_phase: bool,
     /// To how many nodes one of its parts may be handed in all; `None` for the site's number.
-    pub most_hand_offs: Option<u32>,
+    pub max_attempts: Option<u32>,
 }
 
 /// Slow start: how much a node that has just started may be sent.
 #[derive(Clone, Debug, Default)]
-pub struct ColdFacts {
+pub struct SlowStartSettings {
     /// The share of its capacity that a node has at its start.
     pub from: f64,
     /// The time after its start at which it has its full capacity; linear until then.
@@ -133,7 +133,7 @@
 
 /// The retry budget: how many attempts beyond the first of each part may be sent in a window.
 #[derive(Clone, Debug, Default)]
-pub struct BudgetFacts {
+pub struct RetryBudgetSettings {
     /// So many attempts in any case.
     pub free: f64,
     /// And this share of the parts that were accepted.
@@ -146,11 +146,11 @@
 
 /// The settings as given when a router starts.
 #[derive(Clone, Debug, Default)]
-pub struct SiteFacts {
+pub struct SiteSettings {
     /// How many routers share the load and the limits; 1 at least.
     pub routers: usize,
     /// The use cases, by [`UseCaseId`].
-    pub use_cases: Vec<UseCaseFacts>,
+    pub use_cases: Vec<UseCaseSettings>,
     /// Where use cases come and go, the least goal time that latencies are told apart for.
     pub shortest_goal: Option<Nanos>,
     /// For each customer, multigets a second inside its share, over all routers.
@@ -158,9 +158,9 @@
     /// The resolution of the host's clock: nothing is decided on finer spans.
     pub tick: Nanos,
     /// Slow start of nodes.
-    pub cold: ColdFacts,
+    pub warmup: SlowStartSettings,
     /// The retry budget; `None`: unlimited.
-    pub budget: Option<BudgetFacts>,
+    pub budget: Option<RetryBudgetSettings>,
     /// How many places the shards are spread over.
     pub places: u32,
     /// How many places after one another hold a shard.
@@ -168,11 +168,11 @@
     /// Attempts may be cancelled at their node.
     pub cancel: bool,
     /// A part may have more than one attempt in flight (hedged requests).
-    pub second_copies: bool,
+    pub hedging: bool,
     /// How many nodes one part may be sent to in all.
-    pub most_hand_offs: u32,
+    pub max_attempts: u32,
     /// The longest time after which a rejected client may be told to come back.
-    pub longest_wait: Option<Nanos>,
+    pub max_retry_after: Option<Nanos>,
     /// Changes of the node list arrive only when they are asked for.
     pub must_ask: bool,
     /// Routers may send each other short messages.
@@ -239,12 +239,12 @@
     pub effort: Option<Nanos>,
     /// What is known of its second phase, where it has two. Its first one may be repeated, whatever its
     /// use case says of effects.
-    pub second: Option<SecondFacts>,
+    pub second: Option<SecondPhaseEstimate>,
 }
 
 /// What is known of a second phase while the first one runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SecondFacts {
+pub struct SecondPhaseEstimate {
     /// The time that it is expected to take, and the least that it takes for certain.
     pub needs: Nanos,
     /// The time that it takes at the least.
@@ -259,7 +259,7 @@
 
 /// What a second phase is when it is opened; its parts follow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SecondStep {
+pub struct SecondPhaseStart {
     /// The time that it is expected to take; `None` admits it whatever is left.
     pub needs: Option<Nanos>,
     /// The share of the answer that needs no part any more.
@@ -289,15 +289,15 @@
     /// With a failure of the node.
     Error,
     /// Rejected by the node before it ran.
-    TurnedAway,
+    Rejected,
     /// Without an answer until its end.
     TimedOut,
     /// Without a connection, or one that broke: it may have run.
     Unreachable,
     /// With something that is not a valid answer.
-    Broken,
+    Invalid,
     /// Cancelled by the module.
-    CalledOff,
+    Cancelled,
     /// Not a byte of it was sent: it cannot have run.
     NeverSent,
 }
@@ -317,7 +317,7 @@
     /// The part.
     pub part: PartId,
     /// Which attempt of the part.
-    pub no: HandOffNo,
+    pub number: HandOffNo,
     /// The node that it was sent to.
     pub node: NodeId,
     /// How it ended.
@@ -330,7 +330,7 @@
 
 /// What a router tells the others of one hand-off.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum Update {
     /// It was sent.
     Sent,
     /// It was answered, after so long.
@@ -345,7 +345,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Send an attempt.
-    HandOff {
+    SendAttempt {
         /// The part.
         part: PartId,
         /// The node to send it to.
@@ -354,45 +354,45 @@
         stop_at: Nanos,
     },
     /// Cancel an attempt.
-    CallOff {
+    CancelAttempt {
         /// The part.
         part: PartId,
         /// Which attempt of the part.
-        no: HandOffNo,
+        number: HandOffNo,
     },
     /// `last` is false for the answer that brings a second step.
-    Settle {
+    Complete {
         /// Which multiget.
         multiget: MultigetId,
         /// The answer is complete.
-        whole: bool,
+        complete: bool,
         /// The final one.
         last: bool,
     },
     /// Reject a multiget before anything of it was sent, or when nothing can have run.
-    Dismiss {
+    Reject {
         /// Which multiget.
         multiget: MultigetId,
         /// When its client is to come back.
-        wait: Nanos,
+        retry_after: Nanos,
     },
     /// End a multiget without an answer: something of it may have run.
-    BreakOff {
+    Abort {
         /// Which multiget.
         multiget: MultigetId,
     },
     /// Ask for the changes of the node list.
-    FollowList,
+    RequestList,
     /// Sends nothing further over connections to a node that have been silent for as long as
     /// something has been out on them.
-    Renew {
+    RenewConnections {
         /// The node.
         node: NodeId,
     },
     /// To all other routers.
-    Tell {
+    NotifyPeers {
         /// Nodes, and what happened to an attempt there.
-        news: Vec<(NodeId, News)>,
+        updates: Vec<(NodeId, Update)>,
     },
     /// Ask again after so long, even if nothing happens.
     Wake {
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -6,63 +6,63 @@
 /// Amounts of the last while, kept to the instant.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingCount {
-    held: VecDeque<(Nanos, f64)>,
+    entries: VecDeque<(Nanos, f64)>,
 }
 
 impl SlidingCount {
     /// Adds an amount that came at this time; times must not fall.
     pub fn add(&mut self, at: Nanos, amount: f64) {
-        self.held.push_back((at, amount));
+        self.entries.push_back((at, amount));
     }
 
     /// The sum of what came less than `span` ago.
     pub fn within(&self, now: Nanos, span: Nanos) -> f64 {
-        let recent = self.held.iter().rev().take_while(|(at, _)| now - *at < span);
+        let recent = self.entries.iter().rev().take_while(|(at, _)| now - *at < span);
         recent.map(|(_, amount)| amount).sum()
     }
 
     /// Nothing is kept.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 
     /// Drops what is older than `span`.
     pub fn forget(&mut self, now: Nanos, span: Nanos) {
-        while self.held.front().is_some_and(|(at, _)| now - *at > span) {
-            self.held.pop_front();
+        while self.entries.front().is_some_and(|(at, _)| now - *at > span) {
+            self.entries.pop_front();
         }
     }
 }
 
 /// Parts taken, and hand-offs past the first of each.
 #[derive(Clone, Debug, Default)]
-pub struct Spent {
+pub struct BudgetUse {
     /// Parts accepted.
-    pub taken: SlidingCount,
+    pub accepted: SlidingCount,
     /// Attempts beyond the first of a part.
-    pub further: SlidingCount,
+    pub retries: SlidingCount,
 }
 
-impl Spent {
+impl BudgetUse {
     fn forget(&mut self, now: Nanos, span: Nanos) -> bool {
-        self.taken.forget(now, span);
-        self.further.forget(now, span);
-        self.taken.is_empty() && self.further.is_empty()
+        self.accepted.forget(now, span);
+        self.retries.forget(now, span);
+        self.accepted.is_empty() && self.retries.is_empty()
     }
 }
 
 /// What all shards spent together, multigets counted as taken too, and where wanted each shard alone.
 #[derive(Clone, Debug, Default)]
-pub struct Spending {
+pub struct RetryBudgetUse {
     /// Over all shards.
-    pub all: Spent,
-    each: Option<BTreeMap<ShardId, Spent>>,
+    pub all: BudgetUse,
+    each: Option<BTreeMap<ShardId, BudgetUse>>,
 }
 
-impl Spending {
+impl RetryBudgetUse {
     /// Nothing spent yet; `each_shard` keeps a count for each shard too.
-    pub fn new(each_shard: bool) -> Spending {
-        Spending { all: Spent::default(), each: each_shard.then(BTreeMap::new) }
+    pub fn new(each_shard: bool) -> RetryBudgetUse {
+        RetryBudgetUse { all: BudgetUse::default(), each: each_shard.then(BTreeMap::new) }
     }
 
     /// How many shards have spending of their own.
@@ -71,22 +71,22 @@
     }
 
     /// That of the shard or, where those are not kept apart, of all.
-    pub fn of(&self, shard: ShardId) -> Option<&Spent> {
+    pub fn of(&self, shard: ShardId) -> Option<&BudgetUse> {
         self.each.as_ref().map_or(Some(&self.all), |each| each.get(&shard))
     }
 
     /// Counts an accepted part.
-    pub fn take(&mut self, now: Nanos, shard: ShardId) {
-        self.all.taken.add(now, 1.0);
+    pub fn accept(&mut self, now: Nanos, shard: ShardId) {
+        self.all.accepted.add(now, 1.0);
         let own = self.each.as_mut().map(|each| each.entry(shard).or_default());
-        own.into_iter().for_each(|own| own.taken.add(now, 1.0));
+        own.into_iter().for_each(|own| own.accepted.add(now, 1.0));
     }
 
     /// Counts an attempt beyond the first.
-    pub fn send_further(&mut self, now: Nanos, shard: ShardId) {
-        self.all.further.add(now, 1.0);
+    pub fn count_retry(&mut self, now: Nanos, shard: ShardId) {
+        self.all.retries.add(now, 1.0);
         let own = self.each.as_mut().map(|each| each.entry(shard).or_default());
-        own.into_iter().for_each(|own| own.further.add(now, 1.0));
+        own.into_iter().for_each(|own| own.retries.add(now, 1.0));
     }
 
     /// Drops what is older than `span`, and shards without any.
@@ -98,7 +98,7 @@
 
 /// A fill of so much a second, up to a limit, from which takings are drawn.
 #[derive(Clone, Debug)]
-pub struct Allowance {
+pub struct TokenBucket {
     /// Tokens a second.
     pub rate: f64,
     limit: f64,
@@ -106,10 +106,10 @@
     since: Nanos,
 }
 
-impl Allowance {
+impl TokenBucket {
     /// A full bucket of `limit` tokens.
-    pub fn new(rate: f64, limit: f64, now: Nanos) -> Allowance {
-        Allowance { rate, limit, left: limit, since: now }
+    pub fn new(rate: f64, limit: f64, now: Nanos) -> TokenBucket {
+        TokenBucket { rate, limit, left: limit, since: now }
     }
 
     /// A rate so many times as high from now on.
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -1,7 +1,7 @@
 //! Measurements shared by the replicas of places whose work is alike.
 
 use super::histogram::Histogram;
-use super::statistics::{RunningMean, Tally};
+use super::statistics::{FailureRate, RunningMean};
 use crate::interface::PlaceId;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
     /// Latencies in nanoseconds, not divided by sizes.
     pub raw_latencies: Histogram,
     /// Attempts that failed, of all.
-    pub failures: Tally,
+    pub failures: FailureRate,
     /// Time for each size of work in the queue.
     pub pace: RunningMean,
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -13,13 +13,13 @@
 mod statistics;
 mod use_case;
 
-pub use budget::{Allowance, SlidingCount, Spending, Spent};
+pub use budget::{BudgetUse, RetryBudgetUse, SlidingCount, TokenBucket};
 pub use groups::{Group, Groups};
 pub use histogram::Histogram;
 pub use node::Node;
-pub use places::Places;
-pub use query::{HandOff, Kind, Loads, Multiget, Offer, Part};
+pub use places::NodesByPlace;
+pub use query::{Attempt, Candidate, Loads, Multiget, Part, WorkKind};
 pub use random::Mwc;
-pub use router::{HeldCounts, Router};
-pub use statistics::{RunningMean, Tally, Trend};
+pub use router::{RetainedCounts, Router};
+pub use statistics::{FailureRate, LinearTrend, RunningMean};
 pub use use_case::UseCase;
--- a/src/state/node.rs
+++ b/src/state/node.rs
@@ -2,8 +2,8 @@
 
 use super::budget::SlidingCount;
 use super::histogram::Histogram;
-use super::query::Kind;
-use super::statistics::{RunningMean, Tally};
+use super::query::WorkKind;
+use super::statistics::{FailureRate, RunningMean};
 use crate::interface::*;
 use std::collections::BTreeMap;
 
@@ -21,9 +21,9 @@
     /// Latencies over sizes, misses among them.
     pub latencies: Histogram,
     /// Failures, all and by kind of work.
-    pub failures: Tally,
+    pub failures: FailureRate,
     /// Failures by kind of work.
-    pub kinds: BTreeMap<Kind, Tally>,
+    pub kinds: BTreeMap<WorkKind, FailureRate>,
     /// Time that a part took for each size of work in hand when it was sent.
     pub pace: RunningMean,
     /// Hand-offs that are out: their sizes, and whether they are overdue.
@@ -51,7 +51,7 @@
             health: entry.health,
             since: entry.since,
             latencies: bins.clone(),
-            failures: Tally::default(),
+            failures: FailureRate::default(),
             kinds: BTreeMap::new(),
             pace: RunningMean::default(),
             out: BTreeMap::new(),
--- a/src/state/places.rs
+++ b/src/state/places.rs
@@ -5,9 +5,9 @@
 
 /// Which nodes stand at which place.
 #[derive(Clone, Debug, Default)]
-pub struct Places(BTreeMap<PlaceId, BTreeSet<NodeId>>);
+pub struct NodesByPlace(BTreeMap<PlaceId, BTreeSet<NodeId>>);
 
-impl Places {
+impl NodesByPlace {
     /// Moves a node from one place to another.
     pub fn put(&mut self, node: NodeId, from: PlaceId, to: PlaceId) {
         if let Some(left) = self.0.get_mut(&from) {
--- a/src/state/query.rs
+++ b/src/state/query.rs
@@ -5,7 +5,7 @@
 
 /// One attempt of a part.
 #[derive(Clone, Debug)]
-pub struct HandOff {
+pub struct Attempt {
     /// The node that it was sent to.
     pub node: NodeId,
     /// When it was sent.
@@ -13,11 +13,11 @@
     /// How long it was expected to take.
     pub expected: Nanos,
     /// The work in hand at its node when it was sent, itself included.
-    pub ahead: f64,
+    pub queue_ahead: f64,
     /// How it ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
     /// It was cancelled.
-    pub called_off: bool,
+    pub cancelled: bool,
     /// It has been counted as a miss of its node while still out.
     pub missed: bool,
 }
@@ -25,23 +25,23 @@
 /// Sizes of work by node.
 pub type Loads = BTreeMap<NodeId, f64>;
 
-impl HandOff {
+impl Attempt {
     /// An attempt that is sent now.
-    pub fn new(offer: &Offer, sent: Nanos, ahead: f64) -> HandOff {
-        HandOff {
+    pub fn new(offer: &Candidate, sent: Nanos, ahead: f64) -> Attempt {
+        Attempt {
             node: offer.node,
             sent,
             expected: offer.delay,
-            ahead,
+            queue_ahead: ahead,
             outcome: None,
-            called_off: false,
+            cancelled: false,
             missed: false,
         }
     }
 }
 
 /// A use case, and whether it is the second of its two phases.
-pub type Kind = (UseCaseId, bool);
+pub type WorkKind = (UseCaseId, bool);
 
 /// One part of a multiget: the query to one shard.
 #[derive(Clone, Debug)]
@@ -59,9 +59,9 @@
     /// Whether it may be repeated.
     pub effect: Effect,
     /// Its use case and phase.
-    pub kind: Kind,
+    pub kind: WorkKind,
     /// All its attempts, in order.
-    pub hand_offs: Vec<HandOff>,
+    pub attempts: Vec<Attempt>,
     /// An answer is in.
     pub answered: bool,
     /// No further attempt is made.
@@ -77,17 +77,17 @@
             weight: arrival.weight,
             size,
             hint: None,
-            effect: Effect::Replayable,
+            effect: Effect::Idempotent,
             kind: (use_case, false),
-            hand_offs: Vec::new(),
+            attempts: Vec::new(),
             answered: false,
             given_up: false,
         }
     }
 
     /// The attempts in flight.
-    pub fn out(&self) -> impl Iterator<Item = &HandOff> {
-        self.hand_offs.iter().filter(|sent| sent.outcome.is_none())
+    pub fn pending(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|sent| sent.outcome.is_none())
     }
 }
 
@@ -99,7 +99,7 @@
     /// Whose rate limit it counts against.
     pub customer: CustomerId,
     /// When to have answered: the goal time, or sooner where clients leave sooner.
-    pub aim_end: Nanos,
+    pub target_end: Nanos,
     /// When nothing more can be earned.
     pub until: Nanos,
     /// Both, as they are for the multiget as a whole while its first phase has less.
@@ -107,11 +107,11 @@
     /// When its client gives up.
     pub client_end: Nanos,
     /// Of its second phase, while the first one runs, and the work counted as promised to it.
-    pub second: Option<SecondFacts>,
+    pub second: Option<SecondPhaseEstimate>,
     /// The sizes of work reserved for its second phase.
     pub promised: f64,
     /// Its second phase, once that is open.
-    pub opened: Option<SecondStep>,
+    pub opened: Option<SecondPhaseStart>,
     /// Its parts, those of the first phase first.
     pub parts: Vec<Part>,
     /// Where the parts of the present step begin.
@@ -134,7 +134,7 @@
         Multiget {
             use_case: arrival.use_case,
             customer: arrival.customer,
-            aim_end,
+            target_end: aim_end,
             until,
             whole_ends: (aim_end, until),
             client_end: arrival.client_end,
@@ -159,7 +159,7 @@
 
 /// What is expected of a part at a node; `phi` is the chance of an answer in time.
 #[derive(Clone, Copy)]
-pub struct Offer {
+pub struct Candidate {
     /// The node.
     pub node: NodeId,
     /// The expected time to an answer.
--- a/src/state/router.rs
+++ b/src/state/router.rs
@@ -1,13 +1,13 @@
 //! All that one router knows.
 
-use super::budget::{Allowance, SlidingCount, Spending};
+use super::budget::{RetryBudgetUse, SlidingCount, TokenBucket};
 use super::groups::Groups;
 use super::histogram::Histogram;
 use super::node::Node;
-use super::places::Places;
+use super::places::NodesByPlace;
 use super::query::Multiget;
 use super::random::Mwc;
-use super::statistics::{RunningMean, Trend};
+use super::statistics::{LinearTrend, RunningMean};
 use super::use_case::UseCase;
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -21,42 +21,42 @@
     pub(crate) refusals_cost: bool,
     pub(crate) zone: Option<ZoneId>,
     /// Among how many routers limits are shared.
-    pub(crate) sharers: f64,
+    pub(crate) router_count: f64,
     /// Multigets within each customer's share at this router.
-    pub(crate) shares: Vec<Allowance>,
+    pub(crate) shares: Vec<TokenBucket>,
     pub(crate) tick: Nanos,
     pub(crate) shortest_goal: Nanos,
     /// What that never falls under, and the empty histogram that all are made from.
     pub(crate) least_goal: Nanos,
     pub(crate) bins: Histogram,
-    pub(crate) cold: ColdFacts,
+    pub(crate) warmup: SlowStartSettings,
     /// What a warm replica could answer to this router, in sizes a nanosecond.
     pub(crate) bears: RunningMean,
     /// How busy warm replicas are.
     pub(crate) busy_all: f64,
-    pub(crate) budget: Option<BudgetFacts>,
+    pub(crate) budget: Option<RetryBudgetSettings>,
     pub(crate) places: u32,
     pub(crate) width: u32,
     pub(crate) cancel: bool,
-    pub(crate) second_copies: bool,
-    pub(crate) most_hand_offs: usize,
-    pub(crate) longest_wait: Nanos,
+    pub(crate) hedging: bool,
+    pub(crate) max_attempts: usize,
+    pub(crate) max_retry_after: Nanos,
     /// When to ask to be told of changes of the list, where that must be asked.
     pub(crate) ask_at: Option<Nanos>,
     pub(crate) must_ask: bool,
     pub(crate) ask_wait: f64,
     /// What the other routers are to be told, where they may be, and when.
     pub(crate) peers: bool,
-    pub(crate) news: Vec<(NodeId, News)>,
-    pub(crate) tell_at: Option<Nanos>,
-    pub(crate) chance: Mwc,
+    pub(crate) updates: Vec<(NodeId, Update)>,
+    pub(crate) notify_at: Option<Nanos>,
+    pub(crate) random: Mwc,
     pub(crate) nodes: BTreeMap<NodeId, Node>,
-    pub(crate) by_place: Places,
+    pub(crate) by_place: NodesByPlace,
     pub(crate) open: BTreeMap<MultigetId, Multiget>,
     /// What all replicas showed whose work is alike.
     pub(crate) groups: Groups,
     /// Hints of work against latencies, as logarithms.
-    pub(crate) hints: Trend,
+    pub(crate) hints: LinearTrend,
     /// Planned copies, and first hand-offs of the running period.
     pub(crate) plan: BTreeMap<(ShardId, UseCaseId), usize>,
     pub(crate) sends: BTreeMap<(ShardId, UseCaseId), f64>,
@@ -64,13 +64,13 @@
     pub(crate) replan_at: Nanos,
     pub(crate) mean_copies: f64,
     pub(crate) first_sends: SlidingCount,
-    pub(crate) spent: Spending,
+    pub(crate) budget_use: RetryBudgetUse,
     /// The share of the goal time that the expected delay of multigets fills.
     pub(crate) met: RunningMean,
     /// Sizes promised to second phases of multigets whose first one runs.
     pub(crate) promised: f64,
     /// When a multiget was last dismissed for the delay it would meet.
-    pub(crate) shed_at: Option<Nanos>,
+    pub(crate) rejected_at: Option<Nanos>,
     pub(crate) touched: VecDeque<MultigetId>,
     pub(crate) due: BTreeSet<(Nanos, MultigetId)>,
     pub(crate) wake_at: Option<Nanos>,
@@ -79,20 +79,20 @@
 
 impl Router {
     /// This router's part of the further hand-offs that are free, from now on.
-    pub fn slack(&mut self, free: f64) {
+    pub fn set_free_attempts(&mut self, free: f64) {
         self.budget.iter_mut().for_each(|budget| budget.free = free);
     }
 
     /// From now on the work of this place is alike to that of all others in this group, and its replicas are
     /// averaged with theirs. Guards what is unheard of one service against passing for another's.
-    pub fn group(&mut self, place: PlaceId, group: u32) {
+    pub fn set_group(&mut self, place: PlaceId, group: u32) {
         self.groups.put(place, group);
     }
 }
 
 /// How much a router holds, to be watched over days.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldCounts {
+pub struct RetainedCounts {
     /// Queries in flight.
     pub multigets: usize,
     /// Nodes known.
@@ -107,13 +107,13 @@
 
 impl Router {
     /// Counts what is kept, to show that it is bounded.
-    pub fn held(&self) -> HeldCounts {
-        HeldCounts {
+    pub fn retained(&self) -> RetainedCounts {
+        RetainedCounts {
             multigets: self.open.len(),
             nodes: self.nodes.len(),
             places: self.by_place.len(),
             turns: self.turns.len(),
-            spending: self.spent.shard_count(),
+            spending: self.budget_use.shard_count(),
         }
     }
 }
--- a/src/state/statistics.rs
+++ b/src/state/statistics.rs
@@ -29,12 +29,12 @@
 
 /// How many of so many failed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct FailureRate {
     failed: f64,
     all: f64,
 }
 
-impl Tally {
+impl FailureRate {
     /// Counts one.
     pub fn add(&mut self, failed: bool) {
         self.failed += if failed { 1.0 } else { 0.0 };
@@ -61,7 +61,7 @@
 
 /// Running means of two figures, and how the second moves with the first.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trend {
+pub struct LinearTrend {
     /// The mean of the first figure.
     pub x: RunningMean,
     /// The mean of the second.
@@ -70,7 +70,7 @@
     joint: f64,
 }
 
-impl Trend {
+impl LinearTrend {
     /// Takes in a pair with the weight `gain`, from 0 to 1.
     pub fn add(&mut self, x: f64, y: f64, gain: f64) {
         let dx = x - self.x.get().unwrap_or(x);
--- a/src/state/use_case.rs
+++ b/src/state/use_case.rs
@@ -10,7 +10,7 @@
     /// It has not been taken away.
     pub live: bool,
     /// The latency target.
-    pub goal: Nanos,
+    pub latency_target: Nanos,
     /// How long a client waits in all, over all its retries.
     pub hard_limit: Nanos,
     /// The longest that a client has been seen to stay for one try.
@@ -20,19 +20,19 @@
     /// The value of a partial answer is the square of its share.
     pub squared: bool,
     /// The value of an answer in time.
-    pub earnings: f64,
+    pub value: f64,
     /// Whether its parts are idempotent.
     pub effect: Effect,
     /// The target grows by this multiple of the query's own work.
     pub stretch: f64,
     /// The share of the weight that makes an answer complete.
-    pub need: f64,
+    pub required: f64,
     /// The smallest share of the weight that may be answered.
-    pub floor: f64,
+    pub quorum: f64,
     /// Its queries run in two phases.
-    pub second_step: bool,
+    pub two_phase: bool,
     /// How many nodes one part may be sent to; `None`: the site's number.
-    pub most_hand_offs: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Latencies at all replicas, to tell how heavy its parts are beside others.
     pub latencies: Histogram,
     /// Mean size of a part, and of all parts of a multiget.
@@ -43,20 +43,20 @@
 
 impl UseCase {
     /// As the settings have it, with nothing measured.
-    pub fn new(facts: &UseCaseFacts, bins: &Histogram) -> UseCase {
+    pub fn new(facts: &UseCaseSettings, bins: &Histogram) -> UseCase {
         UseCase {
             live: true,
-            goal: facts.goal,
+            latency_target: facts.latency_target,
             hard_limit: facts.hard_limit,
             late_share: facts.late_share,
             squared: facts.squared,
-            earnings: facts.earnings,
+            value: facts.value,
             effect: facts.effect,
             stretch: facts.stretch,
-            need: facts.need,
-            floor: facts.floor,
-            second_step: facts.second_step,
-            most_hand_offs: facts.most_hand_offs,
+            required: facts.required,
+            quorum: facts.quorum,
+            two_phase: facts.two_phase,
+            max_attempts: facts.max_attempts,
             latencies: bins.clone(),
             ..UseCase::default()
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,40 +18,40 @@
 }
 
 /// Three nodes in one place hold every shard; two routers; a tick of 5 ms.
-pub fn facts() -> SiteFacts {
-    let case = |effect, floor, late_share, second_step| UseCaseFacts {
-        goal: ms(GOAL),
+pub fn facts() -> SiteSettings {
+    let case = |effect, floor, late_share, second_step| UseCaseSettings {
+        latency_target: ms(GOAL),
         hard_limit: ms(HARD),
-        earnings: 1.0,
+        value: 1.0,
         late_share,
         squared: false,
         effect,
         stretch: 0.0,
-        need: 1.0,
-        floor,
-        second_step,
-        most_hand_offs: None,
+        required: 1.0,
+        quorum: floor,
+        two_phase: second_step,
+        max_attempts: None,
     };
-    SiteFacts {
+    SiteSettings {
         routers: 2,
         use_cases: vec![
-            case(Effect::Replayable, 1.0, 0.0, false),
-            case(Effect::Referenced(ms(WINDOW)), 1.0, 0.3, false),
-            case(Effect::SingleUse, 1.0, 0.3, false),
-            case(Effect::Replayable, 0.6, 0.1, false),
-            case(Effect::Replayable, 1.0, 0.1, true),
+            case(Effect::Idempotent, 1.0, 0.0, false),
+            case(Effect::Deduplicated(ms(WINDOW)), 1.0, 0.3, false),
+            case(Effect::NonIdempotent, 1.0, 0.3, false),
+            case(Effect::Idempotent, 0.6, 0.1, false),
+            case(Effect::Idempotent, 1.0, 0.1, true),
         ],
         shortest_goal: None,
         customers: vec![1000.0],
         tick: ms(5.0),
-        cold: ColdFacts { from: 0.2, warm_after: ms(10_000.0), multiple: 2.0, window: ms(1000.0) },
+        warmup: SlowStartSettings { from: 0.2, warm_after: ms(10_000.0), multiple: 2.0, window: ms(1000.0) },
         budget: None,
         places: 1,
         width: 1,
         cancel: true,
-        second_copies: true,
-        most_hand_offs: 3,
-        longest_wait: Some(ms(500.0)),
+        hedging: true,
+        max_attempts: 3,
+        max_retry_after: Some(ms(500.0)),
         must_ask: false,
         peers: false,
         by_work: false,
@@ -86,22 +86,22 @@
 }
 
 impl Host {
-    pub fn new(facts: SiteFacts, nodes: u32) -> Host {
+    pub fn new(facts: SiteSettings, nodes: u32) -> Host {
         Host::with_seed(facts, nodes, 7)
     }
 
-    pub fn with_seed(facts: SiteFacts, nodes: u32, seed: u64) -> Host {
+    pub fn with_seed(facts: SiteSettings, nodes: u32, seed: u64) -> Host {
         let now = 1_000_000.0;
         let mut router = Router::new(seed, facts, ms(now));
         let entries: Vec<NodeEntry> = (0..nodes).map(|node| entry(node, Health::Running, 0.0)).collect();
-        router.list(ListKind::Full, &entries);
+        router.apply_list(ListKind::Full, &entries);
         Host { router, now, next: 0, log: Vec::new() }
     }
 
     /// Pulls all decisions; returns the new ones, wakes left out.
     pub fn pull(&mut self) -> Vec<Decision> {
         let mut news = Vec::new();
-        while let Some(decision) = self.router.next(ms(self.now)) {
+        while let Some(decision) = self.router.poll_decision(ms(self.now)) {
             if !matches!(decision, Decision::Wake { .. }) {
                 self.log.push((self.now, decision.clone()));
                 news.push(decision);
@@ -131,43 +131,43 @@
         let id = MultigetId(self.next);
         self.next += 1;
         let arrival = arrival(id, use_case, self.now + stays);
-        self.router.take(ms(self.now), &arrival);
+        self.router.multiget_arrived(ms(self.now), &arrival);
         self.parts(id, 0, weights);
         id
     }
 
     pub fn parts(&mut self, id: MultigetId, from: usize, weights: &[f64]) {
         for (index, weight) in weights.iter().enumerate() {
-            let part = PartId { of: id, index: from + index };
+            let part = PartId { multiget: id, index: from + index };
             let arrival = PartArrival { part, shard: ShardId(index as u32), weight: *weight, effort: None };
-            self.router.take_part(ms(self.now), &arrival);
+            self.router.part_arrived(ms(self.now), &arrival);
         }
         self.pull();
     }
 
     /// Where each hand-off of a part went.
     pub fn sends(&self, id: MultigetId, index: usize) -> Vec<NodeId> {
-        let part = PartId { of: id, index };
+        let part = PartId { multiget: id, index };
         let sends = self.log.iter().filter_map(|(_, decision)| match decision {
-            Decision::HandOff { part: sent, node, .. } if *sent == part => Some(*node),
+            Decision::SendAttempt { part: sent, node, .. } if *sent == part => Some(*node),
             _ => None,
         });
         sends.collect()
     }
 
     pub fn end(&mut self, id: MultigetId, index: usize, no: u32, outcome: Outcome, took: f64) {
-        let part = PartId { of: id, index };
+        let part = PartId { multiget: id, index };
         let node = self.sends(id, index)[no as usize];
         let report = LoadReport::default();
-        let ending = Ending { part, no: HandOffNo(no), node, outcome, took: ms(took), report };
-        self.router.ended(ms(self.now), &ending);
+        let ending = Ending { part, number: HandOffNo(no), node, outcome, took: ms(took), report };
+        self.router.attempt_ended(ms(self.now), &ending);
     }
 
     /// The final answers given to a multiget.
     pub fn finals(&self, id: MultigetId) -> Vec<Decision> {
         let given = self.log.iter().map(|(_, decision)| decision).filter(|decision| match decision {
-            Decision::Settle { multiget, last, .. } => *last && *multiget == id,
-            Decision::Dismiss { multiget, .. } | Decision::BreakOff { multiget } => *multiget == id,
+            Decision::Complete { multiget, last, .. } => *last && *multiget == id,
+            Decision::Reject { multiget, .. } | Decision::Abort { multiget } => *multiget == id,
             _ => false,
         });
         given.cloned().collect()
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use fernknot::interface::*;
-use fernknot::state::{Histogram, Mwc, Node, SlidingCount, Trend};
+use fernknot::state::{Histogram, LinearTrend, Mwc, Node, SlidingCount};
 use test_case::test_case;
 
 fn first_sends(host: &mut Host, use_case: usize, count: usize) -> Vec<NodeId> {
@@ -45,7 +45,7 @@
 }
 
 /// Of a multiget of many parts some always fail; each is tried again while it may, and what is in is kept.
-#[test_case(Outcome::TurnedAway; "turned away")]
+#[test_case(Outcome::Rejected; "turned away")]
 #[test_case(Outcome::Error; "failed")]
 fn a_part_that_fails_twice_ends_no_multiget(outcome: Outcome) {
     let mut host = Host::new(facts(), 8);
@@ -60,19 +60,19 @@
     host.pass(400.0);
     host.end(id, 1, 2, Outcome::Answered, 20.0);
     host.pull();
-    assert_eq!(host.finals(id), [Decision::Settle { multiget: id, whole: true, last: true }]);
+    assert_eq!(host.finals(id), [Decision::Complete { multiget: id, complete: true, last: true }]);
 }
 
 /// What may not be tried again is given up without a wait.
 #[test]
 fn a_part_with_no_hand_off_left_ends_its_multiget_at_once() {
-    let mut host = Host::new(SiteFacts { most_hand_offs: 2, ..facts() }, 8);
+    let mut host = Host::new(SiteSettings { max_attempts: 2, ..facts() }, 8);
     let id = host.take(REPLAYABLE, &[1.0]);
     for no in 0..2 {
         host.end(id, 0, no, Outcome::Error, 5.0);
         host.pull();
     }
-    assert!(matches!(host.finals(id)[..], [Decision::Dismiss { .. }]));
+    assert!(matches!(host.finals(id)[..], [Decision::Reject { .. }]));
 }
 
 /// Where the list must be asked, a fleet that starts together must not ask again in step, nor at one pace.
@@ -80,20 +80,20 @@
 fn calls_for_the_list_that_fail_are_spread_and_grow_rarer() {
     let mut later = Vec::new();
     for seed in 0..50 {
-        let mut host = Host::with_seed(SiteFacts { must_ask: true, ..facts() }, 2, seed);
+        let mut host = Host::with_seed(SiteSettings { must_ask: true, ..facts() }, 2, seed);
         let mut asks = Vec::new();
         while host.now < 1_020_000.0 {
-            if host.pass(5.0).contains(&Decision::FollowList) {
+            if host.pass(5.0).contains(&Decision::RequestList) {
                 asks.push(host.now);
-                host.router.list_lost(ms(host.now));
+                host.router.list_failed(ms(host.now));
             }
         }
         assert!(asks[0] <= 1_000_005.0, "the first at once");
         assert!((16..=30).contains(&asks.len()), "{} calls in 20 s", asks.len());
         later.push(asks[1]);
-        host.router.list(ListKind::Changes, &[]);
-        host.router.list_lost(ms(host.now));
-        assert!(host.pass(755.0).contains(&Decision::FollowList), "after one that came, soon again");
+        host.router.apply_list(ListKind::Changes, &[]);
+        host.router.list_failed(ms(host.now));
+        assert!(host.pass(755.0).contains(&Decision::RequestList), "after one that came, soon again");
     }
     later.sort_by(f64::total_cmp);
     assert!(later[49] - later[0] > 400.0, "within half a second of each other");
@@ -103,7 +103,7 @@
 #[test_case(true, 1; "they would say so")]
 #[test_case(false, 0; "they never say so")]
 fn an_unmarked_repeat_is_known_by_its_stay(marks_repeats: bool, sends: usize) {
-    let mut host = Host::new(SiteFacts { marks_repeats, ..facts() }, 2);
+    let mut host = Host::new(SiteSettings { marks_repeats, ..facts() }, 2);
     host.warm_up(REPLAYABLE, 20, 50.0);
     let id = host.take_for(REPLAYABLE, &[1.0], 1900.0);
     assert_eq!(host.sends(id, 0).len(), sends);
@@ -111,9 +111,9 @@
 
 #[test]
 fn equals_in_the_own_zone_go_first() {
-    let mut host = Host::new(SiteFacts { zone: Some(ZoneId(1)), ..facts() }, 3);
+    let mut host = Host::new(SiteSettings { zone: Some(ZoneId(1)), ..facts() }, 3);
     let near = NodeEntry { zone: Some(ZoneId(1)), ..entry(2, Health::Running, 0.0) };
-    host.router.list(ListKind::Changes, &[near]);
+    host.router.apply_list(ListKind::Changes, &[near]);
     for _ in 0..4 {
         let id = host.take(REPLAYABLE, &[1.0]);
         assert_eq!(host.sends(id, 0), [NodeId(2)]);
@@ -169,7 +169,7 @@
     let dismissed: Vec<&MultigetId> = dismissed.collect();
     assert!(dismissed.len() >= 20, "{} of 30", dismissed.len());
     for id in dismissed {
-        assert!(matches!(host.finals(*id)[..], [Decision::Dismiss { wait, .. }] if wait.0 > 0));
+        assert!(matches!(host.finals(*id)[..], [Decision::Reject { retry_after: wait, .. }] if wait.0 > 0));
         assert!(host.sends(*id, 0).is_empty(), "before any part is sent");
     }
 }
@@ -191,11 +191,11 @@
     given.customers = vec![6.0];
     let mut host = Host::new(given, 1);
     host.warm_up(REPLAYABLE, 1, 100.0);
-    host.router.list(ListKind::Full, &[]);
+    host.router.apply_list(ListKind::Full, &[]);
     for _ in 0..20 {
         host.take(REPLAYABLE, &[1.0]);
     }
-    host.router.list(ListKind::Full, &[entry(0, Health::Running, 0.0)]);
+    host.router.apply_list(ListKind::Full, &[entry(0, Health::Running, 0.0)]);
     assert_eq!(first_sends(&mut host, REPLAYABLE, 4).len(), 4);
 }
 
@@ -242,7 +242,7 @@
     let mut host = Host::new(facts(), 2);
     host.warm_up(REPLAYABLE, 20, 50.0);
     let (id, at) = (MultigetId(1000), ms(host.now));
-    host.router.take(at, &Arrival { repeat: true, ..arrival(id, REPLAYABLE, host.now + stays) });
+    host.router.multiget_arrived(at, &Arrival { repeat: true, ..arrival(id, REPLAYABLE, host.now + stays) });
     host.parts(id, 0, &[1.0]);
     assert_eq!(host.sends(id, 0).len(), sends);
 }
@@ -264,19 +264,20 @@
     assert!(!first_sends(&mut host, REPLAYABLE, 3).contains(&slow));
 }
 
-#[test_case(News::Sent; "work in hand")]
-#[test_case(News::Overdue; "misses")]
-#[test_case(News::Failed; "failures")]
-#[test_case(News::Answered(ms(GOAL)); "latencies")]
-fn what_others_tell_counts_like_what_is_seen(what: News) {
+#[test_case(Update::Sent; "work in hand")]
+#[test_case(Update::Overdue; "misses")]
+#[test_case(Update::Failed; "failures")]
+#[test_case(Update::Answered(ms(GOAL)); "latencies")]
+fn what_others_tell_counts_like_what_is_seen(what: Update) {
     let mut given = facts();
     given.peers = true;
     let mut host = Host::new(given, 2);
     host.warm_up(REPLAYABLE, 20, 50.0);
-    let told = host.log.iter().filter(|(_, decision)| matches!(decision, Decision::Tell { .. })).count();
+    let told =
+        host.log.iter().filter(|(_, decision)| matches!(decision, Decision::NotifyPeers { .. })).count();
     assert!(told >= 20, "{told} messages");
     let unknown = (NodeId(77), what);
-    host.router.told(ms(host.now), PeerId(1), &[&[(NodeId(0), what); 8][..], &[unknown]].concat());
+    host.router.apply_updates(ms(host.now), PeerId(1), &[&[(NodeId(0), what); 8][..], &[unknown]].concat());
     assert!(!first_sends(&mut host, REPLAYABLE, 4).contains(&NodeId(0)));
 }
 
@@ -300,8 +301,10 @@
 #[test]
 fn replicas_that_run_take_even_turns_beside_many_that_are_gone() {
     let mut host = Host::new(facts(), 12);
-    host.router
-        .list(ListKind::Changes, &(0..10).map(|node| entry(node, Health::Gone, 0.0)).collect::<Vec<_>>());
+    host.router.apply_list(
+        ListKind::Changes,
+        &(0..10).map(|node| entry(node, Health::Gone, 0.0)).collect::<Vec<_>>(),
+    );
     let mut turns = [0, 0];
     for round in 0..24 {
         let id = host.take(REPLAYABLE, &[1.0]);
@@ -319,7 +322,7 @@
 fn lost_parts_are_no_work_in_hand(overdue: bool, answered_to: f64, held: f64) {
     let bins = Histogram::new(10.0, 1.5, 14);
     let mut node = Node::new(&entry(0, Health::Running, 0.0), &bins);
-    let part = PartId { of: MultigetId(0), index: 0 };
+    let part = PartId { multiget: MultigetId(0), index: 0 };
     node.out.insert((ms(50.0), part, 0), (1.0, overdue));
     node.answered_to = ms(answered_to);
     assert_eq!(node.holds(ms(10.0)), held);
@@ -328,7 +331,7 @@
 #[test_case(1.0, 1.0; "latency follows the hint")]
 #[test_case(0.0, 0.1; "latency ignores the hint")]
 fn hints_count_as_far_as_latencies_follow(power: f64, slope: f64) {
-    let mut hints = Trend::default();
+    let mut hints = LinearTrend::default();
     for round in 0..400 {
         let hint = f64::from(round % 7) / 3.0;
         hints.add(hint, power * hint, 0.02);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,7 +8,7 @@
 
 fn whole(decisions: &[Decision]) -> Option<bool> {
     match decisions {
-        [Decision::Settle { whole, .. }] => Some(*whole),
+        [Decision::Complete { complete: whole, .. }] => Some(*whole),
         _ => None,
     }
 }
@@ -26,22 +26,22 @@
     let answered = host.log.iter().position(|(_, decision)| host.finals(id).contains(decision)).unwrap();
     assert!(host.log[answered].0 < start + HARD);
     let later = &host.log[answered..];
-    assert!(!later.iter().any(|(_, decision)| matches!(decision, Decision::HandOff { .. })));
+    assert!(!later.iter().any(|(_, decision)| matches!(decision, Decision::SendAttempt { .. })));
 }
 
 #[test_case(REPLAYABLE, Outcome::Error, 50.0, true; "replayable may rerun")]
 #[test_case(REFERENCED, Outcome::Error, 50.0, true; "referenced inside the window")]
 #[test_case(REFERENCED, Outcome::Error, WINDOW - 10.0, true; "referenced just inside the window")]
 #[test_case(REFERENCED, Outcome::Error, WINDOW, false; "referenced as the window ends")]
-#[test_case(REFERENCED, Outcome::TurnedAway, WINDOW, true; "referenced, proved not to have run")]
+#[test_case(REFERENCED, Outcome::Rejected, WINDOW, true; "referenced, proved not to have run")]
 #[test_case(SINGLE_USE, Outcome::Error, 50.0, false; "single use after an error")]
-#[test_case(SINGLE_USE, Outcome::Broken, 50.0, false; "single use after a broken connection")]
+#[test_case(SINGLE_USE, Outcome::Invalid, 50.0, false; "single use after a broken connection")]
 #[test_case(SINGLE_USE, Outcome::TimedOut, 50.0, false; "single use after a time-out")]
-#[test_case(SINGLE_USE, Outcome::TurnedAway, 50.0, true; "single use, turned away")]
+#[test_case(SINGLE_USE, Outcome::Rejected, 50.0, true; "single use, turned away")]
 #[test_case(SINGLE_USE, Outcome::Unreachable, 50.0, true; "single use, never connected")]
 fn resent_only_where_the_effect_allows(use_case: usize, outcome: Outcome, took: f64, resent: bool) {
     let mut given = facts();
-    given.second_copies = false;
+    given.hedging = false;
     let mut host = Host::new(given, 12);
     let id = host.take(use_case, &[1.0]);
     host.pass(took);
@@ -49,13 +49,13 @@
     host.pull();
     assert_eq!(host.sends(id, 0).len(), 1 + usize::from(resent));
     if !resent {
-        assert_eq!(host.finals(id), [Decision::BreakOff { multiget: id }], "given up at once");
+        assert_eq!(host.finals(id), [Decision::Abort { multiget: id }], "given up at once");
     }
 }
 
 #[test_case(REPLAYABLE, Outcome::Error, true; "replayable may be dismissed")]
 #[test_case(SINGLE_USE, Outcome::Error, false; "single use that may have run may not")]
-#[test_case(SINGLE_USE, Outcome::TurnedAway, true; "single use that never ran may")]
+#[test_case(SINGLE_USE, Outcome::Rejected, true; "single use that never ran may")]
 fn dismissal_promises_that_asking_again_is_harmless(use_case: usize, outcome: Outcome, dismissed: bool) {
     let mut host = Host::new(facts(), 1);
     let id = host.take(use_case, &[1.0]);
@@ -70,8 +70,8 @@
         }
     }
     let wait = ms(500.0);
-    let dismissal = Decision::Dismiss { multiget: id, wait };
-    let expected = if dismissed { dismissal } else { Decision::BreakOff { multiget: id } };
+    let dismissal = Decision::Reject { multiget: id, retry_after: wait };
+    let expected = if dismissed { dismissal } else { Decision::Abort { multiget: id } };
     assert_eq!(host.finals(id), [expected]);
 }
 
@@ -80,7 +80,7 @@
 #[test_case(ListKind::Full, &[entry(1, Health::Running, 0.0)]; "not in a full list")]
 fn nothing_new_to_a_draining_or_gone_node(kind: ListKind, news: &[NodeEntry]) {
     let mut host = Host::new(facts(), 2);
-    host.router.list(kind, news);
+    host.router.apply_list(kind, news);
     let ids: Vec<MultigetId> = (0..6).map(|_| host.take(REPLAYABLE, &[1.0])).collect();
     for id in ids {
         assert!(!host.sends(id, 0).contains(&NodeId(0)));
@@ -90,14 +90,14 @@
 #[test]
 fn dismissed_at_once_where_no_replica_is_left() {
     let mut host = Host::new(facts(), 1);
-    host.router.list(ListKind::Full, &[]);
+    host.router.apply_list(ListKind::Full, &[]);
     let id = host.take(SINGLE_USE, &[1.0]);
-    assert!(matches!(host.finals(id)[..], [Decision::Dismiss { .. }]));
+    assert!(matches!(host.finals(id)[..], [Decision::Reject { .. }]));
 }
 
 /// How many of 20 parts go to a node that started so long ago, in milliseconds.
 fn parts_to_a_cold_node(host: &mut Host, age: f64) -> usize {
-    host.router.list(ListKind::Changes, &[entry(2, Health::Running, host.now - age)]);
+    host.router.apply_list(ListKind::Changes, &[entry(2, Health::Running, host.now - age)]);
     let ids: Vec<MultigetId> = (0..20)
         .map(|_| {
             let id = host.take(REPLAYABLE, &[1.0]);
@@ -127,7 +127,7 @@
     let cold = |routers: usize| {
         let mut host = Host::new(facts(), 2);
         host.warm_up(REPLAYABLE, 80, 50.0);
-        host.router.shared_by(ms(host.now), routers);
+        host.router.set_router_count(ms(host.now), routers);
         parts_to_a_cold_node(&mut host, 0.0)
     };
     let [same, fewer, more] = [2, 1, 6].map(cold);
@@ -140,12 +140,12 @@
     given.places = 2;
     let mut host = Host::new(given, 2);
     let idle = |node| NodeEntry { place: PlaceId(1), ..entry(node, Health::Running, 0.0) };
-    host.router.list(ListKind::Changes, &[idle(1), idle(2), idle(3), idle(4)]);
+    host.router.apply_list(ListKind::Changes, &[idle(1), idle(2), idle(3), idle(4)]);
     host.warm_up(REPLAYABLE, 60, 50.0);
     // Node 0 has answered 20 parts a second; the last replica of its shard is a node just started.
     let mut gone = idle(0);
     gone.place = PlaceId(1);
-    host.router.list(ListKind::Changes, &[gone, entry(5, Health::Running, host.now)]);
+    host.router.apply_list(ListKind::Changes, &[gone, entry(5, Health::Running, host.now)]);
     // The first part waits for a random while, under the time of one part of its budget.
     host.pass(200.0);
     let ids: Vec<MultigetId> = (0..4).map(|_| host.take(REPLAYABLE, &[1.0])).collect();
@@ -171,7 +171,7 @@
         // The last replica of the shard is a node just started.
         let moved = |node| NodeEntry { place: PlaceId(1), ..entry(node, Health::Running, 0.0) };
         let cold = entry(9, Health::Running, host.now);
-        host.router.list(ListKind::Changes, &[moved(0), moved(1), moved(2), moved(3), cold]);
+        host.router.apply_list(ListKind::Changes, &[moved(0), moved(1), moved(2), moved(3), cold]);
         for _ in 0..20 {
             let id = host.take(REPLAYABLE, &[1.0]);
             sent += host.sends(id, 0).len();
@@ -186,7 +186,7 @@
 #[test]
 fn cold_node_takes_one_part_where_no_capacity_is_known() {
     let mut host = Host::new(facts(), 0);
-    host.router.list(ListKind::Full, &[entry(0, Health::Running, host.now)]);
+    host.router.apply_list(ListKind::Full, &[entry(0, Health::Running, host.now)]);
     let first = host.take(REPLAYABLE, &[1.0]);
     let second = host.take(REPLAYABLE, &[1.0]);
     assert_eq!((host.sends(first, 0).len(), host.sends(second, 0).len()), (1, 0));
@@ -200,7 +200,7 @@
 #[test_case(PARTIAL, &[0.6, 0.4], &[0, 1], 0.0, Some(true); "whole though less would do")]
 fn answers_are_honest(use_case: usize, weights: &[f64], answered: &[usize], wait: f64, said: Option<bool>) {
     let mut given = facts();
-    given.second_copies = false;
+    given.hedging = false;
     let mut host = Host::new(given, 12);
     let id = host.take(use_case, weights);
     for index in answered {
@@ -218,7 +218,8 @@
     host.pass(600.0);
     assert_eq!(host.sends(id, 0).len(), 2, "overdue: another replica is tried");
     host.end(id, 0, 0, Outcome::Answered, 600.0);
-    let called_off = Decision::CallOff { part: PartId { of: id, index: 0 }, no: HandOffNo(1) };
+    let called_off =
+        Decision::CancelAttempt { part: PartId { multiget: id, index: 0 }, number: HandOffNo(1) };
     assert!(host.pull().contains(&called_off));
     host.end(id, 0, 1, Outcome::Answered, 100.0);
     host.pass(GOAL - 600.0);
@@ -230,12 +231,12 @@
     let mut host = Host::new(facts(), 3);
     let id = host.take(TWO_STEPS, &[1.0]);
     host.end(id, 0, 0, Outcome::Answered, 20.0);
-    assert_eq!(host.pull(), [Decision::Settle { multiget: id, whole: true, last: false }]);
+    assert_eq!(host.pull(), [Decision::Complete { multiget: id, complete: true, last: false }]);
     host.parts(id, 1, &[0.5, 0.5]);
     host.end(id, 1, 0, Outcome::Answered, 20.0);
     assert!(host.pull().is_empty());
     host.end(id, 2, 0, Outcome::Answered, 20.0);
-    assert_eq!(host.pull(), [Decision::Settle { multiget: id, whole: true, last: true }]);
+    assert_eq!(host.pull(), [Decision::Complete { multiget: id, complete: true, last: true }]);
 }
 
 #[test_case(0.0, 0.0, 0; "none allowed")]
@@ -243,7 +244,7 @@
 #[test_case(1.0, 0.1, 5; "one, and a tenth of 20 multigets and 20 parts")]
 fn further_hand_offs_stay_within_the_ration(free: f64, share: f64, most: usize) {
     let mut given = facts();
-    given.budget = Some(BudgetFacts { free, share, window: ms(10_000.0), each_shard: false });
+    given.budget = Some(RetryBudgetSettings { free, share, window: ms(10_000.0), each_shard: false });
     let mut host = Host::new(given, 3);
     let ids: Vec<MultigetId> = (0..20).map(|_| host.take(REPLAYABLE, &[1.0])).collect();
     for id in &ids {
@@ -257,11 +258,11 @@
 #[test]
 fn hand_offs_of_one_part_stay_within_the_limit() {
     let mut given = facts();
-    given.most_hand_offs = 2;
+    given.max_attempts = 2;
     let mut host = Host::new(given, 3);
     let id = host.take(REPLAYABLE, &[1.0]);
     for no in 0..2 {
-        host.end(id, 0, no, Outcome::TurnedAway, 1.0);
+        host.end(id, 0, no, Outcome::Rejected, 1.0);
         host.pull();
     }
     assert_eq!(host.sends(id, 0).len(), 2);
@@ -271,13 +272,14 @@
 fn what_is_not_known_changes_nothing() {
     let mut host = Host::new(facts(), 2);
     let id = host.take(REPLAYABLE, &[1.0]);
-    let stranger = PartId { of: MultigetId(99), index: 3 };
-    let part = PartId { of: id, index: 7 };
-    for (part, node) in [(stranger, 0), (part, 1), (PartId { of: id, index: 0 }, 9)] {
+    let stranger = PartId { multiget: MultigetId(99), index: 3 };
+    let part = PartId { multiget: id, index: 7 };
+    for (part, node) in [(stranger, 0), (part, 1), (PartId { multiget: id, index: 0 }, 9)] {
         let (outcome, report) = (Outcome::Answered, LoadReport::default());
         let (no, node) = (HandOffNo(4), NodeId(node));
-        host.router.ended(ms(host.now), &Ending { part, no, node, outcome, took: ms(1.0), report });
+        host.router
+            .attempt_ended(ms(host.now), &Ending { part, number: no, node, outcome, took: ms(1.0), report });
     }
-    host.router.lapsed(MultigetId(99));
+    host.router.client_gone(MultigetId(99));
     assert!(host.pull().is_empty());
 }
