--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -11,7 +11,7 @@
     Arrival, CustomerId, Decision, Ending, HandOffNo, Health, ListKind, LoadReport, MultigetId, Nanos,
     NodeEntry, NodeId, Outcome, PartArrival, PeerId, PlaceId, ShardId, Update, UseCaseId, ZoneId,
 };
-use fernknot_protocol::news::Tags;
+use fernknot_protocol::news::NodeTags;
 use std::collections::BTreeMap;
 
 /// Bytes that the wire lets one datagram have.
@@ -25,19 +25,19 @@
     router: Router,
     nodes: NodeNames,
     /// Short forms of the nodes' names, for datagrams.
-    tags: Tags,
+    tags: NodeTags,
     queries: QueryNames,
 }
 
 impl Instance {
     /// An instance that starts now.
     pub fn new(now: Nanos, start: InstanceStarted) -> Result<Instance, AdapterError> {
-        let settings = start.settings.site().map_err(AdapterError::Settings)?;
+        let settings = start.settings.decision_settings().map_err(AdapterError::Settings)?;
         Ok(Instance {
             number: start.instance,
             router: Router::new(start.seed, settings, now),
             nodes: NodeNames::default(),
-            tags: Tags::default(),
+            tags: NodeTags::default(),
             queries: QueryNames::default(),
         })
     }
--- a/crates/fernknot-bench-adapter/src/wire.rs
+++ b/crates/fernknot-bench-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 //! term, a rename attribute keeps the wire's.
 
 use crate::error::AdapterError;
-use fernknot_router_config::Facts;
+use fernknot_router_config::RawSettings;
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -96,7 +96,7 @@
     pub seed: u64,
     /// The settings, as the bench gives them.
     #[serde(rename = "facts")]
-    pub settings: Facts,
+    pub settings: RawSettings,
 }
 
 /// An event of which only the instance matters.
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -75,7 +75,7 @@
 ) -> Result<HttpServerSettings, ProcessError> {
     let memory_mb = settings.limits.memory_mb;
     HttpServerSettings::new(limits.max_connections, memory_mb, limits.max_config_bytes)
-        .map_err(ProcessError::Settings)
+        .map_err(|error| ProcessError::Settings(error.to_string()))
 }
 
 fn open_disk(settings: &ProcessSettings, event_loop: &EventLoop) -> Disk {
--- a/crates/fernknot-engine/benches/multiget.rs
+++ b/crates/fernknot-engine/benches/multiget.rs
@@ -2,8 +2,8 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use fernknot::interface::*;
-use fernknot_engine::{AskerId, Engine, Order};
-use fernknot_protocol::multiget::{Asked, AskedPart};
+use fernknot_engine::{Action, Engine, RequesterId};
+use fernknot_protocol::multiget::{MultigetRequest, RequestedPart};
 
 fn site() -> SiteSettings {
     let case = UseCaseSettings {
@@ -58,31 +58,31 @@
         bench.iter(|| {
             number += 1;
             now = now + Nanos(1_000_000);
-            let part = |shard| AskedPart { shard: ShardId(shard), weight: 0.1, effort: None };
-            let asked = Asked {
+            let part = |shard| RequestedPart { shard: ShardId(shard), weight: 0.1, effort: None };
+            let asked = MultigetRequest {
                 id: format!("r{number}"),
                 use_case: UseCaseId(0),
                 key: None,
-                wait: Nanos::from_millis(3000.0),
-                repeat: false,
+                timeout: Nanos::from_millis(3000.0),
+                is_retry: false,
                 text: "text".to_string(),
                 parts: (0..10).map(part).collect(),
                 second: None,
             };
-            engine.take(now, AskerId(number), now + asked.wait, asked);
+            engine.take(now, RequesterId(number), now + asked.timeout, asked);
             let (mut sent, mut answers) = (Vec::new(), 0);
             loop {
-                while let Some(order) = engine.next(now) {
+                while let Some(order) = engine.poll_action(now) {
                     match order {
-                        Order::Send { part, no, .. } => sent.push((part, no)),
-                        Order::Abandon { part, no, outcome } => {
+                        Action::Send { part, no, .. } => sent.push((part, no)),
+                        Action::Cancel { part, no, outcome } => {
                             engine.ended(now, part, no, outcome, LoadReport::default())
                         }
-                        Order::Answer { .. } => answers += 1,
+                        Action::Answer { .. } => answers += 1,
                         _ => {}
                     }
                 }
-                if sent.is_empty() && !engine.has_news() {
+                if sent.is_empty() && !engine.has_input() {
                     break;
                 }
                 now = now + Nanos(50_000);
--- a/crates/fernknot-engine/src/action.rs
+++ b/crates/fernknot-engine/src/action.rs
@@ -1,6 +1,6 @@
 //! What the host is to do, and how multigets end.
 
-use crate::multiget::{AskerId, Ended};
+use crate::multiget::{RequesterId, Stage};
 use fernknot::interface::{HandOffNo, Nanos, NodeId, Outcome, PartId, ShardId, Update};
 use fernknot_protocol::multiget::BlockState;
 
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// Parts are in: enough of them, or all that came by the end.
-    Settled {
+    Completed {
         /// Enough parts are in for a complete answer.
-        whole: bool,
+        is_complete: bool,
         /// The value of each part that is in.
         found: Vec<(ShardId, String)>,
         /// The index of each part that is in, and the attempt that answered it.
@@ -19,17 +19,17 @@
         blocks: Option<Vec<(ShardId, BlockState)>>,
     },
     /// The multiget is rejected; a retry is harmless.
-    Dismissed {
+    Rejected {
         /// The wait before a retry, where there is one.
-        wait: Option<Nanos>,
+        retry_after: Option<Nanos>,
     },
     /// The multiget failed after parts of it may have run.
-    BrokenOff,
+    Failed,
 }
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Action {
     /// Sends an attempt to a node.
     Send {
         /// The part.
@@ -40,7 +40,7 @@
         node: NodeId,
     },
     /// Stops waiting for an attempt. The host reports its end: this outcome, or that it was never sent.
-    Abandon {
+    Cancel {
         /// The part.
         part: PartId,
         /// The attempt's number among those of the part.
@@ -51,22 +51,22 @@
     /// Gives a multiget its final answer.
     Answer {
         /// Who asked.
-        asker: AskerId,
+        asker: RequesterId,
         /// The answer.
         verdict: Verdict,
         /// Where the multiget stood.
-        ended: Ended,
+        ended: Stage,
     },
     /// Asks for the list of nodes, and follows its changes.
     FollowList,
     /// Takes connections to a node out of use on which nothing has come since attempts were sent.
-    Renew {
+    RenewConnections {
         /// The node.
         node: NodeId,
     },
     /// Sends updates on nodes to the peers.
-    Tell {
+    NotifyPeers {
         /// What became of attempts, by their nodes.
-        news: Vec<(NodeId, Update)>,
+        updates: Vec<(NodeId, Update)>,
     },
 }
--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -1,17 +1,17 @@
 //! The pull loop, and the carrying out of the decision module's decisions as far as that needs no socket.
 
-use crate::action::{Order, Verdict};
+use crate::action::{Action, Verdict};
 use crate::counters::Counters;
-use crate::multiget::AskerId;
-use crate::part::{AttemptState, PartOf, PartState};
+use crate::multiget::RequesterId;
+use crate::part::{AttemptState, PartState, Phase};
 use crate::table::MultigetTable;
 use fernknot::decide::Router;
 use fernknot::interface::{
     Arrival, CustomerId, Decision, Ending, HandOffNo, ListKind, LoadReport, MultigetId, Nanos, NodeEntry,
     NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteSettings, Update, UseCaseId, UseCaseSettings,
 };
-use fernknot_protocol::multiget::{Asked, AskedPart};
-use fernknot_router_config::PhaseFacts;
+use fernknot_protocol::multiget::{MultigetRequest, RequestedPart};
+use fernknot_router_config::TwoPhaseSettings;
 use fernknot_two_phase::TwoPhasePlanner;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -40,7 +40,7 @@
     pub fn new(
         seed: u64,
         site: SiteSettings,
-        phases: &[Option<PhaseFacts>],
+        phases: &[Option<TwoPhaseSettings>],
         sketch_bytes: usize,
         now: Nanos,
     ) -> Engine {
@@ -80,7 +80,7 @@
     }
 
     /// This router's part of the retries that are free, from now on.
-    pub fn slack(&mut self, free: f64) {
+    pub fn set_free_retries(&mut self, free: f64) {
         self.decisions.set_free_attempts(free);
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Among how many routers limits are shared from now on.
-    pub fn shared_by(&mut self, now: Nanos, routers: usize) {
+    pub fn set_sharing_routers(&mut self, now: Nanos, routers: usize) {
         self.decisions.set_router_count(now, routers);
     }
 
@@ -102,10 +102,16 @@
     // ---- Inputs on multigets ---------------------------------------------------------------
 
     /// Takes a multiget whose client waits until `client_end`.
-    pub fn take(&mut self, now: Nanos, asker: AskerId, client_end: Nanos, mut asked: Asked) -> MultigetId {
+    pub fn take(
+        &mut self,
+        now: Nanos,
+        asker: RequesterId,
+        client_end: Nanos,
+        mut asked: MultigetRequest,
+    ) -> MultigetId {
         let multiget = self.table.take(asker, client_end, &mut asked);
         self.counters.multigets_taken += 1;
-        self.counters.multigets_repeated += u64::from(asked.repeat);
+        self.counters.multigets_repeated += u64::from(asked.is_retry);
         self.counters.parts_taken += asked.parts.len() as u64;
         let second = asked.second.take();
         let second = second.and_then(|second| self.begin_phases(now, multiget, &mut asked, second));
@@ -114,7 +120,7 @@
             use_case: asked.use_case,
             customer: CustomerId(0),
             client_end,
-            repeat: asked.repeat,
+            repeat: asked.is_retry,
             effort: total_effort(&asked.parts),
             second,
         };
@@ -129,7 +135,7 @@
         now: Nanos,
         of: MultigetId,
         first_index: usize,
-        parts: impl Iterator<Item = &'a AskedPart>,
+        parts: impl Iterator<Item = &'a RequestedPart>,
     ) {
         for (index, part) in parts.enumerate() {
             let part = PartArrival {
@@ -143,7 +149,7 @@
     }
 
     /// The client has gone; nothing more is owed.
-    pub fn lapsed(&mut self, now: Nanos, multiget: MultigetId) {
+    pub fn client_gone(&mut self, now: Nanos, multiget: MultigetId) {
         self.counters.lapsed += 1;
         self.has_input = true;
         self.decisions.client_gone(multiget);
@@ -155,9 +161,9 @@
     pub fn answered(&mut self, now: Nanos, part: PartId, no: HandOffNo, value: String, report: LoadReport) {
         let is_out = self.table.is_out(part, no);
         let Some(state) = self.table.part_mut(part).filter(|_| is_out) else { return };
-        let outcome = match state.of {
-            PartOf::Match => self.matched(now, part, &value),
-            PartOf::Plain | PartOf::Fetch => {
+        let outcome = match state.phase {
+            Phase::Match => self.matched(now, part, &value),
+            Phase::Plain | Phase::Fetch => {
                 state.answer(no, value);
                 Outcome::Answered
             }
@@ -167,14 +173,14 @@
 
     /// An attempt ended in any other way. How it ended first counts.
     pub fn ended(&mut self, now: Nanos, part: PartId, no: HandOffNo, outcome: Outcome, report: LoadReport) {
-        let Some(attempt) = self.table.attempt_mut(part, no).filter(|attempt| !attempt.over) else {
+        let Some(attempt) = self.table.attempt_mut(part, no).filter(|attempt| !attempt.is_over) else {
             return;
         };
-        attempt.over = true;
+        attempt.is_over = true;
         let (node, sent, stop_at) = (attempt.node, attempt.sent, attempt.stop_at);
         self.attempt_deadlines.remove(&(stop_at, part, no));
         if let Some(multiget) = self.table.get_mut(part.multiget) {
-            multiget.out -= 1;
+            multiget.in_flight -= 1;
         }
         *self.outcome_counter(outcome) += 1;
         self.endings.push_back(Ending { part, number: no, node, outcome, took: now - sent, report });
@@ -202,12 +208,12 @@
     }
 
     /// Whether there is an input that the decision module has not been asked about.
-    pub fn has_news(&self) -> bool {
+    pub fn has_input(&self) -> bool {
         self.has_input || !self.endings.is_empty()
     }
 
     /// When to pull again without an input.
-    pub fn due(&self) -> Option<Nanos> {
+    pub fn next_due(&self) -> Option<Nanos> {
         let deadline = self.attempt_deadlines.first().map(|(at, _, _)| *at);
         deadline.into_iter().chain(self.wake_at).min()
     }
@@ -215,7 +221,7 @@
     // ---- Actions ---------------------------------------------------------------------------
 
     /// The next action, until there is none.
-    pub fn next(&mut self, now: Nanos) -> Option<Order> {
+    pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         if !self.is_pulling {
             if let Some(action) = self.next_timeout(now) {
                 return Some(action);
@@ -231,10 +237,10 @@
         None
     }
 
-    fn next_timeout(&mut self, now: Nanos) -> Option<Order> {
+    fn next_timeout(&mut self, now: Nanos) -> Option<Action> {
         let (at, part, no) = self.attempt_deadlines.first().copied().filter(|(at, _, _)| *at <= now)?;
         self.attempt_deadlines.remove(&(at, part, no));
-        Some(Order::Abandon { part, no, outcome: Outcome::TimedOut })
+        Some(Action::Cancel { part, no, outcome: Outcome::TimedOut })
     }
 
     fn begin_pull(&mut self, now: Nanos) {
@@ -247,12 +253,12 @@
     }
 
     /// Carries out one decision; what is left of it for the host comes back.
-    fn carry_out(&mut self, now: Nanos, decision: Decision) -> Option<Order> {
+    fn carry_out(&mut self, now: Nanos, decision: Decision) -> Option<Action> {
         match decision {
             Decision::SendAttempt { part, node, stop_at } => self.start_attempt(now, part, node, stop_at),
             Decision::CancelAttempt { part, number: no } => {
                 self.counters.hand_offs_called_off += 1;
-                Some(Order::Abandon { part, no, outcome: Outcome::Cancelled })
+                Some(Action::Cancel { part, no, outcome: Outcome::Cancelled })
             }
             Decision::Complete { multiget, last: false, .. } => {
                 self.open_second_phase(now, multiget);
@@ -264,12 +270,12 @@
             }
             Decision::Reject { multiget, retry_after: wait } => {
                 let wait = Some(wait).filter(|wait| wait.0 > 0);
-                self.answer(now, multiget, Verdict::Dismissed { wait })
+                self.answer(now, multiget, Verdict::Rejected { retry_after: wait })
             }
-            Decision::Abort { multiget } => self.answer(now, multiget, Verdict::BrokenOff),
-            Decision::RequestList => Some(Order::FollowList),
-            Decision::RenewConnections { node } => Some(Order::Renew { node }),
-            Decision::NotifyPeers { updates: news } => Some(Order::Tell { news }),
+            Decision::Abort { multiget } => self.answer(now, multiget, Verdict::Failed),
+            Decision::RequestList => Some(Action::FollowList),
+            Decision::RenewConnections { node } => Some(Action::RenewConnections { node }),
+            Decision::NotifyPeers { updates: news } => Some(Action::NotifyPeers { updates: news }),
             Decision::Wake { after } => {
                 let at = now + after;
                 self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
@@ -278,13 +284,13 @@
         }
     }
 
-    fn start_attempt(&mut self, now: Nanos, part: PartId, node: NodeId, stop_at: Nanos) -> Option<Order> {
+    fn start_attempt(&mut self, now: Nanos, part: PartId, node: NodeId, stop_at: Nanos) -> Option<Action> {
         let multiget = self.table.get_mut(part.multiget)?;
         let stop_at = if stop_at.0 == 0 { multiget.client_end } else { stop_at.min(multiget.client_end) };
-        let attempts = &mut multiget.parts[part.index].hand_offs;
+        let attempts = &mut multiget.parts[part.index].attempts;
         let no = HandOffNo(attempts.len() as u32);
-        attempts.push(AttemptState { node, sent: now, stop_at, over: false });
-        multiget.out += 1;
+        attempts.push(AttemptState { node, sent: now, stop_at, is_over: false });
+        multiget.in_flight += 1;
         self.counters.hand_offs += 1;
         self.counters.hand_offs_further += u64::from(no.0 > 0);
         if stop_at <= now {
@@ -292,7 +298,7 @@
             return None;
         }
         self.attempt_deadlines.insert((stop_at, part, no));
-        Some(Order::Send { part, no, node })
+        Some(Action::Send { part, no, node })
     }
 
     /// The answer from the parts that are in.
@@ -305,22 +311,22 @@
         let is_found = |shard| found.iter().any(|(found, _)| *found == shard);
         let blocks =
             multiget.is_phased().then(|| self.phases.block_outcomes(id, is_found).unwrap_or_default());
-        Some(Verdict::Settled { whole, found, found_by, blocks })
+        Some(Verdict::Completed { is_complete: whole, found, found_by, blocks })
     }
 
     /// Gives the final answer, if one is still owed.
-    fn answer(&mut self, now: Nanos, multiget: MultigetId, verdict: Verdict) -> Option<Order> {
-        let state = self.table.get(multiget).filter(|state| !state.over)?;
+    fn answer(&mut self, now: Nanos, multiget: MultigetId, verdict: Verdict) -> Option<Action> {
+        let state = self.table.get(multiget).filter(|state| !state.is_over)?;
         let (asker, ended) = (state.asker, state.stage());
         if state.is_phased() {
             self.phases_answered(now, multiget, &verdict, ended);
         }
         self.table.over(multiget);
-        Some(Order::Answer { asker, verdict, ended })
+        Some(Action::Answer { asker, verdict, ended })
     }
 }
 
 /// The work of all parts; none if it is unknown for any, as a guess at the whole is one only if there is one for each.
-fn total_effort(parts: &[AskedPart]) -> Option<Nanos> {
+fn total_effort(parts: &[RequestedPart]) -> Option<Nanos> {
     parts.iter().try_fold(Nanos(0), |sum, part| Some(sum + part.effort?))
 }
--- a/crates/fernknot-engine/src/lib.rs
+++ b/crates/fernknot-engine/src/lib.rs
@@ -15,9 +15,9 @@
 mod table;
 mod two_phase;
 
-pub use action::{Order, Verdict};
+pub use action::{Action, Verdict};
 pub use counters::Counters;
 pub use engine::Engine;
-pub use multiget::{AskerId, Ended, MultigetState};
-pub use part::{AttemptState, PartOf, PartState};
+pub use multiget::{MultigetState, RequesterId, Stage};
+pub use part::{AttemptState, PartState, Phase};
 pub use table::MultigetTable;
--- a/crates/fernknot-engine/src/multiget.rs
+++ b/crates/fernknot-engine/src/multiget.rs
@@ -1,16 +1,16 @@
 //! A multiget in flight.
 
-use crate::part::{PartOf, PartState};
+use crate::part::{PartState, Phase};
 use fernknot::interface::{Nanos, ShardId};
-use fernknot_protocol::multiget::{Asked, AskedSecond};
+use fernknot_protocol::multiget::{MultigetRequest, SecondPhaseRequest};
 
 /// Who asked, as the host knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AskerId(pub u64);
+pub struct RequesterId(pub u64);
 
 /// Where a multiget stood when it got its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Stage {
     /// It has one phase.
     Plain,
     /// In the first of two phases.
@@ -27,7 +27,7 @@
     /// The client's id for it.
     pub id: String,
     /// Who asked.
-    pub asker: AskerId,
+    pub asker: RequesterId,
     /// When the client stops waiting.
     pub client_end: Nanos,
     key: Option<String>,
@@ -36,9 +36,9 @@
     /// Its parts; those of a second phase follow those of the first.
     pub parts: Vec<PartState>,
     /// Attempts whose end has not been reported.
-    pub out: usize,
+    pub in_flight: usize,
     /// It has had its final answer, or its client has gone.
-    pub over: bool,
+    pub is_over: bool,
 }
 
 /// The second of two phases.
@@ -49,9 +49,9 @@
 
 impl MultigetState {
     /// Takes over what the request asks; its text, key and id are moved out of it.
-    pub(crate) fn new(asker: AskerId, client_end: Nanos, asked: &mut Asked) -> MultigetState {
-        let of = if asked.second.is_some() { PartOf::Match } else { PartOf::Plain };
-        let second_phase = |second: &mut AskedSecond| SecondPhase {
+    pub(crate) fn new(asker: RequesterId, client_end: Nanos, asked: &mut MultigetRequest) -> MultigetState {
+        let of = if asked.second.is_some() { Phase::Match } else { Phase::Plain };
+        let second_phase = |second: &mut SecondPhaseRequest| SecondPhase {
             text: std::mem::take(&mut second.text),
             is_opened: false,
         };
@@ -63,22 +63,22 @@
             id: std::mem::take(&mut asked.id),
             asker,
             client_end,
-            out: 0,
-            over: false,
+            in_flight: 0,
+            is_over: false,
         }
     }
 
     /// What a part asks of a node.
     pub fn text(&self, part: &PartState) -> &str {
-        match (&self.second, part.of) {
-            (Some(second), PartOf::Fetch) => &second.text,
+        match (&self.second, part.phase) {
+            (Some(second), Phase::Fetch) => &second.text,
             _ => &self.text,
         }
     }
 
     /// The client's idempotency key, for parts that may change something: the first of two phases only asks.
     pub fn key(&self, part: &PartState) -> Option<&str> {
-        self.key.as_deref().filter(|_| part.of != PartOf::Match)
+        self.key.as_deref().filter(|_| part.phase != Phase::Match)
     }
 
     /// It has two phases.
@@ -93,15 +93,15 @@
 
     /// An attempt of the second phase was made.
     pub fn second_ran(&self) -> bool {
-        self.parts.iter().any(|part| part.of == PartOf::Fetch && !part.hand_offs.is_empty())
+        self.parts.iter().any(|part| part.phase == Phase::Fetch && !part.attempts.is_empty())
     }
 
     /// Where it stands.
-    pub(crate) fn stage(&self) -> Ended {
+    pub(crate) fn stage(&self) -> Stage {
         match (self.is_phased(), self.is_opened()) {
-            (false, _) => Ended::Plain,
-            (true, false) => Ended::FirstPhase,
-            (true, true) => Ended::SecondPhase { ran: self.second_ran() },
+            (false, _) => Stage::Plain,
+            (true, false) => Stage::FirstPhase,
+            (true, true) => Stage::SecondPhase { ran: self.second_ran() },
         }
     }
 
@@ -112,7 +112,7 @@
             second.is_opened = true;
         }
         let id = &self.id;
-        self.parts.extend(shards.map(|shard| PartState::new(id, shard, PartOf::Fetch)));
+        self.parts.extend(shards.map(|shard| PartState::new(id, shard, Phase::Fetch)));
         first_index
     }
 }
--- a/crates/fernknot-engine/src/part.rs
+++ b/crates/fernknot-engine/src/part.rs
@@ -11,12 +11,12 @@
     /// When it is no longer waited for.
     pub stop_at: Nanos,
     /// Its end has been reported.
-    pub over: bool,
+    pub is_over: bool,
 }
 
 /// The phase that a part belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PartOf {
+pub enum Phase {
     /// The one phase of a plain multiget.
     Plain,
     /// The first of two phases.
@@ -30,7 +30,7 @@
     /// The shard that is asked.
     pub shard: ShardId,
     /// The phase that it belongs to.
-    pub of: PartOf,
+    pub phase: Phase,
     /// Its id in frames.
     pub id: String,
     /// The value of the first answer.
@@ -38,20 +38,20 @@
     /// The attempt that gave it.
     pub answered_by: Option<HandOffNo>,
     /// Its attempts, by their numbers.
-    pub hand_offs: Vec<AttemptState>,
+    pub attempts: Vec<AttemptState>,
 }
 
 impl PartState {
     /// Guards against ids that collide: a client's id has no comma, so the id of a plain part is never that of a part of
     /// a phase, and the letter distinguishes the phases.
-    pub(crate) fn new(multiget_id: &str, shard: ShardId, of: PartOf) -> PartState {
+    pub(crate) fn new(multiget_id: &str, shard: ShardId, of: Phase) -> PartState {
         let phase = match of {
-            PartOf::Plain => "",
-            PartOf::Match => ",m",
-            PartOf::Fetch => ",f",
+            Phase::Plain => "",
+            Phase::Match => ",m",
+            Phase::Fetch => ",f",
         };
         let id = format!("{multiget_id}{phase}.{}", shard.0);
-        PartState { shard, of, id, value: None, answered_by: None, hand_offs: Vec::new() }
+        PartState { shard, phase: of, id, value: None, answered_by: None, attempts: Vec::new() }
     }
 
     /// Takes a value, if it is the first.
--- a/crates/fernknot-engine/src/table.rs
+++ b/crates/fernknot-engine/src/table.rs
@@ -1,9 +1,9 @@
 //! The table of multigets in flight, which the host and the decision module share.
 
-use crate::multiget::{AskerId, MultigetState};
+use crate::multiget::{MultigetState, RequesterId};
 use crate::part::{AttemptState, PartState};
 use fernknot::interface::{HandOffNo, MultigetId, Nanos, PartId};
-use fernknot_protocol::multiget::Asked;
+use fernknot_protocol::multiget::MultigetRequest;
 use std::collections::{HashMap, HashSet};
 
 /// The multigets of which something is still in flight or owed.
@@ -18,7 +18,12 @@
 }
 
 impl MultigetTable {
-    pub(crate) fn take(&mut self, asker: AskerId, client_end: Nanos, asked: &mut Asked) -> MultigetId {
+    pub(crate) fn take(
+        &mut self,
+        asker: RequesterId,
+        client_end: Nanos,
+        asked: &mut MultigetRequest,
+    ) -> MultigetId {
         let id = MultigetId(self.next_id);
         self.next_id += 1;
         self.owed += 1;
@@ -69,25 +74,25 @@
     }
 
     /// An attempt of a multiget in the table.
-    pub fn hand_off(&self, id: PartId, number: HandOffNo) -> Option<&AttemptState> {
-        self.part(id)?.hand_offs.get(number.0 as usize)
+    pub fn attempt(&self, id: PartId, number: HandOffNo) -> Option<&AttemptState> {
+        self.part(id)?.attempts.get(number.0 as usize)
     }
 
     pub(crate) fn attempt_mut(&mut self, id: PartId, number: HandOffNo) -> Option<&mut AttemptState> {
-        self.part_mut(id)?.hand_offs.get_mut(number.0 as usize)
+        self.part_mut(id)?.attempts.get_mut(number.0 as usize)
     }
 
     /// Whether the end of an attempt has not been reported.
     pub fn is_out(&self, part: PartId, number: HandOffNo) -> bool {
-        self.hand_off(part, number).is_some_and(|attempt| !attempt.over)
+        self.attempt(part, number).is_some_and(|attempt| !attempt.is_over)
     }
 
     /// Marks the multiget as answered; true if that was still owed.
     pub(crate) fn over(&mut self, id: MultigetId) -> bool {
-        let Some(multiget) = self.multigets.get_mut(&id).filter(|multiget| !multiget.over) else {
+        let Some(multiget) = self.multigets.get_mut(&id).filter(|multiget| !multiget.is_over) else {
             return false;
         };
-        multiget.over = true;
+        multiget.is_over = true;
         self.open.remove(&multiget.id);
         self.owed -= 1;
         self.forget(id);
@@ -96,7 +101,7 @@
 
     /// Removes a multiget that nothing can refer to any more.
     pub(crate) fn forget(&mut self, id: MultigetId) {
-        if self.multigets.get(&id).is_some_and(|multiget| multiget.over && multiget.out == 0) {
+        if self.multigets.get(&id).is_some_and(|multiget| multiget.is_over && multiget.in_flight == 0) {
             self.multigets.remove(&id);
         }
     }
--- a/crates/fernknot-engine/src/two_phase.rs
+++ b/crates/fernknot-engine/src/two_phase.rs
@@ -3,10 +3,10 @@
 use crate::action::Verdict;
 use crate::counters::Counters;
 use crate::engine::Engine;
-use crate::multiget::Ended;
+use crate::multiget::Stage;
 use fernknot::interface::{MultigetId, Nanos, Outcome, PartId, SecondPhaseEstimate, ShardId};
 use fernknot_protocol::matches;
-use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, BlockState};
+use fernknot_protocol::multiget::{BlockState, MultigetRequest, RequestedPart, SecondPhaseRequest};
 use fernknot_two_phase::{CandidateBlock, TwoPhaseQuery, term_fingerprint};
 use std::collections::HashMap;
 
@@ -16,15 +16,18 @@
         &mut self,
         now: Nanos,
         id: MultigetId,
-        asked: &mut Asked,
-        second: AskedSecond,
+        asked: &mut MultigetRequest,
+        second: SecondPhaseRequest,
     ) -> Option<SecondPhaseEstimate> {
         self.counters.phased_taken += 1;
-        let candidate =
-            |part: AskedPart| CandidateBlock { shard: part.shard, weight: part.weight, effort: part.effort };
+        let candidate = |part: RequestedPart| CandidateBlock {
+            shard: part.shard,
+            weight: part.weight,
+            effort: part.effort,
+        };
         let query = TwoPhaseQuery {
             use_case: asked.use_case,
-            client_timeout: asked.wait,
+            client_timeout: asked.timeout,
             first_phase_blocks: asked.parts.iter().map(|part| part.shard).collect(),
             candidates: second.parts.into_iter().map(candidate).collect(),
             terms: second.terms.iter().map(|term| term_fingerprint(term)).collect(),
@@ -70,19 +73,19 @@
         let first_index = multiget.open(fetch.blocks.iter().map(|block| block.shard));
         self.counters.phased_opened += 1;
         self.decisions.begin_second_phase(id, fetch.step);
-        let part = |block: CandidateBlock| AskedPart {
+        let part = |block: CandidateBlock| RequestedPart {
             shard: block.shard,
             weight: block.weight,
             effort: block.effort,
         };
-        let parts: Vec<AskedPart> = fetch.blocks.into_iter().map(part).collect();
+        let parts: Vec<RequestedPart> = fetch.blocks.into_iter().map(part).collect();
         self.take_parts(now, id, first_index, parts.iter());
     }
 
     /// The client of a multiget has gone.
     pub(crate) fn phases_lapsed(&mut self, now: Nanos, id: MultigetId) {
         let Some(multiget) = self.table.get(id) else { return };
-        if !multiget.is_phased() || multiget.over {
+        if !multiget.is_phased() || multiget.is_over {
             return;
         }
         match multiget.is_opened() {
@@ -93,24 +96,24 @@
     }
 
     /// A query in two phases has its final answer.
-    pub(crate) fn phases_answered(&mut self, now: Nanos, id: MultigetId, verdict: &Verdict, ended: Ended) {
+    pub(crate) fn phases_answered(&mut self, now: Nanos, id: MultigetId, verdict: &Verdict, ended: Stage) {
         count(&mut self.counters, verdict, ended);
-        self.phases.finish(now, id, ended == Ended::SecondPhase { ran: true });
+        self.phases.finish(now, id, ended == Stage::SecondPhase { ran: true });
     }
 }
 
 /// Counts the final answer to a query in two phases.
-fn count(counters: &mut Counters, verdict: &Verdict, ended: Ended) {
+fn count(counters: &mut Counters, verdict: &Verdict, ended: Stage) {
     match (verdict, ended) {
-        (Verdict::Settled { whole, blocks, .. }, _) => {
+        (Verdict::Completed { is_complete: whole, blocks, .. }, _) => {
             blocks.iter().flatten().for_each(|(_, state)| count_block(counters, *state));
             match whole {
                 true => counters.phased_whole += 1,
                 false => counters.phased_in_part += 1,
             }
         }
-        (_, Ended::SecondPhase { ran: false }) => counters.second_phase_refused += 1,
-        (_, Ended::SecondPhase { ran: true }) => counters.second_phase_failed += 1,
+        (_, Stage::SecondPhase { ran: false }) => counters.second_phase_refused += 1,
+        (_, Stage::SecondPhase { ran: true }) => counters.second_phase_failed += 1,
         _ => counters.first_phase_refused += 1,
     }
 }
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -2,9 +2,9 @@
 #![allow(dead_code)]
 
 use fernknot::interface::*;
-use fernknot_engine::{AskerId, Ended, Engine, Order, PartOf, Verdict};
-use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond, BlockState};
-use fernknot_router_config::{PhaseFacts, Silent, Split};
+use fernknot_engine::{Action, Engine, Phase, RequesterId, Stage, Verdict};
+use fernknot_protocol::multiget::{BlockState, MultigetRequest, RequestedPart, SecondPhaseRequest};
+use fernknot_router_config::{LatencySplit, TwoPhaseSettings, UnansweredBlock};
 
 pub const GOAL: f64 = 1000.0;
 pub const HARD: f64 = 3000.0;
@@ -59,17 +59,17 @@
     }
 }
 
-pub fn phases() -> PhaseFacts {
-    PhaseFacts {
-        goal: ms(GOAL),
-        first_least: 0.1,
-        first_most: 0.95,
-        silent: Silent::Fetch,
+pub fn phases() -> TwoPhaseSettings {
+    TwoPhaseSettings {
+        latency_target: ms(GOAL),
+        min_first_phase_share: 0.1,
+        max_first_phase_share: 0.95,
+        unanswered_block: UnansweredBlock::Fetch,
         names_others: false,
-        least: 0.5,
-        split: Split::Learned,
-        refuses: true,
-        prunes: true,
+        min_match_share: 0.5,
+        split: LatencySplit::Learned,
+        rejects_late_second_phase: true,
+        prunes_unmatched: true,
     }
 }
 
@@ -82,7 +82,7 @@
     pub node: NodeId,
     pub id: String,
     pub shard: u32,
-    pub of: PartOf,
+    pub of: Phase,
     pub over: bool,
     /// How it ended, once it has.
     pub outcome: Option<Outcome>,
@@ -97,7 +97,7 @@
     pub at: f64,
     pub asker: u64,
     pub verdict: Verdict,
-    pub ended: Ended,
+    pub ended: Stage,
 }
 
 pub struct Host {
@@ -112,7 +112,7 @@
 }
 
 impl Host {
-    pub fn new(site: SiteSettings, phases: PhaseFacts, nodes_a_place: u32) -> Host {
+    pub fn new(site: SiteSettings, phases: TwoPhaseSettings, nodes_a_place: u32) -> Host {
         let now = 1_000_000.0;
         let given = [Some(phases.clone()), Some(phases), None];
         let mut engine = Engine::new(7, site, &given, 100_000, ms(now));
@@ -137,13 +137,13 @@
     }
 
     pub fn ask_for(&mut self, use_case: usize, shards: &[u32], terms: &[&str], stays: f64) -> u64 {
-        let part = |shard: &u32| AskedPart {
+        let part = |shard: &u32| RequestedPart {
             shard: ShardId(*shard),
             weight: 1.0 / shards.len() as f64,
             effort: None,
         };
-        let parts: Vec<AskedPart> = shards.iter().map(part).collect();
-        let second = AskedSecond {
+        let parts: Vec<RequestedPart> = shards.iter().map(part).collect();
+        let second = SecondPhaseRequest {
             text: "fetch".to_string(),
             parts: parts.clone(),
             terms: terms.iter().map(|term| term.to_string()).collect(),
@@ -153,7 +153,7 @@
 
     /// Asks for these blocks in one phase.
     pub fn ask_plain(&mut self, use_case: usize, shards: &[u32]) -> u64 {
-        let part = |shard: &u32| AskedPart {
+        let part = |shard: &u32| RequestedPart {
             shard: ShardId(*shard),
             weight: 1.0 / shards.len() as f64,
             effort: None,
@@ -182,24 +182,24 @@
     fn take(
         &mut self,
         use_case: usize,
-        parts: Vec<AskedPart>,
-        second: Option<AskedSecond>,
+        parts: Vec<RequestedPart>,
+        second: Option<SecondPhaseRequest>,
         stays: f64,
     ) -> u64 {
         let number = self.asked;
         self.use_cases.push(use_case);
         self.asked += 1;
-        let asked = Asked {
+        let asked = MultigetRequest {
             id: format!("q{number}"),
             use_case: UseCaseId(use_case),
             key: None,
-            wait: ms(stays),
-            repeat: false,
+            timeout: ms(stays),
+            is_retry: false,
             text: "match".to_string(),
             parts,
             second,
         };
-        let id = self.engine.take(ms(self.now), AskerId(number), ms(self.now + stays), asked);
+        let id = self.engine.take(ms(self.now), RequesterId(number), ms(self.now + stays), asked);
         self.owners.insert(id, number);
         self.pull();
         number
@@ -208,15 +208,15 @@
     pub fn lapse(&mut self, asker: u64) {
         let id = self.owners.iter().find(|(_, owner)| **owner == asker).map(|(id, _)| *id).unwrap();
         self.gone.push(asker);
-        self.engine.lapsed(ms(self.now), id);
+        self.engine.client_gone(ms(self.now), id);
         self.pull();
     }
 
     pub fn pull(&mut self) {
         loop {
-            while let Some(order) = self.engine.next(ms(self.now)) {
+            while let Some(order) = self.engine.poll_action(ms(self.now)) {
                 match order {
-                    Order::Send { part, no, node } => {
+                    Action::Send { part, no, node } => {
                         let state = self.engine.table.part(part).unwrap();
                         let asker = self.owners[&part.multiget];
                         let proof = [Outcome::Rejected, Outcome::Unreachable, Outcome::NeverSent];
@@ -234,19 +234,19 @@
                             node,
                             id: state.id.clone(),
                             shard: state.shard.0,
-                            of: state.of,
+                            of: state.phase,
                             over: false,
                         };
                         self.sent.push(sent);
                     }
-                    Order::Abandon { part, no, outcome } => self.end_hand_off(part, no, outcome),
-                    Order::Answer { asker, verdict, ended } => {
+                    Action::Cancel { part, no, outcome } => self.end_hand_off(part, no, outcome),
+                    Action::Answer { asker, verdict, ended } => {
                         self.finals.push(Final { at: self.now, asker: asker.0, verdict, ended });
                     }
                     _ => {}
                 }
             }
-            if !self.engine.has_news() {
+            if !self.engine.has_input() {
                 return;
             }
         }
@@ -267,7 +267,7 @@
     /// Lets time pass, pulling whenever the engine wants to be.
     pub fn pass(&mut self, millis: f64) {
         let end = self.now + millis;
-        while let Some(due) = self.engine.due().map(Nanos::as_millis).filter(|due| *due < end) {
+        while let Some(due) = self.engine.next_due().map(Nanos::as_millis).filter(|due| *due < end) {
             self.now = due.max(self.now + 0.001);
             self.pull();
         }
@@ -276,7 +276,7 @@
     }
 
     /// What is out of a query's phase, by shard.
-    pub fn out(&self, asker: u64, of: PartOf) -> Vec<Sent> {
+    pub fn out(&self, asker: u64, of: Phase) -> Vec<Sent> {
         let own = |sent: &&Sent| sent.asker == asker && sent.of == of && !sent.over;
         let mut out: Vec<Sent> = self.sent.iter().filter(own).cloned().collect();
         out.sort_by_key(|sent| (sent.shard, sent.no));
@@ -284,12 +284,12 @@
     }
 
     /// All that was ever sent of a query's phase.
-    pub fn all(&self, asker: u64, of: PartOf) -> Vec<Sent> {
+    pub fn all(&self, asker: u64, of: Phase) -> Vec<Sent> {
         self.sent.iter().filter(|sent| sent.asker == asker && sent.of == of).cloned().collect()
     }
 
     /// The first hand-off that is out for a shard answers.
-    pub fn answer(&mut self, asker: u64, of: PartOf, shard: u32, value: &str) {
+    pub fn answer(&mut self, asker: u64, of: Phase, shard: u32, value: &str) {
         let sent = self.out(asker, of).into_iter().find(|sent| sent.shard == shard).unwrap();
         self.answer_sent(&sent, value);
     }
@@ -302,7 +302,7 @@
         self.pull();
     }
 
-    pub fn fail(&mut self, asker: u64, of: PartOf, shard: u32, outcome: Outcome) {
+    pub fn fail(&mut self, asker: u64, of: Phase, shard: u32, outcome: Outcome) {
         let sent = self.out(asker, of).into_iter().find(|sent| sent.shard == shard).unwrap();
         self.end_hand_off(sent.part, sent.no, outcome);
         self.pull();
@@ -316,7 +316,7 @@
             } else {
                 r#"{"blocks":[]}"#.to_string()
             };
-            self.answer(asker, PartOf::Match, *shard, &value);
+            self.answer(asker, Phase::Match, *shard, &value);
         }
     }
 
@@ -327,7 +327,7 @@
     /// What the final answer says of each block, in order.
     pub fn said(&self, asker: u64) -> Vec<(u32, BlockState)> {
         match self.final_of(asker).map(|given| &given.verdict) {
-            Some(Verdict::Settled { blocks: Some(blocks), .. }) => {
+            Some(Verdict::Completed { blocks: Some(blocks), .. }) => {
                 blocks.iter().map(|(shard, said)| (shard.0, *said)).collect()
             }
             other => panic!("no account of blocks: {other:?}"),
@@ -340,12 +340,12 @@
             let asker = self.ask(REPLAYABLE, shards);
             self.pass(first);
             // All but the first part of a query may wait for it, where nodes have just broken.
-            while !self.out(asker, PartOf::Match).is_empty() {
-                let out: Vec<u32> = self.out(asker, PartOf::Match).iter().map(|sent| sent.shard).collect();
+            while !self.out(asker, Phase::Match).is_empty() {
+                let out: Vec<u32> = self.out(asker, Phase::Match).iter().map(|sent| sent.shard).collect();
                 self.say(asker, &out, &out);
             }
             self.pass(second);
-            for sent in self.out(asker, PartOf::Fetch) {
+            for sent in self.out(asker, Phase::Fetch) {
                 self.answer_sent(&sent, "value");
             }
             assert!(self.final_of(asker).is_some(), "a query of the warm-up is served");
@@ -358,9 +358,9 @@
 }
 
 pub fn is_whole(given: &Final) -> bool {
-    matches!(given.verdict, Verdict::Settled { whole: true, .. })
+    matches!(given.verdict, Verdict::Completed { is_complete: true, .. })
 }
 
 pub fn is_dismissed(given: &Final) -> bool {
-    matches!(given.verdict, Verdict::Dismissed { wait: Some(_) })
+    matches!(given.verdict, Verdict::Rejected { retry_after: Some(_) })
 }
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use fernknot::interface::*;
-use fernknot_engine::{PartOf, Verdict};
+use fernknot_engine::{Phase, Verdict};
 use fernknot_protocol::multiget::BlockState;
-use fernknot_router_config::{PhaseFacts, Silent};
+use fernknot_router_config::{TwoPhaseSettings, UnansweredBlock};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -50,12 +50,16 @@
     ]
 }
 
-fn facts() -> impl Strategy<Value = PhaseFacts> {
-    let silent = prop_oneof![Just(Silent::Fetch), Just(Silent::Leave), Just(Silent::Refuse)];
-    (silent, any::<bool>(), 0.3..1.0).prop_map(|(silent, names_others, least)| PhaseFacts {
-        silent,
+fn facts() -> impl Strategy<Value = TwoPhaseSettings> {
+    let silent = prop_oneof![
+        Just(UnansweredBlock::Fetch),
+        Just(UnansweredBlock::Leave),
+        Just(UnansweredBlock::Refuse)
+    ];
+    (silent, any::<bool>(), 0.3..1.0).prop_map(|(silent, names_others, least)| TwoPhaseSettings {
+        unanswered_block: silent,
         names_others,
-        least,
+        min_match_share: least,
         ..phases()
     })
 }
@@ -74,10 +78,10 @@
             .engine
             .table
             .get(sent.part.multiget)
-            .is_none_or(|multiget| multiget.is_opened() || multiget.over);
+            .is_none_or(|multiget| multiget.is_opened() || multiget.is_over);
         let sound = VALUES[value].contains("\"blocks\":[#]") || VALUES[value].contains("\"blocks\":[]");
         let same = VALUES[value].contains("same");
-        if sent.of == PartOf::Match && !open && (sound || same) {
+        if sent.of == Phase::Match && !open && (sound || same) {
             let names = VALUES[value].contains('#');
             self.names_itself.entry((sent.asker, sent.shard)).or_insert(names);
         }
@@ -97,7 +101,7 @@
                 let sent = host.sent[out[which % out.len()]].clone();
                 seen.note(host, &sent, *value);
                 let value = match sent.of {
-                    PartOf::Match => VALUES[*value].replace('#', &sent.shard.to_string()),
+                    Phase::Match => VALUES[*value].replace('#', &sent.shard.to_string()),
                     _ => "value".to_string(),
                 };
                 host.answer_sent(&sent, &value);
@@ -138,7 +142,7 @@
     }
     assert!(host.sent.iter().all(|sent| !sent.too_late));
     // Rule 2: a fetch of a single-use use case goes out again only where nothing of it may have run.
-    let single: Vec<_> = host.sent.iter().filter(|sent| sent.of == PartOf::Fetch).collect();
+    let single: Vec<_> = host.sent.iter().filter(|sent| sent.of == Phase::Fetch).collect();
     for sent in single {
         let verdict = host.final_of(sent.asker).map(|given| &given.verdict);
         let use_case = host.use_case_of(sent.asker);
@@ -146,12 +150,15 @@
         let ran = sent
             .outcome
             .is_none_or(|how| !matches!(how, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent));
-        let dismissed = matches!(verdict, Some(Verdict::Dismissed { .. }));
+        let dismissed = matches!(verdict, Some(Verdict::Rejected { .. }));
         assert!(use_case != SINGLE_USE || !ran || !dismissed, "dismissed though it may have run: {sent:?}");
     }
     // Rule 5: whole only if every block is fetched or ruled out; a value for each that is said fetched.
     for given in &host.finals {
-        let Verdict::Settled { whole, found, blocks: Some(blocks), .. } = &given.verdict else { continue };
+        let Verdict::Completed { is_complete: whole, found, blocks: Some(blocks), .. } = &given.verdict
+        else {
+            continue;
+        };
         let fetched: Vec<ShardId> =
             blocks.iter().filter(|(_, said)| *said == BlockState::Fetched).map(|(shard, _)| *shard).collect();
         let mut values: Vec<ShardId> = found.iter().map(|(shard, _)| *shard).collect();
@@ -170,7 +177,7 @@
         let done = blocks.iter().all(|(_, said)| matches!(said, BlockState::Fetched | BlockState::Pruned));
         assert!(!whole || done, "{given:?}");
         // No part of a phase that was never opened, and none for what was ruled out.
-        for sent in host.all(given.asker, PartOf::Fetch) {
+        for sent in host.all(given.asker, Phase::Fetch) {
             let said = blocks.iter().find(|(shard, _)| shard.0 == sent.shard).map(|(_, said)| *said);
             assert!(matches!(said, Some(BlockState::Fetched | BlockState::Missing)), "{sent:?} {given:?}");
         }
--- a/crates/fernknot-engine/tests/plain.rs
+++ b/crates/fernknot-engine/tests/plain.rs
@@ -4,17 +4,17 @@
 
 use common::*;
 use fernknot::interface::*;
-use fernknot_engine::{PartOf, Verdict};
+use fernknot_engine::{Phase, Verdict};
 
 #[test]
 fn given_a_host_that_keeps_values_when_a_query_is_complete_then_it_learns_whose_answers_count() {
     let mut host = Host::new(site(), phases(), 3);
     let asker = host.ask(PLAIN, &[0, 1, 2]);
-    host.answer(asker, PartOf::Plain, 2, "");
-    host.fail(asker, PartOf::Plain, 0, Outcome::Rejected);
-    host.answer(asker, PartOf::Plain, 0, "");
+    host.answer(asker, Phase::Plain, 2, "");
+    host.fail(asker, Phase::Plain, 0, Outcome::Rejected);
+    host.answer(asker, Phase::Plain, 0, "");
     host.pass(GOAL);
-    let Some(Verdict::Settled { whole: false, found, found_by, .. }) =
+    let Some(Verdict::Completed { is_complete: false, found, found_by, .. }) =
         host.final_of(asker).map(|given| &given.verdict)
     else {
         panic!("two of three parts are enough");
@@ -37,14 +37,14 @@
     let tries = |host: &mut Host| {
         let asker = host.ask_plain(3, &[0]);
         for _ in 0..3 {
-            if !host.out(asker, PartOf::Plain).is_empty() {
-                host.fail(asker, PartOf::Plain, 0, Outcome::Rejected);
+            if !host.out(asker, Phase::Plain).is_empty() {
+                host.fail(asker, Phase::Plain, 0, Outcome::Rejected);
             }
         }
-        host.all(asker, PartOf::Plain).len()
+        host.all(asker, Phase::Plain).len()
     };
     assert_eq!(tries(&mut host), 1, "nothing is free");
-    host.engine.slack(5.0);
+    host.engine.set_free_retries(5.0);
     assert_eq!(tries(&mut host), 2, "its own limit");
     host.engine.retire(UseCaseId(3));
     let facts = UseCaseSettings { max_attempts: Some(1), ..facts };
--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -6,10 +6,10 @@
     HandOffNo, Health, ListKind, LoadReport, MultigetId, Nanos, NodeEntry, NodeId, Outcome, PartId, PlaceId,
     ShardId, SiteSettings,
 };
-use fernknot_engine::{AskerId, Ended, Engine, Order, PartOf, Verdict};
-use fernknot_protocol::matches::{self, Match, Names};
-use fernknot_protocol::multiget::Asked;
-use fernknot_router_config::PhaseFacts;
+use fernknot_engine::{Action, Engine, Phase, RequesterId, Stage, Verdict};
+use fernknot_protocol::matches::{self, MatchAnswer, MatchedBlocks};
+use fernknot_protocol::multiget::MultigetRequest;
+use fernknot_router_config::TwoPhaseSettings;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -53,7 +53,7 @@
     /// When the client sends it.
     pub at: Nanos,
     /// The query as the engine gets it.
-    pub asked: Asked,
+    pub asked: MultigetRequest,
     /// The blocks that truly match.
     pub matches: Vec<ShardId>,
 }
@@ -66,7 +66,7 @@
     /// `None` where the client's time-out came first.
     pub verdict: Option<Verdict>,
     /// How far the query had come.
-    pub stage: Ended,
+    pub stage: Stage,
 }
 
 /// What happened to a query, and the attempts that were sent for it.
@@ -100,7 +100,7 @@
     /// The settings of the engine.
     pub site: SiteSettings,
     /// By use case.
-    pub phases: Vec<Option<PhaseFacts>>,
+    pub phases: Vec<Option<TwoPhaseSettings>>,
     /// Stores at each of the site's places.
     pub stores_per_place: usize,
     /// How stores behave.
@@ -215,8 +215,8 @@
 
     fn arrive(&mut self, query: usize) {
         let asked = self.queries[query].asked.clone();
-        let client_end = self.now + asked.wait;
-        let multiget = self.engine.take(self.now, AskerId(query as u64), client_end, asked);
+        let client_end = self.now + asked.timeout;
+        let multiget = self.engine.take(self.now, RequesterId(query as u64), client_end, asked);
         self.query_of.insert(multiget, query);
         self.multiget_of[query] = Some(multiget);
         self.schedule(client_end, Event::ClientTimeout { query });
@@ -229,17 +229,17 @@
         let state = self.engine.table.get(multiget);
         let ran = state.is_some_and(|state| state.second_ran());
         let is_opened = state.is_some_and(|state| state.is_opened());
-        let stage = if is_opened { Ended::SecondPhase { ran } } else { Ended::FirstPhase };
+        let stage = if is_opened { Stage::SecondPhase { ran } } else { Stage::FirstPhase };
         let took = self.now - self.queries[query].at;
         self.records[query].end = Some(QueryEnd { took, verdict: None, stage });
-        self.engine.lapsed(self.now, multiget);
+        self.engine.client_gone(self.now, multiget);
     }
 
     // ---- Stores ----------------------------------------------------------------------------
 
     fn receive_part(&mut self, attempt: Attempt) {
         let part = self.engine.table.part(attempt.part);
-        let is_fetch = part.is_some_and(|part| part.of != PartOf::Match);
+        let is_fetch = part.is_some_and(|part| part.phase != Phase::Match);
         let work = self.script.draw_work(&mut self.rng, is_fetch);
         let job = Job { part: attempt.part, attempt: attempt.number, work };
         if self.store(attempt.node).enqueue(job) {
@@ -273,9 +273,9 @@
             return self.engine.ended(self.now, part, number, Outcome::Rejected, report);
         }
         let Some(state) = self.engine.table.part(part) else { return };
-        let value = match state.of {
-            PartOf::Match => self.match_value(part.multiget, state.shard),
-            PartOf::Plain | PartOf::Fetch => "value".to_string(),
+        let value = match state.phase {
+            Phase::Match => self.match_value(part.multiget, state.shard),
+            Phase::Plain | Phase::Fetch => "value".to_string(),
         };
         self.engine.answered(self.now, part, number, value, report);
     }
@@ -284,37 +284,37 @@
     fn match_value(&self, multiget: MultigetId, shard: ShardId) -> String {
         let query = self.query_of.get(&multiget);
         let is_match = query.is_some_and(|query| self.queries[*query].matches.contains(&shard));
-        let names = Names::Blocks(is_match.then_some(shard).into_iter().collect());
-        matches::write(&Match { names, sketch: None })
+        let names = MatchedBlocks::Blocks(is_match.then_some(shard).into_iter().collect());
+        matches::write(&MatchAnswer { names, sketch: None })
     }
 
     fn poll_engine(&mut self) {
         loop {
-            while let Some(order) = self.engine.next(self.now) {
+            while let Some(order) = self.engine.poll_action(self.now) {
                 self.act(order);
             }
-            if !self.engine.has_news() {
+            if !self.engine.has_input() {
                 break;
             }
         }
-        if let Some(due) = self.engine.due().filter(|due| self.wake_at.is_none_or(|set| *due < set)) {
+        if let Some(due) = self.engine.next_due().filter(|due| self.wake_at.is_none_or(|set| *due < set)) {
             self.wake_at = Some(due);
             self.schedule(due.max(self.now), Event::Wake);
         }
     }
 
-    fn act(&mut self, order: Order) {
+    fn act(&mut self, order: Action) {
         match order {
-            Order::Send { part, no, node } => self.send_part(Attempt { node, part, number: no }),
-            Order::Abandon { part, no, outcome } => self.abandon(part, no, outcome),
-            Order::Answer { asker, verdict, ended } => self.record_answer(asker, verdict, ended),
-            Order::FollowList | Order::Renew { .. } | Order::Tell { .. } => {}
+            Action::Send { part, no, node } => self.send_part(Attempt { node, part, number: no }),
+            Action::Cancel { part, no, outcome } => self.abandon(part, no, outcome),
+            Action::Answer { asker, verdict, ended } => self.record_answer(asker, verdict, ended),
+            Action::FollowList | Action::RenewConnections { .. } | Action::NotifyPeers { .. } => {}
         }
     }
 
     fn send_part(&mut self, attempt: Attempt) {
         let part = self.engine.table.part(attempt.part);
-        let is_fetch = part.is_some_and(|part| part.of == PartOf::Fetch);
+        let is_fetch = part.is_some_and(|part| part.phase == Phase::Fetch);
         if let Some(query) = self.query_of.get(&attempt.part.multiget) {
             let record = &mut self.records[*query];
             record.parts_after_end += u64::from(record.end.is_some());
@@ -326,14 +326,14 @@
     }
 
     fn abandon(&mut self, part: PartId, number: HandOffNo, outcome: Outcome) {
-        let node = self.engine.table.hand_off(part, number).map(|attempt| attempt.node);
+        let node = self.engine.table.attempt(part, number).map(|attempt| attempt.node);
         self.engine.ended(self.now, part, number, outcome, LoadReport::default());
         if let Some(node) = node {
             self.schedule_after_hop(Event::CancelReceived(Attempt { node, part, number }));
         }
     }
 
-    fn record_answer(&mut self, asker: AskerId, verdict: Verdict, stage: Ended) {
+    fn record_answer(&mut self, asker: RequesterId, verdict: Verdict, stage: Stage) {
         let query = asker.0 as usize;
         let took = self.now - self.queries[query].at;
         let record = &mut self.records[query];
--- a/crates/fernknot-experiments/src/two_phase/figures.rs
+++ b/crates/fernknot-experiments/src/two_phase/figures.rs
@@ -4,7 +4,7 @@
 use super::workload::{BLOCKS_PER_QUERY, LOADS, TARGET_MS};
 use crate::engine_simulation::{EngineSimulation, QueryEnd, QueryRecord};
 use crate::report::rounded;
-use fernknot_engine::{Ended, Verdict};
+use fernknot_engine::{Stage, Verdict};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
@@ -133,7 +133,7 @@
         match &record.end {
             None => self.violations += 1,
             Some(end) => match &end.verdict {
-                Some(Verdict::Settled { .. }) => self.add_answer(end),
+                Some(Verdict::Completed { .. }) => self.add_answer(end),
                 _ => self.add_failure(record, end),
             },
         }
@@ -147,13 +147,13 @@
     }
 
     fn add_failure(&mut self, record: &QueryRecord, end: &QueryEnd) {
-        let second_phase_ran = end.stage == Ended::SecondPhase { ran: true };
+        let second_phase_ran = end.stage == Stage::SecondPhase { ran: true };
         self.late += u64::from(second_phase_ran && end.took.as_millis() > TARGET_MS / 2.0);
         let count = match end.stage {
             _ if record.first_phase_parts == 0 => &mut self.rejected,
-            Ended::SecondPhase { ran: true } => &mut self.second_failed,
-            Ended::SecondPhase { ran: false } => &mut self.second_rejected,
-            Ended::FirstPhase | Ended::Plain => &mut self.first_failed,
+            Stage::SecondPhase { ran: true } => &mut self.second_failed,
+            Stage::SecondPhase { ran: false } => &mut self.second_rejected,
+            Stage::FirstPhase | Stage::Plain => &mut self.first_failed,
         };
         *count += 1;
     }
--- a/crates/fernknot-experiments/src/two_phase/workload.rs
+++ b/crates/fernknot-experiments/src/two_phase/workload.rs
@@ -6,8 +6,8 @@
 use fernknot::interface::{
     Effect, Nanos, ShardId, SiteSettings, SlowStartSettings, UseCaseId, UseCaseSettings,
 };
-use fernknot_protocol::multiget::{Asked, AskedPart, AskedSecond};
-use fernknot_router_config::{PhaseFacts, Silent, Split};
+use fernknot_protocol::multiget::{MultigetRequest, RequestedPart, SecondPhaseRequest};
+use fernknot_router_config::{LatencySplit, TwoPhaseSettings, UnansweredBlock};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -43,17 +43,17 @@
     pub end: Nanos,
 }
 
-pub(super) fn phase_settings(variant: Variant) -> PhaseFacts {
-    PhaseFacts {
-        goal: Nanos::from_millis(TARGET_MS),
-        first_least: 0.1,
-        first_most: 0.9,
-        silent: Silent::Fetch,
+pub(super) fn phase_settings(variant: Variant) -> TwoPhaseSettings {
+    TwoPhaseSettings {
+        latency_target: Nanos::from_millis(TARGET_MS),
+        min_first_phase_share: 0.1,
+        max_first_phase_share: 0.9,
+        unanswered_block: UnansweredBlock::Fetch,
         names_others: false,
-        least: 0.75,
-        split: if variant == Variant::FixedSplit { Split::Half } else { Split::Learned },
-        refuses: variant != Variant::WithoutRejection,
-        prunes: variant != Variant::WithoutPruning,
+        min_match_share: 0.75,
+        split: if variant == Variant::FixedSplit { LatencySplit::Half } else { LatencySplit::Learned },
+        rejects_late_second_phase: variant != Variant::WithoutRejection,
+        prunes_unmatched: variant != Variant::WithoutPruning,
     }
 }
 
@@ -146,13 +146,14 @@
     let match_share = if rng.random_bool(NARROW_QUERY_SHARE) { NARROW_MATCH_SHARE } else { WIDE_MATCH_SHARE };
     let matching = shards.iter().filter(|_| rng.random_bool(match_share));
     let matches = matching.map(|shard| ShardId(*shard)).collect();
-    let second = AskedSecond { text: String::new(), parts: parts(shards, FETCH_MS), terms: Vec::new() };
-    let asked = Asked {
+    let second =
+        SecondPhaseRequest { text: String::new(), parts: parts(shards, FETCH_MS), terms: Vec::new() };
+    let asked = MultigetRequest {
         id: format!("q{number}"),
         use_case: UseCaseId(0),
         key: None,
-        wait: Nanos::from_millis(CLIENT_TIMEOUT_MS),
-        repeat: false,
+        timeout: Nanos::from_millis(CLIENT_TIMEOUT_MS),
+        is_retry: false,
         text: String::new(),
         parts: parts(shards, MATCH_MS),
         second: Some(second),
@@ -160,8 +161,8 @@
     PlannedQuery { at, asked, matches }
 }
 
-fn parts(shards: &[u32], effort_ms: f64) -> Vec<AskedPart> {
-    let part = |shard: &u32| AskedPart {
+fn parts(shards: &[u32], effort_ms: f64) -> Vec<RequestedPart> {
+    let part = |shard: &u32| RequestedPart {
         shard: ShardId(*shard),
         weight: 1.0 / BLOCKS_PER_QUERY as f64,
         effort: Some(Nanos::from_millis(effort_ms)),
--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -8,10 +8,10 @@
 use crate::routing::RoutedRequest;
 use crate::seeded_bug::SeededBug;
 use fernknot::interface::*;
-use fernknot_engine::{AskerId, Verdict};
+use fernknot_engine::{RequesterId, Verdict};
 use fernknot_net::{ConnectionId, Network};
 use fernknot_protocol::http::Response;
-use fernknot_protocol::multiget::Asked;
+use fernknot_protocol::multiget::MultigetRequest;
 use fernknot_router_config::Limits;
 use fernknot_telemetry::part;
 
@@ -75,16 +75,16 @@
         now: Nanos,
         client: ConnectionId,
         routed: RoutedRequest,
-    ) -> Option<AskerId> {
+    ) -> Option<RequesterId> {
         let id = self.requests.next_id();
         let deadline = now + routed.timeout;
         let shard_count = routed.parts.len();
-        let multiget = Asked {
+        let multiget = MultigetRequest {
             id: routed.attempt_id.clone(),
             use_case: routed.config.use_case(routed.route),
             key: None,
-            wait: routed.timeout,
-            repeat: false,
+            timeout: routed.timeout,
+            is_retry: false,
             text: String::new(),
             parts: routed.parts,
             second: None,
@@ -98,7 +98,7 @@
     }
 
     /// The client of a request has gone.
-    pub(crate) fn cancel(&mut self, now: Nanos, id: AskerId) {
+    pub(crate) fn cancel(&mut self, now: Nanos, id: RequesterId) {
         let Some(request) = self.requests.remove(id) else { return };
         self.decisions.cancel_request(now, request.multiget);
     }
@@ -107,15 +107,15 @@
     pub(crate) fn complete<N: Network>(
         &mut self,
         now: Nanos,
-        id: AskerId,
+        id: RequesterId,
         verdict: Verdict,
         network: &mut N,
     ) -> Option<CompletedRequest> {
-        let is_unsent = verdict == Verdict::BrokenOff && self.withdraw_unsent(now, id, network);
+        let is_unsent = verdict == Verdict::Failed && self.withdraw_unsent(now, id, network);
         let request = self.requests.remove(id)?;
         let may_reject = is_unsent || self.seeded_bug == Some(SeededBug::RejectAfterAttempt);
         let verdict = match verdict {
-            Verdict::BrokenOff if may_reject => Verdict::Dismissed { wait: None },
+            Verdict::Failed if may_reject => Verdict::Rejected { retry_after: None },
             verdict => verdict,
         };
         Some(CompletedRequest { request, verdict })
@@ -124,7 +124,7 @@
     /// Whether nothing of a request was sent, and nothing of it will be. Guards against a 502 or 504 where nothing can
     /// have been executed, and against a 503 where something may have been: only a connection that never opened counts
     /// as one over which nothing was sent, and it is closed before the client is told.
-    fn withdraw_unsent<N: Network>(&mut self, now: Nanos, id: AskerId, network: &mut N) -> bool {
+    fn withdraw_unsent<N: Network>(&mut self, now: Nanos, id: RequesterId, network: &mut N) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let has_bug = self.seeded_bug == Some(SeededBug::RejectAfterClose);
         let never_opened = |id: &ConnectionId| network.is_opening(*id) || has_bug && !network.is_open(*id);
@@ -361,7 +361,7 @@
         mut response: Response,
         network: &mut N,
     ) -> bool {
-        response.framed |= self.seeded_bug == Some(SeededBug::TruncatedIsComplete);
+        response.has_certain_end |= self.seeded_bug == Some(SeededBug::TruncatedIsComplete);
         if let Some(timeout_s) = response.header("keep-alive").and_then(headers::keep_alive_timeout_s) {
             self.node_idle_timeout = Nanos::from_millis(timeout_s as f64 * 1e3).times(NODE_IDLE_SHARE);
         }
--- a/crates/fernknot-gateway/src/clients/connection.rs
+++ b/crates/fernknot-gateway/src/clients/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::listeners::ListenAddress;
 use fernknot::interface::Nanos;
-use fernknot_engine::AskerId;
+use fernknot_engine::RequesterId;
 use fernknot_protocol::http::RequestReader;
 
 /// A client's connection.
@@ -10,7 +10,7 @@
     pub(crate) listen_address: ListenAddress,
     pub(crate) reader: RequestReader,
     /// The request that waits for its response.
-    pub(crate) pending: Option<AskerId>,
+    pub(crate) pending: Option<RequesterId>,
     /// As far as the client is concerned, the connection stays open after the response.
     pub(crate) keep_alive: bool,
     pub(crate) is_http_1_0: bool,
--- a/crates/fernknot-gateway/src/clients/connections.rs
+++ b/crates/fernknot-gateway/src/clients/connections.rs
@@ -6,9 +6,9 @@
 use crate::requests::FinalResponse;
 use crate::seeded_bug::SeededBug;
 use fernknot::interface::Nanos;
-use fernknot_engine::AskerId;
+use fernknot_engine::RequesterId;
 use fernknot_net::{ConnectionId, Network};
-use fernknot_protocol::http::{Answer, GO_ON, Request};
+use fernknot_protocol::http::{CONTINUE, Request, ResponseHead};
 use fernknot_router_config::Limits;
 use std::collections::HashMap;
 
@@ -65,7 +65,7 @@
     }
 
     /// Forgets a connection; its pending request is returned.
-    pub(crate) fn remove(&mut self, id: ConnectionId) -> Option<AskerId> {
+    pub(crate) fn remove(&mut self, id: ConnectionId) -> Option<RequesterId> {
         let connection = self.connections.remove(&id)?;
         self.partial_body_bytes -= connection.partial_body_bytes;
         connection.pending
@@ -77,7 +77,7 @@
     }
 
     /// A request waits for its response; the next one is read after that.
-    pub(crate) fn set_pending(&mut self, id: ConnectionId, request: AskerId) {
+    pub(crate) fn set_pending(&mut self, id: ConnectionId, request: RequesterId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.pending = Some(request);
         }
@@ -104,7 +104,8 @@
         match read {
             Ok(Some(request)) => {
                 (connection.is_receiving, connection.waiting_since) = (false, now);
-                (connection.keep_alive, connection.is_http_1_0) = (request.keep, request.old);
+                (connection.keep_alive, connection.is_http_1_0) =
+                    (request.keeps_connection, request.is_http_1_0);
                 connection.expects_no_body = request.method == "HEAD";
                 Some(ClientRead::Request(request))
             }
@@ -122,7 +123,8 @@
     /// Counts what a client has sent of an incomplete body; returns the bytes of all clients together.
     fn count_partial_body(&mut self, id: ConnectionId) -> usize {
         if let Some(connection) = self.connections.get_mut(&id) {
-            let before = std::mem::replace(&mut connection.partial_body_bytes, connection.reader.kept());
+            let before =
+                std::mem::replace(&mut connection.partial_body_bytes, connection.reader.body_capacity());
             self.partial_body_bytes = self.partial_body_bytes - before + connection.partial_body_bytes;
         }
         self.partial_body_bytes
@@ -156,12 +158,12 @@
     ) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let keep_alive = connection.keep_alive && !is_stopping;
-        let head = Answer {
+        let head = ResponseHead {
             status: reply.status,
-            kind: "text/plain",
-            wait: reply.retry_after.map(|time| time.as_millis() / 1e3),
-            keep: keep_alive,
-            old: connection.is_http_1_0,
+            content_type: "text/plain",
+            retry_after_s: reply.retry_after.map(|time| time.as_millis() / 1e3),
+            keeps_connection: keep_alive,
+            is_http_1_0: connection.is_http_1_0,
         };
         (connection.pending, connection.waiting_since) = (None, now);
         let expects_no_body = std::mem::take(&mut connection.expects_no_body);
@@ -252,14 +254,14 @@
     network: &mut N,
 ) {
     let has_input = network.input(id).is_some_and(|input| !input.is_empty());
-    let is_receiving = connection.reader.is_open() || has_input;
+    let is_receiving = connection.reader.has_pending_body() || has_input;
     if is_receiving && !connection.is_receiving {
         connection.waiting_since = now;
     }
     connection.is_receiving = is_receiving;
-    if connection.reader.wants_leave()
+    if connection.reader.take_expects_continue()
         && let Some(output) = network.output(id)
     {
-        output.push(GO_ON);
+        output.push(CONTINUE);
     }
 }
--- a/crates/fernknot-gateway/src/clients/rejection.rs
+++ b/crates/fernknot-gateway/src/clients/rejection.rs
@@ -63,7 +63,7 @@
             Rejection::NoConfig => b"no configuration yet\n",
             Rejection::NoRoute => b"no route\n",
             Rejection::InvalidAttemptId => b"Attempt-Id is missing or unfit\n",
-            Rejection::Malformed(error) => error.why.as_bytes(),
+            Rejection::Malformed(error) => error.reason.as_bytes(),
             Rejection::TooManyPartialBodies => b"too much is coming at once\n",
             Rejection::ReceiveTimeout => b"the request did not come whole in time\n",
         }
--- a/crates/fernknot-gateway/src/data_plane.rs
+++ b/crates/fernknot-gateway/src/data_plane.rs
@@ -14,7 +14,7 @@
 use crate::settings::{GatewaySettings, ZoneIds, max_connections};
 use crate::updates::LocalState;
 use fernknot::interface::*;
-use fernknot_engine::{AskerId, Order, Verdict};
+use fernknot_engine::{Action, RequesterId, Verdict};
 use fernknot_net::{ConnectionId, Network};
 use fernknot_protocol::http::Request;
 use fernknot_schema::{ProcessSettings, RoutingConfig};
@@ -86,7 +86,7 @@
     ) -> Option<Request> {
         let limits = self.routing.http_limits();
         // One body that the configuration allows is always accepted.
-        let max_partial_body_bytes = self.settings.max_partial_body_bytes.max(limits.body);
+        let max_partial_body_bytes = self.settings.max_partial_body_bytes.max(limits.max_body_bytes);
         match self.clients.read(now, id, limits, max_partial_body_bytes, network)? {
             ClientRead::Request(request) => Some(request),
             ClientRead::Rejected(rejection) => {
@@ -111,13 +111,19 @@
     fn reject<N: Network>(&mut self, now: Nanos, id: ConnectionId, rejection: Rejection, network: &mut N) {
         self.counters.count(rejection);
         if let Rejection::Malformed(error) = rejection {
-            log::debug!(target: part::CONNECTIONS, "request rejected: {} {}", error.status, error.why);
+            log::debug!(target: part::CONNECTIONS, "request rejected: {} {}", error.status, error.reason);
         }
         self.clients.reject(now, id, rejection, self.is_stopping, network);
     }
 
     /// Writes the response to a request on which the engine has decided, and serves the client's next ones.
-    fn complete_request<N: Network>(&mut self, now: Nanos, id: AskerId, verdict: Verdict, network: &mut N) {
+    fn complete_request<N: Network>(
+        &mut self,
+        now: Nanos,
+        id: RequesterId,
+        verdict: Verdict,
+        network: &mut N,
+    ) {
         let Some(completed) = self.attempts.complete(now, id, verdict, network) else { return };
         let mut merged = Vec::new();
         let response = completed.response(now, &mut merged);
@@ -182,17 +188,17 @@
         }
     }
 
-    fn execute_action<N: Network>(&mut self, now: Nanos, action: Order, network: &mut N) {
+    fn execute_action<N: Network>(&mut self, now: Nanos, action: Action, network: &mut N) {
         match action {
-            Order::Send { part, no, node } => {
+            Action::Send { part, no, node } => {
                 self.attempts.send(now, AttemptKey { part, number: no }, node, network);
             }
-            Order::Abandon { part, no, outcome } => {
+            Action::Cancel { part, no, outcome } => {
                 self.attempts.abandon(now, AttemptKey { part, number: no }, outcome, network);
             }
-            Order::Answer { asker, verdict, .. } => self.complete_request(now, asker, verdict, network),
-            Order::Renew { node } => self.attempts.renew_connections(now, node, network),
-            Order::FollowList | Order::Tell { .. } => {}
+            Action::Answer { asker, verdict, .. } => self.complete_request(now, asker, verdict, network),
+            Action::RenewConnections { node } => self.attempts.renew_connections(now, node, network),
+            Action::FollowList | Action::NotifyPeers { .. } => {}
         }
     }
 
--- a/crates/fernknot-gateway/src/decisions.rs
+++ b/crates/fernknot-gateway/src/decisions.rs
@@ -3,8 +3,8 @@
 use crate::nodes::AttemptKey;
 use crate::routing::UseCaseChange;
 use fernknot::interface::*;
-use fernknot_engine::{AskerId, Engine, Order};
-use fernknot_protocol::multiget::Asked;
+use fernknot_engine::{Action, Engine, RequesterId};
+use fernknot_protocol::multiget::MultigetRequest;
 
 /// The engine, once there is one. Before that, nothing is in flight and nothing is due.
 #[derive(Default)]
@@ -36,9 +36,9 @@
     /// This gateway's free retries, and by how many gateways the budget is shared, where that is known.
     pub(crate) fn set_budget(&mut self, now: Nanos, slack: f64, sharers: Option<u32>) {
         let Some(engine) = &mut self.engine else { return };
-        engine.slack(slack);
+        engine.set_free_retries(slack);
         if let Some(sharers) = sharers {
-            engine.shared_by(now, sharers as usize);
+            engine.set_sharing_routers(now, sharers as usize);
         }
     }
 
@@ -59,9 +59,9 @@
     pub(crate) fn start_request(
         &mut self,
         now: Nanos,
-        id: AskerId,
+        id: RequesterId,
         deadline: Nanos,
-        multiget: Asked,
+        multiget: MultigetRequest,
     ) -> Option<MultigetId> {
         self.engine.as_mut().map(|engine| engine.take(now, id, deadline, multiget))
     }
@@ -69,7 +69,7 @@
     /// The client of a request has gone.
     pub(crate) fn cancel_request(&mut self, now: Nanos, multiget: MultigetId) {
         if let Some(engine) = &mut self.engine {
-            engine.lapsed(now, multiget);
+            engine.client_gone(now, multiget);
         }
     }
 
@@ -89,18 +89,18 @@
 
     /// When actions will be due without an event.
     pub(crate) fn next_wakeup(&self) -> Option<Nanos> {
-        self.engine.as_ref().and_then(Engine::due)
+        self.engine.as_ref().and_then(Engine::next_due)
     }
 
     /// Whether there may be actions to be polled.
     pub(crate) fn is_due(&self, now: Nanos) -> bool {
         let Some(engine) = &self.engine else { return false };
-        engine.due().is_some_and(|at| at <= now) || engine.has_news()
+        engine.next_due().is_some_and(|at| at <= now) || engine.has_input()
     }
 
     /// The next action, until there is none.
-    pub(crate) fn poll_action(&mut self, now: Nanos) -> Option<Order> {
-        self.engine.as_mut().and_then(|engine| engine.next(now))
+    pub(crate) fn poll_action(&mut self, now: Nanos) -> Option<Action> {
+        self.engine.as_mut().and_then(|engine| engine.poll_action(now))
     }
 
     /// The engine's counters: one a line, name and value.
--- a/crates/fernknot-gateway/src/nodes/connections.rs
+++ b/crates/fernknot-gateway/src/nodes/connections.rs
@@ -237,7 +237,7 @@
         };
         match read {
             Ok(Some(response)) => {
-                connection.not_reusable |= !response.keep || !input.is_empty() || read_closed;
+                connection.not_reusable |= !response.keeps_connection || !input.is_empty() || read_closed;
                 connection.attempt = None;
                 self.by_attempt.remove(&attempt);
                 ReadOutcome::Response { attempt, node: connection.node, response }
--- a/crates/fernknot-gateway/src/requests/completed_request.rs
+++ b/crates/fernknot-gateway/src/requests/completed_request.rs
@@ -17,15 +17,13 @@
     pub(crate) fn response<'a>(&'a self, now: Nanos, merged: &'a mut Vec<u8>) -> FinalResponse<'a> {
         let granularity = Nanos::from_millis(LOOP_GRANULARITY_MS);
         match &self.verdict {
-            Verdict::Settled { .. } => {
+            Verdict::Completed { .. } => {
                 let merged = self.request.merged_response(merged);
                 merged.unwrap_or_else(|| self.request.error_response(502))
             }
-            Verdict::Dismissed { wait } => self.request.rejection(wait.unwrap_or(granularity)),
-            Verdict::BrokenOff if now + granularity >= self.request.deadline => {
-                self.request.error_response(504)
-            }
-            Verdict::BrokenOff => self.request.error_response(502),
+            Verdict::Rejected { retry_after: wait } => self.request.rejection(wait.unwrap_or(granularity)),
+            Verdict::Failed if now + granularity >= self.request.deadline => self.request.error_response(504),
+            Verdict::Failed => self.request.error_response(502),
         }
     }
 }
--- a/crates/fernknot-gateway/src/requests/request_table.rs
+++ b/crates/fernknot-gateway/src/requests/request_table.rs
@@ -2,38 +2,38 @@
 
 use super::pending_request::PendingRequest;
 use fernknot::interface::*;
-use fernknot_engine::AskerId;
+use fernknot_engine::RequesterId;
 use fernknot_net::ConnectionId;
 use std::collections::HashMap;
 
 /// The requests in flight.
 #[derive(Default)]
 pub(crate) struct RequestTable {
-    requests: HashMap<AskerId, PendingRequest>,
-    by_multiget: HashMap<MultigetId, AskerId>,
+    requests: HashMap<RequesterId, PendingRequest>,
+    by_multiget: HashMap<MultigetId, RequesterId>,
     next_id: u64,
 }
 
 impl RequestTable {
     /// An identifier that no request had before.
-    pub(crate) fn next_id(&mut self) -> AskerId {
-        let id = AskerId(self.next_id);
+    pub(crate) fn next_id(&mut self) -> RequesterId {
+        let id = RequesterId(self.next_id);
         self.next_id += 1;
         id
     }
 
-    pub(crate) fn insert(&mut self, id: AskerId, request: PendingRequest) {
+    pub(crate) fn insert(&mut self, id: RequesterId, request: PendingRequest) {
         self.by_multiget.insert(request.multiget, id);
         self.requests.insert(id, request);
     }
 
-    pub(crate) fn remove(&mut self, id: AskerId) -> Option<PendingRequest> {
+    pub(crate) fn remove(&mut self, id: RequesterId) -> Option<PendingRequest> {
         let request = self.requests.remove(&id)?;
         self.by_multiget.remove(&request.multiget);
         Some(request)
     }
 
-    pub(crate) fn get(&self, id: AskerId) -> Option<&PendingRequest> {
+    pub(crate) fn get(&self, id: RequesterId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -10,8 +10,8 @@
 use fernknot::interface::*;
 use fernknot::state::Mwc;
 use fernknot_protocol::http::Request;
-use fernknot_protocol::multiget::AskedPart;
-use fernknot_router_config::{Limits, SocketFacts};
+use fernknot_protocol::multiget::RequestedPart;
+use fernknot_router_config::{Limits, SocketSettings};
 use fernknot_schema::{ClientLimits, RouteTarget, RoutingConfig};
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
@@ -35,7 +35,7 @@
     pub(crate) attempt_id: String,
     /// How long the client waits.
     pub(crate) timeout: Nanos,
-    pub(crate) parts: Vec<AskedPart>,
+    pub(crate) parts: Vec<RequestedPart>,
 }
 
 /// The configuration in force.
@@ -110,8 +110,8 @@
         }
         let longest_ms = config.routes.iter().map(|route| route.deadline_ms).max().unwrap_or(0);
         let retention_ms = longest_ms as f64 * USE_CASE_RETENTION_DEADLINES + USE_CASE_RETENTION_MS;
-        self.http_limits.head = config.limits.header_bytes as usize;
-        self.http_limits.body = config.limits.body_bytes as usize;
+        self.http_limits.max_head_bytes = config.limits.header_bytes as usize;
+        self.http_limits.max_body_bytes = config.limits.body_bytes as usize;
         let change = self.ids.snapshot(now, revision, config, Nanos::from_millis(retention_ms));
         let SnapshotChange { snapshot, use_cases, released } = change;
         let snapshot = Rc::new(snapshot);
@@ -142,14 +142,14 @@
     }
 
     /// One part for each service that answers, all of the same weight.
-    fn parts(&mut self, target: &RouteTarget) -> Vec<AskedPart> {
+    fn parts(&mut self, target: &RouteTarget) -> Vec<RequestedPart> {
         let services: Vec<&str> = match target {
             RouteTarget::Service(service) => vec![service],
             RouteTarget::WeightedServices(services) => vec![self.pick_weighted_service(services)],
             RouteTarget::Fanout { shards, .. } => shards.iter().map(String::as_str).collect(),
         };
         let weight = 1.0 / services.len().max(1) as f64;
-        let part = |service| AskedPart { shard: self.ids.shard(service), weight, effort: None };
+        let part = |service| RequestedPart { shard: self.ids.shard(service), weight, effort: None };
         services.into_iter().map(part).collect()
     }
 
@@ -200,16 +200,16 @@
 }
 
 /// What else bounds are made of. A gateway uses only the sizes of HTTP messages, which do not depend on it.
-fn unused_socket_settings(settings: &GatewaySettings) -> SocketFacts {
-    SocketFacts {
+fn unused_socket_settings(settings: &GatewaySettings) -> SocketSettings {
+    SocketSettings {
         use_cases: Vec::new(),
         shards: 0,
-        streams: 1,
-        batch: 1,
-        idle: Nanos::from_millis(4000.0),
-        connect_within: Nanos::from_millis(1000.0),
+        max_calls_per_connection: 1,
+        max_parts_per_call: 1,
+        node_idle_timeout: Nanos::from_millis(4000.0),
+        connect_timeout: Nanos::from_millis(1000.0),
         drain_grace: settings.drain_cutoff,
-        longest_wait: Nanos::from_millis(3000.0),
+        longest_deadline: Nanos::from_millis(3000.0),
         phases: Vec::new(),
         position: 0,
         zones: Vec::new(),
--- a/crates/fernknot-gateway/tests/common/mod.rs
+++ b/crates/fernknot-gateway/tests/common/mod.rs
@@ -3,18 +3,18 @@
 use fernknot::interface::Nanos;
 use fernknot_net::Buffer;
 use fernknot_protocol::http::{Request, RequestReader, Response, ResponseReader};
-use fernknot_router_config::{Limits, SocketFacts};
+use fernknot_router_config::{Limits, SocketSettings};
 
 pub fn limits() -> Limits {
-    let facts = SocketFacts {
+    let facts = SocketSettings {
         use_cases: Vec::new(),
         shards: 0,
-        streams: 1,
-        batch: 1,
-        idle: Nanos(1),
-        connect_within: Nanos(1),
+        max_calls_per_connection: 1,
+        max_parts_per_call: 1,
+        node_idle_timeout: Nanos(1),
+        connect_timeout: Nanos(1),
         drain_grace: Nanos(1),
-        longest_wait: Nanos(1),
+        longest_deadline: Nanos(1),
         phases: Vec::new(),
         position: 0,
         zones: Vec::new(),
--- a/crates/fernknot-http-api/src/connection.rs
+++ b/crates/fernknot-http-api/src/connection.rs
@@ -3,7 +3,7 @@
 use crate::reply::Reply;
 use crate::settings::HttpServerSettings;
 use fernknot_protocol::buffer::Buffer;
-use fernknot_protocol::http::{Answer, GO_ON, Request, RequestReader};
+use fernknot_protocol::http::{CONTINUE, Request, RequestReader, ResponseHead};
 
 /// What the bytes that were received amount to.
 #[derive(Debug)]
@@ -66,25 +66,26 @@
         output: &mut Buffer,
         settings: &HttpServerSettings,
     ) -> ReadOutcome {
-        if self.has_pending_call() || (input.is_empty() && !self.reader.is_open()) {
+        if self.has_pending_call() || (input.is_empty() && !self.reader.has_pending_body()) {
             return ReadOutcome::Incomplete;
         }
         match self.reader.read(input, &settings.limits) {
             Ok(Some(request)) => {
-                let pending = PendingReply { keep_alive: request.keep, is_http_1_0: request.old };
+                let pending =
+                    PendingReply { keep_alive: request.keeps_connection, is_http_1_0: request.is_http_1_0 };
                 self.pending_reply = Some(pending);
                 self.call_count += 1;
                 ReadOutcome::Request(request)
             }
             Ok(None) => {
-                if self.reader.wants_leave() {
-                    output.push(GO_ON);
+                if self.reader.take_expects_continue() {
+                    output.push(CONTINUE);
                 }
                 ReadOutcome::Incomplete
             }
             Err(error) => {
                 let pending = PendingReply { keep_alive: false, is_http_1_0: false };
-                write_response(output, &Reply::error(error.status, error.why), pending);
+                write_response(output, &Reply::error(error.status, error.reason), pending);
                 ReadOutcome::Rejected
             }
         }
@@ -106,12 +107,12 @@
 }
 
 fn write_response(output: &mut Buffer, reply: &Reply, pending: PendingReply) {
-    let head = Answer {
+    let head = ResponseHead {
         status: reply.status,
-        kind: reply.content_type,
-        wait: reply.retry_after_s,
-        keep: pending.keep_alive,
-        old: pending.is_http_1_0,
+        content_type: reply.content_type,
+        retry_after_s: reply.retry_after_s,
+        keeps_connection: pending.keep_alive,
+        is_http_1_0: pending.is_http_1_0,
     };
     head.write(output, reply.body.bytes());
 }
--- a/crates/fernknot-http-api/src/settings.rs
+++ b/crates/fernknot-http-api/src/settings.rs
@@ -1,7 +1,7 @@
 //! What bounds the requests of callers.
 
 use fernknot::interface::Nanos;
-use fernknot_router_config::{Limits, SocketFacts};
+use fernknot_router_config::{ConfigError, Limits, SocketSettings};
 
 /// Bounds of the requests that a server accepts.
 #[derive(Clone, Debug)]
@@ -19,24 +19,24 @@
         max_connections: usize,
         memory_mb: f64,
         max_body_bytes: usize,
-    ) -> Result<HttpServerSettings, String> {
+    ) -> Result<HttpServerSettings, ConfigError> {
         let mut limits = Limits::new(max_connections, memory_mb, &unused_socket_settings())?;
-        limits.body = max_body_bytes;
+        limits.max_body_bytes = max_body_bytes;
         Ok(HttpServerSettings { limits })
     }
 }
 
 /// What times and counts of the limits are made of. Readers of requests use only the sizes, which do not depend on it.
-fn unused_socket_settings() -> SocketFacts {
-    SocketFacts {
+fn unused_socket_settings() -> SocketSettings {
+    SocketSettings {
         use_cases: Vec::new(),
         shards: 0,
-        streams: 0,
-        batch: 0,
-        idle: Nanos(0),
-        connect_within: Nanos(0),
+        max_calls_per_connection: 0,
+        max_parts_per_call: 0,
+        node_idle_timeout: Nanos(0),
+        connect_timeout: Nanos(0),
         drain_grace: Nanos(0),
-        longest_wait: Nanos(0),
+        longest_deadline: Nanos(0),
         phases: Vec::new(),
         position: 0,
         zones: Vec::new(),
--- a/crates/fernknot-protocol/src/body.rs
+++ b/crates/fernknot-protocol/src/body.rs
@@ -4,8 +4,8 @@
 use crate::http_error::HttpError;
 use httparse::Status;
 
-const BODY_TOO_LARGE: HttpError = HttpError { status: 413, why: "body too large" };
-const BAD_CHUNK: HttpError = HttpError { status: 400, why: "bad chunk" };
+const BODY_TOO_LARGE: HttpError = HttpError { status: 413, reason: "body too large" };
+const BAD_CHUNK: HttpError = HttpError { status: 400, reason: "bad chunk" };
 
 /// How the end of a body is told, and how far it has been read.
 #[derive(Debug)]
@@ -50,10 +50,10 @@
     let Some(coding) = codings.next() else { return content_length(&lengths) };
     // Guards against two readings of one message: with both, or with an unknown coding, its end is not certain.
     if !lengths.is_empty() || codings.next().is_some() {
-        return Err(HttpError { status: 400, why: "length and coding both" });
+        return Err(HttpError { status: 400, reason: "length and coding both" });
     }
     if !coding.trim_ascii().eq_ignore_ascii_case(b"chunked") {
-        return Err(HttpError { status: 501, why: "unknown transfer coding" });
+        return Err(HttpError { status: 501, reason: "unknown transfer coding" });
     }
     Ok(Some(BodyFraming::Chunks(ChunkState::default())))
 }
@@ -65,13 +65,13 @@
 fn content_length(lengths: &[&[u8]]) -> Result<Option<BodyFraming>, HttpError> {
     let Some(first) = lengths.first() else { return Ok(None) };
     if lengths.iter().any(|other| other != first) {
-        return Err(HttpError { status: 400, why: "lengths differ" });
+        return Err(HttpError { status: 400, reason: "lengths differ" });
     }
     let is_number = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
     let length = std::str::from_utf8(first).ok().filter(|_| is_number).and_then(|text| text.parse().ok());
     match length {
         Some(length) => Ok(Some(BodyFraming::Length(length))),
-        None => Err(HttpError { status: 400, why: "bad length" }),
+        None => Err(HttpError { status: 400, reason: "bad length" }),
     }
 }
 
--- a/crates/fernknot-protocol/src/discovery/watch.rs
+++ b/crates/fernknot-protocol/src/discovery/watch.rs
@@ -74,6 +74,6 @@
         // list is asked for.
         let goes_back = !list.is_full && self.generation.is_some_and(|known| list.generation < known);
         self.generation = Some(list.generation).filter(|_| !goes_back);
-        Ok(Some(WatchUpdate { list, keeps_connection: response.keep }))
+        Ok(Some(WatchUpdate { list, keeps_connection: response.keeps_connection }))
     }
 }
--- a/crates/fernknot-protocol/src/http.rs
+++ b/crates/fernknot-protocol/src/http.rs
@@ -7,5 +7,5 @@
 
 pub use crate::http_error::HttpError;
 pub use request::{Request, RequestReader};
-pub use response::{Answer, GO_ON};
+pub use response::{CONTINUE, ResponseHead};
 pub use response_reader::{Response, ResponseReader};
--- a/crates/fernknot-protocol/src/http/request.rs
+++ b/crates/fernknot-protocol/src/http/request.rs
@@ -18,11 +18,11 @@
     /// The body, without its framing.
     pub body: Vec<u8>,
     /// The connection is kept after the response.
-    pub keep: bool,
+    pub keeps_connection: bool,
     /// The request is of HTTP/1.0, so that a kept connection must be announced.
-    pub old: bool,
+    pub is_http_1_0: bool,
     /// The client waits for an interim response before it sends the body.
-    pub expects: bool,
+    pub expects_continue: bool,
 }
 
 impl Request {
@@ -51,19 +51,19 @@
 
 impl RequestReader {
     /// Whether a head has been read whose body is not complete.
-    pub fn is_open(&self) -> bool {
+    pub fn has_pending_body(&self) -> bool {
         self.pending.is_some()
     }
 
     /// Bytes of memory kept for a body that is not complete: those that came, and space for the length that its head
     /// announced.
-    pub fn kept(&self) -> usize {
+    pub fn body_capacity(&self) -> usize {
         self.pending.as_ref().map_or(0, |(request, _)| request.body.capacity())
     }
 
     /// Whether the client waits for [`GO_ON`](super::GO_ON) before it sends the body; true once a request.
-    pub fn wants_leave(&mut self) -> bool {
-        self.pending.as_mut().is_some_and(|(request, _)| std::mem::take(&mut request.expects))
+    pub fn take_expects_continue(&mut self) -> bool {
+        self.pending.as_mut().is_some_and(|(request, _)| std::mem::take(&mut request.expects_continue))
     }
 
     /// The next request, once it is complete in `buffer`; its bytes are consumed.
@@ -76,7 +76,7 @@
         }
         let Some((request, framing)) = &mut self.pending else { return Ok(None) };
         let body_limits =
-            BodyLimits { max_body_bytes: limits.body, max_line_bytes: limits.max_chunk_line_bytes };
+            BodyLimits { max_body_bytes: limits.max_body_bytes, max_line_bytes: limits.max_chunk_line_bytes };
         let is_complete = framing.read(buffer, &mut request.body, body_limits)?;
         Ok(self.pending.take_if(|_| is_complete).map(|(request, _)| request))
     }
@@ -86,12 +86,12 @@
     let mut headers = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut parsed = httparse::Request::new(&mut headers);
     let head_bytes = match parsed.parse(buffer.data()) {
-        Ok(Status::Complete(bytes)) if bytes <= limits.head => bytes,
-        Ok(Status::Partial) if buffer.len() <= limits.head => return Ok(None),
+        Ok(Status::Complete(bytes)) if bytes <= limits.max_head_bytes => bytes,
+        Ok(Status::Partial) if buffer.len() <= limits.max_head_bytes => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(HttpError { status: 431, why: "head too large" });
+            return Err(HttpError { status: 431, reason: "head too large" });
         }
-        Err(_) => return Err(HttpError { status: 400, why: "not HTTP" }),
+        Err(_) => return Err(HttpError { status: 400, reason: "not HTTP" }),
     };
     let old = parsed.version == Some(0);
     let connection = |token| head::has_token(parsed.headers, "connection", token);
@@ -100,9 +100,9 @@
         target: parsed.path.unwrap_or_default().to_string(),
         headers: parsed.headers.iter().map(head::text).collect(),
         body: Vec::new(),
-        keep: if old { connection("keep-alive") } else { !connection("close") },
-        old,
-        expects: !old && head::has_token(parsed.headers, "expect", "100-continue"),
+        keeps_connection: if old { connection("keep-alive") } else { !connection("close") },
+        is_http_1_0: old,
+        expects_continue: !old && head::has_token(parsed.headers, "expect", "100-continue"),
     };
     let framing = framing(parsed.headers)?.unwrap_or(BodyFraming::Length(0));
     buffer.consume(head_bytes);
--- a/crates/fernknot-protocol/src/http/response_reader.rs
+++ b/crates/fernknot-protocol/src/http/response_reader.rs
@@ -19,9 +19,9 @@
     /// The body, without its framing.
     pub body: Vec<u8>,
     /// The connection is kept after the response.
-    pub keep: bool,
+    pub keeps_connection: bool,
     /// The head tells where the body ends, so that one cut short cannot pass for complete.
-    pub framed: bool,
+    pub has_certain_end: bool,
 }
 
 impl Response {
@@ -81,7 +81,7 @@
     ) -> Result<Option<Response>, HttpError> {
         while let Some((response, _)) = read_head(buffer, limits)? {
             if response.status >= FIRST_FINAL_STATUS {
-                return Ok(Some(Response { framed: true, ..response }));
+                return Ok(Some(Response { has_certain_end: true, ..response }));
             }
         }
         Ok(None)
@@ -93,8 +93,8 @@
     let mut parsed = httparse::Response::new(&mut headers);
     let head_bytes = match parsed.parse(buffer.data()) {
         Ok(Status::Complete(bytes)) => bytes,
-        Ok(Status::Partial) if buffer.len() <= limits.head => return Ok(None),
-        _ => return Err(HttpError { status: 502, why: "not an HTTP answer" }),
+        Ok(Status::Partial) if buffer.len() <= limits.max_head_bytes => return Ok(None),
+        _ => return Err(HttpError { status: 502, reason: "not an HTTP answer" }),
     };
     let status = parsed.code.unwrap_or_default();
     let is_closing = parsed.headers.iter().any(|header| {
@@ -107,8 +107,8 @@
         status,
         headers: parsed.headers.iter().map(head::text).collect(),
         body: Vec::new(),
-        keep: parsed.version == Some(1) && !is_closing && !is_to_end,
-        framed: !is_to_end,
+        keeps_connection: parsed.version == Some(1) && !is_closing && !is_to_end,
+        has_certain_end: !is_to_end,
     };
     buffer.consume(head_bytes);
     let framing = if has_no_body { BodyFraming::Length(0) } else { framing.unwrap_or(BodyFraming::ToEnd) };
--- a/crates/fernknot-protocol/src/matches.rs
+++ b/crates/fernknot-protocol/src/matches.rs
@@ -7,7 +7,7 @@
 
 /// The blocks that hold matches.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Names {
+pub enum MatchedBlocks {
     /// These blocks.
     Blocks(Vec<ShardId>),
     /// The block is as in this version of its summary, which the router said that it keeps.
@@ -16,9 +16,9 @@
 
 /// A store's answer in the first of two phases.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Match {
+pub struct MatchAnswer {
     /// The blocks that hold matches.
-    pub names: Names,
+    pub names: MatchedBlocks,
     /// A summary with its version: the fingerprints of all terms that the block holds.
     pub sketch: Option<(u64, Vec<u64>)>,
 }
@@ -59,11 +59,11 @@
 ///
 /// # Errors
 /// The value cannot be read, or has two meanings at once.
-pub fn read(value: &str) -> Result<Match, MatchError> {
+pub fn read(value: &str) -> Result<MatchAnswer, MatchError> {
     let value: Value = serde_json::from_str(value).map_err(|_| MatchError::Malformed)?;
     let names = match (value.blocks, value.same) {
-        (Some(blocks), None) => Names::Blocks(blocks.into_iter().map(ShardId).collect()),
-        (None, Some(version)) => Names::Same(version),
+        (Some(blocks), None) => MatchedBlocks::Blocks(blocks.into_iter().map(ShardId).collect()),
+        (None, Some(version)) => MatchedBlocks::Same(version),
         _ => return Err(MatchError::Ambiguous),
     };
     let sketch = match (value.version, value.prints) {
@@ -71,7 +71,7 @@
         (None, Some(_)) => return Err(MatchError::MissingVersion),
         _ => None,
     };
-    Ok(Match { names, sketch })
+    Ok(MatchAnswer { names, sketch })
 }
 
 fn decode_fingerprints(text: &str) -> Result<Vec<u64>, MatchError> {
@@ -89,10 +89,10 @@
 }
 
 /// The value as a store writes it.
-pub fn write(answer: &Match) -> String {
+pub fn write(answer: &MatchAnswer) -> String {
     let (blocks, same) = match &answer.names {
-        Names::Blocks(blocks) => (Some(blocks.iter().map(|shard| shard.0).collect()), None),
-        Names::Same(version) => (None, Some(*version)),
+        MatchedBlocks::Blocks(blocks) => (Some(blocks.iter().map(|shard| shard.0).collect()), None),
+        MatchedBlocks::Same(version) => (None, Some(*version)),
     };
     let value = Value {
         blocks,
--- a/crates/fernknot-protocol/src/multiget.rs
+++ b/crates/fernknot-protocol/src/multiget.rs
@@ -6,5 +6,5 @@
 mod response;
 
 pub use error::RequestError;
-pub use request::{Asked, AskedPart, AskedSecond, parse_multiget};
+pub use request::{MultigetRequest, RequestedPart, SecondPhaseRequest, parse_multiget};
 pub use response::{BlockState, response_body};
--- a/crates/fernknot-protocol/src/multiget/request.rs
+++ b/crates/fernknot-protocol/src/multiget/request.rs
@@ -4,13 +4,13 @@
 use super::error::RequestError;
 use crate::http::Request;
 use fernknot::interface::{Nanos, ShardId, UseCaseId};
-use fernknot_router_config::{Limits, PhaseFacts, SocketFacts};
+use fernknot_router_config::{Limits, SocketSettings, TwoPhaseSettings};
 use std::borrow::Cow;
 use std::collections::BTreeSet;
 
 /// What is asked of one shard.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AskedPart {
+pub struct RequestedPart {
     /// The shard.
     pub shard: ShardId,
     /// The part's share of the whole answer, between 0 and 1.
@@ -21,7 +21,7 @@
 
 /// A multiget as its client asks for it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct MultigetRequest {
     /// The client's id for the request.
     pub id: String,
     /// The use case that the path names.
@@ -29,24 +29,24 @@
     /// The idempotency key, where the use case needs one.
     pub key: Option<String>,
     /// How long the client waits.
-    pub wait: Nanos,
+    pub timeout: Nanos,
     /// The client says that it has sent the request before.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// What is asked of each shard.
     pub text: String,
     /// The shards that are asked.
-    pub parts: Vec<AskedPart>,
+    pub parts: Vec<RequestedPart>,
     /// The second of two phases; `text` and `parts` are the first one's then.
-    pub second: Option<AskedSecond>,
+    pub second: Option<SecondPhaseRequest>,
 }
 
 /// The second phase of a query in two phases.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AskedSecond {
+pub struct SecondPhaseRequest {
     /// What is asked of each block.
     pub text: String,
     /// The blocks that may be fetched.
-    pub parts: Vec<AskedPart>,
+    pub parts: Vec<RequestedPart>,
     /// What the query looks for, for summaries of blocks.
     pub terms: Vec<String>,
 }
@@ -57,9 +57,9 @@
 /// The request is none that can be answered.
 pub fn parse_multiget(
     request: &Request,
-    settings: &SocketFacts,
+    settings: &SocketSettings,
     limits: &Limits,
-) -> Result<Asked, RequestError> {
+) -> Result<MultigetRequest, RequestError> {
     let name = request.path().trim_start_matches('/').split('/').next().unwrap_or("");
     let use_case = settings.use_cases.iter().position(|(known, _)| known == name);
     let use_case = use_case.ok_or(RequestError::UnknownUseCase)?;
@@ -75,12 +75,12 @@
         Some(phases) if is_phased(&request.body) => parse_phased(&request.body, settings, phases, limits)?,
         _ => parse_plain(&request.body, settings, limits)?,
     };
-    Ok(Asked {
+    Ok(MultigetRequest {
         id: id.to_string(),
         use_case: UseCaseId(use_case),
         key: key.map(str::to_string),
-        wait,
-        repeat: request.header("req-retry").is_some_and(|value| value.trim() == "1"),
+        timeout: wait,
+        is_retry: request.header("req-retry").is_some_and(|value| value.trim() == "1"),
         text,
         parts,
         second,
@@ -110,11 +110,11 @@
 /// What the body of a request asks for.
 struct ParsedBody {
     text: String,
-    parts: Vec<AskedPart>,
-    second: Option<AskedSecond>,
+    parts: Vec<RequestedPart>,
+    second: Option<SecondPhaseRequest>,
 }
 
-fn parse_plain(body: &[u8], settings: &SocketFacts, limits: &Limits) -> Result<ParsedBody, RequestError> {
+fn parse_plain(body: &[u8], settings: &SocketSettings, limits: &Limits) -> Result<ParsedBody, RequestError> {
     let body: Body = serde_json::from_slice(body).map_err(|_| RequestError::InvalidBody)?;
     let parts = parse_parts(&body.buckets, settings, limits)?;
     Ok(ParsedBody { text: body.body.into_owned(), parts, second: None })
@@ -122,8 +122,8 @@
 
 fn parse_phased(
     body: &[u8],
-    settings: &SocketFacts,
-    phases: &PhaseFacts,
+    settings: &SocketSettings,
+    phases: &TwoPhaseSettings,
     limits: &Limits,
 ) -> Result<ParsedBody, RequestError> {
     let body: PhasedBody = serde_json::from_slice(body).map_err(|_| RequestError::InvalidPhases)?;
@@ -136,21 +136,21 @@
     }
     check_terms(&body.first.terms, limits)?;
     let terms = body.first.terms.into_iter().map(Cow::into_owned).collect();
-    let second = AskedSecond { text: body.second.body.into_owned(), parts: fetched, terms };
+    let second = SecondPhaseRequest { text: body.second.body.into_owned(), parts: fetched, terms };
     Ok(ParsedBody { text: body.first.body.into_owned(), parts: asked, second: Some(second) })
 }
 
 /// The parts of the first phase: those that are given, or all that may be fetched.
 fn first_parts(
     first: &FirstBody,
-    fetched: &[AskedPart],
-    settings: &SocketFacts,
+    fetched: &[RequestedPart],
+    settings: &SocketSettings,
     limits: &Limits,
-) -> Result<Vec<AskedPart>, RequestError> {
+) -> Result<Vec<RequestedPart>, RequestError> {
     match &first.buckets {
         Some(buckets) => parse_parts(buckets, settings, limits),
         // What a match costs is not what a fetch costs.
-        None => Ok(fetched.iter().map(|part| AskedPart { effort: None, ..part.clone() }).collect()),
+        None => Ok(fetched.iter().map(|part| RequestedPart { effort: None, ..part.clone() }).collect()),
     }
 }
 
@@ -165,9 +165,9 @@
 /// The parts that a list of buckets asks for.
 fn parse_parts(
     buckets: &[Bucket],
-    settings: &SocketFacts,
+    settings: &SocketSettings,
     limits: &Limits,
-) -> Result<Vec<AskedPart>, RequestError> {
+) -> Result<Vec<RequestedPart>, RequestError> {
     if buckets.is_empty() {
         return Err(RequestError::NoParts);
     }
@@ -187,9 +187,9 @@
     Ok(buckets.iter().map(asked_part).collect())
 }
 
-fn asked_part(bucket: &Bucket) -> AskedPart {
+fn asked_part(bucket: &Bucket) -> RequestedPart {
     let effort_us = bucket.effort.filter(|effort| *effort > 0.0);
-    AskedPart {
+    RequestedPart {
         shard: ShardId(bucket.bucket),
         weight: bucket.part,
         effort: effort_us.map(|effort| Nanos::from_millis(effort / 1e3)),
--- a/crates/fernknot-protocol/src/news.rs
+++ b/crates/fernknot-protocol/src/news.rs
@@ -16,14 +16,14 @@
 
 /// Short names of nodes that are the same at every router. One that two nodes share names neither.
 #[derive(Default)]
-pub struct Tags {
+pub struct NodeTags {
     /// By the nodes' ids.
     tags: Vec<u16>,
     /// `None` for a tag that two nodes share.
     nodes: HashMap<u16, Option<NodeId>>,
 }
 
-impl Tags {
+impl NodeTags {
     /// Names a node; an id that is used again loses its old name. Ids are given in turn.
     pub fn add(&mut self, name: &str, node: NodeId) {
         let hash = fernknot_router_config::fingerprint(name);
--- a/crates/fernknot-protocol/tests/common/mod.rs
+++ b/crates/fernknot-protocol/tests/common/mod.rs
@@ -3,37 +3,37 @@
 
 use fernknot::interface::Nanos;
 use fernknot_protocol::buffer::Buffer;
-use fernknot_router_config::{Limits, PhaseFacts, Silent, SocketFacts, Split};
+use fernknot_router_config::{LatencySplit, Limits, SocketSettings, TwoPhaseSettings, UnansweredBlock};
 use std::fmt::Debug;
 
-pub fn settings() -> SocketFacts {
+pub fn settings() -> SocketSettings {
     let span = Nanos::from_millis(1000.0);
-    SocketFacts {
+    SocketSettings {
         zones: Vec::new(),
         use_cases: vec![("page".to_string(), false), ("mark".to_string(), true)],
         shards: 4,
-        streams: 8,
-        batch: 1,
-        idle: span,
-        connect_within: span,
+        max_calls_per_connection: 8,
+        max_parts_per_call: 1,
+        node_idle_timeout: span,
+        connect_timeout: span,
         drain_grace: span,
-        longest_wait: Nanos(3_000_000_000),
+        longest_deadline: Nanos(3_000_000_000),
         phases: vec![Some(phases(false)), None],
         position: 0,
     }
 }
 
-pub fn phases(names_others: bool) -> PhaseFacts {
-    PhaseFacts {
-        goal: Nanos::from_millis(1000.0),
-        first_least: 0.2,
-        first_most: 0.8,
-        silent: Silent::Fetch,
+pub fn phases(names_others: bool) -> TwoPhaseSettings {
+    TwoPhaseSettings {
+        latency_target: Nanos::from_millis(1000.0),
+        min_first_phase_share: 0.2,
+        max_first_phase_share: 0.8,
+        unanswered_block: UnansweredBlock::Fetch,
         names_others,
-        least: 1.0,
-        split: Split::Learned,
-        refuses: true,
-        prunes: true,
+        min_match_share: 1.0,
+        split: LatencySplit::Learned,
+        rejects_late_second_phase: true,
+        prunes_unmatched: true,
     }
 }
 
--- a/crates/fernknot-protocol/tests/discovery.rs
+++ b/crates/fernknot-protocol/tests/discovery.rs
@@ -6,7 +6,7 @@
 use fernknot::interface::{Health, Nanos, PlaceId};
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::discovery::{Watch, parse_list};
-use fernknot_protocol::http::Answer;
+use fernknot_protocol::http::ResponseHead;
 use test_case::test_case;
 
 const NODE: &str = r#"{"instanceId":"s-1","hostPort":"127.0.0.1:8443","cell":3,"lifecycle":"draining","startedAtMs":1700000000000}"#;
@@ -33,8 +33,14 @@
     for body in [first, then] {
         watch.write_request(&mut Buffer::default(), host, Nanos(20_000_000_000));
         let mut input = Buffer::default();
-        Answer { status: 200, kind: "application/json", wait: None, keep: true, old: false }
-            .write(&mut input, body.as_bytes());
+        ResponseHead {
+            status: 200,
+            content_type: "application/json",
+            retry_after_s: None,
+            keeps_connection: true,
+            is_http_1_0: false,
+        }
+        .write(&mut input, body.as_bytes());
         let _ = watch.read(&mut input, false, &limits());
     }
     let mut out = Buffer::default();
--- a/crates/fernknot-protocol/tests/http.rs
+++ b/crates/fernknot-protocol/tests/http.rs
@@ -4,7 +4,7 @@
 
 use common::{limits, same_however_cut};
 use fernknot_protocol::buffer::Buffer;
-use fernknot_protocol::http::{Answer, RequestReader, ResponseReader};
+use fernknot_protocol::http::{RequestReader, ResponseHead, ResponseReader};
 use test_case::test_case;
 
 type Seen = (String, String, Option<String>, Vec<u8>, bool);
@@ -15,9 +15,9 @@
         move |buffer: &mut Buffer| match reader.read(buffer, &limits) {
             Ok(request) => Ok(request.map(|request| {
                 let header = request.header("Req-Id").map(str::to_string);
-                (request.method, request.target, header, request.body, request.keep)
+                (request.method, request.target, header, request.body, request.keeps_connection)
             })),
-            Err(bad) => Err(format!("{} {}", bad.status, bad.why)),
+            Err(bad) => Err(format!("{} {}", bad.status, bad.reason)),
         }
     })
 }
@@ -52,7 +52,7 @@
 fn a_head_past_its_limit_is_refused_before_it_ends() {
     let mut buffer = Buffer::default();
     buffer.push(b"GET / HTTP/1.1\r\nA: ");
-    buffer.push(&vec![b'a'; limits().head]);
+    buffer.push(&vec![b'a'; limits().max_head_bytes]);
     assert_eq!(RequestReader::default().read(&mut buffer, &limits()).unwrap_err().status, 431);
 }
 
@@ -60,15 +60,21 @@
 fn responses_are_read_as_they_were_written_and_to_the_end_where_no_length_is_given() {
     let mut out = Buffer::default();
     out.push(b"HTTP/1.1 100 Continue\r\n\r\n");
-    Answer { status: 503, kind: "text/plain", wait: Some(0.25), keep: true, old: false }
-        .write(&mut out, b"later");
+    ResponseHead {
+        status: 503,
+        content_type: "text/plain",
+        retry_after_s: Some(0.25),
+        keeps_connection: true,
+        is_http_1_0: false,
+    }
+    .write(&mut out, b"later");
     let text = String::from_utf8(out.data().to_vec()).unwrap();
     assert!(text.contains("Retry-After: 0.250\r\n"), "{text}");
     let (got, why) = same_however_cut(out.data(), || {
         let (mut reader, limits) = (ResponseReader::default(), limits());
         move |buffer: &mut Buffer| {
-            let response = reader.read(buffer, false, &limits).map_err(|bad| bad.why.to_string())?;
-            Ok(response.map(|response| (response.status, response.body, response.keep)))
+            let response = reader.read(buffer, false, &limits).map_err(|bad| bad.reason.to_string())?;
+            Ok(response.map(|response| (response.status, response.body, response.keeps_connection)))
         }
     });
     assert_eq!((got, why), (vec![(503, b"later".to_vec(), true)], None));
@@ -77,5 +83,5 @@
     let mut reader = ResponseReader::default();
     assert!(reader.read(&mut buffer, false, &limits()).unwrap().is_none());
     let response = reader.read(&mut buffer, true, &limits()).unwrap().unwrap();
-    assert_eq!((response.body, response.keep), (b"abc".to_vec(), false));
+    assert_eq!((response.body, response.keeps_connection), (b"abc".to_vec(), false));
 }
--- a/crates/fernknot-protocol/tests/match_values.rs
+++ b/crates/fernknot-protocol/tests/match_values.rs
@@ -1,20 +1,20 @@
 //! What a store answers in the first of two phases.
 
 use fernknot::interface::ShardId;
-use fernknot_protocol::matches::{Match, Names, read, write};
+use fernknot_protocol::matches::{MatchAnswer, MatchedBlocks, read, write};
 use test_case::test_case;
 
-#[test_case(r#"{"blocks":[]}"#, Names::Blocks(vec![]), None; "nothing matches")]
-#[test_case(r#"{"blocks":[3,9],"note":1}"#, Names::Blocks(vec![ShardId(3), ShardId(9)]), None; "two")]
-#[test_case(r#"{"same":7}"#, Names::Same(7), None; "as it was")]
-#[test_case(r#"{"blocks":[],"version":7}"#, Names::Blocks(vec![]), None; "a version alone")]
+#[test_case(r#"{"blocks":[]}"#, MatchedBlocks::Blocks(vec![]), None; "nothing matches")]
+#[test_case(r#"{"blocks":[3,9],"note":1}"#, MatchedBlocks::Blocks(vec![ShardId(3), ShardId(9)]), None; "two")]
+#[test_case(r#"{"same":7}"#, MatchedBlocks::Same(7), None; "as it was")]
+#[test_case(r#"{"blocks":[],"version":7}"#, MatchedBlocks::Blocks(vec![]), None; "a version alone")]
 #[test_case(
-    r#"{"blocks":[],"version":7,"prints":"AQAAAAAAAAA="}"#, Names::Blocks(vec![]), Some((7, vec![1]));
+    r#"{"blocks":[],"version":7,"prints":"AQAAAAAAAAA="}"#, MatchedBlocks::Blocks(vec![]), Some((7, vec![1]));
     "with a summary"
 )]
-fn match_values_are_read_and_written(text: &str, names: Names, sketch: Option<(u64, Vec<u64>)>) {
+fn match_values_are_read_and_written(text: &str, names: MatchedBlocks, sketch: Option<(u64, Vec<u64>)>) {
     let value = read(text).unwrap();
-    assert_eq!(value, Match { names, sketch });
+    assert_eq!(value, MatchAnswer { names, sketch });
     assert_eq!(read(&write(&value)).unwrap(), value);
 }
 
--- a/crates/fernknot-protocol/tests/multiget.rs
+++ b/crates/fernknot-protocol/tests/multiget.rs
@@ -7,7 +7,7 @@
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::http::{Request, RequestReader};
 use fernknot_protocol::multiget;
-use fernknot_router_config::SocketFacts;
+use fernknot_router_config::SocketSettings;
 use test_case::test_case;
 
 fn request(path: &str, headers: &str, body: &str) -> Request {
@@ -25,7 +25,10 @@
     let asked =
         multiget::parse_multiget(&request("/mark/7?x=1", head, body), &settings(), &limits()).unwrap();
     assert_eq!((asked.id.as_str(), asked.use_case, asked.key.as_deref()), ("9b.x", UseCaseId(1), Some("k1")));
-    assert_eq!((asked.wait, asked.repeat, asked.text.as_str()), (Nanos(480_000_000), true, "a\u{e9}\"\n"));
+    assert_eq!(
+        (asked.timeout, asked.is_retry, asked.text.as_str()),
+        (Nanos(480_000_000), true, "a\u{e9}\"\n")
+    );
     let shards: Vec<_> = asked.parts.iter().map(|part| (part.shard.0, part.weight, part.effort)).collect();
     assert_eq!(shards, [(3, 0.5, Some(Nanos(9_000_000))), (0, 0.5, None)]);
     let plain = multiget::parse_multiget(&request("/page", head, body), &settings(), &limits()).unwrap();
@@ -59,7 +62,7 @@
         (asked.text.as_str(), second.text.as_str(), second.terms),
         ("find", "get", vec!["beach".into()])
     );
-    let parts = |parts: &[multiget::AskedPart]| -> Vec<_> {
+    let parts = |parts: &[multiget::RequestedPart]| -> Vec<_> {
         parts.iter().map(|part| (part.shard.0, part.weight, part.effort.is_some())).collect()
     };
     assert_eq!(parts(&asked.parts), [(2, 0.75, false), (0, 0.25, false)]);
@@ -91,7 +94,7 @@
 
 #[test]
 fn where_blocks_name_others_some_may_be_fetched_that_are_not_asked() {
-    let settings = SocketFacts { phases: vec![Some(phases(true))], ..settings() };
+    let settings = SocketSettings { phases: vec![Some(phases(true))], ..settings() };
     let body = format!(r#"{{"match":{{"body":"","buckets":[{{"bucket":1,"part":1}}]}},{BOTH}}}"#);
     let asked = multiget::parse_multiget(&request("/page", HEAD, &body), &settings, &limits()).unwrap();
     assert_eq!((asked.parts[0].shard, asked.second.unwrap().parts[0].shard), (ShardId(1), ShardId(0)));
--- a/crates/fernknot-protocol/tests/peer_updates.rs
+++ b/crates/fernknot-protocol/tests/peer_updates.rs
@@ -1,11 +1,11 @@
 //! What routers tell each other of nodes.
 
 use fernknot::interface::{Nanos, NodeId, Update};
-use fernknot_protocol::news::Tags;
+use fernknot_protocol::news::NodeTags;
 
 #[test]
 fn what_is_written_is_read_and_what_is_cut_off_or_strange_is_left_out() {
-    let mut tags = Tags::default();
+    let mut tags = NodeTags::default();
     tags.add("10.0.0.1:80", NodeId(0));
     tags.add("10.0.0.2:80", NodeId(1));
     let took = Update::Answered(Nanos::from_millis(200.0));
@@ -23,7 +23,7 @@
     for cut in [0, 1, 2, 4, 5, messages[0].len() - 1] {
         assert_eq!(tags.read(&messages[0][..cut]), None, "cut at {cut}");
     }
-    assert_eq!(Tags::default().read(&messages[0]), Some(Vec::new()));
+    assert_eq!(NodeTags::default().read(&messages[0]), Some(Vec::new()));
     let split = tags.write(&news, 8);
     assert!(split.len() > 1 && split.iter().all(|message| message.len() <= 8));
     assert_eq!(split.iter().flat_map(|message| tags.read(message).unwrap()).count(), news.len());
--- a/crates/fernknot-router-config/src/error.rs
+++ b/crates/fernknot-router-config/src/error.rs
@@ -111,10 +111,3 @@
         ConfigError { key: format!("{parent}.{}", self.key), ..self }
     }
 }
-
-/// For callers that report their errors as text.
-impl From<ConfigError> for String {
-    fn from(error: ConfigError) -> String {
-        error.to_string()
-    }
-}
--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -1,7 +1,7 @@
 //! Sizes, counts and times that bound what a router uses and waits for, fixed at its start.
 
 use crate::error::{ConfigError, ConfigFault};
-use crate::sockets::SocketFacts;
+use crate::sockets::SocketSettings;
 use fernknot::interface::Nanos;
 
 /// Descriptors that are neither clients' nor nodes': the event loop's own, listener, discovery, datagrams,
@@ -27,9 +27,9 @@
     /// The most connections to nodes.
     pub max_node_connections: usize,
     /// The most bytes of a request's head.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// The most bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// The most bytes of a frame.
     pub max_frame_bytes: usize,
     /// The most bytes of an endpoint list.
@@ -106,17 +106,17 @@
     ///
     /// # Errors
     /// Fewer sockets or less memory than a router can work with.
-    pub fn new(sockets: usize, memory_mb: f64, settings: &SocketFacts) -> Result<Limits, ConfigError> {
+    pub fn new(sockets: usize, memory_mb: f64, settings: &SocketSettings) -> Result<Limits, ConfigError> {
         check_minimum("limits.sockets", sockets as f64, MIN_SOCKETS as f64)?;
         check_minimum("limits.memory_mb", memory_mb, MIN_MEMORY_MB)?;
         let free_sockets = sockets - RESERVED_DESCRIPTORS;
         // The signal to stop leaves the longest wait, three seconds at most, and 0.7 s.
-        let shutdown_linger = settings.longest_wait.clamp(millis(700), seconds(3));
+        let shutdown_linger = settings.longest_deadline.clamp(millis(700), seconds(3));
         Ok(Limits {
             max_clients: (free_sockets * 2 / 3).min(affordable_clients(memory_mb)),
             max_node_connections: free_sockets / 3,
-            head: 16 * KIB,
-            body: MAX_BODY_BYTES,
+            max_head_bytes: 16 * KIB,
+            max_body_bytes: MAX_BODY_BYTES,
             max_frame_bytes: MAX_BODY_BYTES,
             max_list_bytes: 1024 * KIB,
             max_headers: 64,
@@ -135,12 +135,12 @@
             max_terms: 64,
             max_term_bytes: 256,
             max_pending_log_bytes: 64 * KIB,
-            node_idle_timeout: settings.idle.times(0.8),
-            connect_timeout: settings.connect_within,
-            frame_timeout: settings.connect_within,
+            node_idle_timeout: settings.node_idle_timeout.times(0.8),
+            connect_timeout: settings.connect_timeout,
+            frame_timeout: settings.connect_timeout,
             drain_grace: settings.drain_grace,
             client_idle_timeout: seconds(60),
-            request_timeout: settings.longest_wait.min(millis(2500)),
+            request_timeout: settings.longest_deadline.min(millis(2500)),
             response_stall_timeout: seconds(30),
             close_timeout: seconds(2),
             watch_wait: seconds(10),
--- a/crates/fernknot-router-config/src/router.rs
+++ b/crates/fernknot-router-config/src/router.rs
@@ -3,8 +3,8 @@
 use crate::error::{ConfigError, ConfigFault};
 use crate::limits::Limits;
 use crate::membership::{FleetGiven, MembershipSettings, PeerAddresses};
-use crate::settings::Facts;
-use crate::sockets::SocketFacts;
+use crate::settings::RawSettings;
+use crate::sockets::SocketSettings;
 use fernknot::interface::SiteSettings;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -32,7 +32,7 @@
     /// The configuration of the decision module.
     pub site: SiteSettings,
     /// What the sockets need of the settings beside it.
-    pub sockets: SocketFacts,
+    pub sockets: SocketSettings,
     /// Sizes, counts and times that bound what the router uses.
     pub limits: Limits,
 }
@@ -61,7 +61,7 @@
     peers_all: Option<String>,
     known: Option<Box<RawValue>>,
     fleet: Option<FleetGiven>,
-    settings: Facts,
+    settings: RawSettings,
 }
 
 /// The `limits` object of the file.
@@ -113,7 +113,7 @@
         let discovery = overridable("ROUTER_DISCOVERY", "discovery", &file.discovery)?;
         let verbose = is_verbose(variable("ROUTER_LOG"))?;
         let site = decision_settings(&file.settings)?;
-        let sockets = file.settings.sockets().map_err(|error| error.below("settings"))?;
+        let sockets = file.settings.socket_settings().map_err(|error| error.below("settings"))?;
         let seed = parse_seed(&file.seed)?;
         let peer_addresses = peer_addresses(&file, &site)?;
         let membership = match &file.fleet {
@@ -163,8 +163,8 @@
     }
 }
 
-fn decision_settings(settings: &Facts) -> Result<SiteSettings, ConfigError> {
-    let mut site = settings.site().map_err(|error| error.below("settings"))?;
+fn decision_settings(settings: &RawSettings) -> Result<SiteSettings, ConfigError> {
+    let mut site = settings.decision_settings().map_err(|error| error.below("settings"))?;
     // On sockets a multiget is one request with one answer: there is no second step.
     site.use_cases.iter_mut().for_each(|use_case| use_case.two_phase = false);
     Ok(site)
--- a/crates/fernknot-router-config/src/settings.rs
+++ b/crates/fernknot-router-config/src/settings.rs
@@ -2,13 +2,13 @@
 //!
 //! The fields have the names of their keys in snake case.
 
-use crate::phases::{Silent, Split};
+use crate::phases::{LatencySplit, UnansweredBlock};
 use serde::Deserialize;
 
 /// The settings object as the bench and the router's file give it. Unknown keys are ignored.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Facts {
+#[serde(rename_all = "camelCase", rename = "Facts")]
+pub struct RawSettings {
     #[serde(default)]
     pub(crate) accounts: Vec<Account>,
     pub(crate) allowed: Allowed,
@@ -96,10 +96,10 @@
 pub(crate) struct PhasesGiven {
     pub(crate) least_first: Option<f64>,
     pub(crate) most_first: Option<f64>,
-    pub(crate) silent: Option<Silent>,
+    pub(crate) silent: Option<UnansweredBlock>,
     pub(crate) names_others: Option<bool>,
     pub(crate) least_matches: Option<f64>,
-    pub(crate) split: Option<Split>,
+    pub(crate) split: Option<LatencySplit>,
     pub(crate) refuses: Option<bool>,
     pub(crate) prunes: Option<bool>,
 }
--- a/crates/fernknot-router-config/src/site.rs
+++ b/crates/fernknot-router-config/src/site.rs
@@ -1,18 +1,18 @@
 //! What the decision module is given of the settings.
 
 use crate::error::{ConfigError, ConfigFault};
-use crate::settings::{Class, ClassEffect, Facts, FamilyInfo, Rules, WorthBy};
+use crate::settings::{Class, ClassEffect, FamilyInfo, RawSettings, Rules, WorthBy};
 use fernknot::interface::{
     Effect, Nanos, RetryBudgetSettings, SiteSettings, SlowStartSettings, UseCaseSettings, ZoneId,
 };
 
-impl Facts {
+impl RawSettings {
     /// The configuration of the decision module.
     ///
     /// # Errors
     /// The router's zone is not among `zones`, or a budget of retries has no window. The key is relative to the
     /// settings object.
-    pub fn site(&self) -> Result<SiteSettings, ConfigError> {
+    pub fn decision_settings(&self) -> Result<SiteSettings, ConfigError> {
         self.check_zone()?;
         let use_cases = self.classes.iter().enumerate();
         Ok(SiteSettings {
--- a/crates/fernknot-router-config/tests/router_config.rs
+++ b/crates/fernknot-router-config/tests/router_config.rs
@@ -1,7 +1,7 @@
 //! Which configurations are rejected, and what is made of those that are accepted.
 
 use fernknot::interface::{Effect, Nanos, ZoneId};
-use fernknot_router_config::{Precedence, RouterConfig, Silent};
+use fernknot_router_config::{Precedence, RouterConfig, UnansweredBlock};
 use serde_json::{Value, json};
 use test_case::test_case;
 
@@ -66,13 +66,16 @@
     let phases = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap().sockets.phases;
     assert!(phases[0].is_none() && phases[2].is_none());
     let phases = phases[1].as_ref().unwrap();
-    assert_eq!((phases.first_least, phases.first_most, phases.silent), (0.3, 0.8, Silent::Leave));
     assert_eq!(
-        (phases.least, phases.goal),
+        (phases.min_first_phase_share, phases.max_first_phase_share, phases.unanswered_block),
+        (0.3, 0.8, UnansweredBlock::Leave)
+    );
+    assert_eq!(
+        (phases.min_match_share, phases.latency_target),
         (0.5, Nanos(1_500_000_000)),
         "the use case's own least share and goal"
     );
-    assert!(phases.refuses && phases.prunes && !phases.names_others);
+    assert!(phases.rejects_late_second_phase && phases.prunes_unmatched && !phases.names_others);
 }
 
 #[test]
@@ -131,8 +134,8 @@
     let limits = RouterConfig::parse(&text, Precedence::Environment, |_| None).unwrap().limits;
     assert!(limits.max_clients >= 8 && limits.max_node_connections >= 5);
     assert!(limits.max_clients + limits.max_node_connections + 16 <= sockets);
-    assert!(limits.read_ahead_bytes > limits.head);
-    let buffered = limits.max_clients * (2 * limits.read_ahead_bytes + limits.body);
+    assert!(limits.read_ahead_bytes > limits.max_head_bytes);
+    let buffered = limits.max_clients * (2 * limits.read_ahead_bytes + limits.max_body_bytes);
     assert!(buffered as f64 <= memory_mb * 1024.0 * 1024.0 / 2.0);
     assert!(
         limits.node_idle_timeout < Nanos(15_000_000_000) && limits.min_watch_interval < Nanos(200_000_000)
--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -17,7 +17,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Readiness};
 use fernknot::interface::Nanos;
-use fernknot_engine::{Engine, Order};
+use fernknot_engine::{Action, Engine};
 use fernknot_router_config::{Precedence, RouterConfig};
 use slog::{Level, info, warn};
 use std::collections::BTreeSet;
@@ -105,7 +105,7 @@
     fn next_due(&self) -> Option<Nanos> {
         let timer = self.context.timers.first().map(|(at, _)| *at);
         let membership = self.context.membership.as_ref().map(Membership::due);
-        timer.into_iter().chain(self.context.engine.due()).chain(membership).min()
+        timer.into_iter().chain(self.context.engine.next_due()).chain(membership).min()
     }
 
     /// How long the event loop may wait.
@@ -257,31 +257,31 @@
     /// Pulls actions of the engine and writes what they cause, until there is nothing left to do.
     fn run_actions(&mut self) {
         loop {
-            while let Some(action) = self.context.engine.next(self.context.now) {
+            while let Some(action) = self.context.engine.poll_action(self.context.now) {
                 self.run_action(action);
             }
             let App { context, clients, nodes, .. } = self;
             nodes.place_calls(context);
             nodes.flush_nodes(context);
             clients.flush_clients(context);
-            if !context.engine.has_news() && nodes.unplaced.is_empty() {
+            if !context.engine.has_input() && nodes.unplaced.is_empty() {
                 break;
             }
         }
     }
 
-    fn run_action(&mut self, action: Order) {
+    fn run_action(&mut self, action: Action) {
         let App { context, clients, nodes, peers, .. } = self;
         match action {
-            Order::Send { part, no, node } => nodes.send(AttemptId { part, number: no }, node),
-            Order::Abandon { part, no, outcome } => {
+            Action::Send { part, no, node } => nodes.send(AttemptId { part, number: no }, node),
+            Action::Cancel { part, no, outcome } => {
                 nodes.abandon(context, AttemptId { part, number: no }, outcome);
             }
-            Order::Answer { asker, verdict, ended } => clients.answer(context, asker, verdict, ended),
+            Action::Answer { asker, verdict, ended } => clients.answer(context, asker, verdict, ended),
             // Discovery is watched from the start, whether or not that must be asked for.
-            Order::FollowList => {}
-            Order::Renew { node } => nodes.renew_connections(context, node),
-            Order::Tell { news } => {
+            Action::FollowList => {}
+            Action::RenewConnections { node } => nodes.renew_connections(context, node),
+            Action::NotifyPeers { updates: news } => {
                 if let (Some(peers), Some(tags)) = (peers, &nodes.tags) {
                     peers.send_updates(context, tags, &news);
                 }
--- a/crates/fernknot-router/src/attempts.rs
+++ b/crates/fernknot-router/src/attempts.rs
@@ -17,7 +17,7 @@
     /// Puts the attempts of this turn on connections, in calls as large as may be.
     pub fn place_calls(&mut self, context: &mut Context) {
         for (node, attempts) in std::mem::take(&mut self.unplaced) {
-            for call in attempts.chunks(context.settings.batch) {
+            for call in attempts.chunks(context.settings.max_parts_per_call) {
                 let table = &context.engine.table;
                 let is_out = |attempt: &AttemptId| table.is_out(attempt.part, attempt.number);
                 let live: Vec<AttemptId> = call.iter().copied().filter(is_out).collect();
@@ -33,7 +33,7 @@
             .iter()
             .filter_map(|attempt| Some(context.engine.table.part(attempt.part)?.id.clone()))
             .collect();
-        let free = self.free_connection(node, &part_ids, context.settings.streams);
+        let free = self.free_connection(node, &part_ids, context.settings.max_calls_per_connection);
         let Some(id) = free.or_else(|| self.open_connection(context, node)) else {
             for attempt in call {
                 self.end(context, attempt, Outcome::Unreachable, LoadReport::default());
@@ -102,7 +102,7 @@
     pub fn end(&mut self, context: &mut Context, attempt: AttemptId, outcome: Outcome, load: LoadReport) {
         self.connection_of.remove(&attempt);
         let AttemptId { part, number } = attempt;
-        let state = context.engine.table.hand_off(part, number).filter(|state| !state.over);
+        let state = context.engine.table.attempt(part, number).filter(|state| !state.is_over);
         let Some(state) = state else { return };
         if !matches!(outcome, Outcome::Answered | Outcome::Cancelled | Outcome::NeverSent) {
             let (node, took) = (state.node.0, (context.now - state.sent).as_millis());
--- a/crates/fernknot-router/src/client.rs
+++ b/crates/fernknot-router/src/client.rs
@@ -57,7 +57,7 @@
 
     /// Whether the connection is between requests.
     pub fn is_idle(&self) -> bool {
-        self.state == ClientState::Reading && self.tcp.input.is_empty() && !self.reader.is_open()
+        self.state == ClientState::Reading && self.tcp.input.is_empty() && !self.reader.has_pending_body()
     }
 
     /// Drops what has been read.
--- a/crates/fernknot-router/src/client_io.rs
+++ b/crates/fernknot-router/src/client_io.rs
@@ -6,7 +6,7 @@
 use crate::events::{ClientId, Timer};
 use crate::tcp_connection::ReadOutcome;
 use calloop::Readiness;
-use fernknot_protocol::http::GO_ON;
+use fernknot_protocol::http::CONTINUE;
 
 /// Whether a connection can go on without waiting for its socket or the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -97,7 +97,7 @@
             }
             Ok(None) => self.await_request(context, id),
             Err(error) => {
-                self.reject_request(context, id, error.status, error.why);
+                self.reject_request(context, id, error.status, error.reason);
                 Progress::Continue
             }
         }
@@ -115,10 +115,10 @@
             client.timer_at = deadline;
             context.set_timer(deadline, Timer::Client(id));
         }
-        if !client.reader.wants_leave() {
+        if !client.reader.take_expects_continue() {
             return Progress::Wait;
         }
-        client.tcp.output.push(GO_ON);
+        client.tcp.output.push(CONTINUE);
         if client.tcp.flush().is_err() {
             self.client_gone(context, id);
             return Progress::Wait;
@@ -131,7 +131,7 @@
     fn probe_if_ended(&mut self, context: &mut Context, id: ClientId) -> Progress {
         let Some(client) = self.by_id.get_mut(&id) else { return Progress::Wait };
         if client.tcp.has_ended && !client.is_http_1_0 && !std::mem::replace(&mut client.was_probed, true) {
-            client.tcp.output.push(GO_ON);
+            client.tcp.output.push(CONTINUE);
         }
         if client.tcp.flush().is_err() {
             self.client_gone(context, id);
--- a/crates/fernknot-router/src/client_requests.rs
+++ b/crates/fernknot-router/src/client_requests.rs
@@ -5,8 +5,8 @@
 use crate::context::Context;
 use crate::events::ClientId;
 use fernknot::interface::Nanos;
-use fernknot_engine::{AskerId, Ended, Verdict};
-use fernknot_protocol::http::{Answer, Request};
+use fernknot_engine::{RequesterId, Stage, Verdict};
+use fernknot_protocol::http::{Request, ResponseHead};
 use fernknot_protocol::multiget;
 use slog::debug;
 
@@ -16,8 +16,8 @@
     /// Answers a request, or gives its multiget to the engine.
     pub fn handle_request(&mut self, context: &mut Context, id: ClientId, request: Request) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
-        client.keeps_connection = request.keep;
-        client.is_http_1_0 = request.old;
+        client.keeps_connection = request.keeps_connection;
+        client.is_http_1_0 = request.is_http_1_0;
         client.has_requested = true;
         match (request.method.as_str(), request.path()) {
             ("HEAD", _) => {
@@ -58,10 +58,10 @@
         }
     }
 
-    fn take_multiget(&mut self, context: &mut Context, id: ClientId, asked: multiget::Asked) {
+    fn take_multiget(&mut self, context: &mut Context, id: ClientId, asked: multiget::MultigetRequest) {
         // Guards what comes late in a stop against the end of the process.
-        let client_end = (context.now + asked.wait).min(context.stop_deadline.unwrap_or(Nanos(u64::MAX)));
-        let multiget = context.engine.take(context.now, AskerId(id.0), client_end, asked);
+        let client_end = (context.now + asked.timeout).min(context.stop_deadline.unwrap_or(Nanos(u64::MAX)));
+        let multiget = context.engine.take(context.now, RequesterId(id.0), client_end, asked);
         if let Some(client) = self.by_id.get_mut(&id) {
             client.state = ClientState::Pending(multiget);
             client.was_probed = false;
@@ -90,12 +90,12 @@
         let Some(client) = self.by_id.get_mut(&id) else { return };
         client.keeps_connection &= !is_handed_over;
         let is_json = status == 200 && body.starts_with(b"{");
-        let head = Answer {
+        let head = ResponseHead {
             status,
-            kind: if is_json { "application/json" } else { "text/plain" },
-            wait: retry_after_s,
-            keep: client.keeps_connection,
-            old: client.is_http_1_0,
+            content_type: if is_json { "application/json" } else { "text/plain" },
+            retry_after_s,
+            keeps_connection: client.keeps_connection,
+            is_http_1_0: client.is_http_1_0,
         };
         head.write(&mut client.tcp.output, body);
         client.state = ClientState::Writing;
@@ -104,23 +104,23 @@
     }
 
     /// Gives the final answer to a pending multiget.
-    pub fn answer(&mut self, context: &mut Context, asker: AskerId, verdict: Verdict, ended: Ended) {
+    pub fn answer(&mut self, context: &mut Context, asker: RequesterId, verdict: Verdict, ended: Stage) {
         let id = ClientId(asker.0);
-        if ended != Ended::Plain && !matches!(verdict, Verdict::Settled { .. }) {
+        if ended != Stage::Plain && !matches!(verdict, Verdict::Completed { .. }) {
             debug!(context.log, "a query in two phases is given up"; "in" => ?ended);
         }
         match verdict {
-            Verdict::Settled { whole, found, blocks, .. } => {
+            Verdict::Completed { is_complete: whole, found, blocks, .. } => {
                 let values = found.iter().map(|(shard, value)| (*shard, value.as_str()));
                 let body = multiget::response_body(whole, values, blocks.as_deref());
                 self.respond_with_values(context, id, whole, &body);
             }
-            Verdict::Dismissed { wait } => {
+            Verdict::Rejected { retry_after: wait } => {
                 context.counters.dismissed += 1;
                 let retry_after_s = wait.map(|wait| wait.as_millis() / MILLIS_PER_SECOND);
                 self.respond(context, id, 503, retry_after_s, b"dismissed");
             }
-            Verdict::BrokenOff => {
+            Verdict::Failed => {
                 context.counters.broken_off += 1;
                 self.respond(context, id, 502, None, b"broken off");
             }
@@ -129,7 +129,7 @@
 
     fn respond_with_values(&mut self, context: &mut Context, id: ClientId, is_complete: bool, body: &[u8]) {
         // Guards clients that hold to the protocol's limit, and this router's memory.
-        if body.len() > context.limits.body {
+        if body.len() > context.limits.max_body_bytes {
             context.counters.broken_off += 1;
             return self.respond(context, id, 502, None, b"answer too large");
         }
--- a/crates/fernknot-router/src/clients.rs
+++ b/crates/fernknot-router/src/clients.rs
@@ -141,7 +141,7 @@
     pub fn client_gone(&mut self, context: &mut Context, id: ClientId) {
         let Some(client) = self.by_id.get(&id) else { return };
         match client.state {
-            ClientState::Pending(multiget) => context.engine.lapsed(context.now, multiget),
+            ClientState::Pending(multiget) => context.engine.client_gone(context.now, multiget),
             ClientState::Writing => context.counters.answers_unread += 1,
             ClientState::Reading | ClientState::Closing => {}
         }
--- a/crates/fernknot-router/src/context.rs
+++ b/crates/fernknot-router/src/context.rs
@@ -7,7 +7,7 @@
 use crate::tcp_connection::EventLoopHandle;
 use fernknot::interface::Nanos;
 use fernknot_engine::Engine;
-use fernknot_router_config::{Limits, SocketFacts};
+use fernknot_router_config::{Limits, SocketSettings};
 use slog::Logger;
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
     /// The limits; a configuration that is read again replaces them.
     pub limits: Limits,
     /// The settings of the sockets.
-    pub settings: SocketFacts,
+    pub settings: SocketSettings,
     /// The counters of the sockets.
     pub counters: Counters,
     /// The query router without sockets.
--- a/crates/fernknot-router/src/node_writer.rs
+++ b/crates/fernknot-router/src/node_writer.rs
@@ -5,7 +5,7 @@
 use crate::node_connection::{AttemptId, NodeConnection, OutgoingFrame, WriteState};
 use crate::nodes::Nodes;
 use fernknot::interface::{NodeId, Outcome};
-use fernknot_engine::PartOf;
+use fernknot_engine::Phase;
 use fernknot_protocol::frames::{self, CallPart, CallPhase};
 
 const NANOS_PER_MS: u64 = 1_000_000;
@@ -65,7 +65,7 @@
         let mut sendable = Vec::new();
         for attempt in attempts {
             let multiget = context.engine.table.get(attempt.part.multiget);
-            if is_grace_over || multiget.is_none_or(|multiget| multiget.over) {
+            if is_grace_over || multiget.is_none_or(|multiget| multiget.is_over) {
                 self.abandon(context, attempt, Outcome::NeverSent);
             } else if context.engine.table.is_out(attempt.part, attempt.number) {
                 sendable.push(attempt);
@@ -105,18 +105,18 @@
 fn call_part(context: &Context, attempt: AttemptId) -> Option<CallPart<'_>> {
     let multiget = context.engine.table.get(attempt.part.multiget)?;
     let part = &multiget.parts[attempt.part.index];
-    let time_left = part.hand_offs.get(attempt.number.0 as usize)?.stop_at - context.now;
+    let time_left = part.attempts.get(attempt.number.0 as usize)?.stop_at - context.now;
     Some(CallPart {
         id: &part.id,
         shard: part.shard.0,
         timeout_ms: time_left.0.div_ceil(NANOS_PER_MS),
         key: multiget.key(part),
-        phase: match part.of {
-            PartOf::Plain => None,
-            PartOf::Match => {
+        phase: match part.phase {
+            Phase::Plain => None,
+            Phase::Match => {
                 Some(CallPhase::Match { version: context.engine.phases().filter_version(part.shard) })
             }
-            PartOf::Fetch => Some(CallPhase::Fetch),
+            Phase::Fetch => Some(CallPhase::Fetch),
         },
         text: multiget.text(part),
     })
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -5,7 +5,7 @@
 use crate::node_connection::{AttemptId, NodeConnection, WriteState};
 use fernknot::interface::{Health, Nanos, NodeEntry, NodeId, Outcome, PlaceId, ZoneId};
 use fernknot_protocol::discovery::{ListedNode, NodeList};
-use fernknot_protocol::news::Tags;
+use fernknot_protocol::news::NodeTags;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
@@ -41,7 +41,7 @@
     /// The connection that each attempt is on.
     pub connection_of: HashMap<AttemptId, NodeConnectionId>,
     /// What nodes are called between routers, where routers may send each other messages.
-    pub tags: Option<Tags>,
+    pub tags: Option<NodeTags>,
     /// Connections with more to read.
     pub readable: Vec<NodeConnectionId>,
     /// Connections with something to write.
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -5,7 +5,7 @@
 use crate::tcp_connection::{EventLoopHandle, watch};
 use fernknot::interface::{NodeId, PeerId, Update};
 use fernknot_membership::DATAGRAM_PREFIX;
-use fernknot_protocol::news::Tags;
+use fernknot_protocol::news::NodeTags;
 use fernknot_router_config::PeerAddresses;
 use std::io::{ErrorKind, Result};
 use std::net::{SocketAddr, UdpSocket};
@@ -29,7 +29,7 @@
     }
 
     /// Sends updates on nodes to all peers.
-    pub fn send_updates(&self, context: &mut Context, tags: &Tags, updates: &[(NodeId, Update)]) {
+    pub fn send_updates(&self, context: &mut Context, tags: &NodeTags, updates: &[(NodeId, Update)]) {
         for message in tags.write(updates, context.limits.max_datagram_bytes) {
             match self.socket.send_to(&message, self.addresses.all_peers) {
                 Ok(_) => context.counters.datagrams_sent += 1,
@@ -49,7 +49,7 @@
             }
         }
         if let Some(routers) = membership.changed_sharers(context.now, &context.log) {
-            context.engine.shared_by(context.now, routers);
+            context.engine.set_sharing_routers(context.now, routers);
         }
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Reads the datagrams that have come.
-    pub fn receive(&self, context: &mut Context, tags: &Tags) {
+    pub fn receive(&self, context: &mut Context, tags: &NodeTags) {
         let mut message = vec![0; context.limits.max_datagram_bytes + 1];
         // Guards the rest of the turn against a flood.
         for _ in 0..context.limits.max_datagrams_per_turn {
@@ -73,7 +73,7 @@
         }
     }
 
-    fn take_datagram(&self, context: &mut Context, tags: &Tags, from: SocketAddr, message: &[u8]) {
+    fn take_datagram(&self, context: &mut Context, tags: &NodeTags, from: SocketAddr, message: &[u8]) {
         if message.starts_with(&[DATAGRAM_PREFIX])
             && let Some(membership) = &mut context.membership
         {
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -4,7 +4,7 @@
 use crate::term_filter_cache::FilterAnswer;
 use fernknot::interface::{Nanos, ShardId, UseCaseId};
 use fernknot_protocol::multiget::BlockState;
-use fernknot_router_config::{PhaseFacts, Silent};
+use fernknot_router_config::{TwoPhaseSettings, UnansweredBlock};
 use std::collections::BTreeMap;
 
 /// A block that the first phase asks.
@@ -122,7 +122,7 @@
 
     /// Takes an answer: its block and those that it names have a known chance now, and the chance of the others
     /// shrinks where any block may name any other.
-    pub fn apply_answer(&mut self, from: ShardId, named: &[ShardId], settings: &PhaseFacts) {
+    pub fn apply_answer(&mut self, from: ShardId, named: &[ShardId], settings: &TwoPhaseSettings) {
         if let Some(asked) = self.asked.get_mut(&from) {
             asked.answered = true;
         }
@@ -130,10 +130,10 @@
             let is_complete = self.is_first_phase_complete();
             let remaining = if is_complete { 0.0 } else { 1.0 - 1.0 / self.asked.len() as f64 };
             let candidates = self.candidates.values_mut();
-            for candidate in candidates.filter(|candidate| !candidate.named && settings.prunes) {
+            for candidate in candidates.filter(|candidate| !candidate.named && settings.prunes_unmatched) {
                 candidate.fetch_chance *= remaining;
             }
-        } else if let Some(candidate) = self.candidates.get_mut(&from).filter(|_| settings.prunes) {
+        } else if let Some(candidate) = self.candidates.get_mut(&from).filter(|_| settings.prunes_unmatched) {
             candidate.fetch_chance = 0.0;
         }
         for shard in named {
@@ -144,7 +144,7 @@
     }
 
     /// Ends the first phase, and settles what becomes of each candidate.
-    pub fn open_second_phase(&mut self, now: Nanos, settings: &PhaseFacts) -> FetchPlan {
+    pub fn open_second_phase(&mut self, now: Nanos, settings: &TwoPhaseSettings) -> FetchPlan {
         self.second_phase_opened_at = Some(now);
         let is_first_complete = self.is_first_phase_complete();
         let mut plan = FetchPlan { blocks: Vec::new(), ruled_out_weight: 0.0, is_complete: true, named: 0 };
@@ -154,8 +154,9 @@
             let may_be_named =
                 !candidate.named && (is_own_answer_missing || !is_first_complete && settings.names_others);
             plan.named += usize::from(candidate.named);
-            let is_fetched =
-                candidate.named || !settings.prunes || may_be_named && settings.silent == Silent::Fetch;
+            let is_fetched = candidate.named
+                || !settings.prunes_unmatched
+                || may_be_named && settings.unanswered_block == UnansweredBlock::Fetch;
             if is_fetched {
                 candidate.outcome = Outcome::Fetched;
                 plan.blocks.push(candidate.block.clone());
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -5,9 +5,9 @@
 use crate::term_filter_cache::{FilterAnswer, TermFilterCache};
 use crate::use_case_statistics::UseCaseStatistics;
 use fernknot::interface::{MultigetId, Nanos, SecondPhaseEstimate, SecondPhaseStart, ShardId};
-use fernknot_protocol::matches::{Match, Names};
+use fernknot_protocol::matches::{MatchAnswer, MatchedBlocks};
 use fernknot_protocol::multiget::BlockState;
-use fernknot_router_config::{PhaseFacts, Silent};
+use fernknot_router_config::{TwoPhaseSettings, UnansweredBlock};
 use std::collections::{BTreeMap, HashMap};
 
 /// All queries in flight that have two phases, and what earlier ones taught.
@@ -30,9 +30,13 @@
 impl TwoPhasePlanner {
     /// `settings` has one entry for each use case, `None` where it has no phases; term filters take at most
     /// `max_filter_bytes`. `now`, here and elsewhere, is the caller's monotonic clock.
-    pub fn new(now: Nanos, settings: &[Option<PhaseFacts>], max_filter_bytes: usize) -> TwoPhasePlanner {
+    pub fn new(
+        now: Nanos,
+        settings: &[Option<TwoPhaseSettings>],
+        max_filter_bytes: usize,
+    ) -> TwoPhasePlanner {
         let has_phases = settings.iter().any(Option::is_some);
-        let statistics = |settings: &Option<PhaseFacts>| {
+        let statistics = |settings: &Option<TwoPhaseSettings>| {
             settings.as_ref().map(|settings| UseCaseStatistics::new(now, settings))
         };
         TwoPhasePlanner {
@@ -66,13 +70,13 @@
         order.sort_by(|one, other| chance(other).total_cmp(&chance(one)).then(one.cmp(other)));
         let mean_effort = mean_effort(&query.candidates);
         let candidate = |block: CandidateBlock| {
-            let fetch_chance = if statistics.settings.prunes { chance(&block.shard) } else { 1.0 };
+            let fetch_chance = if statistics.settings.prunes_unmatched { chance(&block.shard) } else { 1.0 };
             (block.shard, Candidate::new(block, fetch_chance))
         };
         let in_flight = QueryInFlight {
             use_case: query.use_case,
             began_at: now,
-            target: statistics.settings.goal.min(query.client_timeout),
+            target: statistics.settings.latency_target.min(query.client_timeout),
             second_phase_opened_at: None,
             candidates: query.candidates.into_iter().map(candidate).collect(),
             asked,
@@ -91,7 +95,7 @@
         let parts = query.expected_fetches();
         let named = query.named_count();
         let needs = statistics.time_to_keep(now, parts, query.target);
-        let is_fetch_certain = statistics.settings.refuses && named > 0;
+        let is_fetch_certain = statistics.settings.rejects_late_second_phase && named > 0;
         let least = if is_fetch_certain { statistics.least_second_phase(now, named) } else { Nanos(0) };
         let settings = &statistics.settings;
         Some(SecondPhaseEstimate {
@@ -100,7 +104,11 @@
             needs_least: least.min(needs),
             parts,
             effort: query.mean_effort,
-            least: if settings.silent == Silent::Refuse { 1.0 } else { settings.least },
+            least: if settings.unanswered_block == UnansweredBlock::Refuse {
+                1.0
+            } else {
+                settings.min_match_share
+            },
         })
     }
 
@@ -110,7 +118,12 @@
     /// # Errors
     ///
     /// A [`MatchError`] if the answer cannot be used; it changes nothing then, either.
-    pub fn record_match(&mut self, id: MultigetId, from: ShardId, answer: Match) -> Result<bool, MatchError> {
+    pub fn record_match(
+        &mut self,
+        id: MultigetId,
+        from: ShardId,
+        answer: MatchAnswer,
+    ) -> Result<bool, MatchError> {
         let query = self.in_flight.get_mut(&id).filter(|query| !query.is_second_phase_open());
         let Some(query) = query else { return Ok(false) };
         let Some(Some(statistics)) = self.use_cases.get_mut(query.use_case.0) else { return Ok(false) };
@@ -119,11 +132,11 @@
             return Ok(false);
         }
         let named = match answer.names {
-            Names::Blocks(blocks) => {
+            MatchedBlocks::Blocks(blocks) => {
                 query.check_named(from, &blocks, statistics.settings.names_others)?;
                 NamedBlocks { blocks, ruled_out_by_filter: false }
             }
-            Names::Same(version) => named_by_filter(&mut self.filters, query, from, version),
+            MatchedBlocks::Same(version) => named_by_filter(&mut self.filters, query, from, version),
         };
         if asked.filter_answer == FilterAnswer::CannotMatch && !named.ruled_out_by_filter {
             statistics.record_denied_match(!named.blocks.is_empty());
@@ -145,7 +158,7 @@
         if query.is_first_phase_complete() {
             statistics.record_match_rate(plan.named as f64 / query.candidates.len().max(1) as f64);
         }
-        let may_reject = statistics.settings.refuses;
+        let may_reject = statistics.settings.rejects_late_second_phase;
         let needs = may_reject.then(|| statistics.likely_second_phase(now, plan.blocks.len()));
         let step = SecondPhaseStart { needs, base: plan.ruled_out_weight, whole: plan.is_complete };
         Some(SecondPhase { blocks: plan.blocks, step })
--- a/crates/fernknot-two-phase/src/use_case_statistics.rs
+++ b/crates/fernknot-two-phase/src/use_case_statistics.rs
@@ -4,7 +4,7 @@
 use crate::term_filter_cache::FilterAnswer;
 use fernknot::interface::Nanos;
 use fernknot::state::RunningMean;
-use fernknot_router_config::{PhaseFacts, Split};
+use fernknot_router_config::{LatencySplit, TwoPhaseSettings};
 
 /// The first phase leaves as much time as this share of the recent second phases of the size took at most.
 const NEEDED_QUANTILE: f64 = 0.9;
@@ -26,7 +26,7 @@
 /// The statistics of one use case, and its settings.
 pub(crate) struct UseCaseStatistics {
     /// The settings of the use case.
-    pub settings: PhaseFacts,
+    pub settings: TwoPhaseSettings,
     first_phases: RecentDurations,
     /// By size class.
     second_phases: Vec<RecentDurations>,
@@ -56,7 +56,7 @@
 
 impl UseCaseStatistics {
     /// Nothing is known yet.
-    pub fn new(now: Nanos, settings: &PhaseFacts) -> UseCaseStatistics {
+    pub fn new(now: Nanos, settings: &TwoPhaseSettings) -> UseCaseStatistics {
         UseCaseStatistics {
             settings: settings.clone(),
             first_phases: RecentDurations::new(now),
@@ -97,7 +97,7 @@
     /// The time to keep for a second phase of so many parts, within the bounds of the settings. `target` is the
     /// latency target, or the client's time-out if that is less.
     pub fn time_to_keep(&mut self, now: Nanos, parts: f64, target: Nanos) -> Nanos {
-        if self.settings.split == Split::Half {
+        if self.settings.split == LatencySplit::Half {
             return target.times(0.5);
         }
         let second = self.expected_second_phase(now, parts, target);
@@ -106,8 +106,8 @@
         let first = self.first_phases.quantile(now, NEEDED_QUANTILE).unwrap_or_default();
         let both = (first + second).0.max(1);
         let second = if both > target.0 { target.times(second.0 as f64 / both as f64) } else { second };
-        let least = target.times(1.0 - self.settings.first_most);
-        let greatest = target.times(1.0 - self.settings.first_least);
+        let least = target.times(1.0 - self.settings.max_first_phase_share);
+        let greatest = target.times(1.0 - self.settings.min_first_phase_share);
         second.clamp(least, greatest)
     }
 
@@ -116,7 +116,8 @@
         if parts <= 0.0 {
             return Nanos(0);
         }
-        let middle = target.times(1.0 - (self.settings.first_least + self.settings.first_most) / 2.0);
+        let middle = target
+            .times(1.0 - (self.settings.min_first_phase_share + self.settings.max_first_phase_share) / 2.0);
         self.second_phase_quantile(now, parts, NEEDED_QUANTILE).unwrap_or(middle)
     }
 
--- a/examples/stand-in/src/discovery.rs
+++ b/examples/stand-in/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: a list that can be changed, told whole or as changes to those who watch.
 
 use fernknot_protocol::buffer::Buffer;
-use fernknot_protocol::http::{Answer, Request, RequestReader};
+use fernknot_protocol::http::{Request, RequestReader, ResponseHead};
 use std::collections::BTreeMap;
 use std::io::{Read, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -88,10 +88,16 @@
                 let mut out = Buffer::default();
                 let status = if body.is_some() { 200 } else { 404 };
                 let kind = "application/json";
-                Answer { status, kind, wait: None, keep: request.keep, old: request.old }
-                    .write(&mut out, body.unwrap_or_default().as_bytes());
+                ResponseHead {
+                    status,
+                    content_type: kind,
+                    retry_after_s: None,
+                    keeps_connection: request.keeps_connection,
+                    is_http_1_0: request.is_http_1_0,
+                }
+                .write(&mut out, body.unwrap_or_default().as_bytes());
                 stream.write_all(out.data())?;
-                if !request.keep {
+                if !request.keeps_connection {
                     return Ok(());
                 }
             }
--- a/examples/stand-in/src/node.rs
+++ b/examples/stand-in/src/node.rs
@@ -3,7 +3,7 @@
 use fernknot::interface::ShardId;
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::frames::{self, RawFrame, ReceivedPart};
-use fernknot_protocol::matches::{self, Match, Names};
+use fernknot_protocol::matches::{self, MatchAnswer, MatchedBlocks};
 use std::io::{Read, Result, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -159,7 +159,7 @@
                 Some("match") => {
                     thread::sleep(match_after);
                     let blocks = if matches { vec![ShardId(call.shard)] } else { Vec::new() };
-                    matches::write(&Match { names: Names::Blocks(blocks), sketch: None })
+                    matches::write(&MatchAnswer { names: MatchedBlocks::Blocks(blocks), sketch: None })
                 }
                 Some(_) => match fetch_after {
                     Some(wait) => {
