--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -8,10 +8,10 @@
 };
 use fernknot::decide::Router;
 use fernknot::interface::{
-    Arrival, CustomerId, Decision, Ending, HandOffNo, Health, ListKind, LoadReport, MultigetId, Nanos,
+    Arrival, AttemptNumber, CustomerId, Decision, Ending, Health, ListKind, LoadReport, MultigetId, Nanos,
     NodeEntry, NodeId, Outcome, PartArrival, PeerId, PlaceId, ShardId, Update, UseCaseId, ZoneId,
 };
-use fernknot_protocol::news::NodeTags;
+use fernknot_protocol::peer_updates::NodeTags;
 use std::collections::BTreeMap;
 
 /// Bytes that the wire lets one datagram have.
@@ -122,7 +122,7 @@
         let Some(node) = self.nodes.id(&ended.node) else { return Ok(()) };
         let ending = Ending {
             part,
-            number: HandOffNo(ended.attempt),
+            number: AttemptNumber(ended.attempt),
             node,
             outcome,
             took: Nanos::from_millis(ended.took_ms),
@@ -199,7 +199,7 @@
             Decision::RequestList => actions.push(Action::SubscribeToNodeList { instance, full: true }),
             // On the bench connections go silent only together with their nodes.
             Decision::RenewConnections { .. } => {}
-            Decision::NotifyPeers { updates: news } => self.publish(&news, actions),
+            Decision::NotifyPeers { updates } => self.publish(&updates, actions),
             Decision::Wake { after } => {
                 let after_ms = after.as_millis();
                 actions.push(Action::SetTimer { instance, after_ms, label: TIMER_LABEL });
--- a/crates/fernknot-engine/src/action.rs
+++ b/crates/fernknot-engine/src/action.rs
@@ -1,7 +1,7 @@
 //! What the host is to do, and how multigets end.
 
 use crate::multiget::{RequesterId, Stage};
-use fernknot::interface::{HandOffNo, Nanos, NodeId, Outcome, PartId, ShardId, Update};
+use fernknot::interface::{AttemptNumber, Nanos, NodeId, Outcome, PartId, ShardId, Update};
 use fernknot_protocol::multiget::BlockState;
 
 /// The final answer to a multiget.
@@ -14,7 +14,7 @@
         /// The value of each part that is in.
         found: Vec<(ShardId, String)>,
         /// The index of each part that is in, and the attempt that answered it.
-        found_by: Vec<(usize, HandOffNo)>,
+        found_by: Vec<(usize, AttemptNumber)>,
         /// What became of each block of a query in two phases.
         blocks: Option<Vec<(ShardId, BlockState)>>,
     },
@@ -35,7 +35,7 @@
         /// The part.
         part: PartId,
         /// The attempt's number among those of the part.
-        no: HandOffNo,
+        no: AttemptNumber,
         /// The node.
         node: NodeId,
     },
@@ -44,7 +44,7 @@
         /// The part.
         part: PartId,
         /// The attempt's number among those of the part.
-        no: HandOffNo,
+        no: AttemptNumber,
         /// The outcome of an attempt that was sent.
         outcome: Outcome,
     },
--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -7,7 +7,7 @@
 use crate::table::MultigetTable;
 use fernknot::decide::Router;
 use fernknot::interface::{
-    Arrival, CustomerId, Decision, Ending, HandOffNo, ListKind, LoadReport, MultigetId, Nanos, NodeEntry,
+    Arrival, AttemptNumber, CustomerId, Decision, Ending, ListKind, LoadReport, MultigetId, Nanos, NodeEntry,
     NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteSettings, Update, UseCaseId, UseCaseSettings,
 };
 use fernknot_protocol::multiget::{MultigetRequest, RequestedPart};
@@ -26,7 +26,7 @@
     /// Attempts that ended, which the decision module has not been given yet.
     endings: VecDeque<Ending>,
     /// When attempts in flight are no longer waited for.
-    attempt_deadlines: BTreeSet<(Nanos, PartId, HandOffNo)>,
+    attempt_deadlines: BTreeSet<(Nanos, PartId, AttemptNumber)>,
     wake_at: Option<Nanos>,
     /// Ends are given to the decision module before a pull, not amid one.
     is_pulling: bool,
@@ -69,9 +69,9 @@
         self.decisions.list_failed(now);
     }
 
-    /// Adds a use case at the next free id, or replaces one; see [`Router::use_case`].
-    pub fn use_case(&mut self, now: Nanos, id: UseCaseId, facts: &UseCaseSettings) {
-        self.decisions.set_use_case(now, id, facts);
+    /// Adds a use case at the next free id, or replaces one; see [`Router::set_use_case`].
+    pub fn use_case(&mut self, now: Nanos, id: UseCaseId, settings: &UseCaseSettings) {
+        self.decisions.set_use_case(now, id, settings);
     }
 
     /// Removes a use case; its id may be used again once nothing of it is open.
@@ -158,7 +158,14 @@
     }
 
     /// A node answered an attempt with a value; empty where the host keeps values itself.
-    pub fn answered(&mut self, now: Nanos, part: PartId, no: HandOffNo, value: String, report: LoadReport) {
+    pub fn answered(
+        &mut self,
+        now: Nanos,
+        part: PartId,
+        no: AttemptNumber,
+        value: String,
+        report: LoadReport,
+    ) {
         let is_out = self.table.is_out(part, no);
         let Some(state) = self.table.part_mut(part).filter(|_| is_out) else { return };
         let outcome = match state.phase {
@@ -172,7 +179,14 @@
     }
 
     /// An attempt ended in any other way. How it ended first counts.
-    pub fn ended(&mut self, now: Nanos, part: PartId, no: HandOffNo, outcome: Outcome, report: LoadReport) {
+    pub fn ended(
+        &mut self,
+        now: Nanos,
+        part: PartId,
+        no: AttemptNumber,
+        outcome: Outcome,
+        report: LoadReport,
+    ) {
         let Some(attempt) = self.table.attempt_mut(part, no).filter(|attempt| !attempt.is_over) else {
             return;
         };
@@ -275,7 +289,7 @@
             Decision::Abort { multiget } => self.answer(now, multiget, Verdict::Failed),
             Decision::RequestList => Some(Action::FollowList),
             Decision::RenewConnections { node } => Some(Action::RenewConnections { node }),
-            Decision::NotifyPeers { updates: news } => Some(Action::NotifyPeers { updates: news }),
+            Decision::NotifyPeers { updates } => Some(Action::NotifyPeers { updates }),
             Decision::Wake { after } => {
                 let at = now + after;
                 self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
@@ -288,7 +302,7 @@
         let multiget = self.table.get_mut(part.multiget)?;
         let stop_at = if stop_at.0 == 0 { multiget.client_end } else { stop_at.min(multiget.client_end) };
         let attempts = &mut multiget.parts[part.index].attempts;
-        let no = HandOffNo(attempts.len() as u32);
+        let no = AttemptNumber(attempts.len() as u32);
         attempts.push(AttemptState { node, sent: now, stop_at, is_over: false });
         multiget.in_flight += 1;
         self.counters.hand_offs += 1;
--- a/crates/fernknot-engine/src/part.rs
+++ b/crates/fernknot-engine/src/part.rs
@@ -1,6 +1,6 @@
 //! A part of a multiget, and the attempts to have it answered.
 
-use fernknot::interface::{HandOffNo, Nanos, NodeId, ShardId};
+use fernknot::interface::{AttemptNumber, Nanos, NodeId, ShardId};
 
 /// One attempt to have a part answered by a node.
 pub struct AttemptState {
@@ -36,7 +36,7 @@
     /// The value of the first answer.
     pub value: Option<String>,
     /// The attempt that gave it.
-    pub answered_by: Option<HandOffNo>,
+    pub answered_by: Option<AttemptNumber>,
     /// Its attempts, by their numbers.
     pub attempts: Vec<AttemptState>,
 }
@@ -55,7 +55,7 @@
     }
 
     /// Takes a value, if it is the first.
-    pub(crate) fn answer(&mut self, attempt: HandOffNo, value: String) {
+    pub(crate) fn answer(&mut self, attempt: AttemptNumber, value: String) {
         if self.value.is_none() {
             (self.value, self.answered_by) = (Some(value), Some(attempt));
         }
--- a/crates/fernknot-engine/src/table.rs
+++ b/crates/fernknot-engine/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::multiget::{MultigetState, RequesterId};
 use crate::part::{AttemptState, PartState};
-use fernknot::interface::{HandOffNo, MultigetId, Nanos, PartId};
+use fernknot::interface::{AttemptNumber, MultigetId, Nanos, PartId};
 use fernknot_protocol::multiget::MultigetRequest;
 use std::collections::{HashMap, HashSet};
 
@@ -74,16 +74,16 @@
     }
 
     /// An attempt of a multiget in the table.
-    pub fn attempt(&self, id: PartId, number: HandOffNo) -> Option<&AttemptState> {
+    pub fn attempt(&self, id: PartId, number: AttemptNumber) -> Option<&AttemptState> {
         self.part(id)?.attempts.get(number.0 as usize)
     }
 
-    pub(crate) fn attempt_mut(&mut self, id: PartId, number: HandOffNo) -> Option<&mut AttemptState> {
+    pub(crate) fn attempt_mut(&mut self, id: PartId, number: AttemptNumber) -> Option<&mut AttemptState> {
         self.part_mut(id)?.attempts.get_mut(number.0 as usize)
     }
 
     /// Whether the end of an attempt has not been reported.
-    pub fn is_out(&self, part: PartId, number: HandOffNo) -> bool {
+    pub fn is_out(&self, part: PartId, number: AttemptNumber) -> bool {
         self.attempt(part, number).is_some_and(|attempt| !attempt.is_over)
     }
 
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -78,7 +78,7 @@
     pub at: f64,
     pub asker: u64,
     pub part: PartId,
-    pub no: HandOffNo,
+    pub no: AttemptNumber,
     pub node: NodeId,
     pub id: String,
     pub shard: u32,
@@ -252,14 +252,14 @@
         }
     }
 
-    fn note_end(&mut self, part: PartId, no: HandOffNo, outcome: Outcome) {
+    fn note_end(&mut self, part: PartId, no: AttemptNumber, outcome: Outcome) {
         for sent in self.sent.iter_mut().filter(|sent| (sent.part, sent.no) == (part, no)) {
             sent.over = true;
             sent.outcome.get_or_insert(outcome);
         }
     }
 
-    pub fn end_hand_off(&mut self, part: PartId, no: HandOffNo, outcome: Outcome) {
+    pub fn end_hand_off(&mut self, part: PartId, no: AttemptNumber, outcome: Outcome) {
         self.engine.ended(ms(self.now), part, no, outcome, LoadReport::default());
         self.note_end(part, no, outcome);
     }
--- a/crates/fernknot-engine/tests/plain.rs
+++ b/crates/fernknot-engine/tests/plain.rs
@@ -20,7 +20,7 @@
         panic!("two of three parts are enough");
     };
     assert_eq!(*found, [(ShardId(0), String::new()), (ShardId(2), String::new())]);
-    assert_eq!(*found_by, [(0, HandOffNo(1)), (2, HandOffNo(0))], "the second try of the first part");
+    assert_eq!(*found_by, [(0, AttemptNumber(1)), (2, AttemptNumber(0))], "the second try of the first part");
 }
 
 #[test]
--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -3,8 +3,8 @@
 use crate::event_queue::EventQueue;
 use crate::stores::{Job, Store, StoreScript};
 use fernknot::interface::{
-    HandOffNo, Health, ListKind, LoadReport, MultigetId, Nanos, NodeEntry, NodeId, Outcome, PartId, PlaceId,
-    ShardId, SiteSettings,
+    AttemptNumber, Health, ListKind, LoadReport, MultigetId, Nanos, NodeEntry, NodeId, Outcome, PartId,
+    PlaceId, ShardId, SiteSettings,
 };
 use fernknot_engine::{Action, Engine, Phase, RequesterId, Stage, Verdict};
 use fernknot_protocol::matches::{self, MatchAnswer, MatchedBlocks};
@@ -27,7 +27,7 @@
 struct Attempt {
     node: NodeId,
     part: PartId,
-    number: HandOffNo,
+    number: AttemptNumber,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -325,7 +325,7 @@
         self.schedule_after_hop(Event::PartReceived(attempt));
     }
 
-    fn abandon(&mut self, part: PartId, number: HandOffNo, outcome: Outcome) {
+    fn abandon(&mut self, part: PartId, number: AttemptNumber, outcome: Outcome) {
         let node = self.engine.table.attempt(part, number).map(|attempt| attempt.node);
         self.engine.ended(self.now, part, number, outcome, LoadReport::default());
         if let Some(node) = node {
--- a/crates/fernknot-experiments/src/stores.rs
+++ b/crates/fernknot-experiments/src/stores.rs
@@ -1,7 +1,7 @@
 //! Scripted stores: one server and a bounded queue each, work from distributions, and spells in which they are slow or
 //! stalled.
 
-use fernknot::interface::{HandOffNo, Nanos, PartId};
+use fernknot::interface::{AttemptNumber, Nanos, PartId};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Gamma};
@@ -16,7 +16,7 @@
     /// The part.
     pub part: PartId,
     /// The number of the attempt.
-    pub attempt: HandOffNo,
+    pub attempt: AttemptNumber,
     /// The work of it at full speed.
     pub work: Nanos,
 }
@@ -125,7 +125,7 @@
     }
 
     /// Drops a part that still waits. One that runs goes on to its end.
-    pub fn cancel(&mut self, part: PartId, attempt: HandOffNo) {
+    pub fn cancel(&mut self, part: PartId, attempt: AttemptNumber) {
         self.waiting.retain(|job| (job.part, job.attempt) != (part, attempt));
     }
 
--- a/crates/fernknot-experiments/tests/stores.rs
+++ b/crates/fernknot-experiments/tests/stores.rs
@@ -1,6 +1,6 @@
 //! Stores work as long as their spells make it.
 
-use fernknot::interface::{HandOffNo, MultigetId, Nanos, PartId};
+use fernknot::interface::{AttemptNumber, MultigetId, Nanos, PartId};
 use fernknot_experiments::stores::{Job, Spell, Store};
 use test_case::test_case;
 
@@ -19,6 +19,6 @@
     ];
     let mut store = Store::new(spells, 4);
     let part = PartId { multiget: MultigetId(1), index: 0 };
-    assert!(store.enqueue(Job { part, attempt: HandOffNo(0), work: ms(work_ms) }));
+    assert!(store.enqueue(Job { part, attempt: AttemptNumber(0), work: ms(work_ms) }));
     assert_eq!(store.start_next(ms(start_ms)).map(|at| at.as_millis().round()), Some(done_ms));
 }
--- a/crates/fernknot-gateway/src/nodes/connections.rs
+++ b/crates/fernknot-gateway/src/nodes/connections.rs
@@ -13,7 +13,7 @@
     /// The part of a request.
     pub part: PartId,
     /// The number of the attempt among those of the part.
-    pub number: HandOffNo,
+    pub number: AttemptNumber,
 }
 
 /// A connection to a node.
--- a/crates/fernknot-gateway/tests/answers.rs
+++ b/crates/fernknot-gateway/tests/answers.rs
@@ -123,7 +123,7 @@
 }
 
 fn first_attempt(part: PartId) -> AttemptKey {
-    AttemptKey { part, number: HandOffNo(0) }
+    AttemptKey { part, number: AttemptNumber(0) }
 }
 
 /// A connection that carries the first attempt of a part.
--- a/crates/fernknot-protocol/src/lib.rs
+++ b/crates/fernknot-protocol/src/lib.rs
@@ -13,6 +13,6 @@
 mod http_error;
 pub mod matches;
 pub mod multiget;
-pub mod news;
 pub mod outbox;
+pub mod peer_updates;
 pub mod report;
--- a/crates/fernknot-protocol/tests/peer_updates.rs
+++ b/crates/fernknot-protocol/tests/peer_updates.rs
@@ -1,7 +1,7 @@
 //! What routers tell each other of nodes.
 
 use fernknot::interface::{Nanos, NodeId, Update};
-use fernknot_protocol::news::NodeTags;
+use fernknot_protocol::peer_updates::NodeTags;
 
 #[test]
 fn what_is_written_is_read_and_what_is_cut_off_or_strange_is_left_out() {
--- a/crates/fernknot-router-config/src/phase_settings.rs
+++ b/crates/fernknot-router-config/src/phase_settings.rs
@@ -34,8 +34,8 @@
 fn with_defaults(raw: &PhasesGiven, goal: Nanos, min_share: f64) -> TwoPhaseSettings {
     TwoPhaseSettings {
         latency_target: goal,
-        min_first_phase_share: raw.least_first.unwrap_or(DEFAULT_MIN_FIRST_PHASE_SHARE),
-        max_first_phase_share: raw.most_first.unwrap_or(DEFAULT_MAX_FIRST_PHASE_SHARE),
+        min_first_phase_share: raw.min_first.unwrap_or(DEFAULT_MIN_FIRST_PHASE_SHARE),
+        max_first_phase_share: raw.max_first.unwrap_or(DEFAULT_MAX_FIRST_PHASE_SHARE),
         unanswered_block: raw.silent.unwrap_or(UnansweredBlock::Fetch),
         names_others: raw.names_others.unwrap_or(false),
         min_match_share: raw.least_matches.unwrap_or(min_share),
--- a/crates/fernknot-router-config/src/settings.rs
+++ b/crates/fernknot-router-config/src/settings.rs
@@ -94,8 +94,10 @@
 // The name stands in messages of the parser, which operators see.
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub(crate) struct PhasesGiven {
-    pub(crate) least_first: Option<f64>,
-    pub(crate) most_first: Option<f64>,
+    #[serde(rename = "leastFirst")]
+    pub(crate) min_first: Option<f64>,
+    #[serde(rename = "mostFirst")]
+    pub(crate) max_first: Option<f64>,
     pub(crate) silent: Option<UnansweredBlock>,
     pub(crate) names_others: Option<bool>,
     pub(crate) least_matches: Option<f64>,
--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -281,9 +281,9 @@
             // Discovery is watched from the start, whether or not that must be asked for.
             Action::FollowList => {}
             Action::RenewConnections { node } => nodes.renew_connections(context, node),
-            Action::NotifyPeers { updates: news } => {
+            Action::NotifyPeers { updates } => {
                 if let (Some(peers), Some(tags)) = (peers, &nodes.tags) {
-                    peers.send_updates(context, tags, &news);
+                    peers.send_updates(context, tags, &updates);
                 }
             }
         }
--- a/crates/fernknot-router/src/node_connection.rs
+++ b/crates/fernknot-router/src/node_connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a data node, and what is on it.
 
 use crate::tcp_connection::TcpConnection;
-use fernknot::interface::{HandOffNo, Nanos, NodeId, PartId};
+use fernknot::interface::{AttemptNumber, Nanos, NodeId, PartId};
 use fernknot_protocol::outbox::Outbox;
 use std::collections::{HashMap, VecDeque};
 
@@ -11,7 +11,7 @@
     /// The part.
     pub part: PartId,
     /// The attempt's number among those of the part.
-    pub number: HandOffNo,
+    pub number: AttemptNumber,
 }
 
 /// How much of an attempt's frame has been written.
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -5,7 +5,7 @@
 use crate::node_connection::{AttemptId, NodeConnection, WriteState};
 use fernknot::interface::{Health, Nanos, NodeEntry, NodeId, Outcome, PlaceId, ZoneId};
 use fernknot_protocol::discovery::{ListedNode, NodeList};
-use fernknot_protocol::news::NodeTags;
+use fernknot_protocol::peer_updates::NodeTags;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -5,7 +5,7 @@
 use crate::tcp_connection::{EventLoopHandle, watch};
 use fernknot::interface::{NodeId, PeerId, Update};
 use fernknot_membership::DATAGRAM_PREFIX;
-use fernknot_protocol::news::NodeTags;
+use fernknot_protocol::peer_updates::NodeTags;
 use fernknot_router_config::PeerAddresses;
 use std::io::{ErrorKind, Result};
 use std::net::{SocketAddr, UdpSocket};
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -146,7 +146,7 @@
         for (no, sent) in multiget.parts[part.index].attempts.iter_mut().enumerate() {
             if sent.outcome.is_none() && !sent.cancelled {
                 sent.cancelled = true;
-                self.ready.push_back(Decision::CancelAttempt { part, number: HandOffNo(no as u32) });
+                self.ready.push_back(Decision::CancelAttempt { part, number: AttemptNumber(no as u32) });
                 if let Some(node) = self.nodes.get_mut(&sent.node) {
                     node.out.remove(&(sent.sent, part, no));
                 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -67,7 +67,7 @@
     /// Another router of the same tier.
     PeerId(u32),
     /// The number of an attempt among those of its part, from 0 on.
-    HandOffNo(u32)
+    AttemptNumber(u32)
 );
 
 /// A part is known by its multiget and its place among the parts handed in.
@@ -317,7 +317,7 @@
     /// The part.
     pub part: PartId,
     /// Which attempt of the part.
-    pub number: HandOffNo,
+    pub number: AttemptNumber,
     /// The node that it was sent to.
     pub node: NodeId,
     /// How it ended.
@@ -358,7 +358,7 @@
         /// The part.
         part: PartId,
         /// Which attempt of the part.
-        number: HandOffNo,
+        number: AttemptNumber,
     },
     /// `last` is false for the answer that brings a second step.
     Complete {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -159,7 +159,7 @@
         let part = PartId { multiget: id, index };
         let node = self.sends(id, index)[no as usize];
         let report = LoadReport::default();
-        let ending = Ending { part, number: HandOffNo(no), node, outcome, took: ms(took), report };
+        let ending = Ending { part, number: AttemptNumber(no), node, outcome, took: ms(took), report };
         self.router.attempt_ended(ms(self.now), &ending);
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -219,7 +219,7 @@
     assert_eq!(host.sends(id, 0).len(), 2, "overdue: another replica is tried");
     host.end(id, 0, 0, Outcome::Answered, 600.0);
     let called_off =
-        Decision::CancelAttempt { part: PartId { multiget: id, index: 0 }, number: HandOffNo(1) };
+        Decision::CancelAttempt { part: PartId { multiget: id, index: 0 }, number: AttemptNumber(1) };
     assert!(host.pull().contains(&called_off));
     host.end(id, 0, 1, Outcome::Answered, 100.0);
     host.pass(GOAL - 600.0);
@@ -276,7 +276,7 @@
     let part = PartId { multiget: id, index: 7 };
     for (part, node) in [(stranger, 0), (part, 1), (PartId { multiget: id, index: 0 }, 9)] {
         let (outcome, report) = (Outcome::Answered, LoadReport::default());
-        let (no, node) = (HandOffNo(4), NodeId(node));
+        let (no, node) = (AttemptNumber(4), NodeId(node));
         host.router
             .attempt_ended(ms(host.now), &Ending { part, number: no, node, outcome, took: ms(1.0), report });
     }
