--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// The share of a goal time that the delay may fill: at the best earnings, the least, beyond a share.
+/// The share of a target that the delay may fill: at the best earnings, the least, beyond a share.
 const FILL_BEST: f64 = 0.65;
 const FILL_LEAST: f64 = 0.5;
 const FILL_BEYOND: f64 = 0.33;
 /// A multiget that would touch more than this share of the nodes at once is tried with one part first
-/// while the delay so made fills less than this share of its goal time.
+/// while the delay so made fills less than this share of its target.
 const WIDE: f64 = 0.5;
 const EASY: f64 = 0.4;
-/// While the delay that multigets meet fills more than this share of the goal time in the mean, and that of
+/// While the delay that multigets meet fills more than this share of the target in the mean, and that of
 /// a second phase as much of what is left, its estimate over all parts must reach the target.
 const CROWDED: f64 = 0.2;
 /// At any other time a second phase is refused only if it is likelier to fail than not.
@@ -18,7 +18,7 @@
 
 impl Router {
     /// The first look at a multiget: where its parts would go and how long they take. What cannot be in time
-    /// is dismissed before any is sent, sooner where it earns little or its customer is beyond its share.
+    /// is rejected before any is sent, sooner where it earns little or its customer is beyond its share.
     pub(super) fn admit(&mut self, now: Nanos, id: MultigetId) -> bool {
         let Some(multiget) = self.open.get_mut(&id) else { return false };
         multiget.fresh = false;
@@ -70,7 +70,7 @@
         let best = self.use_cases.iter().map(yields).fold(f64::MIN_POSITIVE, f64::max);
         let shed = FILL_LEAST + (FILL_BEST - FILL_LEAST) * yields(case) / best;
         let fill = if self.refusals_cost { 1.0 } else { shed };
-        // What is dismissed draws nothing from its customer's share. Guards repeats from passing for a flood.
+        // What is rejected draws nothing from its customer's share. Guards repeats from passing for a flood.
         let share = self.shares.get_mut(customer.0).filter(|_| !second);
         // A client that is short of time by its own doing is refused only what is past hope.
         let aim = case.latency_target;
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -4,7 +4,7 @@
 
 /// A cold replica gets this part of what the rule would allow.
 const COLD_CARE: f64 = 0.8;
-/// The part of the ration of further hand-offs that copies in the first of two phases may use.
+/// The part of the ration of retries that copies in the first of two phases may use.
 const FIRST_RATION: f64 = 0.5;
 
 impl Router {
@@ -13,7 +13,7 @@
         self.rejected_at.is_some_and(|at| now - at < self.shortest_goal.times(OVERDUE_GOAL))
     }
 
-    /// Whether one more copy keeps all further hand-offs under this share of the parts.
+    /// Whether one more copy keeps all retries under this share of the parts.
     pub(super) fn may_copy(&self, now: Nanos, share: f64) -> bool {
         let span = RECOMPUTE.times(2.0);
         self.budget_use.all.retries.within(now, span) + 1.0 < share * self.first_sends.within(now, span)
@@ -82,7 +82,7 @@
     }
 }
 
-/// A hand-off that is out, or ended in any way that does not prove otherwise, may have run.
+/// An attempt that is out, or ended in any way that does not prove otherwise, may have run.
 pub(super) fn may_have_run(sent: &Attempt) -> bool {
     !matches!(sent.outcome, Some(Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent))
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -32,15 +32,15 @@
 const COPY_SHARE: f64 = 0.1;
 /// How often copies are planned anew and measurements halved.
 const RECOMPUTE: Nanos = Nanos(2_000_000_000);
-/// Bins of a latency histogram: the first ends at this share of the shortest goal time.
+/// Bins of a latency histogram: the first ends at this share of the shortest target.
 const FIRST_BIN: f64 = 1.0 / 48.0;
 const BIN_RATIO: f64 = 1.5;
 const BINS: usize = 14;
-/// So many more where use cases come and go, whose goal times may be far apart.
+/// So many more where use cases come and go, whose targets may be far apart.
 const MORE_BINS: usize = 6;
-/// Replicas whose expected delays lie within this share of the goal time are equal.
+/// Replicas whose expected delays lie within this share of the target are equal.
 const DELAY_STEP: f64 = 1.0 / 24.0;
-/// A hand-off is overdue after so many times its expected delay, and this share of its goal time.
+/// An attempt is overdue after so many times its expected delay, and this share of its target.
 const OVERDUE: f64 = 2.5;
 const OVERDUE_GOAL: f64 = 0.3;
 /// Seconds of its share that a customer may use at once.
@@ -50,7 +50,7 @@
 /// A share counts as reached when it falls short by no more than rounding.
 const ROUNDING: f64 = 0.00005;
 
-/// What an answer past its goal time earns where nothing is told, and when to come back before all is known.
+/// What an answer past its target earns where nothing is told, and when to come back before all is known.
 pub const LATE_SHARE: f64 = 1.0 / 3.0;
 pub const FIRST_RETRY_AFTER: Nanos = Nanos(500_000_000);
 
--- a/src/decide/observation.rs
+++ b/src/decide/observation.rs
@@ -46,7 +46,7 @@
     }
 
     /// Adds a use case at the next free id, or replaces one, also for what is open. What was measured of it
-    /// stays if only its times, worth and limit of hand-offs changed and it has not been taken away.
+    /// stays if only its times, worth and limit of attempts changed and it has not been taken away.
     pub fn set_use_case(&mut self, _now: Nanos, id: UseCaseId, facts: &UseCaseSettings) {
         let mut case = UseCase::new(facts, &self.bins);
         let work = |case: &UseCase| (case.live, case.effect, case.required, case.quorum, case.two_phase);
@@ -79,7 +79,7 @@
     pub fn multiget_arrived(&mut self, now: Nanos, arrival: &Arrival) {
         let Some(case) = self.use_cases.get_mut(arrival.use_case.0) else { return };
         let stretch = arrival.effort.unwrap_or_default().times(case.stretch);
-        // The goal time of a repeat runs from the first try, which shows in what is left of its hard limit;
+        // The target of a repeat runs from the first try, which shows in what is left of its hard limit;
         // unmarked repeats show by that alone. Guards fresh work against repeats that are too late.
         let stay = arrival.client_end - now;
         case.stay = case.stay.max(stay);
@@ -94,7 +94,7 @@
         arrival.second.iter().for_each(|facts| self.expect_second_phase(arrival.multiget, *facts));
     }
 
-    /// What is known by now of a second phase. The first has the goal time less what the second is likely
+    /// What is known by now of a second phase. The first has the target less what the second is likely
     /// to need, and ends at once when the second can for certain not be in time any more.
     pub fn expect_second_phase(&mut self, id: MultigetId, facts: SecondPhaseEstimate) {
         let Some(multiget) = self.open.get_mut(&id).filter(|held| held.step_from == 0) else { return };
@@ -201,7 +201,7 @@
         node.for_each(|node| node.busy_share = report.busy_share.or(node.busy_share));
     }
 
-    /// What another router tells of its hand-offs: as good as our own for how a replica does and
+    /// What another router tells of its attempts: as good as our own for how a replica does and
     /// how much it holds. Guards routers that each see little of a node against sending it too much.
     pub fn apply_updates(&mut self, now: Nanos, from: PeerId, news: &[(NodeId, Update)]) {
         let lost_before = now - self.shortest_goal;
@@ -212,7 +212,7 @@
             let sent = node.others.iter().position(|(by, _, _)| *by == from);
             match (*what, sent) {
                 (Update::Sent, _) => node.others.push((from, now, ahead)),
-                // Late is not lost: it stays work in hand until it has been out a goal time.
+                // Late is not lost: it stays work in flight until it has been out a target.
                 (Update::Overdue, _) => node.latencies.add_miss(),
                 (_, sent) => {
                     let sent = sent.map(|index| node.others.remove(index));
--- a/src/decide/replica_selection.rs
+++ b/src/decide/replica_selection.rs
@@ -31,8 +31,8 @@
         (node.pace.get().unwrap_or(unheard) * (node.holds(now - self.shortest_goal) + more)).max(stuck)
     }
 
-    /// The replica for a part: the highest share of answers within what is left of the goal time, cut by the
-    /// delay that its work in hand adds to the usual; equals by delay, zone and turn.
+    /// The replica for a part: the highest share of answers within what is left of the target, cut by the
+    /// delay that its work in flight adds to the usual; equals by delay, zone and turn.
     pub(super) fn choose(&self, now: Nanos, part: &Part, left: Nanos, planned: &Loads) -> Option<Candidate> {
         let holders = self.holders(part.shard);
         let first = part.attempts.is_empty();
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -76,12 +76,12 @@
         sent.expected.times(OVERDUE).max(self.shortest_goal.times(OVERDUE_GOAL))
     }
 
-    /// The chance that no hand-off of a part that is still out is answered within `left`.
+    /// The chance that no attempt of a part that is still out is answered within `left`.
     pub(super) fn chance_missed(&self, now: Nanos, part: &Part, left: Nanos) -> f64 {
         part.pending().map(|sent| 1.0 - self.chance_in_time(now, part, sent, left)).product()
     }
 
-    /// The chance that a hand-off still out is answered within `left`, by all answers that took as
+    /// The chance that an attempt still out is answered within `left`, by all answers that took as
     /// long. Guards a jam against being fed with copies, and what is late against passing for lost.
     pub(super) fn chance_in_time(&self, now: Nanos, part: &Part, sent: &Attempt, left: Nanos) -> f64 {
         let waited = (now - sent.sent).0 as f64 / part.size;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -85,7 +85,7 @@
     /// Idempotent: it may be repeated at any time.
     #[default]
     Idempotent,
-    /// A repeat is dropped for this long after the first hand-off that may have run.
+    /// A repeat is dropped for this long after the first attempt that may have run.
     Deduplicated(Nanos),
     /// Non-idempotent: it must not run twice.
     NonIdempotent,
@@ -106,7 +106,7 @@
     pub squared: bool,
     /// Whether its parts are idempotent.
     pub effect: Effect,
-    /// The goal time grows by this multiple of the multiget's own work.
+    /// The target grows by this multiple of the multiget's own work.
     pub stretch: f64,
     /// The share of the weight that makes an answer complete.
     pub required: f64,
@@ -151,7 +151,7 @@
     pub routers: usize,
     /// The use cases, by [`UseCaseId`].
     pub use_cases: Vec<UseCaseSettings>,
-    /// Where use cases come and go, the least goal time that latencies are told apart for.
+    /// Where use cases come and go, the least target that latencies are told apart for.
     pub shortest_goal: Option<Nanos>,
     /// For each customer, multigets a second inside its share, over all routers.
     pub customers: Vec<f64>,
@@ -179,7 +179,7 @@
     pub peers: bool,
     /// Earnings grow with the work of a multiget.
     pub by_work: bool,
-    /// The router's own zone, if hand-offs to others cost more.
+    /// The router's own zone, if attempts to others cost more.
     pub zone: Option<ZoneId>,
     /// Clients say when they ask again.
     pub marks_repeats: bool,
@@ -328,7 +328,7 @@
     pub report: LoadReport,
 }
 
-/// What a router tells the others of one hand-off.
+/// What a router tells the others of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Update {
     /// It was sent.
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Parts taken, and hand-offs past the first of each.
+/// Parts taken, and attempts past the first of each.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetUse {
     /// Parts accepted.
--- a/src/state/node.rs
+++ b/src/state/node.rs
@@ -24,13 +24,13 @@
     pub failures: FailureRate,
     /// Failures by kind of work.
     pub kinds: BTreeMap<WorkKind, FailureRate>,
-    /// Time that a part took for each size of work in hand when it was sent.
+    /// Time that a part took for each size of work in flight when it was sent.
     pub pace: RunningMean,
-    /// Hand-offs that are out: their sizes, and whether they are overdue.
+    /// Attempts that are out: their sizes, and whether they are overdue.
     pub out: BTreeMap<(Nanos, PartId, usize), (f64, bool)>,
-    /// Hand-offs of other routers, as they told: by whom, when, and the work in hand then.
+    /// Attempts of other routers, as they told: by whom, when, and the work in flight then.
     pub others: Vec<(PeerId, Nanos, f64)>,
-    /// When the latest of the hand-offs that it has answered was sent.
+    /// When the latest of the attempts that it has answered was sent.
     pub answered_to: Nanos,
     /// When its measurements were last halved.
     pub halved_at: Nanos,
@@ -69,7 +69,7 @@
         self.out.is_empty() && self.latencies.total() < 1.0
     }
 
-    /// When the first of the overdue hand-offs was sent after which nothing has been answered.
+    /// When the first of the overdue attempts was sent after which nothing has been answered.
     pub fn stuck_since(&self) -> Option<Nanos> {
         let overdue =
             self.out.iter().find(|((sent, _, _), (_, overdue))| *overdue && *sent >= self.answered_to);
--- a/src/state/query.rs
+++ b/src/state/query.rs
@@ -12,7 +12,7 @@
     pub sent: Nanos,
     /// How long it was expected to take.
     pub expected: Nanos,
-    /// The work in hand at its node when it was sent, itself included.
+    /// The work in flight at its node when it was sent, itself included.
     pub queue_ahead: f64,
     /// How it ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
@@ -98,7 +98,7 @@
     pub use_case: UseCaseId,
     /// Whose rate limit it counts against.
     pub customer: CustomerId,
-    /// When to have answered: the goal time, or sooner where clients leave sooner.
+    /// When to have answered: the target, or sooner where clients leave sooner.
     pub target_end: Nanos,
     /// When nothing more can be earned.
     pub until: Nanos,
--- a/src/state/router.rs
+++ b/src/state/router.rs
@@ -57,7 +57,7 @@
     pub(crate) groups: Groups,
     /// Hints of work against latencies, as logarithms.
     pub(crate) hints: LinearTrend,
-    /// Planned copies, and first hand-offs of the running period.
+    /// Planned copies, and first attempts of the running period.
     pub(crate) plan: BTreeMap<(ShardId, UseCaseId), usize>,
     pub(crate) sends: BTreeMap<(ShardId, UseCaseId), f64>,
     pub(crate) turns: BTreeMap<ShardId, usize>,
@@ -65,11 +65,11 @@
     pub(crate) mean_copies: f64,
     pub(crate) first_sends: SlidingCount,
     pub(crate) budget_use: RetryBudgetUse,
-    /// The share of the goal time that the expected delay of multigets fills.
+    /// The share of the target that the expected delay of multigets fills.
     pub(crate) met: RunningMean,
     /// Sizes promised to second phases of multigets whose first one runs.
     pub(crate) promised: f64,
-    /// When a multiget was last dismissed for the delay it would meet.
+    /// When a multiget was last rejected for the delay it would meet.
     pub(crate) rejected_at: Option<Nanos>,
     pub(crate) touched: VecDeque<MultigetId>,
     pub(crate) due: BTreeSet<(Nanos, MultigetId)>,
@@ -78,7 +78,7 @@
 }
 
 impl Router {
-    /// This router's part of the further hand-offs that are free, from now on.
+    /// This router's part of the retries that are free, from now on.
     pub fn set_free_attempts(&mut self, free: f64) {
         self.budget.iter_mut().for_each(|budget| budget.free = free);
     }
