--- a/crates/fernknot-protocol/src/http/request.rs
+++ b/crates/fernknot-protocol/src/http/request.rs
@@ -61,7 +61,7 @@
         self.pending.as_ref().map_or(0, |(request, _)| request.body.capacity())
     }
 
-    /// Whether the client waits for [`GO_ON`](super::GO_ON) before it sends the body; true once a request.
+    /// Whether the client waits for [`CONTINUE`](super::CONTINUE) before it sends the body; true once a request.
     pub fn take_expects_continue(&mut self) -> bool {
         self.pending.as_mut().is_some_and(|(request, _)| std::mem::take(&mut request.expects_continue))
     }
--- a/crates/fernknot-router-config/src/lib.rs
+++ b/crates/fernknot-router-config/src/lib.rs
@@ -1,8 +1,8 @@
 //! Configuration of the router in service: the one place where it is parsed, validated and defaulted.
 //!
 //! [`RouterConfig`] is all that a router process is started with, from its environment and a JSON file. The
-//! `settings` object of that file is [`Facts`]; the decision module, which also runs without sockets, is given
-//! what [`Facts::site`] makes of it. Nothing here holds state: a configuration that is read again is parsed anew.
+//! `settings` object of that file is [`RawSettings`]; the decision module, which also runs without sockets, is given
+//! what [`RawSettings::decision_settings`] makes of it. Nothing here holds state: a configuration that is read again is parsed anew.
 
 #![deny(missing_docs)]
 
