--- a/crates/fernknot-consensus/src/consensus.rs
+++ b/crates/fernknot-consensus/src/consensus.rs
@@ -1,5 +1,5 @@
-//! The state machine as its host sees it: each input updates the replica's state, and actions are polled until there
-//! are none. Only routing stands here; each concern has a module of its own.
+//! Public interface of the state machine: each input updates the replica's state, and the host polls actions until
+//! there are none. This module only routes inputs; each concern has a module of its own.
 
 use std::net::SocketAddrV4;
 
@@ -14,18 +14,18 @@
 use crate::validation::is_valid_message;
 use crate::view_change::{AcceptRequest, PreparedReply};
 
-/// One replica of the control state, as a state machine without I/O.
+/// Replica of the control state, as a state machine without I/O.
 ///
-/// `now` in all calls is the host's monotonic clock. After each input the host calls [`Consensus::poll_action`] until
-/// there is no action left.
+/// `now` in all calls is the time of the host's monotonic clock. After each input the host calls
+/// [`Consensus::poll_action`] until it returns `None`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Consensus {
     replica: Replica,
 }
 
 impl Consensus {
-    /// A replica at its start. `seed` must differ from start to start. `saved` is what the host wrote last, or `None`
-    /// where the disk is empty; what another incarnation of the disk wrote is not trusted.
+    /// Starts a replica. `seed` must differ from start to start. `saved` is the state that the host wrote last, or
+    /// `None` if the disk is empty; a state with another member id is ignored.
     #[must_use]
     pub fn new(
         seed: u64,
@@ -36,7 +36,7 @@
         Consensus::with_seeded_bug(seed, settings, saved, now, None)
     }
 
-    /// As [`Consensus::new`], with a bug that a checker must find.
+    /// Starts a replica like [`Consensus::new`], with a bug that a checker must detect.
     #[doc(hidden)]
     #[must_use]
     pub fn with_seeded_bug(
@@ -51,7 +51,7 @@
 
     // Inputs.
 
-    /// A message came from the replica that listens at `from`.
+    /// Handles a message from the replica that listens at `from`.
     pub fn handle_message(&mut self, now: Nanos, from: SocketAddrV4, message: Message) {
         self.replica.clock.advance(now);
         if is_valid_message(&message) {
@@ -60,14 +60,14 @@
         self.finish_step();
     }
 
-    /// The write with this id has ended. Not `ok`: it is not known what is on disk.
+    /// Handles the result of a write. If it is not `ok`, the content of the disk is treated as unknown.
     pub fn handle_write_result(&mut self, now: Nanos, write_id: WriteId, ok: bool) {
         self.replica.clock.advance(now);
         self.replica.handle_write_result(write_id, ok);
         self.finish_step();
     }
 
-    /// The host reports that its disk hangs or is full, or is healthy again.
+    /// Records the health of the disk as the host sees it, for example that it hangs or is full.
     pub fn set_disk_healthy(&mut self, now: Nanos, healthy: bool) {
         self.replica.clock.advance(now);
         let changed = self.replica.disk.set_healthy(healthy);
@@ -75,35 +75,35 @@
         self.finish_step();
     }
 
-    /// Another replica may be at this address, as the host has learnt from elsewhere.
+    /// Adds an address at which another replica may listen, discovered by the host.
     pub fn add_address(&mut self, now: Nanos, addr: SocketAddrV4) {
         self.replica.clock.advance(now);
-        let is_new = self.replica.peers.learn_address(addr);
+        let is_new = self.replica.peers.add_address(addr);
         self.replica.heartbeat_timer.request_if(is_new);
         self.finish_step();
     }
 
-    /// The host has a connection to a replica that it had not before: what was sent until now is lost, so the next
-    /// heartbeat leaves soon. Guards the return of all at once, when the heartbeat interval is most of the wait.
+    /// Requests an early heartbeat because the host has a new connection to a replica; earlier messages to it were
+    /// lost. Without this, a restart of all replicas would mostly wait for the next heartbeat interval.
     pub fn handle_connected(&mut self, now: Nanos) {
         self.replica.clock.advance(now);
         self.replica.heartbeat_timer.request();
         self.finish_step();
     }
 
-    /// Proposes the next state after `base`. Only the leader accepts it, and only if `base` is the last revision given
-    /// out, queued changes counted. The answer is [`Action::Committed`], [`Action::Rejected`] or, where the view
-    /// changes meanwhile, perhaps none.
+    /// Proposes the next state after `base`. Only the leader accepts it, and only if `base` is the last assigned
+    /// revision, counting queued changes. The result is [`Action::Committed`] or [`Action::Rejected`]; if the view
+    /// changes meanwhile, there may be none.
     pub fn propose(&mut self, now: Nanos, change_id: u64, base: Revision, state: Vec<u8>) {
         self.replica.clock.advance(now);
         self.replica.accept_change(change_id, base, state);
         self.finish_step();
     }
 
-    /// Asks whether the view still stands: [`Action::ReadIndexConfirmed`] comes once a majority of its voters has
-    /// confirmed so after this call, and all that was committed before it has been delivered here. It may never come.
-    /// False where too many are pending.
-    #[must_use = "where it is false, the read index is never confirmed"]
+    /// Requests a read index. [`Action::ReadIndexConfirmed`] follows once a majority of the voters has confirmed
+    /// after this call that the view is still current, and all that was committed before this call has been delivered
+    /// here. It may never follow. Returns false if too many read indexes are pending.
+    #[must_use = "if it is false, the read index is never confirmed"]
     pub fn read_index(&mut self, now: Nanos, read_index: ReadIndexId) -> bool {
         self.replica.clock.advance(now);
         if !self.replica.request_read_index(read_index) {
@@ -113,17 +113,18 @@
         true
     }
 
-    /// Nobody waits for this read index any more.
+    /// Cancels a pending read index.
     pub fn cancel_read_index(&mut self, read_index: ReadIndexId) {
         self.replica.read_indexes.cancel(read_index);
     }
 
-    /// Makes a view of this replica and of those whom it hears, by an operator's word that the disks at `lost` (as the
-    /// view names them) are gone for good. It becomes active once enough disks are in it, new ones counted.
+    /// Forces a view of this replica and the voters that it receives heartbeats from. The operator guarantees that the
+    /// disks at `lost` (addresses as in the view) are lost for good. The view becomes active once it has enough disks,
+    /// including those of new members. Returns its number.
     ///
     /// # Errors
     ///
-    /// Where the view could change by itself, or something is stored elsewhere that would be lost.
+    /// If a regular view change is possible, another replica has a newer state, or this replica can't judge either.
     pub fn force_view(&mut self, now: Nanos, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceViewError> {
         self.replica.clock.advance(now);
         let number = self.replica.force_view(lost)?;
@@ -131,7 +132,8 @@
         Ok(number)
     }
 
-    /// The next thing to do; `None`: nothing more until an input, or until the time of the last [`Action::Wake`].
+    /// Returns the next action, or `None` if there is none until the next input or the time of the last
+    /// [`Action::Wake`].
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         if self.replica.outbox.is_empty() {
             self.replica.clock.advance(now);
@@ -145,48 +147,48 @@
         self.replica.outbox.wake_at(deadline, now)
     }
 
-    // Questions.
+    // Queries.
 
-    /// The active view, as far as this replica knows, if it is in one.
+    /// Returns the last active view that this replica knows and is a member of.
     #[must_use]
     pub fn view(&self) -> Option<&View> {
         self.replica.activation.entered_view.as_ref()
     }
 
-    /// Whether changes are accepted here.
+    /// Whether this replica leads the active view and accepts changes.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.replica.is_leader()
     }
 
-    /// The leader of the active view, as far as this replica knows.
+    /// Returns the leader of the active view, as known to this replica.
     #[must_use]
     pub fn leader(&self) -> Option<&Member> {
         self.view().and_then(|view| view.members.first())
     }
 
-    /// Whether a majority has confirmed within `lease_duration` that the view stands, and no change older than that is
-    /// uncommitted: what is delivered here is no older than `lease_duration`.
+    /// Whether this replica holds a lease: a majority of the voters has confirmed the view within `lease_duration`,
+    /// and no older change is uncommitted. The delivered state is then at most `lease_duration` old.
     #[must_use]
     pub fn has_lease(&self, now: Nanos) -> bool {
         self.replica.has_lease(now)
     }
 
-    /// True where this replica has listened for long enough and no majority of the voters is reachable: a read index
-    /// can't be confirmed here.
+    /// Whether this replica has run for long enough to tell that no majority of the voters is reachable. A read index
+    /// can't be confirmed here then.
     #[must_use]
     pub fn is_partitioned(&self, now: Nanos) -> bool {
         self.replica.is_partitioned(now)
     }
 
-    /// The newest state that was delivered, and its revision.
+    /// Returns the newest delivered state and its revision.
     #[must_use]
     pub fn delivered(&self) -> Option<(Revision, &[u8])> {
         let delivered = self.replica.replication.delivered.as_ref();
         delivered.map(|delivered| (delivered.revision, &delivered.state[..]))
     }
 
-    /// The status of the view, as this replica sees it; a loss is seen within `suspicion_timeout`.
+    /// Returns the status of the view, as known to this replica. A failed replica shows within `suspicion_timeout`.
     #[must_use]
     pub fn status(&self) -> ViewStatus {
         self.replica.status()
@@ -194,7 +196,7 @@
 
     // Routing.
 
-    /// What time alone makes due.
+    /// Performs the work that is due at the current time.
     fn tick(&mut self) {
         if self.replica.heartbeat_timer.is_due(self.replica.clock.now) {
             self.replica.send_heartbeats();
@@ -204,7 +206,7 @@
         self.replica.start_attempt_when_due();
     }
 
-    /// What any input may have made possible.
+    /// Performs the work that any input may have made possible.
     fn finish_step(&mut self) {
         for ReceivedMessage { from, message } in self.replica.complete_recovery() {
             self.dispatch(from, message);
@@ -219,7 +221,7 @@
         self.replica.write_if_needed();
     }
 
-    /// Gives a message to the concern that it belongs to.
+    /// Passes a message to its handler.
     fn dispatch(&mut self, from: SocketAddrV4, message: Message) {
         let replica = &mut self.replica;
         let Some(message) = replica.defer_until_recovered(from, message) else { return };
--- a/crates/fernknot-consensus/src/disk_writes.rs
+++ b/crates/fernknot-consensus/src/disk_writes.rs
@@ -1,11 +1,11 @@
-//! Writes of the persistent state: when they begin, and what their ends allow.
+//! Writes of the persistent state, and the handling of their results.
 
 use crate::replica::Replica;
 use crate::state::outbox::Envelope;
 use crate::types::{Action, WriteId};
 
 impl Replica {
-    /// A write has ended: the messages that waited for it leave, or wait for the next one.
+    /// Handles the result of a write: sends the messages that waited for it, or defers them to the next write.
     pub fn handle_write_result(&mut self, write_id: WriteId, ok: bool) {
         let Some(write) = self.disk.take_pending_write(write_id) else { return };
         if !ok {
@@ -21,7 +21,7 @@
         self.commit_when_replicated();
     }
 
-    /// Begins the next write, if one is due.
+    /// Begins a write, if one is due.
     pub fn write_if_needed(&mut self) {
         let retry_pause = self.settings.suspicion_timeout.times(0.5);
         if !self.disk.needs_write(self.now(), retry_pause) {
--- a/crates/fernknot-consensus/src/forced_view.rs
+++ b/crates/fernknot-consensus/src/forced_view.rs
@@ -1,6 +1,6 @@
-//! A view by an operator's order, where more disks are lost than is tolerated. It has no votes behind it but the
-//! operator's word that the others are lost; its number is above all that they could still reach by themselves, and
-//! whoever hears of it and is not in it continues as a new member.
+//! Views forced by an operator, after more disks were lost than are tolerated. A forced view rests on the operator's
+//! guarantee that the others are lost, not on votes. Its number is above all that they could still reach by regular
+//! view changes, and a replica that learns of it and is not in it continues as a new member.
 
 use std::cmp::Reverse;
 use std::net::SocketAddrV4;
@@ -13,21 +13,23 @@
     View, ViewNumber, ViewStart,
 };
 
-/// Within an era, a random fork separates two views that are forced at once by operators who don't know of each other.
-/// So many regular views may follow a forced one before the next fork.
+/// Number of views in a fork. A forced view starts a random fork of its era, so that views forced at the same time in
+/// different places have different numbers.
 const VIEWS_PER_FORK: u64 = 1 << 16;
+/// Highest view number, since fencing tokens carry it in 32 bits.
 const MAX_VIEW_NUMBER: u64 = u32::MAX as u64;
-/// Revisions continue from a multiple of this: above all that was committed by those who are lost.
+/// Number of revisions per era. A forced view continues from a multiple of it, above all revisions that the lost
+/// replicas may have committed.
 const REVISIONS_PER_ERA: u64 = 1 << 32;
 
-/// The newest state on this disk, and its place.
+/// The newest state on this disk, and its position.
 struct NewestState {
     view: ViewNumber,
     snapshot: StateSnapshot,
 }
 
 impl Replica {
-    /// Makes a view of this replica and of the voters that it hears, if the others are named as lost.
+    /// Forces a view of this replica and the voters that it receives heartbeats from, if all others are named as lost.
     pub fn force_view(&mut self, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceViewError> {
         self.check_may_force()?;
         let survivors = self.survivors(lost)?;
@@ -53,13 +55,14 @@
         if !self.disk_healthy() {
             return Err(ForceViewError::DiskUnhealthy);
         }
-        if !self.clock.has_listened(self.now()) {
+        if !self.clock.can_detect_failures(self.now()) {
             return Err(ForceViewError::StillListening);
         }
         Ok(())
     }
 
-    /// The other voters that are heard, if they and this one are no majority and all others are named as lost.
+    /// Returns the other voters with a recent heartbeat, if they and this replica are no majority and all others are
+    /// named as lost.
     fn survivors(&self, lost: &[SocketAddrV4]) -> Result<Vec<Member>, ForceViewError> {
         let view = self.view();
         let mut survivors = Vec::new();
@@ -72,8 +75,11 @@
             let address = self.address_of(voter);
             let is_named = lost.contains(&address) || lost.contains(&voter.addr);
             let is_replaced = self.peers.is_replaced(voter);
-            let heard = self.peers.get(voter.id).filter(|peer| peer.was_heard(&self.clock) && !is_replaced);
-            match heard {
+            let survivor = self
+                .peers
+                .get(voter.id)
+                .filter(|peer| peer.has_recent_heartbeat(&self.clock) && !is_replaced);
+            match survivor {
                 Some(_) if is_named => return Err(ForceViewError::LostMemberReachable(address)),
                 Some(peer) => {
                     votes += usize::from(self.may_vote(peer));
@@ -89,13 +95,13 @@
         Ok(survivors)
     }
 
-    /// An outdated disk votes on nothing by itself.
+    /// Whether the peer can vote. One whose disk is outdated, or that doesn't complete its recovery, can't.
     fn may_vote(&self, peer: &Peer) -> bool {
-        let is_stuck = !peer.heartbeat.disk_healthy || peer.recovers_too_long(&self.clock);
+        let is_stuck = !peer.heartbeat.disk_healthy || peer.is_recovery_overdue(&self.clock);
         !(peer.heartbeat.recovering && is_stuck)
     }
 
-    /// The newest state on this disk, that of an accepted next view included.
+    /// Returns the newest state on this disk, which may be that of an accepted next view.
     fn newest_state(&self) -> NewestState {
         let disk = &self.disk.state;
         let stored = disk.state_position();
@@ -114,23 +120,24 @@
         }
     }
 
-    /// No replica that is heard knows of a later view, and no survivor has a newer state; of several that have the same,
-    /// the view is forced at the one with the smallest id.
+    /// Checks that no replica with a recent heartbeat knows of a later view, and no survivor has a newer state. Of
+    /// several that have the same state, the view is forced at the one with the smallest id.
     fn check_has_newest(&self, newest: &NewestState, survivors: &[Member]) -> Result<(), ForceViewError> {
         let own = StatePosition { view: newest.view, revision: newest.snapshot.revision };
-        for peer in self.peers.iter().filter(|peer| peer.was_heard(&self.clock)) {
+        for peer in self.peers.iter().filter(|peer| peer.has_recent_heartbeat(&self.clock)) {
             let heartbeat = &peer.heartbeat;
             let stored = StatePosition { view: heartbeat.state_view, revision: heartbeat.revision };
             let survives = survivors.iter().any(|member| member.id == heartbeat.sender.id);
-            let comes_first = (stored, Reverse(heartbeat.sender.id)) > (own, Reverse(self.member_id()));
-            if heartbeat.view > self.view().number || (survives && comes_first) {
+            let takes_precedence = (stored, Reverse(heartbeat.sender.id)) > (own, Reverse(self.member_id()));
+            if heartbeat.view > self.view().number || (survives && takes_precedence) {
                 return Err(ForceViewError::PeerMoreRecent(heartbeat.sender.addr));
             }
         }
         Ok(())
     }
 
-    /// The first number of a fork in the next era, and the first revision above all that the lost could reach.
+    /// Returns the first view number of a random fork in the next era, and the first revision above all that the lost
+    /// replicas may have reached.
     fn forced_view_start(&mut self, newest: Revision) -> Result<ViewStart, ForceViewError> {
         let fork = self.random.next() % (VIEWS_PER_ERA / VIEWS_PER_FORK);
         let current = self.view().number;
--- a/crates/fernknot-consensus/src/heartbeats.rs
+++ b/crates/fernknot-consensus/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what a replica reports of itself to those it may reach, and what it learns from those of others.
+//! Sending and handling of heartbeats.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -7,18 +7,18 @@
 use crate::types::{HeartbeatEcho, MemberId, Message, PeerHeartbeat};
 
 impl Replica {
-    /// Sends a heartbeat to everybody that should hear from this replica.
+    /// Sends a heartbeat to each of the current receivers.
     pub fn send_heartbeats(&mut self) {
         self.heartbeat_timer.restart(self.clock.now);
         let heartbeat = self.heartbeat();
         for (to, echo) in self.heartbeat_receivers() {
             self.send(to, Message::Heartbeat(PeerHeartbeat { echo, ..heartbeat.clone() }));
         }
-        // Messages may be lost, and the view may have changed since the read indexes were requested.
+        // Retransmits, since messages may be lost and the view may have changed since the read indexes were requested.
         self.send_read_index_requests();
     }
 
-    /// What this replica reports of itself. It vouches only for what is durable.
+    /// Returns the status of this replica for its heartbeats. Reports only progress that is durable.
     fn heartbeat(&self) -> PeerHeartbeat {
         let durable = &self.disk.durable;
         let view = self.view();
@@ -44,10 +44,10 @@
         }
     }
 
-    /// Where heartbeats go, and what each of them echoes.
+    /// Returns the receivers of heartbeats, and the echo for each.
     fn heartbeat_receivers(&self) -> BTreeMap<SocketAddrV4, HeartbeatEcho> {
         let mut receivers: BTreeMap<SocketAddrV4, HeartbeatEcho> = BTreeMap::new();
-        for peer in self.peers.iter().filter(|peer| peer.was_heard(&self.clock)) {
+        for peer in self.peers.iter().filter(|peer| peer.has_recent_heartbeat(&self.clock)) {
             let PeerHeartbeat { incarnation, sent_at, .. } = peer.heartbeat;
             receivers.insert(peer.heartbeat.sender.addr, HeartbeatEcho { incarnation, sent_at });
         }
@@ -55,7 +55,7 @@
         for member in self.view().members.iter().chain(next) {
             receivers.entry(self.address_of(member)).or_default();
         }
-        if self.asks_everywhere() {
+        if self.sends_to_all_addresses() {
             for address in self.peers.addresses() {
                 receivers.entry(*address).or_default();
             }
@@ -65,30 +65,33 @@
     }
 
     /// Whether heartbeats go to all known addresses.
-    fn asks_everywhere(&self) -> bool {
+    fn sends_to_all_addresses(&self) -> bool {
         let view = self.view();
-        // A replica that is alone asks everywhere: those it knew may all be gone.
-        let in_touch = view.voters().filter(|voter| !self.is_suspected(voter)).count();
-        // Replicas that a forced view has excluded may be content with each other, and hear of it only so.
+        // Without contact to a majority, the known voters may all have been replaced by others.
+        let unsuspected_voters = view.voters().filter(|voter| !self.is_suspected(voter)).count();
+        // Replicas excluded by a forced view may still be active among themselves, and learn of the view only this way.
         let leads_forced_view =
             view.number.era() > 0 && view.members.first().is_some_and(|first| self.is_me(first));
-        leads_forced_view || !self.activation.active || !view.is_majority(in_touch) || !self.is_member()
+        leads_forced_view
+            || !self.activation.active
+            || !view.is_majority(unsuspected_voters)
+            || !self.is_member()
     }
 
-    /// Another replica's report.
+    /// Handles another replica's heartbeat.
     pub fn handle_heartbeat(&mut self, from: SocketAddrV4, heartbeat: PeerHeartbeat) {
         let id = heartbeat.sender.id;
         if id == self.member_id() || id == MemberId(0) {
             return;
         }
-        self.peers.learn_address(from);
+        self.peers.add_address(from);
         if !self.peers.make_room_for(id, &self.disk.state.chosen.view) {
             return;
         }
         let known = self.peers.get(id);
         let was_reachable = known.is_some_and(|peer| self.is_reachable(peer));
-        let was_away = known.is_none_or(|peer| {
-            !peer.was_heard(&self.clock) || peer.heartbeat.incarnation != heartbeat.incarnation
+        let is_returning = known.is_none_or(|peer| {
+            !peer.has_recent_heartbeat(&self.clock) || peer.heartbeat.incarnation != heartbeat.incarnation
         });
         if known.is_some_and(|peer| is_outdated(&heartbeat, &peer.heartbeat)) {
             return;
@@ -96,7 +99,7 @@
         self.peers.record_heartbeat(&heartbeat, self.incarnation, self.clock.now);
         let is_reachable = self.peers.get(id).is_some_and(|peer| self.is_reachable(peer));
         let is_ahead = heartbeat.view > self.view().number;
-        self.heartbeat_timer.request_if(is_reachable != was_reachable || was_away || is_ahead);
+        self.heartbeat_timer.request_if(is_reachable != was_reachable || is_returning || is_ahead);
         self.answer_heartbeat(from, &heartbeat);
     }
 
@@ -109,7 +112,7 @@
         self.commit_when_replicated();
     }
 
-    /// What the leader's heartbeat says of the view and of what is committed in it.
+    /// Takes the activation of the view and the newest committed revision from a heartbeat.
     pub fn follow_leader(&mut self, heartbeat: &PeerHeartbeat) {
         let view = self.view();
         if heartbeat.view != view.number {
@@ -130,7 +133,7 @@
     }
 }
 
-/// Whether the heartbeat is duplicated or overtaken by another of the same process.
+/// Whether the heartbeat is a duplicate, or was overtaken by a newer one of the same process.
 fn is_outdated(heartbeat: &PeerHeartbeat, newest: &PeerHeartbeat) -> bool {
     newest.incarnation == heartbeat.incarnation && newest.sent_at >= heartbeat.sent_at
 }
--- a/crates/fernknot-consensus/src/lease.rs
+++ b/crates/fernknot-consensus/src/lease.rs
@@ -1,4 +1,4 @@
-//! Claims of freshness that rest on the answers to heartbeats: the lease of a majority, and the lack of one.
+//! Lease granted by a majority's answers to heartbeats, and detection of a partition from the majority.
 
 use fernknot::interface::Nanos;
 
@@ -6,15 +6,16 @@
 use crate::state::peers::Peer;
 
 impl Replica {
-    /// Whether a majority has answered a heartbeat within the lease duration in this view, and no change older than
-    /// that is uncommitted.
+    /// Whether a majority has answered a heartbeat in this view within the lease duration, and no older change is
+    /// uncommitted.
     pub fn has_lease(&self, now: Nanos) -> bool {
         let is_active = self.activation.active && !self.is_changing_view();
         if !is_active || self.activation.entered_view.is_none() {
             return false;
         }
         let Some(delivered) = self.replication.delivered_revision() else { return false };
-        // What is delivered may be from before this replica was dropped, while it stores a change in flight.
+        // A replica that was dropped and has returned may store a change in flight while its delivered state is from
+        // before this view.
         if delivered < self.chosen().start() {
             return false;
         }
@@ -23,7 +24,7 @@
             peer.heartbeat.view == self.view().number
                 && !peer.heartbeat.changing_view
                 && !peer.heartbeat.recovering
-                && peer.last_echoed.is_some_and(is_recent)
+                && peer.newest_echo_sent_at.is_some_and(is_recent)
         };
         let supporters = self
             .view()
@@ -34,8 +35,8 @@
             && (!has_uncommitted || is_recent(self.activation.unstable_since))
     }
 
-    /// Whether this replica has listened for long enough and no majority of the voters is reachable.
+    /// Whether this replica has run for long enough to tell that no majority of the voters is reachable.
     pub fn is_partitioned(&self, now: Nanos) -> bool {
-        self.clock.has_listened(now) && !self.view().is_majority(self.reachable_voters())
+        self.clock.can_detect_failures(now) && !self.view().is_majority(self.reachable_voters())
     }
 }
--- a/crates/fernknot-consensus/src/lib.rs
+++ b/crates/fernknot-consensus/src/lib.rs
@@ -1,11 +1,11 @@
-//! Replication of the controllers' control state: a register of complete states in one total order, replicated by
-//! Viewstamped Replication with reconfiguration (Liskov and Cowling, "Viewstamped Replication Revisited", 2012). All
-//! members of a view store each change; the voters of one view choose the next by single-decree Paxos, as in Vertical
-//! Paxos (Lamport, Malkhi and Zhou, 2009).
+//! Replicates the controllers' control state: a sequence of complete states in one total order, by Viewstamped
+//! Replication with reconfiguration (Liskov and Cowling, "Viewstamped Replication Revisited", 2012). A change is
+//! committed once all members of the view have stored it; the voters of one view choose the next by single-decree
+//! Paxos, as in Vertical Paxos (Lamport, Malkhi and Zhou, 2009).
 //!
-//! The crate does no I/O and has no clock. The host, `fernknot-controller`, feeds [`Consensus`] with messages, write
-//! results and the time, and polls [`Action`]s until there are none. The rules and the arguments for them are in
-//! docs/consensus.md.
+//! The crate does no I/O and has no clock. The host, `fernknot-controller`, passes messages, write results and the time
+//! to [`Consensus`], and polls [`Action`]s until there are none. The protocol's rules and the arguments for their
+//! correctness are in docs/consensus.md.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-consensus/src/read_index.rs
+++ b/crates/fernknot-consensus/src/read_index.rs
@@ -1,6 +1,6 @@
-//! Read index (Ongaro, "Consensus: Bridging Theory and Practice", section 6.4): a majority of the voters confirms after
-//! a read was requested that the view stands, so that an answer rests on no state that may have been replaced elsewhere.
-//! The argument is in docs/consensus.md, rule 13.
+//! Read index (Ongaro, "Consensus: Bridging Theory and Practice", section 6.4): after a read was requested, a
+//! majority of the voters confirms that the view is still current, so that the read can't return a state that a later
+//! view has replaced. The argument is in docs/consensus.md, rule 13.
 
 use std::net::SocketAddrV4;
 
@@ -8,7 +8,7 @@
 use crate::types::{Action, MemberId, Message, ReadIndexId, Revision, SeededBug, ViewNumber};
 
 impl Replica {
-    /// Begins a read index; says whether there was room for it.
+    /// Begins a read index. Returns false if too many are pending.
     pub fn request_read_index(&mut self, id: ReadIndexId) -> bool {
         if self.read_indexes.is_full() {
             return false;
@@ -21,7 +21,7 @@
         true
     }
 
-    /// Sends the newest request to all who vote, and have not confirmed it yet.
+    /// Sends the newest request to the voters that have not confirmed it yet.
     pub fn send_read_index_requests(&mut self) {
         let view = self.view().number;
         if self.read_indexes.is_empty() || view == ViewNumber(0) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Confirms that this replica is in the view and not changing it.
+    /// Confirms the view to the requester, if this replica is in it and not changing it.
     pub fn handle_read_index_request(
         &mut self,
         from: SocketAddrV4,
@@ -51,14 +51,14 @@
         } else if view > current {
             self.heartbeat_timer.request();
         } else if !self.is_changing_view() || self.has_bug(SeededBug::ReadIndexDuringViewChange) {
-            // Who has not prepared now had not when the read was requested; so no later view had been chosen by a
-            // majority.
+            // A voter that has not prepared now had not prepared when the read was requested. If a majority of the
+            // voters confirms this, no later view had been chosen by then.
             let sender = self.member_id();
             self.send(from, Message::ReadIndexResponse { sender, view, incarnation, sequence });
         }
     }
 
-    /// A voter confirms the view.
+    /// Records a voter's confirmation of the view.
     pub fn handle_read_index_response(
         &mut self,
         sender: MemberId,
@@ -66,21 +66,21 @@
         incarnation: u64,
         sequence: u64,
     ) {
-        // Guards against a response to an earlier process, whose sequence numbers were the same.
-        let is_mine = incarnation == self.incarnation;
-        if is_mine && view == self.view().number && self.view().has_voter_id(sender) {
+        // A response to an earlier process must not count: its sequence numbers were the same.
+        let is_for_this_process = incarnation == self.incarnation;
+        if is_for_this_process && view == self.view().number && self.view().has_voter_id(sender) {
             self.read_indexes.confirm(sender, view, sequence);
         }
     }
 
-    /// Ends the read indexes that a majority has confirmed.
+    /// Reports the read indexes that a majority has confirmed.
     pub fn complete_read_indexes(&mut self) {
         if self.read_indexes.is_empty() {
             return;
         }
         let Some(delivered) = self.replication.delivered_revision() else { return };
-        // Guards against a replica that was dropped and is back: it may store a change in flight, and have delivered
-        // nothing of the view yet. What was committed before the view began is below its start.
+        // A replica that was dropped and has returned may store a change in flight without having delivered any state
+        // of this view. Changes committed before the view began are at or below its start.
         if delivered < self.chosen().start() && !self.has_bug(SeededBug::ReadIndexBelowViewStart) {
             return;
         }
--- a/crates/fernknot-consensus/src/recovery.rs
+++ b/crates/fernknot-consensus/src/recovery.rs
@@ -1,7 +1,8 @@
-//! Outdated disks. A replica that starts from a disk can't see whether it is the newest copy: others remember what came
-//! from it. Until those who could know have answered, or have been unreachable for as long as anybody is waited for, it
-//! takes no part. One that others remember further never does, and becomes a new member with an empty disk once a view
-//! is active without it. (The recovery of VR Revisited, section 4.3, with the disk as the state that is recovered.)
+//! Detection of outdated disks. A replica that starts from a disk can't tell by itself whether it is the newest copy;
+//! the others know the progress that it acknowledged. The replica doesn't participate until each voter has responded or
+//! is suspected. If another replica knows of later progress, the disk is outdated: the replica never participates, and
+//! becomes a new member with an empty disk once a view is active without it. This is the recovery of VR Revisited,
+//! section 4.3, with the disk as the state to be recovered.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -13,20 +14,21 @@
     SeededBug, StatePosition, ViewNumber,
 };
 
-/// Members whose progress is written to disk, at most.
+/// Maximum number of members whose progress is written to disk.
 const MAX_PERSISTED_PROGRESS: usize = 4 * MAX_MEMBERS;
 
 impl Replica {
-    // For others.
+    // Recovery of other replicas.
 
-    /// Another replica's disk has come so far at least.
+    /// Records a lower bound on the progress of another replica's disk.
     pub fn record_progress(&mut self, id: MemberId, progress: DurableProgress) {
         if id != self.member_id() && id != MemberId(0) {
             self.recovery.record_progress(id, progress, &self.disk.state.chosen.view);
         }
     }
 
-    /// What goes onto this disk with the next write: the progress of all who vote now or may vote next.
+    /// Returns the known progress to be stored with the next write: that of the voters of the current view and of the
+    /// accepted next view.
     pub fn progress_to_persist(&self) -> Vec<KnownProgress> {
         let next = self.disk.state.accepted.iter().flat_map(|accepted| accepted.next.view.voters());
         let ids: BTreeSet<MemberId> = self.view().voters().chain(next).map(|voter| voter.id).collect();
@@ -34,29 +36,31 @@
         progress.take(MAX_PERSISTED_PROGRESS).collect()
     }
 
-    /// How far a disk had come, by what was heard of it and by what this disk has: a change that follows another shows
-    /// that the one before is on every member. (What the view began with may be on a member's disk as the next view
-    /// that it accepted, still under the number of the last one.)
+    /// Returns a lower bound on the progress of a disk, from its messages and from this replica's own state: a change
+    /// shows that the one before is on every member's disk. This doesn't hold for the first state of the view, which
+    /// a member may still store as an accepted next view under the number of the last one.
     fn progress_of(&self, id: MemberId) -> DurableProgress {
-        let heard = self.recovery.known_progress_of(id).unwrap_or_default().progress;
+        let known = self.recovery.known_progress_of(id).unwrap_or_default().progress;
         let view = self.view();
         let committed = self.replication.commit_revision.max(self.disk.state.revision.previous());
         let is_member = view.number > ViewNumber(0) && view.has_member_id(id);
         if !is_member || !self.has_view_state() || committed <= self.chosen().start() {
-            return heard;
+            return known;
         }
         let state = StatePosition { view: view.number, revision: committed };
-        heard.merge(DurableProgress { state, ..DurableProgress::default() })
+        known.merge(DurableProgress { state, ..DurableProgress::default() })
     }
 
-    /// Answers a recovering replica, before it is sent anything that it might act on.
+    /// Responds to a recovering replica, or records the reported progress of another. Called before anything is sent
+    /// that the recovering replica might act on.
     pub fn answer_recovery(&mut self, from: SocketAddrV4, heartbeat: &PeerHeartbeat) {
         let id = heartbeat.sender.id;
         let PeerHeartbeat { view, state_view, revision, incarnation, .. } = *heartbeat;
         if heartbeat.recovering {
             let progress = self.progress_of(id);
             let sender = self.me().clone();
-            // What it has on disk since it began to recover is not what came from it before.
+            // The progress that it reports while recovering is not recorded: it may include writes since its start,
+            // which would make the disk that it started from look outdated.
             let response = Message::RecoveryResponse { sender, member_id: id, incarnation, progress };
             return self.send(from, response);
         }
@@ -68,9 +72,10 @@
         self.record_progress(id, progress);
     }
 
-    // For this one.
+    // Recovery of this replica.
 
-    /// Keeps back what asks a member to act, until it is known that this replica may act.
+    /// Defers or drops messages that ask a member to act while the recovery is incomplete. Returns the message if it
+    /// can be handled now.
     #[must_use]
     pub fn defer_until_recovered(&mut self, from: SocketAddrV4, message: Message) -> Option<Message> {
         if self.recovery.complete {
@@ -80,14 +85,14 @@
             Message::StateTransfer { chosen, .. }
             | Message::Prepare { current: chosen, .. }
             | Message::Accept { current: chosen, .. } => {
-                // Who is to be asked is known by the newest view.
+                // The newest view determines which voters have to respond to the recovery.
                 self.adopt_view(chosen.clone());
                 if self.recovery.complete {
-                    return Some(message); // a forced view: excluded by it, or taken into it
+                    return Some(message); // a forced view has reset this replica or made it a member
                 }
             }
             Message::Replicate { .. } | Message::Commit { .. } | Message::Chosen { .. } => {}
-            // What this disk may have forgotten is that it prepared for the next view.
+            // An outdated disk may lack that this replica has prepared the change of the view.
             Message::ReadIndexRequest { .. } => return None,
             _ => return Some(message),
         }
@@ -95,7 +100,7 @@
         None
     }
 
-    /// Another replica tells how far this disk had come.
+    /// Handles another replica's report of this disk's progress.
     pub fn handle_recovery_response(
         &mut self,
         sender: Member,
@@ -103,8 +108,8 @@
         incarnation: u64,
         progress: DurableProgress,
     ) {
-        let is_mine = member_id == self.member_id() && incarnation == self.incarnation;
-        if !is_mine || self.recovery.complete {
+        let is_for_this_process = member_id == self.member_id() && incarnation == self.incarnation;
+        if !is_for_this_process || self.recovery.complete {
             return;
         }
         if self.recovery.covers(progress) {
@@ -117,8 +122,8 @@
         }
     }
 
-    /// An outdated disk is given up only for a view that is active without it. Guards against few replicas or one being
-    /// left while no view is active, where all disks have lost something that they had reported as synced.
+    /// Discards an outdated disk once a view is active without it, and not before: if all disks have lost writes that
+    /// they had reported as synced, discarding them while no view is active could leave too few copies.
     pub fn reset_outdated_disk(&mut self, heartbeat: &PeerHeartbeat) {
         let answers_this_process = heartbeat.echo.incarnation == self.incarnation;
         let is_active = heartbeat.view_active && heartbeat.view >= self.view().number;
@@ -127,9 +132,8 @@
         }
     }
 
-    /// Completes the recovery if a majority of the voters, itself counted, knows of nothing that is missing, and each
-    /// other voter has said so or has been unreachable for as long as anybody is waited for. Gives the messages that
-    /// were deferred until then.
+    /// Completes the recovery if a majority of the voters, including this replica, knows of no missing progress, and
+    /// each other voter is suspected. Returns the messages that were deferred.
     #[must_use]
     pub fn complete_recovery(&mut self) -> VecDeque<ReceivedMessage> {
         if !self.recovery.is_waiting() || !self.is_recovery_confirmed() {
@@ -149,8 +153,8 @@
         let confirms = |voter: &&Member| {
             view.is_same_replica(voter, self.me()) || self.recovery.has_response_of(voter, view)
         };
-        let (confirming, silent): (Vec<&Member>, Vec<&Member>) = view.voters().partition(confirms);
-        let waits = silent.iter().any(|voter| !self.is_suspected(voter));
-        !waits && view.is_majority(confirming.len())
+        let (confirming, unconfirmed): (Vec<&Member>, Vec<&Member>) = view.voters().partition(confirms);
+        let awaits_voter = unconfirmed.iter().any(|voter| !self.is_suspected(voter));
+        !awaits_voter && view.is_majority(confirming.len())
     }
 }
--- a/crates/fernknot-consensus/src/replica.rs
+++ b/crates/fernknot-consensus/src/replica.rs
@@ -1,5 +1,5 @@
-//! One replica: the state of all concerns, and the questions that several of them ask. The modules above this one add
-//! one concern each; [`crate::consensus`] routes inputs to them.
+//! State of a replica, and the queries that several modules share. Each other module of the crate root implements one
+//! concern; [`crate::consensus`] routes inputs to them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -22,16 +22,17 @@
     SeededBug, View, ViewNumber,
 };
 
-/// The shortest intervals that the state machine works with.
+/// Shortest heartbeat interval that the state machine supports.
 const MIN_HEARTBEAT_INTERVAL: Nanos = Nanos(1);
+/// Shortest suspicion time-out that the state machine supports.
 const MIN_SUSPICION_TIMEOUT: Nanos = Nanos(2);
 
-/// One replica.
+/// State of one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Replica {
     pub settings: ConsensusSettings,
     pub seeded_bug: Option<SeededBug>,
-    /// Identifies this process, in answers to its messages.
+    /// Random identifier of this process, echoed in responses to its messages.
     pub incarnation: u64,
     pub random: Random,
     pub clock: Clock,
@@ -47,8 +48,8 @@
 }
 
 impl Replica {
-    /// `saved` is what the host wrote last, `None` where the disk is empty; what another incarnation of the disk wrote
-    /// is not trusted.
+    /// Starts a replica. `saved` is the state that the host wrote last, `None` if the disk is empty; a state with
+    /// another member id is ignored.
     pub fn new(
         seed: u64,
         mut settings: ConsensusSettings,
@@ -108,18 +109,18 @@
     }
 
     pub fn disk_healthy(&self) -> bool {
-        let patience = self.settings.suspicion_timeout.times(0.5);
-        self.disk.is_healthy(self.now(), patience)
+        let max_write_time = self.settings.suspicion_timeout.times(0.5);
+        self.disk.is_healthy(self.now(), max_write_time)
     }
 
-    // Its view.
+    // The view.
 
-    /// The last view known to be chosen.
+    /// Returns the last view known to be chosen, with the starts of earlier ones.
     pub fn chosen(&self) -> &ChosenView {
         &self.disk.state.chosen
     }
 
-    /// The last view known to be chosen, without the starts of earlier ones.
+    /// Returns the last view known to be chosen.
     pub fn view(&self) -> &View {
         &self.disk.state.chosen.view
     }
@@ -128,29 +129,30 @@
         self.view().is_member(self.me())
     }
 
-    /// Whether this replica has prepared for the next view. It stores no more changes of this one.
+    /// Whether this replica has prepared the change of the view, and stores no more changes in it.
     pub fn is_changing_view(&self) -> bool {
         self.disk.state.prepared != ProposalNumber::default()
     }
 
-    /// Whether this replica is the first of the view, and no change of an earlier process can be in flight.
+    /// Whether this replica is the first member of the view, and no change of an earlier process can be in flight.
     pub fn may_lead(&self) -> bool {
         let view = self.view();
         let is_first = view.members.first().is_some_and(|first| self.is_me(first));
         view.number > self.activation.must_not_lead_through && is_first
     }
 
-    /// Whether changes are accepted here.
+    /// Whether this replica leads the active view and accepts changes.
     pub fn is_leader(&self) -> bool {
         self.activation.active && !self.is_changing_view() && self.may_lead()
     }
 
-    /// Whether this replica has the complete state that the view began with, and is to store what follows.
+    /// Whether this replica is a member and has the first state of the view or a later one, so that it can store
+    /// changes.
     pub fn has_view_state(&self) -> bool {
         self.disk.state.state_view == self.view().number && self.is_member()
     }
 
-    /// Whether so many votes choose the next view.
+    /// Whether this number of votes chooses the next view.
     pub fn is_quorum(&self, votes: usize) -> bool {
         let view = self.view();
         let is_founding = view.number == ViewNumber(0) && !self.has_bug(SeededBug::FoundByMajority);
@@ -161,13 +163,13 @@
         }
     }
 
-    /// Whether others may hear of the view. A forced view is on one disk only, and nobody may hear of it before it is
-    /// durable there.
+    /// Whether the view may be announced to others. A forced view is on one disk only, and must not be announced
+    /// before it is durable there.
     pub fn may_announce_view(&self) -> bool {
         self.disk.durable_view().era() == self.view().number.era()
     }
 
-    // The others.
+    // Peers.
 
     pub fn is_reachable(&self, peer: &Peer) -> bool {
         peer.is_reachable(&self.clock)
@@ -181,7 +183,7 @@
         self.peers.address_of(member)
     }
 
-    /// The voters that are this replica or reachable.
+    /// Returns the number of voters that are reachable, including this replica.
     pub fn reachable_voters(&self) -> usize {
         let reaches = |voter: &&Member| {
             self.is_me(voter) || self.peers.get(voter.id).is_some_and(|peer| self.is_reachable(peer))
@@ -195,17 +197,17 @@
         self.outbox.send(to, message);
     }
 
-    /// Sends the message once everything that is known now is durable.
+    /// Sends the message once the current state is durable.
     pub fn send_when_durable(&mut self, to: SocketAddrV4, message: Message) {
         if self.has_bug(SeededBug::SendBeforePersist) {
             return self.send(to, message);
         }
-        if let Some(Envelope { to, message }) = self.disk.hold_until_durable(Envelope { to, message }) {
+        if let Some(Envelope { to, message }) = self.disk.defer_until_durable(Envelope { to, message }) {
             self.send(to, message);
         }
     }
 
-    /// Tells a replica of a later view, unless nobody may hear of it yet.
+    /// Sends a replica the newest view, if it may be announced.
     pub fn announce_view(&mut self, to: SocketAddrV4) {
         if self.may_announce_view() {
             let chosen = self.chosen().clone();
@@ -215,30 +217,32 @@
 
     // Time.
 
-    /// When the host has to poll again at the latest.
+    /// Returns the time at which the host has to poll again at the latest.
     pub fn next_deadline(&self) -> Nanos {
         let now = self.clock.now;
         let after_timeout = Nanos(self.settings.suspicion_timeout.0.saturating_add(1));
         let members = self.view().members.iter();
-        let silences = members.filter_map(|member| self.peers.get(member.id));
+        let monitored_peers = members.filter_map(|member| self.peers.get(member.id));
         let deadlines = [
             self.heartbeat_timer.requested_at(),
             self.view_change.attempt.as_ref().map(|attempt| attempt.next_deadline()),
             self.view_change.scheduled.map(|scheduled| scheduled.since + scheduled.delay),
             Some(self.view_change.backoff_until),
         ];
-        let deadlines =
-            deadlines.into_iter().flatten().chain(silences.map(|peer| peer.last_heard + after_timeout));
+        let deadlines = deadlines
+            .into_iter()
+            .flatten()
+            .chain(monitored_peers.map(|peer| peer.last_heartbeat_at + after_timeout));
         let heartbeat = self.heartbeat_timer.due_at();
         deadlines.filter(|at| *at > now).fold(heartbeat, Nanos::min)
     }
 }
 
-/// The state of an empty disk. That of a founder has the founders as the voters of view 0.
+/// Returns the state of an empty disk. For a founder, its view 0 has the founders as voters.
 fn initial_state(settings: &ConsensusSettings) -> PersistentState {
     let mut state = PersistentState::empty(settings.me.id);
     if settings.bootstrap && settings.founders.contains(&settings.me.addr) {
-        // Before view 1 the voters are addresses: ids of empty disks are not known yet.
+        // View 0 identifies voters by address, since the ids of the others' empty disks are not known yet.
         let founders: BTreeSet<SocketAddrV4> = settings.founders.iter().copied().collect();
         let founder = |addr| Member { id: MemberId(0), addr, zone: String::new() };
         state.chosen.view.members = founders.into_iter().take(MAX_MEMBERS).map(founder).collect();
@@ -246,14 +250,14 @@
     state
 }
 
-/// Where other replicas may be, as settings and disk name them.
+/// Returns the addresses of other replicas named in the settings and on disk.
 fn known_addresses(settings: &ConsensusSettings, state: &PersistentState) -> BTreeSet<SocketAddrV4> {
     let next = state.accepted.iter().flat_map(|accepted| accepted.next.view.voters());
     let voters = state.chosen.view.voters().chain(next);
     settings.founders.iter().copied().chain(voters.map(|voter| voter.addr)).collect()
 }
 
-/// The number of the newest view that an earlier process may have led.
+/// Returns the number of the newest view that an earlier process may have led.
 fn newest_known_view(state: &PersistentState) -> ViewNumber {
     let accepted = state.accepted.as_ref().map_or(ViewNumber(0), |accepted| accepted.next.view.number);
     state.chosen.view.number.max(accepted)
--- a/crates/fernknot-consensus/src/replication.rs
+++ b/crates/fernknot-consensus/src/replication.rs
@@ -1,5 +1,5 @@
-//! Changes in an active view: the leader sends each to all members, and it is committed once all have it on disk. (The
-//! normal operation of Viewstamped Replication, with all members in place of a majority.)
+//! Changes in an active view: the leader sends each to all members, and it is committed once all have it on disk. This
+//! is the normal operation of Viewstamped Replication, with all members in place of a majority.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
     Action, DurableProgress, Member, MemberId, Message, Revision, SeededBug, StatePosition, ViewNumber,
 };
 
-/// Changes that the leader has accepted and not sent, at most.
+/// Maximum number of changes that the leader has accepted and not yet sent.
 const MAX_QUEUED_CHANGES: usize = 8;
 
 impl Replica {
-    /// The next state after `base`; rejected where this replica isn't the leader, or `base` isn't the last revision
-    /// given out.
+    /// Queues the next state after `base`. Rejects it if this replica isn't the leader, `base` isn't the last assigned
+    /// revision, the disk is unhealthy or the queue is full.
     pub fn accept_change(&mut self, change_id: u64, base: Revision, state: Vec<u8>) {
         let queued = self.replication.queued.len();
         let last = Revision(self.disk.state.revision.0.saturating_add(queued as u64));
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The leader sends the next change, one at a time.
+    /// Sends the next queued change, if none is in flight.
     fn replicate_next(&mut self) {
         if self.replication.pending.is_some() || !self.is_leader() {
             return;
@@ -58,7 +58,7 @@
         others.map(|member| self.address_of(member)).collect()
     }
 
-    /// Whether the member has the change on disk.
+    /// Whether the member has stored the change, or a later one, on disk.
     fn has_stored(&self, member: &Member, revision: Revision) -> bool {
         let includes =
             |stored: StatePosition| stored.view == self.view().number && stored.revision >= revision;
@@ -69,7 +69,7 @@
             || self.peers.get(member.id).is_some_and(|peer| includes(peer.stored))
     }
 
-    /// The change is committed once it is on the disk of every member, and on more disks than may be lost.
+    /// Commits the change in flight once it is on the disk of every member, and on more disks than may be lost.
     pub fn commit_when_replicated(&mut self) {
         let Some(PendingChange { change_id, revision, .. }) = self.replication.pending else { return };
         let view = self.view();
@@ -88,8 +88,8 @@
         self.replicate_next();
     }
 
-    /// Sends the pending change again to those who have not acknowledged it, and leaves out of the next view whoever
-    /// has not for two suspicion time-outs.
+    /// Retransmits the change in flight to members that have not acknowledged it. A member that has not done so for two
+    /// suspicion time-outs is left out of the next view.
     pub fn retransmit_change(&mut self) {
         let (now, limit) = (self.clock.now, self.settings.suspicion_timeout);
         let Some(change) = &self.replication.pending else { return };
@@ -97,7 +97,7 @@
         if now < change.retry_at {
             return;
         }
-        let is_late = self.clock.has_passed(2.0, started_at);
+        let is_late = self.clock.timeouts_passed(2.0, started_at);
         let members = self.view().members.clone();
         for member in members {
             if self.is_me(&member) || self.has_stored(&member, revision) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The leader's next change.
+    /// Stores the leader's next change, and acknowledges it once it is durable.
     pub fn handle_replicate(
         &mut self,
         from: SocketAddrV4,
@@ -129,7 +129,7 @@
         }
         let newest = self.disk.state.revision;
         if revision == newest.next() && !self.is_changing_view() {
-            // The leader continues only when the last change is on all disks, and the view active.
+            // The leader sends the next change only once the last one is on all disks and the view is active.
             self.replication.commit_through(newest);
             self.activate_view();
             self.disk.state.revision = revision;
@@ -143,7 +143,7 @@
         }
     }
 
-    /// A member has the change on disk.
+    /// Records that a member has stored a change.
     pub fn handle_replicate_ack(&mut self, sender: MemberId, view: ViewNumber, revision: Revision) {
         let stored = StatePosition { view, revision };
         self.record_progress(sender, DurableProgress { state: stored, ..DurableProgress::default() });
@@ -153,7 +153,7 @@
         self.commit_when_replicated();
     }
 
-    /// All members have the change on disk.
+    /// Delivers the change that the leader reports as committed.
     pub fn handle_commit(&mut self, view: ViewNumber, revision: Revision) {
         if view == self.view().number && self.has_view_state() && !self.may_lead() {
             self.replication.commit_through(revision);
--- a/crates/fernknot-consensus/src/state/activation.rs
+++ b/crates/fernknot-consensus/src/state/activation.rs
@@ -1,20 +1,21 @@
-//! Whether the last chosen view is active, and where this replica may lead.
+//! Activation of the last chosen view, and the views in which this replica may lead.
 
 use fernknot::interface::Nanos;
 
 use crate::types::{View, ViewNumber};
 
-/// Whether the last chosen view is active.
+/// Activation of the last chosen view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ViewActivation {
-    /// The last chosen view is active, as far as this replica knows.
+    /// Whether this replica knows that the last chosen view is active.
     pub active: bool,
-    /// The last active view that this replica is a member of.
+    /// The last active view that has this replica as a member.
     pub entered_view: Option<View>,
-    /// In views up to this one, this process must not lead: an earlier process may have led it, and sent changes that
-    /// its disk doesn't have.
+    /// The last view in which this process must not lead. An earlier process may have led it, and sent changes that are
+    /// not on the disk.
     pub must_not_lead_through: ViewNumber,
-    /// Since when the view is not active or changing, or a change is in flight.
+    /// Time of the last event that left the view unstable: the start of the process, the adoption of a view, the first
+    /// prepared number in it, or a stored change.
     pub unstable_since: Nanos,
 }
 
--- a/crates/fernknot-consensus/src/state/attempt.rs
+++ b/crates/fernknot-consensus/src/state/attempt.rs
@@ -1,4 +1,4 @@
-//! The state of a view change: this replica's own attempt, and when it may begin one.
+//! State of a view change: this replica's own attempt, and the schedule of the next one.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,23 +7,23 @@
 
 use crate::types::{ChosenView, Member, MemberId, ProposalNumber, Revision};
 
-/// What a next view would be and begin with: the value that Paxos chooses.
+/// A proposed next view and its first state: the value that Paxos chooses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct NextView {
     pub chosen: ChosenView,
     pub revision: Revision,
     pub state: Arc<[u8]>,
-    /// Taken over from another attempt: it may have been chosen.
+    /// Whether it was accepted in an earlier attempt, and so may have been chosen.
     pub adopted: bool,
 }
 
-/// The phase that an attempt is in.
+/// Phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum AttemptPhase {
-    /// The voters prepare: they store no more changes of the view, and report what they have.
+    /// The voters prepare: they store no more changes in the view, and report their newest state.
     Prepare,
-    /// The next view goes onto the disks of those who join, before anybody's vote counts: else a view could be chosen
-    /// that too few have.
+    /// The joining members store the next view and its state. This comes before the vote, since otherwise a view
+    /// could be chosen that is on too few disks.
     Join,
     /// The voters accept the next view.
     Accept,
@@ -33,11 +33,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PreparedVoter {
     pub member: Member,
-    /// The newest revision of the view that it has.
+    /// The newest revision of the view that it has stored, if any.
     pub revision: Option<Revision>,
 }
 
-/// A state and its place in the total order.
+/// A state and its position in the total order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct StateSnapshot {
     pub revision: Revision,
@@ -59,20 +59,20 @@
     pub phase_started_at: Nanos,
     pub retry_at: Nanos,
     pub backoff: Nanos,
-    pub majority_prepared_at: Option<Nanos>,
-    /// Those who have prepared, by their position among the voters.
+    pub quorum_prepared_at: Option<Nanos>,
+    /// Voters that have prepared, by their position among the voters.
     pub prepared: BTreeMap<usize, PreparedVoter>,
-    /// The newest state that any of them has.
+    /// The newest state that any prepared voter has.
     pub latest_state: Option<StateSnapshot>,
-    /// What any of them had accepted under the highest number.
+    /// The next view that a prepared voter had accepted under the highest number.
     pub highest_accepted: Option<AcceptedProposal>,
-    /// Once enough have prepared.
+    /// The proposed next view, set once enough voters have prepared.
     pub next_view: Option<NextView>,
-    /// Those who have accepted the next view.
+    /// Replicas that have accepted the next view.
     pub accepted: BTreeMap<MemberId, Member>,
     pub chosen_at: Option<Nanos>,
     pub former_members_asked: bool,
-    /// How long the rest is waited for after a majority has prepared.
+    /// Time for which the attempt waits for further voters after a quorum has prepared.
     pub straggler_timeout: Nanos,
 }
 
@@ -84,7 +84,7 @@
             phase_started_at: now,
             retry_at: now + heartbeat_interval,
             backoff: heartbeat_interval,
-            majority_prepared_at: None,
+            quorum_prepared_at: None,
             prepared: BTreeMap::new(),
             latest_state: None,
             highest_accepted: None,
@@ -109,10 +109,10 @@
         self.retry_at = now + self.backoff;
     }
 
-    /// When the attempt has to be looked at again.
+    /// Returns the next time at which the attempt needs attention.
     pub fn next_deadline(&self) -> Nanos {
         let is_preparing = self.phase == AttemptPhase::Prepare;
-        let stragglers = self.majority_prepared_at.map(|at| at + self.straggler_timeout);
+        let stragglers = self.quorum_prepared_at.map(|at| at + self.straggler_timeout);
         stragglers.filter(|_| is_preparing).map_or(self.retry_at, |at| at.min(self.retry_at))
     }
 
@@ -126,7 +126,7 @@
         members.is_some_and(|members| members.iter().all(|member| self.has_accepted(member.id)))
     }
 
-    /// Takes over the next view that a voter had accepted, if its number is higher than all before.
+    /// Keeps the next view that a voter had accepted, if its number is the highest so far.
     pub fn consider_accepted(&mut self, accepted: AcceptedProposal) {
         let highest = self.highest_accepted.as_ref();
         if highest.is_none_or(|highest| highest.proposal < accepted.proposal) {
@@ -135,7 +135,7 @@
     }
 }
 
-/// An attempt that is to begin after a delay.
+/// An attempt scheduled to begin after a delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ScheduledAttempt {
     pub since: Nanos,
@@ -147,11 +147,11 @@
 pub(crate) struct ViewChange {
     /// This replica's own attempt.
     pub attempt: Option<ViewChangeAttempt>,
-    /// The highest term that was seen in the change of the current view.
+    /// The highest term seen in the change of the current view.
     pub highest_term: u64,
-    /// No attempt of this replica begins before.
+    /// Time before which this replica begins no attempt.
     pub backoff_until: Nanos,
-    /// When another's attempt was last heard of.
+    /// Time at which a message of another proposer's attempt was last received.
     pub competing_proposal_at: Option<Nanos>,
     pub scheduled: Option<ScheduledAttempt>,
 }
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Another view is chosen: nothing of the last change counts any more.
+    /// Discards the state of the last change after another view was chosen.
     pub fn reset(&mut self) {
         self.attempt = None;
         self.highest_term = 0;
@@ -175,7 +175,7 @@
         self.scheduled = None;
     }
 
-    pub fn see_term(&mut self, term: u64) {
+    pub fn observe_term(&mut self, term: u64) {
         self.highest_term = self.highest_term.max(term);
     }
 }
--- a/crates/fernknot-consensus/src/state/clock.rs
+++ b/crates/fernknot-consensus/src/state/clock.rs
@@ -1,40 +1,41 @@
-//! The time as the host gives it, and since when this process has listened without interruption.
+//! Clock driven by the host, and the time for which this process has run without interruption.
 
 use fernknot::interface::Nanos;
 
-/// The replica's clock. It never goes back.
+/// Monotonic clock of the replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Clock {
-    /// The newest time that the host gave.
+    /// The latest time that the host has passed.
     pub now: Nanos,
-    /// The start of the process, or the end of the last time that it was suspended.
-    listening_since: Nanos,
-    /// A replica that is silent for longer is suspected.
+    /// Start of the process, or the end of its last suspension.
+    running_since: Nanos,
+    /// Time without a heartbeat after which a replica is suspected.
     pub suspicion_timeout: Nanos,
 }
 
 impl Clock {
     pub fn new(now: Nanos, suspicion_timeout: Nanos) -> Clock {
-        Clock { now, listening_since: now, suspicion_timeout }
+        Clock { now, running_since: now, suspicion_timeout }
     }
 
-    /// Takes over a later time.
+    /// Advances to `now`, unless the clock is later already.
     pub fn advance(&mut self, now: Nanos) {
         let now = now.max(self.now);
-        // A process that was suspended knows nothing of the others: it listens before it suspects anybody.
+        // A process that was suspended has received no heartbeats meanwhile: it must not suspect its peers at once.
         if now - self.now > self.suspicion_timeout.times(0.5) {
-            self.listening_since = now;
+            self.running_since = now;
         }
         self.now = now;
     }
 
-    /// Whether silence means something at this time: neither a start nor a suspension was just before.
-    pub fn has_listened(&self, now: Nanos) -> bool {
-        now - self.listening_since > self.suspicion_timeout
+    /// Whether the process has run for longer than the suspicion time-out without a start or suspension in between.
+    /// Only then does the lack of heartbeats show that a peer is unreachable.
+    pub fn can_detect_failures(&self, now: Nanos) -> bool {
+        now - self.running_since > self.suspicion_timeout
     }
 
-    /// Whether so many suspicion time-outs have passed since then.
-    pub fn has_passed(&self, timeouts: f64, since: Nanos) -> bool {
+    /// Whether more than `timeouts` suspicion time-outs have passed since `since`.
+    pub fn timeouts_passed(&self, timeouts: f64, since: Nanos) -> bool {
         self.now - since > self.suspicion_timeout.times(timeouts)
     }
 }
--- a/crates/fernknot-consensus/src/state/disk.rs
+++ b/crates/fernknot-consensus/src/state/disk.rs
@@ -1,4 +1,4 @@
-//! What is to be on disk, what of it is durable, and the messages that wait for a write.
+//! State to be written to disk, the durable part of it, and the messages that wait for a write.
 
 use std::collections::VecDeque;
 
@@ -7,44 +7,44 @@
 use super::outbox::Envelope;
 use crate::types::{DurableProgress, PersistentState, ViewNumber, WriteId};
 
-/// Messages that wait for one write, at most; of those that wait for the next write, the oldest are dropped. Their
-/// receivers ask again.
+/// Maximum number of messages that wait for one write. Beyond it, further messages for the write in flight are
+/// dropped, and the oldest of those for the next write; the protocol retransmits them.
 const MAX_DEFERRED_SENDS: usize = 64;
 
 /// The replica's disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Disk {
-    /// What is to be on disk.
+    /// The state to be written.
     pub state: PersistentState,
-    /// What is on disk, as far as the host has reported.
+    /// Progress that is durable, according to the host's write results.
     pub durable: DurableProgress,
-    /// `state` has changed since the last write began.
+    /// Whether `state` has changed since the last write began.
     dirty: bool,
     pending_write: Option<PendingWrite>,
-    /// Wait for the write after the pending one.
+    /// Messages that wait for the write after the pending one.
     deferred_sends: VecDeque<Envelope>,
     last_write_id: u64,
     host_reports_healthy: bool,
     write_failed_at: Option<Nanos>,
 }
 
-/// A write that the host has not reported the end of.
+/// A write whose result the host has not reported.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingWrite {
     write_id: WriteId,
     started_at: Nanos,
-    /// What will be on disk.
+    /// Progress that is durable once the write has succeeded.
     progress: DurableProgress,
-    /// Leave once it is.
+    /// Messages to send after that.
     sends: VecDeque<Envelope>,
 }
 
-/// What a write that ended well makes possible.
+/// Effects of a successful write.
 #[derive(Debug)]
 pub(crate) struct CompletedWrite {
-    /// Another view, or the state of another view, is durable now.
+    /// Whether another view, or the state of another view, has become durable.
     pub view_changed: bool,
-    /// Messages that waited for it.
+    /// Messages that waited for the write.
     pub sends: VecDeque<Envelope>,
 }
 
@@ -62,25 +62,26 @@
         }
     }
 
-    /// The last view that is durable.
+    /// Returns the last view that is durable.
     pub fn durable_view(&self) -> ViewNumber {
         self.durable.prepared.view
     }
 
-    /// What is to be on disk has changed.
+    /// Requests a write, after `state` has changed.
     pub fn mark_dirty(&mut self) {
         self.dirty = true;
     }
 
-    /// Whether the host reports the disk as healthy and no write failed or takes longer than `patience`.
-    pub fn is_healthy(&self, now: Nanos, patience: Nanos) -> bool {
-        let is_slow = |write: &PendingWrite| now - write.started_at > patience;
+    /// Whether the host reports the disk as healthy, the last write has not failed, and none has been in flight for
+    /// longer than `max_write_time`.
+    pub fn is_healthy(&self, now: Nanos, max_write_time: Nanos) -> bool {
+        let is_slow = |write: &PendingWrite| now - write.started_at > max_write_time;
         self.host_reports_healthy
             && self.write_failed_at.is_none()
             && !self.pending_write.as_ref().is_some_and(is_slow)
     }
 
-    /// Takes over what the host reports of its disk; says whether that is new.
+    /// Records the disk health that the host reports. Returns whether it has changed.
     pub fn set_healthy(&mut self, healthy: bool) -> bool {
         let changed = self.host_reports_healthy != healthy;
         self.host_reports_healthy = healthy;
@@ -90,8 +91,8 @@
         changed
     }
 
-    /// Keeps the message until everything that is known now is durable; gives it back where it is already.
-    pub fn hold_until_durable(&mut self, envelope: Envelope) -> Option<Envelope> {
+    /// Defers the message until the current `state` is durable. Returns the message if that is the case already.
+    pub fn defer_until_durable(&mut self, envelope: Envelope) -> Option<Envelope> {
         if self.dirty {
             if self.deferred_sends.len() >= MAX_DEFERRED_SENDS {
                 self.deferred_sends.pop_front();
@@ -107,13 +108,13 @@
         None
     }
 
-    /// Whether a write is due: one at a time, and after a failure not before `retry_pause` is over.
+    /// Whether a write is due. There is one at a time, and after a failure none until `retry_pause` is over.
     pub fn needs_write(&self, now: Nanos, retry_pause: Nanos) -> bool {
         let may_retry = self.write_failed_at.is_none_or(|at| now - at >= retry_pause);
         self.dirty && self.pending_write.is_none() && self.host_reports_healthy && may_retry
     }
 
-    /// Begins to write `state`.
+    /// Begins a write of `state`.
     pub fn start_write(&mut self, now: Nanos) -> WriteId {
         self.last_write_id += 1;
         let write_id = WriteId(self.last_write_id);
@@ -127,12 +128,12 @@
         write_id
     }
 
-    /// The pending write, if it has this id; it is not pending any more.
+    /// Removes and returns the pending write if it has this id.
     pub fn take_pending_write(&mut self, write_id: WriteId) -> Option<PendingWrite> {
         self.pending_write.take_if(|write| write.write_id == write_id)
     }
 
-    /// The write is durable.
+    /// Records that the write has succeeded.
     pub fn complete_write(&mut self, write: PendingWrite) -> CompletedWrite {
         self.write_failed_at = None;
         let before = (self.durable_view(), self.durable.state.view);
@@ -141,7 +142,7 @@
         CompletedWrite { view_changed, sends: write.sends }
     }
 
-    /// It is not known what is on disk: everything has to be written again.
+    /// Records that the write has failed. The content of the disk is unknown, so everything has to be written again.
     pub fn fail_write(&mut self, mut write: PendingWrite, now: Nanos) {
         self.write_failed_at = Some(now);
         self.dirty = true;
@@ -149,13 +150,13 @@
         self.deferred_sends = write.sends;
     }
 
-    /// Continues on the disk of an earlier identity, whose content counts for nothing any more.
-    pub fn take_over(&mut self, earlier: &mut Disk) {
-        self.last_write_id = earlier.last_write_id;
-        self.host_reports_healthy = earlier.host_reports_healthy;
-        self.write_failed_at = earlier.write_failed_at;
-        // A write of the earlier identity may still be in flight, and vouches for nothing of the new one.
-        self.pending_write = earlier.pending_write.take();
+    /// Continues on the disk of the previous identity, whose content is no longer valid.
+    pub fn inherit_from(&mut self, previous: &mut Disk) {
+        self.last_write_id = previous.last_write_id;
+        self.host_reports_healthy = previous.host_reports_healthy;
+        self.write_failed_at = previous.write_failed_at;
+        // A write of the previous identity may still be in flight; its result must not count for the new identity.
+        self.pending_write = previous.pending_write.take();
         if let Some(write) = &mut self.pending_write {
             write.progress = DurableProgress::default();
             write.sends.clear();
--- a/crates/fernknot-consensus/src/state/heartbeat_timer.rs
+++ b/crates/fernknot-consensus/src/state/heartbeat_timer.rs
@@ -1,11 +1,11 @@
-//! When heartbeats are due.
+//! Timer of heartbeats.
 
 use fernknot::interface::Nanos;
 
-/// The part of the interval that lies between two heartbeats at least, however often something changes.
-const MIN_GAP: f64 = 0.25;
+/// Minimum time between two heartbeats, as a share of the interval, however often one is requested.
+const MIN_INTERVAL_SHARE: f64 = 0.25;
 
-/// When heartbeats are due.
+/// Timer that is due after each interval, and earlier on request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct HeartbeatTimer {
     interval: Nanos,
@@ -19,7 +19,7 @@
         HeartbeatTimer { interval, due_at: now, last_sent: now, requested: false }
     }
 
-    /// Something has changed that the others should hear of soon.
+    /// Requests a heartbeat before the interval is over, after a change that the others should know of.
     pub fn request(&mut self) {
         self.requested = true;
     }
@@ -28,14 +28,14 @@
         self.requested |= changed;
     }
 
-    /// Whether the interval is over.
+    /// Whether the interval has passed.
     pub fn is_due(&self, now: Nanos) -> bool {
         now >= self.due_at
     }
 
-    /// Whether an earlier heartbeat is requested and the last is not too recent.
+    /// Whether a heartbeat is requested and the minimum time since the last one has passed.
     pub fn is_requested(&self, now: Nanos) -> bool {
-        self.requested && now - self.last_sent >= self.interval.times(MIN_GAP)
+        self.requested && now - self.last_sent >= self.interval.times(MIN_INTERVAL_SHARE)
     }
 
     pub fn restart(&mut self, now: Nanos) {
@@ -48,8 +48,8 @@
         self.due_at
     }
 
-    /// When a requested heartbeat may leave.
+    /// Returns the time at which a requested heartbeat may be sent; `None` if none is requested.
     pub fn requested_at(&self) -> Option<Nanos> {
-        self.requested.then(|| self.last_sent + self.interval.times(MIN_GAP))
+        self.requested.then(|| self.last_sent + self.interval.times(MIN_INTERVAL_SHARE))
     }
 }
--- a/crates/fernknot-consensus/src/state/mod.rs
+++ b/crates/fernknot-consensus/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state of one replica, one struct for each concern. None of them knows of another; what concerns several of them
-//! stands in [`crate::replica`] and the modules above it.
+//! State of a replica, with one struct for each concern. The structs don't depend on each other's state; logic that
+//! involves several of them is in [`crate::replica`] and the other modules of the crate root.
 
 pub(crate) mod activation;
 pub(crate) mod attempt;
--- a/crates/fernknot-consensus/src/state/outbox.rs
+++ b/crates/fernknot-consensus/src/state/outbox.rs
@@ -1,4 +1,4 @@
-//! What the host is to do next.
+//! Queue of actions for the host.
 
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -7,14 +7,14 @@
 
 use crate::types::{Action, Message};
 
-/// A message and where it goes.
+/// A message and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Envelope {
     pub to: SocketAddrV4,
     pub message: Message,
 }
 
-/// Actions that the host has not polled yet, and messages to this replica itself.
+/// Actions that the host has not polled yet, and messages from this replica to itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Outbox {
     own_address: SocketAddrV4,
@@ -32,7 +32,7 @@
         self.actions.push_back(action);
     }
 
-    /// Sends a message; one to this replica itself needs no host.
+    /// Queues a message. One to this replica itself bypasses the host.
     pub fn send(&mut self, to: SocketAddrV4, message: Message) {
         if to == self.own_address {
             self.local_messages.push_back(message);
@@ -53,12 +53,12 @@
         self.actions.is_empty()
     }
 
-    /// Takes over the actions that an earlier identity left.
-    pub fn take_over(&mut self, earlier: &mut Outbox) {
-        self.actions.append(&mut earlier.actions);
+    /// Moves over the actions that the previous identity left.
+    pub fn inherit_from(&mut self, previous: &mut Outbox) {
+        self.actions.append(&mut previous.actions);
     }
 
-    /// Asks the host to call again at the deadline; `None` where it was asked before.
+    /// Returns a request to call again at the deadline, or `None` if that was the last request already.
     pub fn wake_at(&mut self, deadline: Nanos, now: Nanos) -> Option<Action> {
         if self.last_wake == Some(deadline) {
             return None;
--- a/crates/fernknot-consensus/src/state/peers.rs
+++ b/crates/fernknot-consensus/src/state/peers.rs
@@ -1,4 +1,4 @@
-//! What is known of the other replicas.
+//! State of the other replicas, as known to this one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -8,27 +8,27 @@
 use super::clock::Clock;
 use crate::types::{Member, MemberId, PeerHeartbeat, StatePosition, View};
 
-/// Peers that are remembered, at most.
+/// Maximum number of peers that are tracked.
 pub(crate) const MAX_PEERS: usize = 32;
-/// Addresses that are remembered, at most.
+/// Maximum number of addresses that are kept.
 const MAX_ADDRESSES: usize = 2 * MAX_PEERS;
 
-/// What is known of another replica.
+/// State of another replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     /// Its newest heartbeat.
     pub heartbeat: PeerHeartbeat,
-    /// When that came.
-    pub last_heard: Nanos,
-    /// When the newest of this replica's heartbeats left that the peer has answered.
-    pub last_echoed: Option<Nanos>,
-    /// The newest state on its disk; an acknowledgement may be ahead of the heartbeats.
+    /// Time at which its newest heartbeat was received.
+    pub last_heartbeat_at: Nanos,
+    /// Time at which the newest of this replica's heartbeats that the peer has echoed was sent.
+    pub newest_echo_sent_at: Option<Nanos>,
+    /// Position of the newest state on its disk. Acknowledgements may advance it ahead of the heartbeats.
     pub stored: StatePosition,
-    /// Until then it is left out of the next view: it did not store in time.
+    /// Time until which it is left out of the next view, because it did not store a state in time.
     pub excluded_until: Nanos,
-    /// When the newest state was sent to it last.
+    /// Time at which the newest state was last sent to it.
     pub state_sent_at: Option<Nanos>,
-    /// Since when it is recovering.
+    /// Start of its recovery, while it is recovering.
     pub recovering_since: Option<Nanos>,
 }
 
@@ -37,8 +37,8 @@
         let stored = StatePosition { view: heartbeat.state_view, revision: heartbeat.revision };
         Peer {
             heartbeat,
-            last_heard: now,
-            last_echoed: None,
+            last_heartbeat_at: now,
+            newest_echo_sent_at: None,
             stored,
             excluded_until: Nanos(0),
             state_sent_at: None,
@@ -46,29 +46,29 @@
         }
     }
 
-    /// Whether a heartbeat of it came within the suspicion time-out.
-    pub fn was_heard(&self, clock: &Clock) -> bool {
-        clock.now - self.last_heard <= clock.suspicion_timeout
+    /// Whether a heartbeat was received from it within the suspicion time-out.
+    pub fn has_recent_heartbeat(&self, clock: &Clock) -> bool {
+        clock.now - self.last_heartbeat_at <= clock.suspicion_timeout
     }
 
-    /// Whether messages went both ways within the suspicion time-out.
+    /// Whether heartbeats were received in both directions within the suspicion time-out.
     pub fn is_reachable(&self, clock: &Clock) -> bool {
         let recent = |at: Nanos| clock.now - at <= clock.suspicion_timeout;
-        self.was_heard(clock) && self.last_echoed.is_some_and(recent)
+        self.has_recent_heartbeat(clock) && self.newest_echo_sent_at.is_some_and(recent)
     }
 
-    /// Whether it has been recovering for so long that nobody waits for it.
-    pub fn recovers_too_long(&self, clock: &Clock) -> bool {
-        self.recovering_since.is_some_and(|since| clock.has_passed(2.0, since))
+    /// Whether it has been recovering for so long that others no longer wait for it.
+    pub fn is_recovery_overdue(&self, clock: &Clock) -> bool {
+        self.recovering_since.is_some_and(|since| clock.timeouts_passed(2.0, since))
     }
 
-    /// Whether it has the state with which the view began, or a later one of the view, on disk.
+    /// Whether it has the first state of the view, or a later one of the view, on disk.
     pub fn has_state_of(&self, view: &View) -> bool {
         self.heartbeat.view == view.number && self.heartbeat.state_view == view.number
     }
 }
 
-/// The other replicas, and the addresses where some may be.
+/// The other replicas, and addresses at which there may be more.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peers {
     own_id: MemberId,
@@ -91,7 +91,7 @@
         self.by_id.get_mut(&id)
     }
 
-    /// All known peers, by id.
+    /// Iterates over the known peers, by id.
     pub fn iter(&self) -> impl Iterator<Item = &Peer> {
         self.by_id.values()
     }
@@ -100,63 +100,64 @@
         self.addresses.iter()
     }
 
-    /// Remembers an address; says whether it is new.
-    pub fn learn_address(&mut self, address: SocketAddrV4) -> bool {
+    /// Adds an address. Returns whether it is new.
+    pub fn add_address(&mut self, address: SocketAddrV4) -> bool {
         address != self.own_address && self.addresses.len() < MAX_ADDRESSES && self.addresses.insert(address)
     }
 
-    /// Takes over the addresses that an earlier identity knew.
-    pub fn take_addresses(&mut self, earlier: &mut Peers) {
-        self.addresses.append(&mut earlier.addresses);
+    /// Moves over the addresses that the previous identity knew.
+    pub fn inherit_addresses(&mut self, previous: &mut Peers) {
+        self.addresses.append(&mut previous.addresses);
     }
 
-    /// Where a member listens now.
+    /// Returns the address on which a member currently listens.
     pub fn address_of(&self, member: &Member) -> SocketAddrV4 {
         self.get(member.id).map_or(member.addr, |peer| peer.heartbeat.sender.addr)
     }
 
-    /// Whether another incarnation of a disk has been heard from the member's address since.
+    /// Whether another incarnation of a disk has taken the member's address: that of this replica, or one whose
+    /// heartbeat came from there after the member's last.
     pub fn is_replaced(&self, member: &Member) -> bool {
         if member.id == MemberId(0) || member.id == self.own_id {
             return false;
         }
-        let last_heard = self.get(member.id).map(|peer| peer.last_heard);
+        let last_heartbeat_at = self.get(member.id).map(|peer| peer.last_heartbeat_at);
         let address = self.address_of(member);
         let replaces = |other: &Peer| {
             other.heartbeat.sender.id != member.id
                 && other.heartbeat.sender.addr == address
-                && Some(other.last_heard) > last_heard
+                && Some(other.last_heartbeat_at) > last_heartbeat_at
         };
         address == self.own_address || self.iter().any(replaces)
     }
 
-    /// Whether the member is not reachable, after this replica has listened for long enough.
+    /// Whether the member is unreachable, and this replica has run for long enough to tell.
     pub fn is_suspected(&self, member: &Member, clock: &Clock) -> bool {
         if member.id == self.own_id {
             return false;
         }
         let reachable = self.get(member.id).is_some_and(|peer| peer.is_reachable(clock));
-        self.is_replaced(member) || (!reachable && clock.has_listened(clock.now))
+        self.is_replaced(member) || (!reachable && clock.can_detect_failures(clock.now))
     }
 
-    /// Whether there is room for this peer; where not, one that doesn't vote in the view makes room, the one that was
-    /// silent for longest.
+    /// Makes room for this peer, if necessary by removing the non-voter whose last heartbeat is the oldest. Returns
+    /// whether there is room.
     pub fn make_room_for(&mut self, id: MemberId, view: &View) -> bool {
         if self.by_id.contains_key(&id) || self.by_id.len() < MAX_PEERS {
             return true;
         }
-        let strangers = self.by_id.iter().filter(|(id, _)| !view.has_voter_id(**id));
-        let stalest = strangers.min_by_key(|(_, peer)| peer.last_heard).map(|(id, _)| *id);
+        let non_voters = self.by_id.iter().filter(|(id, _)| !view.has_voter_id(**id));
+        let stalest = non_voters.min_by_key(|(_, peer)| peer.last_heartbeat_at).map(|(id, _)| *id);
         stalest.is_some_and(|stalest| self.by_id.remove(&stalest).is_some())
     }
 
-    /// Takes over a peer's newest heartbeat. `incarnation` is that of this process.
+    /// Records a peer's newest heartbeat. `incarnation` is that of this process.
     pub fn record_heartbeat(&mut self, heartbeat: &PeerHeartbeat, incarnation: u64, now: Nanos) {
         let peer = self.by_id.entry(heartbeat.sender.id).or_insert_with(|| Peer::new(heartbeat.clone(), now));
-        peer.last_heard = now;
-        // Guards against echoes of an earlier process, whose clock had other times.
+        peer.last_heartbeat_at = now;
+        // An echo of an earlier process's heartbeat has a time of another clock.
         if heartbeat.echo.incarnation == incarnation && heartbeat.echo.sent_at <= now.0 {
-            peer.last_echoed = peer.last_echoed.max(Some(Nanos(heartbeat.echo.sent_at)));
+            peer.newest_echo_sent_at = peer.newest_echo_sent_at.max(Some(Nanos(heartbeat.echo.sent_at)));
         }
         let stored = StatePosition { view: heartbeat.state_view, revision: heartbeat.revision };
         peer.stored = peer.stored.max(stored);
--- a/crates/fernknot-consensus/src/state/random.rs
+++ b/crates/fernknot-consensus/src/state/random.rs
@@ -1,8 +1,8 @@
-//! Seeded pseudo-random numbers.
+//! Deterministic pseudo-random numbers.
 
 use fernknot::interface::Nanos;
 
-/// A splitmix64 generator: the same seed gives the same numbers.
+/// SplitMix64 generator; the same seed gives the same sequence.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Random {
     state: u64,
@@ -13,7 +13,7 @@
         Random { state: seed }
     }
 
-    /// The next number.
+    /// Returns the next number of the sequence.
     pub fn next(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.state;
@@ -22,8 +22,8 @@
         z ^ (z >> 31)
     }
 
-    /// A random part of a span: uniform, below the span.
-    pub fn part_of(&mut self, span: Nanos) -> Nanos {
+    /// Returns a random duration, uniformly distributed from 0 to below `span`.
+    pub fn fraction_of(&mut self, span: Nanos) -> Nanos {
         span.times((self.next() >> 11) as f64 / (1u64 << 53) as f64)
     }
 }
--- a/crates/fernknot-consensus/src/state/read_indexes.rs
+++ b/crates/fernknot-consensus/src/state/read_indexes.rs
@@ -1,30 +1,32 @@
-//! The read indexes of one replica, and what the voters have confirmed.
+//! Pending read indexes of one replica, and the confirmations of the voters.
 
 use std::collections::BTreeMap;
 
 use crate::types::{MemberId, ReadIndexId, Revision, View, ViewNumber};
 
-/// Pending read indexes, at most.
+/// Maximum number of pending read indexes.
 const MAX_PENDING: usize = 256;
 
 /// A read index that is not confirmed yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingReadIndex {
     pub id: ReadIndexId,
-    /// Only responses to this number, or to a later one, count: they left after the read index was requested.
+    /// Sequence number of the request. Responses to it or to a later one were sent after the read index was requested;
+    /// earlier ones don't count.
     pub sequence: u64,
-    /// What this replica had stored when it was requested. All that was committed by then is at or below it.
+    /// Revision that this replica had stored when the read index was requested. All that was committed by then is at or
+    /// below it.
     pub min_revision: Revision,
 }
 
-/// The newest request that a voter has confirmed.
+/// Newest request that a voter has confirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Confirmation {
     view: ViewNumber,
     sequence: u64,
 }
 
-/// The read indexes of one replica.
+/// Read indexes of one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ReadIndexes {
     /// The newest sequence number.
@@ -52,7 +54,7 @@
         self.pending.retain(|pending| pending.id != id);
     }
 
-    /// A voter confirms the view, in response to this number.
+    /// Records that a voter has confirmed the view, in response to this sequence number.
     pub fn confirm(&mut self, voter: MemberId, view: ViewNumber, sequence: u64) {
         let confirmation = self.confirmations.entry(voter).or_default();
         *confirmation = (*confirmation).max(Confirmation { view, sequence });
@@ -63,7 +65,8 @@
         self.confirmations.get(&voter) == Some(&Confirmation { view, sequence: self.sequence })
     }
 
-    /// The newest sequence number that more than half of the voters have confirmed in this view; `me` confirms each.
+    /// Returns the newest sequence number that more than half of the voters have confirmed in this view. `me` counts as
+    /// having confirmed each.
     pub fn confirmed_by_majority(&self, view: &View, me: MemberId) -> u64 {
         let confirmed = |voter: MemberId| match self.confirmations.get(&voter) {
             _ if voter == me => self.sequence,
@@ -72,11 +75,11 @@
         };
         let mut sequences: Vec<u64> = view.voters().map(|voter| confirmed(voter.id)).collect();
         sequences.sort_unstable_by(|a, b| b.cmp(a));
-        // Descending: as many as half of the voters stand before this place, and one at it.
+        // In descending order, the element at half of the length is reached by more than half of the voters.
         sequences.get(sequences.len() / 2).copied().unwrap_or(0)
     }
 
-    /// Removes those that are confirmed up to this number, with all they wait for delivered.
+    /// Removes and returns the read indexes that are confirmed by this sequence number and whose revision is delivered.
     pub fn take_confirmed(&mut self, sequence: u64, delivered: Revision) -> Vec<PendingReadIndex> {
         let is_confirmed =
             |pending: &PendingReadIndex| pending.sequence <= sequence && pending.min_revision <= delivered;
@@ -86,8 +89,9 @@
         confirmed
     }
 
-    /// After a view change: what was committed before is at or below the start of the new view.
-    pub fn restart(&mut self, view_start: Revision) {
+    /// Prepares for a new view: drops the confirmations of the last one, and lowers the revisions to be delivered to
+    /// the start of the new view, since all that was committed before is at or below it.
+    pub fn reset_for_view(&mut self, view_start: Revision) {
         self.confirmations.clear();
         for pending in &mut self.pending {
             pending.min_revision = pending.min_revision.min(view_start);
--- a/crates/fernknot-consensus/src/state/replication.rs
+++ b/crates/fernknot-consensus/src/state/replication.rs
@@ -1,4 +1,4 @@
-//! The changes that this replica has proposed, committed and delivered.
+//! Changes that this replica has proposed, committed and delivered.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,14 +7,14 @@
 
 use crate::types::{Revision, ViewNumber};
 
-/// A change that the leader has accepted and not sent yet.
+/// A change that the leader has accepted and not yet sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct QueuedChange {
     pub change_id: u64,
     pub state: Arc<[u8]>,
 }
 
-/// The leader's change that is not yet on all disks.
+/// The leader's change in flight, which is not yet on all members' disks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingChange {
     pub change_id: u64,
@@ -24,11 +24,11 @@
     pub backoff: Nanos,
 }
 
-/// A change that was pending when its view ended.
+/// A change that was in flight when its view ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct UnresolvedChange {
     pub change_id: u64,
-    /// The view that it was sent in.
+    /// The view in which it was sent.
     pub view: ViewNumber,
     pub revision: Revision,
 }
@@ -40,7 +40,7 @@
     pub state: Arc<[u8]>,
 }
 
-/// The progress of changes.
+/// Progress of changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Replication {
     /// The newest revision known to be committed.
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Everything up to this revision is committed.
+    /// Records that everything up to this revision is committed.
     pub fn commit_through(&mut self, revision: Revision) {
         self.commit_revision = self.commit_revision.max(revision);
     }
 
-    /// The newest revision that was delivered.
+    /// Returns the newest revision that was delivered.
     pub fn delivered_revision(&self) -> Option<Revision> {
         self.delivered.as_ref().map(|delivered| delivered.revision)
     }
--- a/crates/fernknot-consensus/src/state_transfer.rs
+++ b/crates/fernknot-consensus/src/state_transfer.rs
@@ -1,4 +1,4 @@
-//! Replicas that are behind: they get the newest state, or hear of the view that they missed.
+//! State transfer: replicas that are behind are sent the newest state of the view, or the view that they missed.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use crate::types::{ChosenView, Member, Message, PeerHeartbeat, Revision};
 
 impl Replica {
-    /// Gives a replica that is behind what it lacks: the state if it is in the view, else the view.
+    /// Sends a replica that is behind what it lacks: the state if it is a member of the view, otherwise the view.
     pub fn send_missing_state(&mut self, from: SocketAddrV4, heartbeat: &PeerHeartbeat) {
         let view = self.view();
         let misses_view = heartbeat.view < view.number;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Whether another member, the first of the view, has the state and gives it to the receiver.
+    /// Whether the first member of the view is another replica that has the state and will send it to the receiver.
     fn first_member_sends_state(&self, receiver: &Member) -> bool {
         let view = self.view();
         let Some(first) = view.members.first() else { return false };
@@ -36,7 +36,7 @@
             && has_state().is_some_and(|peer| self.is_reachable(peer))
     }
 
-    /// Sends the newest state, at most once in a heartbeat interval.
+    /// Sends the newest state, at most once per heartbeat interval.
     fn send_state(&mut self, to: SocketAddrV4, receiver: &Member) {
         let (now, interval) = (self.clock.now, self.settings.heartbeat_interval);
         let Some(peer) = self.peers.get_mut(receiver.id) else { return };
@@ -49,7 +49,7 @@
         self.send(to, Message::StateTransfer { chosen, revision, state });
     }
 
-    /// A later view is chosen.
+    /// Adopts a later view that was chosen.
     pub fn handle_newer_view(&mut self, chosen: ChosenView) {
         if chosen.view.number > self.view().number {
             self.adopt_view(chosen);
@@ -57,18 +57,18 @@
         }
     }
 
-    /// The newest state of a view.
+    /// Stores the newest state of a view, adopting the view first if it is later.
     pub fn handle_state_transfer(&mut self, chosen: ChosenView, revision: Revision, state: Arc<[u8]>) {
         if chosen.view.number > self.view().number {
             self.adopt_view(chosen.clone());
         }
         let is_newer = self.disk.state.state_view < chosen.view.number || self.disk.state.revision < revision;
-        let is_mine = chosen == *self.chosen() && self.is_member();
+        let is_current = chosen == *self.chosen() && self.is_member();
         let leads_already = self.may_lead() && self.has_view_state();
-        if !is_mine || !is_newer || self.is_changing_view() || leads_already {
+        if !is_current || !is_newer || self.is_changing_view() || leads_already {
             return;
         }
-        // In the same view a later revision means that all before it are committed.
+        // A later revision in the same view shows that all revisions before it are committed.
         if self.has_view_state() && self.disk.state.revision < revision {
             self.replication.commit_through(revision.previous());
             self.deliver();
--- a/crates/fernknot-consensus/src/status.rs
+++ b/crates/fernknot-consensus/src/status.rs
@@ -1,11 +1,12 @@
-//! The status of the view: who counts in it, who is left out and why, and how many more disks may be lost.
+//! Status of the view: the replicas that are counted, those that are left out and why, and the remaining fault
+//! tolerance.
 
 use crate::replica::Replica;
 use crate::state::peers::Peer;
 use crate::types::{Ineligibility, Member, ReplicaStatus, SeededBug, ViewStatus};
 
 impl Replica {
-    /// The status of the view, as this replica sees it.
+    /// Returns the status of the view, as known to this replica.
     pub fn status(&self) -> ViewStatus {
         let view = self.view();
         let mut replicas: Vec<ReplicaStatus> = view.voters().map(|voter| self.voter_status(voter)).collect();
@@ -21,7 +22,7 @@
         ReplicaStatus { member: voter.clone(), is_member, is_voter: true, ineligibility }
     }
 
-    /// A reachable replica that doesn't vote.
+    /// Returns the status of a replica that asks to join; `None` if it votes already or is unreachable.
     fn joining_status(&self, peer: &Peer) -> Option<ReplicaStatus> {
         let replica = &peer.heartbeat.sender;
         if self.view().voter_index(replica).is_some() || !self.is_reachable(peer) {
@@ -36,7 +37,8 @@
         })
     }
 
-    /// So many disks may be lost that one is left with all that was acknowledged, and a majority to continue with it.
+    /// Returns the number of disks that may be lost such that one with the acknowledged state remains, and a majority
+    /// of the voters to continue with.
     fn remaining_fault_tolerance(&self) -> usize {
         let view = self.view();
         let has_state = |member: &&Member| self.ineligibility_of_voter(member, true).is_none();
@@ -100,16 +102,16 @@
         }
     }
 
-    /// Whether a replica outside the view and one of its members don't reach each other.
+    /// Whether the peer is not a member, and it and a known member of the view don't reach each other.
     fn is_partially_connected(&self, peer: &Peer) -> bool {
         let id = peer.heartbeat.sender.id;
         let view = self.view();
-        let is_apart = |member: &Member| {
+        let is_disconnected = |member: &Member| {
             let known = self.peers.get(member.id).filter(|known| {
                 !known.heartbeat.reachable.contains(&id) || !peer.heartbeat.reachable.contains(&member.id)
             });
             !self.is_me(member) && member.id != id && known.is_some()
         };
-        !view.is_member(&peer.heartbeat.sender) && view.members.iter().any(is_apart)
+        !view.is_member(&peer.heartbeat.sender) && view.members.iter().any(is_disconnected)
     }
 }
--- a/crates/fernknot-consensus/src/types/action.rs
+++ b/crates/fernknot-consensus/src/types/action.rs
@@ -1,4 +1,4 @@
-//! What the host is to do, and the ids by which it refers to what it asked for.
+//! Actions that the replica requests of its host, and the ids of writes and read indexes.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -11,15 +11,15 @@
 use super::persistent_state::PersistentState;
 use super::view::{Revision, View, ViewNumber};
 
-/// Identifies one write to disk. Never used twice by a process.
+/// Identifier of one write to disk, unique within a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct WriteId(pub u64);
 
-/// Identifies one read index; given by the host, never used twice by a process.
+/// Identifier of one read index, assigned by the host and unique within a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ReadIndexId(pub u64);
 
-/// What the host is to do.
+/// Action that the host has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[must_use = "the host has to carry it out"]
 pub enum Action {
@@ -27,18 +27,19 @@
     Send {
         /// The receiver.
         to: SocketAddrV4,
-        /// What to send.
+        /// The message.
         message: Message,
     },
-    /// Write and sync, then call [`Consensus::handle_write_result`](crate::Consensus::handle_write_result). Only one
-    /// write is in flight at a time, except after a failure.
+    /// Write to disk and sync, then call [`Consensus::handle_write_result`](crate::Consensus::handle_write_result).
+    /// Only one write is in flight at a time, except after a failure.
     Persist {
-        /// Names the write in its result.
+        /// Identifier of the write, passed back with its result.
         write_id: WriteId,
-        /// Replaces all that was written before.
+        /// The complete state to write; it replaces all that was written before.
         state: PersistentState,
     },
-    /// A committed state: in one order on every member; also once after a start, when the view is active.
+    /// A committed state. Every member delivers states in the same order. After a start, the newest one is delivered
+    /// once the view is active.
     Deliver {
         /// The active view.
         view: ViewNumber,
@@ -47,17 +48,17 @@
         /// The complete state.
         state: Arc<[u8]>,
     },
-    /// The change is on disk with every member of its view: no faults within the tolerance can undo it.
+    /// The change is on the disk of every member of its view: no faults within `fault_tolerance` can undo it.
     Committed {
-        /// The id that was given to [`Consensus::propose`](crate::Consensus::propose).
+        /// The id that was passed to [`Consensus::propose`](crate::Consensus::propose).
         change_id: u64,
         /// The change's revision.
         revision: Revision,
     },
-    /// The change is certainly not committed, now or later. A change that gets neither this nor
-    /// [`Action::Committed`] is unresolved.
+    /// The change is not committed and never will be. The outcome of a change that gets neither this nor
+    /// [`Action::Committed`] is unknown.
     Rejected {
-        /// The id that was given to [`Consensus::propose`](crate::Consensus::propose).
+        /// The id that was passed to [`Consensus::propose`](crate::Consensus::propose).
         change_id: u64,
     },
     /// This replica is a member of the view, and the view is active.
@@ -65,25 +66,25 @@
         /// The active view.
         view: View,
     },
-    /// This replica is in no view any more; it asks to join again by itself.
+    /// This replica is no longer a member of the view. It keeps asking to join again without the host's help.
     ViewLeft,
-    /// The disk was outdated, or a forced view has excluded it: this replica continues as a new member with an empty
+    /// The disk was outdated, or a forced view has excluded it: this replica continues under a new id with an empty
     /// disk, and asks to join.
     IdentityReplaced {
-        /// The id that counts no more.
+        /// The id that is no longer valid.
         previous: MemberId,
         /// The id to use from here on.
         current: MemberId,
     },
-    /// A majority of the voters was in the view, and not changing it, after the read index was requested, and all that
-    /// was committed before the request has been delivered here.
+    /// After the read index was requested, a majority of the voters was in the view and not changing it. All that was
+    /// committed before the request has been delivered here.
     ReadIndexConfirmed {
-        /// The id that was given to [`Consensus::read_index`](crate::Consensus::read_index).
+        /// The id that was passed to [`Consensus::read_index`](crate::Consensus::read_index).
         read_index: ReadIndexId,
     },
-    /// Call [`Consensus::poll_action`](crate::Consensus::poll_action) again after this long at the latest.
+    /// Request to call [`Consensus::poll_action`](crate::Consensus::poll_action) again after `after` at the latest.
     Wake {
-        /// From the time of the call that gave this.
+        /// Time from the call that returned this action.
         after: Nanos,
     },
 }
--- a/crates/fernknot-consensus/src/types/member.rs
+++ b/crates/fernknot-consensus/src/types/member.rs
@@ -1,12 +1,12 @@
-//! The replicas that take part.
+//! Identity of replicas.
 
 use std::net::SocketAddrV4;
 
 use bitcode::{Decode, Encode};
 
-/// Identifies one incarnation of a disk: drawn at random by the host when the disk is empty, and stored on it.
+/// Identifier of one incarnation of a disk. The host draws it at random when the disk is empty, and stores it there.
 ///
-/// 0 is no identity; it stands for founders before view 1, whose disks are not known yet.
+/// 0 identifies no disk: it stands for the founders before view 1, whose ids are not known yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct MemberId(pub u64);
 
@@ -15,7 +15,7 @@
 pub struct Member {
     /// The incarnation of its disk.
     pub id: MemberId,
-    /// Where it listens for other controllers.
+    /// Address on which it listens for other controllers.
     pub addr: SocketAddrV4,
     /// Its failure domain.
     pub zone: String,
--- a/crates/fernknot-consensus/src/types/message.rs
+++ b/crates/fernknot-consensus/src/types/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas. Any may be lost, duplicated or delayed.
+//! Messages between replicas. Any of them may be lost, duplicated, delayed or reordered.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 use super::persistent_state::{AcceptedView, DurableProgress, ProposalNumber};
 use super::view::{ChosenView, Revision, ViewNumber};
 
-/// The newest heartbeat of the receiver that the sender has received. Both 0: none.
+/// Reference to the newest heartbeat of the receiver that the sender has received. Both fields are 0 if there is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct HeartbeatEcho {
-    /// The receiver's process, as it named itself.
+    /// Incarnation of the receiver's process, as reported in that heartbeat.
     pub incarnation: u64,
-    /// When that heartbeat left, by the receiver's clock, in nanoseconds.
+    /// Time at which that heartbeat was sent, in nanoseconds of the receiver's clock.
     pub sent_at: u64,
 }
 
-/// What a replica reports of itself, at every heartbeat interval and at once where something has changed.
+/// Status that a replica reports at every heartbeat interval, and earlier after a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct PeerHeartbeat {
     /// The replica that reports.
@@ -32,50 +32,50 @@
     pub prepared: ProposalNumber,
     /// The durable accepted number in the change of `view`.
     pub accepted: ProposalNumber,
-    /// Started from a disk, and not known yet whether the disk is outdated.
+    /// Whether the sender started from a disk and has not verified that the disk is the newest copy.
     pub recovering: bool,
     /// The newest revision known to be committed in `view`.
     pub commit_revision: Revision,
-    /// Whether `view` is active, as far as the sender knows.
+    /// Whether the sender knows that `view` is active.
     pub view_active: bool,
-    /// Whether the sender has prepared for the change of `view`, and stores no more of its changes.
+    /// Whether the sender has prepared the change of `view`, and stores no more changes in it.
     pub changing_view: bool,
-    /// Whether its disk takes writes in time and is not outdated.
+    /// Whether its disk completes writes in time and is not outdated.
     pub disk_healthy: bool,
-    /// The sender's process.
+    /// Incarnation of the sender's process.
     pub incarnation: u64,
-    /// When this left, by the sender's clock, in nanoseconds.
+    /// Time at which this heartbeat was sent, in nanoseconds of the sender's clock.
     pub sent_at: u64,
     /// The receiver's newest heartbeat that the sender has received.
     pub echo: HeartbeatEcho,
-    /// Those that the sender reaches both ways.
+    /// Replicas that the sender has exchanged messages with in both directions within its suspicion time-out.
     pub reachable: Vec<MemberId>,
-    /// Members of the view that the sender certainly doesn't reach.
+    /// Members of the view that the sender suspects to have failed.
     pub suspected: Vec<MemberId>,
 }
 
 /// A message between replicas. The order of the variants and their fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
-    /// What the sender reports of itself.
+    /// Status of the sender.
     Heartbeat(PeerHeartbeat),
-    /// Answers a recovering replica (as RECOVERYRESPONSE in VR Revisited, section 4.3).
+    /// Response to a recovering replica (RECOVERYRESPONSE in VR Revisited, section 4.3).
     RecoveryResponse {
-        /// The replica that answers.
+        /// The replica that responds.
         sender: Member,
-        /// The disk that is asked about.
+        /// The disk of the recovering replica.
         member_id: MemberId,
-        /// The recovering process, as it named itself.
+        /// Incarnation of the recovering process.
         incarnation: u64,
-        /// How far the disk had come, as far as the sender ever heard.
+        /// The disk's newest progress that the sender knows of.
         progress: DurableProgress,
     },
-    /// A later view, for a replica that isn't in it or votes in an older one.
+    /// A later view, for a replica that knows only an older one.
     NewerView {
         /// The later view.
         chosen: ChosenView,
     },
-    /// The newest state, for a member of the view that lacks it (as NEWSTATE in VR Revisited, section 5.2).
+    /// The newest state, for a member of the view that lacks it (NEWSTATE in VR Revisited, section 5.2).
     StateTransfer {
         /// The view that the state belongs to.
         chosen: ChosenView,
@@ -95,7 +95,7 @@
     },
     /// The sender has the change on disk.
     ReplicateAck {
-        /// The member that has it.
+        /// The member that has stored the change.
         sender: MemberId,
         /// The view of the change.
         view: ViewNumber,
@@ -109,79 +109,79 @@
         /// The change's revision.
         revision: Revision,
     },
-    /// Paxos phase 1: prepare the change of `current` under this number.
+    /// Paxos phase 1: request to prepare the change of `current` under this number.
     Prepare {
-        /// The attempt.
+        /// The number of the attempt.
         proposal: ProposalNumber,
-        /// The view that is to be changed.
+        /// The view to be changed.
         current: ChosenView,
         /// The newest revision of `current` that the proposer has.
         revision: Option<Revision>,
     },
-    /// The sender has prepared, and stores no more changes of `view`.
+    /// The sender has prepared, and stores no more changes in `view`.
     Prepared {
         /// The voter.
         sender: Member,
-        /// The attempt.
+        /// The number of the attempt.
         proposal: ProposalNumber,
-        /// The view that is to be changed.
+        /// The view to be changed.
         view: ViewNumber,
         /// The newest revision of `view` that the sender has.
         revision: Option<Revision>,
-        /// The state at `revision`, where the proposer lacks it.
+        /// The state at `revision`; absent if the proposer has it.
         state: Option<Arc<[u8]>>,
-        /// The next view that the sender accepted before.
+        /// The next view that the sender accepted under an earlier number.
         accepted: Option<AcceptedView>,
     },
     /// The sender has prepared a higher number.
     Rejected {
-        /// The view that is to be changed.
+        /// The view to be changed.
         view: ViewNumber,
         /// The higher number.
         prepared: ProposalNumber,
     },
-    /// Paxos phase 2: accept the next view and the state that it begins with.
+    /// Paxos phase 2: request to accept the next view and its first state.
     Accept {
-        /// The attempt.
+        /// The number of the attempt.
         proposal: ProposalNumber,
-        /// The view that is to be changed.
+        /// The view to be changed.
         current: ChosenView,
         /// The next view.
         next: ChosenView,
-        /// The revision that it begins with.
+        /// The revision of its first state.
         revision: Revision,
-        /// The state at `revision`; absent where the receiver has it.
+        /// The state at `revision`; absent if the receiver has it.
         state: Option<Arc<[u8]>>,
     },
-    /// The sender has the next view on disk with its number.
+    /// The sender has written the next view to disk under this number.
     Accepted {
         /// The voter or joining member.
         sender: Member,
-        /// The attempt.
+        /// The number of the attempt.
         proposal: ProposalNumber,
-        /// The view that is to be changed.
+        /// The view to be changed.
         view: ViewNumber,
     },
     /// The next view is chosen.
     Chosen {
-        /// The attempt.
+        /// The number of the attempt.
         proposal: ProposalNumber,
         /// The view that was changed.
         view: ViewNumber,
-        /// Whether all members of the next view have it on disk.
+        /// Whether all members of the next view have written it to disk.
         view_active: bool,
     },
-    /// Is the receiver in this view, and not changing it? (The round of heartbeats of Raft's read index, section 6.4
-    /// of Ongaro's thesis.)
+    /// Request to confirm that the receiver is in this view and not changing it (the round of heartbeats of Raft's read
+    /// index, section 6.4 of Ongaro's thesis).
     ReadIndexRequest {
-        /// The asker's view.
+        /// The requester's view.
         view: ViewNumber,
-        /// The asking process.
+        /// Incarnation of the requesting process.
         incarnation: u64,
-        /// Rises with each read index of the asking process.
+        /// Sequence number, increased with each read index of the requesting process.
         sequence: u64,
     },
-    /// The sender is, and was so after the request had left.
+    /// Confirmation that, after the request was sent, the sender was in the view and not changing it.
     ReadIndexResponse {
         /// The voter.
         sender: MemberId,
--- a/crates/fernknot-consensus/src/types/mod.rs
+++ b/crates/fernknot-consensus/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! Values that pass between a replica and its host, between replicas, and onto disk.
+//! Types exchanged with the host and with other replicas, and stored on disk.
 
 pub(crate) mod action;
 pub(crate) mod error;
--- a/crates/fernknot-consensus/src/types/persistent_state.rs
+++ b/crates/fernknot-consensus/src/types/persistent_state.rs
@@ -1,4 +1,4 @@
-//! What a replica stores on its disk, and how far a disk has come.
+//! State that a replica stores on its disk, and the progress of a disk.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use super::member::MemberId;
 use super::view::{ChosenView, Revision, ViewNumber};
 
-/// The number of an attempt to change the view: a Paxos proposal number. The higher term wins; ids order equal terms.
+/// Number of an attempt to change the view: a Paxos proposal number, ordered by term and then by proposer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ProposalNumber {
-    /// Higher than any that the proposer knows of.
+    /// Term, higher than any that the proposer had seen.
     pub term: u64,
     /// The member that makes the attempt.
     pub proposer: MemberId,
@@ -23,44 +23,44 @@
     pub proposal: ProposalNumber,
     /// The next view.
     pub next: ChosenView,
-    /// The revision that the next view begins with.
+    /// The revision of the next view's first state.
     pub revision: Revision,
-    /// The state at `revision`; absent where it is the newest state that the member stores anyway.
+    /// The state at `revision`; absent if it is the newest state, which the member stores in any case.
     pub state: Option<Arc<[u8]>>,
 }
 
-/// A proposal number and the view to whose change it belongs.
+/// A proposal number and the view whose change it belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ProposalInView {
-    /// The view that is to be changed.
+    /// The view to be changed.
     pub view: ViewNumber,
-    /// The attempt.
+    /// The number of the attempt.
     pub proposal: ProposalNumber,
 }
 
-/// How new a stored state is: first by its view, then by its revision.
+/// Position of a stored state, ordered by view and then by revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct StatePosition {
     /// The view that the state belongs to.
     pub view: ViewNumber,
-    /// Its place in the total order.
+    /// Its position in the total order.
     pub revision: Revision,
 }
 
-/// How far a disk has come. Each part only rises as long as it is the same disk, so a disk that falls short of what
-/// others heard of it is outdated.
+/// Progress of a disk. No field ever decreases on the same incarnation of a disk, so a disk that is behind what others
+/// know of it is an outdated copy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct DurableProgress {
     /// The highest proposal number that it prepared.
     pub prepared: ProposalInView,
-    /// The proposal number under which it accepted a next view.
+    /// The highest proposal number under which it accepted a next view.
     pub accepted: ProposalInView,
     /// The newest state.
     pub state: StatePosition,
 }
 
 impl DurableProgress {
-    /// The later of both, part by part.
+    /// Returns the maximum of both, field by field.
     #[must_use]
     pub fn merge(self, other: DurableProgress) -> DurableProgress {
         DurableProgress {
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Whether nothing of the other is missing here.
+    /// Whether this progress is at least `other` in every field.
     #[must_use]
     pub fn covers(self, other: DurableProgress) -> bool {
         self.merge(other) == self
     }
 }
 
-/// How far another member's disk had come, at least.
+/// Lower bound on the progress of another member's disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct KnownProgress {
     /// The member.
@@ -86,29 +86,30 @@
     pub progress: DurableProgress,
 }
 
-/// All that a replica stores on disk. The host writes it as a whole and returns it at the next start.
+/// Everything that a replica stores on disk. The host writes it atomically and returns it at the next start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct PersistentState {
-    /// The incarnation of the disk that this was written by.
+    /// The id under which this was written.
     pub member_id: MemberId,
     /// The last view known to be chosen.
     pub chosen: ChosenView,
-    /// No lower proposal counts any more for the change of `chosen`. The default: no attempt was prepared.
+    /// The number prepared for the change of `chosen`; lower ones are rejected. The default if none was prepared.
     pub prepared: ProposalNumber,
-    /// The next view that this replica accepted last.
+    /// The next view that this replica accepted last, if any.
     pub accepted: Option<AcceptedView>,
-    /// The view that `revision` and `state` belong to; below `chosen`, they only serve as memory.
+    /// The view that `revision` and `state` belong to. If it is older than `chosen`, this replica lacks the state of
+    /// `chosen`; the older one then only shows its progress, and may be the start of a forced view.
     pub state_view: ViewNumber,
-    /// The newest revision.
+    /// The revision of `state`.
     pub revision: Revision,
-    /// The state at `revision`.
+    /// The newest complete state.
     pub state: Arc<[u8]>,
-    /// How far the voters' disks had come when this was written, as far as was known.
+    /// Progress of the voters' disks, as known to this replica when this was written.
     pub known_progress: Vec<KnownProgress>,
 }
 
 impl PersistentState {
-    /// An empty disk.
+    /// Returns the state of an empty disk.
     pub(crate) fn empty(member_id: MemberId) -> PersistentState {
         PersistentState {
             member_id,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Everything that a replica with this on its disk may have vouched for.
+    /// Returns the progress that a replica with this on its disk may have acknowledged to others.
     #[must_use]
     pub fn progress(&self) -> DurableProgress {
         let view = self.chosen.view.number;
@@ -134,7 +135,7 @@
         }
     }
 
-    /// How new the stored state is.
+    /// Returns the position of the stored state.
     pub(crate) fn state_position(&self) -> StatePosition {
         StatePosition { view: self.state_view, revision: self.revision }
     }
--- a/crates/fernknot-consensus/src/types/seeded_bug.rs
+++ b/crates/fernknot-consensus/src/types/seeded_bug.rs
@@ -1,37 +1,37 @@
-//! Bugs that tests seed on purpose, to prove that a checker finds them.
+//! Bugs seeded on purpose, to test that the checkers detect them.
 
-/// A bug seeded for the checkers, which must find each one.
+/// Bug that a test seeds and a checker must detect.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SeededBug {
-    /// A majority of the founders makes the first view.
+    /// A majority of the founders suffices to choose the first view, instead of the founding quorum.
     FoundByMajority,
-    /// An empty disk at a member's address votes for the member.
+    /// An empty disk at a member's address votes in place of that member.
     EmptyDiskVotes,
-    /// Messages leave before what they vouch for is on disk.
+    /// Messages are sent before the state that they acknowledge is durable.
     SendBeforePersist,
-    /// The leader's own disk is enough to commit.
+    /// The leader commits a change once it is on its own disk only.
     CommitOnOneDisk,
-    /// A next view that others may have chosen is not taken over.
+    /// A proposer ignores a next view that the voters accepted earlier and may have chosen.
     ForgetAcceptedView,
-    /// A leader continues after a restart as if it had sent nothing.
+    /// A leader leads the same view again after a restart, although changes that it sent may not be on its disk.
     LeadAgainAfterRestart,
-    /// An outdated disk is taken for the newest.
+    /// A replica doesn't verify at its start that its disk is the newest copy.
     OutdatedDiskVotes,
-    /// A replica with an outdated disk resets itself as soon as it hears that it is outdated.
+    /// A replica resets its outdated disk at once, without waiting for a view that is active without it.
     ResetOnFirstConflict,
-    /// A joining member counts before it has what the view begins with.
+    /// A joining member is counted before it has stored the view's first state.
     JoinerCountsWithoutState,
-    /// Where a view began is guessed when it is not remembered any more.
+    /// A change is reported as rejected when the start of the view after it has been discarded.
     GuessForgottenViewStart,
-    /// A forced view has the next number, and excludes nobody.
+    /// A forced view has the next view number, and excludes no replica.
     UnfencedForcedView,
-    /// A read index is confirmed by the member's own state.
+    /// A read index is confirmed without asking the other voters.
     ReadIndexWithoutQuorum,
-    /// A voter that has prepared for the next view confirms this one all the same.
+    /// A voter confirms the view although it has prepared the next one.
     ReadIndexDuringViewChange,
-    /// A read index doesn't wait for what is stored here and not yet known as committed.
+    /// A read index doesn't wait for a change that is stored here and not yet known to be committed.
     ReadIndexIgnoresPendingChange,
-    /// A read index doesn't wait for what the view began with.
+    /// A read index doesn't wait for the view's first state.
     ReadIndexBelowViewStart,
 }
--- a/crates/fernknot-consensus/src/types/settings.rs
+++ b/crates/fernknot-consensus/src/types/settings.rs
@@ -1,4 +1,4 @@
-//! What a replica is configured with.
+//! Configuration of a replica.
 
 use std::net::SocketAddrV4;
 
@@ -6,21 +6,21 @@
 
 use super::member::Member;
 
-/// What a replica is configured with at its start.
+/// Configuration of a replica, fixed at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConsensusSettings {
     /// This replica.
     pub me: Member,
-    /// Inner addresses of the controllers that found the first view.
+    /// Addresses on which the founders of the first view listen for other controllers.
     pub founders: Vec<SocketAddrV4>,
-    /// Only true when the whole system starts for the first time.
+    /// Whether this replica may found the first view. True only when the whole system starts for the first time.
     pub bootstrap: bool,
-    /// How many disks may be lost at once with nothing acknowledged lost.
+    /// Number of disks that may be lost at once without losing an acknowledged change.
     pub fault_tolerance: usize,
-    /// A member that was unreachable for this long is dropped. 2 ns at least.
+    /// Time after which an unreachable member is dropped from the view; at least 2 ns.
     pub suspicion_timeout: Nanos,
-    /// How often replicas send heartbeats; well below `suspicion_timeout`, 1 ns at least.
+    /// Time between heartbeats; well below `suspicion_timeout`, at least 1 ns.
     pub heartbeat_interval: Nanos,
-    /// How old the heartbeat answers of a majority may be for a claim of freshness; three heartbeat intervals at least.
+    /// Time for which a majority's answers to heartbeats grant a lease; at least three heartbeat intervals.
     pub lease_duration: Nanos,
 }
--- a/crates/fernknot-consensus/src/types/status.rs
+++ b/crates/fernknot-consensus/src/types/status.rs
@@ -1,9 +1,9 @@
-//! What a replica reports of its view to operators and metrics.
+//! Status of the view, for operators and metrics.
 
 use super::member::Member;
 use super::view::ViewNumber;
 
-/// Why a replica does not count in the view now.
+/// Reason for which a replica is currently not counted in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ineligibility {
     /// No heartbeat was received from it for `suspicion_timeout`, or it receives none from this one.
@@ -12,28 +12,28 @@
     Replaced,
     /// Its disk hangs or rejects writes, by its own report.
     DiskUnhealthy,
-    /// It did not store in time what it was sent.
+    /// The replica did not store in time the state that it was sent.
     SlowDisk,
-    /// It started from a disk, and doesn't know yet whether the disk is outdated.
+    /// The replica started from a disk and has not verified that the disk is the newest copy.
     Recovering,
     /// Its disk is an older copy of itself, or unhealthy.
     OutdatedDisk,
-    /// It has not yet stored what the view began with.
+    /// The replica has not yet stored the view's first state.
     CatchingUp,
-    /// It is reachable from here, but not from all in the view.
+    /// The replica is reachable from this one, but not from all members of the view.
     PartiallyConnected,
 }
 
-/// A replica in the view or beside it.
+/// Status of a replica that votes in the view or asks to join.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaStatus {
     /// The replica.
     pub member: Member,
-    /// Stores every change.
+    /// Whether it is a member of the view, which stores every change.
     pub is_member: bool,
-    /// Votes on the next view.
+    /// Whether it votes on the next view.
     pub is_voter: bool,
-    /// `None`: it counts.
+    /// Reason for which it is not counted; `None` if it is.
     pub ineligibility: Option<Ineligibility>,
 }
 
@@ -42,11 +42,11 @@
 pub struct ViewStatus {
     /// The last view known to be chosen.
     pub number: ViewNumber,
-    /// Changes are accepted in it.
+    /// Whether changes are accepted in it.
     pub active: bool,
-    /// The voters, and those who ask to join.
+    /// The voters, followed by the replicas that ask to join.
     pub replicas: Vec<ReplicaStatus>,
-    /// So many more disks may be lost for good, at once and now, with nothing acknowledged lost and no operator needed
-    /// to continue.
+    /// Number of further disks that may now be lost at once, without losing an acknowledged change and without needing
+    /// an operator to continue.
     pub remaining_fault_tolerance: usize,
 }
--- a/crates/fernknot-consensus/src/types/view.rs
+++ b/crates/fernknot-consensus/src/types/view.rs
@@ -5,12 +5,13 @@
 
 use super::member::{Member, MemberId};
 
-/// Members of a view, at most.
+/// Maximum number of members of a view.
 pub(crate) const MAX_MEMBERS: usize = 9;
-/// View starts that a chosen view carries, at most.
+/// Maximum number of view starts that a chosen view carries.
 pub(crate) const MAX_VIEW_STARTS: usize = 32;
 
-/// View numbers are below 2^32, since fencing tokens carry them in so many bits. A forced view begins a new era.
+/// Number of views per era; a forced view begins a new era. View numbers stay below 2^32, because a fencing token
+/// carries them in 32 bits.
 pub(crate) const VIEWS_PER_ERA: u64 = 1 << 26;
 
 /// The number of a view; 0 stands for the founders before there is any view.
@@ -18,12 +19,12 @@
 pub struct ViewNumber(pub u64);
 
 impl ViewNumber {
-    /// The number that a regular view change gives to the next view.
+    /// Returns the number that a regular view change assigns to the next view.
     pub(crate) fn next(self) -> ViewNumber {
         ViewNumber(self.0.saturating_add(1))
     }
 
-    /// How many times a view was forced up to this one.
+    /// Returns the era: the number of times that a view was forced up to this one.
     pub(crate) fn era(self) -> u64 {
         self.0 / VIEWS_PER_ERA
     }
@@ -34,12 +35,12 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// The revision of the next change.
+    /// Returns the revision of the next change.
     pub(crate) fn next(self) -> Revision {
         Revision(self.0.saturating_add(1))
     }
 
-    /// The revision before this one; that of 0 is 0.
+    /// Returns the revision before this one, or 0 for 0.
     pub(crate) fn previous(self) -> Revision {
         Revision(self.0.saturating_sub(1))
     }
@@ -48,9 +49,9 @@
 /// The replicas that store every change. The first member is the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct View {
-    /// Rises by one with each regular view change.
+    /// View number, increased by one with each regular view change.
     pub number: ViewNumber,
-    /// Store every change and vote on the next view.
+    /// Replicas that store every change and vote on the next view.
     pub members: Vec<Member>,
     /// Dropped members that still vote on the next view, kept only while the members are fewer than
     /// `2 * fault_tolerance + 1`. They store no changes.
@@ -58,13 +59,13 @@
 }
 
 impl View {
-    /// All who vote on the next view.
+    /// Returns the replicas that vote on the next view, members first.
     pub(crate) fn voters(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().chain(&self.former_voters)
     }
 
-    /// Whether both are the same replica, as this view identifies replicas: before view 1 by address, later only by
-    /// the incarnation of the disk.
+    /// Whether both are the same replica. View 0 identifies replicas by address, later views by the incarnation of the
+    /// disk.
     pub(crate) fn is_same_replica(&self, one: &Member, other: &Member) -> bool {
         if self.number == ViewNumber(0) { one.addr == other.addr } else { one.id == other.id }
     }
@@ -84,18 +85,18 @@
         self.voters().any(|voter| voter.id == id)
     }
 
-    /// The position of the replica among the voters.
+    /// Returns the position of the replica among the voters.
     pub(crate) fn voter_index(&self, replica: &Member) -> Option<usize> {
         self.voters().position(|voter| self.is_same_replica(voter, replica))
     }
 
-    /// Whether so many votes are more than half.
+    /// Whether this number of votes is more than half of the voters.
     pub(crate) fn is_majority(&self, votes: usize) -> bool {
         votes > self.voters().count() / 2
     }
 
-    /// How many founders make the first view: so many that any two sets of them share more disks than may be lost.
-    /// Those that vote for a second founding then cannot all have forgotten the first.
+    /// Number of founders needed to choose the first view. Any two such sets share more disks than may be lost, so
+    /// among the voters of a second founding there is one that still has the first on disk.
     pub(crate) fn founding_quorum(&self, fault_tolerance: usize) -> usize {
         let founders = self.members.len();
         (founders.saturating_add(fault_tolerance) / 2 + 1).min(founders)
@@ -116,18 +117,18 @@
 pub struct ChosenView {
     /// The view that was chosen.
     pub view: View,
-    /// Oldest first, this view's last. What an earlier view stored above the start of its successor was never
-    /// committed.
+    /// Starts of the last views, oldest first, including this view's. A change of an earlier view with a revision above
+    /// the start of the next view was never committed.
     pub view_starts: Vec<ViewStart>,
 }
 
 impl ChosenView {
-    /// The revision at which this view began.
+    /// Returns the revision at which this view began.
     pub(crate) fn start(&self) -> Revision {
         self.view_starts.last().map_or(Revision(0), |start| start.revision)
     }
 
-    /// The starts of the last views, with one more; the oldest are forgotten.
+    /// Returns the starts of the last views with one more, dropping the oldest beyond [`MAX_VIEW_STARTS`].
     pub(crate) fn view_starts_with(&self, start: ViewStart) -> Vec<ViewStart> {
         let mut view_starts = self.view_starts.clone();
         view_starts.push(start);
--- a/crates/fernknot-consensus/src/validation.rs
+++ b/crates/fernknot-consensus/src/validation.rs
@@ -1,12 +1,12 @@
-//! Bounds on what other processes send. A message beyond any of them is dropped as a whole.
+//! Size limits of received messages. A message that exceeds any of them is dropped.
 
 use crate::state::peers::MAX_PEERS;
 use crate::types::{ChosenView, MAX_MEMBERS, MAX_VIEW_STARTS, Member, Message};
 
-/// Bytes in the name of a zone, at most.
+/// Maximum length of a zone's name in bytes.
 const MAX_ZONE_BYTES: usize = 256;
 
-/// Whether the message keeps all bounds.
+/// Whether the message is within all limits.
 pub(crate) fn is_valid_message(message: &Message) -> bool {
     match message {
         Message::Heartbeat(heartbeat) => {
--- a/crates/fernknot-consensus/src/view_activation.rs
+++ b/crates/fernknot-consensus/src/view_activation.rs
@@ -1,5 +1,5 @@
-//! From a view that is chosen to one that is active: taking a chosen view over, activating it once all members have it,
-//! and the ends of changes that were pending meanwhile. Also the new identity of a replica whose disk counts no more.
+//! Adoption of a chosen view, its activation once all members have stored it, and the outcome of changes that were in
+//! flight meanwhile. Also the new identity of a replica whose disk is no longer valid.
 
 use std::mem;
 
@@ -8,8 +8,8 @@
 use crate::types::{Action, ChosenView, MemberId, PersistentState, ProposalNumber, SeededBug, ViewNumber};
 
 impl Replica {
-    /// Takes over a view that is known to be chosen. Its state comes along only if it is the one that this replica
-    /// accepted; else the newest state only serves as memory until a state transfer comes.
+    /// Adopts a view that is known to be chosen. This replica has its state only if it accepted exactly this view;
+    /// otherwise the stored state stays that of an older view until a state transfer.
     pub fn adopt_view(&mut self, chosen: ChosenView) {
         let previous = self.view().number;
         if chosen.view.number <= previous {
@@ -19,13 +19,13 @@
             return self.reset_identity();
         }
         if chosen.view.number.era() > previous.era() {
-            // An operator has vouched for this disk, whatever is missing on it.
+            // The operator who forced the view has accepted this disk, even if it is outdated.
             self.recovery.complete = true;
             self.recovery.outdated = false;
         }
         self.take_accepted_state(&chosen);
         for voter in chosen.view.voters() {
-            self.peers.learn_address(voter.addr);
+            self.peers.add_address(voter.addr);
         }
         self.start_view(chosen);
         self.end_changes_of(previous);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The state of the next view is on disk already if this replica has accepted exactly this view.
+    /// Makes the state of the accepted next view the current one, if the chosen view is exactly that view.
     fn take_accepted_state(&mut self, chosen: &ChosenView) {
         let disk = &mut self.disk.state;
         let Some(accepted) = disk.accepted.take().filter(|accepted| accepted.next == *chosen) else { return };
@@ -51,7 +51,7 @@
         self.disk.state.chosen = chosen;
         self.disk.mark_dirty();
         self.replication.commit_revision = start;
-        self.read_indexes.restart(start);
+        self.read_indexes.reset_for_view(start);
         self.activation.active = false;
         self.activation.unstable_since = self.clock.now;
         self.view_change.reset();
@@ -72,8 +72,8 @@
         }
     }
 
-    /// What became of changes that were pending when their view ended: committed if the next view began at their
-    /// revision or above.
+    /// Reports the outcome of changes that were in flight when their view ended: a change is committed if the next view
+    /// began at its revision or above, and rejected otherwise.
     fn resolve_changes(&mut self) {
         let chosen = &self.disk.state.chosen;
         let active = self.activation.active;
@@ -86,7 +86,7 @@
                 if guesses {
                     outbox.push(Action::Rejected { change_id });
                 }
-                // It stays unresolved, and is forgotten once the start of the next view is.
+                // The change stays unresolved, and is dropped once the start of the next view has been discarded.
                 return chosen.view_starts.first().is_some_and(|oldest| oldest.view <= next);
             };
             if start.revision < change.revision {
@@ -94,13 +94,13 @@
             } else if active || chosen.view.number > next {
                 outbox.push(Action::Committed { change_id, revision: change.revision });
             } else {
-                return true; // chosen, but perhaps not yet on all disks
+                return true; // the view is chosen, but may not be on all disks yet
             }
             false
         });
     }
 
-    /// The view is active: changes are accepted and committed in it.
+    /// Activates the view: changes are accepted and committed in it.
     pub fn activate_view(&mut self) {
         if !self.recovery.complete || !self.has_view_state() || self.view().number == ViewNumber(0) {
             return;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The leader of a view that was chosen before all had it on disk waits until they have.
+    /// Activates a view that was chosen before all members had stored it, once they have. Only the leader does so.
     pub fn activate_when_replicated(&mut self) {
         if self.activation.active || self.is_changing_view() || self.view_change.attempt.is_some() {
             return;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Delivers the newest state once it is committed.
+    /// Delivers the newest state, if it is committed and was not delivered yet.
     pub fn deliver(&mut self) {
         let PersistentState { revision, .. } = self.disk.state;
         let is_newer = self.replication.delivered_revision().is_none_or(|delivered| delivered < revision);
@@ -158,7 +158,8 @@
         self.outbox.push(Action::Deliver { view: self.view().number, revision, state });
     }
 
-    /// Whether a view of a later era has excluded this disk: it isn't in it, and has vouched for something.
+    /// Whether a view of a later era excludes this disk: the disk has stored something, and this replica doesn't vote
+    /// in the view.
     fn is_excluded_by(&self, chosen: &ChosenView) -> bool {
         let previous = self.view().number;
         let state = &self.disk.state;
@@ -168,7 +169,7 @@
         is_later_era && !accepted_nothing && !chosen.view.has_voter_id(self.member_id())
     }
 
-    /// Continues as a new member: what was on the disk counts for nothing any more, and is overwritten.
+    /// Continues as a new member. The content of the disk is no longer valid, and is overwritten.
     pub fn reset_identity(&mut self) {
         let previous = self.member_id();
         let mut settings = self.settings.clone();
@@ -177,10 +178,10 @@
         let current = settings.me.id;
         let seed = self.random.next();
         let mut next = Replica::new(seed, settings, None, self.clock.now, self.seeded_bug);
-        next.peers.take_addresses(&mut self.peers);
-        next.disk.take_over(&mut self.disk);
+        next.peers.inherit_addresses(&mut self.peers);
+        next.disk.inherit_from(&mut self.disk);
         self.reject_queued_changes();
-        next.outbox.take_over(&mut self.outbox);
+        next.outbox.inherit_from(&mut self.outbox);
         if self.activation.entered_view.is_some() {
             next.outbox.push(Action::ViewLeft);
         }
--- a/crates/fernknot-consensus/src/view_change/accept.rs
+++ b/crates/fernknot-consensus/src/view_change/accept.rs
@@ -1,4 +1,4 @@
-//! The proposer's second phase: first those who join, then the voters accept the next view, until it is chosen.
+//! The proposer's second phase: the joining members and then the voters accept the next view, until it is chosen.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -10,12 +10,12 @@
     DurableProgress, Member, Message, ProposalInView, ProposalNumber, SeededBug, View, ViewNumber,
 };
 
-/// So many suspicion time-outs a chosen view waits for the last of its members to accept it, so that it is active at
-/// once.
+/// Time, in suspicion time-outs, for which the proposer waits after a view is chosen for the last members to accept
+/// it. If all do, the view is active at once.
 const MAX_ACTIVATION_TIMEOUTS: f64 = 0.5;
 
 impl Replica {
-    /// A voter or a joining replica has accepted the next view.
+    /// Records that a voter or a joining replica has accepted the next view.
     pub fn handle_accepted(&mut self, sender: Member, proposal: ProposalNumber, view: ViewNumber) {
         let number = ProposalInView { view, proposal };
         let progress = DurableProgress { prepared: number, accepted: number, ..DurableProgress::default() };
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Asks the voters once those who join have the state. A next view that may have been chosen doesn't wait for them
-    /// for long, and not for those who are gone.
+    /// Proceeds to the vote once the joining members have the state. An adopted next view, which may have been chosen,
+    /// doesn't wait for suspected members, and for others only for a limited time.
     pub(super) fn finish_join(&mut self) {
         let Some(attempt) = &self.view_change.attempt else { return };
         let Some(next_view) = &attempt.next_view else { return };
@@ -56,14 +56,15 @@
         }
     }
 
-    /// Ends the attempt once the view is chosen by a majority and has all its members, or need not wait for them.
+    /// Ends the attempt once the view is chosen by a quorum, and all its members have accepted it or are no longer
+    /// awaited.
     pub(super) fn finish_accept(&mut self) {
         let Some(attempt) = &self.view_change.attempt else { return };
         let Some(next_view) = &attempt.next_view else { return };
         let next = &next_view.chosen.view;
         let all_accepted =
             attempt.all_members_accepted() || self.has_bug(SeededBug::JoinerCountsWithoutState);
-        let none_awaited = all_accepted || self.are_missing_suspected(attempt, next);
+        let none_awaited = all_accepted || self.are_missing_members_suspected(attempt, next);
         if !self.is_chosen(attempt) {
             if none_awaited && !attempt.former_members_asked {
                 self.ask_former_members();
@@ -71,7 +72,7 @@
             return;
         }
         let chosen_at = attempt.chosen_at.unwrap_or(self.clock.now);
-        let waits = !self.clock.has_passed(MAX_ACTIVATION_TIMEOUTS, chosen_at);
+        let waits = !self.clock.timeouts_passed(MAX_ACTIVATION_TIMEOUTS, chosen_at);
         if !none_awaited && waits {
             if let Some(attempt) = &mut self.view_change.attempt {
                 attempt.chosen_at = Some(chosen_at);
@@ -88,7 +89,8 @@
         self.is_quorum(votes.len())
     }
 
-    /// The members are not enough: now the voters that will not be in the view; after that with the retries.
+    /// Asks the voters that will not be members of the next view, because the members' votes don't suffice. Further
+    /// requests to them are sent with the retries.
     fn ask_former_members(&mut self) {
         if let Some(attempt) = &mut self.view_change.attempt {
             attempt.former_members_asked = true;
@@ -96,13 +98,13 @@
         self.send_phase_requests();
     }
 
-    /// Whether nobody can be expected of the members that have not accepted.
-    pub(super) fn are_missing_suspected(&self, attempt: &ViewChangeAttempt, next: &View) -> bool {
+    /// Whether all members that have not accepted are suspected.
+    pub(super) fn are_missing_members_suspected(&self, attempt: &ViewChangeAttempt, next: &View) -> bool {
         let mut missing = next.members.iter().filter(|member| !attempt.has_accepted(member.id));
         missing.all(|member| self.is_suspected(member))
     }
 
-    /// Ends the attempt: the next view is chosen.
+    /// Ends the attempt and announces that the next view is chosen.
     fn announce_chosen(&mut self, view_active: bool) {
         let Some(attempt) = self.view_change.attempt.take() else { return };
         let Some(next_view) = &attempt.next_view else { return };
--- a/crates/fernknot-consensus/src/view_change/acceptor.rs
+++ b/crates/fernknot-consensus/src/view_change/acceptor.rs
@@ -1,4 +1,4 @@
-//! The voters, and those who join: they prepare, accept, and take over what is chosen.
+//! Acceptors, the voters and joining members: they prepare, accept, and adopt the chosen view.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 }
 
 impl Replica {
-    /// Prepares the change of the view, and reports what this replica has.
+    /// Prepares the change of the view, and reports this replica's newest state and accepted next view.
     pub fn handle_prepare(
         &mut self,
         from: SocketAddrV4,
@@ -30,10 +30,10 @@
             self.disk.state.chosen = current.clone();
         }
         self.adopt_founders(&current);
-        if !self.takes_part_in_change_of(from, &current) || self.voter_index_of(self.me()).is_none() {
+        if !self.participates_in_change_of(from, &current) || self.voter_index_of(self.me()).is_none() {
             return;
         }
-        if !self.follows_proposal(from, proposal) {
+        if !self.prepare_or_reject(from, proposal) {
             return;
         }
         let stored = &self.disk.state;
@@ -52,8 +52,9 @@
         self.send_when_durable(from, message);
     }
 
-    /// Takes part in the founding with an empty disk, where a founder names this replica's address. Guards a founding
-    /// against waiting for ever for one that crashed before its first write, and was started again as one that joins.
+    /// Adopts the proposer's view 0 if this disk is empty and the view names this replica's address. Without this, the
+    /// founding would wait for ever for a founder that crashed before its first write and was restarted without
+    /// `bootstrap`.
     fn adopt_founders(&mut self, current: &ChosenView) {
         let is_founder = |member: &Member| member.addr == self.me().addr;
         let is_named = current.view.number == ViewNumber(0) && current.view.members.iter().any(is_founder);
@@ -64,16 +65,16 @@
         }
     }
 
-    /// Accepts the next view, if no higher number was prepared.
+    /// Accepts the next view, unless a higher number was prepared.
     pub fn handle_accept(&mut self, from: SocketAddrV4, request: AcceptRequest) {
         let AcceptRequest { proposal, current, next, revision, state } = request;
         let view = current.view.number;
-        let follows = next.view.number == view.next();
-        if !follows || !self.takes_part_in_change_of(from, &current) {
+        let is_successor = next.view.number == view.next();
+        if !is_successor || !self.participates_in_change_of(from, &current) {
             return;
         }
         let is_stored = self.disk.state.state_view == view && self.disk.state.revision == revision;
-        if (!is_stored && state.is_none()) || !self.follows_proposal(from, proposal) {
+        if (!is_stored && state.is_none()) || !self.prepare_or_reject(from, proposal) {
             return;
         }
         let state = state.filter(|_| !is_stored);
@@ -86,7 +87,7 @@
         self.send_when_durable(from, Message::Accepted { sender, proposal, view });
     }
 
-    /// The next view is chosen: takes it over if this replica has accepted it.
+    /// Adopts the chosen view if this replica has accepted it, and activates it if all its members have.
     pub fn handle_chosen(&mut self, proposal: ProposalNumber, view: ViewNumber, view_active: bool) {
         let current = self.view().number;
         let accepted = self.disk.state.accepted.as_ref().filter(|accepted| accepted.proposal == proposal);
@@ -100,8 +101,9 @@
         }
     }
 
-    /// A replica takes part in the change of a view only if it is the last view that it knows.
-    fn takes_part_in_change_of(&mut self, from: SocketAddrV4, view: &ChosenView) -> bool {
+    /// Whether this replica takes part in the change of the view: it does if this is the newest view that it knows.
+    /// Adopts a later view, and announces the current one to the sender of an older.
+    fn participates_in_change_of(&mut self, from: SocketAddrV4, view: &ChosenView) -> bool {
         let current = self.view().number;
         if view.view.number < current {
             self.announce_view(from);
@@ -113,16 +115,16 @@
         view == self.chosen()
     }
 
-    /// Whether the attempt may continue here: false where a higher number was prepared. It ends this replica's own
-    /// attempt, if that has a lower number.
-    fn follows_proposal(&mut self, from: SocketAddrV4, proposal: ProposalNumber) -> bool {
+    /// Prepares the number of another's attempt, and abandons this replica's own. Rejects it and returns false if a
+    /// higher number was prepared.
+    fn prepare_or_reject(&mut self, from: SocketAddrV4, proposal: ProposalNumber) -> bool {
         let prepared = self.disk.state.prepared;
         if proposal < prepared {
             let view = self.view().number;
             self.send(from, Message::Rejected { view, prepared });
             return false;
         }
-        self.view_change.see_term(proposal.term);
+        self.view_change.observe_term(proposal.term);
         if proposal.proposer != self.member_id() {
             self.view_change.competing_proposal_at = Some(self.clock.now);
             if self.view_change.attempt.is_some() {
--- a/crates/fernknot-consensus/src/view_change/mod.rs
+++ b/crates/fernknot-consensus/src/view_change/mod.rs
@@ -1,6 +1,7 @@
-//! The change of a view: who belongs to the next, when an attempt begins, and the Paxos among the voters of the last view
-//! that chooses the next. A proposer goes through the phases of [`AttemptPhase`](crate::state::attempt::AttemptPhase);
-//! what it may propose is the value rule of Paxos (Lamport, "Paxos Made Simple", section 2.2).
+//! View changes: planning the members of the next view, scheduling attempts, and choosing the next view by Paxos
+//! among the voters of the last one. A proposer goes through the phases of
+//! [`AttemptPhase`](crate::state::attempt::AttemptPhase); the value rule of Paxos (Lamport, "Paxos Made Simple",
+//! section 2.2) determines which view it may propose.
 
 mod accept;
 mod acceptor;
--- a/crates/fernknot-consensus/src/view_change/planning.rs
+++ b/crates/fernknot-consensus/src/view_change/planning.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the next view.
+//! Planning of the next view's members.
 
 use std::collections::BTreeSet;
 
@@ -6,28 +6,28 @@
 use crate::state::peers::Peer;
 use crate::types::{ChosenView, MAX_MEMBERS, Member, MemberId, Revision, View, ViewNumber, ViewStart};
 
-/// Candidates for the next view that are considered, at most.
+/// Maximum number of candidates that are considered for the next view.
 const MAX_CANDIDATES: usize = 12;
 
-/// The replicas that may be in the next view beside the proposer, and who of them reaches whom. A set of candidates is a
-/// bit mask over their positions.
+/// Replicas that may be in the next view in addition to the proposer, and their mutual reachability. A set of
+/// candidates is a bit mask over their positions.
 struct Candidates<'a> {
     peers: Vec<&'a Peer>,
-    /// So many of them, from the first on, are members of the current view.
-    members: usize,
+    /// Number of members of the current view; they come first.
+    member_count: usize,
 }
 
 impl Candidates<'_> {
-    /// Whether two candidates reach each other. Of two members it is enough that neither suspects the other.
+    /// Whether two candidates reach each other. For two members it suffices that neither suspects the other.
     fn are_linked(&self, a: usize, b: usize) -> bool {
         let (one, other) = (&self.peers[a].heartbeat, &self.peers[b].heartbeat);
-        if a < self.members && b < self.members {
+        if a < self.member_count && b < self.member_count {
             return !one.suspected.contains(&other.sender.id) && !other.suspected.contains(&one.sender.id);
         }
         one.reachable.contains(&other.sender.id) && other.reachable.contains(&one.sender.id)
     }
 
-    /// For each candidate, the set that it reaches, itself included.
+    /// Returns for each candidate the set of candidates that it reaches, including itself.
     fn links(&self) -> Vec<u32> {
         let count = self.peers.len();
         let linked_to = |a: usize| {
@@ -37,12 +37,12 @@
         (0..count).map(linked_to).collect()
     }
 
-    /// The largest set in which all reach all. Of equal ones, that with more members of the current view, then that
-    /// with the candidates that come first.
+    /// Returns the largest set of candidates that all reach each other. Of sets of the same size, it prefers the one
+    /// with more members of the current view, then the one with earlier candidates.
     fn largest_clique(&self) -> u32 {
         let links = self.links();
         let all = (1u32 << self.peers.len()) - 1;
-        let members = (1u32 << self.members.min(self.peers.len())) - 1;
+        let members = (1u32 << self.member_count.min(self.peers.len())) - 1;
         let rank = |set: u32| (set.count_ones(), (set & members).count_ones(), !set);
         let mut best = 0u32;
         for set in (0..=all).rev() {
@@ -66,12 +66,13 @@
 }
 
 impl Replica {
-    /// Whether a view with the peer could commit changes: it is reachable, its disk is healthy and known as its newest.
+    /// Whether the peer could store changes as a member: it is reachable, its disk is healthy, it has not been too
+    /// slow, and its recovery doesn't take too long.
     pub fn is_eligible(&self, peer: &Peer) -> bool {
         self.is_reachable(peer)
             && peer.heartbeat.disk_healthy
             && peer.excluded_until <= self.now()
-            && !peer.recovers_too_long(&self.clock)
+            && !peer.is_recovery_overdue(&self.clock)
             && !self.peers.is_replaced(&peer.heartbeat.sender)
     }
 
@@ -83,14 +84,14 @@
         self.peers.iter().any(is_eligible)
     }
 
-    /// The largest set that has this replica in it and in which all reach all. `prepared`: of the voters of the current
-    /// view only those, where given.
+    /// Returns the largest set of eligible replicas that includes this one and in which all reach each other. If
+    /// `prepared` is given, voters of the current view that are not in it are left out.
     pub fn plan_members(&self, prepared: Option<&BTreeSet<MemberId>>) -> Vec<Member> {
         let candidates = self.candidates(prepared);
         let mut members = candidates.members_of(candidates.largest_clique());
         members.push(self.me().clone());
         let view = self.view();
-        // Who was first stays first, so that the leader changes only where it must.
+        // Current members keep their order, so that the leader changes only if it is no longer a member.
         members.sort_by_key(|member| {
             let position = view.members.iter().position(|current| view.is_same_replica(current, member));
             (position.unwrap_or(usize::MAX), member.id)
@@ -118,20 +119,22 @@
         let mut peers = members;
         peers.append(&mut joining);
         peers.truncate(MAX_CANDIDATES);
-        Candidates { peers, members: member_count }
+        Candidates { peers, member_count }
     }
 
-    /// The next view with these members. Dropped ones keep their vote while the members are few.
+    /// Returns the next view with these members. Dropped ones keep their vote while there are fewer than
+    /// `2 * fault_tolerance + 1` members.
     pub fn plan_next_view(&self, members: Vec<Member>, revision: Revision) -> ChosenView {
         let current = self.view();
         let number = current.number.next();
-        let seats = self.settings.fault_tolerance.saturating_mul(2).saturating_add(1).min(MAX_MEMBERS);
+        let target_voters =
+            self.settings.fault_tolerance.saturating_mul(2).saturating_add(1).min(MAX_MEMBERS);
         let mut former_voters: Vec<Member> = Vec::new();
         for voter in current.voters() {
             let is_dropped =
                 current.number > ViewNumber(0) && members.iter().all(|member| member.id != voter.id);
-            let has_seat = members.len() + former_voters.len() < seats;
-            if is_dropped && !self.peers.is_replaced(voter) && has_seat {
+            let is_below_target = members.len() + former_voters.len() < target_voters;
+            if is_dropped && !self.peers.is_replaced(voter) && is_below_target {
                 former_voters.push(voter.clone());
             }
         }
@@ -139,9 +142,9 @@
         ChosenView { view: View { number, members, former_voters }, view_starts }
     }
 
-    /// Members of the next view, at least: those that a change needs. The first view may have fewer where fewer founders
-    /// were named: it accepts no change, and lets the others join. Guards a large system with few seeds against never
-    /// being founded.
+    /// Returns the minimum number of members of the next view: those needed to commit a change. The first view may have
+    /// fewer if fewer founders are configured, so that a large system with few founders can be founded; it commits no
+    /// change until others have joined.
     pub fn min_members(&self) -> usize {
         let view = self.view();
         let needed = self.settings.fault_tolerance.saturating_add(1);
--- a/crates/fernknot-consensus/src/view_change/prepare.rs
+++ b/crates/fernknot-consensus/src/view_change/prepare.rs
@@ -1,4 +1,4 @@
-//! The proposer's first phase: what the voters have, and the choice of the next view.
+//! The proposer's first phase: collecting the voters' states, and selecting the next view to propose.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
     StatePosition, ViewNumber,
 };
 
-/// A voter's answer to the first phase.
+/// A voter's response in the first phase.
 pub(crate) struct PreparedReply {
     pub sender: Member,
     pub proposal: ProposalNumber,
@@ -23,7 +23,7 @@
 }
 
 impl Replica {
-    /// A voter has prepared.
+    /// Handles a voter's response that it has prepared.
     pub fn handle_prepared(&mut self, reply: PreparedReply) {
         self.record_prepared_progress(&reply);
         if reply.view != self.view().number {
@@ -51,13 +51,13 @@
         self.record_progress(reply.sender.id, progress);
     }
 
-    /// The newest state of the view, if this replica has it.
+    /// Returns the newest state of the view that this replica has, if any.
     fn own_snapshot(&self) -> Option<StateSnapshot> {
         let state = &self.disk.state;
         self.has_view_state().then(|| StateSnapshot { revision: state.revision, state: state.state.clone() })
     }
 
-    /// The position among the voters of the current view.
+    /// Returns the position of the replica among the voters of the current view.
     pub(super) fn voter_index_of(&self, replica: &Member) -> Option<usize> {
         let view = self.view();
         let at_address = || view.voters().position(|voter| voter.addr == replica.addr);
@@ -65,17 +65,17 @@
         view.voter_index(replica).or_else(|| empty_votes.then(at_address).flatten())
     }
 
-    /// Chooses the next view and what it begins with, once enough voters have prepared.
+    /// Selects the next view and its first state, once enough voters have prepared.
     pub(super) fn finish_prepare(&mut self) {
         let Some(attempt) = &self.view_change.attempt else { return };
         if attempt.phase != AttemptPhase::Prepare || !self.has_enough_prepared(attempt) {
             return;
         }
-        let majority_at = attempt.majority_prepared_at.unwrap_or(self.clock.now);
+        let quorum_at = attempt.quorum_prepared_at.unwrap_or(self.clock.now);
         let waits =
-            self.waits_for_stragglers(attempt) && self.clock.now < majority_at + attempt.straggler_timeout;
+            self.waits_for_stragglers(attempt) && self.clock.now < quorum_at + attempt.straggler_timeout;
         if let Some(attempt) = &mut self.view_change.attempt {
-            attempt.majority_prepared_at = Some(majority_at);
+            attempt.quorum_prepared_at = Some(quorum_at);
         }
         if waits {
             return;
@@ -86,23 +86,24 @@
         }
     }
 
-    /// Whether a quorum has prepared, and what the next view begins with is known.
+    /// Whether a quorum has prepared, and the first state of the next view is known.
     fn has_enough_prepared(&self, attempt: &ViewChangeAttempt) -> bool {
-        // All that was committed is on every member, so one member that has the state is enough to know it.
+        // Committed changes are on every member's disk, so one member with the state suffices.
         let is_state_known = attempt.prepared.values().any(|voter| voter.revision.is_some())
             || attempt.highest_accepted.is_some()
             || self.has_bug(SeededBug::EmptyDiskVotes);
         self.is_quorum(attempt.prepared.len()) && is_state_known
     }
 
-    /// Whether a voter that could answer has not yet.
+    /// Whether a voter that is expected to respond has not done so yet.
     fn waits_for_stragglers(&self, attempt: &ViewChangeAttempt) -> bool {
         let mut voters = self.view().voters().enumerate();
         voters.any(|(index, voter)| !attempt.prepared.contains_key(&index) && self.is_eligible_member(voter))
     }
 
-    /// The value rule of Paxos: what may have been chosen under a lower number is proposed again; else a view of those
-    /// who are there, with the newest state that any of them has. `None`: they are too few, or have no state.
+    /// Applies the value rule of Paxos: a view that may have been chosen under a lower number is proposed again;
+    /// otherwise a view of the available replicas, with the newest state that a prepared voter has. Returns `None` if
+    /// they are too few or have no state.
     fn choose_next_view(&self) -> Option<NextView> {
         let attempt = self.view_change.attempt.as_ref()?;
         let highest_accepted =
@@ -131,8 +132,8 @@
     }
 }
 
-/// Adds a voter's reply to the attempt; false where it lacks a state that is needed, so that it doesn't count. `own` is
-/// what the proposer itself has: a voter leaves out a state that the proposer has.
+/// Adds a voter's reply to the attempt. Returns false if the reply lacks a state that is needed, and so is not counted.
+/// `own` is the proposer's own state, which a voter may leave out of its reply.
 fn add_reply(
     attempt: &mut ViewChangeAttempt,
     index: usize,
@@ -146,7 +147,7 @@
     if let Some(revision) = revision {
         let is_known = attempt.latest_state.as_ref().is_some_and(|latest| latest.revision >= revision);
         let state = state.or_else(|| own_state(revision));
-        // A revision below the proposer's own needs no state: that one comes with its own reply.
+        // A revision up to the proposer's own needs no state: the proposer's reply to itself brings it, or a newer one.
         let is_below_own = own.is_some_and(|own| own.revision >= revision);
         match state {
             _ if is_known => {}
--- a/crates/fernknot-consensus/src/view_change/proposer.rs
+++ b/crates/fernknot-consensus/src/view_change/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer: its attempt from the first number to the end, the requests of each phase, and the retries.
+//! The proposer's attempt: its start, the requests of each phase, retries, and abandonment.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -7,13 +7,14 @@
 use crate::state::attempt::{AttemptPhase, NextView, ViewChangeAttempt};
 use crate::types::{Member, MemberId, Message, ProposalNumber, Revision, ViewNumber};
 
-/// After so many suspicion time-outs in a phase, the voters that will not be members are asked, too, and a next view
-/// that may have been chosen goes on without those who join.
+/// Time in a phase, in suspicion time-outs, after which the voters that will not be members are asked, too, and an
+/// adopted next view proceeds without the joining members.
 pub(super) const LATE_PHASE_TIMEOUTS: f64 = 0.5;
-/// After so many an attempt is abandoned.
+/// Time in a phase other than [`AttemptPhase::Accept`], in suspicion time-outs, after which the attempt is abandoned.
 const MAX_PHASE_TIMEOUTS: f64 = 1.0;
+/// Time in [`AttemptPhase::Accept`], in suspicion time-outs, after which the attempt is abandoned.
 const MAX_ACCEPT_TIMEOUTS: f64 = 2.0;
-/// For so many a member that doesn't join in time is left out of the next view.
+/// Time, in suspicion time-outs, for which a replica that didn't join in time is left out of the next view.
 const EXCLUSION_TIMEOUTS: f64 = 2.0;
 
 impl Replica {
@@ -24,11 +25,11 @@
         self.prepare_number(proposal);
         let (now, interval) = (self.clock.now, self.settings.heartbeat_interval);
         self.view_change.attempt = Some(ViewChangeAttempt::new(proposal, now, interval));
-        // Nobody hears of the number before it is on disk: after a restart it must not be given out again.
+        // The requests are sent once the number is durable: it must not be used again after a restart.
         self.send_phase_requests();
     }
 
-    /// This replica stores no more changes of the view, and takes part in no attempt with a lower number.
+    /// Prepares the number: this replica stores no more changes in the view, and rejects attempts with a lower number.
     pub(super) fn prepare_number(&mut self, proposal: ProposalNumber) {
         if !self.is_changing_view() {
             self.activation.unstable_since = self.clock.now;
@@ -37,12 +38,12 @@
         self.disk.mark_dirty();
     }
 
-    /// Where a voter listens now. Founders are known by address only.
+    /// Returns the address on which a voter currently listens. Founders are known by address only.
     pub(super) fn voter_address(&self, voter: &Member) -> SocketAddrV4 {
         if voter.id == MemberId(0) { voter.addr } else { self.address_of(voter) }
     }
 
-    /// Sends the requests of the attempt's phase to those who have not answered.
+    /// Sends the requests of the attempt's phase to the replicas that have not responded.
     pub(super) fn send_phase_requests(&mut self) {
         let Some(attempt) = self.view_change.attempt.clone() else { return };
         match (attempt.phase, &attempt.next_view) {
@@ -83,14 +84,15 @@
         }
     }
 
-    /// Who is to accept the next view now, and has not.
+    /// Returns the replicas that should accept the next view in this phase and have not.
     fn accept_receivers(&self, attempt: &ViewChangeAttempt, next_view: &NextView) -> Vec<Member> {
         let next = &next_view.chosen.view;
         let mut receivers: Vec<Member> = next.members.clone();
-        // Those who will not be in the view are asked last: the state is to be on the disks of those who will. Not after
-        // those who are gone: two proposers that take turns would end each other's attempts while they wait for them.
-        let asks_all =
-            self.are_missing_suspected(attempt, next) || self.phase_exceeds(attempt, LATE_PHASE_TIMEOUTS);
+        // Voters that will not be members are asked only after the members, whose disks must have the state.
+        // Suspected members are not awaited: two competing proposers would abort each other's attempts meanwhile,
+        // again and again.
+        let asks_all = self.are_missing_members_suspected(attempt, next)
+            || self.phase_exceeds(attempt, LATE_PHASE_TIMEOUTS);
         if asks_all {
             let voters = attempt.prepared.values().map(|voter| &voter.member);
             receivers.extend(voters.filter(|voter| !next.has_member_id(voter.id)).cloned());
@@ -103,9 +105,9 @@
         receivers
     }
 
-    /// Whether the attempt is in its phase for longer than so many suspicion time-outs.
+    /// Whether the attempt has been in its phase for more than `timeouts` suspicion time-outs.
     pub(super) fn phase_exceeds(&self, attempt: &ViewChangeAttempt, timeouts: f64) -> bool {
-        self.clock.has_passed(timeouts, attempt.phase_started_at)
+        self.clock.timeouts_passed(timeouts, attempt.phase_started_at)
     }
 
     pub(super) fn start_phase(&mut self, phase: AttemptPhase) {
@@ -116,26 +118,26 @@
         self.send_phase_requests();
     }
 
-    /// Ends the attempt; the next one comes after a random time, for two replicas may compete.
+    /// Abandons the attempt. The next one begins after a random delay, so that competing proposers don't collide again.
     pub(super) fn abandon_attempt(&mut self) {
         self.view_change.attempt = None;
-        let pause = self.random.part_of(self.settings.suspicion_timeout.times(0.5));
+        let pause = self.random.fraction_of(self.settings.suspicion_timeout.times(0.5));
         self.view_change.backoff_until = self.clock.now + self.settings.heartbeat_interval + pause;
     }
 
-    /// A voter has prepared a higher number.
+    /// Handles a rejection by a voter that has prepared a higher number.
     pub fn handle_rejected(&mut self, view: ViewNumber, prepared: ProposalNumber) {
         if view != self.view().number {
             return;
         }
-        self.view_change.see_term(prepared.term);
+        self.view_change.observe_term(prepared.term);
         if self.view_change.attempt.as_ref().is_some_and(|attempt| attempt.proposal < prepared) {
             self.view_change.competing_proposal_at = Some(self.clock.now);
             self.abandon_attempt();
         }
     }
 
-    /// Repeats the requests that got no answer, and abandons an attempt that has no end in sight.
+    /// Retransmits requests without a response, and abandons an attempt whose phase takes too long.
     pub fn tick_attempt(&mut self) {
         let Some(phase) = self.view_change.attempt.as_ref().map(|attempt| attempt.phase) else { return };
         match phase {
@@ -163,7 +165,7 @@
         self.send_phase_requests();
     }
 
-    /// Replicas that can't be reached to join are left out for a while.
+    /// Leaves replicas that didn't join in time out of the next views for a while.
     fn exclude_absent_joiners(&mut self) {
         let Some(attempt) = &self.view_change.attempt else { return };
         let Some(next_view) = &attempt.next_view else { return };
--- a/crates/fernknot-consensus/src/view_change/schedule.rs
+++ b/crates/fernknot-consensus/src/view_change/schedule.rs
@@ -1,4 +1,4 @@
-//! When this replica begins an attempt to change the view.
+//! Scheduling of this replica's attempts to change the view.
 
 use fernknot::interface::Nanos;
 
@@ -7,22 +7,22 @@
 use crate::state::peers::Peer;
 use crate::types::{Member, SeededBug};
 
-/// Why the view is to be changed.
-struct Reasons {
-    /// The view is active, and not being changed.
+/// ChangeReasons for changing the view.
+struct ChangeReasons {
+    /// Whether the view is active and not being changed; if not, that is a reason in itself.
     is_stable: bool,
-    /// This replica is the first of an active view, and must not lead in it.
+    /// Whether this replica is the first member of an active view in which it must not lead.
     is_leaderless: bool,
-    /// A member is lost.
+    /// Whether a member is lost.
     has_lost_member: bool,
-    /// A member has prepared for the next view.
+    /// Whether a member has prepared the change of the view.
     has_prepared_member: bool,
-    /// A replica asks to join.
+    /// Whether an eligible replica asks to join.
     has_joining_replica: bool,
 }
 
-impl Reasons {
-    fn is_any(&self) -> bool {
+impl ChangeReasons {
+    fn requires_change(&self) -> bool {
         !self.is_stable
             || self.is_leaderless
             || self.has_lost_member
@@ -30,14 +30,14 @@
             || self.has_joining_replica
     }
 
-    /// The view works, and is only changed for better members.
+    /// Whether changes can be committed in the view, so that it is only changed to improve its members.
     fn is_working(&self) -> bool {
         self.is_stable && !self.is_leaderless
     }
 }
 
 impl Replica {
-    /// Begins to change the view where it must be, and can be, changed.
+    /// Begins an attempt if there is a reason to change the view and the attempt is due.
     pub fn start_attempt_when_due(&mut self) {
         let Some(due_at) = self.attempt_due_at() else {
             self.view_change.scheduled = None;
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Those first in the view begin first, so that attempts seldom compete.
+    /// Returns the delay before an attempt, longer the later this replica comes in the view, so that attempts seldom
+    /// compete.
     fn start_delay(&mut self) -> Nanos {
         let view = self.view();
         let before = view.members.iter().take_while(|member| !view.is_same_replica(member, self.me()));
@@ -64,17 +65,17 @@
             return Nanos(0);
         }
         let interval = self.settings.heartbeat_interval;
-        interval.times(rank as f64) + self.random.part_of(interval.times(0.5))
+        interval.times(rank as f64) + self.random.fraction_of(interval.times(0.5))
     }
 
-    /// The time from which the view is to be changed; `None`: it can't or needn't be.
+    /// Returns the time at which a view change is due, or `None` if it is impossible or unnecessary.
     fn attempt_due_at(&self) -> Option<Nanos> {
         let may_act = self.recovery.complete && self.disk_healthy() && self.is_member();
         if self.view_change.attempt.is_some() || !may_act {
             return None;
         }
         let reasons = self.reasons_for_change();
-        if !reasons.is_any() {
+        if !reasons.requires_change() {
             return None;
         }
         let planned = self.plan_members(None);
@@ -88,7 +89,7 @@
         }
     }
 
-    fn reasons_for_change(&self) -> Reasons {
+    fn reasons_for_change(&self) -> ChangeReasons {
         let view = self.view();
         let is_active = self.activation.active;
         let is_first = view.members.first().is_some_and(|first| self.is_me(first));
@@ -97,7 +98,7 @@
             heartbeat.is_some_and(|heartbeat| heartbeat.view == view.number && heartbeat.changing_view)
         };
         let joins = |peer: &Peer| !view.is_member(&peer.heartbeat.sender) && self.is_eligible(peer);
-        Reasons {
+        ChangeReasons {
             is_stable: is_active && !self.is_changing_view(),
             is_leaderless: is_active && is_first && !self.is_leader(),
             has_lost_member: view.members.iter().any(|member| self.is_lost(member)),
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The voters that would answer an attempt now.
+    /// Returns the number of voters that are expected to respond to an attempt.
     fn expected_votes(&self) -> usize {
         let view = self.view();
         let is_empty_disk_at = |voter: &Member| {
@@ -121,50 +122,51 @@
         view.voters().filter(answers).count()
     }
 
-    /// A view that works is changed at once where a member is lost or more can take part, and after a while where
-    /// another's attempt seems to have ended half-way.
-    fn improvement_due_at(&self, reasons: &Reasons, planned: &[Member]) -> Option<Nanos> {
+    /// Returns the time at which a working view is to be changed: now if a member is lost or the view can grow, later
+    /// if another's attempt seems to have been abandoned.
+    fn improvement_due_at(&self, reasons: &ChangeReasons, planned: &[Member]) -> Option<Nanos> {
         let view = self.view();
         let is_planned = |member: &Member| planned.iter().any(|other| view.is_same_replica(member, other));
         let grows = planned.len() > view.members.len() && view.members.iter().all(is_planned);
         if reasons.has_lost_member || grows {
             return Some(self.now());
         }
-        // Another has prepared, and the attempt that it prepared for has not come here.
+        // Another member has prepared, and this replica has not received that attempt's request.
         let since = self.view_change.scheduled.map_or(self.now(), |scheduled| scheduled.since);
         reasons.has_prepared_member.then(|| since + self.settings.suspicion_timeout.times(0.5))
     }
 
-    /// A view that doesn't work is changed once nobody is left out who may only not have been heard yet.
+    /// Returns the time at which a view that doesn't work is to be changed: now if all members left out are lost,
+    /// later if some may only not have sent a heartbeat yet.
     fn repair_due_at(&self, planned: &[Member]) -> Nanos {
         let view = self.view();
         let timeout = self.settings.suspicion_timeout;
         let is_planned = |member: &Member| planned.iter().any(|other| view.is_same_replica(member, other));
-        // While another's attempt is in flight, it goes first.
+        // Another proposer's recent attempt takes precedence.
         let competing = self.view_change.competing_proposal_at;
-        let others_turn_ends = competing.map_or(Nanos(0), |at| at + timeout.times(0.5));
+        let competing_attempt_expires = competing.map_or(Nanos(0), |at| at + timeout.times(0.5));
         let all_known = view.members.iter().all(|member| is_planned(member) || self.is_lost(member));
-        // A first member that may lead waits for all to have the view on disk; the others wait for the first.
-        let first_acts = match view.members.first() {
+        // A first member that may lead waits until all have stored the view; the others wait for the first member.
+        let first_member_acts = match view.members.first() {
             Some(first) if view.is_same_replica(first, self.me()) => self.may_lead(),
             Some(first) => self.is_eligible_member(first),
             None => false,
         };
-        let at_once = all_known && (self.is_changing_view() || !first_acts);
-        let due_at = if at_once { self.now() } else { self.activation.unstable_since + timeout };
-        others_turn_ends.max(due_at)
+        let is_due_now = all_known && (self.is_changing_view() || !first_member_acts);
+        let due_at = if is_due_now { self.now() } else { self.activation.unstable_since + timeout };
+        competing_attempt_expires.max(due_at)
     }
 
-    /// Whether the next view goes without the member.
+    /// Whether the next view has to leave out the member.
     fn is_lost(&self, member: &Member) -> bool {
         if self.is_me(member) {
             return false;
         }
-        let is_unfit = |peer: &Peer| {
+        let is_ineligible = |peer: &Peer| {
             !peer.heartbeat.disk_healthy
                 || peer.excluded_until > self.now()
-                || peer.recovers_too_long(&self.clock)
+                || peer.is_recovery_overdue(&self.clock)
         };
-        self.is_suspected(member) || self.peers.get(member.id).is_some_and(is_unfit)
+        self.is_suspected(member) || self.peers.get(member.id).is_some_and(is_ineligible)
     }
 }
