--- a/crates/fernknot-consensus/tests/common/checks.rs
+++ b/crates/fernknot-consensus/tests/common/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold always, checked with every action that a replica gives.
+//! Safety rules, checked with every action of a replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,30 +7,30 @@
 
 use super::Cluster;
 
-/// A read index that was requested.
+/// A read index that is not confirmed yet.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingRead {
     /// The machine that requested it.
     pub machine: usize,
-    /// The newest revision that was acknowledged anywhere when it was requested.
-    pub newest: Revision,
+    /// The newest revision that was committed anywhere when it was requested.
+    pub newest_committed: Revision,
 }
 
-/// What was seen anywhere in the cluster.
+/// Everything observed in the whole cluster.
 #[derive(Debug, Default)]
 pub struct Observed {
-    /// The states that were proposed, by change id.
+    /// Proposed states by change id.
     pub proposals: BTreeMap<u64, Vec<u8>>,
     pub committed: BTreeMap<u64, Revision>,
     pub rejected: BTreeSet<u64>,
-    /// What was delivered at each revision.
+    /// Delivered or committed states by revision.
     pub states: BTreeMap<u64, Arc<[u8]>>,
-    /// The views that were active.
+    /// Activated views by number.
     pub views: BTreeMap<u64, View>,
     pub pending_reads: BTreeMap<u64, PendingRead>,
     pub last_read_index: u64,
     pub confirmed_reads: u64,
-    /// The first rule that was violated.
+    /// Description of the first violation of a rule.
     pub violation: Option<String>,
 }
 
@@ -43,7 +43,7 @@
         self.violation.get_or_insert(violation);
     }
 
-    /// There is one state at each revision.
+    /// Checks that there is only one state at the revision.
     fn check_state(&mut self, revision: Revision, state: Arc<[u8]>, violation: impl FnOnce() -> String) {
         let known = self.states.entry(revision.0).or_insert_with(|| state.clone());
         if *known != state {
@@ -55,7 +55,7 @@
         self.committed.insert(change_id, revision);
         let state: Arc<[u8]> = self.proposals[&change_id].clone().into();
         self.check_state(revision, state, || {
-            format!("acknowledged {change_id} at {revision:?} in place of another")
+            format!("{change_id} was committed at {revision:?}, which has another state")
         });
         if self.rejected.contains(&change_id) {
             self.report_violation(format!("{change_id} was rejected and committed"));
@@ -72,16 +72,16 @@
     pub fn check_activated(&mut self, view: View) {
         let known = self.views.entry(view.number.0).or_insert_with(|| view.clone());
         if *known != view {
-            self.report_violation(format!("two views {:?}", view.number));
+            self.report_violation(format!("two different views have the number {:?}", view.number));
         }
     }
 }
 
 impl Cluster {
-    /// `before`: the newest revision that the machine had delivered before.
+    /// Checks a delivered state. `before` is the newest revision that the machine had delivered before.
     pub fn check_delivered(
         &mut self,
-        at: usize,
+        index: usize,
         view: ViewNumber,
         revision: Revision,
         state: Arc<[u8]>,
@@ -89,40 +89,45 @@
     ) {
         let observed = &mut self.observed;
         if before.is_some_and(|before| before > revision) {
-            observed.report_violation(format!("machine {at} went back from {before:?} to {revision:?}"));
+            observed.report_violation(format!("machine {index} delivered {revision:?} after {before:?}"));
         }
         observed.check_state(revision, state.clone(), || {
-            format!("two states at {revision:?} (machine {at}, {view:?})")
+            format!("two different states at {revision:?} (machine {index}, {view:?})")
         });
-        let acknowledged = observed.committed.iter().find(|(change_id, committed)| {
+        let mismatch = observed.committed.iter().find(|(change_id, committed)| {
             **committed == revision && observed.proposals[change_id] != state[..]
         });
-        if let Some(change_id) = acknowledged.map(|(change_id, _)| *change_id) {
-            observed.report_violation(format!("acknowledged {change_id} is not what {revision:?} holds"));
+        if let Some(change_id) = mismatch.map(|(change_id, _)| *change_id) {
+            observed.report_violation(format!(
+                "{change_id} was committed at {revision:?}, where another state was delivered"
+            ));
         }
-        self.check_newest_view_continues(at, view, revision);
+        self.check_newest_view_has_committed(index, view, revision);
     }
 
-    /// The leader of the newest view begins with all that was acknowledged before.
-    fn check_newest_view_continues(&mut self, at: usize, view: ViewNumber, revision: Revision) {
-        let newest = self.observed.newest_committed().unwrap_or_default();
+    /// Checks that the leader of the newest view has all that was committed before.
+    fn check_newest_view_has_committed(&mut self, index: usize, view: ViewNumber, revision: Revision) {
+        let newest_committed = self.observed.newest_committed().unwrap_or_default();
         let is_newest_view = self.observed.views.keys().next_back() == Some(&view.0);
-        if is_newest_view && revision < newest && self.machines[at].is_leader() {
-            self.observed
-                .report_violation(format!("{view:?} goes on from {revision:?}, acknowledged was {newest:?}"));
+        if is_newest_view && revision < newest_committed && self.machines[index].is_leader() {
+            self.observed.report_violation(format!(
+                "{view:?} continues from {revision:?} after {newest_committed:?} was committed"
+            ));
         }
     }
 
-    pub fn check_read_index(&mut self, at: usize, read_index: ReadIndexId) {
-        let Some(PendingRead { machine, newest }) = self.observed.pending_reads.remove(&read_index.0) else {
-            let violation = format!("{read_index:?} was confirmed and not requested, or twice");
+    pub fn check_read_index(&mut self, index: usize, read_index: ReadIndexId) {
+        let Some(PendingRead { machine, newest_committed }) =
+            self.observed.pending_reads.remove(&read_index.0)
+        else {
+            let violation = format!("{read_index:?} was confirmed twice or without a request");
             return self.observed.report_violation(violation);
         };
         self.observed.confirmed_reads += 1;
-        let delivered = self.machines[at].delivered_revision();
-        if machine != at || delivered < Some(newest) {
+        let delivered = self.machines[index].delivered_revision();
+        if machine != index || delivered < Some(newest_committed) {
             self.observed.report_violation(format!(
-                "machine {at} was confirmed {delivered:?}, acknowledged was {newest:?}"
+                "machine {index} confirmed a read index at {delivered:?} after {newest_committed:?} was committed"
             ));
         }
     }
--- a/crates/fernknot-consensus/tests/common/fault_schedule.rs
+++ b/crates/fernknot-consensus/tests/common/fault_schedule.rs
@@ -1,9 +1,9 @@
-//! Schedules of faults, and what must hold once they end.
+//! Schedules of faults, and the conditions that must hold after they end.
 
 use super::{Cluster, Disk, HEARTBEAT_INTERVAL, MS, SUSPICION_TIMEOUT};
 
-/// So long a view change may take once all faults have ended.
-const MAX_HEALING: u64 = 8 * SUSPICION_TIMEOUT;
+/// Maximum time in nanoseconds from the end of all faults to the next commit.
+const MAX_RECOVERY_TIME: u64 = 8 * SUSPICION_TIMEOUT;
 const MAX_MACHINES: usize = 12;
 
 /// One step of a random schedule.
@@ -12,30 +12,31 @@
     Kill(usize),
     KillAll,
     Restart(usize),
-    /// A disk is lost, alone or while all others lose power.
+    /// Wipes a disk; if the flag is set, all other machines lose power, too.
     Wipe(usize, bool),
     Replace(usize),
-    /// A disk goes back by some writes, alone or while all others lose power.
+    /// Undoes a number of writes of a disk; if the flag is set, all other machines lose power, too.
     Restore(usize, usize, bool),
     BlockLink(usize, usize),
     UnblockLinks,
     Suspend(usize),
     Resume(usize),
+    /// Sets the state of a disk.
     Disk(usize, u8),
-    /// Loss, duplication and delay, each in a thousand messages.
+    /// Sets the rates of lost, duplicated and delayed messages, each per thousand.
     Links(u64, u64, u64),
     Propose,
     Read,
-    /// For so many milliseconds.
+    /// Lets this number of milliseconds pass.
     Wait(u64),
 }
 
 impl Cluster {
-    /// All disks that count have what was acknowledged: only then may one more be lost.
+    /// Whether all disks have the committed state: only then may one be lost.
     fn can_lose_a_disk(&self) -> bool {
         let remaining = self.remaining_machines();
-        let up = |machine: &&super::Machine| machine.consensus.is_some() && !machine.suspended;
-        let running = self.machines.iter().filter(up).count();
+        let is_running = |machine: &&super::Machine| machine.consensus.is_some() && !machine.suspended;
+        let running = self.machines.iter().filter(is_running).count();
         remaining == running
             && self.all_agree()
             && self.members().len() == remaining
@@ -43,28 +44,28 @@
     }
 
     fn kill_all_but(&mut self, survivor: Option<usize>) {
-        let others = (0..self.machines.len()).filter(|at| Some(*at) != survivor);
-        others.for_each(|at| self.kill(at));
+        let others = (0..self.machines.len()).filter(|index| Some(*index) != survivor);
+        others.for_each(|index| self.kill(index));
     }
 
     pub fn inject(&mut self, fault: Fault) {
         let count = self.machines.len();
         match fault {
-            Fault::Kill(at) => self.kill(at % count),
+            Fault::Kill(index) => self.kill(index % count),
             Fault::KillAll => self.kill_all_but(None),
-            Fault::Restart(at) => self.restart(at % count),
-            Fault::Wipe(at, all) => self.wipe_if_tolerated(at % count, all),
-            Fault::Replace(at) => self.replace_if_tolerated(at % count),
-            Fault::Restore(at, writes, all) => self.restore_if_tolerated(at % count, writes, all),
+            Fault::Restart(index) => self.restart(index % count),
+            Fault::Wipe(index, all) => self.wipe_if_tolerated(index % count, all),
+            Fault::Replace(index) => self.replace_if_tolerated(index % count),
+            Fault::Restore(index, writes, all) => self.restore_if_tolerated(index % count, writes, all),
             Fault::BlockLink(from, to) => {
                 let link = (self.machines[from % count].addr, self.machines[to % count].addr);
                 self.blocked_links.insert(link);
             }
             Fault::UnblockLinks => self.blocked_links.clear(),
-            Fault::Suspend(at) => self.machines[at % count].suspended = true,
-            Fault::Resume(at) => self.machines[at % count].suspended = false,
-            Fault::Disk(at, kind) => {
-                self.set_disk(at % count, [Disk::Healthy, Disk::Hanging, Disk::Full][kind as usize % 3]);
+            Fault::Suspend(index) => self.machines[index % count].suspended = true,
+            Fault::Resume(index) => self.machines[index % count].suspended = false,
+            Fault::Disk(index, kind) => {
+                self.set_disk(index % count, [Disk::Healthy, Disk::Hanging, Disk::Full][kind as usize % 3]);
             }
             Fault::Links(loss, duplication, delay) => {
                 self.loss_per_mille = loss;
@@ -77,36 +78,36 @@
         }
     }
 
-    fn wipe_if_tolerated(&mut self, at: usize, all_lose_power: bool) {
-        if self.can_lose_a_disk() && !self.machines[at].removed {
-            self.wipe_disk(at);
+    fn wipe_if_tolerated(&mut self, index: usize, all_lose_power: bool) {
+        if self.can_lose_a_disk() && !self.machines[index].removed {
+            self.wipe_disk(index);
             if all_lose_power {
                 self.kill_all_but(None);
             }
         }
     }
 
-    fn replace_if_tolerated(&mut self, at: usize) {
+    fn replace_if_tolerated(&mut self, index: usize) {
         let has_room = self.machines.len() < MAX_MACHINES;
-        if has_room && self.can_lose_a_disk() && !self.machines[at].removed {
-            self.replace_machine(at);
+        if has_room && self.can_lose_a_disk() && !self.machines[index].removed {
+            self.replace_machine(index);
         }
     }
 
-    fn restore_if_tolerated(&mut self, at: usize, writes: usize, all_lose_power: bool) {
+    fn restore_if_tolerated(&mut self, index: usize, writes: usize, all_lose_power: bool) {
         if self.can_lose_a_disk() {
-            self.restore_older_disk(at, writes);
+            self.restore_older_disk(index, writes);
             if all_lose_power {
-                self.kill_all_but(Some(at));
+                self.kill_all_but(Some(index));
             }
         }
     }
 
-    /// Runs a schedule and ends the faults; returns how long it took until a change was committed again.
+    /// Runs a schedule and ends the faults. Returns the time in nanoseconds until a change was committed again.
     ///
     /// # Errors
     ///
-    /// What was violated, or didn't return to normal.
+    /// A violated rule, or a condition that doesn't hold after the faults.
     pub fn run_schedule(&mut self, faults: &[Fault]) -> Result<u64, String> {
         self.run_for(1_000 * MS);
         for fault in faults {
@@ -115,7 +116,7 @@
             self.check_no_violation()?;
         }
         self.heal();
-        let took = self.commits_within(MAX_HEALING);
+        let took = self.commits_within(MAX_RECOVERY_TIME);
         self.run_for(6 * SUSPICION_TIMEOUT);
         self.commits_within(SUSPICION_TIMEOUT);
         self.check_reads_confirmed()?;
@@ -133,7 +134,7 @@
         self.observed.violation.clone().map_or(Ok(()), Err)
     }
 
-    /// A read index at each running replica is confirmed within a heartbeat interval.
+    /// Checks that a read index at each running replica is confirmed within a heartbeat interval.
     fn check_reads_confirmed(&mut self) -> Result<(), String> {
         let before = self.observed.confirmed_reads;
         self.request_reads();
@@ -141,7 +142,7 @@
         let running = self.machines.iter().filter(|machine| machine.consensus.is_some()).count() as u64;
         let confirmed = self.observed.confirmed_reads - before;
         if self.observed.violation.is_none() && confirmed < running {
-            return Err(format!("{confirmed} of {running} were confirmed after the faults"));
+            return Err(format!("{confirmed} of {running} read indexes were confirmed after the faults"));
         }
         Ok(())
     }
--- a/crates/fernknot-consensus/tests/common/machine.rs
+++ b/crates/fernknot-consensus/tests/common/machine.rs
@@ -1,4 +1,4 @@
-//! A machine: its disk outlives its process.
+//! A simulated machine: a disk and a process on it that may crash and restart.
 
 use std::net::SocketAddrV4;
 
@@ -7,19 +7,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
     Healthy,
-    /// A sync takes a good part of the suspicion time-out.
+    /// A sync takes up to a quarter of the suspicion time-out.
     Slow,
     Hanging,
     Full,
 }
 
 impl Disk {
-    pub fn writes(self) -> bool {
+    pub fn completes_writes(self) -> bool {
         matches!(self, Disk::Healthy | Disk::Slow)
     }
 }
 
-/// A write that a hanging disk has not ended.
+/// A write that a hanging disk has not completed.
 #[derive(Debug)]
 pub struct HangingWrite {
     pub write_id: WriteId,
@@ -29,24 +29,25 @@
 pub struct Machine {
     pub addr: SocketAddrV4,
     pub id: MemberId,
+    /// The content of the disk; `None` if it is empty.
     pub saved: Option<PersistentState>,
-    /// All that was ever completely on the disk under its current id.
+    /// All states written to the disk under its current id, oldest first.
     pub written: Vec<PersistentState>,
-    /// Ids that its processes gave up.
+    /// Ids that its processes have replaced.
     pub replaced_ids: Vec<MemberId>,
     pub disk: Disk,
     /// The running process.
     pub consensus: Option<Consensus>,
-    /// Counts starts and ends of its process, so that events of an earlier one are known.
+    /// Number of starts and crashes of its process. Events of another incarnation are ignored.
     pub incarnation: u64,
     pub suspended: bool,
-    /// Taken away with its disk.
+    /// Whether the machine is removed for good, with its disk.
     pub removed: bool,
     pub hanging_writes: Vec<HangingWrite>,
 }
 
 impl Machine {
-    /// A machine with an empty disk.
+    /// Returns a machine with an empty disk and no process.
     pub fn new(addr: SocketAddrV4, id: MemberId) -> Machine {
         Machine {
             addr,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The process, unless it is suspended.
+    /// Returns the running process, unless it is suspended.
     pub fn responsive(&mut self) -> Option<&mut Consensus> {
         let suspended = self.suspended;
         self.consensus.as_mut().filter(|_| !suspended)
@@ -77,7 +78,7 @@
         self.consensus.as_ref().is_some_and(Consensus::is_leader)
     }
 
-    /// The state is durable.
+    /// Records that the state is durable.
     pub fn record_write(&mut self, state: PersistentState) {
         self.written.retain(|earlier| earlier.member_id == state.member_id);
         self.written.push(state.clone());
--- a/crates/fernknot-consensus/tests/common/mod.rs
+++ b/crates/fernknot-consensus/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! An in-memory cluster of replicas with seeded random numbers: late, lost and duplicated messages, crashes, emptied
-//! disks, replaced machines, links blocked one way, hanging and full disks. Every action is checked against what must
-//! hold always; the first violation is recorded.
+//! Simulated cluster of replicas with seeded random numbers: delayed, lost and duplicated messages, crashes, wiped
+//! disks, replaced machines, links blocked one way, hanging and full disks. Every action is checked against the
+//! safety rules; the first violation is recorded.
 #![allow(dead_code)]
 
 mod checks;
@@ -11,7 +11,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 pub use cluster::Cluster;
-#[allow(unused_imports)] // not every test file plays schedules
+#[allow(unused_imports)] // not every test file runs schedules
 pub use fault_schedule::Fault;
 pub use machine::{Disk, Machine};
 
@@ -24,12 +24,12 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, n), 7000)
 }
 
-/// So many times the usual seeds are run: FERNKNOT_MORE_SEEDS, or once.
+/// Returns the factor by which tests multiply their number of seeds, from FERNKNOT_MORE_SEEDS; 1 by default.
 pub fn seed_multiplier() -> u64 {
     std::env::var("FERNKNOT_MORE_SEEDS").ok().and_then(|value| value.parse().ok()).unwrap_or(1)
 }
 
-/// Seeded random numbers.
+/// Seeded random number generator.
 pub struct Random(pub u64);
 
 impl Random {
--- a/crates/fernknot-consensus/tests/common/samples.rs
+++ b/crates/fernknot-consensus/tests/common/samples.rs
@@ -1,5 +1,5 @@
-//! Values for the recorded encodings. No two fields of one type have the same value, so that fields that change
-//! places are noticed.
+//! Sample values for the recorded encodings. No two fields of one type have the same value, so that swapped fields are
+//! detected.
 
 use fernknot_consensus::{
     AcceptedView, ChosenView, DurableProgress, Member, MemberId, ProposalInView, ProposalNumber, Revision,
@@ -8,7 +8,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-/// A member whose parts all follow from `number`.
+/// Returns a member whose fields are derived from `number`.
 pub fn member(number: u8) -> Member {
     Member {
         id: MemberId(0x1000 + u64::from(number)),
@@ -17,7 +17,7 @@
     }
 }
 
-/// A view with members and former voters.
+/// Returns a view with members and former voters.
 pub fn view(number: u64) -> View {
     View {
         number: ViewNumber(number),
@@ -26,7 +26,7 @@
     }
 }
 
-/// A view together with the starts of the last views.
+/// Returns a chosen view with the starts of two views.
 pub fn chosen_view(number: u64) -> ChosenView {
     let view_starts = vec![
         ViewStart { view: ViewNumber(number - 1), revision: Revision(2100) },
--- a/crates/fernknot-consensus/tests/disk_format.rs
+++ b/crates/fernknot-consensus/tests/disk_format.rs
@@ -1,4 +1,4 @@
-//! What a member keeps on disk is encoded as in earlier releases, so that their disks are read.
+//! The state on disk is encoded as in earlier releases, so that their disks can be read.
 
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
@@ -28,8 +28,8 @@
     }
 }
 
-/// What is on a disk before there is any view.
-fn founding() -> PersistentState {
+/// Returns the state on disk before the first view.
+fn before_first_view() -> PersistentState {
     PersistentState {
         member_id: MemberId(808),
         chosen: Default::default(),
@@ -48,6 +48,6 @@
     fixtures.check("saved", &saved(None));
     fixtures.check("saved-with-accepted-view", &saved(Some(accepted_view(None))));
     fixtures.check("saved-with-accepted-state", &saved(Some(accepted_view(Some(state("accepted state"))))));
-    fixtures.check("saved-before-the-first-view", &founding());
+    fixtures.check("saved-before-the-first-view", &before_first_view());
     fixtures.finish();
 }
--- a/crates/fernknot-consensus/tests/model.rs
+++ b/crates/fernknot-consensus/tests/model.rs
@@ -1,7 +1,7 @@
-//! A model of three controllers: the code of consensus itself, every message delivered in any order, late or twice, a
-//! crash at any moment with the write in flight on disk or not, an emptied disk, one that is a write old, and a machine
-//! replaced by an empty one at another address. Heartbeats come at each tick of the clock, except to and from one that is
-//! isolated, in one direction or both.
+//! Model check of three controllers that run the real consensus code. Messages may be reordered, delayed and
+//! duplicated; a process may crash at any moment, with its write in flight completed or not; a disk may be wiped or
+//! restored to the state before its last write; and a machine may be replaced by an empty one at another address.
+//! Heartbeats are delivered at each tick of the clock, unless one node is isolated in one direction or both.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -14,25 +14,26 @@
 const COUNT: usize = 3;
 const HEARTBEAT_INTERVAL: u64 = 100;
 const SUSPICION_TIMEOUT: u64 = 3 * HEARTBEAT_INTERVAL;
-const SPARE: [u8; 8] = [1, 2, 3, 4, 5, 6, 7, 8];
+/// Last bytes of the available addresses.
+const ADDRESS_BYTES: [u8; 8] = [1, 2, 3, 4, 5, 6, 7, 8];
 
-fn addr(at: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, SPARE[at % 8]), 7000)
+fn addr(index: usize) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, ADDRESS_BYTES[index % 8]), 7000)
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    /// The number of its address; another one once its machine was replaced.
+    /// Number of its address; it changes when the machine is replaced.
     address: usize,
     consensus: Consensus,
     id: MemberId,
     saved: Option<PersistentState>,
-    /// What was on the disk before the last write.
-    older: Option<PersistentState>,
+    /// Content of the disk before the last write.
+    older_saved: Option<PersistentState>,
     pending_write: Option<(WriteId, PersistentState)>,
 }
 
-/// In which direction heartbeats of an isolated node are lost.
+/// Direction in which heartbeats of an isolated node are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Direction {
     Both,
@@ -40,7 +41,7 @@
     Outbound,
 }
 
-/// One node is isolated.
+/// Loss of one node's heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Isolation {
     node: usize,
@@ -54,7 +55,7 @@
     }
 }
 
-/// A message in flight, by the numbers of the addresses.
+/// A message in flight, with the numbers of its addresses.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Envelope {
     from: usize,
@@ -66,8 +67,8 @@
 struct PendingRead {
     read_index: ReadIndexId,
     node: usize,
-    /// What was acknowledged when it was requested.
-    acknowledged: u64,
+    /// The newest committed revision when it was requested.
+    committed: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -78,14 +79,17 @@
     isolated: Option<Isolation>,
     budget: [u8; 6],
     pending_reads: Vec<PendingRead>,
-    /// What was delivered or acknowledged, and the views that were active.
+    /// Delivered or committed states, by revision.
     states: Vec<(u64, Arc<[u8]>)>,
+    /// Views that were active.
     views: Vec<View>,
-    acknowledged: u64,
+    /// The newest committed revision.
+    committed: u64,
     violation: Option<&'static str>,
 }
 
-/// What is left of the budget: ticks of the clock, crashes, emptied or older disks, duplicated messages, proposals, reads.
+/// Indexes into the budget of the remaining steps of each kind: ticks of the clock, crashes or isolations, wiped or
+/// outdated disks, duplicated messages, proposals, and read indexes.
 const TICK: usize = 0;
 const CRASH: usize = 1;
 const WIPE: usize = 2;
@@ -105,12 +109,12 @@
         write_completes: bool,
     },
     Wipe(usize),
-    /// The disk is as it was before the last write.
+    /// The disk is restored to its content before the last write.
     RestoreOlder(usize),
-    /// An empty machine comes at another address; the old one is gone.
+    /// The machine is replaced by an empty one at another address.
     Replace(usize),
     Isolate(Isolation),
-    Rejoin,
+    EndIsolation,
     Tick,
     Propose(usize),
     Read(usize),
@@ -128,12 +132,12 @@
         address: usize,
         id: MemberId,
         saved: Option<PersistentState>,
-        first: bool,
+        is_first_start: bool,
     ) -> Consensus {
         let settings = ConsensusSettings {
             me: Member { id, addr: addr(address), zone: String::new() },
             founders: (0..COUNT).map(addr).collect(),
-            bootstrap: first,
+            bootstrap: is_first_start,
             fault_tolerance: 1,
             suspicion_timeout: Nanos(SUSPICION_TIMEOUT),
             heartbeat_interval: Nanos(HEARTBEAT_INTERVAL),
@@ -142,16 +146,16 @@
         Consensus::with_seeded_bug(world.now + id.0, settings, saved, Nanos(world.now), self.seeded_bug)
     }
 
-    fn run_actions(&self, world: &mut World, at: usize) {
+    fn run_actions(&self, world: &mut World, index: usize) {
         let now = Nanos(world.now);
-        while let Some(action) = world.nodes[at].consensus.poll_action(now) {
+        while let Some(action) = world.nodes[index].consensus.poll_action(now) {
             match action {
                 Action::Send { to, message } => {
                     let Some(to) = world.nodes.iter().position(|node| addr(node.address) == to) else {
                         continue;
                     };
-                    let from = world.nodes[at].address;
-                    let is_lost = world.isolated.is_some_and(|isolation| isolation.loses(at, to));
+                    let from = world.nodes[index].address;
+                    let is_lost = world.isolated.is_some_and(|isolation| isolation.loses(index, to));
                     if !matches!(message, Message::Heartbeat(_)) {
                         let bytes = bitcode::encode(&message);
                         let to = world.nodes[to].address;
@@ -161,38 +165,40 @@
                     }
                 }
                 Action::Persist { write_id, state } => {
-                    world.nodes[at].pending_write = Some((write_id, state));
+                    world.nodes[index].pending_write = Some((write_id, state));
                 }
                 Action::Deliver { revision, state, .. } => self.check_state(world, revision, state),
                 Action::Committed { change_id, revision } => {
-                    world.acknowledged = world.acknowledged.max(revision.0);
+                    world.committed = world.committed.max(revision.0);
                     if self.disks_with(world, revision) < 2 {
-                        world.violation = Some("acknowledged on fewer disks than may be lost and one");
+                        world.violation = Some("committed on no more disks than may be lost");
                     }
                     self.check_state(world, revision, Arc::from(change_id.to_be_bytes()));
                 }
-                Action::ViewActivated { view } if !self.on_disk(world, &view) => {
-                    world.violation = Some("a view active before it is on its members' disks");
+                Action::ViewActivated { view } if !self.is_on_members_disks(world, &view) => {
+                    world.violation = Some("a view is active before it is on its members' disks");
                 }
                 Action::ViewActivated { view } => {
                     match world.views.iter().find(|known| known.number == view.number) {
-                        Some(known) if *known != view => world.violation = Some("two views of one number"),
+                        Some(known) if *known != view => {
+                            world.violation = Some("two different views have one number")
+                        }
                         Some(_) => {}
                         None => world.views.push(view),
                     }
                 }
-                Action::IdentityReplaced { current, .. } => world.nodes[at].id = current,
+                Action::IdentityReplaced { current, .. } => world.nodes[index].id = current,
                 Action::ReadIndexConfirmed { read_index } => {
-                    self.check_read_index(world, at, read_index);
+                    self.check_read_index(world, index, read_index);
                 }
                 Action::Rejected { .. } | Action::ViewLeft | Action::Wake { .. } => {}
             }
         }
-        let consensus = &world.nodes[at].consensus;
+        let consensus = &world.nodes[index].consensus;
         let newest = world.views.iter().map(|view| view.number).max();
         let leads = consensus.is_leader() && consensus.view().map(|view| view.number) == newest;
-        if leads && consensus.delivered().is_some_and(|(revision, _)| revision.0 < world.acknowledged) {
-            world.violation = Some("an acknowledged state is not in the newest view");
+        if leads && consensus.delivered().is_some_and(|(revision, _)| revision.0 < world.committed) {
+            world.violation = Some("the leader of the newest view lacks a committed change");
         }
     }
 
@@ -204,8 +210,8 @@
         world.nodes.iter().filter(|node| node.saved.as_ref().is_some_and(has_it)).count()
     }
 
-    /// Members whose disk was emptied since don't count.
-    fn on_disk(&self, world: &World, view: &View) -> bool {
+    /// Whether all members of the view have it on disk, not counting those whose disk was replaced since.
+    fn is_on_members_disks(&self, world: &World, view: &View) -> bool {
         let has_it = |saved: &PersistentState| {
             let accepted = saved.accepted.as_ref().map(|accepted| accepted.next.view.number);
             saved.chosen.view.number >= view.number || accepted >= Some(view.number)
@@ -214,97 +220,102 @@
         world.nodes.iter().filter(is_member).all(|node| node.saved.as_ref().is_some_and(has_it))
     }
 
-    fn check_read_index(&self, world: &mut World, at: usize, read_index: ReadIndexId) {
+    fn check_read_index(&self, world: &mut World, index: usize, read_index: ReadIndexId) {
         let pending = world.pending_reads.iter().position(|pending| pending.read_index == read_index);
-        let delivered = world.nodes[at].consensus.delivered().map(|(revision, _)| revision.0);
+        let delivered = world.nodes[index].consensus.delivered().map(|(revision, _)| revision.0);
         match pending.map(|pending| world.pending_reads.remove(pending)) {
-            Some(read) if read.node == at && delivered >= Some(read.acknowledged) => {}
-            _ => world.violation = Some("a read index confirmed that may not be"),
+            Some(read) if read.node == index && delivered >= Some(read.committed) => {}
+            _ => {
+                world.violation =
+                    Some("a read index was confirmed twice, elsewhere, or below a committed revision")
+            }
         }
     }
 
     fn check_state(&self, world: &mut World, revision: Revision, state: Arc<[u8]>) {
         match world.states.iter().find(|(known, _)| *known == revision.0) {
-            Some((_, known)) if *known != state => world.violation = Some("two states at one revision"),
+            Some((_, known)) if *known != state => {
+                world.violation = Some("two different states at one revision")
+            }
             Some(_) => {}
             None => world.states.push((revision.0, state)),
         }
     }
 
     fn run_all_actions(&self, world: &mut World) {
-        (0..COUNT).for_each(|at| self.run_actions(world, at));
+        (0..COUNT).for_each(|index| self.run_actions(world, index));
     }
 
     fn deliver(&self, world: &mut World, envelope: &Envelope) {
         let Envelope { from, to, bytes } = envelope;
         let now = Nanos(world.now);
-        // Nobody listens any more where a machine was replaced.
+        // A message to the address of a replaced machine is lost.
         if let Some(node) = world.nodes.iter_mut().find(|node| node.address == *to) {
             node.consensus.handle_message(now, addr(*from), bitcode::decode(bytes).unwrap());
         }
         self.run_all_actions(world);
     }
 
-    fn complete_write(&self, world: &mut World, at: usize) {
-        if let Some((write_id, state)) = world.nodes[at].pending_write.take() {
-            world.nodes[at].older = world.nodes[at].saved.replace(state);
-            world.nodes[at].consensus.handle_write_result(Nanos(world.now), write_id, true);
+    fn complete_write(&self, world: &mut World, index: usize) {
+        if let Some((write_id, state)) = world.nodes[index].pending_write.take() {
+            world.nodes[index].older_saved = world.nodes[index].saved.replace(state);
+            world.nodes[index].consensus.handle_write_result(Nanos(world.now), write_id, true);
             self.run_all_actions(world);
         }
     }
 
-    fn crash(&self, world: &mut World, at: usize, write_completes: bool) {
+    fn crash(&self, world: &mut World, index: usize, write_completes: bool) {
         world.budget[CRASH] -= 1;
-        let pending_write = world.nodes[at].pending_write.take();
+        let pending_write = world.nodes[index].pending_write.take();
         if let (true, Some((_, state))) = (write_completes, pending_write) {
-            world.nodes[at].saved = Some(state);
+            world.nodes[index].saved = Some(state);
         }
         world.now += 1;
-        let (id, saved) = (world.nodes[at].id, world.nodes[at].saved.clone());
-        world.nodes[at].consensus = self.start(world, world.nodes[at].address, id, saved, false);
+        let (id, saved) = (world.nodes[index].id, world.nodes[index].saved.clone());
+        world.nodes[index].consensus = self.start(world, world.nodes[index].address, id, saved, false);
         self.run_all_actions(world);
     }
 
-    fn wipe(&self, world: &mut World, at: usize) {
-        let id = MemberId(world.nodes[at].id.0 + 10);
-        self.replace_disk(world, at, id, None);
+    fn wipe(&self, world: &mut World, index: usize) {
+        let id = MemberId(world.nodes[index].id.0 + 10);
+        self.replace_disk(world, index, id, None);
     }
 
-    fn replace_machine(&self, world: &mut World, at: usize) {
-        world.nodes[at].address += COUNT;
-        self.wipe(world, at);
+    fn replace_machine(&self, world: &mut World, index: usize) {
+        world.nodes[index].address += COUNT;
+        self.wipe(world, index);
     }
 
-    fn restore_older(&self, world: &mut World, at: usize) {
-        let (id, older) = (world.nodes[at].id, world.nodes[at].older.take());
-        self.replace_disk(world, at, id, older);
+    fn restore_older(&self, world: &mut World, index: usize) {
+        let (id, older_saved) = (world.nodes[index].id, world.nodes[index].older_saved.take());
+        self.replace_disk(world, index, id, older_saved);
     }
 
-    fn replace_disk(&self, world: &mut World, at: usize, id: MemberId, saved: Option<PersistentState>) {
+    fn replace_disk(&self, world: &mut World, index: usize, id: MemberId, saved: Option<PersistentState>) {
         world.budget[WIPE] -= 1;
         world.now += 1;
-        let address = world.nodes[at].address;
+        let address = world.nodes[index].address;
         let consensus = self.start(world, address, id, saved.clone(), false);
-        world.nodes[at] = Node { address, consensus, id, saved, older: None, pending_write: None };
+        world.nodes[index] = Node { address, consensus, id, saved, older_saved: None, pending_write: None };
         self.run_all_actions(world);
     }
 
-    fn read(&self, world: &mut World, at: usize) {
+    fn read(&self, world: &mut World, index: usize) {
         let read_index = ReadIndexId(world.budget[READ] as u64);
         world.budget[READ] -= 1;
-        let acknowledged = world.acknowledged;
-        world.pending_reads.push(PendingRead { read_index, node: at, acknowledged });
-        // Where too many are pending it is never confirmed.
-        let _ = world.nodes[at].consensus.read_index(Nanos(world.now), read_index);
+        let committed = world.committed;
+        world.pending_reads.push(PendingRead { read_index, node: index, committed });
+        // If too many are pending, this one is never confirmed.
+        let _ = world.nodes[index].consensus.read_index(Nanos(world.now), read_index);
         self.run_all_actions(world);
     }
 
-    /// `None` where nothing was delivered yet that a change could be based on.
-    fn propose(&self, world: &mut World, at: usize) -> Option<()> {
+    /// Proposes a change; `None` if no state was delivered that it could be based on.
+    fn propose(&self, world: &mut World, index: usize) -> Option<()> {
         world.budget[PROPOSE] -= 1;
-        let change_id = 100 * world.now + at as u64;
+        let change_id = 100 * world.now + index as u64;
         let now = Nanos(world.now);
-        let consensus = &mut world.nodes[at].consensus;
+        let consensus = &mut world.nodes[index].consensus;
         let (base, _) = consensus.delivered()?;
         consensus.propose(now, change_id, base, change_id.to_be_bytes().to_vec());
         self.run_all_actions(world);
@@ -316,7 +327,7 @@
     type State = World;
     type Action = Step;
 
-    /// After the founding: all that comes before happens in one order.
+    /// Returns the state after the founding, which happens in a fixed order of steps.
     fn init_states(&self) -> Vec<World> {
         let mut world = World {
             now: 1,
@@ -327,24 +338,24 @@
             pending_reads: Vec::new(),
             states: Vec::new(),
             views: Vec::new(),
-            acknowledged: 0,
+            committed: 0,
             violation: None,
         };
-        for at in 0..COUNT {
-            let id = MemberId(at as u64 + 1);
-            let consensus = self.start(&world, at, id, None, true);
+        for index in 0..COUNT {
+            let id = MemberId(index as u64 + 1);
+            let consensus = self.start(&world, index, id, None, true);
             world.nodes.push(Node {
-                address: at,
+                address: index,
                 consensus,
                 id,
                 saved: None,
-                older: None,
+                older_saved: None,
                 pending_write: None,
             });
         }
         for step in 0..400 {
             self.run_all_actions(&mut world);
-            (0..COUNT).for_each(|at| self.complete_write(&mut world, at));
+            (0..COUNT).for_each(|index| self.complete_write(&mut world, index));
             if let Some(envelope) = world.messages.pop_first() {
                 self.deliver(&mut world, &envelope);
             } else if step % 10 == 0 {
@@ -365,39 +376,39 @@
                 steps.push(Step::Deliver { envelope: envelope.clone(), duplicate: true });
             }
         }
-        for (at, node) in world.nodes.iter().enumerate() {
+        for (index, node) in world.nodes.iter().enumerate() {
             if node.pending_write.is_some() {
-                steps.push(Step::CompleteWrite(at));
+                steps.push(Step::CompleteWrite(index));
             }
             if world.budget[CRASH] > 0 {
-                steps.push(Step::Crash { node: at, write_completes: false });
+                steps.push(Step::Crash { node: index, write_completes: false });
                 if node.pending_write.is_some() {
-                    steps.push(Step::Crash { node: at, write_completes: true });
+                    steps.push(Step::Crash { node: index, write_completes: true });
                 }
                 if world.isolated.is_none() {
                     let directions = [Direction::Both, Direction::Inbound, Direction::Outbound];
-                    let isolations = directions.map(|direction| Isolation { node: at, direction });
+                    let isolations = directions.map(|direction| Isolation { node: index, direction });
                     steps.extend(isolations.map(Step::Isolate));
                 }
             }
             if world.budget[WIPE] > 0 {
-                steps.push(Step::Wipe(at));
-                if node.address + COUNT < SPARE.len() {
-                    steps.push(Step::Replace(at));
+                steps.push(Step::Wipe(index));
+                if node.address + COUNT < ADDRESS_BYTES.len() {
+                    steps.push(Step::Replace(index));
                 }
-                if node.older.is_some() {
-                    steps.push(Step::RestoreOlder(at));
+                if node.older_saved.is_some() {
+                    steps.push(Step::RestoreOlder(index));
                 }
             }
             if world.budget[PROPOSE] > 0 && node.consensus.is_leader() {
-                steps.push(Step::Propose(at));
+                steps.push(Step::Propose(index));
             }
             if world.budget[READ] > 0 && node.consensus.view().is_some() {
-                steps.push(Step::Read(at));
+                steps.push(Step::Read(index));
             }
         }
         if world.isolated.is_some() {
-            steps.push(Step::Rejoin);
+            steps.push(Step::EndIsolation);
         }
         if world.budget[TICK] > 0 {
             steps.push(Step::Tick);
@@ -415,55 +426,52 @@
                 }
                 self.deliver(&mut next, &envelope);
             }
-            Step::CompleteWrite(at) => self.complete_write(&mut next, at),
+            Step::CompleteWrite(index) => self.complete_write(&mut next, index),
             Step::Crash { node, write_completes } => self.crash(&mut next, node, write_completes),
-            Step::Wipe(at) => self.wipe(&mut next, at),
-            Step::RestoreOlder(at) => self.restore_older(&mut next, at),
-            Step::Replace(at) => self.replace_machine(&mut next, at),
+            Step::Wipe(index) => self.wipe(&mut next, index),
+            Step::RestoreOlder(index) => self.restore_older(&mut next, index),
+            Step::Replace(index) => self.replace_machine(&mut next, index),
             Step::Isolate(isolation) => {
                 next.budget[CRASH] -= 1;
                 next.isolated = Some(isolation);
             }
-            Step::Rejoin => next.isolated = None,
+            Step::EndIsolation => next.isolated = None,
             Step::Tick => {
                 next.budget[TICK] -= 1;
                 next.now += HEARTBEAT_INTERVAL;
-                // Heartbeats are answered by heartbeats: as often as two ticks need.
+                // Heartbeats may cause further heartbeats, so the actions run several times.
                 (0..3).for_each(|_| self.run_all_actions(&mut next));
             }
-            Step::Read(at) => self.read(&mut next, at),
-            Step::Propose(at) => self.propose(&mut next, at)?,
+            Step::Read(index) => self.read(&mut next, index),
+            Step::Propose(index) => self.propose(&mut next, index)?,
         }
         (next != *world).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(
-            "one order, one view a number, nothing acknowledged lost",
-            |_, world: &World| world.violation.is_none(),
-        )]
+        vec![Property::always("no safety rule is violated", |_, world: &World| world.violation.is_none())]
     }
 }
 
 const MAX_STATES: usize = 12_000;
 
-#[test_case::test_case([6, 1, 0, 0, 1, 0]; "a crash or an isolated node with a change in flight")]
-#[test_case::test_case([6, 1, 1, 0, 1, 0]; "an emptied or older disk or a replaced machine besides")]
-#[test_case::test_case([6, 1, 1, 0, 1, 1]; "a read index besides these")]
+#[test_case::test_case([6, 1, 0, 0, 1, 0]; "a crash or an isolation, with a change in flight")]
+#[test_case::test_case([6, 1, 1, 0, 1, 0]; "also a wiped or outdated disk, or a replaced machine")]
+#[test_case::test_case([6, 1, 1, 0, 1, 1]; "also a disk fault and a read index")]
 #[test_case::test_case([6, 2, 0, 1, 2, 0]; "two crashes and a duplicated message")]
-#[test_case::test_case([6, 1, 0, 1, 1, 1]; "a read index besides")]
-fn given_three_controllers_when_anything_may_happen_then_there_is_one_order(budget: [u8; 6]) {
+#[test_case::test_case([6, 1, 0, 1, 1, 1]; "a crash, a duplicated message and a read index")]
+fn given_three_controllers_when_any_modelled_fault_occurs_then_no_safety_rule_is_violated(budget: [u8; 6]) {
     let checker = Controllers { seeded_bug: None, budget }.checker();
-    let broad = checker.threads(2).target_state_count(MAX_STATES).spawn_bfs().join();
-    let deep = Controllers { seeded_bug: None, budget }.checker();
-    let deep = deep.threads(2).target_state_count(MAX_STATES).spawn_dfs().join();
+    let breadth_first = checker.threads(2).target_state_count(MAX_STATES).spawn_bfs().join();
+    let depth_first = Controllers { seeded_bug: None, budget }.checker();
+    let depth_first = depth_first.threads(2).target_state_count(MAX_STATES).spawn_dfs().join();
     println!(
-        "{budget:?}: {} states in breadth, {} in depth",
-        broad.unique_state_count(),
-        deep.unique_state_count()
+        "{budget:?}: {} states breadth-first, {} depth-first",
+        breadth_first.unique_state_count(),
+        depth_first.unique_state_count()
     );
-    broad.assert_properties();
-    deep.assert_properties();
+    breadth_first.assert_properties();
+    depth_first.assert_properties();
 }
 
 #[test_case::test_case(SeededBug::CommitOnOneDisk, [1, 0, 0, 0, 1, 0])]
--- a/crates/fernknot-consensus/tests/random_schedules.rs
+++ b/crates/fernknot-consensus/tests/random_schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults, and seeded bugs that they must find.
+//! Random schedules of faults, and seeded bugs that these or fixed scenarios must find.
 
 mod common;
 
@@ -7,19 +7,19 @@
 use proptest::prelude::*;
 
 fn fault() -> impl Strategy<Value = Fault> {
-    let at = 0usize..8;
+    let index = 0usize..8;
     prop_oneof![
-        3 => at.clone().prop_map(Fault::Kill),
+        3 => index.clone().prop_map(Fault::Kill),
         1 => Just(Fault::KillAll),
-        5 => at.clone().prop_map(Fault::Restart),
-        2 => (at.clone(), any::<bool>()).prop_map(|(at, all)| Fault::Wipe(at, all)),
-        1 => at.clone().prop_map(Fault::Replace),
-        2 => (at.clone(), 1usize..40, any::<bool>()).prop_map(|(at, writes, all)| Fault::Restore(at, writes, all)),
-        2 => (at.clone(), at.clone()).prop_map(|(a, b)| Fault::BlockLink(a, b)),
+        5 => index.clone().prop_map(Fault::Restart),
+        2 => (index.clone(), any::<bool>()).prop_map(|(index, all)| Fault::Wipe(index, all)),
+        1 => index.clone().prop_map(Fault::Replace),
+        2 => (index.clone(), 1usize..40, any::<bool>()).prop_map(|(index, writes, all)| Fault::Restore(index, writes, all)),
+        2 => (index.clone(), index.clone()).prop_map(|(a, b)| Fault::BlockLink(a, b)),
         2 => Just(Fault::UnblockLinks),
-        1 => at.clone().prop_map(Fault::Suspend),
-        2 => at.clone().prop_map(Fault::Resume),
-        3 => (at, 0u8..3).prop_map(|(at, kind)| Fault::Disk(at, kind)),
+        1 => index.clone().prop_map(Fault::Suspend),
+        2 => index.clone().prop_map(Fault::Resume),
+        3 => (index, 0u8..3).prop_map(|(index, kind)| Fault::Disk(index, kind)),
         1 => (0u64..200, 0u64..200, 0u64..300).prop_map(|(loss, duplication, delay)| Fault::Links(loss, duplication, delay)),
         8 => Just(Fault::Propose),
         4 => Just(Fault::Read),
@@ -27,7 +27,7 @@
     ]
 }
 
-/// 48 schedules, or as many as PROPTEST_CASES says.
+/// Returns the configuration: 48 cases, or the number in PROPTEST_CASES.
 fn config() -> ProptestConfig {
     let default =
         ProptestConfig { max_shrink_iters: 200, failure_persistence: None, ..ProptestConfig::default() };
@@ -50,7 +50,7 @@
     }
 }
 
-/// How many random schedules it takes to find the bug.
+/// Returns the number of random schedules needed to find the bug, up to 100.
 fn schedules_to_find(seeded_bug: SeededBug) -> Option<u32> {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
@@ -63,47 +63,48 @@
     })
 }
 
-#[test_case::test_case(SeededBug::LeadAgainAfterRestart; "continues after a restart")]
-#[test_case::test_case(SeededBug::ReadIndexIgnoresPendingChange; "waits for nothing stored")]
+#[test_case::test_case(SeededBug::LeadAgainAfterRestart; "leads again after a restart")]
+#[test_case::test_case(SeededBug::ReadIndexIgnoresPendingChange; "read index ignores a pending change")]
 fn given_a_seeded_bug_when_schedules_are_run_then_it_is_found(seeded_bug: SeededBug) {
     let schedules = schedules_to_find(seeded_bug);
     println!("{seeded_bug:?}: found by schedule {schedules:?}");
     assert!(schedules.is_some());
 }
 
-/// The number of the view that is active at this machine.
-fn active_view(cluster: &Cluster, at: usize) -> Option<ViewNumber> {
-    let consensus = cluster.machines[at].consensus.as_ref();
+/// Returns the number of the view that is active at this machine.
+fn active_view(cluster: &Cluster, index: usize) -> Option<ViewNumber> {
+    let consensus = cluster.machines[index].consensus.as_ref();
     consensus.and_then(Consensus::view).map(|view| view.number)
 }
 
-fn run_until_next_view(cluster: &mut Cluster, at: usize) {
-    let before = active_view(cluster, at);
+fn run_until_next_view(cluster: &mut Cluster, index: usize) {
+    let before = active_view(cluster, index);
     for _ in 0..40_000 {
         cluster.run_for(MS / 10);
-        if active_view(cluster, at) != before {
+        if active_view(cluster, index) != before {
             break;
         }
     }
 }
 
-/// The first is wiped after what it acknowledged, and the others lose power.
+/// Proposes a change while the disks of the others hang, then wipes the leader's disk and kills the others.
 fn commit_on_too_few_disks(cluster: &mut Cluster) {
-    for at in [1, 2] {
-        cluster.set_disk(at, Disk::Hanging);
+    for index in [1, 2] {
+        cluster.set_disk(index, Disk::Hanging);
     }
     cluster.propose();
     cluster.run_for(20 * MS);
     cluster.wipe_disk(0);
-    for at in [1, 2] {
-        cluster.kill(at);
+    for index in [1, 2] {
+        cluster.kill(index);
     }
     cluster.heal();
     cluster.commits_within(8 * SUSPICION_TIMEOUT);
 }
 
-/// A view of the first two; then the third, which has not heard of it, and the first one's new disk.
-fn empty_disk_and_a_dropped_member(cluster: &mut Cluster) {
+/// Changes to a view of the first two. Then only the third, which doesn't know of it, and the first with a wiped disk
+/// reach each other.
+fn join_wiped_and_dropped_members(cluster: &mut Cluster) {
     cluster.isolate(2);
     cluster.commits_within(4 * SUSPICION_TIMEOUT);
     cluster.wipe_disk(0);
@@ -113,8 +114,8 @@
     cluster.commits_within(12 * SUSPICION_TIMEOUT);
 }
 
-/// The next view is active at the first, which is lost before the second has heard that it is chosen.
-fn chosen_and_lost(cluster: &mut Cluster) {
+/// Activates the next view at the first, and isolates it before the second learns that the view is chosen.
+fn isolate_after_activation(cluster: &mut Cluster) {
     cluster.isolate(2);
     for _ in 0..20_000 {
         cluster.run_for(MS / 10);
@@ -128,8 +129,8 @@
     cluster.commits_within(12 * SUSPICION_TIMEOUT);
 }
 
-/// The first is partitioned off, the others continue, and all get reads.
-fn reads_while_isolated(cluster: &mut Cluster) {
+/// Isolates the first, lets the others continue, and requests reads at all machines.
+fn read_while_isolated(cluster: &mut Cluster) {
     cluster.isolate(0);
     cluster.run_for(3 * SUSPICION_TIMEOUT);
     cluster.propose_at(1);
@@ -138,9 +139,10 @@
     cluster.run_for(HEARTBEAT_INTERVAL);
 }
 
-/// Of five, the third and the fourth continue as a view by the vote of the fifth, which is not in it, has prepared, and
-/// has not heard that the view was chosen. Now it reaches only the first two, which get reads.
-fn reads_during_view_change(cluster: &mut Cluster) {
+/// Of five, the third and the fourth change to a view of their own, with the vote of the fifth. The fifth is not in
+/// it, has prepared, and doesn't learn that the view was chosen. It then reaches only the first two, while all
+/// request reads.
+fn read_during_view_change(cluster: &mut Cluster) {
     let partition = |cluster: &mut Cluster, pairs: &[(usize, usize)]| {
         pairs.iter().for_each(|(one, other)| cluster.partition(*one, *other));
     };
@@ -153,15 +155,16 @@
     partition(cluster, &halves);
     partition(cluster, &[(2, 4), (3, 4)]);
     for _ in 0..20 {
-        [2, 3].iter().for_each(|at| _ = cluster.propose_at(*at));
+        [2, 3].iter().for_each(|index| _ = cluster.propose_at(*index));
         cluster.run_for(HEARTBEAT_INTERVAL / 10);
         cluster.request_reads();
     }
 }
 
-/// The third was dropped, returns, misses that the view with it is chosen, and gets the state with a change in flight
-/// that another has not acknowledged: of the view it has delivered nothing. All got reads before.
-fn reads_with_a_change_in_flight(cluster: &mut Cluster) {
+/// Drops the third, which returns, misses that the view with it is chosen, and receives the state with a change in
+/// flight that another member has not acknowledged. It has delivered nothing of that view, and reads are pending at
+/// all machines.
+fn read_with_change_in_flight(cluster: &mut Cluster) {
     cluster.isolate(2);
     cluster.run_for(3 * SUSPICION_TIMEOUT);
     for _ in 0..3 {
@@ -172,7 +175,7 @@
     run_until_next_view(cluster, 0);
     let third = cluster.machines[2].addr;
     cluster.drop_messages();
-    cluster.blocked_links = [0, 1].iter().map(|at| (cluster.machines[*at].addr, third)).collect();
+    cluster.blocked_links = [0, 1].iter().map(|index| (cluster.machines[*index].addr, third)).collect();
     cluster.run_for(20 * MS);
     cluster.blocked_links.insert((cluster.machines[1].addr, cluster.machines[0].addr));
     cluster.propose_at(0);
@@ -182,13 +185,13 @@
     cluster.run_for(2 * HEARTBEAT_INTERVAL);
 }
 
-#[test_case::test_case(SeededBug::ReadIndexBelowViewStart, 3, reads_with_a_change_in_flight)]
-#[test_case::test_case(SeededBug::ReadIndexWithoutQuorum, 3, reads_while_isolated)]
-#[test_case::test_case(SeededBug::ReadIndexDuringViewChange, 5, reads_during_view_change)]
+#[test_case::test_case(SeededBug::ReadIndexBelowViewStart, 3, read_with_change_in_flight)]
+#[test_case::test_case(SeededBug::ReadIndexWithoutQuorum, 3, read_while_isolated)]
+#[test_case::test_case(SeededBug::ReadIndexDuringViewChange, 5, read_during_view_change)]
 #[test_case::test_case(SeededBug::CommitOnOneDisk, 3, commit_on_too_few_disks)]
 #[test_case::test_case(SeededBug::SendBeforePersist, 3, commit_on_too_few_disks)]
-#[test_case::test_case(SeededBug::EmptyDiskVotes, 3, empty_disk_and_a_dropped_member)]
-#[test_case::test_case(SeededBug::ForgetAcceptedView, 3, chosen_and_lost)]
+#[test_case::test_case(SeededBug::EmptyDiskVotes, 3, join_wiped_and_dropped_members)]
+#[test_case::test_case(SeededBug::ForgetAcceptedView, 3, isolate_after_activation)]
 fn given_a_seeded_bug_when_its_scenario_is_run_then_only_it_is_found(
     seeded_bug: SeededBug,
     machines: u8,
@@ -204,7 +207,7 @@
     };
     let seeds = 1..12u64;
     let found: Vec<String> = seeds.clone().filter_map(|seed| run(seed, Some(seeded_bug))).collect();
-    println!("{seeded_bug:?}: {} of 11, such as {:?}", found.len(), found.first());
+    println!("{seeded_bug:?}: found by {} of 11 seeds, such as {:?}", found.len(), found.first());
     assert!(!found.is_empty());
     for seed in seeds {
         assert_eq!(run(seed, None), None);
--- a/crates/fernknot-consensus/tests/second_loss.rs
+++ b/crates/fernknot-consensus/tests/second_loss.rs
@@ -1,5 +1,4 @@
-//! A second loss right after the view has changed for the first one: at the moment from which the cluster reports that
-//! it tolerates another, and just before it.
+//! A second loss shortly after the first: just after the cluster reports that it tolerates another, and before it does.
 
 mod common;
 
@@ -7,7 +6,7 @@
 use common::*;
 use fernknot_consensus::{Ineligibility, SeededBug, ViewStatus};
 
-/// All are members, and so many disks may be lost at once.
+/// Returns a cluster with `count` members that have committed a change.
 fn founded_cluster(seed: u64, count: u8, fault_tolerance: usize, seeded_bug: Option<SeededBug>) -> Cluster {
     let mut cluster = Cluster::new(seed, count, count.min(3), fault_tolerance, seeded_bug);
     cluster.run_for(2 * SUSPICION_TIMEOUT);
@@ -18,12 +17,13 @@
 }
 
 fn status(cluster: &Cluster) -> Option<ViewStatus> {
-    let at = cluster.leader()?;
-    cluster.machines[at].consensus.as_ref().map(|consensus| consensus.status())
+    let index = cluster.leader()?;
+    cluster.machines[index].consensus.as_ref().map(|consensus| consensus.status())
 }
 
-/// Runs until a later view is active and tolerates so many losses; false: it never does.
-fn tolerates_within_time(cluster: &mut Cluster, losses: usize, view: u64) -> bool {
+/// Runs until a view later than `view` is active and tolerates this number of losses. Returns false if that takes too
+/// long.
+fn run_until_tolerates(cluster: &mut Cluster, losses: usize, view: u64) -> bool {
     for step in 0..16 * SUSPICION_TIMEOUT / MS {
         if status(cluster).is_some_and(|status| {
             status.active && status.number.0 > view && status.remaining_fault_tolerance >= losses
@@ -40,39 +40,39 @@
 
 #[derive(Clone, Copy, Debug)]
 enum FirstLoss {
-    /// The disk is emptied, and the machine returns.
+    /// The disk is wiped, and the machine restarts.
     Wiped,
-    /// The machine is removed, and an empty one comes at another address.
+    /// The machine is replaced by an empty one at another address.
     Replaced,
-    /// It only stops, and returns later.
-    Away,
-    /// It is shut down: its disk takes nothing more.
-    Leaves,
-    /// It returns with an older copy of its disk.
+    /// The process stops, and restarts later.
+    Stopped,
+    /// The disk is full, and later has space again.
+    DiskFull,
+    /// The machine restarts with an outdated copy of its disk.
     Outdated,
 }
 
 const FIRST_LOSSES: [FirstLoss; 5] =
-    [FirstLoss::Wiped, FirstLoss::Replaced, FirstLoss::Away, FirstLoss::Leaves, FirstLoss::Outdated];
+    [FirstLoss::Wiped, FirstLoss::Replaced, FirstLoss::Stopped, FirstLoss::DiskFull, FirstLoss::Outdated];
 
-fn lose(cluster: &mut Cluster, first: FirstLoss, at: usize) {
+fn lose(cluster: &mut Cluster, first: FirstLoss, index: usize) {
     match first {
         FirstLoss::Wiped => {
-            cluster.wipe_disk(at);
-            cluster.restart(at);
+            cluster.wipe_disk(index);
+            cluster.restart(index);
         }
-        FirstLoss::Replaced => _ = cluster.replace_machine(at),
-        FirstLoss::Away => cluster.kill(at),
-        FirstLoss::Leaves => cluster.set_disk(at, Disk::Full),
+        FirstLoss::Replaced => _ = cluster.replace_machine(index),
+        FirstLoss::Stopped => cluster.kill(index),
+        FirstLoss::DiskFull => cluster.set_disk(index, Disk::Full),
         FirstLoss::Outdated => {
-            cluster.restore_older_disk(at, 3);
-            cluster.restart(at);
+            cluster.restore_older_disk(index, 3);
+            cluster.restart(index);
         }
     }
 }
 
-/// The first loss, then a second one `after` the cluster reports that it tolerates it; perhaps all others lose power at
-/// that moment.
+/// Loses one member, and another one shortly after the cluster reports that it tolerates another loss. In half of the
+/// runs all machines lose power at that moment.
 fn run_two_losses(
     seed: u64,
     count: u8,
@@ -81,42 +81,50 @@
 ) -> Result<(), String> {
     let mut cluster = founded_cluster(seed, count, fault_tolerance, seeded_bug);
     let first = FIRST_LOSSES[seed as usize % FIRST_LOSSES.len()];
-    let one = cluster.random.below(count as u64) as usize;
+    let first_lost = cluster.random.below(count as u64) as usize;
     let view = status(&cluster).ok_or("no view")?.number.0;
-    lose(&mut cluster, first, one);
-    if matches!(first, FirstLoss::Away | FirstLoss::Leaves) {
-        // Until it is back three tolerate nothing: it returns once it has been dropped.
+    lose(&mut cluster, first, first_lost);
+    if matches!(first, FirstLoss::Stopped | FirstLoss::DiskFull) {
+        // Without the member, the view may not tolerate another loss. It returns once it has been dropped.
         cluster.run_for(2 * SUSPICION_TIMEOUT);
         if status(&cluster).is_none_or(|status| status.remaining_fault_tolerance + 1 > count as usize / 2) {
-            return Err(format!("{first:?} of {one} is not counted: {:?}", status(&cluster)));
+            return Err(format!(
+                "{first:?} of {first_lost} does not reduce the fault tolerance: {:?}",
+                status(&cluster)
+            ));
         }
-        cluster.set_disk(one, Disk::Healthy);
-        cluster.restart(one);
+        cluster.set_disk(first_lost, Disk::Healthy);
+        cluster.restart(first_lost);
     }
-    if !tolerates_within_time(&mut cluster, 1, view) {
-        return Err(format!("{first:?} of {one}: it never tolerates another: {:?}", status(&cluster)));
+    if !run_until_tolerates(&mut cluster, 1, view) {
+        return Err(format!(
+            "{first:?} of {first_lost}: the cluster never tolerates another loss: {:?}",
+            status(&cluster)
+        ));
     }
     let after = seed / FIRST_LOSSES.len() as u64 % 40;
     cluster.run_for(after * MS / 2);
-    // Any other: the leader as often as not.
-    let mut two = cluster.random.below(cluster.machines.len() as u64) as usize;
-    while two == one || cluster.machines[two].removed {
-        two = (two + 1) % cluster.machines.len();
+    // Any other member, possibly the leader.
+    let mut second_lost = cluster.random.below(cluster.machines.len() as u64) as usize;
+    while second_lost == first_lost || cluster.machines[second_lost].removed {
+        second_lost = (second_lost + 1) % cluster.machines.len();
     }
-    let all = cluster.random.below(2) == 0;
-    cluster.wipe_disk(two);
-    if all {
-        (0..cluster.machines.len()).for_each(|at| cluster.kill(at));
+    let all_lose_power = cluster.random.below(2) == 0;
+    cluster.wipe_disk(second_lost);
+    if all_lose_power {
+        (0..cluster.machines.len()).for_each(|index| cluster.kill(index));
     }
     cluster.heal();
     let took = cluster.commits_within(12 * SUSPICION_TIMEOUT);
     cluster.run_for(4 * SUSPICION_TIMEOUT);
     if let Some(violation) = &cluster.observed.violation {
-        return Err(format!("{first:?} of {one}, then {two} after {after}/2 ms, all {all}: {violation}"));
+        return Err(format!(
+            "{first:?} of {first_lost}, then {second_lost} after {after}/2 ms, all lose power: {all_lose_power}: {violation}"
+        ));
     }
     if took.is_none() || !cluster.all_agree() || cluster.members().len() != count as usize {
         return Err(format!(
-            "{first:?} of {one}, then {two} after {after}/2 ms, all {all}: {:?}",
+            "{first:?} of {first_lost}, then {second_lost} after {after}/2 ms, all lose power: {all_lose_power}: {:?}",
             cluster.members()
         ));
     }
@@ -127,7 +135,7 @@
 #[test_case::test_case(5, 2, 30)]
 #[test_case::test_case(5, 1, 20)]
 #[test_case::test_case(9, 1, 6)]
-fn given_a_loss_when_another_is_reported_as_tolerated_and_comes_then_nothing_is_lost(
+fn given_a_loss_when_another_occurs_after_it_is_reported_as_tolerated_then_nothing_is_lost(
     count: u8,
     fault_tolerance: usize,
     seeds: u64,
@@ -137,10 +145,10 @@
     }
 }
 
-/// Just before: the second one only stops, `after` the first, while the view may be changing; its disk comes back.
+/// The second member only stops, with its disk kept, while the view may still be changing.
 #[test_case::test_case(3, 1, 60)]
 #[test_case::test_case(5, 2, 15)]
-fn given_a_loss_when_another_stops_at_any_moment_of_the_repair_then_nothing_is_lost_once_it_is_back(
+fn given_a_loss_when_another_member_stops_during_the_repair_then_nothing_is_lost_once_it_returns(
     count: u8,
     fault_tolerance: usize,
     seeds: u64,
@@ -148,15 +156,15 @@
     for seed in 0..seeds * seed_multiplier() {
         let mut cluster = founded_cluster(1000 + seed, count, fault_tolerance, None);
         let first = FIRST_LOSSES[seed as usize % FIRST_LOSSES.len()];
-        let one = cluster.random.below(count as u64) as usize;
-        lose(&mut cluster, first, one);
+        let first_lost = cluster.random.below(count as u64) as usize;
+        lose(&mut cluster, first, first_lost);
         let steps = cluster.random.below(140);
         for _ in 0..steps {
             cluster.propose();
             cluster.run_for(5 * MS);
         }
-        let two = (one + 1 + cluster.random.below(count as u64 - 1) as usize) % count as usize;
-        cluster.kill(two);
+        let second_lost = (first_lost + 1 + cluster.random.below(count as u64 - 1) as usize) % count as usize;
+        cluster.kill(second_lost);
         for _ in 0..cluster.random.below(400) {
             cluster.propose();
             cluster.run_for(5 * MS);
@@ -165,10 +173,10 @@
         assert_matches!(
             cluster.commits_within(12 * SUSPICION_TIMEOUT),
             Some(_),
-            "seed {seed}: {first:?} of {one}, {two}"
+            "seed {seed}: {first:?} of {first_lost}, {second_lost}"
         );
         cluster.run_for(4 * SUSPICION_TIMEOUT);
-        assert_eq!(cluster.observed.violation, None, "seed {seed}: {first:?} of {one}, {two}");
+        assert_eq!(cluster.observed.violation, None, "seed {seed}: {first:?} of {first_lost}, {second_lost}");
         assert!(cluster.all_agree() && cluster.members().len() == count as usize, "seed {seed}");
     }
 }
@@ -211,7 +219,7 @@
 #[test_case::test_case(4, 1, 1)]
 #[test_case::test_case(5, 2, 2)]
 #[test_case::test_case(9, 2, 4)]
-fn given_a_cluster_of_any_size_when_all_are_healthy_then_it_tolerates_less_than_half(
+fn given_a_cluster_of_any_size_when_all_are_healthy_then_it_tolerates_the_loss_of_less_than_half(
     count: u8,
     fault_tolerance: usize,
     expected: usize,
@@ -229,13 +237,13 @@
 ) {
     for seed in 0..10 {
         let mut cluster = founded_cluster(2000 + seed, count, fault_tolerance, None);
-        // An empty disk finds the others by its seeds: all that are named may be among the lost.
+        // A wiped member finds the others by the configured founders. All are named, since the first ones may be lost.
         cluster.founders = (1..=count).map(addr).collect();
         let tolerated = status(&cluster).unwrap().remaining_fault_tolerance;
         cluster.propose();
         let after = cluster.random.below(10 * MS);
         cluster.run_for(after);
-        (0..tolerated).for_each(|at| cluster.wipe_disk((at + seed as usize) % count as usize));
+        (0..tolerated).for_each(|index| cluster.wipe_disk((index + seed as usize) % count as usize));
         assert_matches!(cluster.commits_within(4 * SUSPICION_TIMEOUT), Some(_), "seed {seed}");
         cluster.heal();
         cluster.run_for(4 * SUSPICION_TIMEOUT);
@@ -245,18 +253,18 @@
 }
 
 #[test]
-fn given_one_left_of_three_when_it_runs_alone_then_it_commits_nothing_and_tolerates_nothing() {
+fn given_one_left_of_three_when_it_runs_alone_then_it_commits_nothing_and_tolerates_no_loss() {
     let mut cluster = founded_cluster(9, 3, 1, None);
-    (0..2).for_each(|at| cluster.kill(at));
+    (0..2).for_each(|index| cluster.kill(index));
     assert_eq!(cluster.commits_within(10 * SUSPICION_TIMEOUT), None);
     let status = cluster.machines[2].consensus.as_ref().unwrap().status();
     assert_eq!(status.remaining_fault_tolerance, 0);
 }
 
-/// The leader dies for good while it makes a view without a member that can't be reached, at any moment of it: what the
-/// other one has accepted may have been chosen, and names the dead one. How long it takes until a change is committed
-/// once the third is back; `None`: too long.
-fn recovery_after_half_a_view_change(seed: u64) -> Option<u64> {
+/// Loses the leader while it changes to a view without an unreachable member. The view that the survivor has accepted
+/// may have been chosen, and includes the lost leader. Returns the time in nanoseconds from the third member's return
+/// to the next commit, or `None` if it is too long.
+fn recovery_time_after_interrupted_view_change(seed: u64) -> Option<u64> {
     let mut cluster = founded_cluster(seed, 3, 1, None);
     let leader = cluster.leader().expect("a leader");
     let third = (leader + 1 + cluster.random.below(2) as usize) % 3;
@@ -283,11 +291,12 @@
 }
 
 #[test]
-fn given_half_a_view_change_when_its_leader_is_gone_and_the_third_returns_then_changes_continue_soon() {
+fn given_an_interrupted_view_change_when_its_proposer_is_lost_and_the_third_member_returns_then_changes_continue_soon()
+ {
     let times: Vec<u64> = (0..100 * seed_multiplier())
-        .map(|seed| recovery_after_half_a_view_change(seed).expect("a change is committed"))
+        .map(|seed| recovery_time_after_interrupted_view_change(seed).expect("a change is committed"))
         .collect();
     let slowest = times.iter().max().copied().unwrap_or_default();
-    println!("{} times, the slowest {} ms", times.len(), slowest / MS);
+    println!("{} runs, the slowest {} ms", times.len(), slowest / MS);
     assert!(slowest <= 4 * SUSPICION_TIMEOUT, "{} ms", slowest / MS);
 }
--- a/crates/fernknot-consensus/tests/single_faults.rs
+++ b/crates/fernknot-consensus/tests/single_faults.rs
@@ -1,4 +1,4 @@
-//! Replication under the faults of a deployment, one at a time.
+//! Replication under single faults, such as a crash, a lost disk or a blocked link.
 
 mod common;
 
@@ -30,11 +30,12 @@
     assert_eq!(cluster.observed.violation, None);
 }
 
-/// Continues after a tolerated fault; returns how long it took until a change was committed.
-fn recovers_within(cluster: &mut Cluster, within: u64) -> u64 {
+/// Checks that the cluster continues after a tolerated fault. Returns the time in nanoseconds until a change was
+/// committed.
+fn assert_recovers_within(cluster: &mut Cluster, within: u64) -> u64 {
     let took = cluster.commits_within(within);
     assert_eq!(cluster.observed.violation, None);
-    let took = took.unwrap_or_else(|| panic!("nothing is committed any more: {:?}", cluster.members()));
+    let took = took.unwrap_or_else(|| panic!("no further change is committed: {:?}", cluster.members()));
     cluster.run_for(2 * SUSPICION_TIMEOUT);
     assert!(cluster.all_agree(), "not all in one view");
     assert_eq!(cluster.observed.violation, None);
@@ -44,40 +45,40 @@
 #[test]
 fn given_all_killed_when_they_return_then_the_last_view_is_recovered_from_disks_at_once() {
     let mut cluster = founded_cluster(2);
-    let acknowledged = cluster.observed.committed.len();
-    (0..3).for_each(|at| cluster.kill(at));
-    cluster.founders = vec![addr(77)]; // seeds that name others don't matter
-    (0..3).for_each(|at| cluster.restart(at));
-    let took = recovers_within(&mut cluster, 300 * MS);
-    println!("all killed: {} ms", took / MS);
-    assert!(cluster.observed.committed.len() > acknowledged);
+    let committed_before = cluster.observed.committed.len();
+    (0..3).for_each(|index| cluster.kill(index));
+    cluster.founders = vec![addr(77)]; // founders other than the members don't matter
+    (0..3).for_each(|index| cluster.restart(index));
+    let took = assert_recovers_within(&mut cluster, 300 * MS);
+    println!("all killed: {} ms until a commit", took / MS);
+    assert!(cluster.observed.committed.len() > committed_before);
 }
 
 #[test_case::test_case(0; "the leader")]
 #[test_case::test_case(2; "another")]
-fn given_one_killed_when_it_stays_away_then_it_is_dropped_and_rejoins_later(at: usize) {
+fn given_a_killed_member_when_it_stays_down_then_it_is_dropped_and_rejoins_after_a_restart(index: usize) {
     let mut cluster = founded_cluster(3);
-    cluster.kill(at);
+    cluster.kill(index);
     let took = cluster.commits_within(3 * SUSPICION_TIMEOUT).expect("continues without it");
-    println!("evicted in {} ms", took / MS);
+    println!("dropped in {} ms", took / MS);
     assert!(took < SUSPICION_TIMEOUT + HEARTBEAT_INTERVAL + 60 * MS, "{took}");
     assert_eq!(cluster.members().len(), 2);
-    cluster.restart(at);
+    cluster.restart(index);
     cluster.run_for(3 * HEARTBEAT_INTERVAL);
     assert_eq!(cluster.members().len(), 3);
-    recovers_within(&mut cluster, 100 * MS);
+    assert_recovers_within(&mut cluster, 100 * MS);
 }
 
 #[test]
 fn given_a_wiped_disk_after_a_commit_when_all_lose_power_then_the_commit_survives() {
-    for at in 0..3 {
-        let mut cluster = founded_cluster(4 + at as u64);
-        let acknowledged = cluster.observed.committed.len();
-        cluster.wipe_disk(at);
+    for index in 0..3 {
+        let mut cluster = founded_cluster(4 + index as u64);
+        let committed_before = cluster.observed.committed.len();
+        cluster.wipe_disk(index);
         (0..3).for_each(|other| cluster.kill(other));
         (0..3).for_each(|other| cluster.restart(other));
-        recovers_within(&mut cluster, 3 * SUSPICION_TIMEOUT);
-        assert!(cluster.observed.committed.len() > acknowledged);
+        assert_recovers_within(&mut cluster, 3 * SUSPICION_TIMEOUT);
+        assert!(cluster.observed.committed.len() > committed_before);
         assert_eq!(cluster.members().len(), 3);
     }
 }
@@ -92,22 +93,22 @@
     let id = cluster.machines[new].id;
     assert!(cluster.members().contains(&id));
     assert_eq!(cluster.members().len(), 3);
-    recovers_within(&mut cluster, 100 * MS);
+    assert_recovers_within(&mut cluster, 100 * MS);
 }
 
 #[test_case::test_case(Disk::Hanging; "hangs")]
 #[test_case::test_case(Disk::Full; "full")]
-fn given_a_faulty_disk_at_the_leader_when_changes_come_then_another_leads(disk: Disk) {
+fn given_a_faulty_disk_at_the_leader_when_changes_are_proposed_then_another_member_leads(disk: Disk) {
     let mut cluster = founded_cluster(9);
     let first = cluster.leader().unwrap();
     cluster.set_disk(first, disk);
     let took = cluster.commits_within(SUSPICION_TIMEOUT).expect("another leads");
-    println!("disk: {} ms", took / MS);
+    println!("faulty disk: {} ms until a commit", took / MS);
     assert_ne!(cluster.leader(), Some(first));
     cluster.set_disk(first, Disk::Healthy);
     cluster.run_for(4 * HEARTBEAT_INTERVAL);
     assert_eq!(cluster.members().len(), 3);
-    recovers_within(&mut cluster, 100 * MS);
+    assert_recovers_within(&mut cluster, 100 * MS);
 }
 
 #[test]
@@ -121,7 +122,7 @@
     cluster.machines[first].suspended = false;
     cluster.run_for(5 * HEARTBEAT_INTERVAL);
     assert_eq!(cluster.members().len(), 3);
-    recovers_within(&mut cluster, 100 * MS);
+    assert_recovers_within(&mut cluster, 100 * MS);
 }
 
 #[test]
@@ -133,10 +134,10 @@
         let views = cluster.observed.views.len();
         cluster.run_for(10 * SUSPICION_TIMEOUT);
         let more = cluster.observed.views.len() - views;
-        assert!(more <= 2, "{more} more views under a lasting partition");
+        assert!(more <= 2, "{more} more views with a link blocked one way");
         cluster.heal();
         cluster.run_for(5 * HEARTBEAT_INTERVAL);
-        recovers_within(&mut cluster, 200 * MS);
+        assert_recovers_within(&mut cluster, 200 * MS);
         assert_eq!(cluster.members().len(), 3);
     }
 }
@@ -146,42 +147,42 @@
     let mut cluster = Cluster::new(12, 5, 3, 1, None);
     cluster.run_for(2_000 * MS);
     assert_eq!(cluster.members().len(), 5);
-    recovers_within(&mut cluster, 100 * MS);
+    assert_recovers_within(&mut cluster, 100 * MS);
 }
 
 #[test_case::test_case(7, 3; "seven of which three may be lost")]
 #[test_case::test_case(9, 4; "nine of which four may be lost")]
-fn given_fewer_founders_than_a_change_needs_when_started_then_the_others_join_before_one_is_committed(
+fn given_fewer_founders_than_a_commit_needs_when_started_then_others_join_before_the_first_commit(
     machines: u8,
     fault_tolerance: usize,
 ) {
     let mut cluster = Cluster::new(12, machines, 3, fault_tolerance, None);
-    // Their hosts give them each other's addresses.
-    for at in 0..cluster.machines.len() {
+    // Each host has discovered the addresses of all others.
+    for index in 0..cluster.machines.len() {
         let others: Vec<_> = cluster.machines.iter().map(|machine| machine.addr).collect();
-        let consensus = cluster.machines[at].consensus.as_mut().expect("it runs");
+        let consensus = cluster.machines[index].consensus.as_mut().expect("it runs");
         others.into_iter().for_each(|other| consensus.add_address(Nanos(cluster.now), other));
-        cluster.run_actions(at);
+        cluster.run_actions(index);
     }
     cluster.commits_within(8 * SUSPICION_TIMEOUT).expect("founded");
     cluster.run_for(4 * SUSPICION_TIMEOUT);
     assert_eq!((cluster.members().len(), &cluster.observed.violation), (machines as usize, &None));
-    recovers_within(&mut cluster, 100 * MS);
+    assert_recovers_within(&mut cluster, 100 * MS);
 }
 
 #[test]
-fn given_two_of_three_killed_when_changes_come_then_none_is_committed() {
+fn given_two_of_three_killed_when_changes_are_proposed_then_none_is_committed() {
     let mut cluster = founded_cluster(14);
     cluster.kill(1);
     cluster.kill(2);
     assert_eq!(cluster.commits_within(10 * SUSPICION_TIMEOUT), None);
     cluster.restart(1);
-    recovers_within(&mut cluster, 4 * SUSPICION_TIMEOUT);
+    assert_recovers_within(&mut cluster, 4 * SUSPICION_TIMEOUT);
 }
 
 #[test]
 fn given_a_member_dropped_when_another_loses_its_disk_after_its_return_then_changes_continue() {
-    // The dropped one still votes: the view of two alone would never have a majority again.
+    // The dropped member still votes; otherwise the view of two could never have a majority again.
     let mut cluster = founded_cluster(15);
     cluster.kill(2);
     cluster.commits_within(3 * SUSPICION_TIMEOUT).unwrap();
@@ -189,6 +190,6 @@
     cluster.wipe_disk(0);
     cluster.restart(2);
     cluster.restart(0);
-    recovers_within(&mut cluster, 6 * SUSPICION_TIMEOUT);
+    assert_recovers_within(&mut cluster, 6 * SUSPICION_TIMEOUT);
     assert_eq!(cluster.members().len(), 3);
 }
--- a/crates/fernknot-consensus/tests/wire_format.rs
+++ b/crates/fernknot-consensus/tests/wire_format.rs
@@ -9,7 +9,7 @@
 use fixtures::Fixtures;
 use samples::{accepted_view, chosen_view, member, progress, proposal_number, state};
 
-/// The name under which a message is recorded. A new variant has to be named here, and given a value below.
+/// Returns the name under which a message is recorded. A new variant needs a name here and a value below.
 fn recorded_name(message: &Message) -> &'static str {
     match message {
         Message::Heartbeat(_) => "heartbeat",
@@ -54,7 +54,7 @@
     }
 }
 
-/// The heartbeat with other flags.
+/// Returns the heartbeat with other flags.
 fn heartbeat_with_flags(
     recovering: bool,
     view_active: bool,
