--- a/crates/fernknot-consensus/src/state/mod.rs
+++ b/crates/fernknot-consensus/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! State of a replica, with one struct for each concern. The structs don't depend on each other's state; logic that
-//! involves several of them is in [`crate::replica`] and the other modules of the crate root.
+//! State of a replica, with one struct for each concern. None of these structs contains another; logic that involves
+//! several of them is in [`crate::replica`] and the other modules of the crate root.
 
 pub(crate) mod activation;
 pub(crate) mod attempt;
--- a/crates/fernknot-consensus/src/view_change/schedule.rs
+++ b/crates/fernknot-consensus/src/view_change/schedule.rs
@@ -7,7 +7,7 @@
 use crate::state::peers::Peer;
 use crate::types::{Member, SeededBug};
 
-/// ChangeReasons for changing the view.
+/// Reasons for changing the view.
 struct ChangeReasons {
     /// Whether the view is active and not being changed; if not, that is a reason in itself.
     is_stable: bool,
