--- a/crates/fernknot-consensus/src/consensus.rs
+++ b/crates/fernknot-consensus/src/consensus.rs
@@ -124,7 +124,8 @@
     ///
     /// # Errors
     ///
-    /// If a regular view change is possible, another replica has a newer state, or this replica can't judge either.
+    /// If a regular view change is possible, `lost` doesn't fit the replicas that are reachable, another replica has a
+    /// newer view or state, or this replica can't begin a view; see [`ForceViewError`].
     pub fn force_view(&mut self, now: Nanos, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceViewError> {
         self.replica.clock.advance(now);
         let number = self.replica.force_view(lost)?;
--- a/crates/fernknot-consensus/src/recovery.rs
+++ b/crates/fernknot-consensus/src/recovery.rs
@@ -1,8 +1,9 @@
 //! Detection of outdated disks. A replica that starts from a disk can't tell by itself whether it is the newest copy;
-//! the others know the progress that it acknowledged. The replica doesn't participate until each voter has responded or
-//! is suspected. If another replica knows of later progress, the disk is outdated: the replica never participates, and
-//! becomes a new member with an empty disk once a view is active without it. This is the recovery of VR Revisited,
-//! section 4.3, with the disk as the state to be recovered.
+//! the others know the progress that it acknowledged. The replica doesn't participate until a majority of the voters,
+//! including itself, has confirmed the disk and the remaining voters are suspected. If another replica knows of later
+//! progress, the disk is outdated: the replica never participates, and becomes a new member with an empty disk once a
+//! view is active without it. This is the recovery of VR Revisited, section 4.3, with the disk as the state to be
+//! recovered.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
--- a/crates/fernknot-consensus/src/types/view.rs
+++ b/crates/fernknot-consensus/src/types/view.rs
@@ -95,7 +95,7 @@
         votes > self.voters().count() / 2
     }
 
-    /// Number of founders needed to choose the first view. Any two such sets share more disks than may be lost, so
+    /// Returns the number of founders needed to choose the first view. Any two such sets share more disks than may be lost, so
     /// among the voters of a second founding there is one that still has the first on disk.
     pub(crate) fn founding_quorum(&self, fault_tolerance: usize) -> usize {
         let founders = self.members.len();
--- a/crates/fernknot-consensus/tests/second_loss.rs
+++ b/crates/fernknot-consensus/tests/second_loss.rs
@@ -237,7 +237,7 @@
 ) {
     for seed in 0..10 {
         let mut cluster = founded_cluster(2000 + seed, count, fault_tolerance, None);
-        // A wiped member finds the others by the configured founders. All are named, since the first ones may be lost.
+        // A wiped member finds the others by the configured founders. All are named, since any may be lost.
         cluster.founders = (1..=count).map(addr).collect();
         let tolerated = status(&cluster).unwrap().remaining_fault_tolerance;
         cluster.propose();
