--- a/crates/fernknot-registry/src/incarnation_table.rs
+++ b/crates/fernknot-registry/src/incarnation_table.rs
@@ -1,4 +1,4 @@
-//! The incarnations that a registry knows, with the indexes that have to agree with them.
+//! Incarnations known to a registry, with indexes kept consistent with them.
 
 use crate::address_index::AddressIndex;
 use crate::change_log::ChangeLog;
@@ -10,42 +10,42 @@
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// One incarnation of a node.
+/// A known incarnation of a node.
 #[derive(Clone, Debug)]
 pub(crate) struct Incarnation {
     tracked: TrackedRecord,
-    /// When its last heartbeat came here, or was reported to have come to another controller.
+    /// Time of the last heartbeat, received here or reported by another controller.
     pub last_heartbeat_at: Nanos,
-    /// A heartbeat came here since the other controllers were last notified.
+    /// Whether a heartbeat was received here since the last report to the other controllers.
     pub unreported: bool,
-    /// The version of its last change.
+    /// Version of the last change.
     version: u64,
     warm_up_until: Nanos,
 }
 
 impl Incarnation {
-    /// The record as it was last merged.
+    /// Record as last merged.
     pub fn record(&self) -> &NodeRecord {
         self.tracked.record()
     }
 
-    /// Since when it is lost or gone.
-    pub fn out_since(&self) -> Option<Nanos> {
-        self.tracked.out_since()
+    /// Time since which the incarnation is lost or gone; None while it is up.
+    pub fn down_since(&self) -> Option<Nanos> {
+        self.tracked.down_since()
     }
 
-    /// The record with the warm-up that is left now.
+    /// Returns the record with the remaining warm-up time at `now`.
     pub fn current_record(&self, now: Nanos) -> NodeRecord {
         let warm_up_left_ms = (self.warm_up_until - now).0 / NANOS_PER_MILLISECOND;
         NodeRecord { warm_up_left_ms, ..self.record().clone() }
     }
 }
 
-/// The known incarnations by id, hash, address and last change.
+/// Known incarnations, indexed by id, hash, address and last change.
 #[derive(Clone, Debug)]
 pub(crate) struct IncarnationTable {
     max_incarnations: usize,
-    /// Two ends of a warm-up at most this far apart are the same.
+    /// Maximum difference between two ends of a warm-up that are considered equal.
     warm_up_tolerance: Nanos,
     by_id: HashMap<String, Incarnation>,
     id_by_hash: HashMap<IncarnationHash, String>,
@@ -54,7 +54,7 @@
 }
 
 impl IncarnationTable {
-    /// Without incarnations yet.
+    /// Creates an empty table.
     pub fn new(max_incarnations: usize, warm_up_tolerance: Nanos) -> IncarnationTable {
         IncarnationTable {
             max_incarnations,
@@ -66,32 +66,32 @@
         }
     }
 
-    /// An incarnation by its id.
+    /// Returns an incarnation by its id.
     pub fn get(&self, id: &str) -> Option<&Incarnation> {
         self.by_id.get(id)
     }
 
-    /// An incarnation by its id.
+    /// Returns a mutable reference to an incarnation by its id.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Incarnation> {
         self.by_id.get_mut(id)
     }
 
-    /// An incarnation by its id's hash.
+    /// Returns an incarnation by the hash of its id.
     pub fn by_hash(&self, hash: IncarnationHash) -> Option<&Incarnation> {
         self.id_by_hash.get(&hash).and_then(|id| self.by_id.get(id))
     }
 
-    /// An incarnation by its id's hash.
+    /// Returns a mutable reference to an incarnation by the hash of its id.
     pub fn by_hash_mut(&mut self, hash: IncarnationHash) -> Option<&mut Incarnation> {
         self.id_by_hash.get(&hash).and_then(|id| self.by_id.get_mut(id))
     }
 
-    /// The incarnation that uses an address.
-    pub fn user_of(&self, addr: SocketAddrV4) -> Option<&Incarnation> {
-        self.addresses.user_of(addr).and_then(|id| self.by_id.get(id))
+    /// Returns the incarnation that uses an address.
+    pub fn incarnation_at(&self, addr: SocketAddrV4) -> Option<&Incarnation> {
+        self.addresses.incarnation_at(addr).and_then(|id| self.by_id.get(id))
     }
 
-    /// The number of incarnations.
+    /// Number of incarnations.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -106,13 +106,13 @@
         self.by_id.values_mut()
     }
 
-    /// The order of the incarnations' last changes.
+    /// Log of the incarnations' last changes.
     pub fn changes(&self) -> &ChangeLog {
         &self.changes
     }
 
-    /// The ids of the incarnations for which this holds, sorted: the order in which a hash map is walked differs from
-    /// process to process, and changes are numbered in this order.
+    /// Returns the sorted ids of the matching incarnations. Sorted because changes are numbered in this order, and
+    /// the iteration order of a hash map differs between processes.
     pub fn ids_where(&self, is_wanted: impl Fn(&Incarnation) -> bool) -> Vec<String> {
         let wanted = self.by_id.iter().filter(|(_, incarnation)| is_wanted(incarnation));
         let mut ids: Vec<String> = wanted.map(|(id, _)| id.clone()).collect();
@@ -120,7 +120,7 @@
         ids
     }
 
-    /// Adds an incarnation that is unknown until now.
+    /// Adds an unknown incarnation.
     pub fn insert(&mut self, now: Nanos, record: NodeRecord) {
         let id = record.id.clone();
         self.id_by_hash.insert(incarnation_hash(&id), id.clone());
@@ -135,7 +135,7 @@
         self.assign_version(&id);
     }
 
-    /// Merges a record into a known incarnation, and numbers the change if there is one. Returns whether there is.
+    /// Merges a record into a known incarnation, and assigns a new version if it changes. Returns whether it does.
     pub fn merge(&mut self, now: Nanos, id: &str, record: &NodeRecord) -> bool {
         let Some(incarnation) = self.by_id.get_mut(id) else { return false };
         let (old_addr, old_sequence) = (incarnation.record().addr, incarnation.record().sequence);
@@ -143,7 +143,7 @@
         if record.sequence > old_sequence {
             let (old, new) = (incarnation.warm_up_until, warm_up_until(now, record));
             let difference = (new - old).max(old - new);
-            // The warm-up left falls with the clock: only a node that says otherwise has changed.
+            // The remaining warm-up decreases with time; only a different end is a change.
             changed |= new.max(old) > now && difference > self.warm_up_tolerance;
             incarnation.warm_up_until = new;
         }
@@ -156,14 +156,14 @@
         changed
     }
 
-    /// Numbers a change of an incarnation, so that it is among the next changes.
+    /// Assigns the next version to an incarnation, so that it is included in the next changes.
     pub fn assign_version(&mut self, id: &str) {
         if let Some(incarnation) = self.by_id.get_mut(id) {
             incarnation.version = self.changes.record(incarnation.version, id);
         }
     }
 
-    /// Gives an incarnation that is up its address; another one there is lost.
+    /// Assigns an incarnation that is up its address; another incarnation at that address is marked as lost.
     pub fn claim_address(&mut self, now: Nanos, id: &str) {
         let up = self.by_id.get(id).map(Incarnation::record).filter(|record| record.is_up());
         let Some(addr) = up.map(|record| record.addr) else { return };
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Marks an incarnation that is up as lost.
+    /// Marks an incarnation as lost if it is up.
     pub fn mark_lost(&mut self, now: Nanos, id: &str) {
         let known = self.by_id.get_mut(id);
         let Some(incarnation) = known.filter(|incarnation| incarnation.record().is_up()) else { return };
@@ -182,26 +182,26 @@
     }
 
     /// Removes an incarnation from the table and all indexes.
-    pub fn forget(&mut self, id: &str) {
+    pub fn remove(&mut self, id: &str) {
         let Some(incarnation) = self.by_id.remove(id) else { return };
-        self.changes.forget(incarnation.version);
+        self.changes.remove(incarnation.version);
         self.id_by_hash.remove(&incarnation_hash(id));
         self.addresses.release(incarnation.record().addr, id);
     }
 
-    /// Makes room for one more incarnation: the one that has been out for longest is forgotten, none that is up.
-    /// Returns whether there is room.
+    /// Ensures capacity for one more incarnation by removing the one that has been down for the longest time, never
+    /// one that is up. Returns whether there is capacity.
     #[must_use]
-    pub fn make_room(&mut self) -> bool {
+    pub fn ensure_capacity(&mut self) -> bool {
         if self.by_id.len() < self.max_incarnations {
             return true;
         }
-        let out = self
+        let down = self
             .by_id
             .iter()
-            .filter_map(|(id, incarnation)| incarnation.out_since().map(|since| (since, id)));
-        let Some(oldest) = out.min().map(|(_, id)| id.clone()) else { return false };
-        self.forget(&oldest);
+            .filter_map(|(id, incarnation)| incarnation.down_since().map(|since| (since, id)));
+        let Some(oldest) = down.min().map(|(_, id)| id.clone()) else { return false };
+        self.remove(&oldest);
         true
     }
 }
--- a/crates/fernknot-registry/src/lib.rs
+++ b/crates/fernknot-registry/src/lib.rs
@@ -1,10 +1,9 @@
-//! Nodes known by their heartbeats, without I/O or clock.
+//! Node discovery by heartbeats, without I/O or clock.
 //!
-//! This crate owns what is known of the nodes of every service. A controller holds one [`Registry`]: soft state that
-//! heartbeats and the other controllers fill, and that is empty after a restart. A gateway holds one
-//! [`NodeDirectory`]: what controllers, or the relay of its zone, sent it. Both merge records by the same rule
-//! ([`NodeRecord::merge`]), so that the order in which records arrive does not matter. `docs/distribution.md` compares
-//! the alternatives.
+//! A controller holds a [`Registry`] of the nodes of all services: soft state, empty after a restart and filled by
+//! heartbeats and the other controllers. A gateway holds a [`NodeDirectory`], filled by controllers or by the relay
+//! of its zone. Both merge records by the same rule ([`NodeRecord::merge`]), so that the order in which records
+//! arrive does not matter. `docs/distribution.md` compares the alternatives.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-registry/src/node_directory.rs
+++ b/crates/fernknot-registry/src/node_directory.rs
@@ -1,4 +1,4 @@
-//! A gateway's directory of nodes, as its sources describe them.
+//! A gateway's directory of nodes, as reported by its sources.
 
 use crate::address_index::AddressIndex;
 use crate::node_record::NodeRecord;
@@ -7,17 +7,17 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
 
-/// An incarnation that healthy sources don't list for this many heartbeat intervals is dropped.
-const HEARTBEATS_UNTIL_DROPPED: f64 = 10.0;
-/// Sources whose heartbeats are further apart than this many intervals were not healthy in between.
-const MAX_SOURCE_GAP_HEARTBEATS: f64 = 3.0;
+/// Time for which healthy sources must omit an incarnation before it is removed, in heartbeat intervals.
+const REMOVED_AFTER_HEARTBEAT_INTERVALS: f64 = 10.0;
+/// Gap between heartbeats of sources above which they were not healthy in between, in heartbeat intervals.
+const MAX_SOURCE_GAP_HEARTBEAT_INTERVALS: f64 = 3.0;
 
 /// Limits of a [`NodeDirectory`].
 #[derive(Clone, Copy, Debug)]
 pub struct NodeDirectoryLimits {
-    /// Incarnations known at once, lost and gone ones included.
+    /// Maximum number of known incarnations, lost and gone ones included.
     pub max_incarnations: usize,
-    /// How long a lost or gone incarnation is remembered, so that an outdated source does not bring it back.
+    /// Time for which a lost or gone incarnation is kept, so that an outdated source does not restore it.
     pub tombstone_retention: Nanos,
 }
 
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug)]
 struct DirectoryEntry {
     tracked: TrackedRecord,
-    /// The number of the last update that listed it.
+    /// Number of the last update that contained the incarnation.
     last_update: u64,
-    /// [`SourceUptime::total`] when a complete snapshot first did not list it.
+    /// [`SourceUptime::total`] when a complete snapshot first omitted the incarnation; None while it is listed.
     missing_since: Option<Nanos>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// How long sources were healthy in all.
+/// Total time during which sources were healthy.
 #[derive(Clone, Debug, Default)]
 struct SourceUptime {
     total: Nanos,
@@ -59,10 +59,10 @@
     }
 }
 
-/// The nodes by service, as sources describe them. An announcement that a node drains or is gone is never undone
-/// within its incarnation.
+/// Nodes by service, as reported by sources. An announcement that a node drains or is gone is never undone within its
+/// incarnation.
 ///
-/// Time is an argument and never goes back.
+/// Time is passed as an argument and never goes back.
 #[derive(Clone, Debug)]
 pub struct NodeDirectory {
     heartbeat_interval: Nanos,
@@ -71,14 +71,14 @@
     ids_by_service: BTreeMap<String, BTreeSet<String>>,
     addresses: AddressIndex,
     changed_services: BTreeSet<String>,
-    /// The number of updates applied so far.
+    /// Number of updates applied so far.
     update_count: u64,
     source_uptime: SourceUptime,
     now: Nanos,
 }
 
 impl NodeDirectory {
-    /// Knows no node yet. `heartbeat_interval` is the time between two heartbeats of a node.
+    /// Creates an empty directory. `heartbeat_interval` is the time between two heartbeats of a node.
     pub fn new(heartbeat_interval: Nanos, limits: NodeDirectoryLimits) -> NodeDirectory {
         NodeDirectory {
             heartbeat_interval: Nanos(heartbeat_interval.0.max(1)),
@@ -93,105 +93,106 @@
         }
     }
 
-    /// Applies changes that came from a source.
+    /// Applies changes received from a source.
     pub fn apply_updates(&mut self, now: Nanos, records: &[NodeRecord]) {
         self.advance_clock(now);
         self.update_count += 1;
-        // Ended incarnations first: their addresses are free for those that follow in the same update.
-        let (up, out): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
+        // Lost and gone incarnations first: they release addresses that later records in the same update may use.
+        let (up, down): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
             records.iter().partition(|record| record.is_up());
-        for record in out.into_iter().chain(up) {
-            self.apply_one(record);
+        for record in down.into_iter().chain(up) {
+            self.apply_record(record);
         }
     }
 
-    /// Marks the begin of a source's complete snapshot; the mark is for [`Self::finish_snapshot`].
+    /// Returns a mark for the start of a source's complete snapshot, to be passed to [`Self::finish_snapshot`].
     #[must_use]
     pub fn begin_snapshot(&self) -> u64 {
         self.update_count
     }
 
-    /// A source has sent all nodes of some services, or of all, since the mark. Nodes of these that nobody listed since
-    /// stay for now, as a controller that has just restarted lists few. They are dropped only once healthy sources
-    /// have not listed them for long.
-    pub fn finish_snapshot(&mut self, begun_at: u64, services: Option<&[String]>) {
+    /// Completes a snapshot in which a source has sent, since the mark `start_mark`, all nodes of `services`, or of all
+    /// services if None. Nodes of these services that no source has listed since the mark are kept for now, because a
+    /// controller that has just restarted knows few nodes. They are removed only after healthy sources have omitted
+    /// them for long enough.
+    pub fn finish_snapshot(&mut self, start_mark: u64, services: Option<&[String]>) {
         for entry in self.entries.values_mut() {
             let record = entry.tracked.record();
             let is_in_scope = services.is_none_or(|services| services.contains(&record.service));
-            if is_in_scope && record.is_up() && entry.last_update <= begun_at {
+            if is_in_scope && record.is_up() && entry.last_update <= start_mark {
                 entry.missing_since.get_or_insert(self.source_uptime.total);
             }
         }
     }
 
-    /// Applies a complete snapshot that came at once; see [`Self::finish_snapshot`].
+    /// Applies a complete snapshot received as one message; see [`Self::finish_snapshot`].
     pub fn apply_snapshot(&mut self, now: Nanos, services: Option<&[String]>, records: &[NodeRecord]) {
-        let begun_at = self.begin_snapshot();
+        let start_mark = self.begin_snapshot();
         self.apply_updates(now, records);
-        self.finish_snapshot(begun_at, services);
+        self.finish_snapshot(start_mark, services);
     }
 
-    /// A heartbeat with a lease came from a source.
+    /// Records a heartbeat with a lease from a source.
     pub fn record_source_heartbeat(&mut self, now: Nanos) {
         self.advance_clock(now);
-        let max_gap = self.heartbeat_interval.times(MAX_SOURCE_GAP_HEARTBEATS);
+        let max_gap = self.heartbeat_interval.times(MAX_SOURCE_GAP_HEARTBEAT_INTERVALS);
         self.source_uptime.record_heartbeat(self.now, max_gap);
     }
 
-    /// Drops what healthy sources have not listed for long, and forgets incarnations whose tombstone retention is
-    /// over. Returns how many were dropped.
+    /// Removes incarnations that healthy sources have omitted for long enough, and those whose tombstone retention
+    /// has passed. Returns the number of the former.
     pub fn expire(&mut self, now: Nanos) -> usize {
         self.advance_clock(now);
-        let max_missing = self.heartbeat_interval.times(HEARTBEATS_UNTIL_DROPPED);
+        let max_missing_time = self.heartbeat_interval.times(REMOVED_AFTER_HEARTBEAT_INTERVALS);
         let dropped = self.ids_where(|entry| {
-            let is_missing = |since: Nanos| self.source_uptime.total - since >= max_missing;
+            let is_missing = |since: Nanos| self.source_uptime.total - since >= max_missing_time;
             entry.record().is_up() && entry.missing_since.is_some_and(is_missing)
         });
         let retention = self.limits.tombstone_retention;
         let expired = self
-            .ids_where(|entry| entry.tracked.out_since().is_some_and(|since| self.now - since > retention));
+            .ids_where(|entry| entry.tracked.down_since().is_some_and(|since| self.now - since > retention));
         dropped.iter().chain(&expired).for_each(|id| self.remove(id));
         dropped.len()
     }
 
-    /// The nodes of a service that new requests may be sent to, sorted by id.
+    /// Returns the nodes of a service to which new requests may be sent, sorted by id.
     pub fn ready_nodes<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a NodeRecord> {
         self.nodes_of(service).filter(|record| record.is_ready())
     }
 
-    /// All remembered nodes of a service, draining, lost and gone ones included, sorted by id.
+    /// Returns all known nodes of a service, draining, lost and gone ones included, sorted by id.
     pub fn nodes_of<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a NodeRecord> {
         let ids = self.ids_by_service.get(service).into_iter().flatten();
         ids.filter_map(|id| self.get(id))
     }
 
-    /// The record of an incarnation by its id.
+    /// Returns the record of an incarnation by its id.
     pub fn get(&self, id: &str) -> Option<&NodeRecord> {
         self.entries.get(id).map(DirectoryEntry::record)
     }
 
-    /// Takes the services whose nodes differ since the last call.
+    /// Takes the services whose nodes have changed since the last call.
     #[must_use]
     pub fn take_changed_services(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.changed_services)
     }
 
-    /// The services of which any node is remembered.
+    /// Names of the services with known nodes.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.ids_by_service.keys().map(String::as_str)
     }
 
-    /// All records, for another process: a controller that has just restarted, or a gateway of this zone.
+    /// All records, to be sent to another process: a restarted controller, or a gateway of this zone.
     pub fn records(&self) -> impl Iterator<Item = &NodeRecord> {
         self.entries.values().map(DirectoryEntry::record)
     }
 
-    /// The number of remembered incarnations, lost and gone ones included.
+    /// Number of known incarnations, lost and gone ones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether no incarnation is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -200,9 +201,9 @@
         self.now = self.now.max(now);
     }
 
-    fn apply_one(&mut self, update: &NodeRecord) {
+    fn apply_record(&mut self, update: &NodeRecord) {
         let id = &update.id;
-        if !self.entries.contains_key(id) && !self.make_room() {
+        if !self.entries.contains_key(id) && !self.ensure_capacity() {
             return;
         }
         let changed = match self.entries.get_mut(id) {
@@ -210,7 +211,7 @@
                 let old = entry.record();
                 let (old_service, old_addr) = (old.service.clone(), old.addr);
                 let changed = entry.tracked.merge(self.now, update);
-                self.unindex_moved(id, &old_service, old_addr);
+                self.remove_stale_index_entries(id, &old_service, old_addr);
                 changed
             }
             None => {
@@ -234,8 +235,9 @@
         }
     }
 
-    /// Removes an entry from the indexes where its service or address is no longer the old one, or it is not up.
-    fn unindex_moved(&mut self, id: &str, old_service: &str, old_addr: SocketAddrV4) {
+    /// Removes an entry from the indexes for its old service or address if they have changed, or if it is no longer
+    /// up.
+    fn remove_stale_index_entries(&mut self, id: &str, old_service: &str, old_addr: SocketAddrV4) {
         let Some(record) = self.get(id) else { return };
         let has_moved = record.addr != old_addr;
         let is_up = record.is_up();
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Gives an incarnation its address; another one there was listed earlier and is lost.
+    /// Assigns an address to an incarnation; another incarnation that was listed there earlier is marked as lost.
     fn claim_address(&mut self, id: &str, addr: SocketAddrV4) {
         let Some(previous) = self.addresses.claim(addr, id) else { return };
         if let Some(entry) = self.entries.get_mut(&previous).filter(|entry| entry.record().is_up()) {
@@ -278,14 +280,15 @@
         wanted.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Makes room for one more incarnation: the one that has been out for longest is removed, none that is up.
-    fn make_room(&mut self) -> bool {
+    /// Ensures capacity for one more incarnation by removing the one that has been down for the longest time, never
+    /// one that is up. Returns whether there is capacity.
+    fn ensure_capacity(&mut self) -> bool {
         if self.entries.len() < self.limits.max_incarnations {
             return true;
         }
-        let out =
-            self.entries.iter().filter_map(|(id, entry)| entry.tracked.out_since().map(|since| (since, id)));
-        let Some(oldest) = out.min().map(|(_, id)| id.clone()) else { return false };
+        let down =
+            self.entries.iter().filter_map(|(id, entry)| entry.tracked.down_since().map(|since| (since, id)));
+        let Some(oldest) = down.min().map(|(_, id)| id.clone()) else { return false };
         self.remove(&oldest);
         true
     }
--- a/crates/fernknot-registry/src/node_record.rs
+++ b/crates/fernknot-registry/src/node_record.rs
@@ -1,11 +1,11 @@
-//! What is known of one incarnation of a node, and how two records of it are merged.
+//! Record of one incarnation of a node, and the rule by which two records of it are merged.
 
 use bitcode::{Decode, Encode};
 use fnv::FnvHasher;
 use std::hash::Hasher;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The hash of an incarnation's id, short enough to be sent with every heartbeat between controllers.
+/// Hash of an incarnation's id, short enough to be sent with every heartbeat between controllers.
 pub type IncarnationHash = u64;
 
 /// Hashes an incarnation's id with FNV-1a (64 bits).
@@ -15,7 +15,7 @@
     hasher.finish()
 }
 
-/// Whether requests may be sent to a node.
+/// State of a node, which determines whether requests may be sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum NodeState {
     /// Accepts requests.
@@ -29,29 +29,30 @@
     Gone,
 }
 
-/// One incarnation of a node as its heartbeats describe it.
+/// One incarnation of a node, as described by its heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct NodeRecord {
-    /// The id of this incarnation; a restarted node has another.
+    /// Id of this incarnation; a restarted node has a different one.
     pub id: String,
-    /// The service that the node belongs to. Empty in a tombstone of an unknown incarnation ([`Self::gone`]).
+    /// Service to which the node belongs. Empty in a tombstone of an unknown incarnation ([`Self::gone`]).
     pub service: String,
-    /// Where the node accepts requests.
+    /// Address at which the node accepts requests.
     pub addr: SocketAddrV4,
-    /// The zone (failure domain) of its machine.
+    /// Zone (failure domain) of the node's machine.
     pub zone: String,
-    /// Whether requests may be sent to it.
+    /// State of the node.
     pub state: NodeState,
-    /// Requests it works on at once.
+    /// Number of requests that the node processes concurrently.
     pub capacity: u32,
-    /// How much longer it is warming up, in milliseconds from when this record was sent.
+    /// Remaining warm-up time, in milliseconds from when this record was sent.
     pub warm_up_left_ms: u64,
-    /// Rises with each call of this incarnation; an older call never undoes a newer one.
+    /// Sequence number of the call, increasing with each call of this incarnation; an older call never overrides a
+    /// newer one.
     pub sequence: u64,
 }
 
 impl NodeRecord {
-    /// The tombstone of an incarnation of which nothing else is known.
+    /// Creates the tombstone of an incarnation of which nothing else is known.
     pub fn gone(id: &str) -> NodeRecord {
         NodeRecord {
             id: id.to_string(),
@@ -70,18 +71,19 @@
         self.state == NodeState::Ready
     }
 
-    /// Whether it may be working: ready or draining.
+    /// Whether it may be processing requests: ready or draining.
     pub fn is_up(&self) -> bool {
         matches!(self.state, NodeState::Ready | NodeState::Draining)
     }
 
     /// Merges another record of the same incarnation; records merged in any order give the same result. Returns
-    /// whether anything differs now that a gateway acts on (the sequence and the warm-up don't count).
+    /// whether something that gateways act on has changed (changes of the sequence and the warm-up alone are not
+    /// counted).
     pub fn merge(&mut self, other: &NodeRecord) -> bool {
         let state = merge_states((self.state, self.sequence), (other.state, other.sequence));
         let mut changed = state != self.state;
         self.state = state;
-        // A tombstone of an unknown incarnation says nothing but that the incarnation is gone.
+        // A tombstone of an unknown incarnation contains no description.
         let fills_tombstone = self.service.is_empty() && !other.service.is_empty();
         if other.sequence > self.sequence || fills_tombstone {
             changed |= self.service != other.service
@@ -105,18 +107,18 @@
     }
 }
 
-/// Merges two states, each with its sequence. Gone is final and draining is never undone; otherwise the later call
-/// counts, and with equal sequences the loss, which came after the call.
+/// Merges two states, each with its sequence. Gone is final and draining is never undone. Otherwise the later call
+/// takes precedence; with equal sequences the loss does, because it followed the call.
 fn merge_states(one: (NodeState, u64), other: (NodeState, u64)) -> NodeState {
     use NodeState::*;
     if one.0 == Gone || other.0 == Gone {
         return Gone;
     }
-    let (late, early) = if one.1 >= other.1 { (one, other) } else { (other, one) };
-    let is_lost = late.0 == Lost || (early.0 == Lost && early.1 == late.1);
+    let (newer, older) = if one.1 >= other.1 { (one, other) } else { (other, one) };
+    let is_lost = newer.0 == Lost || (older.0 == Lost && older.1 == newer.1);
     if is_lost {
         Lost
-    } else if late.0 == Draining || early.0 == Draining {
+    } else if newer.0 == Draining || older.0 == Draining {
         Draining
     } else {
         Ready
--- a/crates/fernknot-registry/src/registry.rs
+++ b/crates/fernknot-registry/src/registry.rs
@@ -4,20 +4,21 @@
 use crate::node_record::{IncarnationHash, NodeRecord, NodeState, incarnation_hash};
 use fernknot::interface::Nanos;
 
-/// An incarnation without a heartbeat for this many heartbeat intervals is lost.
-const HEARTBEATS_UNTIL_LOST: f64 = 3.5;
-/// An incarnation heard of within this many heartbeat intervals keeps its address, and its state, against what other
-/// processes report.
-const HEARTBEATS_TRUSTED: f64 = 1.5;
-/// Longest name of an incarnation, a service or a zone.
+/// Time without a heartbeat after which an incarnation is lost, in heartbeat intervals.
+const LOST_AFTER_HEARTBEAT_INTERVALS: f64 = 3.5;
+/// Age of a heartbeat, in heartbeat intervals, below which an incarnation keeps its address and state despite
+/// contrary reports of other processes.
+const RECENT_HEARTBEAT_INTERVALS: f64 = 1.5;
+/// Maximum length of an incarnation's id, a service or a zone, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
 /// Limits of a [`Registry`].
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
-    /// Incarnations known at once, lost and gone ones included.
+    /// Maximum number of known incarnations, lost and gone ones included.
     pub max_incarnations: usize,
-    /// How long a lost or gone incarnation is remembered, so that processes that ask late learn of its end.
+    /// Time for which a lost or gone incarnation is kept, so that processes that synchronise late still learn of its
+    /// end.
     pub tombstone_retention: Nanos,
 }
 
@@ -27,18 +28,18 @@
     }
 }
 
-/// The result of a node's call.
+/// Result of a node's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The first call of this incarnation.
+    /// First call of this incarnation.
     New,
-    /// Something that gateways act on differs now.
+    /// Something that gateways act on has changed.
     Changed,
-    /// The node is up, and nothing that gateways act on differs.
+    /// The node is up, and nothing that gateways act on has changed.
     Unchanged,
-    /// Older than what is known, or of an incarnation that is out; changes nothing.
+    /// The call is older than the known record, or its incarnation is lost or gone; it changes nothing.
     Stale,
-    /// Names too long, or no room: the incarnation is not known after this call.
+    /// The names are invalid or the registry is full; the incarnation is not known after this call.
     Rejected,
 }
 
@@ -52,16 +53,17 @@
 /// Records with the version of the registry that they lead to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedRecords {
-    /// The version of the newest change.
+    /// Version of the newest change.
     pub version: u64,
-    /// The records, oldest change first.
+    /// Records, oldest change first.
     pub records: Vec<NodeRecord>,
 }
 
-/// The nodes of all services as their heartbeats describe them: soft state, refilled by heartbeats and by the other
-/// controllers after a restart.
+/// Nodes of all services, as described by their heartbeats: soft state, restored after a restart by heartbeats and
+/// the other controllers.
 ///
-/// Changes are numbered by a version that starts from 0 with the process. Time is an argument and never goes back.
+/// Changes are numbered by a version that starts from 0 with the process. Time is passed as an argument and never
+/// goes back.
 #[derive(Clone, Debug)]
 pub struct Registry {
     heartbeat_interval: Nanos,
@@ -72,7 +74,7 @@
 }
 
 impl Registry {
-    /// Knows no node yet. `heartbeat_interval` is the time between two heartbeats of a node.
+    /// Creates an empty registry. `heartbeat_interval` is the time between two heartbeats of a node.
     pub fn new(heartbeat_interval: Nanos, limits: RegistryLimits) -> Registry {
         let heartbeat_interval = Nanos(heartbeat_interval.0.max(1));
         Registry {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// A node's heartbeat came to this controller.
+    /// Records a heartbeat that a node sent to this controller.
     pub fn record_heartbeat(&mut self, now: Nanos, record: NodeRecord) -> CallOutcome {
         self.advance_clock(now);
         if !has_valid_names(&record) || record.service.is_empty() {
@@ -93,14 +95,14 @@
         let id = record.id.clone();
         let outcome = self.apply_heartbeat(record);
         if !matches!(outcome, CallOutcome::Rejected | CallOutcome::Stale) {
-            self.mark_heard(&id);
-            // Another incarnation at this address can't be up.
+            self.mark_heartbeat_received(&id);
+            // Another incarnation at this address can no longer be up.
             self.incarnations.claim_address(self.now, &id);
         }
         outcome
     }
 
-    /// A node deregistered. Remembered also where the incarnation was unknown here: another controller may report it
+    /// Records a deregistration. An unknown incarnation is recorded too, because another controller may report it
     /// later.
     pub fn deregister(&mut self, now: Nanos, id: &str) -> CallOutcome {
         self.advance_clock(now);
@@ -114,7 +116,7 @@
                 self.incarnations.merge(self.now, id, &tombstone);
                 CallOutcome::Changed
             }
-            None if self.incarnations.make_room() => {
+            None if self.incarnations.ensure_capacity() => {
                 self.incarnations.insert(self.now, tombstone);
                 CallOutcome::New
             }
@@ -122,18 +124,18 @@
         }
     }
 
-    /// Another controller, or a gateway, reported what it knows. Returns how many incarnations differ now.
+    /// Merges records that another controller or a gateway reported. Returns the number of incarnations that changed.
     pub fn merge_reported(&mut self, now: Nanos, records: &[NodeRecord]) -> usize {
         self.advance_clock(now);
-        // Ended incarnations first: their addresses are free for those that follow in the same report.
-        let (up, out): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
+        // Lost and gone incarnations first: they release addresses that later records in the same report may use.
+        let (up, down): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
             records.iter().partition(|record| record.is_up());
-        let valid = out.into_iter().chain(up).filter(|record| has_valid_names(record));
-        valid.filter(|record| self.merge_one(record)).count()
+        let valid = down.into_iter().chain(up).filter(|record| has_valid_names(record));
+        valid.filter(|record| self.merge_record(record)).count()
     }
 
-    /// Another controller receives heartbeats of these incarnations: they don't expire here. Returns those that are
-    /// unknown here or taken for lost, whose records are to be requested from it.
+    /// Records that another controller receives heartbeats of these incarnations, so that they do not expire here.
+    /// Returns those that are unknown or marked as lost here, whose records are to be requested from it.
     #[must_use]
     pub fn record_peer_heartbeats(&mut self, now: Nanos, hashes: &[IncarnationHash]) -> Vec<IncarnationHash> {
         self.advance_clock(now);
@@ -148,7 +150,8 @@
         unknown
     }
 
-    /// Takes the incarnations whose heartbeats came here since the last call, to be reported to the other controllers.
+    /// Takes the incarnations whose heartbeats were received here since the last call, to be reported to the other
+    /// controllers.
     #[must_use]
     pub fn take_unreported(&mut self, now: Nanos) -> Vec<IncarnationHash> {
         self.advance_clock(now);
@@ -161,14 +164,14 @@
         unreported
     }
 
-    /// The records of these incarnations, as far as they are known.
+    /// Returns the records of these incarnations, without the unknown ones.
     pub fn records_of(&self, hashes: &[IncarnationHash]) -> Vec<NodeRecord> {
         let known = hashes.iter().filter_map(|hash| self.incarnations.by_hash(*hash));
         known.map(|incarnation| incarnation.current_record(self.now)).collect()
     }
 
-    /// This process was stalled or partitioned: missing heartbeats prove nothing. Every incarnation counts as heard of
-    /// now. To be called after a jump of the clock, and as long as the other controllers are out of reach.
+    /// Restarts the liveness time-out of every incarnation. To be called after a jump of the clock, and while the
+    /// other controllers are unreachable, because missing heartbeats are then no evidence of a loss.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.advance_clock(now);
         for incarnation in self.incarnations.values_mut() {
@@ -176,57 +179,57 @@
         }
     }
 
-    /// Marks incarnations without heartbeats as lost, and forgets those whose tombstone retention is over. Returns how
-    /// many were lost.
+    /// Marks incarnations without heartbeats as lost, and removes those whose tombstone retention has passed. Returns
+    /// the number of incarnations marked as lost.
     pub fn expire(&mut self, now: Nanos) -> usize {
         self.advance_clock(now);
-        let timeout = self.heartbeat_interval.times(HEARTBEATS_UNTIL_LOST);
+        let timeout = self.heartbeat_interval.times(LOST_AFTER_HEARTBEAT_INTERVALS);
         let lost = self.incarnations.ids_where(|incarnation| {
             incarnation.record().is_up() && self.now - incarnation.last_heartbeat_at > timeout
         });
         lost.iter().for_each(|id| self.incarnations.mark_lost(self.now, id));
         let retention = self.tombstone_retention;
         let expired = self.incarnations.ids_where(|incarnation| {
-            incarnation.out_since().is_some_and(|since| self.now - since > retention)
+            incarnation.down_since().is_some_and(|since| self.now - since > retention)
         });
-        expired.iter().for_each(|id| self.incarnations.forget(id));
+        expired.iter().for_each(|id| self.incarnations.remove(id));
         lost.len()
     }
 
-    /// The version of the newest change; rises by one with each change, from 0 after a start of this process.
+    /// Version of the newest change; increases by one with each change, from 0 at the start of the process.
     pub fn version(&self) -> u64 {
         self.incarnations.changes().version()
     }
 
-    /// The incarnations that differ since a version. `None` where some of the changes are no longer remembered, or the
-    /// version is not one of this process: take a [`Self::snapshot`].
+    /// Returns the incarnations that changed since a version. `None` if some of the changes are no longer kept, or
+    /// the version is not one of this process; use [`Self::snapshot`] then.
     pub fn changes_since(&self, version: u64) -> Option<VersionedRecords> {
         let changed = self.incarnations.changes().since(version)?;
         Some(VersionedRecords { version: self.version(), records: self.current_records(changed) })
     }
 
-    /// All remembered incarnations.
+    /// Returns all known incarnations.
     pub fn snapshot(&self) -> VersionedRecords {
         let records = self.current_records(self.incarnations.changes().all());
         VersionedRecords { version: self.version(), records }
     }
 
-    /// The record of an incarnation by its id.
+    /// Returns the record of an incarnation by its id.
     pub fn get(&self, id: &str) -> Option<&NodeRecord> {
         self.incarnations.get(id).map(Incarnation::record)
     }
 
-    /// The number of remembered incarnations, lost and gone ones included.
+    /// Number of known incarnations, lost and gone ones included.
     pub fn len(&self) -> usize {
         self.incarnations.len()
     }
 
-    /// Whether nothing is known, as after a start.
+    /// Whether no incarnation is known, as after a start.
     pub fn is_empty(&self) -> bool {
         self.incarnations.len() == 0
     }
 
-    /// The number of incarnations that are ready or draining.
+    /// Number of incarnations that are ready or draining.
     pub fn up_count(&self) -> usize {
         self.incarnations.values().filter(|incarnation| incarnation.record().is_up()).count()
     }
@@ -237,7 +240,7 @@
 
     fn apply_heartbeat(&mut self, record: NodeRecord) -> CallOutcome {
         let Some(known) = self.get(&record.id) else {
-            if !self.incarnations.make_room() {
+            if !self.incarnations.ensure_capacity() {
                 return CallOutcome::Rejected;
             }
             self.incarnations.insert(self.now, record);
@@ -256,7 +259,7 @@
         }
     }
 
-    fn mark_heard(&mut self, id: &str) {
+    fn mark_heartbeat_received(&mut self, id: &str) {
         let Some(incarnation) = self.incarnations.get_mut(id) else { return };
         incarnation.last_heartbeat_at = self.now;
         if !incarnation.unreported {
@@ -265,13 +268,13 @@
         }
     }
 
-    /// Merges a reported record. Returns whether something differs now.
-    fn merge_one(&mut self, record: &NodeRecord) -> bool {
+    /// Merges a reported record. Returns whether something has changed.
+    fn merge_record(&mut self, record: &NodeRecord) -> bool {
         if record.is_up() && self.is_address_in_use(record) {
             return false;
         }
         let Some(known) = self.incarnations.get(&record.id) else {
-            if !self.incarnations.make_room() {
+            if !self.incarnations.ensure_capacity() {
                 return false;
             }
             self.incarnations.insert(self.now, record.clone());
@@ -280,21 +283,22 @@
         };
         let (known_sequence, known_state) = (known.record().sequence, known.record().state);
         let reports_loss = record.state == NodeState::Lost && record.sequence <= known_sequence;
-        if reports_loss && known.record().is_up() && self.is_trusted(known) {
-            // The reporter lost it while it was partitioned from where the heartbeats go: notify it once more.
+        if reports_loss && known.record().is_up() && self.has_recent_heartbeat(known) {
+            // The reporter was partitioned from the controllers that receive the heartbeats: send it the record
+            // again.
             self.incarnations.assign_version(&record.id);
             return false;
         }
         let changed = self.incarnations.merge(self.now, &record.id, record);
-        // Only a heartbeat not known here proves that a node is up: otherwise two controllers would keep a dead node
-        // alive between them.
+        // Only a newer heartbeat shows that a node is up; otherwise two controllers would keep a dead node alive by
+        // reporting it to each other.
         if record.sequence > known_sequence
             && record.is_up()
             && let Some(incarnation) = self.incarnations.get_mut(&record.id)
         {
             incarnation.last_heartbeat_at = self.now;
         }
-        // The reporter knows less: notify it once more.
+        // The reporter's record is outdated: send it the current one again.
         if !changed && known_state != record.state && record.sequence <= known_sequence {
             self.incarnations.assign_version(&record.id);
         }
@@ -309,14 +313,16 @@
         known.map(|incarnation| incarnation.current_record(self.now)).collect()
     }
 
-    /// Heard of so recently that other processes' reports don't count against it.
-    fn is_trusted(&self, incarnation: &Incarnation) -> bool {
-        self.now - incarnation.last_heartbeat_at < self.heartbeat_interval.times(HEARTBEATS_TRUSTED)
+    /// Whether a heartbeat is so recent that contrary reports of other processes are ignored.
+    fn has_recent_heartbeat(&self, incarnation: &Incarnation) -> bool {
+        self.now - incarnation.last_heartbeat_at < self.heartbeat_interval.times(RECENT_HEARTBEAT_INTERVALS)
     }
 
     fn is_address_in_use(&self, record: &NodeRecord) -> bool {
-        let user = self.incarnations.user_of(record.addr);
-        user.is_some_and(|user| user.record().id != record.id && self.is_trusted(user))
+        let incarnation = self.incarnations.incarnation_at(record.addr);
+        incarnation.is_some_and(|incarnation| {
+            incarnation.record().id != record.id && self.has_recent_heartbeat(incarnation)
+        })
     }
 }
 
--- a/crates/fernknot-registry/src/tracked_record.rs
+++ b/crates/fernknot-registry/src/tracked_record.rs
@@ -1,37 +1,38 @@
-//! The record of an incarnation with what has to outlast its losses.
+//! Node record with the state that must survive a loss of the node.
 
 use crate::node_record::{NodeRecord, NodeState};
 use fernknot::interface::Nanos;
 
-/// A node record, and when it went out of service.
+/// Node record, with the time at which the node went out of service.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedRecord {
     record: NodeRecord,
-    /// The node announced that it drains. Kept apart from the state, so that a loss in between does not undo it.
+    /// Whether the node announced that it drains. Stored apart from the state, so that a loss in between does not
+    /// undo it.
     announced_draining: bool,
-    /// Since when it is lost or gone.
-    out_since: Option<Nanos>,
+    /// Time since which the node is lost or gone; None while it is up.
+    down_since: Option<Nanos>,
 }
 
 impl TrackedRecord {
-    /// A record that is tracked from now on.
+    /// Starts to track a record.
     pub fn new(now: Nanos, record: NodeRecord) -> TrackedRecord {
         let announced_draining = record.state == NodeState::Draining;
-        let out_since = (!record.is_up()).then_some(now);
-        TrackedRecord { record, announced_draining, out_since }
+        let down_since = (!record.is_up()).then_some(now);
+        TrackedRecord { record, announced_draining, down_since }
     }
 
-    /// The merged record.
+    /// Returns the merged record.
     pub fn record(&self) -> &NodeRecord {
         &self.record
     }
 
-    /// Since when it is lost or gone.
-    pub fn out_since(&self) -> Option<Nanos> {
-        self.out_since
+    /// Returns the time since which the node is lost or gone; None while it is up.
+    pub fn down_since(&self) -> Option<Nanos> {
+        self.down_since
     }
 
-    /// Merges another record of the incarnation. Returns whether anything differs now that a gateway acts on.
+    /// Merges another record of the same incarnation. Returns whether something that gateways act on has changed.
     pub fn merge(&mut self, now: Nanos, other: &NodeRecord) -> bool {
         let old_state = self.record.state;
         let mut changed = self.record.merge(other);
@@ -40,13 +41,13 @@
             self.record.state = NodeState::Draining;
             changed |= old_state != NodeState::Draining;
         }
-        self.out_since = if self.record.is_up() { None } else { self.out_since.or(Some(now)) };
+        self.down_since = if self.record.is_up() { None } else { self.down_since.or(Some(now)) };
         changed
     }
 
-    /// The node sent no heartbeat for too long, or another incarnation uses its address.
+    /// Marks the node as lost: it sent no heartbeat for too long, or another incarnation uses its address.
     pub fn mark_lost(&mut self, now: Nanos) {
         self.record.state = NodeState::Lost;
-        self.out_since = Some(now);
+        self.down_since = Some(now);
     }
 }
--- a/crates/fernknot-registry/tests/common/mod.rs
+++ b/crates/fernknot-registry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: records and times.
+//! Fixtures: registries, records and times.
 #![allow(dead_code, reason = "each test file uses some of the fixtures")]
 
 use fernknot::interface::Nanos;
@@ -7,12 +7,12 @@
 
 pub const HEARTBEAT_INTERVAL: Nanos = Nanos(1_000_000_000);
 
-/// A time in heartbeat intervals.
-pub fn at(heartbeats: f64) -> Nanos {
-    HEARTBEAT_INTERVAL.times(heartbeats)
+/// Returns the time after this number of heartbeat intervals.
+pub fn after_intervals(intervals: f64) -> Nanos {
+    HEARTBEAT_INTERVAL.times(intervals)
 }
 
-/// An incarnation at the address with this last byte.
+/// Returns the record of an incarnation at the address with last byte `host`.
 pub fn record(id: &str, host: u8, state: NodeState, sequence: u64) -> NodeRecord {
     NodeRecord {
         id: id.to_string(),
@@ -27,5 +27,8 @@
 }
 
 pub fn registry() -> Registry {
-    Registry::new(HEARTBEAT_INTERVAL, RegistryLimits { max_incarnations: 16, tombstone_retention: at(100.0) })
+    Registry::new(
+        HEARTBEAT_INTERVAL,
+        RegistryLimits { max_incarnations: 16, tombstone_retention: after_intervals(100.0) },
+    )
 }
