--- a/crates/fernknot-controller/src/action.rs
+++ b/crates/fernknot-controller/src/action.rs
@@ -1,4 +1,4 @@
-//! What the controller asks its host to do, and the identifiers of who waits at the other end.
+//! Actions that the controller requests from its host, and identifiers of callers and subscribers.
 
 use fernknot_consensus::{PersistentState, WriteId};
 use fernknot_http_api::Reply;
@@ -7,62 +7,62 @@
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
-/// An HTTP call that waits for its reply. Never used again: a reply belongs to a call, not to the connection that
-/// the call came on, where another one may wait by then.
+/// Identifier of an HTTP call awaiting its reply. Never reused: replies are matched to a call rather than to its
+/// connection, because another call may be pending on the same connection by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PendingCall {
-    /// The host's identifier of the connection.
+    /// Host's identifier of the connection.
     pub connection: u64,
-    /// The number of the call on that connection.
+    /// Number of the call on that connection.
     pub call: u64,
 }
 
-/// The connection over which a gateway has subscribed, by the host's identifier.
+/// Identifier, assigned by the host, of the connection over which a gateway subscribed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubscriberId(pub u64);
 
-/// One step for the host, in the order in which the controller returns them.
+/// A step for the host to perform, in the order in which the controller returns them.
 #[derive(Debug)]
 pub enum Action {
     /// Write the reply to an HTTP call.
     Reply {
-        /// The call, as the host named it.
+        /// Call to reply to.
         call: PendingCall,
         /// Status, headers and body.
         reply: Reply,
     },
-    /// Send to another controller, over the connection that was opened to it.
+    /// Send a message to another controller, over the connection opened to it.
     Send {
-        /// Its internal address.
+        /// Internal address of the controller.
         to: SocketAddrV4,
-        /// The message.
+        /// Message to send.
         message: ControllerMessage,
     },
     /// Send one message to several subscribers.
     Notify {
-        /// Their connections.
+        /// Connections of the subscribers.
         to: Vec<SubscriberId>,
-        /// The message; encoded once for all of them.
+        /// Message, encoded once for all subscribers.
         message: ControllerToGateway,
     },
-    /// Open a connection to a controller; `peer_connected` or `peer_disconnected` follows.
+    /// Open a connection to a controller; a call of `peer_connected` or `peer_disconnected` follows.
     Connect {
-        /// Its internal address.
+        /// Internal address of the controller.
         to: SocketAddrV4,
     },
-    /// Stop opening that connection.
+    /// Abort the attempt to open that connection.
     AbortConnect {
-        /// The internal address of the controller.
+        /// Internal address of the controller.
         to: SocketAddrV4,
     },
     /// Write and sync the consensus state, then call `write_completed`.
     Store {
-        /// Identifies the write.
+        /// Identifier of the write.
         write_id: WriteId,
-        /// What replaces the state on disk.
+        /// State that replaces the one on disk.
         state: PersistentState,
     },
-    /// Keep these addresses on disk, in place of those before. Nothing waits for it.
+    /// Replace the stored addresses of other controllers. The controller does not wait for the write.
     StoreKnownPeers {
         /// Internal addresses of other controllers.
         addrs: Vec<SocketAddrV4>,
@@ -71,14 +71,14 @@
     Log {
         /// Severity.
         level: Level,
-        /// The component, one of [`fernknot_telemetry::part`].
+        /// Component, one of [`fernknot_telemetry::part`].
         target: &'static str,
-        /// The text of the line.
+        /// Text of the line.
         text: String,
     },
 }
 
-/// Actions that the host has not taken yet, oldest first.
+/// Queue of actions that the host has not taken yet, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct ActionQueue {
     queue: VecDeque<Action>,
--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -1,27 +1,27 @@
-//! The HTTP endpoints of nodes and operators, each with the outcomes of a call.
+//! HTTP endpoints for nodes and operators, with the outcomes of their calls.
 
 use crate::evidence::QuorumEvidence;
 use fernknot_http_api::{Body, Endpoint, MatchedRequest, Reply};
 use fernknot_schema::{NodeHeartbeat, RoutingConfig, ValidationError, json_digest};
 use std::sync::Arc;
 
-/// Status codes of HTTP, also used between controllers.
+/// HTTP status codes, also used in messages between controllers.
 pub mod status {
-    /// The call has done what it asks for.
+    /// The call succeeded.
     pub const OK: u16 = 200;
-    /// The request is not valid, or its epoch too low.
+    /// The request is invalid, or its epoch is not above the active one.
     pub const BAD_REQUEST: u16 = 400;
-    /// There is no configuration yet.
+    /// No configuration has been committed yet.
     pub const NOT_FOUND: u16 = 404;
-    /// Another version is in force than the one that the change builds on.
+    /// The change builds on a version other than the active one.
     pub const PRECONDITION_FAILED: u16 = 412;
-    /// Not known here, or not now: another controller may do.
+    /// This controller cannot serve the call now; another one may.
     pub const SERVICE_UNAVAILABLE: u16 = 503;
 }
 
-/// The reason given with 503 where no majority is reachable.
+/// Reason in a 503 reply while no majority is reachable.
 pub const NO_QUORUM_REASON: &str = "cut off from the others; ask another";
-/// The longest identifier of a node, in bytes.
+/// Maximum length of a node's identifier, in bytes.
 const MAX_NODE_ID_BYTES: usize = 200;
 
 fn bad_request(errors: &[ValidationError]) -> Reply {
@@ -36,21 +36,21 @@
     }
 }
 
-/// A node lives, or announces that it is about to leave.
+/// Heartbeat of a node, which may announce that the node drains.
 pub struct Heartbeat {
-    /// Identifies the incarnation of the node.
+    /// Identifier of the node's incarnation.
     pub id: String,
-    /// What the node says of itself.
+    /// State and description that the node reports.
     pub heartbeat: NodeHeartbeat,
 }
 
-/// The outcome of a node's call.
+/// Outcome of a node's call.
 pub enum NodeCallOutcome {
-    /// Recorded here, which promises nothing beyond this controller.
+    /// Recorded by this controller only.
     Recorded,
-    /// A majority knows that the node leaves.
+    /// A majority has recorded that the node drains or is gone.
     DrainConfirmed(QuorumEvidence),
-    /// Not recorded, or not known to the others: the node is to call another controller.
+    /// Not recorded, or not confirmed by a majority: the node has to call another controller.
     Unavailable(&'static str),
 }
 
@@ -74,9 +74,9 @@
     }
 }
 
-/// A node ends.
+/// Deregistration of a node.
 pub struct Deregister {
-    /// Identifies the incarnation of the node.
+    /// Identifier of the node's incarnation.
     pub id: String,
 }
 
@@ -90,33 +90,33 @@
     }
 }
 
-/// An operator's new configuration.
+/// An operator's request to replace the configuration.
 pub struct ReplaceConfig {
-    /// The epoch that must be in force for the change to be accepted.
+    /// Epoch that must be active for the change to be accepted.
     pub base_epoch: u64,
-    /// The operator's number of the configuration.
+    /// Epoch of the new configuration, chosen by the operator.
     pub epoch: u64,
-    /// A hash of the configuration by its value.
+    /// Hash of the parsed configuration, independent of its formatting.
     pub digest: u64,
-    /// The configuration as the operator sent it.
+    /// Configuration as the operator sent it.
     pub body: Vec<u8>,
 }
 
-/// The outcome of an operator's change.
+/// Outcome of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// Committed, now or before.
+    /// Committed, by this call or an earlier one.
     Committed(QuorumEvidence),
-    /// Another version is in force than the one it builds on.
+    /// The change builds on a version other than the active one.
     VersionConflict(String, QuorumEvidence),
-    /// Its epoch is not above the one in force.
+    /// The epoch is not above the active one.
     StaleEpoch(String, QuorumEvidence),
-    /// Not known: it may be committed or not, and may be repeated unchanged.
+    /// Unknown: the change may or may not be committed, and may be retried unchanged.
     Unknown(&'static str),
 }
 
 impl ChangeOutcome {
-    /// The status that is replied, and the reason for any but 200.
+    /// Returns the HTTP status and, for any status other than 200, the reason.
     pub fn status_and_reason(&self) -> (u16, String) {
         match self {
             ChangeOutcome::Committed(_) => (status::OK, String::new()),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The known outcome that another controller replied.
+    /// Returns the outcome for the status and reason that another controller sent.
     pub fn from_status(reply_status: u16, reason: String, evidence: QuorumEvidence) -> ChangeOutcome {
         match reply_status {
             status::OK => ChangeOutcome::Committed(evidence),
@@ -165,16 +165,16 @@
     }
 }
 
-/// An operator reads the newest configuration.
+/// An operator's request to read the newest configuration.
 pub struct ReadConfig;
 
-/// The newest configuration, as far as this controller may speak for it.
+/// Outcome of a request to read the configuration.
 pub enum ReadConfigOutcome {
-    /// The configuration in force, as its operator sent it.
+    /// The active configuration, as its operator sent it.
     Current(Arc<[u8]>, QuorumEvidence),
-    /// None was ever committed.
+    /// No configuration was ever committed.
     NeverConfigured(QuorumEvidence),
-    /// A newer one may be known elsewhere.
+    /// No majority confirmed that the local configuration is the newest.
     Unavailable,
 }
 
@@ -202,10 +202,10 @@
     }
 }
 
-/// Asks whether this controller is of use.
+/// A readiness check.
 pub struct CheckReadiness;
 
-/// The evidence that a majority is reachable; None where that is not known.
+/// Outcome of a readiness check: the evidence that a majority is reachable, or None if the controller is not ready.
 pub struct ReadinessOutcome(pub Option<QuorumEvidence>);
 
 impl From<ReadinessOutcome> for Reply {
@@ -227,7 +227,7 @@
     }
 }
 
-/// Reads the counters.
+/// A request for the counters.
 pub struct ReadCounters;
 
 /// All counters and gauges, as JSON.
--- a/crates/fernknot-controller/src/change.rs
+++ b/crates/fernknot-controller/src/change.rs
@@ -1,4 +1,4 @@
-//! One change of the routing configuration: who asked for it, how far it is, and what the control state says of it.
+//! One change of the routing configuration: its origin, its stage, and its assessment against the control state.
 
 use crate::action::PendingCall;
 use crate::calls::ChangeOutcome;
@@ -7,90 +7,91 @@
 use fernknot::interface::Nanos;
 use std::net::SocketAddrV4;
 
-/// The reason given for a change whose epoch lies beyond the history.
+/// Reason in the reply to a change whose epoch is older than the history.
 const BEYOND_HISTORY_REASON: &str = "older than all versions that are remembered; read the newest one";
 
-/// Who waits for the outcome of a change.
+/// Origin of a change, which receives the outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOrigin {
-    /// The operator who called this controller.
+    /// An operator that called this controller.
     Caller(PendingCall),
-    /// Another controller that forwarded the call, by its internal address and its identifier of the call.
+    /// Another controller that forwarded the call: its internal address and its identifier of the call.
     Peer(SocketAddrV4, ForwardedCallId),
 }
 
-/// A controller's identifier of a call that it forwards to the leader. The incarnation guards against the outcome of a
-/// call that an earlier incarnation at the same address forwarded under the same number.
+/// A controller's identifier of a call that it forwards to the leader. Includes the incarnation, so that an outcome
+/// meant for an earlier incarnation at the same address is not matched to a new call with the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ForwardedCallId {
-    /// The incarnation of the controller that was called.
+    /// Incarnation of the controller that received the call.
     pub incarnation: u64,
-    /// Its number for the change.
+    /// Number of the change at that controller.
     pub call: u64,
 }
 
-/// How far a change is.
+/// Stage of a pending change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeStage {
-    /// No leader is known, or another change goes before it.
+    /// Waiting for a leader to be known, or for another change to finish.
     Queued,
     /// Forwarded to the leader at this address.
     Forwarded(SocketAddrV4),
-    /// Proposed by this controller, under this number.
+    /// Proposed by this controller, with this number.
     Proposed(u64),
-    /// The local state speaks against it; a majority is asked whether that state is the newest.
+    /// Waiting for a majority to confirm that the local state, which conflicts with the change, is the newest one.
     AwaitingQuorum,
 }
 
-/// One pending change.
+/// A pending change.
 #[derive(Clone, Debug)]
 pub struct ConfigChange {
-    /// Its number here, never used again in this incarnation.
+    /// Number of the change at this controller, unique within this incarnation.
     pub id: u64,
-    /// Who waits for the outcome.
+    /// Recipient of the outcome.
     pub origin: RequestOrigin,
-    /// The epoch that must be in force for the change to be accepted.
+    /// Epoch that must be active for the change to be accepted.
     pub base_epoch: u64,
-    /// The operator's number of the configuration.
+    /// Epoch of the new configuration, chosen by the operator.
     pub epoch: u64,
-    /// A hash of the configuration by its value.
+    /// Hash of the parsed configuration, independent of its formatting.
     pub digest: u64,
-    /// The configuration as the operator sent it.
+    /// Configuration as the operator sent it.
     pub body: Vec<u8>,
-    /// When its origin is sent that the outcome is unknown.
+    /// Time at which the origin is sent an unknown outcome.
     pub deadline: Nanos,
-    /// It isn't tried again before this.
+    /// Earliest time of the next attempt.
     pub not_before: Nanos,
-    /// How far it is.
+    /// Current stage.
     pub stage: ChangeStage,
 }
 
 impl ConfigChange {
-    /// Queues it again, to be tried no earlier than `not_before`.
+    /// Queues the change again, with the next attempt no earlier than `not_before`.
     pub fn requeue(&mut self, not_before: Nanos) {
         self.stage = ChangeStage::Queued;
         self.not_before = not_before;
     }
 }
 
-/// What the control state that is in force here says of a change.
+/// Assessment of a change against the active control state.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChangeAssessment {
-    /// Committed earlier.
+    /// The change was committed earlier.
     AlreadyCommitted(QuorumEvidence),
-    /// It may be proposed.
+    /// The change may be proposed.
     Propose,
-    /// Another version is in force than the one it builds on: to be said only once a majority has confirmed that.
+    /// The change builds on a version other than the active one. May be replied only after a majority has confirmed
+    /// the active version.
     VersionConflict(String),
-    /// Its epoch is not above the one in force: to be said only once a majority has confirmed that.
+    /// The epoch is not above the active one. May be replied only after a majority has confirmed the active version.
     StaleEpoch(String),
-    /// It may have been committed so long ago that it is no longer remembered.
+    /// The epoch is older than the history, so the change may have been committed.
     BeyondHistory,
 }
 
-/// Assesses a change by the state in force alone, so that every leader decides alike.
+/// Assesses a change using the active state alone, so that every leader decides alike.
 ///
-/// `rejects_forgotten` is a seeded bug: what is no longer remembered is rejected.
+/// `rejects_forgotten` is a seeded bug: changes older than the history are rejected.
 pub fn assess_change(
     control: &ControlState,
     change: &ConfigChange,
@@ -99,7 +100,7 @@
     if let Some(evidence) = QuorumEvidence::from_history(control, change.epoch, change.digest) {
         return ChangeAssessment::AlreadyCommitted(evidence);
     }
-    // Epoch 0 is below all that were ever committed, remembered or not.
+    // Epoch 0 is below every committed epoch, whether in the history or not.
     if (1..=control.newest_forgotten_epoch()).contains(&change.epoch) && !rejects_forgotten {
         return ChangeAssessment::BeyondHistory;
     }
@@ -113,7 +114,8 @@
 }
 
 impl ChangeAssessment {
-    /// The outcome that the assessment stands for, on this evidence. None where the change is to be proposed.
+    /// Returns the outcome that follows from the assessment and this evidence, or None if the change is to be
+    /// proposed.
     pub fn into_outcome(self, evidence: QuorumEvidence) -> Option<ChangeOutcome> {
         match self {
             ChangeAssessment::AlreadyCommitted(known) => Some(ChangeOutcome::Committed(known)),
--- a/crates/fernknot-controller/src/control_state.rs
+++ b/crates/fernknot-controller/src/control_state.rs
@@ -1,61 +1,61 @@
-//! The control state: what the controllers agree on.
+//! The control state that the controllers agree on.
 
 use bitcode::{Decode, Encode};
 use fernknot_schema::RoutingConfig;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Versions that are remembered as committed, 24 bytes each: two hours at 12,000 changes a day, eight minutes at two a
-/// second. Safety doesn't rest on it: what lies beyond them is never rejected (see
-/// [`ControlState::newest_forgotten_epoch`]).
-const MAX_REMEMBERED_VERSIONS: usize = 1024;
+/// Maximum number of committed versions in the history, 24 bytes each: two hours at 12,000 changes a day, eight
+/// minutes at two a second. Safety does not depend on the number: changes older than the history are never rejected
+/// (see [`ControlState::newest_forgotten_epoch`]).
+const MAX_HISTORY_LENGTH: usize = 1024;
 
-/// A version that was committed.
+/// A committed version of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CommittedVersion {
-    /// The operator's number of the version.
+    /// Epoch of the version, chosen by the operator.
     pub epoch: u64,
-    /// The epoch that was in force before.
+    /// Epoch that was active before.
     pub base_epoch: u64,
-    /// A hash of the configuration by its value.
+    /// Hash of the parsed configuration, independent of its formatting.
     pub digest: u64,
 }
 
-/// What the controllers agree on.
+/// State that the controllers agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ControlState {
-    /// The epoch in force; 0 where there is none yet.
+    /// Active epoch; 0 before the first configuration.
     pub epoch: u64,
-    /// The configuration just as its operator sent it.
+    /// Configuration as its operator sent it.
     pub body: Vec<u8>,
-    /// The last versions committed, oldest first.
+    /// Most recently committed versions, oldest first.
     pub history: Vec<CommittedVersion>,
 }
 
-/// Bytes that are no control state.
+/// Error for bytes that cannot be decoded as a control state.
 #[derive(Debug, Error)]
-#[error("read the control state: {source}")]
+#[error("cannot decode the control state: {source}")]
 pub struct ControlStateError {
     #[from]
     source: bitcode::Error,
 }
 
-/// Why a delivered state can't be put in force.
+/// Reason why a delivered state cannot be activated.
 #[derive(Debug, Error)]
 pub enum ActivationError {
-    /// The bytes are no control state.
+    /// The bytes cannot be decoded as a control state.
     #[error(transparent)]
     State(#[from] ControlStateError),
-    /// The configuration of this epoch is not valid, for the first reason that was found.
-    #[error("read version {epoch}: {reason}")]
+    /// The configuration of this epoch is invalid; the first error is given.
+    #[error("cannot parse the configuration of version {epoch}: {reason}")]
     Config { epoch: u64, reason: String },
 }
 
 impl ControlState {
-    /// Decodes a delivered state; the empty one is that before the first configuration.
+    /// Decodes a delivered state; empty bytes are the state before the first configuration.
     ///
     /// # Errors
-    /// Bytes that no controller of this build wrote.
+    /// If the bytes were not written by a controller of this build.
     pub fn decode(state: &[u8]) -> Result<ControlState, ControlStateError> {
         if state.is_empty() {
             return Ok(ControlState::default());
@@ -63,29 +63,29 @@
         Ok(bitcode::decode(state)?)
     }
 
-    /// The state as it is proposed.
+    /// Encodes the state, to be proposed.
     pub fn encode(&self) -> Vec<u8> {
         bitcode::encode(self)
     }
 
-    /// Whether this very configuration was committed under this epoch, whether it is in force now or not.
+    /// Whether the history lists this configuration as committed with this epoch, active or superseded.
     pub fn has_committed(&self, epoch: u64, digest: u64) -> bool {
         self.history.iter().any(|version| version.epoch == epoch && version.digest == digest)
     }
 
-    /// The newest epoch that was committed and is no longer remembered; 0 where there is none. A call with an epoch up
-    /// to it may be a repeat of a committed change, so it is not rejected. Above it, what is not remembered was never
-    /// committed.
+    /// Newest committed epoch that is no longer in the history; 0 if there is none. A call with an epoch up to it may
+    /// be a retry of a committed change and must not be rejected. Above it, an epoch that is not in the history was
+    /// never committed.
     pub fn newest_forgotten_epoch(&self) -> u64 {
         self.history.first().map_or(0, |oldest| oldest.base_epoch)
     }
 
-    /// The state that follows when a configuration is committed.
+    /// Returns the state after a configuration has been committed.
     pub fn with_committed(&self, version: CommittedVersion, body: Vec<u8>) -> ControlState {
-        self.with_bounded_history(MAX_REMEMBERED_VERSIONS, version, body)
+        self.with_bounded_history(MAX_HISTORY_LENGTH, version, body)
     }
 
-    /// The same, with so many versions remembered.
+    /// Like [`with_committed`](Self::with_committed), with at most `max_versions` in the history.
     pub(crate) fn with_bounded_history(
         &self,
         max_versions: usize,
@@ -99,26 +99,26 @@
     }
 }
 
-/// The configuration in force, laid out for use.
+/// The active configuration, parsed.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
-    /// The revision of the control state; 0 before the first one is delivered.
+    /// Revision of the control state; 0 before the first one is delivered.
     pub revision: u64,
-    /// The control state as it was delivered.
+    /// Control state as delivered.
     pub state: ControlState,
-    /// The body again, to be sent without a copy for each caller.
+    /// Shared copy of the body, so that replies need no copy per caller.
     pub body: Arc<[u8]>,
-    /// None before the first configuration.
+    /// Parsed configuration; None before the first one.
     pub config: Option<RoutingConfig>,
 }
 
 impl ActiveConfig {
-    /// Nothing is known yet.
+    /// Returns the state before anything is delivered.
     pub fn empty() -> ActiveConfig {
         ActiveConfig { revision: 0, state: ControlState::default(), body: Arc::from([]), config: None }
     }
 
-    /// Lays out a delivered state.
+    /// Parses a delivered state.
     pub fn parse(revision: u64, state: &[u8]) -> Result<ActiveConfig, ActivationError> {
         let state = ControlState::decode(state)?;
         let config = match state.body.is_empty() {
@@ -129,7 +129,7 @@
         Ok(ActiveConfig { revision, state, body, config })
     }
 
-    /// The number of routes of the configuration.
+    /// Number of routes in the configuration.
     pub fn route_count(&self) -> usize {
         self.config.as_ref().map_or(0, |config| config.routes.len())
     }
--- a/crates/fernknot-controller/src/controller/changes.rs
+++ b/crates/fernknot-controller/src/controller/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration: from the call to the outcome.
+//! Handling of configuration changes, from the call to the outcome.
 
 use super::state::Controller;
 use crate::action::SubscriberId;
@@ -18,15 +18,16 @@
 use log::Level;
 use std::net::SocketAddrV4;
 
-/// An operator moves on after a second without a reply: the outcome of a call, known or not, comes before.
+/// Time limit for the outcome of a call, known or unknown: operators try another controller after a second without a
+/// reply.
 pub(super) const CALL_TIMEOUT: Nanos = Nanos(800_000_000);
-/// The share of that for which the leader keeps a change that another controller forwarded.
+/// Time limit of a forwarded change at the leader, as a share of [`CALL_TIMEOUT`].
 const LEADER_TIMEOUT_SHARE: f64 = 0.9;
-/// Too many changes are pending.
+/// Reason in the reply if too many changes are pending.
 const BACKLOG_REASON: &str = "too many changes at once";
 
 impl Controller {
-    /// Admits the change of a caller; the outcome where that is known at once.
+    /// Admits a change. Returns its outcome if that is known at once.
     pub(super) fn admit_change(
         &mut self,
         origin: RequestOrigin,
@@ -38,8 +39,9 @@
         (!admitted).then_some(ChangeOutcome::Unknown(BACKLOG_REASON))
     }
 
-    /// Admits a change that another controller forwarded. What the sender has checked is checked again: a message may
-    /// be garbled in ways that no checksum of the transport finds, and only what is valid may be proposed.
+    /// Admits a change that another controller forwarded. The configuration is validated again, because a message may
+    /// be corrupted in ways that the transport's checksums do not detect, and only a valid configuration may be
+    /// proposed.
     pub(super) fn admit_forwarded_change(
         &mut self,
         from: SocketAddrV4,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The leader replied to a change that this controller forwarded to it.
+    /// Handles the leader's reply to a change that this controller forwarded.
     pub(super) fn handle_change_outcome(
         &mut self,
         from: SocketAddrV4,
@@ -69,9 +71,9 @@
         reply_status: u16,
         reason: String,
     ) {
-        let is_own = call.incarnation == self.settings.seed
+        let is_current_incarnation = call.incarnation == self.settings.seed
             || self.seeded_bug == Some(SeededBug::AcceptAnyIncarnation);
-        if !is_own {
+        if !is_current_incarnation {
             return;
         }
         if let Some(origin) = self.changes.leader_replied(self.now(), from, call.call, reply_status) {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Sends the outcome of a change to who waits for it.
+    /// Sends the outcome of a change to its origin.
     pub(super) fn finish_change(&mut self, origin: RequestOrigin, outcome: ChangeOutcome) {
         let (reply_status, reason) = outcome.status_and_reason();
         match reply_status {
@@ -88,7 +90,7 @@
             status::SERVICE_UNAVAILABLE => {}
             _ => {
                 self.counters.add(counter::CHANGES_REJECTED, 1);
-                let text = format!("a change was rejected with {reply_status}: {reason}");
+                let text = format!("rejected a configuration change with status {reply_status}: {reason}");
                 self.actions.log(Level::Info, part::ROUTING_CONFIG, text);
             }
         }
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Moves every queued change one step on, where it can be.
+    /// Advances every queued change by one step where possible.
     pub(super) fn advance_changes(&mut self) {
         if !self.consensus.is_started() {
             return;
@@ -123,7 +125,7 @@
         for (leader, message) in steps.forwarded {
             self.send_to_peer(leader, message);
         }
-        for (id, deadline) in steps.doubtful {
+        for (id, deadline) in steps.awaiting_quorum {
             if !self.request_read_index(QuorumWaiter::ConfigChange(id), deadline - now) {
                 self.changes.requeue(now, id);
             }
@@ -140,14 +142,18 @@
         Leadership { is_local: self.consensus.is_leader(), remote }
     }
 
-    /// The consensus member has delivered a state: it is in force from now on.
+    /// Activates a state that the consensus member delivered.
     pub(super) fn activate_config(&mut self, revision: Revision, state: &[u8]) {
         let config = match ActiveConfig::parse(revision.0, state) {
             Ok(config) => config,
             Err(error) => return self.actions.log(Level::Error, part::ROUTING_CONFIG, error.to_string()),
         };
         if config.state.epoch != self.active_config.state.epoch {
-            let text = format!("version {} is active, {} routes", config.state.epoch, config.route_count());
+            let text = format!(
+                "configuration version {} is active, {} routes",
+                config.state.epoch,
+                config.route_count()
+            );
             self.actions.log(Level::Info, part::ROUTING_CONFIG, text);
         }
         self.active_config = config;
@@ -158,7 +164,7 @@
         self.send_config(behind);
     }
 
-    /// Sends the configuration in force, if there is one.
+    /// Sends the active configuration to these subscribers, if there is one.
     pub(super) fn send_config(&mut self, to: Vec<SubscriberId>) {
         if to.is_empty() {
             return;
--- a/crates/fernknot-controller/src/controller/consensus_events.rs
+++ b/crates/fernknot-controller/src/controller/consensus_events.rs
@@ -1,4 +1,4 @@
-//! What the consensus member wants done.
+//! Execution of the consensus member's actions.
 
 use super::state::Controller;
 use crate::action::Action;
@@ -11,7 +11,7 @@
 use log::Level;
 
 impl Controller {
-    /// Carries out all actions of the consensus member.
+    /// Executes all actions of the consensus member.
     pub(super) fn drain_consensus(&mut self) {
         let now = self.now();
         while let Some(action) = self.consensus.poll_action(now) {
@@ -19,7 +19,11 @@
         }
         self.consensus.finish_poll();
         if let Some(has_lease) = self.consensus.take_lease_change(now) {
-            let text = if has_lease { "a majority is heard" } else { "no majority is heard" };
+            let text = if has_lease {
+                "lease acquired: a majority of the members is reachable"
+            } else {
+                "lease lost: no majority of the members is reachable"
+            };
             self.actions.log(Level::Info, part::CONSENSUS, text);
         }
         if self.holds_lease() {
@@ -32,7 +36,7 @@
         match action {
             ConsensusAction::Send { to, message } => {
                 self.add_peer(to);
-                // A message to a controller that is out of reach is lost: the members send again what counts.
+                // The message is dropped if the controller is unreachable: members resend what is needed.
                 self.send_to_peer(to, ControllerMessage::Consensus(message));
             }
             ConsensusAction::Persist { write_id, state } => {
@@ -50,16 +54,20 @@
             ConsensusAction::ViewActivated { view } => self.view_activated(&view),
             ConsensusAction::ReadIndexConfirmed { read_index } => {
                 if let Some(evidence) = evidence
-                    && let Some(waiter) = self.reads.complete(read_index)
+                    && let Some(waiter) = self.read_indexes.complete(read_index)
                 {
                     self.quorum_confirmed(waiter, evidence);
                 }
             }
             ConsensusAction::ViewLeft => {
-                self.actions.log(Level::Warn, part::CONSENSUS, "in no view any more");
+                self.actions.log(
+                    Level::Warn,
+                    part::CONSENSUS,
+                    "this controller has left the view; rejoining",
+                );
             }
             ConsensusAction::IdentityReplaced { .. } => self.identity_replaced(),
-            // Kept by the driver.
+            // Handled by the driver.
             ConsensusAction::Wake { .. } => {}
         }
     }
@@ -72,18 +80,18 @@
 
     fn view_activated(&mut self, view: &View) {
         let members: Vec<String> = view.members.iter().map(|member| member.addr.ip().to_string()).collect();
-        let text = format!("view {} with {} is active", view.number.0, members.join(", "));
+        let text = format!("view {} is active with members {}", view.number.0, members.join(", "));
         self.actions.log(Level::Info, part::CONSENSUS, text);
         self.changes.requeue_all_proposed(self.now());
         view.members.iter().for_each(|member| self.add_peer(member.addr));
         self.ownership.mark_stale();
     }
 
-    /// The member goes on under a new identity. Its history is dropped: this guards against a repeat acknowledged out
-    /// of a history that an operator has given up.
+    /// Drops the history of the member, which continues with a new identity. Otherwise a retry could be acknowledged
+    /// from a history that an operator has discarded.
     fn identity_replaced(&mut self) {
         self.active_config = ActiveConfig::empty();
-        let text = "the disk is an older copy of itself, or excluded by a forced view: joins as a new member";
+        let text = "member identity replaced: the disk holds an outdated copy of the state, or a forced view excluded it; joining as a new member";
         self.actions.log(Level::Warn, part::CONSENSUS, text);
     }
 }
--- a/crates/fernknot-controller/src/controller/gateway_messages.rs
+++ b/crates/fernknot-controller/src/controller/gateway_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of gateways and of operators' tools, over connections that they opened.
+//! Messages of gateways and operators' tools, over connections that they opened.
 
 use super::state::Controller;
 use crate::action::SubscriberId;
@@ -11,7 +11,8 @@
 use std::net::SocketAddrV4;
 
 impl Controller {
-    /// A message that came over the connection `from`: of a subscriber, of one that becomes it, or of an operator.
+    /// Handles a message received over connection `from`: of a subscriber, of a gateway that subscribes, or of an
+    /// operator's tool.
     pub fn handle_gateway_message(&mut self, now: Nanos, from: SubscriberId, message: GatewayToController) {
         self.advance_clock(now);
         match message {
@@ -31,12 +32,12 @@
             GatewayToController::ShuttingDown => self.gateway_shuts_down(now, from),
             GatewayToController::Inspect(topic) => self.reply_to_inspection(from, topic),
             GatewayToController::ForceView { lost } => self.reply_to_forced_view(from, &lost),
-            // The host hands these to `handle_peer_message`, with the address of the sender.
+            // The host passes these to `handle_peer_message`, with the address of the sender.
             GatewayToController::Peer(_) => {}
         }
     }
 
-    /// A subscriber's connection has gone. Its gateway may live: that is known by its heartbeats.
+    /// Removes a subscriber whose connection was closed. Its gateway may still be alive; its heartbeats decide.
     pub fn unsubscribe(&mut self, id: SubscriberId) {
         self.subscribers.remove(id);
     }
--- a/crates/fernknot-controller/src/controller/http_calls.rs
+++ b/crates/fernknot-controller/src/controller/http_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of nodes and operators over HTTP.
+//! HTTP calls of nodes and operators.
 
 use super::changes::CALL_TIMEOUT;
 use super::state::Controller;
@@ -17,10 +17,10 @@
 use fernknot_schema::{NodeHeartbeat, ReportedNodeState};
 
 impl Controller {
-    /// A request of a node or an operator. The reply comes as an action, now or later.
+    /// Handles a request of a node or an operator. The reply follows as an action, at once or later.
     pub fn handle_call(&mut self, now: Nanos, call: PendingCall, request: &Request) {
         self.advance_clock(now);
-        // The dispatcher is lent out: what handles the call is this very controller.
+        // The dispatcher is taken out of `self` for the call, because it dispatches to this controller.
         let Some(dispatcher) = self.dispatcher.take() else { return };
         if let DispatchOutcome::Ready(reply) = dispatcher.dispatch(self, request, call) {
             self.actions.reply(call, reply);
@@ -28,18 +28,18 @@
         self.dispatcher = Some(dispatcher);
     }
 
-    /// A caller has gone without waiting for the reply.
+    /// Cancels a call whose caller disconnected before the reply.
     pub fn cancel_call(&mut self, call: PendingCall) {
         self.changes.cancel(RequestOrigin::Caller(call));
-        self.reads.cancel_call(&mut self.consensus, call);
+        self.read_indexes.cancel_call(&mut self.consensus, call);
     }
 
-    /// Acknowledges that a node leaves once a majority knows.
+    /// Acknowledges a drain or deregistration once a majority has recorded it.
     ///
-    /// The update must reach all gateways that are in touch, and a controller that is partitioned can't promise that.
-    /// It goes to the other controllers first and the request for a read index after it, on the same connections: a
-    /// majority that confirms has the update. It is sent whether it is new here or not: this guards against an update
-    /// that came from a controller that could not spread it further, and rejected the call.
+    /// The update must reach all connected gateways, which a partitioned controller cannot ensure. It is sent to the
+    /// other controllers before the read index request, over the same connections, so a majority that confirms the
+    /// request has the update. It is sent even if it is not new to this controller: the controller that reported it
+    /// may have been unable to forward it, and rejected the call.
     fn confirm_drain(&mut self, id: String, call: PendingCall) -> Option<NodeCallOutcome> {
         self.nodes.announce(id);
         self.announce_nodes_to_peers();
@@ -85,8 +85,9 @@
         let outcome = self.nodes.record_heartbeat(self.now(), record);
         match node_call_outcome(outcome) {
             NodeCallOutcome::Recorded if is_draining => self.confirm_drain(id, call),
-            // The node lives, but the others must know that too. Guards against nodes that go on calling a
-            // controller that is partitioned from the others alone, and are lost to the majority and its gateways.
+            // The node is up, but the other controllers must receive its heartbeats too. Without a 503, the node
+            // might call only this partitioned controller, and the majority and its gateways would consider the node
+            // lost.
             NodeCallOutcome::Recorded if self.is_partitioned() => {
                 Some(NodeCallOutcome::Unavailable(NO_QUORUM_REASON))
             }
@@ -128,16 +129,16 @@
 
 impl Handler<ReadConfig, PendingCall> for Controller {
     fn handle(&mut self, _: ReadConfig, call: PendingCall) -> Option<ReadConfigOutcome> {
-        let asked = self.request_read_index(QuorumWaiter::ReadConfig(call), CALL_TIMEOUT);
-        (!asked).then_some(ReadConfigOutcome::Unavailable)
+        let requested = self.request_read_index(QuorumWaiter::ReadConfig(call), CALL_TIMEOUT);
+        (!requested).then_some(ReadConfigOutcome::Unavailable)
     }
 }
 
 impl Handler<CheckReadiness, PendingCall> for Controller {
     fn handle(&mut self, _: CheckReadiness, call: PendingCall) -> Option<ReadinessOutcome> {
-        let asked =
+        let requested =
             !self.shutting_down && self.request_read_index(QuorumWaiter::Readiness(call), CALL_TIMEOUT);
-        (!asked).then_some(ReadinessOutcome(None))
+        (!requested).then_some(ReadinessOutcome(None))
     }
 }
 
--- a/crates/fernknot-controller/src/controller/inspection.rs
+++ b/crates/fernknot-controller/src/controller/inspection.rs
@@ -1,4 +1,4 @@
-//! What operators ask by `fernknot show` and order by `fernknot force`.
+//! Requests of operators by `fernknot show` and `fernknot force`.
 
 use super::state::Controller;
 use crate::counters as counter;
@@ -11,19 +11,19 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// Why no view is forced.
+/// Reason why a forced view is rejected.
 #[derive(Debug, Error)]
 pub(super) enum ForceViewRejection {
-    /// The consensus member is not known before the disk has been read.
+    /// The disk has not been read yet, so there is no consensus member.
     #[error("the disk has not been read yet")]
     DiskNotRead,
-    /// The consensus member rejects the order.
+    /// The consensus member rejects the request.
     #[error(transparent)]
     Consensus(#[from] ForceViewError),
 }
 
 impl Controller {
-    /// The report on a topic, as text for a person.
+    /// Returns the human-readable report on a topic.
     pub(super) fn inspect(&mut self, topic: InspectionTopic) -> String {
         match topic {
             InspectionTopic::Nodes => {
@@ -46,20 +46,20 @@
         }
     }
 
-    /// Forces a view without the members at `lost`, by an operator's order. Returns the number of the view.
+    /// Forces a view without the members at `lost`, on an operator's request. Returns the number of the view.
     pub(super) fn force_view(&mut self, lost: &[SocketAddrV4]) -> Result<ViewNumber, ForceViewRejection> {
         let result = self.consensus.force_view(self.now(), lost).ok_or(ForceViewRejection::DiskNotRead)?;
         let lost: Vec<String> = lost.iter().map(ToString::to_string).collect();
         let lost = lost.join(", ");
         let text = match &result {
-            Ok(number) => format!("an operator forces view {}: {lost} are lost", number.0),
-            Err(error) => format!("a forced view without {lost} is rejected: {error}"),
+            Ok(number) => format!("operator forced view {} without the lost members {lost}", number.0),
+            Err(error) => format!("rejected the operator's request to force a view without {lost}: {error}"),
         };
         self.actions.log(Level::Warn, part::CONSENSUS, text);
         Ok(result?)
     }
 
-    /// Sets the gauges to what they are now.
+    /// Updates the gauges.
     pub(super) fn refresh_gauges(&mut self) {
         let status = self.consensus.status();
         let fault_tolerance = status.map_or(0, |status| status.remaining_fault_tolerance);
--- a/crates/fernknot-controller/src/controller/lifecycle.rs
+++ b/crates/fernknot-controller/src/controller/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, disk, settings and shutdown.
+//! Start, disk, seeds and shutdown.
 
 use super::state::Controller;
 use crate::counters as counter;
@@ -9,17 +9,18 @@
 use log::Level;
 use std::net::SocketAddrV4;
 
-/// Rotation that makes the seed of the consensus member from that of the process.
+/// Rotation, in bits, that derives the seed of the consensus member from the seed of the process.
 const CONSENSUS_SEED_ROTATION: u32 = 17;
 
 impl Controller {
-    /// The disk has been read: `state` is what the consensus member had stored there, if it can be read, and `known`
-    /// the addresses of other controllers. `disk_is_empty` says that nothing was stored, readable or not.
+    /// Starts the consensus member after the disk has been read. `state` is the member's stored state, if it can be
+    /// decoded; `known_peers` holds the stored addresses of other controllers. `disk_is_empty` is true if nothing was
+    /// stored, decodable or not.
     pub fn disk_loaded(
         &mut self,
         now: Nanos,
         state: Option<PersistentState>,
-        known: &[SocketAddrV4],
+        known_peers: &[SocketAddrV4],
         disk_is_empty: bool,
     ) {
         self.advance_clock(now);
@@ -32,14 +33,14 @@
         };
         let seed = self.settings.seed.rotate_left(CONSENSUS_SEED_ROTATION);
         let mut member = Consensus::with_seeded_bug(seed, settings, state, now, bug);
-        for addr in known {
+        for addr in known_peers {
             self.peers.add(now, *addr);
             member.add_address(now, *addr);
         }
         self.consensus.start(now, member);
     }
 
-    /// A write that [`Action::Store`](crate::Action::Store) asked for has ended; `ok` where it is on disk.
+    /// Handles the end of a write requested by [`Action::Store`](crate::Action::Store); `ok` if the state is on disk.
     pub fn write_completed(&mut self, now: Nanos, write_id: WriteId, ok: bool) {
         self.advance_clock(now);
         self.consensus.handle_write_result(now, write_id, ok);
@@ -48,52 +49,61 @@
         }
     }
 
-    /// How the disk is, as far as the host sees: unhealthy when it hangs, or could not be opened.
+    /// Sets the health of the disk as observed by the host: unhealthy if writes hang or the directory could not be
+    /// opened.
     pub fn set_disk_health(&mut self, now: Nanos, is_healthy: bool) {
         self.advance_clock(now);
         if self.disk.is_healthy == is_healthy {
             return;
         }
         self.disk.is_healthy = is_healthy;
-        // At a start, the directory is first built anew: that is no fault.
+        // At start, the disk is unhealthy until the storage directory has been rebuilt, which is no fault to log.
         match (is_healthy, self.disk.has_recovered) {
-            (true, true) => self.actions.log(Level::Info, part::STORAGE, "is healthy again"),
+            (true, true) => {
+                self.actions.log(Level::Info, part::STORAGE, "the disk is healthy again; resuming writes")
+            }
             (true, false) => self.disk.has_recovered = true,
-            (false, true) => self.actions.log(Level::Warn, part::STORAGE, "hangs or rejects writes"),
+            (false, true) => self.actions.log(
+                Level::Warn,
+                part::STORAGE,
+                "the disk hangs or rejects writes; storing nothing until it recovers",
+            ),
             (false, false) => {}
         }
         self.report_disk_health();
     }
 
-    /// A controller whose disk is unhealthy, or that is about to stop, stores nothing further: the others go on.
+    /// Reports to the consensus member whether it may store further states. With an unhealthy disk, or during a
+    /// shutdown, it may not, and the other members continue without it.
     fn report_disk_health(&mut self) {
-        let stores = self.disk.is_healthy && !self.shutting_down;
-        self.consensus.set_disk_healthy(self.now(), stores);
+        let may_store = self.disk.is_healthy && !self.shutting_down;
+        self.consensus.set_disk_healthy(self.now(), may_store);
     }
 
-    /// The settings name these controllers now, or a neighbour knows them.
+    /// Adds controllers listed in the settings or known to a neighbour.
     pub fn add_seeds(&mut self, now: Nanos, seeds: &[SocketAddrV4]) {
         self.advance_clock(now);
         seeds.iter().for_each(|seed| self.add_peer(*seed));
     }
 
-    /// Begins a graceful shutdown: the others leave this member out, and another one leads.
+    /// Starts a graceful shutdown: the other members remove this one from the view, and another one leads.
     pub fn begin_shutdown(&mut self, now: Nanos) {
         self.advance_clock(now);
         self.shutting_down = true;
         self.report_disk_health();
     }
 
-    /// The active view, as far as this controller knows, if it is in one; the first member leads.
+    /// Active view, if this controller is in one; its first member leads.
     pub fn active_view(&self) -> Option<&View> {
         self.consensus.view()
     }
 
-    /// Whether nobody waits for anything here any more, so that the process may end.
+    /// Whether the process may exit: no call is pending, and no other member depends on this one.
     pub fn can_exit(&self) -> bool {
         let is_alone = self.consensus.view().is_none_or(|view| view.members.len() < 2);
-        let is_led_by_other = self.consensus.leader().is_none_or(|leader| leader.addr != self.settings.addr);
-        let is_out = !self.consensus.is_leader() && is_led_by_other;
-        (is_alone || is_out) && self.changes.is_empty() && self.reads.is_empty()
+        let is_not_view_leader =
+            self.consensus.leader().is_none_or(|leader| leader.addr != self.settings.addr);
+        let is_not_leading = !self.consensus.is_leader() && is_not_view_leader;
+        (is_alone || is_not_leading) && self.changes.is_empty() && self.read_indexes.is_empty()
     }
 }
--- a/crates/fernknot-controller/src/controller/mod.rs
+++ b/crates/fernknot-controller/src/controller/mod.rs
@@ -1,7 +1,7 @@
-//! The controller: routes inputs to the state of each concern, and the actions that follow to the host.
+//! The controller: routes inputs to the component concerned, and the resulting actions to the host.
 //!
-//! `state` holds [`Controller`] and what every other file uses; the others add the handlers of one concern each and
-//! depend on `state` only by import.
+//! `state` defines [`Controller`] and the operations that all other files use; each of the others adds the handlers
+//! of one concern.
 
 mod changes;
 mod consensus_events;
--- a/crates/fernknot-controller/src/controller/node_updates.rs
+++ b/crates/fernknot-controller/src/controller/node_updates.rs
@@ -1,4 +1,4 @@
-//! What is known of nodes, spread to the other controllers and to subscribers.
+//! Distribution of node updates to the other controllers and to subscribers.
 
 use super::state::Controller;
 use crate::counters as counter;
@@ -7,7 +7,8 @@
 use log::Level;
 
 impl Controller {
-    /// Sends the other controllers whose heartbeats came here, and takes nodes for lost whose heartbeats have stopped.
+    /// Reports the heartbeats received here to the other controllers, and marks nodes as lost whose heartbeats have
+    /// stopped.
     pub(super) fn sync_peers(&mut self) {
         let now = self.now();
         let incarnations = self.nodes.take_heartbeats(now);
@@ -26,18 +27,22 @@
     fn expire_nodes(&mut self) {
         let now = self.now();
         if !self.holds_lease() {
-            // Whose heartbeats come to the others is not known here: no node is lost for it.
+            // The other controllers may receive heartbeats that are not reported here: a missing heartbeat is no
+            // evidence of a loss.
             self.nodes.reset_liveness(now);
         }
         let lost = self.nodes.expire(now);
         if lost > 0 {
             self.counters.add(counter::NODES_LOST, lost as u64);
-            let text = format!("{lost} lost as their heartbeats stopped, {} are up", self.nodes.up_count());
+            let text = format!(
+                "{lost} nodes marked as lost: no heartbeats received; {} nodes are up",
+                self.nodes.up_count()
+            );
             self.actions.log(Level::Info, part::NODES, text);
         }
     }
 
-    /// Sends the other controllers what nodes said first here, and that they leave.
+    /// Sends the other controllers the node records that first changed here, and those of leaving nodes.
     pub(super) fn announce_nodes_to_peers(&mut self) {
         if let Some(records) = self.nodes.take_announcement() {
             self.broadcast_to_peers(|| ControllerMessage::NodeUpdates(records.clone()));
--- a/crates/fernknot-controller/src/controller/peer_messages.rs
+++ b/crates/fernknot-controller/src/controller/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Connections to the other controllers, and their messages.
+//! Connections to the other controllers, and the messages received from them.
 
 use super::state::Controller;
 use crate::change::ForwardedCallId;
@@ -10,12 +10,13 @@
 use std::net::SocketAddrV4;
 
 impl Controller {
-    /// The connection to a controller is up.
+    /// Handles a new connection to a controller: identifies this one and sends a snapshot.
     pub fn peer_connected(&mut self, now: Nanos, to: SocketAddrV4) {
         self.advance_clock(now);
         self.peers.link_opened(to);
-        let own = ControllerMessage::Identify { addr: self.settings.addr, zone: self.settings.zone.clone() };
-        self.send_to_peer(to, own);
+        let identify =
+            ControllerMessage::Identify { addr: self.settings.addr, zone: self.settings.zone.clone() };
+        self.send_to_peer(to, identify);
         let mut known = self.peers.known_addrs();
         known.retain(|addr| *addr != to);
         known.truncate(MAX_ADVERTISED_CONTROLLERS);
@@ -24,16 +25,16 @@
         self.consensus.handle_connected(now);
     }
 
-    /// The connection to a controller has gone, or never came up.
+    /// Handles a connection to a controller that was closed or could not be established.
     pub fn peer_disconnected(&mut self, now: Nanos, to: SocketAddrV4) {
         self.advance_clock(now);
         self.peers.link_closed(now, to);
     }
 
-    /// A message of the controller whose internal address is `from`.
+    /// Handles a message of the controller with internal address `from`.
     pub fn handle_peer_message(&mut self, now: Nanos, from: SocketAddrV4, message: ControllerMessage) {
         self.advance_clock(now);
-        self.peers.record_heard(now, from, None);
+        self.peers.record_message(now, from, None);
         match message {
             ControllerMessage::Identify { zone, .. } => self.handle_identify(now, from, &zone),
             ControllerMessage::Consensus(message) => self.consensus.handle_message(now, from, message),
@@ -64,7 +65,7 @@
 
     fn handle_identify(&mut self, now: Nanos, from: SocketAddrV4, zone: &str) {
         self.add_peer(from);
-        self.peers.record_heard(now, from, Some(zone));
+        self.peers.record_message(now, from, Some(zone));
         if self.peers.is_connected(from) {
             self.send_snapshot_to_peer(from);
         }
@@ -88,7 +89,7 @@
         }
     }
 
-    /// All that is known of nodes and gateways, for a controller that may know little.
+    /// Sends all known nodes and the newest assignment to a controller that may have restarted.
     fn send_snapshot_to_peer(&mut self, to: SocketAddrV4) {
         let records = self.nodes.snapshot().records;
         for records in records.chunks(MAX_ITEMS_PER_MESSAGE) {
--- a/crates/fernknot-controller/src/controller/publication.rs
+++ b/crates/fernknot-controller/src/controller/publication.rs
@@ -1,4 +1,4 @@
-//! What subscribers are sent: snapshots, the assignment of singleton roles, heartbeats.
+//! Messages to subscribers: snapshots, the assignment of singleton roles, and heartbeats.
 
 use super::state::Controller;
 use crate::action::SubscriberId;
@@ -11,8 +11,9 @@
 impl Controller {
     /// Adds a subscriber and sends it a snapshot.
     ///
-    /// Without a majority it is sent the nodes only, and that it had better ask another controller. This guards against
-    /// a gateway that starts while this controller is partitioned, and would be ready with an old configuration.
+    /// Without a majority, it sends only the nodes, and a heartbeat without a lease, which makes the gateway prefer
+    /// another controller. This prevents a gateway that starts while this controller is partitioned from becoming
+    /// ready with an outdated configuration.
     pub(super) fn add_subscriber(&mut self, id: SubscriberId, subscriber: Subscriber) {
         self.subscribers.add(id, subscriber);
         if self.holds_lease() {
@@ -24,7 +25,7 @@
         self.actions.notify(vec![id], heartbeat);
     }
 
-    /// Sends the snapshots that were deferred while no majority was heard.
+    /// Sends the snapshots that were deferred while no majority was reachable.
     pub(super) fn send_deferred_snapshots(&mut self) {
         for id in self.subscribers.take_awaiting_snapshot() {
             if self.subscribers.contains(id) {
@@ -43,7 +44,7 @@
         self.actions.notify(vec![id], heartbeat);
     }
 
-    /// Sends the assignment and the nodes that a subscriber wants.
+    /// Sends the assignment and the nodes that a subscriber requested.
     fn send_nodes(&mut self, id: SubscriberId) {
         let records = self.nodes.snapshot().records;
         let Some(records) = self.subscribers.select_for(id, &records) else { return };
@@ -53,8 +54,8 @@
         self.actions.notify(vec![id], ControllerToGateway::NodeUpdates(records));
     }
 
-    /// Computes the assignment anew, if this controller leads and holds the lease. Without the lease its fencing token
-    /// would be rejected, and its count of gateways would be wrong.
+    /// Computes a new assignment, if this controller leads and holds the lease. Without the lease, its fencing token
+    /// would be rejected and its count of gateways could be wrong.
     pub(super) fn refresh_assignment(&mut self) {
         if !self.consensus.is_started() {
             return;
@@ -67,11 +68,11 @@
         }
     }
 
-    /// An assignment is in force: sends it to all subscribers.
+    /// Publishes a new assignment to all subscribers.
     pub(super) fn publish_assignment(&mut self, assignment: Assignment) {
         let token = assignment.fencing_token;
         let text = format!(
-            "assignment {}.{} has {} gateways of {} that are presumed alive",
+            "assignment {}.{} is active with {} gateways, {} presumed alive",
             token.view(),
             token.count(),
             assignment.gateways.len(),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The controllers that heartbeats name: this one, the members of the view, then others that are connected.
+    /// Controllers listed in heartbeats: this one, the members of the view, then other connected ones.
     fn advertised_controllers(&self) -> Vec<ControllerEndpoint> {
         let own = ControllerEndpoint { addr: self.settings.addr, zone: self.settings.zone.clone() };
         let members = self.consensus.view().into_iter().flat_map(|view| &view.members);
--- a/crates/fernknot-controller/src/controller/quorum.rs
+++ b/crates/fernknot-controller/src/controller/quorum.rs
@@ -1,4 +1,4 @@
-//! Requests that a majority has to confirm before they are answered.
+//! Requests that require a confirmation by a majority before the reply.
 
 use super::state::Controller;
 use crate::action::PendingCall;
@@ -10,7 +10,7 @@
 use fernknot::interface::Nanos;
 
 impl Controller {
-    /// Asks a majority of the voters to confirm the view. False where that is of no use: none is reachable, or too many
+    /// Asks a majority of the voters to confirm the view. Returns false if no majority is reachable or too many
     /// requests are pending.
     pub(super) fn request_read_index(&mut self, waiter: QuorumWaiter, timeout: Nanos) -> bool {
         if self.seeded_bug == Some(SeededBug::AnswerFromLocalState) {
@@ -18,15 +18,15 @@
             return true;
         }
         let now = self.now();
-        let asked = self.reads.begin(&mut self.consensus, now, waiter, timeout);
-        if asked {
+        let requested = self.read_indexes.begin(&mut self.consensus, now, waiter, timeout);
+        if requested {
             self.counters.add(counter::READ_INDEXES, 1);
         }
-        asked
+        requested
     }
 
-    /// A majority stood in the view after the call of `waiter` came, and all that was committed before is delivered
-    /// here.
+    /// Completes the call of `waiter`: a majority confirmed the view after the call arrived, and everything committed
+    /// before has been delivered here.
     pub(super) fn quorum_confirmed(&mut self, waiter: QuorumWaiter, evidence: QuorumEvidence) {
         match waiter {
             QuorumWaiter::ConfigChange(id) => self.resolve_confirmed_change(id, evidence),
@@ -49,11 +49,11 @@
         self.actions.reply(call, outcome);
     }
 
-    /// No majority has confirmed in time: nothing is said of what is known here.
+    /// Ends the call of `waiter` without a confirmation in time: the reply asserts nothing about local state.
     pub(super) fn quorum_unavailable(&mut self, waiter: QuorumWaiter) {
         self.counters.add(counter::READ_INDEXES_UNCONFIRMED, 1);
         match waiter {
-            // It ends by its own deadline, or because it is abandoned.
+            // Ends by its own deadline, or when it is abandoned.
             QuorumWaiter::ConfigChange(_) => {}
             QuorumWaiter::ReadConfig(call) => self.actions.reply(call, ReadConfigOutcome::Unavailable),
             QuorumWaiter::Readiness(call) => self.actions.reply(call, ReadinessOutcome(None)),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The node has to call another controller.
+    /// Rejects a drain or deregistration, so that the node calls another controller.
     pub(super) fn reject_drain(&mut self) -> NodeCallOutcome {
         self.counters.add(counter::NODE_DRAINS_REJECTED, 1);
         NodeCallOutcome::Unavailable(NO_QUORUM_REASON)
--- a/crates/fernknot-controller/src/controller/schedule.rs
+++ b/crates/fernknot-controller/src/controller/schedule.rs
@@ -1,4 +1,4 @@
-//! What the host pulls, and the work that is due by time.
+//! Polling by the host, and the work that is due by time.
 
 use super::state::Controller;
 use crate::action::Action;
@@ -8,7 +8,7 @@
 use fernknot::interface::Nanos;
 
 impl Controller {
-    /// The next thing that the host is to do, until there is none.
+    /// Returns the next action for the host, or None if there is none.
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         if self.actions.is_empty() {
             self.advance_clock(now);
@@ -17,13 +17,13 @@
         self.actions.pop()
     }
 
-    /// When [`poll_action`](Controller::poll_action) has to be called again though no input comes.
+    /// Returns the time at which [`poll_action`](Controller::poll_action) has to be called again if no input arrives.
     pub fn next_timeout(&self) -> Nanos {
         let optional = [
             self.consensus.next_timeout(),
             self.changes.next_timeout(self.now()),
             self.peers.next_timeout(),
-            self.reads.next_timeout(),
+            self.read_indexes.next_timeout(),
         ];
         optional.into_iter().flatten().fold(self.timers.next_timeout(), Nanos::min)
     }
@@ -51,13 +51,13 @@
         self.poll_peers();
     }
 
-    /// Ends what waits for a majority or an outcome and has run out of time; all of it where no majority is reachable,
-    /// so that callers go on to another controller at once.
+    /// Ends read index requests and changes whose deadline has passed. Without a reachable majority, ends all
+    /// requests and the changes of local callers, so that callers try another controller at once.
     fn expire_waiters(&mut self) {
         let now = self.now();
-        if !self.reads.is_empty() || !self.changes.is_empty() {
+        if !self.read_indexes.is_empty() || !self.changes.is_empty() {
             let partitioned = self.is_partitioned();
-            for waiter in self.reads.take_expired(&mut self.consensus, now, partitioned) {
+            for waiter in self.read_indexes.take_expired(&mut self.consensus, now, partitioned) {
                 self.quorum_unavailable(waiter);
             }
             if partitioned {
--- a/crates/fernknot-controller/src/controller/state.rs
+++ b/crates/fernknot-controller/src/controller/state.rs
@@ -1,4 +1,4 @@
-//! The state of a controller, one field a concern, and the operations that its handlers share.
+//! State of a controller, and the operations shared by its handlers.
 
 use crate::action::{Action, ActionQueue, PendingCall};
 use crate::calls::{CheckReadiness, Deregister, Heartbeat, ReadConfig, ReadCounters, ReplaceConfig};
@@ -9,7 +9,7 @@
 use crate::ownership::Ownership;
 use crate::peers::Peers;
 use crate::pending_changes::PendingChanges;
-use crate::read_index::PendingReads;
+use crate::read_index::PendingReadIndexes;
 use crate::seeded_bug::SeededBug;
 use crate::settings::ControllerSettings;
 use crate::subscribers::Subscribers;
@@ -21,21 +21,21 @@
 use log::Level;
 use std::net::SocketAddrV4;
 
-/// One member of the control plane: keeps the routing configuration together with the other controllers, knows the
-/// nodes by their heartbeats, and publishes both to the gateways.
+/// One member of the control plane: replicates the routing configuration with the other controllers, tracks nodes by
+/// their heartbeats, and publishes both to the gateways.
 ///
-/// It has no socket, file or clock. Its host hands it inputs, each with the time, and takes [`Action`]s by
-/// [`poll_action`](Controller::poll_action) until there are none.
+/// It performs no I/O and reads no clock. Its host passes it inputs with the current time, and polls it for
+/// [`Action`]s by [`poll_action`](Controller::poll_action) until none are left.
 pub struct Controller {
     pub(super) settings: ControllerSettings,
     pub(super) seeded_bug: Option<SeededBug>,
-    /// None only while it dispatches a call to this very controller.
+    /// None only while a call is being dispatched to this controller.
     pub(super) dispatcher: Option<Dispatcher<Controller, PendingCall>>,
     pub(super) timers: Timers,
     pub(super) consensus: ConsensusDriver,
     pub(super) active_config: ActiveConfig,
     pub(super) changes: PendingChanges,
-    pub(super) reads: PendingReads,
+    pub(super) read_indexes: PendingReadIndexes,
     pub(super) nodes: NodeRegistry,
     pub(super) ownership: Ownership,
     pub(super) subscribers: Subscribers,
@@ -46,10 +46,11 @@
     pub(super) actions: ActionQueue,
 }
 
-/// What the host last said of the disk.
+/// Health of the disk, as the host last reported it.
 pub(super) struct DiskHealth {
     pub(super) is_healthy: bool,
-    /// It has been healthy before, after an interruption.
+    /// Whether the disk has recovered from an unhealthy state before. The first such recovery ends the rebuilding of the
+    /// directory at start.
     pub(super) has_recovered: bool,
 }
 
@@ -64,13 +65,13 @@
 }
 
 impl Controller {
-    /// Knows no node and no configuration yet. Heartbeats are taken at once, the rest once the host has called
-    /// [`disk_loaded`](Controller::disk_loaded).
+    /// Creates a controller without nodes and configuration. Heartbeats are accepted at once, all else after the host
+    /// has called [`disk_loaded`](Controller::disk_loaded).
     pub fn new(settings: ControllerSettings, now: Nanos) -> Controller {
         Controller::with_seeded_bug(settings, now, None)
     }
 
-    /// The same, with a bug that a checker must find.
+    /// Like [`new`](Controller::new), with a bug that a checker must find.
     #[doc(hidden)]
     pub fn with_seeded_bug(settings: ControllerSettings, now: Nanos, bug: Option<SeededBug>) -> Controller {
         let mut peers = Peers::new(settings.addr, settings.suspicion_timeout());
@@ -82,7 +83,7 @@
             consensus: ConsensusDriver::new(now),
             active_config: ActiveConfig::empty(),
             changes: PendingChanges::new(bug == Some(SeededBug::ForgetHistoryEarly)),
-            reads: PendingReads::default(),
+            read_indexes: PendingReadIndexes::default(),
             nodes: NodeRegistry::new(settings.heartbeat_interval),
             ownership: Ownership::new(settings.heartbeat_interval, settings.gateway_expiry()),
             subscribers: Subscribers::default(),
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Moves the clock on. After a gap of the loop, what was not heard meanwhile says nothing of those who were not
-    /// heard.
+    /// Advances the clock. After a stall of the event loop, liveness time-outs restart, because messages may have
+    /// been missed.
     pub(super) fn advance_clock(&mut self, now: Nanos) {
         if self.timers.advance(now) {
             self.nodes.reset_liveness(now);
@@ -110,38 +111,42 @@
         self.timers.now()
     }
 
-    /// Whether a majority of the members was heard lately: what is known here is no older than that.
+    /// Whether a majority of the members was reachable recently, so that the local state is no older than that.
     pub fn holds_lease(&self) -> bool {
         self.consensus.has_lease(self.now())
     }
 
-    /// Whether no majority of the voters is reachable, after having listened for long enough.
+    /// Whether no majority of the voters is reachable, once enough time has passed to tell.
     pub(super) fn is_partitioned(&self) -> bool {
         self.consensus.is_partitioned(self.now())
     }
 
-    /// Sends to a controller, if a connection to it is up; otherwise the message is lost.
+    /// Sends a message to a controller if a connection to it is open; otherwise the message is dropped.
     pub(super) fn send_to_peer(&mut self, to: SocketAddrV4, message: ControllerMessage) {
         if self.peers.is_connected(to) {
             self.actions.push(Action::Send { to, message });
         }
     }
 
-    /// Sends to every controller to which a connection is up.
+    /// Sends a message to every controller to which a connection is open.
     pub(super) fn broadcast_to_peers(&mut self, message: impl Fn() -> ControllerMessage) {
         for to in self.peers.connected() {
             self.actions.push(Action::Send { to, message: message() });
         }
     }
 
-    /// Another controller may be reached at this address.
+    /// Adds an address at which another controller may be reachable.
     pub(super) fn add_peer(&mut self, addr: SocketAddrV4) {
         let now = self.now();
         if !self.peers.add(now, addr) {
             return;
         }
         self.consensus.add_address(now, addr);
-        self.actions.log(Level::Info, part::CONNECTIONS, format!("a controller may be at {addr}"));
+        self.actions.log(
+            Level::Info,
+            part::CONNECTIONS,
+            format!("learned the controller address {addr}; connecting"),
+        );
         let addrs = self.peers.known_addrs();
         self.actions.push(Action::StoreKnownPeers { addrs });
     }
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk, seen from the event loop: read once at the start, and written by a thread of its own.
+//! Access to the disk from the event loop: a separate thread reads it once at start, and writes are asynchronous.
 
 use fernknot_consensus::{PersistentState, WriteId};
 use fernknot_storage::{Capacity, CompletedWrite, Storage, StorageError};
@@ -10,46 +10,47 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// The key of the consensus state.
+/// Storage key of the consensus state.
 const CONSENSUS_KEY: &str = "views";
-/// The key of the addresses of other controllers.
+/// Storage key of the addresses of other controllers.
 const KNOWN_PEERS_KEY: &str = "known";
-/// Writes that may be pending: one of the consensus state, one more after a failure, and the rest for addresses.
+/// Maximum number of pending writes: one of the consensus state, one more after a failure, and the rest for
+/// addresses.
 const MAX_PENDING_WRITES: usize = 8;
-/// A directory that can't be read is tried again after this.
+/// Delay between two attempts to read the directory.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The identifier of writes that nobody waits for.
-const UNTRACKED_WRITE: u64 = u64::MAX;
+/// Identifier of writes whose completion is not reported.
+const UNTRACKED_WRITE_ID: u64 = u64::MAX;
 
-/// What lay on the disk at the start.
+/// State read from disk at start.
 pub struct RecoveredState {
-    /// The state of the consensus member, if it can be read.
+    /// State of the consensus member, if it can be decoded.
     pub consensus: Option<PersistentState>,
-    /// Addresses of other controllers.
+    /// Internal addresses of other controllers.
     pub known_peers: Vec<SocketAddrV4>,
-    /// No consensus state was stored, readable or not.
+    /// Whether no consensus state was stored, decodable or not.
     pub is_empty: bool,
 }
 
 enum DiskState {
-    /// The thread that opens the directory sends it over once it has read it.
+    /// A thread is opening and reading the directory; it sends the result through this channel.
     Opening(Receiver<(Storage, RecoveredState)>),
-    /// The directory has been read.
+    /// The directory is open and has been read.
     Open(Storage),
-    /// This machine has none: the state lasts as long as the process. Holds the writes that have been asked for.
+    /// The machine has no disk, and the state lasts as long as the process. Holds the writes requested so far.
     Absent(Vec<WriteId>),
 }
 
-/// The disk of a controller.
+/// Disk of a controller.
 pub struct Disk {
     state: DiskState,
-    /// A disk that takes longer for one write is unhealthy.
+    /// Age of a pending write above which the disk is unhealthy.
     write_timeout: Duration,
 }
 
 impl Disk {
-    /// Begins to read the directory, on a thread of its own: a disk that hangs holds up no heartbeat. Without a
-    /// directory, the disk is absent. `waker` ends the wait of the event loop when there is something to take.
+    /// Starts to read the directory on a separate thread, so that a hung disk does not delay heartbeats. Without a
+    /// directory, the disk is absent. `waker` wakes the event loop when a result is available.
     pub fn open(
         directory: Option<PathBuf>,
         disk_bytes: u64,
@@ -62,12 +63,12 @@
         let (sender, receiver) = channel();
         let work = move || open_and_load(directory, disk_bytes, &waker, &sender);
         if let Err(error) = std::thread::Builder::new().name("opening".into()).spawn(work) {
-            log::error!(target: part::STORAGE, "start a thread: {error}");
+            log::error!(target: part::STORAGE, "cannot start the thread that opens the storage directory: {error}; the disk stays unavailable until a restart");
         }
         Disk { state: DiskState::Opening(receiver), write_timeout }
     }
 
-    /// What lay on the disk, once it has been read; returned once.
+    /// Returns the recovered state, once, after the directory has been read.
     pub fn take_recovered(&mut self) -> Option<RecoveredState> {
         let DiskState::Opening(receiver) = &self.state else { return None };
         let (storage, recovered) = receiver.try_recv().ok()?;
@@ -75,12 +76,12 @@
         Some(recovered)
     }
 
-    /// Whether there is no disk at all.
+    /// Whether the controller runs without a disk.
     pub fn is_absent(&self) -> bool {
         matches!(self.state, DiskState::Absent(_))
     }
 
-    /// Begins to write the consensus state. False where the write can't even be queued.
+    /// Submits a write of the consensus state. Returns false if it cannot be queued.
     pub fn store(&mut self, write_id: WriteId, state: &PersistentState) -> bool {
         match &mut self.state {
             DiskState::Opening(_) => false,
@@ -94,14 +95,15 @@
         }
     }
 
-    /// Keeps addresses of other controllers. If that fails, the next change brings them again.
+    /// Submits a write of the addresses of other controllers. A failure is ignored: the next change of the addresses
+    /// writes all of them again.
     pub fn store_known_peers(&mut self, addrs: &[SocketAddrV4]) {
         if let DiskState::Open(storage) = &self.state {
-            let _ = storage.submit(UNTRACKED_WRITE, KNOWN_PEERS_KEY, bitcode::encode(addrs));
+            let _ = storage.submit(UNTRACKED_WRITE_ID, KNOWN_PEERS_KEY, bitcode::encode(addrs));
         }
     }
 
-    /// Writes of the consensus state that have ended, and whether each is on disk.
+    /// Takes the completed writes of the consensus state, each with true if it is on disk.
     pub fn take_completed(&mut self) -> Vec<(WriteId, bool)> {
         match &mut self.state {
             DiskState::Opening(_) => Vec::new(),
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Whether it writes, and in time; None before it has been read.
+    /// Whether the disk accepts writes and completes them in time; None before the directory has been read.
     pub fn is_healthy(&self) -> Option<bool> {
         match &self.state {
             DiskState::Opening(_) => None,
@@ -124,25 +126,25 @@
         }
     }
 
-    /// Whether a write is pending, so that the disk has to be looked at again.
+    /// Whether a write is pending, so that the disk has to be polled.
     pub fn is_writing(&self) -> bool {
         matches!(&self.state, DiskState::Open(storage) if storage.pending_writes() > 0)
     }
 }
 
 fn completed_writes(storage: &mut Storage) -> Vec<(WriteId, bool)> {
-    let tracked = storage.take_completed().into_iter().filter(|write| write.write_id != UNTRACKED_WRITE);
+    let tracked = storage.take_completed().into_iter().filter(|write| write.write_id != UNTRACKED_WRITE_ID);
     tracked
         .map(|CompletedWrite { write_id, result }| {
             if let Err(error) = &result {
-                log::warn!(target: part::STORAGE, "{error}");
+                log::warn!(target: part::STORAGE, "cannot write the consensus state: {error}");
             }
             (WriteId(write_id), result.is_ok())
         })
         .collect()
 }
 
-/// The work of the thread that opens the directory.
+/// Opens the directory and sends its contents; the main function of the opening thread.
 fn open_and_load(
     directory: PathBuf,
     disk_bytes: u64,
@@ -155,10 +157,12 @@
     match Storage::open(directory, capacity, Some(wake_after_writes)) {
         Ok(storage) => {
             let recovered = load_with_retry(&storage);
-            // The event loop may have ended meanwhile.
+            // Fails only if the event loop has ended in the meantime.
             let _ = sender.send((storage, recovered));
         }
-        Err(error) => log::error!(target: part::STORAGE, "{error}"),
+        Err(error) => {
+            log::error!(target: part::STORAGE, "cannot open the storage directory: {error}; the disk stays unavailable until a restart")
+        }
     }
     let _ = waker.wake();
 }
@@ -170,7 +174,7 @@
             Ok(recovered) => return recovered,
             Err(error) => {
                 if !std::mem::replace(&mut is_logged, true) {
-                    log::warn!(target: part::STORAGE, "{error}; retrying");
+                    log::warn!(target: part::STORAGE, "cannot read the stored state: {error}; retrying");
                 }
                 std::thread::sleep(READ_RETRY_DELAY);
             }
@@ -186,12 +190,13 @@
     Ok(RecoveredState { consensus, known_peers: known_peers.unwrap_or_default(), is_empty })
 }
 
-/// What another build wrote says nothing here, and the identity of its member ends: it joins as a new one.
+/// Decodes the consensus state. A state that another build wrote cannot be decoded: its member's identity is lost,
+/// and this controller joins as a new member.
 fn decode_consensus(bytes: &[u8]) -> Option<PersistentState> {
     match bitcode::decode(bytes) {
         Ok(state) => Some(state),
         Err(error) => {
-            log::error!(target: part::STORAGE, "read the consensus state: {error}");
+            log::error!(target: part::STORAGE, "cannot decode the consensus state: {error}; joining as a new member");
             None
         }
     }
--- a/crates/fernknot-controller/src/evidence.rs
+++ b/crates/fernknot-controller/src/evidence.rs
@@ -1,31 +1,33 @@
-//! What a claim about the whole system rests on. A reply that says that something is so in the whole system, and not
-//! only here, is built with a [`QuorumEvidence`], which only this module makes: from the consensus member's own
-//! actions, from a history that can't be undone, or from the reply of a controller that had evidence itself. What
-//! rests on nothing has none: a 503, a fault of the request itself, the acknowledgement of a plain heartbeat.
+//! Evidence for replies about the state of the whole system.
+//!
+//! A reply that asserts something about the whole system, beyond this controller, requires a [`QuorumEvidence`]. Only
+//! this module creates one: from an action of the consensus member, from the committed history, or from the reply of
+//! a controller that had evidence itself. Replies that assert nothing beyond this controller need none: a 503, an
+//! error in the request, the acknowledgement of a plain heartbeat.
 
 use crate::control_state::ControlState;
 use fernknot_consensus::Action as ConsensusAction;
 
-/// The reason why a claim holds beyond this controller.
+/// Reason why a statement holds beyond this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuorumEvidence(EvidenceKind);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EvidenceKind {
-    /// The leader's own change lies on the disks of all members.
+    /// The leader's own change is stored on the disks of all members.
     StoredByAllMembers,
-    /// It was committed earlier, as the history delivered here says; what is committed stays so for ever.
+    /// The change is in the history delivered to this controller; commits are final.
     InHistory,
-    /// A majority of the voters stood in the view after the call came.
+    /// A majority of the voters confirmed the view after the call arrived.
     ConfirmedByMajority,
-    /// Another controller had evidence.
+    /// Another controller replied, which had evidence of its own.
     ReportedByPeer,
-    /// None: a seeded bug.
+    /// No evidence: a seeded bug.
     SeededBug,
 }
 
 impl QuorumEvidence {
-    /// The evidence that an action of the consensus member gives, if it gives any.
+    /// Returns the evidence that an action of the consensus member gives, if any.
     pub(crate) fn from_consensus(action: &ConsensusAction) -> Option<QuorumEvidence> {
         match action {
             ConsensusAction::Committed { .. } => Some(QuorumEvidence(EvidenceKind::StoredByAllMembers)),
@@ -36,17 +38,18 @@
         }
     }
 
-    /// The delivered history names this very configuration under this epoch.
+    /// Returns evidence if the delivered history lists this configuration with this epoch.
     pub(crate) fn from_history(control: &ControlState, epoch: u64, digest: u64) -> Option<QuorumEvidence> {
         control.has_committed(epoch, digest).then_some(QuorumEvidence(EvidenceKind::InHistory))
     }
 
-    /// The reply of the controller to which a call was forwarded; it can't reply so without evidence of its own.
+    /// Returns the evidence of a reply to a forwarded call; the other controller sends such a reply only with
+    /// evidence of its own.
     pub(crate) fn from_peer() -> QuorumEvidence {
         QuorumEvidence(EvidenceKind::ReportedByPeer)
     }
 
-    /// A claim that rests on nothing, for the checkers to find.
+    /// Returns evidence without any basis, for a seeded bug that the checkers must find.
     pub(crate) fn from_seeded_bug() -> QuorumEvidence {
         QuorumEvidence(EvidenceKind::SeededBug)
     }
--- a/crates/fernknot-controller/src/host/actions.rs
+++ b/crates/fernknot-controller/src/host/actions.rs
@@ -1,4 +1,4 @@
-//! What the controller asks for, carried out.
+//! Execution of the controller's actions.
 
 use crate::action::{Action, PendingCall, SubscriberId};
 use crate::host::state::Host;
@@ -11,7 +11,7 @@
 use std::net::SocketAddrV4;
 
 impl Host {
-    /// Carries out all actions of the controller.
+    /// Executes all actions of the controller.
     pub(super) fn perform_actions(&mut self, now: Nanos) {
         while let Some(action) = self.controller.poll_action(now) {
             match action {
@@ -40,14 +40,14 @@
             self.connections.remove(id);
             return self.event_loop.close_after_flush(id);
         }
-        // The next request may have come meanwhile.
+        // The next request may have been received meanwhile.
         self.handle_http_input(id);
     }
 
     fn send_to_peer(&mut self, now: Nanos, to: SocketAddrV4, message: ControllerMessage) {
         let Some(id) = self.connections.outbound(to) else { return };
         if self.event_loop.pending_output_bytes(id) > self.limits.max_output_bytes() {
-            log::warn!(target: part::CONNECTIONS, "{to} does not read; disconnected");
+            log::warn!(target: part::CONNECTIONS, "closing the connection to controller {to}: it does not read its messages; connecting again");
             self.drop_connection(id);
             return self.controller.peer_disconnected(now, to);
         }
@@ -56,14 +56,14 @@
         }
     }
 
-    /// Encodes a message once for all its receivers.
+    /// Sends a message to several subscribers, encoded once for all of them.
     fn notify(&mut self, to: &[SubscriberId], message: &ControllerToGateway) {
         let mut bytes = Buffer::default();
         write_message(&mut bytes, message);
         for subscriber in to {
             let id = ConnectionId(subscriber.0);
             if self.event_loop.pending_output_bytes(id) > self.limits.max_output_bytes() {
-                log::warn!(target: part::CONNECTIONS, "a subscriber does not read; disconnected");
+                log::warn!(target: part::CONNECTIONS, "closing the connection to a subscriber: it does not read its messages");
                 self.controller.unsubscribe(*subscriber);
                 self.drop_connection(id);
             } else if let Some(output) = self.event_loop.output(id) {
@@ -76,7 +76,7 @@
         match self.event_loop.connect(to) {
             Ok(id) => self.connections.add_outbound(id, to, now),
             Err(error) => {
-                log::warn!(target: part::CONNECTIONS, "{error}");
+                log::warn!(target: part::CONNECTIONS, "cannot open a connection to controller {to}: {error}; retrying");
                 self.controller.peer_disconnected(now, to);
             }
         }
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Hands to the controller what the disk has read, what it has written, and how it is.
+    /// Passes the recovered state, the completed writes and the health of the disk to the controller.
     pub(super) fn poll_disk(&mut self, now: Nanos) {
         if let Some(recovered) = self.disk.take_recovered() {
             let revision = recovered.consensus.as_ref().map_or(0, |state| state.revision.0);
-            log::info!(target: part::STORAGE, "read, revision {revision}");
+            log::info!(target: part::STORAGE, "control state loaded from disk, revision {revision}");
             let (state, known_peers) = (recovered.consensus, &recovered.known_peers);
             self.controller.disk_loaded(now, state, known_peers, recovered.is_empty);
         }
--- a/crates/fernknot-controller/src/host/connections.rs
+++ b/crates/fernknot-controller/src/host/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of the host: who is at the other end of each.
+//! Connections of the host, with the role of the process at the other end of each.
 
 use fernknot::interface::Nanos;
 use fernknot_http_api::HttpServerConnection;
@@ -6,44 +6,46 @@
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// Silent connections from inside the system are closed after so many contact timeouts.
-const INTERNAL_IDLE_CONTACTS: f64 = 2.0;
-/// Callers without a pending call are disconnected after so many contact timeouts.
-const CALLER_IDLE_CONTACTS: f64 = 15.0;
+/// Idle time after which a connection from another process of the system is closed, in contact timeouts.
+const INTERNAL_IDLE_CONTACT_TIMEOUTS: f64 = 2.0;
+/// Idle time after which a caller without a pending call is disconnected, in contact timeouts.
+const CALLER_IDLE_CONTACT_TIMEOUTS: f64 = 15.0;
 
-/// Who is at the other end.
+/// Role of the process at the other end.
 pub enum ConnectionRole {
-    /// A node or an operator, over HTTP.
+    /// A node or an operator that calls over HTTP.
     HttpCaller(HttpServerConnection),
-    /// A process of the system that sends to this one; a controller once it has identified itself, by its internal
-    /// address.
+    /// A process of the system that sends to this one. Holds the internal address of a controller that has identified
+    /// itself.
     InboundInternal(Option<SocketAddrV4>),
-    /// A controller to which this one sends, by its internal address.
+    /// A controller to which this one sends, with its internal address.
     OutboundPeer(SocketAddrV4),
 }
 
-/// One connection.
+/// A connection.
 pub struct Connection {
-    /// Who is at the other end.
+    /// Role of the process at the other end.
     pub role: ConnectionRole,
-    /// When something last came over it.
-    pub last_heard: Nanos,
+    /// Time at which data was last received, or at which the connection was added.
+    pub last_received_at: Nanos,
 }
 
 impl Connection {
     fn is_idle(&self, now: Nanos, contact_timeout: Nanos) -> bool {
-        let silent_for = now - self.last_heard;
+        let idle_time = now - self.last_received_at;
         match &self.role {
             ConnectionRole::HttpCaller(http) => {
-                !http.has_pending_call() && silent_for > contact_timeout.times(CALLER_IDLE_CONTACTS)
+                !http.has_pending_call() && idle_time > contact_timeout.times(CALLER_IDLE_CONTACT_TIMEOUTS)
+            }
+            ConnectionRole::InboundInternal(_) => {
+                idle_time > contact_timeout.times(INTERNAL_IDLE_CONTACT_TIMEOUTS)
             }
-            ConnectionRole::InboundInternal(_) => silent_for > contact_timeout.times(INTERNAL_IDLE_CONTACTS),
             ConnectionRole::OutboundPeer(_) => false,
         }
     }
 }
 
-/// All connections, and those of them that this host opened to other controllers.
+/// All connections, with an index of those opened to other controllers.
 #[derive(Default)]
 pub struct Connections {
     by_id: HashMap<ConnectionId, Connection>,
@@ -51,23 +53,23 @@
 }
 
 impl Connections {
-    /// Adds a connection that was accepted.
+    /// Adds an accepted connection.
     pub fn add_accepted(&mut self, id: ConnectionId, role: ConnectionRole, now: Nanos) {
-        self.by_id.insert(id, Connection { role, last_heard: now });
+        self.by_id.insert(id, Connection { role, last_received_at: now });
     }
 
     /// Adds a connection that is being opened to a controller.
     pub fn add_outbound(&mut self, id: ConnectionId, to: SocketAddrV4, now: Nanos) {
         self.outbound.insert(to, id);
-        self.by_id.insert(id, Connection { role: ConnectionRole::OutboundPeer(to), last_heard: now });
+        self.by_id.insert(id, Connection { role: ConnectionRole::OutboundPeer(to), last_received_at: now });
     }
 
-    /// A connection, if it is there.
+    /// Returns a connection, if it is known.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.by_id.get_mut(&id)
     }
 
-    /// The HTTP side of a connection, if it is a caller's.
+    /// Returns the HTTP state of a connection, if its role is a caller.
     pub fn http_mut(&mut self, id: ConnectionId) -> Option<&mut HttpServerConnection> {
         match self.by_id.get_mut(&id) {
             Some(Connection { role: ConnectionRole::HttpCaller(http), .. }) => Some(http),
@@ -75,12 +77,12 @@
         }
     }
 
-    /// The connection to a controller, open or being opened.
+    /// Returns the connection to a controller, open or being opened.
     pub fn outbound(&self, to: SocketAddrV4) -> Option<ConnectionId> {
         self.outbound.get(&to).copied()
     }
 
-    /// Removes a connection; nothing is closed.
+    /// Removes a connection without closing it.
     pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.by_id.remove(&id)?;
         if let ConnectionRole::OutboundPeer(to) = connection.role {
@@ -89,13 +91,13 @@
         Some(connection)
     }
 
-    /// Connections that have been silent for too long.
+    /// Returns the connections that have been idle for too long.
     pub fn idle(&self, now: Nanos, contact_timeout: Nanos) -> Vec<ConnectionId> {
         let idle = self.by_id.iter().filter(|(_, connection)| connection.is_idle(now, contact_timeout));
         idle.map(|(id, _)| *id).collect()
     }
 
-    /// All connections.
+    /// Identifiers of all connections.
     pub fn ids(&self) -> impl Iterator<Item = ConnectionId> {
         self.by_id.keys().copied()
     }
--- a/crates/fernknot-controller/src/host/events.rs
+++ b/crates/fernknot-controller/src/host/events.rs
@@ -1,4 +1,4 @@
-//! What comes in over the network, handed to the controller.
+//! Network events, passed to the controller.
 
 use crate::action::{PendingCall, SubscriberId};
 use crate::host::connections::{Connection, ConnectionRole};
@@ -18,7 +18,7 @@
             Event::Accepted { connection, listener, .. } => self.handle_accepted(now, connection, listener),
             Event::Connected { connection } => self.handle_connected(now, connection),
             Event::Received { connection } => self.handle_received(now, connection),
-            // Half a connection is of no use: the replies of callers who close their half are not read.
+            // A half-closed connection is closed: a caller that closes its sending side is not sent a reply.
             Event::ReadClosed { connection } | Event::Closed { connection, .. } => {
                 self.connection_closed(now, connection);
             }
@@ -48,16 +48,16 @@
 
     fn handle_received(&mut self, now: Nanos, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.last_heard = now;
+        connection.last_received_at = now;
         match connection.role {
             ConnectionRole::HttpCaller(_) => self.handle_http_input(id),
             ConnectionRole::InboundInternal(_) => self.handle_internal_input(now, id),
-            // Nothing is sent back on these.
+            // Peers send nothing over connections that this host opened.
             ConnectionRole::OutboundPeer(_) => self.connection_closed(now, id),
         }
     }
 
-    /// A connection has gone, or is of no use any more.
+    /// Closes a connection that was closed by the other end or is no longer needed, and notifies the controller.
     pub(super) fn connection_closed(&mut self, now: Nanos, id: ConnectionId) {
         let Some(connection) = self.connections.remove(id) else { return };
         self.event_loop.close(id);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Reads the next request of a caller, if all of it has come.
+    /// Reads the next request of a caller, if it has been received completely.
     pub(super) fn handle_http_input(&mut self, id: ConnectionId) {
         let now = self.now();
         let Some(http) = self.connections.http_mut(id) else { return };
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Reads all messages that have come from another process of the system.
+    /// Reads all messages received from another process of the system.
     fn handle_internal_input(&mut self, now: Nanos, id: ConnectionId) {
         loop {
             let Some(Connection { role: ConnectionRole::InboundInternal(sender), .. }) =
@@ -117,14 +117,14 @@
                 }
                 Err(error) => {
                     let peer = self.event_loop.peer(id);
-                    log::warn!(target: part::CONNECTIONS, "read from {peer:?}: {error}");
+                    log::warn!(target: part::CONNECTIONS, "closing the connection from {peer:?}: cannot read a message: {error}");
                     return self.connection_closed(now, id);
                 }
             }
         }
     }
 
-    /// A message of a controller; until it has identified itself, all others are ignored.
+    /// Handles a message of a controller. Messages are ignored until the sender has identified itself.
     fn handle_peer_message(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-controller/src/host/limits.rs
+++ b/crates/fernknot-controller/src/host/limits.rs
@@ -1,39 +1,40 @@
-//! Bounds on connections, messages and buffers, by the resources that the settings grant.
+//! Limits on connections, messages and buffers, derived from the resources in the settings.
 
 use fernknot_schema::ProcessSettings;
 
-/// File descriptors that are reserved for the disk and the process itself.
+/// Number of file descriptors reserved for the disk and the process itself.
 pub const RESERVED_DESCRIPTORS: u64 = 200;
-/// The largest configuration, in bytes, where memory is not small.
+/// Maximum size of a configuration, in bytes, if enough memory is available.
 const MAX_CONFIG_BYTES: usize = 8 << 20;
-/// The memory divided by this bounds one configuration: it stands in several buffers at once.
-const MEMORY_PER_CONFIG: usize = 16;
-/// Bytes of a message around the configuration in it.
+/// Divisor of the process memory that gives the size limit of one configuration, which is held in several buffers at
+/// once.
+const CONFIG_MEMORY_DIVISOR: usize = 16;
+/// Size of a message in addition to the configuration in it, in bytes.
 const MESSAGE_OVERHEAD_BYTES: usize = 64 * 1024;
-/// Bytes of the length in front of a message.
+/// Size of the length prefix of a message, in bytes.
 const MESSAGE_LENGTH_BYTES: usize = 4;
-/// Bytes that may wait for a receiver beyond two of the largest messages: one with more does not read, and is
-/// disconnected.
+/// Pending output allowed in addition to two messages of maximum size, in bytes. A receiver with more does not read,
+/// and is disconnected.
 const OUTPUT_SLACK_BYTES: usize = 1 << 20;
-/// Bytes of a message from a sender that has not identified itself.
+/// Maximum size of a message from a sender that has not identified itself, in bytes.
 pub const MAX_UNIDENTIFIED_MESSAGE_BYTES: usize = MESSAGE_OVERHEAD_BYTES;
 
-/// The bounds of one host.
+/// Limits of one host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostLimits {
-    /// Connections of all kinds at once.
+    /// Maximum number of connections of all kinds.
     pub max_connections: usize,
-    /// Bytes of one configuration.
+    /// Maximum size of a configuration, in bytes.
     pub max_config_bytes: usize,
-    /// Bytes of one message from another controller.
+    /// Maximum size of a message from another controller, in bytes.
     pub max_message_bytes: usize,
 }
 
 impl HostLimits {
-    /// The bounds that follow from the settings, which have been checked.
+    /// Derives the limits from checked settings.
     pub fn new(settings: &ProcessSettings) -> HostLimits {
         let memory_bytes = (settings.limits.memory_mb * (1 << 20) as f64) as usize;
-        let max_config_bytes = MAX_CONFIG_BYTES.min(memory_bytes / MEMORY_PER_CONFIG);
+        let max_config_bytes = MAX_CONFIG_BYTES.min(memory_bytes / CONFIG_MEMORY_DIVISOR);
         HostLimits {
             max_connections: (settings.limits.fd_limit - RESERVED_DESCRIPTORS) as usize,
             max_config_bytes,
@@ -41,12 +42,12 @@
         }
     }
 
-    /// Bytes that are read ahead on one connection.
+    /// Maximum number of bytes to read ahead on one connection.
     pub fn read_ahead_bytes(&self) -> usize {
         self.max_message_bytes + MESSAGE_LENGTH_BYTES
     }
 
-    /// Bytes that may wait to be written on one connection.
+    /// Maximum number of bytes pending to be written on one connection.
     pub fn max_output_bytes(&self) -> usize {
         2 * self.max_message_bytes + OUTPUT_SLACK_BYTES
     }
--- a/crates/fernknot-controller/src/host/mod.rs
+++ b/crates/fernknot-controller/src/host/mod.rs
@@ -1,8 +1,8 @@
 //! The host of the program: sockets, clock, signals, settings file and disk around one
 //! [`Controller`](crate::Controller).
 //!
-//! `state` holds [`Host`]; `events` hands inputs to the controller, `actions` carries out what it asks for, and `run`
-//! is the loop around both.
+//! `state` defines [`Host`], `events` passes inputs to the controller, `actions` executes its actions, and `run` is
+//! the main loop.
 
 mod actions;
 mod connections;
--- a/crates/fernknot-controller/src/host/run.rs
+++ b/crates/fernknot-controller/src/host/run.rs
@@ -1,19 +1,19 @@
-//! The loop of the host.
+//! The main loop of the host.
 
 use crate::host::settings::{contact_timeout, duration, seed_addrs, settings_check_interval};
 use crate::host::state::Host;
 use fernknot::interface::Nanos;
 use fernknot_telemetry::part;
 
-/// The share of the grace period within which a requested stop is carried out.
+/// Time limit of a requested stop, as a share of the grace period.
 const SHUTDOWN_GRACE_SHARE: f64 = 0.25;
-/// While a write is pending, the disk is looked at in this share of the apply deadline.
+/// Interval between polls of the disk while a write is pending, as a share of the apply deadline.
 const DISK_POLL_SHARE: f64 = 1.0 / 12.0;
-/// The share of what is left until the shutdown ends for which one wait lasts at most.
+/// Maximum duration of one wait during the shutdown, as a share of the remaining time.
 const CLOSE_WAIT_SHARE: f64 = 0.2;
 
 impl Host {
-    /// Runs until a requested stop has been carried out.
+    /// Runs until a requested stop is complete.
     pub fn run(&mut self) {
         let mut events = Vec::new();
         loop {
@@ -38,7 +38,7 @@
 
     fn check_signals(&mut self, now: Nanos) {
         if self.signals.take_stop_request() && self.shutdown_deadline.is_none() {
-            log::info!(target: part::PROCESS, "stop requested");
+            log::info!(target: part::PROCESS, "stop requested; shutting down");
             let grace_period = Nanos::from_millis(self.settings.bounds.grace_s * 1000.0);
             self.shutdown_deadline = Some(now + grace_period.times(SHUTDOWN_GRACE_SHARE));
             self.controller.begin_shutdown(now);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Learns the seeds that the settings file names now, if it has been modified.
+    /// Adds the seeds of the settings file, if the file has been modified.
     fn reload_settings(&mut self, now: Nanos) {
         self.next_settings_check = now + settings_check_interval(&self.settings);
         if !self.settings_file.take_modified() {
@@ -56,7 +56,7 @@
         }
         let Some(settings) = self.settings_file.reload() else { return };
         if settings.seeds != self.settings.seeds {
-            log::info!(target: part::SETTINGS, "{} seeds are named now", settings.seeds.len());
+            log::info!(target: part::SETTINGS, "seeds changed, now {} in the settings file", settings.seeds.len());
         }
         let seeds = seed_addrs(&settings);
         self.controller.add_seeds(now, &seeds);
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Closes connections that have been silent for too long. Without a majority, learns the controllers that neither
-    /// settings nor members name but neighbours may know.
+    /// Closes idle connections. Without a majority, also adds controllers that are known only to neighbours, as
+    /// neither the settings nor the members name them.
     fn close_idle_connections(&mut self, now: Nanos) {
         let contact_timeout = contact_timeout(&self.settings);
         self.next_sweep = now + contact_timeout;
@@ -100,18 +100,18 @@
         }
     }
 
-    /// Sends what has been replied; then the sockets close.
+    /// Stops listening, and waits until pending replies are sent or the time limit is reached.
     fn close(&mut self) {
         self.event_loop.stop_listening(self.control_listener);
         self.event_loop.stop_listening(self.internal_listener);
         let mut events = Vec::new();
         let deadline = self.now() + Nanos::from_millis(self.settings.bounds.loss_slack_ms);
         while self.has_pending_output() && self.now() < deadline {
-            let left = deadline - self.now();
-            self.event_loop.poll(Some(duration(left.times(CLOSE_WAIT_SHARE))), &mut events);
+            let remaining = deadline - self.now();
+            self.event_loop.poll(Some(duration(remaining.times(CLOSE_WAIT_SHARE))), &mut events);
             events.clear();
         }
-        log::info!(target: part::PROCESS, "stopped");
+        log::info!(target: part::PROCESS, "controller stopped");
     }
 
     fn has_pending_output(&self) -> bool {
--- a/crates/fernknot-controller/src/host/settings.rs
+++ b/crates/fernknot-controller/src/host/settings.rs
@@ -1,4 +1,4 @@
-//! What a controller needs of the process settings, and what follows from them.
+//! Requirements of a controller on the process settings, and values derived from them.
 
 use crate::host::limits::RESERVED_DESCRIPTORS;
 use crate::settings::ControllerSettings;
@@ -9,16 +9,16 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// File descriptors that are needed beyond the reserved ones.
+/// Minimum number of file descriptors in addition to the reserved ones.
 const MIN_CONNECTIONS: u64 = 65;
-/// The settings file is looked at every so many heartbeat intervals.
-const SETTINGS_CHECK_HEARTBEATS: f64 = 2.0;
+/// Interval between checks of the settings file, in heartbeat intervals.
+const SETTINGS_CHECK_HEARTBEAT_INTERVALS: f64 = 2.0;
 
-/// Something that a controller needs beyond what the settings' own checks ask for.
+/// A setting that is valid by itself but not suitable for a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnsuitableSetting {
-    /// `bind_addrs.control_addr` is missing: nodes and operators call there.
-    #[error("bind_addrs.control_addr: is missing; a controller is called there")]
+    /// `bind_addrs.control_addr` is missing, the address for calls of nodes and operators.
+    #[error("bind_addrs.control_addr: is missing; nodes and operators call a controller at this address")]
     NoControlAddr,
     /// `port_range` has fewer than two ports.
     #[error("port_range: has fewer than two ports")]
@@ -26,34 +26,34 @@
     /// `limits.fd_limit` is too low.
     #[error("limits.fd_limit: is under {minimum}")]
     TooFewDescriptors {
-        /// The lowest value that will do.
+        /// Lowest suitable value.
         minimum: u64,
     },
 }
 
-/// All that makes the settings unsuitable for a controller.
+/// All settings that are not suitable for a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnsuitableSettings(pub Vec<UnsuitableSetting>);
 
 impl UnsuitableSettings {
-    /// A sentence for each fault, which begins with its place in the file.
-    pub fn sentences(&self) -> Vec<String> {
+    /// Returns a message for each unsuitable setting, which begins with its path in the file.
+    pub fn messages(&self) -> Vec<String> {
         self.0.iter().map(ToString::to_string).collect()
     }
 }
 
 impl Display for UnsuitableSettings {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.sentences().join("; "))
+        formatter.write_str(&self.messages().join("; "))
     }
 }
 
 impl Error for UnsuitableSettings {}
 
-/// Checks what a controller can't do without.
+/// Checks the requirements of a controller.
 ///
 /// # Errors
-/// Everything that is missing.
+/// All unsuitable settings.
 pub fn check_settings(settings: &ProcessSettings) -> Result<(), UnsuitableSettings> {
     let mut faults = Vec::new();
     if settings.bind_addrs.control_addr.is_none() {
@@ -69,17 +69,17 @@
     if faults.is_empty() { Ok(()) } else { Err(UnsuitableSettings(faults)) }
 }
 
-/// Where a controller listens for other processes of the system: at the second port of the range.
+/// Returns the address at which a controller listens for other processes of the system: the second port of the range.
 fn internal_addr(ip: Ipv4Addr, settings: &ProcessSettings) -> SocketAddrV4 {
     SocketAddrV4::new(ip, settings.port_range.first + 1)
 }
 
-/// The internal addresses of the controllers that the settings name.
+/// Returns the internal addresses of the controllers listed in the settings.
 pub fn seed_addrs(settings: &ProcessSettings) -> Vec<SocketAddrV4> {
     settings.seeds.iter().map(|seed| internal_addr(*seed.ip(), settings)).collect()
 }
 
-/// The settings of the controller itself. `seed` must differ from start to start and from machine to machine.
+/// Returns the settings of the controller itself. `seed` must differ between any two starts, on any machines.
 pub fn controller_settings(settings: &ProcessSettings, seed: u64) -> ControllerSettings {
     ControllerSettings {
         addr: internal_addr(settings.ip, settings),
@@ -95,22 +95,22 @@
     }
 }
 
-/// The interval at which the settings file is looked at.
+/// Returns the interval between checks of the settings file.
 pub fn settings_check_interval(settings: &ProcessSettings) -> Nanos {
-    heartbeat_interval(settings).times(SETTINGS_CHECK_HEARTBEATS)
+    heartbeat_interval(settings).times(SETTINGS_CHECK_HEARTBEAT_INTERVALS)
 }
 
-/// The usual interval between two heartbeats of a node.
+/// Returns the nominal interval between two heartbeats of a node.
 fn heartbeat_interval(settings: &ProcessSettings) -> Nanos {
     Nanos::from_millis(settings.heartbeat_interval_ms)
 }
 
-/// How long machines that are out of reach are waited for.
+/// Returns the time after which an unreachable machine is considered failed.
 pub fn contact_timeout(settings: &ProcessSettings) -> Nanos {
     Nanos::from_millis(settings.bounds.contact_ms)
 }
 
-/// The same span for the standard library.
+/// Converts a duration to the type of the standard library.
 pub fn duration(nanos: Nanos) -> Duration {
     Duration::from_nanos(nanos.0)
 }
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -1,4 +1,4 @@
-//! The state of the host, and how it is created.
+//! State of the host, and its construction.
 
 use crate::controller::Controller;
 use crate::disk::Disk;
@@ -18,12 +18,12 @@
 use fernknot_telemetry::part;
 use std::net::SocketAddrV4;
 
-/// Partial views are shuffled once in so many contact timeouts, as at the gateways.
-const SHUFFLE_CONTACTS: f64 = 2.0;
-/// The share of the apply deadline after which a pending write makes the disk unhealthy.
+/// Period of the partial view shuffles, in contact timeouts; the same as on gateways.
+const SHUFFLE_PERIOD_CONTACT_TIMEOUTS: f64 = 2.0;
+/// Age of a pending write above which the disk is unhealthy, as a share of the apply deadline.
 const WRITE_TIMEOUT_SHARE: f64 = 1.0 / 6.0;
 
-/// The program: one controller, and all that connects it to the system.
+/// Host of one controller: its sockets, clock, signals and disk.
 pub struct Host {
     pub(super) settings: ProcessSettings,
     pub(super) settings_file: SettingsFile,
@@ -40,7 +40,7 @@
     pub(super) disk: Disk,
     pub(super) shuffle: ShuffleProtocol,
     pub(super) next_sweep: Nanos,
-    /// Once a stop was requested: when to end whatever is pending.
+    /// Time at which a requested stop ends the process, whatever is pending; None before a stop is requested.
     pub(super) shutdown_deadline: Option<Nanos>,
 }
 
@@ -52,7 +52,7 @@
         incarnation: settings.seed,
         age_ms: 0,
     };
-    let period = settings.contact_timeout.times(SHUFFLE_CONTACTS);
+    let period = settings.contact_timeout.times(SHUFFLE_PERIOD_CONTACT_TIMEOUTS);
     ShuffleProtocol::new(own, &settings.seeds, period, settings.seed)
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Where nodes and operators call; checked settings name it.
+/// Returns the address for calls of nodes and operators, which checked settings contain.
 fn control_addr(settings: &ProcessSettings) -> SocketAddrV4 {
     settings.bind_addrs.control_addr.unwrap_or(SocketAddrV4::new(settings.ip, 0))
 }
@@ -86,11 +86,11 @@
 }
 
 impl Host {
-    /// Listens, and begins to read the disk. `settings` are those of `settings_file`; `seed` must differ from start to
-    /// start and from machine to machine.
+    /// Opens the listeners and starts to read the disk. `settings` are those of `settings_file`; `seed` must differ
+    /// between any two starts, on any machines.
     ///
     /// # Errors
-    /// Where the settings lack what a controller needs, or the system refuses it.
+    /// If the settings lack something that a controller needs, or a system call fails.
     pub fn new(
         settings: ProcessSettings,
         settings_file: SettingsFile,
@@ -129,12 +129,12 @@
 
     fn start_without_disk(&mut self) {
         if self.disk.is_absent() {
-            log::warn!(target: part::STORAGE, "there is none: the state ends with the process");
+            log::warn!(target: part::STORAGE, "no data directory is configured; the control state is lost when the process ends");
             self.controller.disk_loaded(Nanos(0), None, &[], true);
         }
     }
 
-    /// The time since the start of the host.
+    /// Returns the time since the start of the host.
     pub(super) fn now(&self) -> Nanos {
         self.clock.now()
     }
--- a/crates/fernknot-controller/src/lib.rs
+++ b/crates/fernknot-controller/src/lib.rs
@@ -1,11 +1,11 @@
-//! The control plane of fernknot. A [`Controller`] keeps the operator's routing configuration together with the other
-//! controllers, knows the nodes by their heartbeats, assigns singleton roles to gateways, and publishes all of it to
-//! the gateways that subscribe.
+//! The control plane of fernknot. A [`Controller`] replicates the operator's routing configuration with the other
+//! controllers, tracks nodes by their heartbeats, assigns singleton roles to gateways, and publishes all three to the
+//! gateways that subscribe.
 //!
-//! The package owns the control state, the registry of nodes as a controller sees it, and the program
-//! `fernknot-controller`. A [`Controller`] has no socket, file or clock: the program's [`host`], and in tests the
-//! simulator, hand it inputs with the time and take [`Action`]s until there are none. Nodes and operators call it over
-//! HTTP, gateways and other controllers over `fernknot-rpc`.
+//! The package owns the control state, the controller's registry of nodes, and the program `fernknot-controller`. A
+//! [`Controller`] performs no I/O and reads no clock: its host (the program's [`host`], or the simulator in tests)
+//! passes it inputs with the current time and polls it for [`Action`]s until none are left. Nodes and operators call
+//! it over HTTP, gateways and other controllers over `fernknot-rpc`.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `fernknot-controller`: one member of the system's control plane.
+//! The program `fernknot-controller`: one member of the control plane.
 
 use fernknot_controller::host::{Host, check_settings};
 use fernknot_net::process::{Command, Program, SettingsFile, init_log};
@@ -7,16 +7,16 @@
 use std::hash::{BuildHasher, Hasher};
 use std::process::ExitCode;
 
-const HELP: &str = "fernknot-controller: one controller, which knows the nodes and keeps the configuration
+const HELP: &str = "fernknot-controller: a member of the control plane; tracks the nodes and stores the routing configuration
 
 usage: fernknot-controller [--check] [--help] [--version]
 
-  --check    reads the settings, names every fault, and ends
+  --check    validates the settings, reports every error, and exits
 
-FERNKNOT_CONFIG  path of the settings, JSON
+FERNKNOT_CONFIG  path of the settings file (JSON)
 FERNKNOT_LOG     error, warn, info (the default), debug or trace
 
-Exit codes: 0 after a requested stop, 1 where the system refuses what is needed, 2 for bad settings or usage.";
+Exit codes: 0 after a requested stop, 1 if a system call fails at start, 2 for invalid settings or usage.";
 
 const PROGRAM: Program =
     Program { name: "fernknot-controller", version: env!("CARGO_PKG_VERSION"), help: HELP };
@@ -29,7 +29,7 @@
     let command = PROGRAM.parse_command_line()?;
     let settings_file = SettingsFile::from_env();
     let check =
-        |settings: &ProcessSettings| check_settings(settings).map_err(|unsuitable| unsuitable.sentences());
+        |settings: &ProcessSettings| check_settings(settings).map_err(|unsuitable| unsuitable.messages());
     let settings = settings_file.load_or_report(check)?;
     if command == Command::Check {
         return Ok(ExitCode::SUCCESS);
@@ -42,19 +42,19 @@
 fn serve(settings: ProcessSettings, settings_file: SettingsFile, seed: u64) -> ExitCode {
     match Host::new(settings, settings_file, seed) {
         Ok(mut host) => {
-            log::info!(target: part::PROCESS, "started");
+            log::info!(target: part::PROCESS, "controller started");
             host.run();
             ExitCode::SUCCESS
         }
         Err(error) => {
-            log::error!(target: part::PROCESS, "{error}");
+            log::error!(target: part::PROCESS, "cannot start the controller: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// A seed from the system's random numbers, the address and the process: no two incarnations have the same, on whatever
-/// machines.
+/// Returns a seed derived from the system's random numbers, the address and the process identifier, so that two
+/// incarnations never share one, even across machines.
 fn random_seed(settings: &ProcessSettings) -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u32(u32::from(settings.ip));
--- a/crates/fernknot-controller/src/node_registry.rs
+++ b/crates/fernknot-controller/src/node_registry.rs
@@ -1,4 +1,4 @@
-//! The nodes that are known here, and which of their changes other processes have yet to be sent.
+//! Known nodes, and the updates that peers and subscribers have yet to be sent.
 
 use fernknot::interface::Nanos;
 use fernknot_registry::{
@@ -7,17 +7,18 @@
 };
 use std::collections::BTreeSet;
 
-/// The registry of nodes together with the progress of its replication to peers and subscribers.
+/// Registry of nodes, with the progress of its replication to peers and subscribers.
 pub struct NodeRegistry {
     registry: Registry,
-    /// The version of the registry that subscribers have been sent.
+    /// Version of the registry that was last sent to subscribers.
     published_version: u64,
-    /// Incarnations of which the other controllers are to be sent an update: they changed first here, or are leaving.
+    /// Incarnations whose records the other controllers are to be sent: first changed at this controller, or leaving.
     unannounced: BTreeSet<String>,
 }
 
 impl NodeRegistry {
-    /// Knows no node; `heartbeat_interval` is the usual interval between two heartbeats of one.
+    /// Creates a registry without nodes. `heartbeat_interval` is the nominal interval between two heartbeats of a
+    /// node.
     pub fn new(heartbeat_interval: Nanos) -> NodeRegistry {
         NodeRegistry {
             registry: Registry::new(heartbeat_interval, RegistryLimits::default()),
@@ -26,7 +27,7 @@
         }
     }
 
-    /// A node sent a heartbeat to this controller.
+    /// Records a heartbeat that a node sent to this controller.
     pub fn record_heartbeat(&mut self, now: Nanos, record: NodeRecord) -> CallOutcome {
         let id = record.id.clone();
         let outcome = self.registry.record_heartbeat(now, record);
@@ -34,7 +35,7 @@
         outcome
     }
 
-    /// A node ended, and said so to this controller.
+    /// Records a deregistration that a node sent to this controller.
     pub fn deregister(&mut self, now: Nanos, id: &str) -> CallOutcome {
         let outcome = self.registry.deregister(now, id);
         self.announce_update(id.to_string(), outcome);
@@ -47,15 +48,15 @@
         }
     }
 
-    /// Has the other controllers sent the record of a node, whether it changed here or not.
+    /// Schedules the record of a node to be sent to the other controllers, whether it changed here or not.
     pub fn announce(&mut self, id: String) {
         self.unannounced.insert(id);
     }
 
-    /// Another controller sent records; returns how many changed something here.
+    /// Merges records that another controller sent. Returns the number of records that changed.
     ///
-    /// That a node leaves is passed on once by each controller that learns of it. This guards against a partition in
-    /// one direction between the sender and a third controller, where nodes and gateways reach both.
+    /// Records of leaving nodes are forwarded once by each controller that learns of them, so that they also reach a
+    /// third controller to which the sender is partitioned in one direction while nodes and gateways can reach both.
     pub fn merge_from_peer(&mut self, now: Nanos, records: &[NodeRecord]) -> usize {
         let before = self.registry.version();
         let changed = self.registry.merge_reported(now, records);
@@ -65,17 +66,17 @@
         changed
     }
 
-    /// Another controller heard heartbeats of these incarnations. Returns those that are not known here.
+    /// Records that another controller received heartbeats of these incarnations. Returns the unknown ones.
     pub fn record_peer_heartbeats(&mut self, now: Nanos, hashes: &[IncarnationHash]) -> Vec<IncarnationHash> {
         self.registry.record_peer_heartbeats(now, hashes)
     }
 
-    /// The records of those among these incarnations that are known here.
+    /// Records of these incarnations, without the unknown ones.
     pub fn records_of(&self, hashes: &[IncarnationHash]) -> Vec<NodeRecord> {
         self.registry.records_of(hashes)
     }
 
-    /// Records that the other controllers are to be sent now. None where nothing has changed.
+    /// Takes the records to send to the other controllers; None if nothing has changed.
     pub fn take_announcement(&mut self) -> Option<Vec<NodeRecord>> {
         if self.unannounced.is_empty() {
             return None;
@@ -85,7 +86,7 @@
         Some(self.registry.records_of(&hashes))
     }
 
-    /// Records that changed since subscribers were last sent some. None where there are none.
+    /// Takes the records that changed since the last call, to be sent to subscribers; None if there are none.
     pub fn take_unpublished(&mut self) -> Option<Vec<NodeRecord>> {
         if self.registry.version() == self.published_version {
             return None;
@@ -96,27 +97,27 @@
         (!records.is_empty()).then_some(records)
     }
 
-    /// Incarnations whose heartbeats came here since this was last asked.
+    /// Takes the incarnations whose heartbeats this controller received since the last call.
     pub fn take_heartbeats(&mut self, now: Nanos) -> Vec<IncarnationHash> {
         self.registry.take_unreported(now)
     }
 
-    /// Missing heartbeats mean nothing up to now: every node gets a full span again.
+    /// Restarts the liveness timeout of every node, because heartbeats may have been missed up to now.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.registry.reset_liveness(now);
     }
 
-    /// Marks nodes as lost whose heartbeats have stopped; returns how many.
+    /// Marks nodes as lost whose heartbeats have stopped. Returns their number.
     pub fn expire(&mut self, now: Nanos) -> usize {
         self.registry.expire(now)
     }
 
-    /// How many nodes are up.
+    /// Number of nodes that are up.
     pub fn up_count(&self) -> usize {
         self.registry.up_count()
     }
 
-    /// All records, with the version that they make up.
+    /// All records, with the version of the registry that they represent.
     pub fn snapshot(&self) -> VersionedRecords {
         self.registry.snapshot()
     }
--- a/crates/fernknot-controller/src/peers.rs
+++ b/crates/fernknot-controller/src/peers.rs
@@ -1,34 +1,34 @@
-//! The other controllers: where they may be, and the one connection to each.
+//! Known addresses of the other controllers, and the one connection to each.
 
 use fernknot::interface::Nanos;
 use fernknot_rpc::ControllerEndpoint;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Addresses that are remembered; the one unheard for the longest goes first.
+/// Maximum number of known addresses; the one without a message for the longest time is evicted first.
 const MAX_KNOWN_PEERS: usize = 32;
 
-/// The state of the connection to a controller.
+/// State of the connection to a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
-    /// To be opened at `retry_at`, after a backoff of so long.
+    /// Closed, to be opened at `retry_at`, after a delay of `backoff`.
     Down { retry_at: Nanos, backoff: Nanos },
-    /// Aborted at `deadline` if nothing answers.
+    /// Being opened; aborted at `deadline` if there is no response.
     Connecting { since: Nanos, deadline: Nanos },
     /// Open.
     Up,
 }
 
-/// One of the other controllers.
+/// Another controller.
 #[derive(Clone, Debug)]
 struct Peer {
     link: LinkState,
-    /// Its failure domain, as it said itself.
+    /// Failure domain, as the controller reported it.
     zone: Option<String>,
-    last_heard: Option<Nanos>,
+    last_received_at: Option<Nanos>,
 }
 
-/// All other controllers whose addresses have been learnt.
+/// All other controllers with known addresses.
 #[derive(Debug)]
 pub struct Peers {
     local_addr: SocketAddrV4,
@@ -38,17 +38,18 @@
     connect_timeout: Nanos,
 }
 
-/// What is to be done about a connection.
+/// Action to take on a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LinkAction {
     /// Open a connection.
     Connect(SocketAddrV4),
-    /// Stop opening the connection.
+    /// Abort the attempt to open a connection.
     AbortConnect(SocketAddrV4),
 }
 
 impl Peers {
-    /// Knows nobody; `suspicion_timeout` is how long a controller that is not heard is waited for.
+    /// Creates a table without peers. `suspicion_timeout` is the time without a message after which a controller is
+    /// considered failed.
     pub fn new(local_addr: SocketAddrV4, suspicion_timeout: Nanos) -> Peers {
         Peers {
             local_addr,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Learns an address. True where it is new.
+    /// Adds an address. Returns true if it is new.
     pub fn add(&mut self, now: Nanos, addr: SocketAddrV4) -> bool {
         if addr == self.local_addr || self.known.contains_key(&addr) {
             return false;
@@ -68,29 +69,30 @@
             return false;
         }
         let link = LinkState::Down { retry_at: now, backoff: self.initial_backoff };
-        self.known.insert(addr, Peer { link, zone: None, last_heard: None });
+        self.known.insert(addr, Peer { link, zone: None, last_received_at: None });
         true
     }
 
-    /// Forgets the address that has been unheard for the longest, among those without a connection. False where there
-    /// is none.
+    /// Removes the address without a message for the longest time, among those without a connection. Returns false if
+    /// there is none.
     fn evict_oldest(&mut self) -> bool {
         let not_up = self.known.iter().filter(|(_, peer)| peer.link != LinkState::Up);
-        let oldest = not_up.min_by_key(|(_, peer)| peer.last_heard).map(|(addr, _)| *addr);
+        let oldest = not_up.min_by_key(|(_, peer)| peer.last_received_at).map(|(addr, _)| *addr);
         oldest.is_some_and(|addr| self.known.remove(&addr).is_some())
     }
 
-    /// It sent something. Where it named its zone it has just started or connected: a connection to it is worth an
-    /// attempt at once.
-    pub fn record_heard(&mut self, now: Nanos, addr: SocketAddrV4, zone: Option<&str>) {
+    /// Records a message from a controller. A message that names its zone shows that the controller has just started
+    /// or connected, so a connection to it is attempted without further delay.
+    pub fn record_message(&mut self, now: Nanos, addr: SocketAddrV4, zone: Option<&str>) {
         let Some(peer) = self.known.get_mut(&addr) else { return };
-        peer.last_heard = Some(now);
+        peer.last_received_at = Some(now);
         let Some(zone) = zone else { return };
         peer.zone = Some(zone.to_string());
         match &mut peer.link {
             LinkState::Down { retry_at, .. } => *retry_at = now,
-            // Begun while it had no power: its first packet is lost and is sent again after a second. Guards the
-            // return of all at once, when each begins before the others are there.
+            // The attempt may have begun before the machine was running: its first packet is then lost, and TCP
+            // retransmits it only after a second. An earlier deadline avoids that delay when all controllers start at
+            // the same time.
             LinkState::Connecting { since, deadline } => {
                 *deadline = (*deadline).min((*since + self.initial_backoff).max(now));
             }
@@ -98,29 +100,30 @@
         }
     }
 
-    /// The connection to it is up.
+    /// Records that the connection to a controller is open.
     pub fn link_opened(&mut self, addr: SocketAddrV4) {
         if let Some(peer) = self.known.get_mut(&addr) {
             peer.link = LinkState::Up;
         }
     }
 
-    /// The connection to it has gone, or never came up: another attempt follows after a backoff.
+    /// Records that the connection to a controller was closed or not established. The next attempt follows after a
+    /// backoff.
     pub fn link_closed(&mut self, now: Nanos, addr: SocketAddrV4) {
         let (initial, max) = (self.initial_backoff, self.max_backoff);
         let Some(peer) = self.known.get_mut(&addr) else { return };
-        let heard_lately = peer.last_heard.is_some_and(|heard| now - heard < max);
+        let received_recently = peer.last_received_at.is_some_and(|received_at| now - received_at < max);
         let backoff = match peer.link {
             LinkState::Down { backoff, .. } => backoff,
             LinkState::Up => initial,
-            LinkState::Connecting { .. } if heard_lately => initial.times(2.0),
-            // What never answered is tried ever less.
+            LinkState::Connecting { .. } if received_recently => initial.times(2.0),
+            // Without a recent message, the delay grows with the duration of the failed attempt.
             LinkState::Connecting { since, .. } => (now - since).times(2.0).max(initial.times(4.0)).min(max),
         };
         peer.link = LinkState::Down { retry_at: now + backoff, backoff };
     }
 
-    /// What is to be done now, one at a time.
+    /// Returns the next action that is due, or None if there is none.
     pub fn poll_action(&mut self, now: Nanos) -> Option<LinkAction> {
         for (addr, peer) in &mut self.known {
             match peer.link {
@@ -128,11 +131,12 @@
                     peer.link = LinkState::Connecting { since: now, deadline: now + self.connect_timeout };
                     return Some(LinkAction::Connect(*addr));
                 }
-                // A machine without power, or behind a partition, gives no answer at all.
+                // A machine that is switched off, or behind a network partition, sends no response at all.
                 LinkState::Connecting { deadline, .. } if now >= deadline => {
-                    let heard_lately =
-                        peer.last_heard.is_some_and(|heard| now - heard < self.connect_timeout);
-                    let wait = if heard_lately { Nanos(0) } else { self.initial_backoff };
+                    let received_recently = peer
+                        .last_received_at
+                        .is_some_and(|received_at| now - received_at < self.connect_timeout);
+                    let wait = if received_recently { Nanos(0) } else { self.initial_backoff };
                     peer.link = LinkState::Down { retry_at: now + wait, backoff: self.initial_backoff };
                     return Some(LinkAction::AbortConnect(*addr));
                 }
@@ -142,7 +146,7 @@
         None
     }
 
-    /// When a connection has to be opened, or its opening to be aborted.
+    /// Returns the time at which the next connection is to be opened or aborted.
     pub fn next_timeout(&self) -> Option<Nanos> {
         let times = self.known.values().filter_map(|peer| match peer.link {
             LinkState::Down { retry_at, .. } => Some(retry_at),
@@ -152,17 +156,17 @@
         times.min()
     }
 
-    /// Whether a connection to it is up.
+    /// Whether a connection to the controller is open.
     pub fn is_connected(&self, addr: SocketAddrV4) -> bool {
         self.known.get(&addr).is_some_and(|peer| peer.link == LinkState::Up)
     }
 
-    /// Those to which a connection is up.
+    /// Addresses of the controllers to which a connection is open.
     pub fn connected(&self) -> Vec<SocketAddrV4> {
         self.connected_peers().map(|(addr, _)| addr).collect()
     }
 
-    /// The same, where they have said which zone they are in.
+    /// Addresses and zones of the connected controllers whose zones are known.
     pub fn connected_endpoints(&self) -> impl Iterator<Item = ControllerEndpoint> {
         self.connected_peers()
             .filter_map(|(addr, peer)| Some(ControllerEndpoint { addr, zone: peer.zone.clone()? }))
@@ -173,7 +177,7 @@
         up.map(|(addr, peer)| (*addr, peer))
     }
 
-    /// All addresses that have been learnt and are remembered.
+    /// All known addresses.
     pub fn known_addrs(&self) -> Vec<SocketAddrV4> {
         self.known.keys().copied().collect()
     }
--- a/crates/fernknot-controller/src/pending_changes.rs
+++ b/crates/fernknot-controller/src/pending_changes.rs
@@ -1,4 +1,4 @@
-//! The changes of the routing configuration that are pending here, from the call until there is an outcome.
+//! Pending changes of the routing configuration, from the call to its outcome.
 
 use crate::calls::{ChangeOutcome, ReplaceConfig, status};
 use crate::change::{ChangeAssessment, ChangeStage, ConfigChange, RequestOrigin, assess_change};
@@ -9,74 +9,75 @@
 use fernknot_rpc::ControllerMessage;
 use std::net::SocketAddrV4;
 
-/// Changes pending at once. Operators have up to eight under way, and a repeat of each may be pending here and at
-/// another controller; what exceeds the limit is rejected with 503.
+/// Maximum number of pending changes. Operators have up to eight in flight, and a retry of each may be pending here
+/// and at another controller; changes above the limit are rejected with 503.
 const MAX_PENDING_CHANGES: usize = 24;
-/// Bytes of all pending configurations together.
+/// Maximum size of all pending configurations together, in bytes.
 const MAX_PENDING_BYTES: usize = 64 << 20;
-/// A leader that would not decide is asked again after this.
+/// Delay before a change that the leader left undecided is tried again.
 const RETRY_DELAY: Nanos = Nanos(50_000_000);
-/// Versions that are remembered under the seeded bug `ForgetHistoryEarly`.
+/// Length of the history under the seeded bug `ForgetHistoryEarly`.
 const SEEDED_HISTORY_LENGTH: usize = 2;
 
-/// Who leads the view, as far as it is known here.
+/// Leader of the view, as known to this controller.
 #[derive(Clone, Copy, Debug)]
 pub struct Leadership {
-    /// This controller leads.
+    /// Whether this controller leads.
     pub is_local: bool,
-    /// Another controller leads, and a connection to it is up.
+    /// Address of the leader, if it is another controller to which a connection is up.
     pub remote: Option<SocketAddrV4>,
 }
 
-/// A state to be proposed to the consensus member.
+/// A control state to propose to the consensus member.
 #[derive(Debug)]
 pub struct Proposal {
-    /// The number of the change.
+    /// Number of the change.
     pub change_id: u64,
-    /// The revision on which the state builds.
+    /// Revision on which the state builds.
     pub base: Revision,
-    /// The control state, encoded.
+    /// Encoded control state.
     pub state: Vec<u8>,
 }
 
-/// What has to be done about the pending changes, in this order.
+/// Steps that the pending changes require, to be carried out in the order of the fields.
 #[derive(Debug, Default)]
 pub struct ChangeSteps {
-    /// Changes with an outcome, which are pending no longer.
+    /// Changes that have an outcome and are no longer pending.
     pub finished: Vec<(RequestOrigin, ChangeOutcome)>,
-    /// Messages that forward changes to the leader.
+    /// Messages that forward changes, each with the address of the leader.
     pub forwarded: Vec<(SocketAddrV4, ControllerMessage)>,
-    /// Changes that a majority has to be asked about, with their deadlines.
-    pub doubtful: Vec<(u64, Nanos)>,
-    /// What this controller proposes as the leader.
+    /// Numbers and deadlines of the changes whose rejection a majority has to confirm.
+    pub awaiting_quorum: Vec<(u64, Nanos)>,
+    /// Proposal of this controller, if it leads.
     pub proposal: Option<Proposal>,
 }
 
-/// The next step of one change.
+/// Next step of one change.
 enum NextStep {
-    /// It stays queued.
+    /// Keep the change queued.
     Wait,
-    /// It has an outcome.
+    /// Finish the change with this outcome.
     Finish(ChangeOutcome),
-    /// This controller proposes it.
+    /// Propose the change from this controller.
     Propose,
-    /// A majority has to confirm what speaks against it.
+    /// Ask a majority to confirm the state that conflicts with the change.
     AskQuorum,
-    /// It goes to the leader at this address.
+    /// Forward the change to the leader at this address.
     Forward(SocketAddrV4),
 }
 
-/// All pending changes, in the order in which they came.
+/// Queue of pending changes, in order of arrival.
 #[derive(Debug, Default)]
 pub struct PendingChanges {
     changes: Vec<ConfigChange>,
     last_id: u64,
-    /// Seeded bug: little is remembered, and what is forgotten is rejected.
+    /// Seeded bug: the history is short, and changes older than it are rejected.
     forgets_early: bool,
 }
 
 impl PendingChanges {
-    /// No change is pending. `forgets_early` is a seeded bug: little is remembered, and what is forgotten is rejected.
+    /// Creates an empty queue. `forgets_early` is a seeded bug: the history is short, and changes older than it are
+    /// rejected.
     pub fn new(forgets_early: bool) -> PendingChanges {
         PendingChanges { forgets_early, ..PendingChanges::default() }
     }
@@ -86,7 +87,7 @@
         self.changes.is_empty()
     }
 
-    /// Admits a change; false where too many are pending.
+    /// Admits a change. Returns false if too many are pending.
     pub fn admit(
         &mut self,
         now: Nanos,
@@ -114,7 +115,7 @@
         true
     }
 
-    /// Moves every queued change one step on, where it can be.
+    /// Advances every queued change by one step where possible.
     pub fn advance(
         &mut self,
         now: Nanos,
@@ -124,27 +125,27 @@
     ) -> ChangeSteps {
         let mut steps = ChangeSteps::default();
         let mut finished_ids = Vec::new();
-        let mut in_flight =
+        let mut proposal_in_flight =
             self.changes.iter().any(|change| matches!(change.stage, ChangeStage::Proposed(_)));
         for change in &mut self.changes {
             if change.stage != ChangeStage::Queued || change.not_before > now {
                 continue;
             }
             let assessment = assess_change(&active.state, change, self.forgets_early);
-            match next_step(assessment, change.origin, leadership, in_flight) {
+            match next_step(assessment, change.origin, leadership, proposal_in_flight) {
                 NextStep::Wait => {}
                 NextStep::Finish(outcome) => {
                     finished_ids.push(change.id);
                     steps.finished.push((change.origin, outcome));
                 }
                 NextStep::Propose => {
-                    in_flight = true;
+                    proposal_in_flight = true;
                     change.stage = ChangeStage::Proposed(change.id);
                     steps.proposal = Some(proposal(change, active, self.forgets_early));
                 }
                 NextStep::AskQuorum => {
                     change.stage = ChangeStage::AwaitingQuorum;
-                    steps.doubtful.push((change.id, change.deadline));
+                    steps.awaiting_quorum.push((change.id, change.deadline));
                 }
                 NextStep::Forward(leader) => {
                     change.stage = ChangeStage::Forwarded(leader);
@@ -156,12 +157,12 @@
         steps
     }
 
-    /// Removes the changes whose deadline is over.
+    /// Removes the changes whose deadline has passed.
     pub fn expire(&mut self, now: Nanos) -> Vec<RequestOrigin> {
         self.remove_where(|change| change.deadline <= now)
     }
 
-    /// Removes the changes that have been committed by now.
+    /// Removes the changes that the history lists as committed.
     pub fn take_committed(&mut self, control: &ControlState) -> Vec<(RequestOrigin, QuorumEvidence)> {
         let mut committed = Vec::new();
         self.changes.retain(|change| {
@@ -172,18 +173,18 @@
         committed
     }
 
-    /// Removes the changes of a proposal that has been committed.
+    /// Removes the change of a committed proposal.
     pub fn take_proposed(&mut self, change_id: u64) -> Vec<RequestOrigin> {
         self.remove_where(|change| change.stage == ChangeStage::Proposed(change_id))
     }
 
-    /// Removes all changes whose callers wait here. What becomes of these changes is not known.
+    /// Removes all changes whose callers are connected to this controller; their outcome is unknown.
     pub fn abandon_local(&mut self) -> Vec<RequestOrigin> {
         self.remove_where(|change| matches!(change.origin, RequestOrigin::Caller(_)))
     }
 
-    /// A majority has confirmed the state that is in force here: a change that it speaks against gets its outcome, any
-    /// other is queued again.
+    /// Resolves a change after a majority has confirmed the active state: a change that conflicts with it gets its
+    /// outcome, any other change is queued again.
     pub fn resolve_confirmed(
         &mut self,
         id: u64,
@@ -201,12 +202,13 @@
         }
     }
 
-    /// The caller has gone: nobody waits for the outcome. What is proposed may be committed all the same.
+    /// Removes the change of a caller that disconnected. A proposal in flight may still be committed.
     pub fn cancel(&mut self, origin: RequestOrigin) {
         self.changes.retain(|change| change.origin != origin);
     }
 
-    /// The leader replied to a change that was forwarded to it: who waits for that, where it is the outcome.
+    /// Handles the leader's reply to a forwarded change. Returns the origin of the change if the reply is its
+    /// outcome.
     pub fn leader_replied(
         &mut self,
         now: Nanos,
@@ -216,14 +218,15 @@
     ) -> Option<RequestOrigin> {
         let index = self.position(id, ChangeStage::Forwarded(leader))?;
         if reply_status == status::SERVICE_UNAVAILABLE {
-            // It led no more, or its own deadline was over: ask again while there is time here.
+            // The leader lost its leadership, or its own deadline passed: retry until the deadline of this
+            // controller.
             self.changes[index].requeue(now + RETRY_DELAY);
             return None;
         }
         Some(self.changes.remove(index).origin)
     }
 
-    /// Queues those again that were forwarded to another controller than the leader: it may be down.
+    /// Queues changes again that were forwarded to a controller other than the leader, which may be down.
     pub fn requeue_unless_forwarded_to(&mut self, leader: Option<SocketAddrV4>) {
         for change in &mut self.changes {
             if matches!(change.stage, ChangeStage::Forwarded(to) if Some(to) != leader) {
@@ -232,15 +235,15 @@
         }
     }
 
-    /// No majority could be asked about it: queues it again.
+    /// Queues a change again for which no majority could be asked.
     pub fn requeue(&mut self, now: Nanos, id: u64) {
         for change in self.changes.iter_mut().filter(|change| change.id == id) {
             change.requeue(now + RETRY_DELAY);
         }
     }
 
-    /// A proposal was rejected: queues its change again, to be assessed by the state that is in force then. Not at
-    /// once, as what was rejected now would be rejected again now.
+    /// Queues the change of a rejected proposal again, to be assessed against the state active by then. Delayed,
+    /// because an immediate retry would be rejected again.
     pub fn requeue_rejected(&mut self, now: Nanos, change_id: u64) {
         for change in &mut self.changes {
             if change.stage == ChangeStage::Proposed(change_id) {
@@ -249,7 +252,7 @@
         }
     }
 
-    /// The view has changed: queues all proposed changes again at once.
+    /// Queues all proposed changes again at once, after the view has changed.
     pub fn requeue_all_proposed(&mut self, now: Nanos) {
         for change in &mut self.changes {
             if matches!(change.stage, ChangeStage::Proposed(_)) {
@@ -258,7 +261,7 @@
         }
     }
 
-    /// When the next deadline is over, or a change may be tried again.
+    /// Returns the time of the next deadline or retry.
     pub fn next_timeout(&self, now: Nanos) -> Option<Nanos> {
         let times = self.changes.iter().flat_map(|change| {
             let retry = (change.not_before > now).then_some(change.not_before);
@@ -280,15 +283,16 @@
     assessment: ChangeAssessment,
     origin: RequestOrigin,
     leadership: Leadership,
-    in_flight: bool,
+    proposal_in_flight: bool,
 ) -> NextStep {
     match (assessment, origin) {
         (ChangeAssessment::AlreadyCommitted(evidence), _) => {
             NextStep::Finish(ChangeOutcome::Committed(evidence))
         }
-        (ChangeAssessment::Propose, _) if leadership.is_local && !in_flight => NextStep::Propose,
-        // Only a majority may say so: this controller may be partitioned, and the others have gone on.
-        (_, _) if leadership.is_local && !in_flight => NextStep::AskQuorum,
+        (ChangeAssessment::Propose, _) if leadership.is_local && !proposal_in_flight => NextStep::Propose,
+        // Only a majority may reject a change: this controller may be partitioned, and the others may have committed
+        // newer versions.
+        (_, _) if leadership.is_local && !proposal_in_flight => NextStep::AskQuorum,
         (_, RequestOrigin::Caller(_)) => leadership.remote.map_or(NextStep::Wait, NextStep::Forward),
         (_, RequestOrigin::Peer(..)) if !leadership.is_local => {
             NextStep::Finish(ChangeOutcome::Unknown("no leader here"))
--- a/crates/fernknot-controller/src/read_index.rs
+++ b/crates/fernknot-controller/src/read_index.rs
@@ -1,4 +1,4 @@
-//! Read index: who waits for a majority to confirm the view, and until when.
+//! Pending read index requests: each asks a majority to confirm the view on behalf of a waiter, until a deadline.
 
 use crate::action::PendingCall;
 use crate::consensus_driver::ConsensusDriver;
@@ -6,16 +6,16 @@
 use fernknot_consensus::ReadIndexId;
 use std::collections::BTreeMap;
 
-/// Who waits for the confirmation of a majority.
+/// Recipient of a majority's confirmation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuorumWaiter {
     /// A pending configuration change, by its number.
     ConfigChange(u64),
-    /// An operator that reads the configuration.
+    /// Call of an operator that reads the configuration.
     ReadConfig(PendingCall),
-    /// A caller that asks whether this controller is ready.
+    /// Readiness check.
     Readiness(PendingCall),
-    /// A node that announces that it leaves.
+    /// Drain or deregistration of a node.
     NodeDrain(PendingCall),
 }
 
@@ -23,28 +23,29 @@
     fn waits_for(self, call: PendingCall) -> bool {
         match self {
             QuorumWaiter::ConfigChange(_) => false,
-            QuorumWaiter::ReadConfig(own) | QuorumWaiter::Readiness(own) | QuorumWaiter::NodeDrain(own) => {
-                own == call
-            }
+            QuorumWaiter::ReadConfig(waiting_call)
+            | QuorumWaiter::Readiness(waiting_call)
+            | QuorumWaiter::NodeDrain(waiting_call) => waiting_call == call,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PendingRead {
+struct PendingReadIndex {
     waiter: QuorumWaiter,
     deadline: Nanos,
 }
 
-/// All requests for a read index that are pending here.
+/// All pending read index requests of this controller.
 #[derive(Debug, Default)]
-pub struct PendingReads {
-    by_id: BTreeMap<ReadIndexId, PendingRead>,
+pub struct PendingReadIndexes {
+    by_id: BTreeMap<ReadIndexId, PendingReadIndex>,
     last_id: u64,
 }
 
-impl PendingReads {
-    /// Asks a majority on behalf of `waiter`. False where that is of no use.
+impl PendingReadIndexes {
+    /// Asks a majority on behalf of `waiter`. Returns false if no majority is reachable or too many requests are
+    /// pending.
     pub fn begin(
         &mut self,
         consensus: &mut ConsensusDriver,
@@ -54,24 +55,25 @@
     ) -> bool {
         self.last_id += 1;
         let id = ReadIndexId(self.last_id);
-        let asked = consensus.read_index(now, id);
-        if asked {
-            self.by_id.insert(id, PendingRead { waiter, deadline: now + timeout });
+        let requested = consensus.read_index(now, id);
+        if requested {
+            self.by_id.insert(id, PendingReadIndex { waiter, deadline: now + timeout });
         }
-        asked
+        requested
     }
 
-    /// A majority has confirmed the request: its waiter, if it still waits.
+    /// Completes a request that a majority has confirmed. Returns its waiter, unless the request was cancelled.
     pub fn complete(&mut self, id: ReadIndexId) -> Option<QuorumWaiter> {
         self.by_id.remove(&id).map(|read| read.waiter)
     }
 
-    /// The caller has gone: nobody waits for its reply.
+    /// Cancels the request of a caller that disconnected.
     pub fn cancel_call(&mut self, consensus: &mut ConsensusDriver, call: PendingCall) {
         self.take_where(consensus, |read| read.waiter.waits_for(call));
     }
 
-    /// Ends the requests whose deadline is over; all of them where no majority is reachable.
+    /// Cancels the requests whose deadline has passed, or all requests if no majority is reachable. Returns their
+    /// waiters.
     pub fn take_expired(
         &mut self,
         consensus: &mut ConsensusDriver,
@@ -84,10 +86,10 @@
     fn take_where(
         &mut self,
         consensus: &mut ConsensusDriver,
-        ends: impl Fn(&PendingRead) -> bool,
+        is_selected: impl Fn(&PendingReadIndex) -> bool,
     ) -> Vec<QuorumWaiter> {
-        let ended = self.by_id.extract_if(.., |_, read| ends(read));
-        ended
+        let selected = self.by_id.extract_if(.., |_, read| is_selected(read));
+        selected
             .map(|(id, read)| {
                 consensus.cancel_read_index(id);
                 read.waiter
@@ -95,12 +97,12 @@
             .collect()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request is pending.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// The earliest deadline.
+    /// Earliest deadline.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.by_id.values().map(|read| read.deadline).min()
     }
--- a/crates/fernknot-controller/src/reports.rs
+++ b/crates/fernknot-controller/src/reports.rs
@@ -1,10 +1,10 @@
-//! Reports for operators, as text for a person to read.
+//! Human-readable reports for operators.
 
 use fernknot_consensus::{Ineligibility, ReplicaStatus, ViewStatus};
 use fernknot_ownership::Assignment;
 use fernknot_registry::NodeRecord;
 
-/// The answer to `fernknot show nodes`: a line a node, by service and identifier.
+/// Returns the report of `fernknot show nodes`: one line per node, sorted by service and identifier.
 pub fn nodes(up: usize, version: u64, mut records: Vec<NodeRecord>) -> String {
     records.sort_by(|a, b| (&a.service, &a.id).cmp(&(&b.service, &b.id)));
     let mut report = format!("{up} nodes up, change {version}\n");
@@ -15,7 +15,8 @@
     report
 }
 
-/// The answer to `fernknot show homes` and `fernknot show duties`: the assignment, and a line a live gateway.
+/// Returns the report of `fernknot show homes` and `fernknot show duties`: the assignment, and one line per live
+/// gateway.
 pub fn assignment(assignment: &Assignment) -> String {
     let token = assignment.fencing_token;
     let presumed_alive = assignment.presumed_alive;
@@ -26,12 +27,12 @@
     report
 }
 
-/// The answer to `fernknot show views`. `status` is None before the disk has been read.
+/// Returns the report of `fernknot show views`. `status` is None before the disk has been read.
 pub fn view(
     status: Option<&ViewStatus>,
     revision: u64,
     tolerated_losses: usize,
-    majority_heard: bool,
+    majority_reachable: bool,
 ) -> String {
     let Some(status) = status else { return "the disk has not been read yet\n".into() };
     let activity = if status.active { "" } else { ", not in force" };
@@ -41,7 +42,7 @@
     }
     let remaining = status.remaining_fault_tolerance;
     report += &format!("bears {remaining} more losses now, is to bear {tolerated_losses}\n");
-    report += &format!("majority heard: {majority_heard}\n");
+    report += &format!("majority heard: {majority_reachable}\n");
     report
 }
 
--- a/crates/fernknot-controller/src/seeded_bug.rs
+++ b/crates/fernknot-controller/src/seeded_bug.rs
@@ -1,15 +1,15 @@
-//! Bugs that tests switch on, to prove that the checkers find them.
+//! Bugs that tests enable, to show that the checkers find them.
 
 use fernknot_consensus::SeededBug as ConsensusBug;
 
 /// A bug that a checker must find. Never set in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SeededBug {
-    /// Reads, rejections and drains are answered from local state alone.
+    /// Replies to reads, rejected changes and drains from local state, without asking a majority.
     AnswerFromLocalState,
-    /// Few versions are remembered, and what lies beyond them is rejected.
+    /// Keeps a short history of versions, and rejects changes older than it.
     ForgetHistoryEarly,
-    /// The outcome of a forwarded change is accepted whatever incarnation it is meant for.
+    /// Accepts the outcome of a forwarded change without checking the incarnation for which it is meant.
     AcceptAnyIncarnation,
     /// A bug of the consensus member.
     Consensus(ConsensusBug),
--- a/crates/fernknot-controller/src/subscribers.rs
+++ b/crates/fernknot-controller/src/subscribers.rs
@@ -1,4 +1,4 @@
-//! The gateways that are subscribed here, and which updates each of them wants.
+//! Gateways subscribed to this controller, and the updates that each of them requested.
 
 use crate::action::{ActionQueue, SubscriberId};
 use fernknot_ownership::GatewayRecord;
@@ -6,16 +6,16 @@
 use fernknot_rpc::{ControllerToGateway, Subscription};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One subscriber.
+/// A subscribed gateway.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
-    /// The gateway.
+    /// Record of the gateway.
     pub gateway: GatewayRecord,
-    /// Whether it is ready to serve queries, as it said last.
+    /// Whether the gateway is ready to serve queries, by its last report.
     pub is_ready: bool,
-    /// Which nodes it wants to be sent.
+    /// Services whose nodes the gateway requested.
     pub subscription: Subscription,
-    /// The revision of the configuration that it was sent last; 0 for none.
+    /// Revision of the configuration that it was last sent; 0 for none.
     pub sent_revision: u64,
 }
 
@@ -23,7 +23,7 @@
     fn wants_service(&self, service: &str) -> bool {
         match &self.subscription {
             Subscription::All => true,
-            // An incarnation that is known by its end alone has no service: its end concerns all.
+            // A tombstone of an unknown incarnation names no service and is sent to all subscribers.
             Subscription::Services(named) => service.is_empty() || named.iter().any(|name| name == service),
         }
     }
@@ -32,71 +32,71 @@
         matches!(self.subscription, Subscription::All)
     }
 
-    /// Those of these records that it wants.
+    /// Returns the records of the services that the gateway requested.
     fn select(&self, records: &[NodeRecord]) -> Vec<NodeRecord> {
         records.iter().filter(|record| self.wants_service(&record.service)).cloned().collect()
     }
 }
 
-/// All subscribers by their connections.
+/// All subscribers, by connection.
 #[derive(Debug, Default)]
 pub struct Subscribers {
     by_id: BTreeMap<SubscriberId, Subscriber>,
-    /// Those that came while no majority was heard: they have been sent neither the configuration nor the end of the
-    /// snapshot.
+    /// Subscribers that were added while no majority was reachable: they have been sent neither the configuration nor
+    /// the end of the snapshot.
     awaiting_snapshot: BTreeSet<SubscriberId>,
 }
 
 impl Subscribers {
-    /// Adds a subscriber, or replaces what it said before over the same connection.
+    /// Adds a subscriber, or replaces an earlier subscription over the same connection.
     pub fn add(&mut self, id: SubscriberId, subscriber: Subscriber) {
         self.by_id.insert(id, subscriber);
     }
 
-    /// Removes a subscriber, if it is one.
+    /// Removes a subscriber, if there is one with this identifier.
     pub fn remove(&mut self, id: SubscriberId) -> Option<Subscriber> {
         self.awaiting_snapshot.remove(&id);
         self.by_id.remove(&id)
     }
 
-    /// Records a heartbeat; returns the gateway that sent it, if it is subscribed.
+    /// Records a heartbeat. Returns the gateway that sent it, if it is subscribed.
     pub fn record_heartbeat(&mut self, id: SubscriberId, is_ready: bool) -> Option<&GatewayRecord> {
         let subscriber = self.by_id.get_mut(&id)?;
         subscriber.is_ready = is_ready;
         Some(&subscriber.gateway)
     }
 
-    /// The rest of its snapshot is to be sent once a majority is heard.
+    /// Defers the rest of a subscriber's snapshot until a majority is reachable.
     pub fn defer_snapshot(&mut self, id: SubscriberId) {
         self.awaiting_snapshot.insert(id);
     }
 
-    /// Those whose snapshot was deferred.
+    /// Takes the subscribers with deferred snapshots.
     pub fn take_awaiting_snapshot(&mut self) -> BTreeSet<SubscriberId> {
         std::mem::take(&mut self.awaiting_snapshot)
     }
 
-    /// Whether there is such a subscriber.
+    /// Whether there is a subscriber with this identifier.
     pub fn contains(&self, id: SubscriberId) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// The number of subscribers.
+    /// Number of subscribers.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// All subscribers.
+    /// Identifiers of all subscribers.
     pub fn ids(&self) -> Vec<SubscriberId> {
         self.by_id.keys().copied().collect()
     }
 
-    /// Whether it has been sent an older configuration than this one, or none.
+    /// Whether a subscriber was last sent an older configuration than this revision, or none.
     pub fn is_behind(&self, id: SubscriberId, revision: u64) -> bool {
         self.by_id.get(&id).is_some_and(|subscriber| subscriber.sent_revision < revision)
     }
 
-    /// Those that are behind, except where the snapshot is deferred.
+    /// Subscribers that are behind, without those whose snapshot is deferred.
     pub fn behind(&self, revision: u64) -> Vec<SubscriberId> {
         let behind = self.by_id.iter().filter(|(id, subscriber)| {
             subscriber.sent_revision < revision && !self.awaiting_snapshot.contains(id)
@@ -104,7 +104,7 @@
         behind.map(|(id, _)| *id).collect()
     }
 
-    /// The configuration of this revision is being sent to these.
+    /// Records that the configuration of this revision is being sent to these subscribers.
     pub fn mark_sent(&mut self, ids: &[SubscriberId], revision: u64) {
         for id in ids {
             if let Some(subscriber) = self.by_id.get_mut(id) {
@@ -113,12 +113,12 @@
         }
     }
 
-    /// Those of these records that one subscriber wants. None where it is not subscribed.
+    /// Selects the records that a subscriber requested. None if it is not subscribed.
     pub fn select_for(&self, id: SubscriberId, records: &[NodeRecord]) -> Option<Vec<NodeRecord>> {
         self.by_id.get(&id).map(|subscriber| subscriber.select(records))
     }
 
-    /// Sends each subscriber what it wants of these records: one message for all that want everything.
+    /// Sends each subscriber the records that it requested, with one message for all subscribers of every service.
     pub fn publish_nodes(&self, records: Vec<NodeRecord>, actions: &mut ActionQueue) {
         for (id, subscriber) in self.by_id.iter().filter(|(_, subscriber)| !subscriber.wants_all_services()) {
             let wanted = subscriber.select(&records);
--- a/crates/fernknot-controller/src/timers.rs
+++ b/crates/fernknot-controller/src/timers.rs
@@ -1,13 +1,13 @@
-//! The clock of the controller and its periodic work.
+//! Clock and periodic work of the controller.
 
 use fernknot::interface::Nanos;
 
-/// Heartbeat intervals without an input after which the loop is taken to have stood still.
-const MAX_GAP_HEARTBEATS: f64 = 2.0;
-/// Peers are synchronised every half heartbeat interval.
-const PEER_SYNC_HEARTBEATS: f64 = 0.5;
+/// Time without an input after which the event loop is considered stalled, in heartbeat intervals.
+const MAX_INPUT_GAP_HEARTBEAT_INTERVALS: f64 = 2.0;
+/// Interval between synchronisations with peers, in heartbeat intervals.
+const PEER_SYNC_HEARTBEAT_INTERVALS: f64 = 0.5;
 
-/// The time of the last input, and when the periodic work is due.
+/// Time of the last input, and due times of the periodic work.
 #[derive(Debug)]
 pub struct Timers {
     now: Nanos,
@@ -18,7 +18,8 @@
 }
 
 impl Timers {
-    /// All is due at once. The intervals are those between heartbeats of a node, and to a subscriber.
+    /// Creates timers that are due at once. The arguments are the intervals between heartbeats of a node and between
+    /// heartbeats to a subscriber.
     pub fn new(now: Nanos, heartbeat_interval: Nanos, subscriber_heartbeat_interval: Nanos) -> Timers {
         Timers {
             now,
@@ -29,38 +30,38 @@
         }
     }
 
-    /// The time of the last input.
+    /// Time of the last input.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// Moves the clock on, never back. True where the loop stood still since the last input.
+    /// Advances the clock, which never goes back. Returns true if the event loop was stalled since the last input.
     pub fn advance(&mut self, now: Nanos) -> bool {
-        let stood_still = now - self.now > self.heartbeat_interval.times(MAX_GAP_HEARTBEATS);
+        let is_stalled = now - self.now > self.heartbeat_interval.times(MAX_INPUT_GAP_HEARTBEAT_INTERVALS);
         self.now = self.now.max(now);
-        stood_still
+        is_stalled
     }
 
-    /// Whether peers are to be synchronised now; the timer is then set anew.
+    /// Returns whether a synchronisation with peers is due, and restarts its timer if so.
     pub fn take_peer_sync(&mut self) -> bool {
         let due = self.next_peer_sync <= self.now;
         if due {
-            self.next_peer_sync = self.now + self.heartbeat_interval.times(PEER_SYNC_HEARTBEATS);
+            self.next_peer_sync = self.now + self.heartbeat_interval.times(PEER_SYNC_HEARTBEAT_INTERVALS);
         }
         due
     }
 
-    /// Whether subscribers are to be sent a heartbeat now.
+    /// Whether heartbeats to subscribers are due.
     pub fn is_subscriber_heartbeat_due(&self) -> bool {
         self.next_subscriber_heartbeat <= self.now
     }
 
-    /// Sets the timer of the subscribers' heartbeats anew.
+    /// Restarts the timer of the heartbeats to subscribers.
     pub fn restart_subscriber_heartbeat(&mut self) {
         self.next_subscriber_heartbeat = self.now + self.subscriber_heartbeat_interval;
     }
 
-    /// When periodic work is due next.
+    /// Returns the time at which periodic work is next due.
     pub fn next_timeout(&self) -> Nanos {
         self.next_subscriber_heartbeat.min(self.next_peer_sync)
     }
