--- a/crates/fernknot-controller/tests/disk_format.rs
+++ b/crates/fernknot-controller/tests/disk_format.rs
@@ -1,4 +1,4 @@
-//! What the controllers agree on, and the addresses that each keeps, are encoded as in earlier releases.
+//! The encodings of the control state and of the known addresses are the same as in earlier releases.
 
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
@@ -15,7 +15,7 @@
     ControlState { epoch: 107, body: b"{\"epoch\":107}".to_vec(), history }
 }
 
-/// What the file of known addresses holds: a plain list of them.
+/// Value stored under the key of known addresses: a plain list.
 fn known_addresses() -> Vec<SocketAddrV4> {
     [(1, 7301), (2, 7302)].map(|(host, port)| SocketAddrV4::new(Ipv4Addr::new(10, 5, 6, host), port)).to_vec()
 }
