--- a/crates/fernknot-controller/src/controller/consensus_events.rs
+++ b/crates/fernknot-controller/src/controller/consensus_events.rs
@@ -91,7 +91,7 @@
     /// from a history that an operator has discarded.
     fn identity_replaced(&mut self) {
         self.active_config = ActiveConfig::empty();
-        let text = "member identity replaced: the disk holds an outdated copy of the state, or a forced view excluded it; joining as a new member";
+        let text = "joining as a new member: the disk holds an outdated state, or a forced view excluded it";
         self.actions.log(Level::Warn, part::CONSENSUS, text);
     }
 }
--- a/crates/fernknot-controller/src/controller/state.rs
+++ b/crates/fernknot-controller/src/controller/state.rs
@@ -49,8 +49,8 @@
 /// Health of the disk, as the host last reported it.
 pub(super) struct DiskHealth {
     pub(super) is_healthy: bool,
-    /// Whether the disk has recovered from an unhealthy state before. The first such recovery ends the rebuilding of the
-    /// directory at start.
+    /// Whether the disk has recovered from an unhealthy state before. The first such recovery ends the rebuilding of
+    /// the directory at start.
     pub(super) has_recovered: bool,
 }
 
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -63,7 +63,10 @@
         let (sender, receiver) = channel();
         let work = move || open_and_load(directory, disk_bytes, &waker, &sender);
         if let Err(error) = std::thread::Builder::new().name("opening".into()).spawn(work) {
-            log::error!(target: part::STORAGE, "cannot start the thread that opens the storage directory: {error}; the disk stays unavailable until a restart");
+            log::error!(
+                target: part::STORAGE,
+                "cannot start the thread that opens the storage directory: {error}; the disk stays unavailable until a restart"
+            );
         }
         Disk { state: DiskState::Opening(receiver), write_timeout }
     }
@@ -196,7 +199,10 @@
     match bitcode::decode(bytes) {
         Ok(state) => Some(state),
         Err(error) => {
-            log::error!(target: part::STORAGE, "cannot decode the consensus state: {error}; joining as a new member");
+            log::error!(
+                target: part::STORAGE,
+                "cannot decode the consensus state: {error}; joining as a new member"
+            );
             None
         }
     }
--- a/crates/fernknot-controller/src/host/actions.rs
+++ b/crates/fernknot-controller/src/host/actions.rs
@@ -47,7 +47,10 @@
     fn send_to_peer(&mut self, now: Nanos, to: SocketAddrV4, message: ControllerMessage) {
         let Some(id) = self.connections.outbound(to) else { return };
         if self.event_loop.pending_output_bytes(id) > self.limits.max_output_bytes() {
-            log::warn!(target: part::CONNECTIONS, "closing the connection to controller {to}: it does not read its messages; connecting again");
+            log::warn!(
+                target: part::CONNECTIONS,
+                "closing the connection to controller {to}: it does not read its messages; connecting again"
+            );
             self.drop_connection(id);
             return self.controller.peer_disconnected(now, to);
         }
@@ -63,7 +66,10 @@
         for subscriber in to {
             let id = ConnectionId(subscriber.0);
             if self.event_loop.pending_output_bytes(id) > self.limits.max_output_bytes() {
-                log::warn!(target: part::CONNECTIONS, "closing the connection to a subscriber: it does not read its messages");
+                log::warn!(
+                    target: part::CONNECTIONS,
+                    "closing the connection to a subscriber: it does not read its messages"
+                );
                 self.controller.unsubscribe(*subscriber);
                 self.drop_connection(id);
             } else if let Some(output) = self.event_loop.output(id) {
@@ -76,7 +82,10 @@
         match self.event_loop.connect(to) {
             Ok(id) => self.connections.add_outbound(id, to, now),
             Err(error) => {
-                log::warn!(target: part::CONNECTIONS, "cannot open a connection to controller {to}: {error}; retrying");
+                log::warn!(
+                    target: part::CONNECTIONS,
+                    "cannot open a connection to controller {to}: {error}; retrying"
+                );
                 self.controller.peer_disconnected(now, to);
             }
         }
--- a/crates/fernknot-controller/src/host/events.rs
+++ b/crates/fernknot-controller/src/host/events.rs
@@ -117,7 +117,10 @@
                 }
                 Err(error) => {
                     let peer = self.event_loop.peer(id);
-                    log::warn!(target: part::CONNECTIONS, "closing the connection from {peer:?}: cannot read a message: {error}");
+                    log::warn!(
+                        target: part::CONNECTIONS,
+                        "closing the connection from {peer:?}: cannot read a message: {error}"
+                    );
                     return self.connection_closed(now, id);
                 }
             }
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -129,7 +129,10 @@
 
     fn start_without_disk(&mut self) {
         if self.disk.is_absent() {
-            log::warn!(target: part::STORAGE, "no data directory is configured; the control state is lost when the process ends");
+            log::warn!(
+                target: part::STORAGE,
+                "no data directory is configured; the control state is lost when the process ends"
+            );
             self.controller.disk_loaded(Nanos(0), None, &[], true);
         }
     }
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -7,7 +7,7 @@
 use std::hash::{BuildHasher, Hasher};
 use std::process::ExitCode;
 
-const HELP: &str = "fernknot-controller: a member of the control plane; tracks the nodes and stores the routing configuration
+const HELP: &str = "fernknot-controller: a controller; tracks the nodes and stores the configuration
 
 usage: fernknot-controller [--check] [--help] [--version]
 
--- a/crates/fernknot-controller/tests/reply_consistency.rs
+++ b/crates/fernknot-controller/tests/reply_consistency.rs
@@ -294,8 +294,7 @@
 }
 
 #[test]
-fn given_a_seeded_bug_that_accepts_any_incarnation_when_an_outcome_for_an_earlier_one_arrives_then_the_bug_is_found()
- {
+fn given_a_seeded_bug_that_accepts_any_incarnation_when_an_outcome_arrives_late_then_the_bug_is_found() {
     assert_eq!(deliver_outcome_for_earlier_incarnation(Some(SeededBug::AcceptAnyIncarnation)), (200, false));
 }
 
--- a/crates/fernknot-controller/tests/views.rs
+++ b/crates/fernknot-controller/tests/views.rs
@@ -40,7 +40,7 @@
 
 #[test_case(false; "the lost controllers stay down")]
 #[test_case(true; "the lost controllers return")]
-fn given_two_of_three_lost_when_an_operator_forces_a_view_then_changes_are_accepted_once_a_new_controller_joins(
+fn given_two_of_three_lost_when_a_view_is_forced_then_changes_are_accepted_once_a_new_controller_joins(
     others_return: bool,
 ) {
     let mut cluster = Cluster::of_three();
@@ -77,8 +77,8 @@
 }
 
 #[test]
-fn given_two_partitioned_controllers_when_they_learn_of_a_forced_view_then_the_version_they_acknowledged_is_discarded()
- {
+fn given_two_partitioned_controllers_when_they_learn_of_a_forced_view_then_their_later_version_is_discarded()
+{
     let mut cluster = Cluster::of_three();
     assert_eq!(cluster.replace_config(1, 0, &config_json(7, "one")), 200);
     cluster.run(ms(50));
--- a/crates/fernknot-registry/tests/node_calls.rs
+++ b/crates/fernknot-registry/tests/node_calls.rs
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn given_no_heartbeats_when_three_and_a_half_intervals_pass_then_the_incarnation_is_lost_and_a_later_heartbeat_restores_it()
- {
+fn given_a_known_incarnation_when_heartbeats_stop_for_3_5_intervals_then_it_is_lost_until_a_later_heartbeat()
+{
     let mut registry = registry();
     registry.record_heartbeat(after_intervals(0.0), record("a", 1, Draining, 1));
     assert_eq!(registry.expire(after_intervals(3.4)), 0);
@@ -82,8 +82,7 @@
 }
 
 #[test]
-fn given_an_address_in_use_when_a_new_incarnation_claims_it_then_the_older_is_lost_and_a_stale_report_cannot_reclaim_it()
- {
+fn given_an_address_in_use_when_a_new_incarnation_claims_it_then_no_stale_report_restores_the_older_one() {
     let mut registry = registry();
     registry.record_heartbeat(after_intervals(0.0), record("old", 1, Ready, 40));
     registry.record_heartbeat(after_intervals(2.0), record("new", 1, Ready, 0));
--- a/crates/fernknot-registry/tests/replication.rs
+++ b/crates/fernknot-registry/tests/replication.rs
@@ -22,8 +22,7 @@
 }
 
 #[test]
-fn given_heartbeats_at_another_controller_when_it_reports_them_then_nodes_stay_up_here_and_unknown_ones_are_requested()
- {
+fn given_heartbeats_at_another_controller_when_reported_then_nodes_stay_up_and_unknown_ones_are_requested() {
     let (mut here, mut there) = (registry(), registry());
     there.record_heartbeat(after_intervals(0.0), record("a", 1, Ready, 1));
     let unknown =
@@ -41,8 +40,8 @@
 }
 
 #[test]
-fn given_two_partitioned_controllers_when_one_marks_a_node_lost_that_the_other_receives_then_the_other_corrects_it()
- {
+fn given_a_partitioned_controller_when_it_reports_a_live_node_as_lost_then_the_other_controller_corrects_it()
+{
     let (mut partitioned, mut healthy) = (registry(), registry());
     for registry in [&mut partitioned, &mut healthy] {
         registry.record_heartbeat(after_intervals(0.0), record("a", 1, Ready, 1));
@@ -73,8 +72,7 @@
 }
 
 #[test]
-fn given_a_restarted_controller_when_its_snapshot_omits_a_node_then_a_directory_keeps_it_until_sources_were_healthy_for_long()
- {
+fn given_a_restarted_controller_when_its_snapshot_omits_a_node_then_it_is_removed_only_after_healthy_time() {
     let mut directory = NodeDirectory::new(HEARTBEAT_INTERVAL, NodeDirectoryLimits::default());
     directory.apply_snapshot(
         after_intervals(0.0),
