--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -65,7 +65,7 @@
         if let Err(error) = std::thread::Builder::new().name("opening".into()).spawn(work) {
             log::error!(
                 target: part::STORAGE,
-                "cannot start the thread that opens the storage directory: {error}; the disk stays unavailable until a restart"
+                "cannot start the thread that opens the disk: {error}; the disk stays unavailable until a restart"
             );
         }
         Disk { state: DiskState::Opening(receiver), write_timeout }
@@ -163,9 +163,10 @@
             // Fails only if the event loop has ended in the meantime.
             let _ = sender.send((storage, recovered));
         }
-        Err(error) => {
-            log::error!(target: part::STORAGE, "cannot open the storage directory: {error}; the disk stays unavailable until a restart")
-        }
+        Err(error) => log::error!(
+            target: part::STORAGE,
+            "cannot open the storage directory: {error}; the disk stays unavailable until a restart"
+        ),
     }
     let _ = waker.wake();
 }
