--- a/crates/fernknot-controller/tests/nodes.rs
+++ b/crates/fernknot-controller/tests/nodes.rs
@@ -9,7 +9,7 @@
 use test_case::test_case;
 
 /// Returns the state of a node in the last update that a subscriber received.
-fn state(cluster: &Cluster, subscriber: u64, id: &str) -> Option<NodeState> {
+fn last_received_state(cluster: &Cluster, subscriber: u64, id: &str) -> Option<NodeState> {
     let updates = cluster.received[&subscriber].iter().filter_map(|message| match message {
         ControllerToGateway::NodeUpdates(records) => Some(records),
         _ => None,
@@ -26,14 +26,18 @@
         assert_eq!(cluster.send_heartbeat(2, "i-1", reported, 1 + expected as u64), 200);
         cluster.run(ms(10));
         assert!(
-            subscribers.iter().all(|subscriber| state(&cluster, *subscriber, "i-1") == Some(expected)),
+            subscribers
+                .iter()
+                .all(|subscriber| last_received_state(&cluster, *subscriber, "i-1") == Some(expected)),
             "{reported}"
         );
     }
     assert_eq!(cluster.call_and_wait(1, "POST /-/nodes/i-1/deregister HTTP/1.1\r\n", "{}"), 200);
     cluster.run(ms(10));
     assert!(
-        subscribers.iter().all(|subscriber| state(&cluster, *subscriber, "i-1") == Some(NodeState::Gone))
+        subscribers
+            .iter()
+            .all(|subscriber| last_received_state(&cluster, *subscriber, "i-1") == Some(NodeState::Gone))
     );
 }
 
@@ -51,7 +55,7 @@
     assert_eq!(cluster.send_heartbeat(1, "i-2", "ready", 1), 503);
     let subscriber = cluster.subscribe(1, Subscription::All, 0);
     assert_eq!(
-        state(&cluster, subscriber, "i-2"),
+        last_received_state(&cluster, subscriber, "i-2"),
         Some(NodeState::Ready),
         "the heartbeat is recorded although it is rejected"
     );
@@ -66,37 +70,37 @@
     cluster.run(ms(3000));
     assert_eq!(cluster.send_heartbeat(2, "i-1", "draining", 4), 200);
     cluster.heal();
-    for seq in 5..9 {
+    for sequence in 5..9 {
         cluster.run(ms(1000));
-        assert_eq!(cluster.send_heartbeat(2, "i-1", "draining", seq), 200);
+        assert_eq!(cluster.send_heartbeat(2, "i-1", "draining", sequence), 200);
     }
     let subscriber = cluster.subscribe(1, Subscription::All, 0);
     assert_eq!(
-        state(&cluster, subscriber, "i-1"),
+        last_received_state(&cluster, subscriber, "i-1"),
         Some(NodeState::Draining),
         "the update is replicated after the partition"
     );
     assert_eq!(cluster.send_heartbeat(1, "i-1", "draining", 9), 200);
 }
 
-/// A node drains at a controller that cannot send to another one, or there and at the third controller; a gateway is
-/// subscribed to the controller that cannot be reached.
+/// Controller 1 cannot send to controller 2, to which a gateway is subscribed. A node drains at controller 1 only, or at
+/// controller 3 too.
 #[test_case(1, &[1]; "drain at one controller, forwarded by the third")]
 #[test_case(1, &[1, 3]; "drain at one controller and again at the third")]
 fn given_a_one_way_partition_when_a_node_drains_then_subscribers_beyond_it_receive_the_update(
     from: usize,
-    called: &[usize],
+    called_controllers: &[usize],
 ) {
     let mut cluster = Cluster::of_three();
     assert_eq!(cluster.send_heartbeat(from, "i-1", "ready", 1), 200);
     cluster.run(ms(500));
     let subscriber = cluster.subscribe(2, Subscription::All, 0);
     cluster.partition_one_way(from, 2);
-    for (seq, controller) in called.iter().enumerate() {
-        cluster.send_heartbeat(*controller, "i-1", "draining", 2 + seq as u64);
+    for (sequence, controller) in called_controllers.iter().enumerate() {
+        cluster.send_heartbeat(*controller, "i-1", "draining", 2 + sequence as u64);
     }
     cluster.run(ms(10));
-    assert_eq!(state(&cluster, subscriber, "i-1"), Some(NodeState::Draining));
+    assert_eq!(last_received_state(&cluster, subscriber, "i-1"), Some(NodeState::Draining));
 }
 
 /// Neither controller can send to the subscriber's controller when the third one learns of the deregistration.
@@ -113,7 +117,7 @@
     cluster.heal();
     assert_eq!(cluster.call_and_wait(3, "POST /-/nodes/i-1/deregister HTTP/1.1\r\n", "{}"), 200);
     cluster.run(ms(10));
-    assert_eq!(state(&cluster, subscriber, "i-1"), Some(NodeState::Gone));
+    assert_eq!(last_received_state(&cluster, subscriber, "i-1"), Some(NodeState::Gone));
 }
 
 #[test]
@@ -125,7 +129,7 @@
     cluster.start(1, false);
     cluster.run(ms(300));
     let subscriber = cluster.subscribe(1, Subscription::All, 0);
-    assert_eq!(state(&cluster, subscriber, "i-1"), Some(NodeState::Ready));
+    assert_eq!(last_received_state(&cluster, subscriber, "i-1"), Some(NodeState::Ready));
 }
 
 #[test]
@@ -137,10 +141,10 @@
     assert_eq!(cluster.send_heartbeat(1, "i-2", "ready", 1), 200);
     cluster.run(ms(10));
     assert_eq!(
-        [state(&cluster, books, "i-2"), state(&cluster, films, "i-2")],
+        [last_received_state(&cluster, books, "i-2"), last_received_state(&cluster, films, "i-2")],
         [Some(NodeState::Ready), None]
     );
-    assert_eq!(state(&cluster, films, "i-1"), None);
+    assert_eq!(last_received_state(&cluster, films, "i-1"), None);
 }
 
 #[test]
@@ -159,7 +163,7 @@
             );
         }
     }
-    let assigned = |cluster: &Cluster, subscriber: u64| {
+    let last_assignment = |cluster: &Cluster, subscriber: u64| {
         cluster.received[&subscriber].iter().rev().find_map(|message| match message {
             ControllerToGateway::Assignment(assignment) => {
                 Some((assignment.fencing_token, assignment.gateways.len()))
@@ -167,10 +171,10 @@
             _ => None,
         })
     };
-    let before = assigned(&cluster, subscribers[0]).expect("an assignment was made");
+    let before = last_assignment(&cluster, subscribers[0]).expect("an assignment was made");
     assert_eq!(before.1, 3);
     assert!(
-        subscribers.iter().all(|subscriber| assigned(&cluster, *subscriber) == Some(before)),
+        subscribers.iter().all(|subscriber| last_assignment(&cluster, *subscriber) == Some(before)),
         "all subscribers have the same assignment"
     );
     let now = cluster.now;
@@ -180,7 +184,7 @@
         GatewayToController::ShuttingDown,
     );
     cluster.run(ms(1500));
-    let after = assigned(&cluster, subscribers[0]).expect("an assignment was made");
+    let after = last_assignment(&cluster, subscribers[0]).expect("an assignment was made");
     assert!(after.0 > before.0);
     assert_eq!(after.1, 2);
 }
--- a/crates/fernknot-controller/tests/reply_consistency.rs
+++ b/crates/fernknot-controller/tests/reply_consistency.rs
@@ -104,10 +104,10 @@
 
 #[test]
 fn given_a_draining_node_when_the_drain_is_acknowledged_then_a_majority_has_recorded_it() {
-    let heartbeat = |state: &str, seq: u64| {
+    let heartbeat = |state: &str, sequence: u64| {
         format!(
             r#"{{"backend":"books","address":"10.9.0.1:80","zone":"zone-1","epoch":"v1","capacity":3,
-            "state":"{state}","warmup_left_ms":0,"call_seq":{seq}}}"#
+            "state":"{state}","warmup_left_ms":0,"call_seq":{sequence}}}"#
         )
     };
     for controller in 1..=3 {
