--- a/crates/fernknot-engine/benches/multiget.rs
+++ b/crates/fernknot-engine/benches/multiget.rs
@@ -1,4 +1,4 @@
-//! What the engine itself costs for one multiget of ten parts, from its request to its answer.
+//! CPU time of the engine for one multiget of ten parts, from its request to its answer.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use fernknot::interface::*;
@@ -6,7 +6,7 @@
 use fernknot_protocol::multiget::{MultigetRequest, RequestedPart};
 
 fn site() -> SiteSettings {
-    let case = UseCaseSettings {
+    let use_case = UseCaseSettings {
         latency_target: Nanos::from_millis(1000.0),
         hard_limit: Nanos::from_millis(3000.0),
         value: 1.0,
@@ -21,7 +21,7 @@
     };
     SiteSettings {
         routers: 1,
-        use_cases: vec![case],
+        use_cases: vec![use_case],
         shortest_goal: None,
         customers: Vec::new(),
         tick: Nanos::from_millis(1.0),
@@ -42,7 +42,7 @@
     }
 }
 
-fn multiget(c: &mut Criterion) {
+fn multiget(criterion: &mut Criterion) {
     let mut now = Nanos(1_000_000_000_000);
     let mut engine = Engine::new(7, site(), &[None], 0, now);
     let node = |id: u32| NodeEntry {
@@ -52,15 +52,15 @@
         health: Health::Running,
         since: Nanos(0),
     };
-    engine.list(ListKind::Full, &(0..30).map(node).collect::<Vec<_>>());
-    let mut number = 0u64;
-    c.bench_function("engine: one multiget of 10 parts", |bench| {
+    engine.apply_node_list(ListKind::Full, &(0..30).map(node).collect::<Vec<_>>());
+    let mut query = 0u64;
+    criterion.bench_function("engine: one multiget of 10 parts", |bench| {
         bench.iter(|| {
-            number += 1;
+            query += 1;
             now = now + Nanos(1_000_000);
             let part = |shard| RequestedPart { shard: ShardId(shard), weight: 0.1, effort: None };
-            let asked = MultigetRequest {
-                id: format!("r{number}"),
+            let request = MultigetRequest {
+                id: format!("r{query}"),
                 use_case: UseCaseId(0),
                 key: None,
                 timeout: Nanos::from_millis(3000.0),
@@ -69,14 +69,14 @@
                 parts: (0..10).map(part).collect(),
                 second: None,
             };
-            engine.take(now, RequesterId(number), now + asked.timeout, asked);
+            engine.submit(now, RequesterId(query), now + request.timeout, request);
             let (mut sent, mut answers) = (Vec::new(), 0);
             loop {
-                while let Some(order) = engine.poll_action(now) {
-                    match order {
-                        Action::Send { part, no, .. } => sent.push((part, no)),
-                        Action::Cancel { part, no, outcome } => {
-                            engine.ended(now, part, no, outcome, LoadReport::default())
+                while let Some(action) = engine.poll_action(now) {
+                    match action {
+                        Action::Send { part, number, .. } => sent.push((part, number)),
+                        Action::Cancel { part, number, outcome } => {
+                            engine.attempt_ended(now, part, number, outcome, LoadReport::default())
                         }
                         Action::Answer { .. } => answers += 1,
                         _ => {}
@@ -86,8 +86,8 @@
                     break;
                 }
                 now = now + Nanos(50_000);
-                for (part, no) in sent.drain(..) {
-                    engine.answered(now, part, no, "value".to_string(), LoadReport::default());
+                for (part, number) in sent.drain(..) {
+                    engine.attempt_answered(now, part, number, "value".to_string(), LoadReport::default());
                 }
             }
             assert_eq!(answers, 1);
--- a/crates/fernknot-engine/src/action.rs
+++ b/crates/fernknot-engine/src/action.rs
@@ -1,72 +1,72 @@
-//! What the host is to do, and how multigets end.
+//! Actions for the host, and the final answers to multigets.
 
 use crate::multiget::{RequesterId, Stage};
 use fernknot::interface::{AttemptNumber, Nanos, NodeId, Outcome, PartId, ShardId, Update};
 use fernknot_protocol::multiget::BlockState;
 
-/// The final answer to a multiget.
+/// Final answer to a multiget.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Parts are in: enough of them, or all that came by the end.
+    /// Enough parts were answered, or the time ended with a partial answer that may be given.
     Completed {
-        /// Enough parts are in for a complete answer.
+        /// Whether enough parts were answered for a complete answer.
         is_complete: bool,
-        /// The value of each part that is in.
-        found: Vec<(ShardId, String)>,
-        /// The index of each part that is in, and the attempt that answered it.
-        found_by: Vec<(usize, AttemptNumber)>,
-        /// What became of each block of a query in two phases.
+        /// Values of the answered parts. Empty strings where the host keeps the values itself.
+        values: Vec<(ShardId, String)>,
+        /// Index of each answered part among the parts of the multiget, and the attempt that answered it.
+        answered_by: Vec<(usize, AttemptNumber)>,
+        /// State of each block of a query in two phases; `None` for any other multiget.
         blocks: Option<Vec<(ShardId, BlockState)>>,
     },
     /// The multiget is rejected; a retry is harmless.
     Rejected {
-        /// The wait before a retry, where there is one.
+        /// Time to wait before a retry, if one is suggested.
         retry_after: Option<Nanos>,
     },
     /// The multiget failed after parts of it may have run.
     Failed,
 }
 
-/// What the host is to do.
+/// Action that the host carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends an attempt to a node.
     Send {
-        /// The part.
+        /// Part to send.
         part: PartId,
-        /// The attempt's number among those of the part.
-        no: AttemptNumber,
-        /// The node.
+        /// Number of the attempt among those of the part, from 0.
+        number: AttemptNumber,
+        /// Node to send it to.
         node: NodeId,
     },
-    /// Stops waiting for an attempt. The host reports its end: this outcome, or that it was never sent.
+    /// Stops waiting for an attempt. The host reports its end: with this outcome, or as never sent.
     Cancel {
-        /// The part.
+        /// Part that the attempt belongs to.
         part: PartId,
-        /// The attempt's number among those of the part.
-        no: AttemptNumber,
-        /// The outcome of an attempt that was sent.
+        /// Number of the attempt among those of the part, from 0.
+        number: AttemptNumber,
+        /// Outcome to report if any byte of the attempt was sent.
         outcome: Outcome,
     },
-    /// Gives a multiget its final answer.
+    /// Sends the final answer of a multiget to its requester.
     Answer {
-        /// Who asked.
-        asker: RequesterId,
-        /// The answer.
+        /// Requester of the multiget.
+        requester: RequesterId,
+        /// Final answer.
         verdict: Verdict,
-        /// Where the multiget stood.
-        ended: Stage,
+        /// Stage of the multiget when it got its final answer.
+        stage: Stage,
     },
-    /// Asks for the list of nodes, and follows its changes.
-    FollowList,
-    /// Takes connections to a node out of use on which nothing has come since attempts were sent.
+    /// Requests the list of nodes and subscribes to its changes.
+    SubscribeToNodeList,
+    /// Stops using those connections to a node on which nothing was received since attempts were sent.
     RenewConnections {
-        /// The node.
+        /// Node at the other end of the connections.
         node: NodeId,
     },
     /// Sends updates on nodes to the peers.
     NotifyPeers {
-        /// What became of attempts, by their nodes.
+        /// Nodes, and what happened to an attempt there.
         updates: Vec<(NodeId, Update)>,
     },
 }
--- a/crates/fernknot-engine/src/counters.rs
+++ b/crates/fernknot-engine/src/counters.rs
@@ -1,10 +1,10 @@
-//! Counters of what an engine has done since its start.
+//! Counters of an engine since its start.
 
-/// A struct of counters, and their text: a line for each, name and value.
+/// Defines a struct `Counters` with the given counters and a method that formats them as text.
 #[macro_export]
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
-        /// Counters since the start, under the names that operators see.
+        /// Counters since the start. The names of the fields are those that operators see.
         #[derive(Clone, Debug, Default)]
         pub struct Counters {
             $(
@@ -14,7 +14,7 @@
         }
 
         impl Counters {
-            /// A line for each, name and value.
+            /// Returns the counters as text: one line for each, with its name and value.
             pub fn text(&self) -> String {
                 let mut text = String::new();
                 $(text.push_str(&format!("{} {}\n", stringify!($name), self.$name));)*
--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The pull loop, and the carrying out of the decision module's decisions as far as that needs no socket.
+//! Inputs to the decision module, and the execution of its decisions as far as that needs no socket.
 
 use crate::action::{Action, Verdict};
 use crate::counters::Counters;
@@ -18,128 +18,129 @@
 /// One query router without sockets or a clock.
 pub struct Engine {
     pub(crate) decisions: Router,
-    pub(crate) phases: TwoPhasePlanner,
-    /// The multigets in flight.
+    pub(crate) planner: TwoPhasePlanner,
+    /// Multigets in flight.
     pub table: MultigetTable,
-    /// What has been done since the start.
+    /// Counters since the start.
     pub counters: Counters,
-    /// Attempts that ended, which the decision module has not been given yet.
+    /// Ended attempts that have not been reported to the decision module yet.
     endings: VecDeque<Ending>,
-    /// When attempts in flight are no longer waited for.
+    /// Deadlines of the attempts in flight, earliest first.
     attempt_deadlines: BTreeSet<(Nanos, PartId, AttemptNumber)>,
     wake_at: Option<Nanos>,
-    /// Ends are given to the decision module before a pull, not amid one.
-    is_pulling: bool,
-    /// A multiget was taken or has lapsed since the last pull began.
+    /// Whether a poll has begun and not yet returned `None`. Ended attempts are reported to the decision module before
+    /// a poll begins, not during one.
+    is_polling: bool,
+    /// Whether a multiget was submitted or its client has gone since the last poll began.
     has_input: bool,
 }
 
 impl Engine {
-    /// `phases` says which use cases may be asked in two phases; their summaries of blocks take at most
-    /// `sketch_bytes`.
+    /// Returns an engine without nodes. `two_phase_settings` has one entry for each use case, `None` where its queries
+    /// run in one phase; the term filters of blocks take at most `max_filter_bytes`.
     pub fn new(
         seed: u64,
         site: SiteSettings,
-        phases: &[Option<TwoPhaseSettings>],
-        sketch_bytes: usize,
+        two_phase_settings: &[Option<TwoPhaseSettings>],
+        max_filter_bytes: usize,
         now: Nanos,
     ) -> Engine {
         Engine {
             decisions: Router::new(seed, site, now),
-            phases: TwoPhasePlanner::new(now, phases, sketch_bytes),
+            planner: TwoPhasePlanner::new(now, two_phase_settings, max_filter_bytes),
             table: MultigetTable::default(),
             counters: Counters::default(),
             endings: VecDeque::new(),
             attempt_deadlines: BTreeSet::new(),
             wake_at: None,
-            is_pulling: false,
+            is_polling: false,
             has_input: false,
         }
     }
 
     // ---- Inputs on nodes, peers and the configuration --------------------------------------
 
-    /// A list of nodes, or changes to it.
-    pub fn list(&mut self, kind: ListKind, entries: &[NodeEntry]) {
+    /// Applies a list of nodes, or changes to it.
+    pub fn apply_node_list(&mut self, kind: ListKind, entries: &[NodeEntry]) {
         self.decisions.apply_list(kind, entries);
     }
 
-    /// The list of nodes can no longer be followed.
-    pub fn list_lost(&mut self, now: Nanos) {
+    /// Reports that changes of the node list can no longer be received.
+    pub fn node_list_lost(&mut self, now: Nanos) {
         self.decisions.list_failed(now);
     }
 
     /// Adds a use case at the next free id, or replaces one; see [`Router::set_use_case`].
-    pub fn use_case(&mut self, now: Nanos, id: UseCaseId, settings: &UseCaseSettings) {
+    pub fn set_use_case(&mut self, now: Nanos, id: UseCaseId, settings: &UseCaseSettings) {
         self.decisions.set_use_case(now, id, settings);
     }
 
-    /// Removes a use case; its id may be used again once nothing of it is open.
-    pub fn retire(&mut self, id: UseCaseId) {
+    /// Removes a use case. Its id may be reused once no multiget of the use case is in flight.
+    pub fn remove_use_case(&mut self, id: UseCaseId) {
         self.decisions.remove_use_case(id);
     }
 
-    /// This router's part of the retries that are free, from now on.
+    /// Sets this router's share of the free retries of the retry budget.
     pub fn set_free_retries(&mut self, free: f64) {
         self.decisions.set_free_attempts(free);
     }
 
-    /// From now on the work of this place is alike to that of all others in this group.
-    pub fn group(&mut self, place: PlaceId, group: u32) {
+    /// Assigns a place to a group of places with similar work per part.
+    pub fn set_place_group(&mut self, place: PlaceId, group: u32) {
         self.decisions.set_group(place, group);
     }
 
-    /// Among how many routers limits are shared from now on.
+    /// Sets the number of routers that share the limits.
     pub fn set_sharing_routers(&mut self, now: Nanos, routers: usize) {
         self.decisions.set_router_count(now, routers);
     }
 
-    /// What a peer reports of its attempts, by their nodes.
+    /// Applies a peer's updates on attempts of its own: nodes, and what happened to an attempt there.
     pub fn apply_peer_updates(&mut self, now: Nanos, from: PeerId, updates: &[(NodeId, Update)]) {
         self.decisions.apply_updates(now, from, updates);
     }
 
     // ---- Inputs on multigets ---------------------------------------------------------------
 
-    /// Takes a multiget whose client waits until `client_end`.
-    pub fn take(
+    /// Accepts a multiget whose client waits until `client_deadline`.
+    pub fn submit(
         &mut self,
         now: Nanos,
-        asker: RequesterId,
-        client_end: Nanos,
-        mut asked: MultigetRequest,
+        requester: RequesterId,
+        client_deadline: Nanos,
+        mut request: MultigetRequest,
     ) -> MultigetId {
-        let multiget = self.table.take(asker, client_end, &mut asked);
+        let multiget = self.table.insert(requester, client_deadline, &mut request);
         self.counters.multigets_taken += 1;
-        self.counters.multigets_repeated += u64::from(asked.is_retry);
-        self.counters.parts_taken += asked.parts.len() as u64;
-        let second = asked.second.take();
-        let second = second.and_then(|second| self.begin_phases(now, multiget, &mut asked, second));
+        self.counters.multigets_repeated += u64::from(request.is_retry);
+        self.counters.parts_taken += request.parts.len() as u64;
+        let second = request.second.take();
+        let second = second.and_then(|second| self.begin_first_phase(now, multiget, &mut request, second));
         let arrival = Arrival {
             multiget,
-            use_case: asked.use_case,
+            use_case: request.use_case,
             customer: CustomerId(0),
-            client_end,
-            repeat: asked.is_retry,
-            effort: total_effort(&asked.parts),
+            client_end: client_deadline,
+            repeat: request.is_retry,
+            effort: total_effort(&request.parts),
             second,
         };
         self.decisions.multiget_arrived(now, &arrival);
-        self.take_parts(now, multiget, 0, asked.parts.iter());
+        self.add_parts(now, multiget, 0, request.parts.iter());
         self.has_input = true;
         multiget
     }
 
-    pub(crate) fn take_parts<'a>(
+    pub(crate) fn add_parts<'a>(
         &mut self,
         now: Nanos,
-        of: MultigetId,
+        multiget: MultigetId,
         first_index: usize,
         parts: impl Iterator<Item = &'a RequestedPart>,
     ) {
         for (index, part) in parts.enumerate() {
             let part = PartArrival {
-                part: PartId { multiget: of, index: first_index + index },
+                part: PartId { multiget, index: first_index + index },
                 shard: part.shard,
                 weight: part.weight,
                 effort: part.effort,
@@ -148,56 +149,56 @@
         }
     }
 
-    /// The client has gone; nothing more is owed.
+    /// Reports that the client of a multiget has gone, so that no answer is sent.
     pub fn client_gone(&mut self, now: Nanos, multiget: MultigetId) {
         self.counters.lapsed += 1;
         self.has_input = true;
         self.decisions.client_gone(multiget);
-        self.phases_lapsed(now, multiget);
-        self.table.over(multiget);
+        self.finish_abandoned_query(now, multiget);
+        self.table.mark_over(multiget);
     }
 
-    /// A node answered an attempt with a value; empty where the host keeps values itself.
-    pub fn answered(
+    /// Reports the answer of a node to an attempt. The value is empty where the host keeps values itself.
+    pub fn attempt_answered(
         &mut self,
         now: Nanos,
         part: PartId,
-        no: AttemptNumber,
+        number: AttemptNumber,
         value: String,
         report: LoadReport,
     ) {
-        let is_out = self.table.is_out(part, no);
-        let Some(state) = self.table.part_mut(part).filter(|_| is_out) else { return };
+        let is_in_flight = self.table.is_attempt_in_flight(part, number);
+        let Some(state) = self.table.part_mut(part).filter(|_| is_in_flight) else { return };
         let outcome = match state.phase {
-            Phase::Match => self.matched(now, part, &value),
+            Phase::Match => self.record_match_answer(now, part, &value),
             Phase::Plain | Phase::Fetch => {
-                state.answer(no, value);
+                state.record_answer(number, value);
                 Outcome::Answered
             }
         };
-        self.ended(now, part, no, outcome, report);
+        self.attempt_ended(now, part, number, outcome, report);
     }
 
-    /// An attempt ended in any other way. How it ended first counts.
-    pub fn ended(
+    /// Reports that an attempt ended without an answer. Only the first report for an attempt counts.
+    pub fn attempt_ended(
         &mut self,
         now: Nanos,
         part: PartId,
-        no: AttemptNumber,
+        number: AttemptNumber,
         outcome: Outcome,
         report: LoadReport,
     ) {
-        let Some(attempt) = self.table.attempt_mut(part, no).filter(|attempt| !attempt.is_over) else {
+        let Some(attempt) = self.table.attempt_mut(part, number).filter(|attempt| !attempt.is_over) else {
             return;
         };
         attempt.is_over = true;
-        let (node, sent, stop_at) = (attempt.node, attempt.sent, attempt.stop_at);
-        self.attempt_deadlines.remove(&(stop_at, part, no));
+        let (node, sent_at, deadline) = (attempt.node, attempt.sent_at, attempt.deadline);
+        self.attempt_deadlines.remove(&(deadline, part, number));
         if let Some(multiget) = self.table.get_mut(part.multiget) {
             multiget.in_flight -= 1;
         }
         *self.outcome_counter(outcome) += 1;
-        self.endings.push_back(Ending { part, number: no, node, outcome, took: now - sent, report });
+        self.endings.push_back(Ending { part, number, node, outcome, took: now - sent_at, report });
     }
 
     fn outcome_counter(&mut self, outcome: Outcome) -> &mut u64 {
@@ -216,17 +217,17 @@
 
     // ---- State -----------------------------------------------------------------------------
 
-    /// The queries in two phases.
-    pub fn phases(&self) -> &TwoPhasePlanner {
-        &self.phases
+    /// Returns the planner of queries in two phases.
+    pub fn two_phase_planner(&self) -> &TwoPhasePlanner {
+        &self.planner
     }
 
-    /// Whether there is an input that the decision module has not been asked about.
+    /// Whether there was an input since the last poll began, so that actions may be due.
     pub fn has_input(&self) -> bool {
         self.has_input || !self.endings.is_empty()
     }
 
-    /// When to pull again without an input.
+    /// Returns the time at which to poll again if there is no input before.
     pub fn next_due(&self) -> Option<Nanos> {
         let deadline = self.attempt_deadlines.first().map(|(at, _, _)| *at);
         deadline.into_iter().chain(self.wake_at).min()
@@ -234,60 +235,60 @@
 
     // ---- Actions ---------------------------------------------------------------------------
 
-    /// The next action, until there is none.
+    /// Returns the next action; `None` once there is nothing left to do.
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
-        if !self.is_pulling {
+        if !self.is_polling {
             if let Some(action) = self.next_timeout(now) {
                 return Some(action);
             }
-            self.begin_pull(now);
+            self.begin_poll(now);
         }
         while let Some(decision) = self.decisions.poll_decision(now) {
             if let Some(action) = self.carry_out(now, decision) {
                 return Some(action);
             }
         }
-        self.is_pulling = false;
+        self.is_polling = false;
         None
     }
 
     fn next_timeout(&mut self, now: Nanos) -> Option<Action> {
-        let (at, part, no) = self.attempt_deadlines.first().copied().filter(|(at, _, _)| *at <= now)?;
-        self.attempt_deadlines.remove(&(at, part, no));
-        Some(Action::Cancel { part, no, outcome: Outcome::TimedOut })
+        let (at, part, number) = self.attempt_deadlines.first().copied().filter(|(at, _, _)| *at <= now)?;
+        self.attempt_deadlines.remove(&(at, part, number));
+        Some(Action::Cancel { part, number, outcome: Outcome::TimedOut })
     }
 
-    fn begin_pull(&mut self, now: Nanos) {
-        (self.is_pulling, self.has_input) = (true, false);
+    fn begin_poll(&mut self, now: Nanos) {
+        (self.is_polling, self.has_input) = (true, false);
         self.wake_at = self.wake_at.filter(|at| *at > now);
         while let Some(ending) = self.endings.pop_front() {
             self.decisions.attempt_ended(now, &ending);
-            self.table.forget(ending.part.multiget);
+            self.table.remove_if_done(ending.part.multiget);
         }
     }
 
-    /// Carries out one decision; what is left of it for the host comes back.
+    /// Carries out a decision. Returns the action that is left to the host, if any.
     fn carry_out(&mut self, now: Nanos, decision: Decision) -> Option<Action> {
         match decision {
             Decision::SendAttempt { part, node, stop_at } => self.start_attempt(now, part, node, stop_at),
-            Decision::CancelAttempt { part, number: no } => {
+            Decision::CancelAttempt { part, number } => {
                 self.counters.hand_offs_called_off += 1;
-                Some(Action::Cancel { part, no, outcome: Outcome::Cancelled })
+                Some(Action::Cancel { part, number, outcome: Outcome::Cancelled })
             }
             Decision::Complete { multiget, last: false, .. } => {
                 self.open_second_phase(now, multiget);
                 None
             }
-            Decision::Complete { multiget, complete: whole, .. } => {
-                let verdict = self.found(multiget, whole)?;
+            Decision::Complete { multiget, complete: is_complete, .. } => {
+                let verdict = self.completed_verdict(multiget, is_complete)?;
                 self.answer(now, multiget, verdict)
             }
-            Decision::Reject { multiget, retry_after: wait } => {
-                let wait = Some(wait).filter(|wait| wait.0 > 0);
-                self.answer(now, multiget, Verdict::Rejected { retry_after: wait })
+            Decision::Reject { multiget, retry_after } => {
+                let retry_after = Some(retry_after).filter(|wait| wait.0 > 0);
+                self.answer(now, multiget, Verdict::Rejected { retry_after })
             }
             Decision::Abort { multiget } => self.answer(now, multiget, Verdict::Failed),
-            Decision::RequestList => Some(Action::FollowList),
+            Decision::RequestList => Some(Action::SubscribeToNodeList),
             Decision::RenewConnections { node } => Some(Action::RenewConnections { node }),
             Decision::NotifyPeers { updates } => Some(Action::NotifyPeers { updates }),
             Decision::Wake { after } => {
@@ -300,47 +301,48 @@
 
     fn start_attempt(&mut self, now: Nanos, part: PartId, node: NodeId, stop_at: Nanos) -> Option<Action> {
         let multiget = self.table.get_mut(part.multiget)?;
-        let stop_at = if stop_at.0 == 0 { multiget.client_end } else { stop_at.min(multiget.client_end) };
+        let deadline =
+            if stop_at.0 == 0 { multiget.client_deadline } else { stop_at.min(multiget.client_deadline) };
         let attempts = &mut multiget.parts[part.index].attempts;
-        let no = AttemptNumber(attempts.len() as u32);
-        attempts.push(AttemptState { node, sent: now, stop_at, is_over: false });
+        let number = AttemptNumber(attempts.len() as u32);
+        attempts.push(AttemptState { node, sent_at: now, deadline, is_over: false });
         multiget.in_flight += 1;
         self.counters.hand_offs += 1;
-        self.counters.hand_offs_further += u64::from(no.0 > 0);
-        if stop_at <= now {
-            self.ended(now, part, no, Outcome::NeverSent, LoadReport::default());
+        self.counters.hand_offs_further += u64::from(number.0 > 0);
+        if deadline <= now {
+            self.attempt_ended(now, part, number, Outcome::NeverSent, LoadReport::default());
             return None;
         }
-        self.attempt_deadlines.insert((stop_at, part, no));
-        Some(Action::Send { part, no, node })
+        self.attempt_deadlines.insert((deadline, part, number));
+        Some(Action::Send { part, number, node })
     }
 
-    /// The answer from the parts that are in.
-    fn found(&self, id: MultigetId, whole: bool) -> Option<Verdict> {
+    /// Returns the final answer that consists of the answered parts.
+    fn completed_verdict(&self, id: MultigetId, is_complete: bool) -> Option<Verdict> {
         let multiget = self.table.get(id)?;
-        let found = multiget.parts.iter().filter_map(|part| Some((part.shard, part.value.clone()?)));
-        let found: Vec<_> = found.collect();
-        let answered_by = |(index, part): (usize, &PartState)| Some((index, part.answered_by?));
-        let found_by = multiget.parts.iter().enumerate().filter_map(answered_by).collect();
-        let is_found = |shard| found.iter().any(|(found, _)| *found == shard);
+        let values = multiget.parts.iter().filter_map(|part| Some((part.shard, part.value.clone()?)));
+        let values: Vec<_> = values.collect();
+        let attempt_of = |(index, part): (usize, &PartState)| Some((index, part.answered_by?));
+        let answered_by = multiget.parts.iter().enumerate().filter_map(attempt_of).collect();
+        let has_value = |shard| values.iter().any(|(answered, _)| *answered == shard);
         let blocks =
-            multiget.is_phased().then(|| self.phases.block_outcomes(id, is_found).unwrap_or_default());
-        Some(Verdict::Completed { is_complete: whole, found, found_by, blocks })
+            multiget.is_two_phase().then(|| self.planner.block_outcomes(id, has_value).unwrap_or_default());
+        Some(Verdict::Completed { is_complete, values, answered_by, blocks })
     }
 
-    /// Gives the final answer, if one is still owed.
+    /// Returns the action that sends the final answer; `None` if the multiget is over.
     fn answer(&mut self, now: Nanos, multiget: MultigetId, verdict: Verdict) -> Option<Action> {
         let state = self.table.get(multiget).filter(|state| !state.is_over)?;
-        let (asker, ended) = (state.asker, state.stage());
-        if state.is_phased() {
-            self.phases_answered(now, multiget, &verdict, ended);
+        let (requester, stage) = (state.requester, state.stage());
+        if state.is_two_phase() {
+            self.finish_answered_query(now, multiget, &verdict, stage);
         }
-        self.table.over(multiget);
-        Some(Action::Answer { asker, verdict, ended })
+        self.table.mark_over(multiget);
+        Some(Action::Answer { requester, verdict, stage })
     }
 }
 
-/// The work of all parts; none if it is unknown for any, as a guess at the whole is one only if there is one for each.
+/// Sum of the expected work of all parts; `None` if that of any part is unknown, because the sum would be too small.
 fn total_effort(parts: &[RequestedPart]) -> Option<Nanos> {
     parts.iter().try_fold(Nanos(0), |sum, part| Some(sum + part.effort?))
 }
--- a/crates/fernknot-engine/src/lib.rs
+++ b/crates/fernknot-engine/src/lib.rs
@@ -1,9 +1,10 @@
 //! One query router without sockets or a clock: the decision module, and the table of multigets in flight.
 //!
-//! A host feeds an [`Engine`] inputs with a time (`take`, `ended`, `answered`, `list`, ...), which only update its
-//! state, and then pulls actions with `next` until there are none. `due` returns when it has to be pulled again without
-//! an input. The router in service and the gateway in real time, the experiments in simulated time and the tests run
-//! this same code.
+//! A host passes inputs to an [`Engine`], each with the current time ([`submit`](Engine::submit),
+//! [`attempt_ended`](Engine::attempt_ended), [`apply_node_list`](Engine::apply_node_list), ...). Inputs only update the
+//! engine's state; the host then calls [`poll_action`](Engine::poll_action) until it returns `None`.
+//! [`next_due`](Engine::next_due) returns the time of the next poll if no input arrives before. The router and the
+//! gateway in real time, the experiments in simulated time and the tests run this same code.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-engine/src/multiget.rs
+++ b/crates/fernknot-engine/src/multiget.rs
@@ -1,115 +1,118 @@
-//! A multiget in flight.
+//! State of a multiget in flight.
 
 use crate::part::{PartState, Phase};
 use fernknot::interface::{Nanos, ShardId};
 use fernknot_protocol::multiget::{MultigetRequest, SecondPhaseRequest};
 
-/// Who asked, as the host knows it.
+/// Host's identifier of the requester of a multiget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequesterId(pub u64);
 
-/// Where a multiget stood when it got its final answer.
+/// Stage of a multiget when it got its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It has one phase.
+    /// The only phase of a plain multiget.
     Plain,
-    /// In the first of two phases.
+    /// The first of two phases.
     FirstPhase,
-    /// In the second of two phases.
+    /// The second of two phases.
     SecondPhase {
-        /// An attempt of the second phase was made.
+        /// Whether an attempt of the second phase was made.
         ran: bool,
     },
 }
 
-/// A multiget of which something is still in flight or owed.
+/// Multiget that has no final answer yet or has attempts in flight.
 pub struct MultigetState {
-    /// The client's id for it.
+    /// Identifier assigned by the client.
     pub id: String,
-    /// Who asked.
-    pub asker: RequesterId,
-    /// When the client stops waiting.
-    pub client_end: Nanos,
-    key: Option<String>,
+    /// Requester of the multiget.
+    pub requester: RequesterId,
+    /// Time at which the client stops waiting.
+    pub client_deadline: Nanos,
+    idempotency_key: Option<String>,
     text: String,
-    second: Option<Box<SecondPhase>>,
-    /// Its parts; those of a second phase follow those of the first.
+    second_phase: Option<Box<SecondPhase>>,
+    /// Parts of the multiget; those of a second phase follow those of the first.
     pub parts: Vec<PartState>,
-    /// Attempts whose end has not been reported.
+    /// Number of attempts whose end has not been reported.
     pub in_flight: usize,
-    /// It has had its final answer, or its client has gone.
+    /// Whether the multiget has its final answer, or its client has gone.
     pub is_over: bool,
 }
 
-/// The second of two phases.
 struct SecondPhase {
     text: String,
-    is_opened: bool,
+    is_open: bool,
 }
 
 impl MultigetState {
-    /// Takes over what the request asks; its text, key and id are moved out of it.
-    pub(crate) fn new(asker: RequesterId, client_end: Nanos, asked: &mut MultigetRequest) -> MultigetState {
-        let of = if asked.second.is_some() { Phase::Match } else { Phase::Plain };
+    /// Returns the state of a new multiget. The text, idempotency key and id are moved out of the request.
+    pub(crate) fn new(
+        requester: RequesterId,
+        client_deadline: Nanos,
+        request: &mut MultigetRequest,
+    ) -> MultigetState {
+        let phase = if request.second.is_some() { Phase::Match } else { Phase::Plain };
         let second_phase = |second: &mut SecondPhaseRequest| SecondPhase {
             text: std::mem::take(&mut second.text),
-            is_opened: false,
+            is_open: false,
         };
         MultigetState {
-            parts: asked.parts.iter().map(|part| PartState::new(&asked.id, part.shard, of)).collect(),
-            key: asked.key.take(),
-            text: std::mem::take(&mut asked.text),
-            second: asked.second.as_mut().map(|second| Box::new(second_phase(second))),
-            id: std::mem::take(&mut asked.id),
-            asker,
-            client_end,
+            parts: request.parts.iter().map(|part| PartState::new(&request.id, part.shard, phase)).collect(),
+            idempotency_key: request.key.take(),
+            text: std::mem::take(&mut request.text),
+            second_phase: request.second.as_mut().map(|second| Box::new(second_phase(second))),
+            id: std::mem::take(&mut request.id),
+            requester,
+            client_deadline,
             in_flight: 0,
             is_over: false,
         }
     }
 
-    /// What a part asks of a node.
+    /// Returns the text of the request that a part sends to a node.
     pub fn text(&self, part: &PartState) -> &str {
-        match (&self.second, part.phase) {
+        match (&self.second_phase, part.phase) {
             (Some(second), Phase::Fetch) => &second.text,
             _ => &self.text,
         }
     }
 
-    /// The client's idempotency key, for parts that may change something: the first of two phases only asks.
-    pub fn key(&self, part: &PartState) -> Option<&str> {
-        self.key.as_deref().filter(|_| part.phase != Phase::Match)
+    /// Returns the client's idempotency key for a part that may have effects. Parts of the first of two phases only
+    /// read, so they carry no key.
+    pub fn idempotency_key(&self, part: &PartState) -> Option<&str> {
+        self.idempotency_key.as_deref().filter(|_| part.phase != Phase::Match)
     }
 
-    /// It has two phases.
-    pub fn is_phased(&self) -> bool {
-        self.second.is_some()
+    /// Whether the multiget is a query in two phases.
+    pub fn is_two_phase(&self) -> bool {
+        self.second_phase.is_some()
     }
 
-    /// Its second phase has been opened.
-    pub fn is_opened(&self) -> bool {
-        self.second.as_ref().is_some_and(|second| second.is_opened)
+    /// Whether the second phase has been opened.
+    pub fn is_second_phase_open(&self) -> bool {
+        self.second_phase.as_ref().is_some_and(|second| second.is_open)
     }
 
-    /// An attempt of the second phase was made.
-    pub fn second_ran(&self) -> bool {
+    /// Whether an attempt of the second phase was made.
+    pub fn has_second_phase_attempts(&self) -> bool {
         self.parts.iter().any(|part| part.phase == Phase::Fetch && !part.attempts.is_empty())
     }
 
-    /// Where it stands.
     pub(crate) fn stage(&self) -> Stage {
-        match (self.is_phased(), self.is_opened()) {
+        match (self.is_two_phase(), self.is_second_phase_open()) {
             (false, _) => Stage::Plain,
             (true, false) => Stage::FirstPhase,
-            (true, true) => Stage::SecondPhase { ran: self.second_ran() },
+            (true, true) => Stage::SecondPhase { ran: self.has_second_phase_attempts() },
         }
     }
 
-    /// Opens the second phase with these blocks; the index of the first of its parts comes back.
-    pub(crate) fn open(&mut self, shards: impl Iterator<Item = ShardId>) -> usize {
+    /// Opens the second phase with a part for each of the shards. Returns the index of the first of these parts.
+    pub(crate) fn open_second_phase(&mut self, shards: impl Iterator<Item = ShardId>) -> usize {
         let first_index = self.parts.len();
-        if let Some(second) = &mut self.second {
-            second.is_opened = true;
+        if let Some(second) = &mut self.second_phase {
+            second.is_open = true;
         }
         let id = &self.id;
         self.parts.extend(shards.map(|shard| PartState::new(id, shard, Phase::Fetch)));
--- a/crates/fernknot-engine/src/part.rs
+++ b/crates/fernknot-engine/src/part.rs
@@ -1,61 +1,61 @@
-//! A part of a multiget, and the attempts to have it answered.
+//! Parts of a multiget, and the attempts to have them answered.
 
 use fernknot::interface::{AttemptNumber, Nanos, NodeId, ShardId};
 
-/// One attempt to have a part answered by a node.
+/// Attempt to have a part answered by a node.
 pub struct AttemptState {
-    /// The node.
+    /// Node that the attempt is sent to.
     pub node: NodeId,
-    /// When the attempt was decided on.
-    pub sent: Nanos,
-    /// When it is no longer waited for.
-    pub stop_at: Nanos,
-    /// Its end has been reported.
+    /// Time at which the decision module decided on the attempt.
+    pub sent_at: Nanos,
+    /// Time after which the attempt counts as timed out.
+    pub deadline: Nanos,
+    /// Whether the end of the attempt has been reported.
     pub is_over: bool,
 }
 
-/// The phase that a part belongs to.
+/// Phase that a part belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The one phase of a plain multiget.
+    /// The only phase of a plain multiget.
     Plain,
-    /// The first of two phases.
+    /// The first of two phases, in which blocks are asked for matches.
     Match,
-    /// The second of two phases.
+    /// The second of two phases, in which blocks are fetched.
     Fetch,
 }
 
-/// A part of a multiget.
+/// Part of a multiget.
 pub struct PartState {
-    /// The shard that is asked.
+    /// Shard that the part is sent to.
     pub shard: ShardId,
-    /// The phase that it belongs to.
+    /// Phase that the part belongs to.
     pub phase: Phase,
-    /// Its id in frames.
+    /// Identifier of the part in frames.
     pub id: String,
-    /// The value of the first answer.
+    /// Value of the first answer.
     pub value: Option<String>,
-    /// The attempt that gave it.
+    /// Attempt that returned the first answer.
     pub answered_by: Option<AttemptNumber>,
-    /// Its attempts, by their numbers.
+    /// Attempts at this part, indexed by attempt number.
     pub attempts: Vec<AttemptState>,
 }
 
 impl PartState {
-    /// Guards against ids that collide: a client's id has no comma, so the id of a plain part is never that of a part of
-    /// a phase, and the letter distinguishes the phases.
-    pub(crate) fn new(multiget_id: &str, shard: ShardId, of: Phase) -> PartState {
-        let phase = match of {
+    /// Returns a part without attempts. Part ids are unique: a client's id contains no comma, so the id of a plain part
+    /// never equals that of a part of two phases, and the letter distinguishes the phases.
+    pub(crate) fn new(multiget_id: &str, shard: ShardId, phase: Phase) -> PartState {
+        let suffix = match phase {
             Phase::Plain => "",
             Phase::Match => ",m",
             Phase::Fetch => ",f",
         };
-        let id = format!("{multiget_id}{phase}.{}", shard.0);
-        PartState { shard, phase: of, id, value: None, answered_by: None, attempts: Vec::new() }
+        let id = format!("{multiget_id}{suffix}.{}", shard.0);
+        PartState { shard, phase, id, value: None, answered_by: None, attempts: Vec::new() }
     }
 
-    /// Takes a value, if it is the first.
-    pub(crate) fn answer(&mut self, attempt: AttemptNumber, value: String) {
+    /// Records the value of an answer unless an earlier attempt answered the part.
+    pub(crate) fn record_answer(&mut self, attempt: AttemptNumber, value: String) {
         if self.value.is_none() {
             (self.value, self.answered_by) = (Some(value), Some(attempt));
         }
--- a/crates/fernknot-engine/src/table.rs
+++ b/crates/fernknot-engine/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of multigets in flight, which the host and the decision module share.
+//! Table of multigets in flight, which the host and the decision module share.
 
 use crate::multiget::{MultigetState, RequesterId};
 use crate::part::{AttemptState, PartState};
@@ -6,56 +6,56 @@
 use fernknot_protocol::multiget::MultigetRequest;
 use std::collections::{HashMap, HashSet};
 
-/// The multigets of which something is still in flight or owed.
+/// Multigets without a final answer, and answered ones with attempts in flight.
 #[derive(Default)]
 pub struct MultigetTable {
     multigets: HashMap<MultigetId, MultigetState>,
-    /// The clients' ids of those that are owed an answer.
-    open: HashSet<String>,
+    /// Client-assigned ids of the multigets without a final answer.
+    unanswered_ids: HashSet<String>,
     next_id: u64,
-    /// How many multigets are owed an answer.
-    pub owed: usize,
+    /// Number of multigets without a final answer.
+    pub unanswered: usize,
 }
 
 impl MultigetTable {
-    pub(crate) fn take(
+    pub(crate) fn insert(
         &mut self,
-        asker: RequesterId,
-        client_end: Nanos,
-        asked: &mut MultigetRequest,
+        requester: RequesterId,
+        client_deadline: Nanos,
+        request: &mut MultigetRequest,
     ) -> MultigetId {
         let id = MultigetId(self.next_id);
         self.next_id += 1;
-        self.owed += 1;
-        let multiget = MultigetState::new(asker, client_end, asked);
-        self.open.insert(multiget.id.clone());
+        self.unanswered += 1;
+        let multiget = MultigetState::new(requester, client_deadline, request);
+        self.unanswered_ids.insert(multiget.id.clone());
         self.multigets.insert(id, multiget);
         id
     }
 
-    /// Sorts the parts of a multiget of which no attempt has been made.
+    /// Sorts the parts of a multiget. Attempts refer to parts by index, so none may have been made.
     pub(crate) fn sort_parts<K: Ord>(&mut self, id: MultigetId, key: impl FnMut(&PartState) -> K) {
         if let Some(multiget) = self.multigets.get_mut(&id) {
             multiget.parts.sort_by_key(key);
         }
     }
 
-    /// Whether a request of this client's id is owed an answer.
-    pub fn is_open(&self, id: &str) -> bool {
-        self.open.contains(id)
+    /// Whether a multiget with this client-assigned id has no final answer yet.
+    pub fn is_awaiting_answer(&self, client_assigned_id: &str) -> bool {
+        self.unanswered_ids.contains(client_assigned_id)
     }
 
-    /// How many multigets are in the table, answered ones with attempts in flight among them.
+    /// Number of multigets in the table, including answered ones with attempts in flight.
     pub fn len(&self) -> usize {
         self.multigets.len()
     }
 
-    /// Whether nothing is in flight or owed.
+    /// Whether every multiget is answered and no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.multigets.is_empty()
     }
 
-    /// A multiget, unless it is over and nothing of it is in flight.
+    /// Returns a multiget; `None` once it is over and none of its attempts is in flight.
     pub fn get(&self, id: MultigetId) -> Option<&MultigetState> {
         self.multigets.get(&id)
     }
@@ -64,7 +64,7 @@
         self.multigets.get_mut(&id)
     }
 
-    /// A part of a multiget in the table.
+    /// Returns a part of a multiget in the table.
     pub fn part(&self, id: PartId) -> Option<&PartState> {
         self.multigets.get(&id.multiget)?.parts.get(id.index)
     }
@@ -73,7 +73,7 @@
         self.multigets.get_mut(&id.multiget)?.parts.get_mut(id.index)
     }
 
-    /// An attempt of a multiget in the table.
+    /// Returns an attempt of a multiget in the table.
     pub fn attempt(&self, id: PartId, number: AttemptNumber) -> Option<&AttemptState> {
         self.part(id)?.attempts.get(number.0 as usize)
     }
@@ -82,25 +82,25 @@
         self.part_mut(id)?.attempts.get_mut(number.0 as usize)
     }
 
-    /// Whether the end of an attempt has not been reported.
-    pub fn is_out(&self, part: PartId, number: AttemptNumber) -> bool {
+    /// Whether the attempt is known and its end has not been reported.
+    pub fn is_attempt_in_flight(&self, part: PartId, number: AttemptNumber) -> bool {
         self.attempt(part, number).is_some_and(|attempt| !attempt.is_over)
     }
 
-    /// Marks the multiget as answered; true if that was still owed.
-    pub(crate) fn over(&mut self, id: MultigetId) -> bool {
+    /// Marks a multiget as over: it has its final answer, or its client has gone. Returns false if it was over before.
+    pub(crate) fn mark_over(&mut self, id: MultigetId) -> bool {
         let Some(multiget) = self.multigets.get_mut(&id).filter(|multiget| !multiget.is_over) else {
             return false;
         };
         multiget.is_over = true;
-        self.open.remove(&multiget.id);
-        self.owed -= 1;
-        self.forget(id);
+        self.unanswered_ids.remove(&multiget.id);
+        self.unanswered -= 1;
+        self.remove_if_done(id);
         true
     }
 
-    /// Removes a multiget that nothing can refer to any more.
-    pub(crate) fn forget(&mut self, id: MultigetId) {
+    /// Removes a multiget that is over and has no attempt in flight, so that nothing refers to it any more.
+    pub(crate) fn remove_if_done(&mut self, id: MultigetId) {
         if self.multigets.get(&id).is_some_and(|multiget| multiget.is_over && multiget.in_flight == 0) {
             self.multigets.remove(&id);
         }
--- a/crates/fernknot-engine/src/two_phase.rs
+++ b/crates/fernknot-engine/src/two_phase.rs
@@ -1,4 +1,4 @@
-//! Queries in two phases: what begins, opens, ends and counts them.
+//! Queries in two phases: their start, the opening of the second phase, their end and their counters.
 
 use crate::action::Verdict;
 use crate::counters::Counters;
@@ -11,12 +11,12 @@
 use std::collections::HashMap;
 
 impl Engine {
-    /// Begins the first of two phases; what the decision module is to know of the second comes back.
-    pub(crate) fn begin_phases(
+    /// Starts the first of two phases. Returns the estimate of the second phase for the decision module.
+    pub(crate) fn begin_first_phase(
         &mut self,
         now: Nanos,
         id: MultigetId,
-        asked: &mut MultigetRequest,
+        request: &mut MultigetRequest,
         second: SecondPhaseRequest,
     ) -> Option<SecondPhaseEstimate> {
         self.counters.phased_taken += 1;
@@ -26,31 +26,31 @@
             effort: part.effort,
         };
         let query = TwoPhaseQuery {
-            use_case: asked.use_case,
-            client_timeout: asked.timeout,
-            first_phase_blocks: asked.parts.iter().map(|part| part.shard).collect(),
+            use_case: request.use_case,
+            client_timeout: request.timeout,
+            first_phase_blocks: request.parts.iter().map(|part| part.shard).collect(),
             candidates: second.parts.into_iter().map(candidate).collect(),
             terms: second.terms.iter().map(|term| term_fingerprint(term)).collect(),
         };
-        let order = self.phases.begin(now, id, query);
+        let order = self.planner.begin(now, id, query);
         let rank: HashMap<ShardId, usize> =
             order.into_iter().enumerate().map(|(rank, shard)| (shard, rank)).collect();
-        asked.parts.sort_by_key(|part| rank.get(&part.shard).copied());
+        request.parts.sort_by_key(|part| rank.get(&part.shard).copied());
         self.table.sort_parts(id, |part| rank.get(&part.shard).copied());
-        self.phases.second_phase_estimate(now, id)
+        self.planner.second_phase_estimate(now, id)
     }
 
-    /// Takes a block's answer of a first phase. Guards against a fetch that is silently smaller: a value that cannot be
-    /// read, or names what it may not, is a failed attempt that may have run.
-    pub(crate) fn matched(&mut self, now: Nanos, part: PartId, value: &str) -> Outcome {
+    /// Records a block's answer of a first phase. An answer that cannot be parsed or names a block that it may not name
+    /// counts as a failed attempt that may have run; otherwise the second phase would silently fetch fewer blocks.
+    pub(crate) fn record_match_answer(&mut self, now: Nanos, part: PartId, value: &str) -> Outcome {
         let Some(shard) = self.table.part(part).map(|part| part.shard) else { return Outcome::Error };
         let Ok(answer) = matches::read(value) else {
             self.counters.match_values_bad += 1;
             return Outcome::Error;
         };
-        match self.phases.record_match(part.multiget, shard, answer) {
+        match self.planner.record_match(part.multiget, shard, answer) {
             Ok(true) => {
-                if let Some(estimate) = self.phases.second_phase_estimate(now, part.multiget) {
+                if let Some(estimate) = self.planner.second_phase_estimate(now, part.multiget) {
                     self.decisions.expect_second_phase(part.multiget, estimate);
                 }
                 Outcome::Answered
@@ -66,48 +66,54 @@
         }
     }
 
-    /// Opens the second phase with the blocks that the first one left, if any.
+    /// Opens the second phase with the blocks that the first one selected, unless it was opened before.
     pub(crate) fn open_second_phase(&mut self, now: Nanos, id: MultigetId) {
-        let Some(fetch) = self.phases.open_second_phase(now, id) else { return };
+        let Some(fetch) = self.planner.open_second_phase(now, id) else { return };
         let Some(multiget) = self.table.get_mut(id) else { return };
-        let first_index = multiget.open(fetch.blocks.iter().map(|block| block.shard));
+        let first_index = multiget.open_second_phase(fetch.blocks.iter().map(|block| block.shard));
         self.counters.phased_opened += 1;
-        self.decisions.begin_second_phase(id, fetch.step);
+        self.decisions.begin_second_phase(id, fetch.start);
         let part = |block: CandidateBlock| RequestedPart {
             shard: block.shard,
             weight: block.weight,
             effort: block.effort,
         };
         let parts: Vec<RequestedPart> = fetch.blocks.into_iter().map(part).collect();
-        self.take_parts(now, id, first_index, parts.iter());
+        self.add_parts(now, id, first_index, parts.iter());
     }
 
-    /// The client of a multiget has gone.
-    pub(crate) fn phases_lapsed(&mut self, now: Nanos, id: MultigetId) {
+    /// Ends the planning of a multiget whose client has gone, if it is an unanswered query in two phases.
+    pub(crate) fn finish_abandoned_query(&mut self, now: Nanos, id: MultigetId) {
         let Some(multiget) = self.table.get(id) else { return };
-        if !multiget.is_phased() || multiget.is_over {
+        if !multiget.is_two_phase() || multiget.is_over {
             return;
         }
-        match multiget.is_opened() {
+        match multiget.is_second_phase_open() {
             false => self.counters.first_phase_lapsed += 1,
             true => self.counters.second_phase_lapsed += 1,
         }
-        self.phases.finish(now, id, multiget.second_ran());
+        self.planner.finish(now, id, multiget.has_second_phase_attempts());
     }
 
-    /// A query in two phases has its final answer.
-    pub(crate) fn phases_answered(&mut self, now: Nanos, id: MultigetId, verdict: &Verdict, ended: Stage) {
-        count(&mut self.counters, verdict, ended);
-        self.phases.finish(now, id, ended == Stage::SecondPhase { ran: true });
+    /// Ends the planning of a query in two phases that has its final answer.
+    pub(crate) fn finish_answered_query(
+        &mut self,
+        now: Nanos,
+        id: MultigetId,
+        verdict: &Verdict,
+        stage: Stage,
+    ) {
+        count_answer(&mut self.counters, verdict, stage);
+        self.planner.finish(now, id, stage == Stage::SecondPhase { ran: true });
     }
 }
 
 /// Counts the final answer to a query in two phases.
-fn count(counters: &mut Counters, verdict: &Verdict, ended: Stage) {
-    match (verdict, ended) {
-        (Verdict::Completed { is_complete: whole, blocks, .. }, _) => {
+fn count_answer(counters: &mut Counters, verdict: &Verdict, stage: Stage) {
+    match (verdict, stage) {
+        (Verdict::Completed { is_complete, blocks, .. }, _) => {
             blocks.iter().flatten().for_each(|(_, state)| count_block(counters, *state));
-            match whole {
+            match is_complete {
                 true => counters.phased_whole += 1,
                 false => counters.phased_in_part += 1,
             }
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An engine under test: a small site, stores scripted by hand, time stepped in milliseconds.
+//! Test host of an engine: a small site, node answers scripted by the test, and simulated time in milliseconds.
 #![allow(dead_code)]
 
 use fernknot::interface::*;
@@ -6,21 +6,21 @@
 use fernknot_protocol::multiget::{BlockState, MultigetRequest, RequestedPart, SecondPhaseRequest};
 use fernknot_router_config::{LatencySplit, TwoPhaseSettings, UnansweredBlock};
 
-pub const GOAL: f64 = 1000.0;
-pub const HARD: f64 = 3000.0;
-pub const REPLAYABLE: usize = 0;
-pub const SINGLE_USE: usize = 1;
-pub const PLAIN: usize = 2;
+pub const LATENCY_TARGET_MS: f64 = 1000.0;
+pub const HARD_LIMIT_MS: f64 = 3000.0;
+pub const IDEMPOTENT: usize = 0;
+pub const NON_IDEMPOTENT: usize = 1;
+pub const ONE_PHASE: usize = 2;
 
 pub fn ms(millis: f64) -> Nanos {
     Nanos::from_millis(millis)
 }
 
-/// Four places of so many nodes each; shard s is at place s modulo 4.
+/// Settings of a site with four places; shard `s` is at place `s` modulo 4.
 pub fn site() -> SiteSettings {
-    let case = |effect| UseCaseSettings {
-        latency_target: ms(GOAL),
-        hard_limit: ms(HARD),
+    let use_case = |effect| UseCaseSettings {
+        latency_target: ms(LATENCY_TARGET_MS),
+        hard_limit: ms(HARD_LIMIT_MS),
         value: 1.0,
         late_share: 0.0,
         squared: false,
@@ -33,7 +33,11 @@
     };
     SiteSettings {
         routers: 1,
-        use_cases: vec![case(Effect::Idempotent), case(Effect::NonIdempotent), case(Effect::Idempotent)],
+        use_cases: vec![
+            use_case(Effect::Idempotent),
+            use_case(Effect::NonIdempotent),
+            use_case(Effect::Idempotent),
+        ],
         shortest_goal: None,
         customers: Vec::new(),
         tick: ms(1.0),
@@ -59,9 +63,9 @@
     }
 }
 
-pub fn phases() -> TwoPhaseSettings {
+pub fn two_phase_settings() -> TwoPhaseSettings {
     TwoPhaseSettings {
-        latency_target: ms(GOAL),
+        latency_target: ms(LATENCY_TARGET_MS),
         min_first_phase_share: 0.1,
         max_first_phase_share: 0.95,
         unanswered_block: UnansweredBlock::Fetch,
@@ -74,69 +78,75 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Sent {
-    pub at: f64,
-    pub asker: u64,
+pub struct SentAttempt {
+    pub at_ms: f64,
+    pub query: u64,
     pub part: PartId,
-    pub no: AttemptNumber,
+    pub number: AttemptNumber,
     pub node: NodeId,
     pub id: String,
     pub shard: u32,
-    pub of: Phase,
-    pub over: bool,
-    /// How it ended, once it has.
+    pub phase: Phase,
+    pub has_ended: bool,
+    /// Outcome of the attempt; `None` before its end.
     pub outcome: Option<Outcome>,
-    /// The final answer had been given, or the client had gone, before it was sent.
-    pub too_late: bool,
-    /// Others of its part that may have run when it was sent.
-    pub may_run_beside: usize,
+    /// Whether the query had its final answer, or its client had gone, before the attempt was sent.
+    pub sent_after_end: bool,
+    /// Number of earlier attempts at the part that may have run when this one was sent.
+    pub earlier_possible_runs: usize,
 }
 
 #[derive(Clone, Debug)]
-pub struct Final {
-    pub at: f64,
-    pub asker: u64,
+pub struct FinalAnswer {
+    pub at_ms: f64,
+    pub query: u64,
     pub verdict: Verdict,
-    pub ended: Stage,
+    pub stage: Stage,
 }
 
 pub struct Host {
     pub engine: Engine,
-    pub now: f64,
-    pub sent: Vec<Sent>,
-    pub finals: Vec<Final>,
-    asked: u64,
-    gone: Vec<u64>,
+    pub now_ms: f64,
+    pub sent: Vec<SentAttempt>,
+    pub final_answers: Vec<FinalAnswer>,
+    query_count: u64,
+    gone_clients: Vec<u64>,
     use_cases: Vec<usize>,
-    owners: std::collections::HashMap<MultigetId, u64>,
+    query_of: std::collections::HashMap<MultigetId, u64>,
 }
 
 impl Host {
-    pub fn new(site: SiteSettings, phases: TwoPhaseSettings, nodes_a_place: u32) -> Host {
-        let now = 1_000_000.0;
-        let given = [Some(phases.clone()), Some(phases), None];
-        let mut engine = Engine::new(7, site, &given, 100_000, ms(now));
+    pub fn new(site: SiteSettings, two_phase_settings: TwoPhaseSettings, nodes_per_place: u32) -> Host {
+        let now_ms = 1_000_000.0;
+        let use_cases = [Some(two_phase_settings.clone()), Some(two_phase_settings), None];
+        let mut engine = Engine::new(7, site, &use_cases, 100_000, ms(now_ms));
         let entries: Vec<NodeEntry> =
-            (0..4 * nodes_a_place).map(|node| entry(node, Health::Running)).collect();
-        engine.list(ListKind::Full, &entries);
+            (0..4 * nodes_per_place).map(|node| node_entry(node, Health::Running)).collect();
+        engine.apply_node_list(ListKind::Full, &entries);
         Host {
             engine,
-            now,
+            now_ms,
             sent: Vec::new(),
-            finals: Vec::new(),
-            asked: 0,
-            gone: Vec::new(),
+            final_answers: Vec::new(),
+            query_count: 0,
+            gone_clients: Vec::new(),
             use_cases: Vec::new(),
-            owners: Default::default(),
+            query_of: Default::default(),
         }
     }
 
-    /// Asks for matches of all these blocks, in two phases; its number comes back.
-    pub fn ask(&mut self, use_case: usize, shards: &[u32]) -> u64 {
-        self.ask_for(use_case, shards, &[], HARD)
+    /// Submits a query for these blocks, in two phases unless its use case has one. Returns the query's number.
+    pub fn submit(&mut self, use_case: usize, shards: &[u32]) -> u64 {
+        self.submit_with(use_case, shards, &[], HARD_LIMIT_MS)
     }
 
-    pub fn ask_for(&mut self, use_case: usize, shards: &[u32], terms: &[&str], stays: f64) -> u64 {
+    pub fn submit_with(
+        &mut self,
+        use_case: usize,
+        shards: &[u32],
+        terms: &[&str],
+        client_timeout_ms: f64,
+    ) -> u64 {
         let part = |shard: &u32| RequestedPart {
             shard: ShardId(*shard),
             weight: 1.0 / shards.len() as f64,
@@ -148,100 +158,113 @@
             parts: parts.clone(),
             terms: terms.iter().map(|term| term.to_string()).collect(),
         };
-        self.take(use_case, parts, (use_case != PLAIN).then_some(second), stays)
+        self.submit_request(use_case, parts, (use_case != ONE_PHASE).then_some(second), client_timeout_ms)
     }
 
-    /// Asks for these blocks in one phase.
-    pub fn ask_plain(&mut self, use_case: usize, shards: &[u32]) -> u64 {
+    /// Submits a query for these blocks in one phase, whatever its use case. Returns the query's number.
+    pub fn submit_one_phase(&mut self, use_case: usize, shards: &[u32]) -> u64 {
         let part = |shard: &u32| RequestedPart {
             shard: ShardId(*shard),
             weight: 1.0 / shards.len() as f64,
             effort: None,
         };
-        self.take(use_case, shards.iter().map(part).collect(), None, HARD)
+        self.submit_request(use_case, shards.iter().map(part).collect(), None, HARD_LIMIT_MS)
     }
 
-    /// Those who asked and have neither had an answer nor gone.
-    pub fn waiting(&self) -> Vec<u64> {
-        let waits = |asker: &u64| self.final_of(*asker).is_none() && !self.gone.contains(asker);
-        (0..self.asked).filter(waits).collect()
+    /// Queries without a final answer whose clients have not gone.
+    pub fn unfinished_queries(&self) -> Vec<u64> {
+        let is_unfinished =
+            |query: &u64| self.final_answer(*query).is_none() && !self.gone_clients.contains(query);
+        (0..self.query_count).filter(is_unfinished).collect()
     }
 
-    pub fn asked(&self) -> u64 {
-        self.asked
+    pub fn query_count(&self) -> u64 {
+        self.query_count
     }
 
-    pub fn use_case_of(&self, asker: u64) -> usize {
-        self.use_cases[asker as usize]
+    pub fn use_case_of(&self, query: u64) -> usize {
+        self.use_cases[query as usize]
     }
 
-    pub fn has_gone(&self, asker: u64) -> bool {
-        self.gone.contains(&asker)
+    pub fn client_has_gone(&self, query: u64) -> bool {
+        self.gone_clients.contains(&query)
     }
 
-    fn take(
+    fn submit_request(
         &mut self,
         use_case: usize,
         parts: Vec<RequestedPart>,
         second: Option<SecondPhaseRequest>,
-        stays: f64,
+        client_timeout_ms: f64,
     ) -> u64 {
-        let number = self.asked;
+        let query = self.query_count;
         self.use_cases.push(use_case);
-        self.asked += 1;
-        let asked = MultigetRequest {
-            id: format!("q{number}"),
+        self.query_count += 1;
+        let request = MultigetRequest {
+            id: format!("q{query}"),
             use_case: UseCaseId(use_case),
             key: None,
-            timeout: ms(stays),
+            timeout: ms(client_timeout_ms),
             is_retry: false,
             text: "match".to_string(),
             parts,
             second,
         };
-        let id = self.engine.take(ms(self.now), RequesterId(number), ms(self.now + stays), asked);
-        self.owners.insert(id, number);
-        self.pull();
-        number
+        let id = self.engine.submit(
+            ms(self.now_ms),
+            RequesterId(query),
+            ms(self.now_ms + client_timeout_ms),
+            request,
+        );
+        self.query_of.insert(id, query);
+        self.run_actions();
+        query
     }
 
-    pub fn lapse(&mut self, asker: u64) {
-        let id = self.owners.iter().find(|(_, owner)| **owner == asker).map(|(id, _)| *id).unwrap();
-        self.gone.push(asker);
-        self.engine.client_gone(ms(self.now), id);
-        self.pull();
+    pub fn disconnect_client(&mut self, query: u64) {
+        let id = self.query_of.iter().find(|(_, other)| **other == query).map(|(id, _)| *id).unwrap();
+        self.gone_clients.push(query);
+        self.engine.client_gone(ms(self.now_ms), id);
+        self.run_actions();
     }
 
-    pub fn pull(&mut self) {
+    pub fn run_actions(&mut self) {
         loop {
-            while let Some(order) = self.engine.poll_action(ms(self.now)) {
-                match order {
-                    Action::Send { part, no, node } => {
+            while let Some(action) = self.engine.poll_action(ms(self.now_ms)) {
+                match action {
+                    Action::Send { part, number, node } => {
                         let state = self.engine.table.part(part).unwrap();
-                        let asker = self.owners[&part.multiget];
-                        let proof = [Outcome::Rejected, Outcome::Unreachable, Outcome::NeverSent];
-                        let runs = |sent: &&Sent| {
-                            sent.part == part && sent.outcome.is_none_or(|how| !proof.contains(&how))
+                        let query = self.query_of[&part.multiget];
+                        let never_ran = [Outcome::Rejected, Outcome::Unreachable, Outcome::NeverSent];
+                        let may_have_run = |sent: &&SentAttempt| {
+                            sent.part == part
+                                && sent.outcome.is_none_or(|outcome| !never_ran.contains(&outcome))
                         };
-                        let sent = Sent {
+                        let sent = SentAttempt {
                             outcome: None,
-                            too_late: self.final_of(asker).is_some() || self.gone.contains(&asker),
-                            may_run_beside: self.sent.iter().filter(runs).count(),
-                            at: self.now,
-                            asker,
+                            sent_after_end: self.final_answer(query).is_some()
+                                || self.gone_clients.contains(&query),
+                            earlier_possible_runs: self.sent.iter().filter(may_have_run).count(),
+                            at_ms: self.now_ms,
+                            query,
                             part,
-                            no,
+                            number,
                             node,
                             id: state.id.clone(),
                             shard: state.shard.0,
-                            of: state.phase,
-                            over: false,
+                            phase: state.phase,
+                            has_ended: false,
                         };
                         self.sent.push(sent);
                     }
-                    Action::Cancel { part, no, outcome } => self.end_hand_off(part, no, outcome),
-                    Action::Answer { asker, verdict, ended } => {
-                        self.finals.push(Final { at: self.now, asker: asker.0, verdict, ended });
+                    Action::Cancel { part, number, outcome } => self.end_attempt(part, number, outcome),
+                    Action::Answer { requester, verdict, stage } => {
+                        self.final_answers.push(FinalAnswer {
+                            at_ms: self.now_ms,
+                            query: requester.0,
+                            verdict,
+                            stage,
+                        });
                     }
                     _ => {}
                 }
@@ -252,115 +275,116 @@
         }
     }
 
-    fn note_end(&mut self, part: PartId, no: AttemptNumber, outcome: Outcome) {
-        for sent in self.sent.iter_mut().filter(|sent| (sent.part, sent.no) == (part, no)) {
-            sent.over = true;
+    fn record_end(&mut self, part: PartId, number: AttemptNumber, outcome: Outcome) {
+        for sent in self.sent.iter_mut().filter(|sent| (sent.part, sent.number) == (part, number)) {
+            sent.has_ended = true;
             sent.outcome.get_or_insert(outcome);
         }
     }
 
-    pub fn end_hand_off(&mut self, part: PartId, no: AttemptNumber, outcome: Outcome) {
-        self.engine.ended(ms(self.now), part, no, outcome, LoadReport::default());
-        self.note_end(part, no, outcome);
+    pub fn end_attempt(&mut self, part: PartId, number: AttemptNumber, outcome: Outcome) {
+        self.engine.attempt_ended(ms(self.now_ms), part, number, outcome, LoadReport::default());
+        self.record_end(part, number, outcome);
     }
 
-    /// Lets time pass, pulling whenever the engine wants to be.
-    pub fn pass(&mut self, millis: f64) {
-        let end = self.now + millis;
+    /// Advances time by this many milliseconds, running the engine's actions whenever they are due.
+    pub fn advance(&mut self, millis: f64) {
+        let end = self.now_ms + millis;
         while let Some(due) = self.engine.next_due().map(Nanos::as_millis).filter(|due| *due < end) {
-            self.now = due.max(self.now + 0.001);
-            self.pull();
+            self.now_ms = due.max(self.now_ms + 0.001);
+            self.run_actions();
         }
-        self.now = end;
-        self.pull();
+        self.now_ms = end;
+        self.run_actions();
     }
 
-    /// What is out of a query's phase, by shard.
-    pub fn out(&self, asker: u64, of: Phase) -> Vec<Sent> {
-        let own = |sent: &&Sent| sent.asker == asker && sent.of == of && !sent.over;
-        let mut out: Vec<Sent> = self.sent.iter().filter(own).cloned().collect();
-        out.sort_by_key(|sent| (sent.shard, sent.no));
-        out
+    /// Attempts of a query's phase that are in flight, in order of their shards.
+    pub fn in_flight(&self, query: u64, phase: Phase) -> Vec<SentAttempt> {
+        let is_wanted = |sent: &&SentAttempt| sent.query == query && sent.phase == phase && !sent.has_ended;
+        let mut in_flight: Vec<SentAttempt> = self.sent.iter().filter(is_wanted).cloned().collect();
+        in_flight.sort_by_key(|sent| (sent.shard, sent.number));
+        in_flight
     }
 
-    /// All that was ever sent of a query's phase.
-    pub fn all(&self, asker: u64, of: Phase) -> Vec<Sent> {
-        self.sent.iter().filter(|sent| sent.asker == asker && sent.of == of).cloned().collect()
+    /// All attempts of a query's phase, in the order in which they were sent.
+    pub fn sent_attempts(&self, query: u64, phase: Phase) -> Vec<SentAttempt> {
+        self.sent.iter().filter(|sent| sent.query == query && sent.phase == phase).cloned().collect()
     }
 
-    /// The first hand-off that is out for a shard answers.
-    pub fn answer(&mut self, asker: u64, of: Phase, shard: u32, value: &str) {
-        let sent = self.out(asker, of).into_iter().find(|sent| sent.shard == shard).unwrap();
+    /// Answers the first attempt in flight for a shard.
+    pub fn answer(&mut self, query: u64, phase: Phase, shard: u32, value: &str) {
+        let sent = self.in_flight(query, phase).into_iter().find(|sent| sent.shard == shard).unwrap();
         self.answer_sent(&sent, value);
     }
 
-    pub fn answer_sent(&mut self, sent: &Sent, value: &str) {
+    pub fn answer_sent(&mut self, sent: &SentAttempt, value: &str) {
         let report = LoadReport::default();
-        self.engine.answered(ms(self.now), sent.part, sent.no, value.to_string(), report);
-        let (part, no) = (sent.part, sent.no);
-        self.note_end(part, no, Outcome::Answered);
-        self.pull();
+        self.engine.attempt_answered(ms(self.now_ms), sent.part, sent.number, value.to_string(), report);
+        let (part, number) = (sent.part, sent.number);
+        self.record_end(part, number, Outcome::Answered);
+        self.run_actions();
     }
 
-    pub fn fail(&mut self, asker: u64, of: Phase, shard: u32, outcome: Outcome) {
-        let sent = self.out(asker, of).into_iter().find(|sent| sent.shard == shard).unwrap();
-        self.end_hand_off(sent.part, sent.no, outcome);
-        self.pull();
+    pub fn fail(&mut self, query: u64, phase: Phase, shard: u32, outcome: Outcome) {
+        let sent = self.in_flight(query, phase).into_iter().find(|sent| sent.shard == shard).unwrap();
+        self.end_attempt(sent.part, sent.number, outcome);
+        self.run_actions();
     }
 
-    /// Each block asked says whether it matches.
-    pub fn say(&mut self, asker: u64, shards: &[u32], matching: &[u32]) {
+    /// Answers the first phase for `shards`; those in `matching` match.
+    pub fn answer_matches(&mut self, query: u64, shards: &[u32], matching: &[u32]) {
         for shard in shards {
             let value = if matching.contains(shard) {
                 format!(r#"{{"blocks":[{shard}]}}"#)
             } else {
                 r#"{"blocks":[]}"#.to_string()
             };
-            self.answer(asker, Phase::Match, *shard, &value);
+            self.answer(query, Phase::Match, *shard, &value);
         }
     }
 
-    pub fn final_of(&self, asker: u64) -> Option<&Final> {
-        self.finals.iter().find(|given| given.asker == asker)
+    pub fn final_answer(&self, query: u64) -> Option<&FinalAnswer> {
+        self.final_answers.iter().find(|answer| answer.query == query)
     }
 
-    /// What the final answer says of each block, in order.
-    pub fn said(&self, asker: u64) -> Vec<(u32, BlockState)> {
-        match self.final_of(asker).map(|given| &given.verdict) {
+    /// State of each block in the final answer, in order.
+    pub fn block_states(&self, query: u64) -> Vec<(u32, BlockState)> {
+        match self.final_answer(query).map(|answer| &answer.verdict) {
             Some(Verdict::Completed { blocks: Some(blocks), .. }) => {
-                blocks.iter().map(|(shard, said)| (shard.0, *said)).collect()
+                blocks.iter().map(|(shard, state)| (shard.0, *state)).collect()
             }
-            other => panic!("no account of blocks: {other:?}"),
+            other => panic!("no final answer with states of blocks: {other:?}"),
         }
     }
 
-    /// Serves queries of these blocks one after another: so long for matches, so long for fetches.
-    pub fn warm_up(&mut self, queries: usize, shards: &[u32], first: f64, second: f64) {
+    /// Serves queries for these blocks one after another, with these durations of matches and fetches in milliseconds.
+    pub fn warm_up(&mut self, queries: usize, shards: &[u32], match_ms: f64, fetch_ms: f64) {
         for _ in 0..queries {
-            let asker = self.ask(REPLAYABLE, shards);
-            self.pass(first);
-            // All but the first part of a query may wait for it, where nodes have just broken.
-            while !self.out(asker, Phase::Match).is_empty() {
-                let out: Vec<u32> = self.out(asker, Phase::Match).iter().map(|sent| sent.shard).collect();
-                self.say(asker, &out, &out);
+            let query = self.submit(IDEMPOTENT, shards);
+            self.advance(match_ms);
+            // If nodes have just failed, the other parts of a query may only be sent once the first is answered.
+            while !self.in_flight(query, Phase::Match).is_empty() {
+                let in_flight: Vec<u32> =
+                    self.in_flight(query, Phase::Match).iter().map(|sent| sent.shard).collect();
+                self.answer_matches(query, &in_flight, &in_flight);
             }
-            self.pass(second);
-            for sent in self.out(asker, Phase::Fetch) {
+            self.advance(fetch_ms);
+            for sent in self.in_flight(query, Phase::Fetch) {
                 self.answer_sent(&sent, "value");
             }
-            assert!(self.final_of(asker).is_some(), "a query of the warm-up is served");
+            assert!(self.final_answer(query).is_some(), "a query of the warm-up has its final answer");
         }
     }
 }
 
-pub fn entry(node: u32, health: Health) -> NodeEntry {
+pub fn node_entry(node: u32, health: Health) -> NodeEntry {
     NodeEntry { node: NodeId(node), place: PlaceId(node % 4), zone: None, health, since: Nanos(0) }
 }
 
-pub fn is_whole(given: &Final) -> bool {
-    matches!(given.verdict, Verdict::Completed { is_complete: true, .. })
+pub fn is_complete_answer(answer: &FinalAnswer) -> bool {
+    matches!(answer.verdict, Verdict::Completed { is_complete: true, .. })
 }
 
-pub fn is_dismissed(given: &Final) -> bool {
-    matches!(given.verdict, Verdict::Rejected { retry_after: Some(_) })
+pub fn is_rejection(answer: &FinalAnswer) -> bool {
+    matches!(answer.verdict, Verdict::Rejected { retry_after: Some(_) })
 }
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Long random orders of events: whatever comes in whatever order, the rules hold and nothing is kept.
+//! Random sequences of events: the guarantees on answers, retries and pruning hold, and no state is left at the end.
 
 mod common;
 
@@ -13,16 +13,16 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { use_case: usize, shards: Vec<u32>, stays: f64 },
-    Answer { which: usize, value: usize },
-    Fail { which: usize, how: usize },
-    Pass { millis: f64 },
-    Leave { which: usize },
+    Submit { use_case: usize, shards: Vec<u32>, client_timeout_ms: f64 },
+    Answer { choice: usize, value: usize },
+    Fail { choice: usize, failure: usize },
+    Advance { millis: f64 },
+    Disconnect { choice: usize },
     Drain { node: u32, back: bool },
 }
 
-/// What a store may say to a match; `#` stands for its own block.
-const VALUES: [&str; 9] = [
+/// Values with which a store may answer a match; `#` is replaced by its own block.
+const MATCH_VALUES: [&str; 9] = [
     r#"{"blocks":[#]}"#,
     r#"{"blocks":[#]}"#,
     r#"{"blocks":[]}"#,
@@ -39,152 +39,173 @@
 fn step() -> impl Strategy<Value = Step> {
     let shards = prop::sample::subsequence((0u32..12).collect::<Vec<_>>(), 1..8);
     prop_oneof![
-        4 => (0usize..3, shards, prop_oneof![Just(HARD), 20.0..2000.0])
-            .prop_map(|(use_case, shards, stays)| Step::Ask { use_case, shards, stays }),
-        24 => (any::<usize>(), 0usize..VALUES.len()).prop_map(|(which, value)| Step::Answer { which, value }),
-        4 => (any::<usize>(), 0usize..FAILURES.len()).prop_map(|(which, how)| Step::Fail { which, how }),
-        6 => (0.0..80.0).prop_map(|millis| Step::Pass { millis }),
-        1 => (900.0..1500.0).prop_map(|millis| Step::Pass { millis }),
-        1 => any::<usize>().prop_map(|which| Step::Leave { which }),
+        4 => (0usize..3, shards, prop_oneof![Just(HARD_LIMIT_MS), 20.0..2000.0])
+            .prop_map(|(use_case, shards, client_timeout_ms)| Step::Submit { use_case, shards, client_timeout_ms }),
+        24 => (any::<usize>(), 0usize..MATCH_VALUES.len()).prop_map(|(choice, value)| Step::Answer { choice, value }),
+        4 => (any::<usize>(), 0usize..FAILURES.len()).prop_map(|(choice, failure)| Step::Fail { choice, failure }),
+        6 => (0.0..80.0).prop_map(|millis| Step::Advance { millis }),
+        1 => (900.0..1500.0).prop_map(|millis| Step::Advance { millis }),
+        1 => any::<usize>().prop_map(|choice| Step::Disconnect { choice }),
         1 => (0u32..12, any::<bool>()).prop_map(|(node, back)| Step::Drain { node, back }),
     ]
 }
 
-fn facts() -> impl Strategy<Value = TwoPhaseSettings> {
-    let silent = prop_oneof![
+fn settings() -> impl Strategy<Value = TwoPhaseSettings> {
+    let unanswered_block = prop_oneof![
         Just(UnansweredBlock::Fetch),
         Just(UnansweredBlock::Leave),
         Just(UnansweredBlock::Refuse)
     ];
-    (silent, any::<bool>(), 0.3..1.0).prop_map(|(silent, names_others, least)| TwoPhaseSettings {
-        unanswered_block: silent,
-        names_others,
-        min_match_share: least,
-        ..phases()
-    })
+    (unanswered_block, any::<bool>(), 0.3..1.0).prop_map(
+        |(unanswered_block, names_others, min_match_share)| TwoPhaseSettings {
+            unanswered_block,
+            names_others,
+            min_match_share,
+            ..two_phase_settings()
+        },
+    )
 }
 
-/// What the test itself saw, apart from the engine: when each query was asked and how long its client
-/// stays, what it asked, and what each block had said of itself before the second phase was opened.
+/// Observations of the test, independent of the engine's state.
 #[derive(Default)]
-struct Seen {
-    asked: BTreeMap<u64, (f64, f64, Vec<u32>)>,
+struct Observations {
+    /// By query: time of its arrival and time-out of its client in milliseconds, and its shards.
+    queries: BTreeMap<u64, (f64, f64, Vec<u32>)>,
+    /// By query and shard: whether the block named itself in its first valid match answer before the second phase.
     names_itself: BTreeMap<(u64, u32), bool>,
 }
 
-impl Seen {
-    fn note(&mut self, host: &Host, sent: &Sent, value: usize) {
-        let open = host
+impl Observations {
+    fn record_answer(&mut self, host: &Host, sent: &SentAttempt, value: usize) {
+        let is_closed = host
             .engine
             .table
             .get(sent.part.multiget)
-            .is_none_or(|multiget| multiget.is_opened() || multiget.is_over);
-        let sound = VALUES[value].contains("\"blocks\":[#]") || VALUES[value].contains("\"blocks\":[]");
-        let same = VALUES[value].contains("same");
-        if sent.of == Phase::Match && !open && (sound || same) {
-            let names = VALUES[value].contains('#');
-            self.names_itself.entry((sent.asker, sent.shard)).or_insert(names);
+            .is_none_or(|multiget| multiget.is_second_phase_open() || multiget.is_over);
+        let is_valid =
+            MATCH_VALUES[value].contains("\"blocks\":[#]") || MATCH_VALUES[value].contains("\"blocks\":[]");
+        let confirms_version = MATCH_VALUES[value].contains("same");
+        if sent.phase == Phase::Match && !is_closed && (is_valid || confirms_version) {
+            let names_itself = MATCH_VALUES[value].contains('#');
+            self.names_itself.entry((sent.query, sent.shard)).or_insert(names_itself);
         }
     }
 }
 
-fn play(host: &mut Host, steps: &[Step], seen: &mut Seen) {
+fn run_steps(host: &mut Host, steps: &[Step], observations: &mut Observations) {
     for step in steps {
-        let out: Vec<usize> = (0..host.sent.len()).filter(|index| !host.sent[*index].over).collect();
+        let in_flight: Vec<usize> =
+            (0..host.sent.len()).filter(|index| !host.sent[*index].has_ended).collect();
         match step {
-            Step::Ask { use_case, shards, stays } => {
-                let at = host.now;
-                let asker = host.ask_for(*use_case, shards, &["term"], *stays);
-                seen.asked.insert(asker, (at, *stays, shards.clone()));
+            Step::Submit { use_case, shards, client_timeout_ms } => {
+                let arrived_at = host.now_ms;
+                let query = host.submit_with(*use_case, shards, &["term"], *client_timeout_ms);
+                observations.queries.insert(query, (arrived_at, *client_timeout_ms, shards.clone()));
             }
-            Step::Answer { which, value } if !out.is_empty() => {
-                let sent = host.sent[out[which % out.len()]].clone();
-                seen.note(host, &sent, *value);
-                let value = match sent.of {
-                    Phase::Match => VALUES[*value].replace('#', &sent.shard.to_string()),
+            Step::Answer { choice, value } if !in_flight.is_empty() => {
+                let sent = host.sent[in_flight[choice % in_flight.len()]].clone();
+                observations.record_answer(host, &sent, *value);
+                let value = match sent.phase {
+                    Phase::Match => MATCH_VALUES[*value].replace('#', &sent.shard.to_string()),
                     _ => "value".to_string(),
                 };
                 host.answer_sent(&sent, &value);
             }
-            Step::Fail { which, how } if !out.is_empty() => {
-                let sent = host.sent[out[which % out.len()]].clone();
-                host.end_hand_off(sent.part, sent.no, FAILURES[*how]);
-                host.pull();
+            Step::Fail { choice, failure } if !in_flight.is_empty() => {
+                let sent = host.sent[in_flight[choice % in_flight.len()]].clone();
+                host.end_attempt(sent.part, sent.number, FAILURES[*failure]);
+                host.run_actions();
             }
-            Step::Pass { millis } => host.pass(*millis),
-            Step::Leave { which } => {
-                let waiting = host.waiting();
-                if !waiting.is_empty() {
-                    host.lapse(waiting[which % waiting.len()]);
+            Step::Advance { millis } => host.advance(*millis),
+            Step::Disconnect { choice } => {
+                let unfinished_queries = host.unfinished_queries();
+                if !unfinished_queries.is_empty() {
+                    host.disconnect_client(unfinished_queries[choice % unfinished_queries.len()]);
                 }
             }
             Step::Drain { node, back } => {
                 let health = if *back { Health::Running } else { Health::Draining };
-                host.engine.list(ListKind::Changes, &[entry(*node, health)]);
+                host.engine.apply_node_list(ListKind::Changes, &[node_entry(*node, health)]);
             }
             Step::Answer { .. } | Step::Fail { .. } => {}
         }
     }
-    host.pass(2.0 * HARD);
-    for sent in host.sent.clone().into_iter().filter(|sent| !sent.over) {
-        host.end_hand_off(sent.part, sent.no, Outcome::Invalid);
+    host.advance(2.0 * HARD_LIMIT_MS);
+    for sent in host.sent.clone().into_iter().filter(|sent| !sent.has_ended) {
+        host.end_attempt(sent.part, sent.number, Outcome::Invalid);
     }
-    host.pull();
+    host.run_actions();
 }
 
-fn check(host: &Host, seen: &Seen, names_others: bool) {
-    // Rule 1: one final answer each, in the client's time, and nothing after it.
-    for asker in 0..host.asked() {
-        let finals: Vec<_> = host.finals.iter().filter(|given| given.asker == asker).collect();
-        assert_eq!(finals.len(), usize::from(!host.has_gone(asker)), "query {asker}: {finals:?}");
-        let (at, stays, _) = seen.asked[&asker];
-        assert!(finals.iter().all(|given| given.at <= at + stays + 0.01), "query {asker}: {finals:?}");
+fn check_guarantees(host: &Host, observations: &Observations, names_others: bool) {
+    // Each query whose client has not gone has exactly one final answer, before the client's deadline. No attempt is
+    // sent after it.
+    for query in 0..host.query_count() {
+        let final_answers: Vec<_> =
+            host.final_answers.iter().filter(|answer| answer.query == query).collect();
+        assert_eq!(
+            final_answers.len(),
+            usize::from(!host.client_has_gone(query)),
+            "query {query}: {final_answers:?}"
+        );
+        let (arrived_at, client_timeout_ms, _) = observations.queries[&query];
+        assert!(
+            final_answers.iter().all(|answer| answer.at_ms <= arrived_at + client_timeout_ms + 0.01),
+            "query {query}: {final_answers:?}"
+        );
     }
-    assert!(host.sent.iter().all(|sent| !sent.too_late));
-    // Rule 2: a fetch of a single-use use case goes out again only where nothing of it may have run.
-    let single: Vec<_> = host.sent.iter().filter(|sent| sent.of == Phase::Fetch).collect();
-    for sent in single {
-        let verdict = host.final_of(sent.asker).map(|given| &given.verdict);
-        let use_case = host.use_case_of(sent.asker);
-        assert!(use_case != SINGLE_USE || sent.may_run_beside == 0, "{sent:?}");
-        let ran = sent
-            .outcome
-            .is_none_or(|how| !matches!(how, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent));
-        let dismissed = matches!(verdict, Some(Verdict::Rejected { .. }));
-        assert!(use_case != SINGLE_USE || !ran || !dismissed, "dismissed though it may have run: {sent:?}");
+    assert!(host.sent.iter().all(|sent| !sent.sent_after_end));
+    // A fetch of a non-idempotent use case is sent again only if no earlier attempt may have run, and the query is not
+    // rejected if one may have run.
+    let fetches: Vec<_> = host.sent.iter().filter(|sent| sent.phase == Phase::Fetch).collect();
+    for sent in fetches {
+        let verdict = host.final_answer(sent.query).map(|answer| &answer.verdict);
+        let use_case = host.use_case_of(sent.query);
+        assert!(use_case != NON_IDEMPOTENT || sent.earlier_possible_runs == 0, "{sent:?}");
+        let may_have_run = sent.outcome.is_none_or(|outcome| {
+            !matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent)
+        });
+        let is_rejected = matches!(verdict, Some(Verdict::Rejected { .. }));
+        assert!(
+            use_case != NON_IDEMPOTENT || !may_have_run || !is_rejected,
+            "rejected though it may have run: {sent:?}"
+        );
     }
-    // Rule 5: whole only if every block is fetched or ruled out; a value for each that is said fetched.
-    for given in &host.finals {
-        let Verdict::Completed { is_complete: whole, found, blocks: Some(blocks), .. } = &given.verdict
-        else {
+    // An answer is complete only if every block is fetched or ruled out. It has a value for each fetched block.
+    for answer in &host.final_answers {
+        let Verdict::Completed { is_complete, values, blocks: Some(blocks), .. } = &answer.verdict else {
             continue;
         };
-        let fetched: Vec<ShardId> =
-            blocks.iter().filter(|(_, said)| *said == BlockState::Fetched).map(|(shard, _)| *shard).collect();
-        let mut values: Vec<ShardId> = found.iter().map(|(shard, _)| *shard).collect();
-        values.sort();
-        assert_eq!(values, fetched, "{given:?}");
-        // A block is ruled out only if it has said itself that it does not match, and where blocks name
-        // others only if all have spoken.
-        let asked = &seen.asked[&given.asker].2;
-        let spoke = |shard: u32| seen.names_itself.get(&(given.asker, shard)).copied();
-        let all = asked.iter().all(|shard| spoke(*shard).is_some());
-        for (shard, _) in blocks.iter().filter(|(_, said)| *said == BlockState::Pruned) {
-            assert_eq!(spoke(shard.0), Some(false), "{shard:?} {given:?}");
-            assert!(!names_others || all, "{given:?}");
+        let fetched: Vec<ShardId> = blocks
+            .iter()
+            .filter(|(_, state)| *state == BlockState::Fetched)
+            .map(|(shard, _)| *shard)
+            .collect();
+        let mut answered: Vec<ShardId> = values.iter().map(|(shard, _)| *shard).collect();
+        answered.sort();
+        assert_eq!(answered, fetched, "{answer:?}");
+        // A block is ruled out only if it answered without naming itself and, where blocks may name others, if all
+        // blocks answered.
+        let shards = &observations.queries[&answer.query].2;
+        let own_answer = |shard: u32| observations.names_itself.get(&(answer.query, shard)).copied();
+        let all_answered = shards.iter().all(|shard| own_answer(*shard).is_some());
+        for (shard, _) in blocks.iter().filter(|(_, state)| *state == BlockState::Pruned) {
+            assert_eq!(own_answer(shard.0), Some(false), "{shard:?} {answer:?}");
+            assert!(!names_others || all_answered, "{answer:?}");
         }
-        assert_eq!(blocks.len(), asked.len(), "every block is accounted for");
-        let done = blocks.iter().all(|(_, said)| matches!(said, BlockState::Fetched | BlockState::Pruned));
-        assert!(!whole || done, "{given:?}");
-        // No part of a phase that was never opened, and none for what was ruled out.
-        for sent in host.all(given.asker, Phase::Fetch) {
-            let said = blocks.iter().find(|(shard, _)| shard.0 == sent.shard).map(|(_, said)| *said);
-            assert!(matches!(said, Some(BlockState::Fetched | BlockState::Missing)), "{sent:?} {given:?}");
+        assert_eq!(blocks.len(), shards.len(), "every block has a state");
+        let is_done =
+            blocks.iter().all(|(_, state)| matches!(state, BlockState::Fetched | BlockState::Pruned));
+        assert!(!is_complete || is_done, "{answer:?}");
+        // No part is sent for a phase that was not opened or for a block that was ruled out.
+        for sent in host.sent_attempts(answer.query, Phase::Fetch) {
+            let state = blocks.iter().find(|(shard, _)| shard.0 == sent.shard).map(|(_, state)| *state);
+            assert!(matches!(state, Some(BlockState::Fetched | BlockState::Missing)), "{sent:?} {answer:?}");
         }
     }
-    // Memory is back to where it began.
+    // No state of any query is left.
     assert_eq!(
-        (host.engine.table.len(), host.engine.table.owed, host.engine.phases().in_flight()),
+        (host.engine.table.len(), host.engine.table.unanswered, host.engine.two_phase_planner().in_flight()),
         (0, 0, 0)
     );
 }
@@ -197,17 +218,16 @@
         ..ProptestConfig::default()
     })]
 
-    /// Over ten thousand queries in two phases in all, and half as many plain ones between them.
     #[test]
-    fn the_rules_hold_in_any_order_of_events(
-        facts in facts(),
+    fn the_guarantees_hold_for_any_sequence_of_events(
+        settings in settings(),
         cancel in any::<bool>(),
         steps in prop::collection::vec(step(), 300..500),
     ) {
-        let names_others = facts.names_others;
-        let mut host = Host::new(SiteSettings { cancel, ..site() }, facts, 3);
-        let mut seen = Seen::default();
-        play(&mut host, &steps, &mut seen);
-        check(&host, &seen, names_others);
+        let names_others = settings.names_others;
+        let mut host = Host::new(SiteSettings { cancel, ..site() }, settings, 3);
+        let mut observations = Observations::default();
+        run_steps(&mut host, &steps, &mut observations);
+        check_guarantees(&host, &observations, names_others);
     }
 }
--- a/crates/fernknot-engine/tests/plain.rs
+++ b/crates/fernknot-engine/tests/plain.rs
@@ -1,4 +1,4 @@
-//! Plain queries of a host that keeps the values itself.
+//! Queries in one phase, and use cases that are added and removed while the engine runs.
 
 mod common;
 
@@ -7,47 +7,51 @@
 use fernknot_engine::{Phase, Verdict};
 
 #[test]
-fn given_a_host_that_keeps_values_when_a_query_is_complete_then_it_learns_whose_answers_count() {
-    let mut host = Host::new(site(), phases(), 3);
-    let asker = host.ask(PLAIN, &[0, 1, 2]);
-    host.answer(asker, Phase::Plain, 2, "");
-    host.fail(asker, Phase::Plain, 0, Outcome::Rejected);
-    host.answer(asker, Phase::Plain, 0, "");
-    host.pass(GOAL);
-    let Some(Verdict::Completed { is_complete: false, found, found_by, .. }) =
-        host.final_of(asker).map(|given| &given.verdict)
+fn given_a_host_that_keeps_values_when_a_query_completes_then_the_answer_names_the_attempts_that_count() {
+    let mut host = Host::new(site(), two_phase_settings(), 3);
+    let query = host.submit(ONE_PHASE, &[0, 1, 2]);
+    host.answer(query, Phase::Plain, 2, "");
+    host.fail(query, Phase::Plain, 0, Outcome::Rejected);
+    host.answer(query, Phase::Plain, 0, "");
+    host.advance(LATENCY_TARGET_MS);
+    let Some(Verdict::Completed { is_complete: false, values, answered_by, .. }) =
+        host.final_answer(query).map(|answer| &answer.verdict)
     else {
         panic!("two of three parts are enough");
     };
-    assert_eq!(*found, [(ShardId(0), String::new()), (ShardId(2), String::new())]);
-    assert_eq!(*found_by, [(0, AttemptNumber(1)), (2, AttemptNumber(0))], "the second try of the first part");
+    assert_eq!(*values, [(ShardId(0), String::new()), (ShardId(2), String::new())]);
+    assert_eq!(
+        *answered_by,
+        [(0, AttemptNumber(1)), (2, AttemptNumber(0))],
+        "the second attempt at the first part"
+    );
 }
 
 #[test]
-fn given_an_engine_that_runs_when_a_use_case_comes_then_it_is_served_by_its_own_limits() {
+fn given_a_running_engine_when_a_use_case_is_added_then_its_own_limits_apply() {
     let budget = RetryBudgetSettings { free: 0.0, share: 0.0, window: ms(10_000.0), each_shard: true };
-    let mut host = Host::new(SiteSettings { budget: Some(budget), ..site() }, phases(), 3);
-    let facts = UseCaseSettings {
+    let mut host = Host::new(SiteSettings { budget: Some(budget), ..site() }, two_phase_settings(), 3);
+    let settings = UseCaseSettings {
         required: 1.0,
         quorum: 1.0,
         max_attempts: Some(2),
-        ..site().use_cases.remove(PLAIN)
+        ..site().use_cases.remove(ONE_PHASE)
     };
-    host.engine.use_case(ms(host.now), UseCaseId(3), &facts);
-    let tries = |host: &mut Host| {
-        let asker = host.ask_plain(3, &[0]);
+    host.engine.set_use_case(ms(host.now_ms), UseCaseId(3), &settings);
+    let count_attempts = |host: &mut Host| {
+        let query = host.submit_one_phase(3, &[0]);
         for _ in 0..3 {
-            if !host.out(asker, Phase::Plain).is_empty() {
-                host.fail(asker, Phase::Plain, 0, Outcome::Rejected);
+            if !host.in_flight(query, Phase::Plain).is_empty() {
+                host.fail(query, Phase::Plain, 0, Outcome::Rejected);
             }
         }
-        host.all(asker, Phase::Plain).len()
+        host.sent_attempts(query, Phase::Plain).len()
     };
-    assert_eq!(tries(&mut host), 1, "nothing is free");
+    assert_eq!(count_attempts(&mut host), 1, "no free retries");
     host.engine.set_free_retries(5.0);
-    assert_eq!(tries(&mut host), 2, "its own limit");
-    host.engine.retire(UseCaseId(3));
-    let facts = UseCaseSettings { max_attempts: Some(1), ..facts };
-    host.engine.use_case(ms(host.now), UseCaseId(3), &facts);
-    assert_eq!(tries(&mut host), 1, "that of the one that came at its id");
+    assert_eq!(count_attempts(&mut host), 2, "limit of the use case");
+    host.engine.remove_use_case(UseCaseId(3));
+    let settings = UseCaseSettings { max_attempts: Some(1), ..settings };
+    host.engine.set_use_case(ms(host.now_ms), UseCaseId(3), &settings);
+    assert_eq!(count_attempts(&mut host), 1, "limit of the new use case with the same id");
 }
--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -138,7 +138,7 @@
         let store_count = stores_per_place * places as usize;
         let mut engine = Engine::new(seed, site, &phases, MAX_FILTER_BYTES, START);
         let entries: Vec<NodeEntry> = (0..store_count).map(|index| node_entry(index, places)).collect();
-        engine.list(ListKind::Full, &entries);
+        engine.apply_node_list(ListKind::Full, &entries);
         let store = |_| Store::new(script.draw_spells(&mut rng, START, end), script.queue_limit);
         let stores = (0..store_count).map(store).collect();
         let mut simulation = EngineSimulation {
@@ -168,7 +168,7 @@
 
     /// Queries that the engine still has in flight.
     pub fn in_flight(&self) -> usize {
-        self.engine.table.len() + self.engine.phases().in_flight()
+        self.engine.table.len() + self.engine.two_phase_planner().in_flight()
     }
 
     /// Runs to the end of all queries.
@@ -216,7 +216,7 @@
     fn arrive(&mut self, query: usize) {
         let asked = self.queries[query].asked.clone();
         let client_end = self.now + asked.timeout;
-        let multiget = self.engine.take(self.now, RequesterId(query as u64), client_end, asked);
+        let multiget = self.engine.submit(self.now, RequesterId(query as u64), client_end, asked);
         self.query_of.insert(multiget, query);
         self.multiget_of[query] = Some(multiget);
         self.schedule(client_end, Event::ClientTimeout { query });
@@ -227,8 +227,8 @@
             return;
         };
         let state = self.engine.table.get(multiget);
-        let ran = state.is_some_and(|state| state.second_ran());
-        let is_opened = state.is_some_and(|state| state.is_opened());
+        let ran = state.is_some_and(|state| state.has_second_phase_attempts());
+        let is_opened = state.is_some_and(|state| state.is_second_phase_open());
         let stage = if is_opened { Stage::SecondPhase { ran } } else { Stage::FirstPhase };
         let took = self.now - self.queries[query].at;
         self.records[query].end = Some(QueryEnd { took, verdict: None, stage });
@@ -270,14 +270,14 @@
         let Attempt { part, number, .. } = attempt;
         let report = LoadReport::default();
         if !accepted {
-            return self.engine.ended(self.now, part, number, Outcome::Rejected, report);
+            return self.engine.attempt_ended(self.now, part, number, Outcome::Rejected, report);
         }
         let Some(state) = self.engine.table.part(part) else { return };
         let value = match state.phase {
             Phase::Match => self.match_value(part.multiget, state.shard),
             Phase::Plain | Phase::Fetch => "value".to_string(),
         };
-        self.engine.answered(self.now, part, number, value, report);
+        self.engine.attempt_answered(self.now, part, number, value, report);
     }
 
     /// A block's answer of the first phase: it names itself if it truly matches.
@@ -305,10 +305,10 @@
 
     fn act(&mut self, order: Action) {
         match order {
-            Action::Send { part, no, node } => self.send_part(Attempt { node, part, number: no }),
-            Action::Cancel { part, no, outcome } => self.abandon(part, no, outcome),
-            Action::Answer { asker, verdict, ended } => self.record_answer(asker, verdict, ended),
-            Action::FollowList | Action::RenewConnections { .. } | Action::NotifyPeers { .. } => {}
+            Action::Send { part, number, node } => self.send_part(Attempt { node, part, number }),
+            Action::Cancel { part, number, outcome } => self.abandon(part, number, outcome),
+            Action::Answer { requester, verdict, stage } => self.record_answer(requester, verdict, stage),
+            Action::SubscribeToNodeList | Action::RenewConnections { .. } | Action::NotifyPeers { .. } => {}
         }
     }
 
@@ -327,7 +327,7 @@
 
     fn abandon(&mut self, part: PartId, number: AttemptNumber, outcome: Outcome) {
         let node = self.engine.table.attempt(part, number).map(|attempt| attempt.node);
-        self.engine.ended(self.now, part, number, outcome, LoadReport::default());
+        self.engine.attempt_ended(self.now, part, number, outcome, LoadReport::default());
         if let Some(node) = node {
             self.schedule_after_hop(Event::CancelReceived(Attempt { node, part, number }));
         }
--- a/crates/fernknot-gateway/src/data_plane.rs
+++ b/crates/fernknot-gateway/src/data_plane.rs
@@ -190,15 +190,17 @@
 
     fn execute_action<N: Network>(&mut self, now: Nanos, action: Action, network: &mut N) {
         match action {
-            Action::Send { part, no, node } => {
-                self.attempts.send(now, AttemptKey { part, number: no }, node, network);
+            Action::Send { part, number, node } => {
+                self.attempts.send(now, AttemptKey { part, number }, node, network);
             }
-            Action::Cancel { part, no, outcome } => {
-                self.attempts.abandon(now, AttemptKey { part, number: no }, outcome, network);
+            Action::Cancel { part, number, outcome } => {
+                self.attempts.abandon(now, AttemptKey { part, number }, outcome, network);
+            }
+            Action::Answer { requester, verdict, .. } => {
+                self.complete_request(now, requester, verdict, network)
             }
-            Action::Answer { asker, verdict, .. } => self.complete_request(now, asker, verdict, network),
             Action::RenewConnections { node } => self.attempts.renew_connections(now, node, network),
-            Action::FollowList | Action::NotifyPeers { .. } => {}
+            Action::SubscribeToNodeList | Action::NotifyPeers { .. } => {}
         }
     }
 
--- a/crates/fernknot-gateway/src/decisions.rs
+++ b/crates/fernknot-gateway/src/decisions.rs
@@ -26,10 +26,10 @@
     pub(crate) fn apply_use_cases(&mut self, now: Nanos, change: &UseCaseChange) {
         let Some(engine) = &mut self.engine else { return };
         for use_case in &change.released {
-            engine.retire(*use_case);
+            engine.remove_use_case(*use_case);
         }
         for (id, use_case) in &change.use_cases {
-            engine.use_case(now, *id, use_case);
+            engine.set_use_case(now, *id, use_case);
         }
     }
 
@@ -45,13 +45,13 @@
     pub(crate) fn set_groups(&mut self, groups: Vec<(PlaceId, u32)>) {
         let Some(engine) = &mut self.engine else { return };
         for (place, group) in groups {
-            engine.group(place, group);
+            engine.set_place_group(place, group);
         }
     }
 
     pub(crate) fn apply_node_entries(&mut self, entries: &[NodeEntry]) {
         if let Some(engine) = &mut self.engine {
-            engine.list(ListKind::Changes, entries);
+            engine.apply_node_list(ListKind::Changes, entries);
         }
     }
 
@@ -63,7 +63,7 @@
         deadline: Nanos,
         multiget: MultigetRequest,
     ) -> Option<MultigetId> {
-        self.engine.as_mut().map(|engine| engine.take(now, id, deadline, multiget))
+        self.engine.as_mut().map(|engine| engine.submit(now, id, deadline, multiget))
     }
 
     /// The client of a request has gone.
@@ -76,14 +76,14 @@
     /// A node has answered an attempt.
     pub(crate) fn attempt_answered(&mut self, now: Nanos, attempt: AttemptKey) {
         if let Some(engine) = &mut self.engine {
-            engine.answered(now, attempt.part, attempt.number, String::new(), LoadReport::default());
+            engine.attempt_answered(now, attempt.part, attempt.number, String::new(), LoadReport::default());
         }
     }
 
     /// An attempt has ended without an answer.
     pub(crate) fn attempt_ended(&mut self, now: Nanos, attempt: AttemptKey, outcome: Outcome) {
         if let Some(engine) = &mut self.engine {
-            engine.ended(now, attempt.part, attempt.number, outcome, LoadReport::default());
+            engine.attempt_ended(now, attempt.part, attempt.number, outcome, LoadReport::default());
         }
     }
 
--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -119,7 +119,7 @@
     }
 
     fn is_done(&self) -> bool {
-        self.context.has_lingered && self.context.engine.table.owed == 0 && !self.clients.are_busy()
+        self.context.has_lingered && self.context.engine.table.unanswered == 0 && !self.clients.are_busy()
     }
 
     /// Begins a graceful shutdown.
@@ -128,7 +128,7 @@
         if context.stop_deadline.is_some() {
             return;
         }
-        info!(context.log, "stopping"; "owed" => context.engine.table.owed);
+        info!(context.log, "stopping"; "owed" => context.engine.table.unanswered);
         let linger_end = context.now + context.limits.shutdown_linger;
         context.stop_deadline = Some(linger_end + context.limits.final_response_timeout);
         context.set_timer(linger_end, Timer::ShutdownLinger);
@@ -273,13 +273,15 @@
     fn run_action(&mut self, action: Action) {
         let App { context, clients, nodes, peers, .. } = self;
         match action {
-            Action::Send { part, no, node } => nodes.send(AttemptId { part, number: no }, node),
-            Action::Cancel { part, no, outcome } => {
-                nodes.abandon(context, AttemptId { part, number: no }, outcome);
+            Action::Send { part, number, node } => nodes.send(AttemptId { part, number }, node),
+            Action::Cancel { part, number, outcome } => {
+                nodes.abandon(context, AttemptId { part, number }, outcome);
+            }
+            Action::Answer { requester, verdict, stage } => {
+                clients.answer(context, requester, verdict, stage)
             }
-            Action::Answer { asker, verdict, ended } => clients.answer(context, asker, verdict, ended),
             // Discovery is watched from the start, whether or not that must be asked for.
-            Action::FollowList => {}
+            Action::SubscribeToNodeList => {}
             Action::RenewConnections { node } => nodes.renew_connections(context, node),
             Action::NotifyPeers { updates } => {
                 if let (Some(peers), Some(tags)) = (peers, &nodes.tags) {
--- a/crates/fernknot-router/src/attempts.rs
+++ b/crates/fernknot-router/src/attempts.rs
@@ -19,7 +19,7 @@
         for (node, attempts) in std::mem::take(&mut self.unplaced) {
             for call in attempts.chunks(context.settings.max_parts_per_call) {
                 let table = &context.engine.table;
-                let is_out = |attempt: &AttemptId| table.is_out(attempt.part, attempt.number);
+                let is_out = |attempt: &AttemptId| table.is_attempt_in_flight(attempt.part, attempt.number);
                 let live: Vec<AttemptId> = call.iter().copied().filter(is_out).collect();
                 if !live.is_empty() {
                     self.place(context, node, live);
@@ -70,7 +70,7 @@
     /// Stops waiting for an attempt. One of which no byte has gone out was never sent; the node is asked to cancel any
     /// other.
     pub fn abandon(&mut self, context: &mut Context, attempt: AttemptId, outcome: Outcome) {
-        if !context.engine.table.is_out(attempt.part, attempt.number) {
+        if !context.engine.table.is_attempt_in_flight(attempt.part, attempt.number) {
             return;
         }
         let part = context.engine.table.part(attempt.part);
@@ -105,9 +105,9 @@
         let state = context.engine.table.attempt(part, number).filter(|state| !state.is_over);
         let Some(state) = state else { return };
         if !matches!(outcome, Outcome::Answered | Outcome::Cancelled | Outcome::NeverSent) {
-            let (node, took) = (state.node.0, (context.now - state.sent).as_millis());
+            let (node, took) = (state.node.0, (context.now - state.sent_at).as_millis());
             debug!(context.log, "an attempt failed"; "node" => node, "how" => ?outcome, "took_ms" => took);
         }
-        context.engine.ended(context.now, part, number, outcome, load);
+        context.engine.attempt_ended(context.now, part, number, outcome, load);
     }
 }
--- a/crates/fernknot-router/src/client_requests.rs
+++ b/crates/fernknot-router/src/client_requests.rs
@@ -46,7 +46,7 @@
     fn handle_multiget(&mut self, context: &mut Context, id: ClientId, request: &Request) {
         match multiget::parse_multiget(request, &context.settings, &context.limits) {
             // Guards a client's open request against another's under its id: nodes know no other name.
-            Ok(asked) if context.engine.table.is_open(&asked.id) => {
+            Ok(asked) if context.engine.table.is_awaiting_answer(&asked.id) => {
                 context.counters.bad_requests += 1;
                 self.respond(context, id, 409, None, b"a request of this id is open");
             }
@@ -61,7 +61,7 @@
     fn take_multiget(&mut self, context: &mut Context, id: ClientId, asked: multiget::MultigetRequest) {
         // Guards what comes late in a stop against the end of the process.
         let client_end = (context.now + asked.timeout).min(context.stop_deadline.unwrap_or(Nanos(u64::MAX)));
-        let multiget = context.engine.take(context.now, RequesterId(id.0), client_end, asked);
+        let multiget = context.engine.submit(context.now, RequesterId(id.0), client_end, asked);
         if let Some(client) = self.by_id.get_mut(&id) {
             client.state = ClientState::Pending(multiget);
             client.was_probed = false;
@@ -110,8 +110,8 @@
             debug!(context.log, "a query in two phases is given up"; "in" => ?ended);
         }
         match verdict {
-            Verdict::Completed { is_complete: whole, found, blocks, .. } => {
-                let values = found.iter().map(|(shard, value)| (*shard, value.as_str()));
+            Verdict::Completed { is_complete: whole, values, blocks, .. } => {
+                let values = values.iter().map(|(shard, value)| (*shard, value.as_str()));
                 let body = multiget::response_body(whole, values, blocks.as_deref());
                 self.respond_with_values(context, id, whole, &body);
             }
--- a/crates/fernknot-router/src/discovery.rs
+++ b/crates/fernknot-router/src/discovery.rs
@@ -147,7 +147,7 @@
         info!(context.log, "a call to discovery failed"; "why" => why.to_string());
         self.connection = None;
         self.is_paused = true;
-        context.engine.list_lost(context.now);
+        context.engine.node_list_lost(context.now);
         let wait = self.backoff;
         self.backoff = wait.times(2.0).min(context.limits.max_backoff);
         self.set_timer(context, wait);
@@ -174,7 +174,7 @@
         }
         if list.is_full || !list.nodes.is_empty() {
             let entries = nodes.apply_list(context, &list);
-            context.engine.list(kind, &entries);
+            context.engine.apply_node_list(kind, &entries);
             info!(context.log, "listed";
                 "generation" => list.generation, "full" => list.is_full, "nodes" => entries.len());
         }
--- a/crates/fernknot-router/src/node_connections.rs
+++ b/crates/fernknot-router/src/node_connections.rs
@@ -180,7 +180,7 @@
             let first_sent = written
                 .filter_map(|attempt| {
                     let table = &context.engine.table;
-                    table.attempt(attempt.id.part, attempt.id.number).map(|attempt| attempt.sent)
+                    table.attempt(attempt.id.part, attempt.id.number).map(|attempt| attempt.sent_at)
                 })
                 .min();
             connection.is_retired |= first_sent.is_some_and(|sent| connection.last_received <= sent);
--- a/crates/fernknot-router/src/node_reader.rs
+++ b/crates/fernknot-router/src/node_reader.rs
@@ -93,7 +93,7 @@
         match (status, String::from_utf8(value)) {
             (CallStatus::Success, Ok(value)) => {
                 self.connection_of.remove(&attempt);
-                context.engine.answered(context.now, attempt.part, attempt.number, value, load);
+                context.engine.attempt_answered(context.now, attempt.part, attempt.number, value, load);
             }
             // A value that is not UTF-8 cannot be passed on as it is.
             (CallStatus::Success, Err(_)) | (CallStatus::Fault, _) => {
--- a/crates/fernknot-router/src/node_writer.rs
+++ b/crates/fernknot-router/src/node_writer.rs
@@ -67,7 +67,7 @@
             let multiget = context.engine.table.get(attempt.part.multiget);
             if is_grace_over || multiget.is_none_or(|multiget| multiget.is_over) {
                 self.abandon(context, attempt, Outcome::NeverSent);
-            } else if context.engine.table.is_out(attempt.part, attempt.number) {
+            } else if context.engine.table.is_attempt_in_flight(attempt.part, attempt.number) {
                 sendable.push(attempt);
             }
         }
@@ -105,17 +105,17 @@
 fn call_part(context: &Context, attempt: AttemptId) -> Option<CallPart<'_>> {
     let multiget = context.engine.table.get(attempt.part.multiget)?;
     let part = &multiget.parts[attempt.part.index];
-    let time_left = part.attempts.get(attempt.number.0 as usize)?.stop_at - context.now;
+    let time_left = part.attempts.get(attempt.number.0 as usize)?.deadline - context.now;
     Some(CallPart {
         id: &part.id,
         shard: part.shard.0,
         timeout_ms: time_left.0.div_ceil(NANOS_PER_MS),
-        key: multiget.key(part),
+        key: multiget.idempotency_key(part),
         phase: match part.phase {
             Phase::Plain => None,
-            Phase::Match => {
-                Some(CallPhase::Match { version: context.engine.phases().filter_version(part.shard) })
-            }
+            Phase::Match => Some(CallPhase::Match {
+                version: context.engine.two_phase_planner().filter_version(part.shard),
+            }),
             Phase::Fetch => Some(CallPhase::Fetch),
         },
         text: multiget.text(part),
--- a/crates/fernknot-two-phase/benches/term_filter.rs
+++ b/crates/fernknot-two-phase/benches/term_filter.rs
@@ -1,5 +1,5 @@
-//! Term filters of blocks: a look-up of a fingerprint that is absent and of one that is present, and the bytes of each
-//! structure, at 100, 1,000 and 6,000 terms. Three structures against the plain sorted list.
+//! Term filters of blocks: time to look up an absent and a present fingerprint, and memory in bytes, at 100, 1,000 and
+//! 6,000 terms. Compares the filter in use with a sorted list, a fuse filter, a Bloom filter and a hash set.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use fastbloom::BloomFilter;
@@ -15,32 +15,33 @@
     fingerprints
 }
 
-fn structures(criterion: &mut Criterion) {
+fn compare_structures(criterion: &mut Criterion) {
     for count in [100, 1_000, 6_000] {
         let (present, absent) = (fingerprints(count, "held"), fingerprints(1_024, "lacking"));
-        let fuse = BinaryFuse8::try_from(&present).expect("these fingerprints make a filter");
+        let fuse = BinaryFuse8::try_from(&present)
+            .expect("a fuse filter can be constructed from these fingerprints");
         let mut bloom = BloomFilter::with_false_pos(1.0 / 256.0).seed(&7).expected_items(count);
         for fingerprint in &present {
             bloom.insert(fingerprint);
         }
         let set: HashSet<u64> = present.iter().copied().collect();
-        let chosen = TermFilter::new(present.clone());
+        let term_filter = TermFilter::new(present.clone());
         println!(
-            "{count} terms, bytes: sorted {}, fuse {}, bloom {}, hash set at least {}, as kept {}",
+            "{count} terms, bytes: sorted {}, fuse {}, bloom {}, hash set at least {}, term filter {}",
             present.len() * 8,
             fuse.fingerprints.len(),
             bloom.as_slice().len() * 8,
             set.capacity() * 9,
-            chosen.bytes(),
+            term_filter.bytes(),
         );
-        for (kind, asked) in [("absent", &absent), ("present", &present)] {
+        for (kind, queried) in [("absent", &absent), ("present", &present)] {
             let mut group = criterion.benchmark_group(format!("{kind} of {count}"));
             let mut run = |name: &str, may_contain: &dyn Fn(u64) -> bool| {
                 let mut index = 0;
                 group.bench_function(BenchmarkId::from_parameter(name), |bench| {
                     bench.iter(|| {
-                        index = (index + 1) % asked.len();
-                        may_contain(black_box(asked[index]))
+                        index = (index + 1) % queried.len();
+                        may_contain(black_box(queried[index]))
                     })
                 });
             };
@@ -48,10 +49,10 @@
             run("fuse", &|fingerprint| fuse.contains(&fingerprint));
             run("bloom", &|fingerprint| bloom.contains(&fingerprint));
             run("hash set", &|fingerprint| set.contains(&fingerprint));
-            run("as kept", &|fingerprint| chosen.may_contain(fingerprint));
+            run("term filter", &|fingerprint| term_filter.may_contain(fingerprint));
         }
     }
 }
 
-criterion_group!(benches, structures);
+criterion_group!(benches, compare_structures);
 criterion_main!(benches);
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! The state of one query in flight.
+//! State of one query in flight.
 
 use crate::query::{CandidateBlock, MatchError};
 use crate::term_filter_cache::FilterAnswer;
@@ -7,79 +7,79 @@
 use fernknot_router_config::{TwoPhaseSettings, UnansweredBlock};
 use std::collections::BTreeMap;
 
-/// A block that the first phase asks.
+/// Block that the first phase asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AskedBlock {
     /// Whether its answer arrived.
     pub answered: bool,
-    /// Its filter's answer when the query began.
+    /// Answer of the block's filter when the query began.
     pub filter_answer: FilterAnswer,
 }
 
-/// A block that the second phase may fetch.
+/// Block that the second phase may fetch.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
-    /// The block.
+    /// Description of the block.
     pub block: CandidateBlock,
-    /// The chance that it is fetched, as far as is known; 1 once it is named.
+    /// Estimated chance that the block is fetched, from 0 to 1; 1 once an answer named it.
     pub fetch_chance: f64,
-    /// An answer of the first phase named it.
+    /// Whether an answer of the first phase named the block.
     pub named: bool,
-    outcome: Outcome,
+    outcome: CandidateOutcome,
 }
 
-/// What the opening of the second phase made of a candidate.
+/// State of a candidate, set when the second phase is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Outcome {
-    /// Neither: it may match, and is not fetched all the same. Also before the second phase is opened.
+enum CandidateOutcome {
+    /// The block may match but is not fetched. Also the state before the second phase is opened.
     NotFetched,
     Fetched,
     RuledOut,
 }
 
 impl Candidate {
-    /// A candidate before the first answer.
+    /// Returns a candidate that no answer has named.
     pub fn new(block: CandidateBlock, fetch_chance: f64) -> Candidate {
-        Candidate { block, fetch_chance, named: false, outcome: Outcome::NotFetched }
+        Candidate { block, fetch_chance, named: false, outcome: CandidateOutcome::NotFetched }
     }
 }
 
-/// A query from its begin to its end.
+/// Query in flight, from its arrival to its final answer.
 pub(crate) struct QueryInFlight {
-    /// Its use case.
+    /// Use case of the query.
     pub use_case: UseCaseId,
-    /// When it began.
+    /// Time of the query's arrival.
     pub began_at: Nanos,
-    /// The time for both phases: the latency target, or the client's time-out if that is less.
+    /// Time for both phases: the latency target, or the client's time-out if that is less.
     pub target: Nanos,
-    /// When the first phase ended; `None` while it runs.
+    /// End of the first phase and start of the second; `None` while the first one runs.
     pub second_phase_opened_at: Option<Nanos>,
-    /// The blocks of the first phase.
+    /// Blocks that the first phase asks.
     pub asked: BTreeMap<ShardId, AskedBlock>,
-    /// The blocks that the second phase may fetch.
+    /// Blocks that the second phase may fetch.
     pub candidates: BTreeMap<ShardId, Candidate>,
-    /// Fingerprints.
+    /// Fingerprints of the query's terms.
     pub terms: Vec<u64>,
-    /// Parts of the second phase.
-    pub fetched: usize,
-    /// The mean work of a candidate, where that of all is known.
+    /// Number of parts of the second phase; 0 before it is opened.
+    pub second_phase_parts: usize,
+    /// Mean work of a candidate, as time of one worker; `None` if that of any candidate is unknown.
     pub mean_effort: Option<Nanos>,
 }
 
-/// What the second phase fetches, and what that leaves.
+/// Blocks that the second phase fetches, and their part in the answer.
 pub(crate) struct FetchPlan {
-    /// The blocks to fetch.
+    /// Blocks to fetch.
     pub blocks: Vec<CandidateBlock>,
-    /// The share of the answer that was ruled out, and so needs no part.
+    /// Share of the complete answer, from 0 to 1, whose blocks were ruled out and need no part.
     pub ruled_out_weight: f64,
     /// Whether every candidate is either fetched or ruled out.
     pub is_complete: bool,
-    /// Candidates that were named.
+    /// Number of candidates that answers named.
     pub named: usize,
 }
 
 impl QueryInFlight {
-    /// Whether the first phase has ended.
+    /// Whether the first phase has ended and the second one has been opened.
     pub fn is_second_phase_open(&self) -> bool {
         self.second_phase_opened_at.is_some()
     }
@@ -89,17 +89,18 @@
         self.asked.values().all(|asked| asked.answered)
     }
 
-    /// The parts that the second phase is expected to have.
+    /// Returns the expected number of parts of the second phase.
     pub fn expected_fetches(&self) -> f64 {
         self.candidates.values().map(|candidate| candidate.fetch_chance).sum()
     }
 
-    /// How many candidates were named so far.
+    /// Returns the number of candidates that answers have named so far.
     pub fn named_count(&self) -> usize {
         self.candidates.values().filter(|candidate| candidate.named).count()
     }
 
-    /// Whether an answer may name these blocks. Otherwise the fetch would silently be smaller than the store meant.
+    /// Checks that an answer may name these blocks. Without the check, an invalid answer would silently make the second
+    /// phase fetch fewer blocks than the store meant.
     pub fn check_named(
         &self,
         from: ShardId,
@@ -120,8 +121,9 @@
         Ok(())
     }
 
-    /// Takes an answer: its block and those that it names have a known chance now, and the chance of the others
-    /// shrinks where any block may name any other.
+    /// Applies an answer of the first phase to the fetch chances. Blocks that it names are certain to be fetched. If
+    /// unmatched blocks are pruned, the chances of the others shrink: where blocks may name others, those of all remaining
+    /// candidates; otherwise that of the answering block to 0.
     pub fn apply_answer(&mut self, from: ShardId, named: &[ShardId], settings: &TwoPhaseSettings) {
         if let Some(asked) = self.asked.get_mut(&from) {
             asked.answered = true;
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Ends the first phase, and settles what becomes of each candidate.
+    /// Ends the first phase and decides for each candidate whether it is fetched, ruled out or neither.
     pub fn open_second_phase(&mut self, now: Nanos, settings: &TwoPhaseSettings) -> FetchPlan {
         self.second_phase_opened_at = Some(now);
         let is_first_complete = self.is_first_phase_complete();
@@ -158,29 +160,29 @@
                 || !settings.prunes_unmatched
                 || may_be_named && settings.unanswered_block == UnansweredBlock::Fetch;
             if is_fetched {
-                candidate.outcome = Outcome::Fetched;
+                candidate.outcome = CandidateOutcome::Fetched;
                 plan.blocks.push(candidate.block.clone());
             } else if may_be_named {
                 plan.is_complete = false;
             } else {
-                candidate.outcome = Outcome::RuledOut;
+                candidate.outcome = CandidateOutcome::RuledOut;
                 plan.ruled_out_weight += candidate.block.weight;
             }
         }
-        self.fetched = plan.blocks.len();
+        self.second_phase_parts = plan.blocks.len();
         plan
     }
 
-    /// What the final answer says of each candidate.
+    /// Returns the state of each candidate for the final answer.
     pub fn block_outcomes(&self, is_in_answer: impl Fn(ShardId) -> bool) -> Vec<(ShardId, BlockState)> {
         let outcome = |(shard, candidate): (&ShardId, &Candidate)| {
-            let said = match candidate.outcome {
-                Outcome::Fetched if is_in_answer(*shard) => BlockState::Fetched,
-                Outcome::Fetched => BlockState::Missing,
-                Outcome::RuledOut => BlockState::Pruned,
-                Outcome::NotFetched => BlockState::Unasked,
+            let state = match candidate.outcome {
+                CandidateOutcome::Fetched if is_in_answer(*shard) => BlockState::Fetched,
+                CandidateOutcome::Fetched => BlockState::Missing,
+                CandidateOutcome::RuledOut => BlockState::Pruned,
+                CandidateOutcome::NotFetched => BlockState::Unasked,
             };
-            (*shard, said)
+            (*shard, state)
         };
         self.candidates.iter().map(outcome).collect()
     }
--- a/crates/fernknot-two-phase/src/lib.rs
+++ b/crates/fernknot-two-phase/src/lib.rs
@@ -1,14 +1,15 @@
 //! Decisions on queries in two phases, without I/O or a clock.
 //!
-//! In the first phase blocks are asked which blocks hold matches; their answers name the blocks that the second phase
-//! fetches. This crate owns the state of such queries while they are in flight, and what earlier ones taught of
-//! durations, match rates and block contents. `fernknot-engine` is its caller: it reports each query to a
-//! [`TwoPhasePlanner`] ([`begin`](TwoPhasePlanner::begin)), the answers of the first phase
-//! ([`record_match`](TwoPhasePlanner::record_match)) and the query's end ([`finish`](TwoPhasePlanner::finish)), and asks
-//! how much time the second phase needs ([`second_phase_estimate`](TwoPhasePlanner::second_phase_estimate)), what it
-//! fetches ([`open_second_phase`](TwoPhasePlanner::open_second_phase)) and what the final answer says of each block
-//! ([`block_outcomes`](TwoPhasePlanner::block_outcomes)). Which replica is asked, whether to retry and what to reject
-//! stay with the decision module (`fernknot`), which gets these as inputs.
+//! The first phase asks blocks which blocks hold matches; the second phase fetches the blocks that the answers name.
+//! This crate keeps the state of such queries while they are in flight, and statistics of earlier ones: durations,
+//! match rates and term filters of blocks. Its caller, `fernknot-engine`, reports to a [`TwoPhasePlanner`] each query
+//! ([`begin`](TwoPhasePlanner::begin)), the answers of the first phase
+//! ([`record_match`](TwoPhasePlanner::record_match)) and the query's end ([`finish`](TwoPhasePlanner::finish)). The
+//! planner returns the time that the second phase needs
+//! ([`second_phase_estimate`](TwoPhasePlanner::second_phase_estimate)), the blocks that it fetches
+//! ([`open_second_phase`](TwoPhasePlanner::open_second_phase)) and the state of each block for the final answer
+//! ([`block_outcomes`](TwoPhasePlanner::block_outcomes)). The decision module (`fernknot`) takes these as inputs; it
+//! chooses replicas, retries and rejects.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -1,4 +1,4 @@
-//! The queries in flight that have two phases, and what earlier ones taught.
+//! Planner of queries in two phases.
 
 use crate::in_flight::{AskedBlock, Candidate, QueryInFlight};
 use crate::query::{CandidateBlock, MatchError, SecondPhase, TwoPhaseQuery};
@@ -10,58 +10,59 @@
 use fernknot_router_config::{TwoPhaseSettings, UnansweredBlock};
 use std::collections::{BTreeMap, HashMap};
 
-/// All queries in flight that have two phases, and what earlier ones taught.
+/// Queries in flight that have two phases, and statistics of earlier ones by use case.
 #[derive(Default)]
 pub struct TwoPhasePlanner {
-    /// By use case; `None` for one without phases.
+    /// Statistics by use case; `None` where queries have one phase.
     use_cases: Vec<Option<UseCaseStatistics>>,
     in_flight: HashMap<MultigetId, QueryInFlight>,
-    /// `None` where no use case has phases.
+    /// Cached term filters; `None` if no use case has two phases.
     filters: Option<TermFilterCache>,
 }
 
-/// The blocks that an answer of the first phase names.
+/// Blocks that an answer of the first phase names.
 struct NamedBlocks {
     blocks: Vec<ShardId>,
-    /// None are named by the filter that the store confirmed; it did not look itself.
+    /// The store confirmed the version of the cached filter instead of looking for matches, and that filter rules the
+    /// block out.
     ruled_out_by_filter: bool,
 }
 
 impl TwoPhasePlanner {
-    /// `settings` has one entry for each use case, `None` where it has no phases; term filters take at most
-    /// `max_filter_bytes`. `now`, here and elsewhere, is the caller's monotonic clock.
+    /// Returns a planner without queries. `settings` has one entry for each use case, `None` where queries have one
+    /// phase; term filters take at most `max_filter_bytes`. `now`, here and elsewhere, is the caller's monotonic clock.
     pub fn new(
         now: Nanos,
         settings: &[Option<TwoPhaseSettings>],
         max_filter_bytes: usize,
     ) -> TwoPhasePlanner {
-        let has_phases = settings.iter().any(Option::is_some);
+        let has_two_phases = settings.iter().any(Option::is_some);
         let statistics = |settings: &Option<TwoPhaseSettings>| {
             settings.as_ref().map(|settings| UseCaseStatistics::new(now, settings))
         };
         TwoPhasePlanner {
             use_cases: settings.iter().map(statistics).collect(),
             in_flight: HashMap::new(),
-            filters: has_phases.then(|| TermFilterCache::new(max_filter_bytes)),
+            filters: has_two_phases.then(|| TermFilterCache::new(max_filter_bytes)),
         }
     }
 
-    /// How many queries are in flight.
+    /// Returns the number of queries in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// The version of a block's term filter that is cached here, for its store to confirm.
+    /// Returns the version of a block's cached term filter, for the block's store to confirm.
     pub fn filter_version(&self, shard: ShardId) -> Option<u64> {
         self.filters.as_ref()?.version(shard)
     }
 
-    /// Takes a query. Returns the blocks to ask in the first phase, those likeliest to match first.
+    /// Starts a query. Returns the blocks to ask in the first phase, the most likely to match first.
     pub fn begin(&mut self, now: Nanos, id: MultigetId, query: TwoPhaseQuery) -> Vec<ShardId> {
         let Some(Some(statistics)) = self.use_cases.get(query.use_case.0) else {
             return query.first_phase_blocks;
         };
-        let asked = ask_filters(&mut self.filters, &query);
+        let asked = check_filters(&mut self.filters, &query);
         let chances = statistics.match_chances();
         let chance = |shard: &ShardId| {
             chances.of(asked.get(shard).map_or(FilterAnswer::Unknown, |asked| asked.filter_answer))
@@ -81,27 +82,27 @@
             candidates: query.candidates.into_iter().map(candidate).collect(),
             asked,
             terms: query.terms,
-            fetched: 0,
+            second_phase_parts: 0,
             mean_effort,
         };
         self.in_flight.insert(id, in_flight);
         order
     }
 
-    /// What the decision module is to know of the second phase while the first one runs; `None` once that has ended.
+    /// Returns the estimate of the second phase for the decision module; `None` once the first phase has ended.
     pub fn second_phase_estimate(&mut self, now: Nanos, id: MultigetId) -> Option<SecondPhaseEstimate> {
         let query = self.in_flight.get(&id).filter(|query| !query.is_second_phase_open())?;
         let statistics = self.use_cases.get_mut(query.use_case.0)?.as_mut()?;
         let parts = query.expected_fetches();
         let named = query.named_count();
-        let needs = statistics.time_to_keep(now, parts, query.target);
+        let needs = statistics.time_to_reserve(now, parts, query.target);
         let is_fetch_certain = statistics.settings.rejects_late_second_phase && named > 0;
-        let least = if is_fetch_certain { statistics.least_second_phase(now, named) } else { Nanos(0) };
+        let needs_least = if is_fetch_certain { statistics.min_second_phase(now, named) } else { Nanos(0) };
         let settings = &statistics.settings;
         Some(SecondPhaseEstimate {
             needs,
-            // A rejection may rest on what is certain only, never on what is merely expected.
-            needs_least: least.min(needs),
+            // A query is rejected only if its second phase is certain to be late, not because that is expected.
+            needs_least: needs_least.min(needs),
             parts,
             effort: query.mean_effort,
             least: if settings.unanswered_block == UnansweredBlock::Refuse {
@@ -112,12 +113,12 @@
         })
     }
 
-    /// Takes a block's answer of the first phase. `Ok(false)` if it is a duplicate or arrives after the first phase
-    /// has ended; it changes nothing then.
+    /// Records a block's answer of the first phase. Returns `Ok(false)` and ignores the answer if it is a duplicate or
+    /// arrives after the end of the first phase.
     ///
     /// # Errors
     ///
-    /// A [`MatchError`] if the answer cannot be used; it changes nothing then, either.
+    /// Returns a [`MatchError`] and ignores the answer if it is invalid.
     pub fn record_match(
         &mut self,
         id: MultigetId,
@@ -148,8 +149,8 @@
         Ok(true)
     }
 
-    /// Ends the first phase. Returns the blocks that the second one fetches, and the time that it needs; `None` if the
-    /// query is unknown or this was done before.
+    /// Ends the first phase. Returns the blocks that the second one fetches and the time that it needs; `None` if the
+    /// query is unknown or its first phase has ended before.
     pub fn open_second_phase(&mut self, now: Nanos, id: MultigetId) -> Option<SecondPhase> {
         let query = self.in_flight.get_mut(&id).filter(|query| !query.is_second_phase_open())?;
         let statistics = self.use_cases.get_mut(query.use_case.0)?.as_mut()?;
@@ -159,26 +160,27 @@
             statistics.record_match_rate(plan.named as f64 / query.candidates.len().max(1) as f64);
         }
         let may_reject = statistics.settings.rejects_late_second_phase;
-        let needs = may_reject.then(|| statistics.likely_second_phase(now, plan.blocks.len()));
-        let step = SecondPhaseStart { needs, base: plan.ruled_out_weight, whole: plan.is_complete };
-        Some(SecondPhase { blocks: plan.blocks, step })
+        let needs = may_reject.then(|| statistics.typical_second_phase(now, plan.blocks.len()));
+        let start = SecondPhaseStart { needs, base: plan.ruled_out_weight, whole: plan.is_complete };
+        Some(SecondPhase { blocks: plan.blocks, start })
     }
 
-    /// The query has had its final answer, or its client has gone. `second_phase_ran` if parts of the second phase were
-    /// sent. Of one that was given up it is only known that it would have taken longer.
+    /// Ends a query that has its final answer or whose client has gone. `second_phase_ran` if parts of the second phase
+    /// were sent. The time until then counts as the duration of the second phase; for one that was abandoned it is a
+    /// lower bound.
     pub fn finish(&mut self, now: Nanos, id: MultigetId, second_phase_ran: bool) {
         let Some(query) = self.in_flight.remove(&id) else { return };
         let Some(Some(statistics)) = self.use_cases.get_mut(query.use_case.0) else { return };
         if let Some(opened_at) = query.second_phase_opened_at.filter(|_| second_phase_ran) {
-            statistics.record_second_phase(now, query.fetched, now - opened_at);
+            statistics.record_second_phase(now, query.second_phase_parts, now - opened_at);
         }
     }
 
-    /// What the final answer says of each block of a query whose second phase was opened; `is_in_answer` tells whether
-    /// a block's value is in it. `None` if the query is unknown.
+    /// Returns the state of each block of a query whose second phase was opened, for its final answer; `None` if the
+    /// query is unknown. `is_in_answer` returns whether the answer contains a block's value.
     ///
-    /// Pruned: every answer that could have named the block arrived, and none did. Missing: its value was asked for
-    /// and did not arrive. Unasked: neither.
+    /// `Fetched`: the answer contains the block's value. `Pruned`: every answer that could have named the block
+    /// arrived, and none did. `Missing`: the block's value was requested and did not arrive. `Unasked`: none of these.
     pub fn block_outcomes(
         &self,
         id: MultigetId,
@@ -188,21 +190,21 @@
     }
 }
 
-/// The cached filters' answers for the blocks that the first phase asks.
-fn ask_filters(
+/// Returns the blocks that the first phase asks, with the answers of their cached filters.
+fn check_filters(
     filters: &mut Option<TermFilterCache>,
     query: &TwoPhaseQuery,
 ) -> BTreeMap<ShardId, AskedBlock> {
-    let mut ask_filter = |shard: &ShardId| {
+    let mut check_filter = |shard: &ShardId| {
         let answer = filters.as_mut().map(|filters| filters.check(*shard, &query.terms));
         let filter_answer = answer.unwrap_or(FilterAnswer::Unknown);
         (*shard, AskedBlock { answered: false, filter_answer })
     };
-    query.first_phase_blocks.iter().map(&mut ask_filter).collect()
+    query.first_phase_blocks.iter().map(&mut check_filter).collect()
 }
 
-/// The store has not looked: it confirms that its terms are those of this filter version. A filter that is not cached
-/// at that version says nothing, and the block counts as named.
+/// Returns the blocks named by an answer that only confirms the version of a filter. If the filter is cached at that
+/// version, it decides whether the block matches; otherwise the block counts as named.
 fn named_by_filter(
     filters: &mut Option<TermFilterCache>,
     query: &QueryInFlight,
@@ -216,7 +218,7 @@
     NamedBlocks { blocks: if is_named { vec![from] } else { Vec::new() }, ruled_out_by_filter }
 }
 
-/// The mean work of a block, where that of all is known.
+/// Mean work of a block; `None` if that of any block is unknown.
 fn mean_effort(blocks: &[CandidateBlock]) -> Option<Nanos> {
     let total: Option<u64> = blocks.iter().map(|block| Some(block.effort?.0)).sum();
     total.map(|total| Nanos(total / blocks.len().max(1) as u64))
--- a/crates/fernknot-two-phase/src/query.rs
+++ b/crates/fernknot-two-phase/src/query.rs
@@ -1,53 +1,53 @@
-//! What a caller hands in, and what it gets back for the second phase.
+//! Input and output types of the planner.
 
 use fernknot::interface::{Nanos, SecondPhaseStart, ShardId, UseCaseId};
 use thiserror::Error;
 
-/// A block that the second phase of a query may fetch.
+/// Block that the second phase of a query may fetch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CandidateBlock {
-    /// The block.
+    /// Shard that holds the block.
     pub shard: ShardId,
-    /// Its share of the complete answer, from 0 to 1.
+    /// Share of the complete answer that the block contributes, from 0 to 1.
     pub weight: f64,
-    /// The work that fetching it is expected to be, as time of one worker, where that is known.
+    /// Expected work of fetching the block, as time of one worker; `None` if unknown.
     pub effort: Option<Nanos>,
 }
 
-/// A query in two phases, as a client asks it.
+/// Client's query in two phases.
 #[derive(Clone, Debug)]
 pub struct TwoPhaseQuery {
-    /// Its use case.
+    /// Use case of the query.
     pub use_case: UseCaseId,
-    /// How long its client waits.
+    /// Time that the client waits for an answer.
     pub client_timeout: Nanos,
-    /// The blocks that the first phase asks which blocks match.
+    /// Blocks that the first phase asks for matches.
     pub first_phase_blocks: Vec<ShardId>,
-    /// All blocks that the second phase may fetch.
+    /// Blocks that the second phase may fetch.
     pub candidates: Vec<CandidateBlock>,
-    /// The fingerprints of the terms that a block has to hold ([`term_fingerprint`](crate::term_fingerprint)).
+    /// Fingerprints of the terms that a matching block contains ([`term_fingerprint`](crate::term_fingerprint)).
     pub terms: Vec<u64>,
 }
 
-/// The second phase of a query, as it is opened.
+/// Second phase of a query at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SecondPhase {
-    /// The blocks to fetch.
+    /// Blocks to fetch.
     pub blocks: Vec<CandidateBlock>,
-    /// What the decision module has to know of it.
-    pub step: SecondPhaseStart,
+    /// Input for the decision module.
+    pub start: SecondPhaseStart,
 }
 
-/// Why an answer of the first phase cannot be used. The attempt failed and may have run.
+/// Reason why an answer of the first phase is invalid. The attempt counts as failed and may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MatchError {
-    /// It is from, or names, a block that the query does not ask or fetch.
+    /// The answer is from a block that the first phase does not ask, or names one that the second may not fetch.
     #[error("the answer is from or names a block that is not in the query")]
     NotInQuery,
-    /// It names a block twice.
+    /// The answer names a block twice.
     #[error("the answer names a block twice")]
     DuplicateBlock,
-    /// It names another block than its own, where the use case does not allow that.
+    /// The answer names another block than its own, which the use case does not allow.
     #[error("the answer names another block than its own")]
     NamesOtherBlock,
 }
--- a/crates/fernknot-two-phase/src/term_filter.rs
+++ b/crates/fernknot-two-phase/src/term_filter.rs
@@ -1,54 +1,55 @@
-//! The terms that a block holds, as an approximate set.
+//! Approximate set of the terms that a block contains.
 
 use xorf::{BinaryFuse8, Filter};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Up to so many fingerprints are kept as they are: a filter's fixed part would outweigh them.
+/// Maximum number of fingerprints in a sorted list. For so few, the fixed part of a fuse filter takes more memory.
 const MAX_PLAIN_FINGERPRINTS: usize = 64;
 
-/// The fingerprint of a term: XXH3, 64 bits, seed 0, over its UTF-8 bytes.
+/// Returns the fingerprint of a term: XXH3, 64 bits, seed 0, over its UTF-8 bytes.
 pub fn term_fingerprint(term: &str) -> u64 {
     xxh3_64(term.as_bytes())
 }
 
-/// A set of term fingerprints that may claim to contain one that it does not (with a chance of 1 in 256), never the
-/// reverse.
+/// Set of term fingerprints with false positives (1 in 256) and no false negatives.
 ///
 /// Large sets are binary fuse filters (Graf and Lemire, "Binary Fuse Filters: Fast and Smaller Than Xor Filters",
 /// 2022).
 #[derive(Clone, Debug)]
-pub struct TermFilter(Repr);
+pub struct TermFilter(Representation);
 
 #[derive(Clone, Debug)]
-enum Repr {
+enum Representation {
     Sorted(Box<[u64]>),
     Fuse(BinaryFuse8),
 }
 
 impl TermFilter {
-    /// A set of these fingerprints, in any order.
+    /// Returns the set of these fingerprints, which may be in any order and repeat.
     pub fn new(mut fingerprints: Vec<u64>) -> TermFilter {
         fingerprints.sort_unstable();
         fingerprints.dedup();
         let is_large = fingerprints.len() > MAX_PLAIN_FINGERPRINTS;
-        // The construction of a filter may fail, seldom; the plain set serves then.
+        // The construction of a fuse filter fails in rare cases; the sorted list is used then.
         let filter = is_large.then(|| BinaryFuse8::try_from(&fingerprints)).and_then(Result::ok);
-        TermFilter(filter.map_or(Repr::Sorted(fingerprints.into_boxed_slice()), Repr::Fuse))
+        TermFilter(
+            filter.map_or(Representation::Sorted(fingerprints.into_boxed_slice()), Representation::Fuse),
+        )
     }
 
-    /// Whether the fingerprint may be in the set; `false` is certain.
+    /// Whether the fingerprint may be in the set; `false` means that it is not.
     pub fn may_contain(&self, fingerprint: u64) -> bool {
         match &self.0 {
-            Repr::Sorted(fingerprints) => fingerprints.binary_search(&fingerprint).is_ok(),
-            Repr::Fuse(filter) => filter.contains(&fingerprint),
+            Representation::Sorted(fingerprints) => fingerprints.binary_search(&fingerprint).is_ok(),
+            Representation::Fuse(filter) => filter.contains(&fingerprint),
         }
     }
 
-    /// The bytes that the set takes on the heap.
+    /// Returns the heap memory of the set, in bytes.
     pub fn bytes(&self) -> usize {
         match &self.0 {
-            Repr::Sorted(fingerprints) => size_of_val(&**fingerprints),
-            Repr::Fuse(filter) => filter.fingerprints.len(),
+            Representation::Sorted(fingerprints) => size_of_val(&**fingerprints),
+            Representation::Fuse(filter) => filter.fingerprints.len(),
         }
     }
 }
--- a/crates/fernknot-two-phase/src/term_filter_cache.rs
+++ b/crates/fernknot-two-phase/src/term_filter_cache.rs
@@ -1,23 +1,23 @@
-//! The term filters of blocks, within a bound on memory.
+//! Cache of the term filters of blocks, with a bound on its memory.
 //!
-//! A cached filter is unconfirmed. It may order and size a first phase; it rules a block out only at the version that
-//! the block's own store confirms in the very query.
+//! A cached filter may be stale. By itself it only affects the order and the estimates of a first phase; it rules a
+//! block out only if the block's store confirms the filter's version in the same query.
 
 use crate::term_filter::TermFilter;
 use fernknot::interface::ShardId;
 use lru::LruCache;
 
-/// What an entry costs beside its filter, in bytes: its key, version, links and position in the index.
+/// Memory overhead of a cache entry beyond its filter, in bytes: key, version, list links and hash table slot.
 pub const ENTRY_OVERHEAD_BYTES: usize = 96;
 
-/// The answer of a block's filter to a query.
+/// Answer of a block's filter to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FilterAnswer {
-    /// There is no filter, or the query names no terms.
+    /// No filter is cached, or the query has no terms.
     Unknown,
-    /// The block may hold all of the query's terms.
+    /// The block may contain all terms of the query.
     MayMatch,
-    /// The block lacks one of them, at the filter's version.
+    /// At the filter's version, the block does not contain one of the terms.
     CannotMatch,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// The filters used or received last, within a bound in bytes.
+/// Least-recently-used cache of term filters, with a bound in bytes.
 pub struct TermFilterCache {
     entries: LruCache<ShardId, Entry>,
     bytes: usize,
@@ -40,23 +40,23 @@
 }
 
 impl TermFilterCache {
-    /// An empty cache whose entries take at most `max_bytes`.
+    /// Returns an empty cache whose entries take at most `max_bytes`.
     pub fn new(max_bytes: usize) -> TermFilterCache {
         TermFilterCache { entries: LruCache::unbounded(), bytes: 0, max_bytes }
     }
 
-    /// The bytes that all entries take.
+    /// Returns the memory of all entries, in bytes, including their overhead.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The bytes of each entry, its overhead included.
+    /// Returns the memory of each entry, in bytes, including its overhead.
     pub fn entry_bytes(&self) -> impl Iterator<Item = usize> {
         self.entries.iter().map(|(_, entry)| entry.bytes())
     }
 
-    /// Takes the filter of a block's version, unless a later version is known: an answer may have been overtaken.
-    /// Entries that were not used for longest make room for it.
+    /// Caches the filter of a block's version, unless a later version is cached: answers may arrive out of order.
+    /// Evicts the least recently used entries to make room. A filter that exceeds the bound by itself is not cached.
     pub fn insert(&mut self, shard: ShardId, version: u64, fingerprints: Vec<u64>) {
         if self.version(shard).is_some_and(|known| known > version) {
             return;
@@ -77,12 +77,12 @@
         self.entries.put(shard, entry);
     }
 
-    /// The version of a block's filter.
+    /// Returns the version of a block's cached filter.
     pub fn version(&self, shard: ShardId) -> Option<u64> {
         self.entries.peek(&shard).map(|entry| entry.version)
     }
 
-    /// The answer of a block's filter to a query for all of these terms, by their fingerprints.
+    /// Checks a block's filter for the fingerprints of all terms of a query.
     pub fn check(&mut self, shard: ShardId, terms: &[u64]) -> FilterAnswer {
         match self.entries.get(&shard) {
             Some(entry) if !terms.is_empty() => {
--- a/crates/fernknot-two-phase/src/use_case_statistics.rs
+++ b/crates/fernknot-two-phase/src/use_case_statistics.rs
@@ -1,4 +1,4 @@
-//! What earlier queries of one use case taught: how long phases take, and how many blocks match.
+//! Statistics of one use case: durations of phases, and the share of blocks that match.
 
 use crate::recent_durations::RecentDurations;
 use crate::term_filter_cache::FilterAnswer;
@@ -6,37 +6,37 @@
 use fernknot::state::RunningMean;
 use fernknot_router_config::{LatencySplit, TwoPhaseSettings};
 
-/// The first phase leaves as much time as this share of the recent second phases of the size took at most.
-const NEEDED_QUANTILE: f64 = 0.9;
-/// A second phase that has not even the time that this share took is likelier late than not.
-const LIKELY_QUANTILE: f64 = 0.5;
-/// No second phase of its size was quicker than this share of the recent ones.
-const LEAST_QUANTILE: f64 = 0.05;
-/// Second phases are distinguished by their number of parts, in so many powers of two.
+/// Quantile of the durations of recent second phases that the first phase leaves as time for the second.
+const RESERVED_TIME_QUANTILE: f64 = 0.9;
+/// Quantile used as the typical duration of a second phase: with less time left, it is more likely late than not.
+const TYPICAL_DURATION_QUANTILE: f64 = 0.5;
+/// Quantile used as the minimum duration of a second phase.
+const MIN_DURATION_QUANTILE: f64 = 0.05;
+/// Number of size classes of second phases. Class `n` has up to 2^`n` parts; the last one has no limit.
 const SIZE_CLASSES: usize = 12;
-/// The weight of one query in the running means.
-const GAIN: f64 = 0.05;
-/// The match rate before anything is known.
+/// Weight of one query in the running means.
+const RUNNING_MEAN_GAIN: f64 = 0.05;
+/// Match rate assumed before the first query.
 const INITIAL_MATCH_RATE: f64 = 0.5;
-/// The rate at which filters are stale before anything is known.
+/// Share of stale filters assumed before the first query.
 const INITIAL_STALE_RATE: f64 = 0.05;
-/// The least chance of a match for a block whose filter allows one.
+/// Minimum chance of a match for a block whose filter allows one.
 const MIN_CHANCE_IF_FILTER_ALLOWS: f64 = 0.5;
 
-/// The statistics of one use case, and its settings.
+/// Statistics and settings of one use case.
 pub(crate) struct UseCaseStatistics {
-    /// The settings of the use case.
+    /// Settings of the use case.
     pub settings: TwoPhaseSettings,
     first_phases: RecentDurations,
-    /// By size class.
+    /// Durations by size class.
     second_phases: Vec<RecentDurations>,
-    /// The share of blocks that match.
+    /// Share of blocks that match, from 0 to 1.
     match_rate: RunningMean,
-    /// The share of blocks that match although their filter denied it.
+    /// Share of blocks that match although their filter denied it, from 0 to 1.
     stale_rate: RunningMean,
 }
 
-/// The chances of a match, by the answer of a block's filter.
+/// Chances of a match, by the answer of a block's filter.
 #[derive(Clone, Copy)]
 pub(crate) struct MatchChances {
     match_rate: f64,
@@ -44,7 +44,7 @@
 }
 
 impl MatchChances {
-    /// The chance of a match for a block with this filter answer.
+    /// Returns the chance of a match, from 0 to 1, for a block with this filter answer.
     pub fn of(&self, answer: FilterAnswer) -> f64 {
         match answer {
             FilterAnswer::CannotMatch => self.stale_rate,
@@ -55,7 +55,7 @@
 }
 
 impl UseCaseStatistics {
-    /// Nothing is known yet.
+    /// Returns statistics without any observation.
     pub fn new(now: Nanos, settings: &TwoPhaseSettings) -> UseCaseStatistics {
         UseCaseStatistics {
             settings: settings.clone(),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The chances by what is known now.
+    /// Returns the current estimates of the chances of a match.
     pub fn match_chances(&self) -> MatchChances {
         MatchChances {
             match_rate: self.match_rate.get().unwrap_or(INITIAL_MATCH_RATE),
@@ -74,67 +74,71 @@
         }
     }
 
-    /// Of all candidates of a query whose first phase was answered in full, this share matched.
+    /// Records the share of a query's candidates that matched, where all blocks of the first phase answered.
     pub fn record_match_rate(&mut self, rate: f64) {
-        self.match_rate.add(rate, GAIN);
+        self.match_rate.add(rate, RUNNING_MEAN_GAIN);
     }
 
-    /// A block whose filter denied a match was asked; whether it matched.
+    /// Records whether a block matched although its filter denied a match.
     pub fn record_denied_match(&mut self, matched: bool) {
-        self.stale_rate.add_from(Some(INITIAL_STALE_RATE), f64::from(u8::from(matched)), GAIN);
+        self.stale_rate.add_from(Some(INITIAL_STALE_RATE), f64::from(u8::from(matched)), RUNNING_MEAN_GAIN);
     }
 
-    /// A first phase took so long.
+    /// Records the duration of a first phase.
     pub fn record_first_phase(&mut self, now: Nanos, took: Nanos) {
         self.first_phases.record(now, took);
     }
 
-    /// A second phase with so many parts took so long.
+    /// Records the duration of a second phase with this number of parts.
     pub fn record_second_phase(&mut self, now: Nanos, parts: usize, took: Nanos) {
         self.second_phases[size_class(parts as f64)].record(now, took);
     }
 
-    /// The time to keep for a second phase of so many parts, within the bounds of the settings. `target` is the
-    /// latency target, or the client's time-out if that is less.
-    pub fn time_to_keep(&mut self, now: Nanos, parts: f64, target: Nanos) -> Nanos {
+    /// Returns the time to reserve for a second phase with this number of parts, within the bounds of the settings.
+    /// `target` is the latency target, or the client's time-out if that is less.
+    pub fn time_to_reserve(&mut self, now: Nanos, parts: f64, target: Nanos) -> Nanos {
         if self.settings.split == LatencySplit::Half {
             return target.times(0.5);
         }
         let second = self.expected_second_phase(now, parts, target);
-        // Where both phases are long, each gets its share: the first one is not cut short for a second one that could
-        // not be in time either.
-        let first = self.first_phases.quantile(now, NEEDED_QUANTILE).unwrap_or_default();
+        // If both phases together exceed the target, it is split in proportion: a shorter first phase would not make
+        // the second one finish in time.
+        let first = self.first_phases.quantile(now, RESERVED_TIME_QUANTILE).unwrap_or_default();
         let both = (first + second).0.max(1);
         let second = if both > target.0 { target.times(second.0 as f64 / both as f64) } else { second };
-        let least = target.times(1.0 - self.settings.max_first_phase_share);
-        let greatest = target.times(1.0 - self.settings.min_first_phase_share);
-        second.clamp(least, greatest)
+        let min = target.times(1.0 - self.settings.max_first_phase_share);
+        let max = target.times(1.0 - self.settings.min_first_phase_share);
+        second.clamp(min, max)
     }
 
-    /// By what such second phases took; without any, the middle of what the settings leave.
+    /// Returns the expected duration of a second phase: a quantile of recent ones, or, without any, the middle of the
+    /// range that the settings allow.
     fn expected_second_phase(&mut self, now: Nanos, parts: f64, target: Nanos) -> Nanos {
         if parts <= 0.0 {
             return Nanos(0);
         }
-        let middle = target
+        let default = target
             .times(1.0 - (self.settings.min_first_phase_share + self.settings.max_first_phase_share) / 2.0);
-        self.second_phase_quantile(now, parts, NEEDED_QUANTILE).unwrap_or(middle)
+        self.second_phase_quantile(now, parts, RESERVED_TIME_QUANTILE).unwrap_or(default)
     }
 
-    /// The least time that a second phase of so many parts takes, as far as is known.
-    pub fn least_second_phase(&mut self, now: Nanos, parts: usize) -> Nanos {
-        self.second_phase_quantile(now, parts as f64, LEAST_QUANTILE).unwrap_or_default()
+    /// Returns the minimum duration of a second phase with this number of parts; 0 if unknown.
+    pub fn min_second_phase(&mut self, now: Nanos, parts: usize) -> Nanos {
+        self.second_phase_quantile(now, parts as f64, MIN_DURATION_QUANTILE).unwrap_or_default()
     }
 
-    /// The time that a second phase of so many parts likely takes, as far as is known.
-    pub fn likely_second_phase(&mut self, now: Nanos, parts: usize) -> Nanos {
+    /// Returns the typical duration of a second phase with this number of parts; 0 if unknown.
+    pub fn typical_second_phase(&mut self, now: Nanos, parts: usize) -> Nanos {
         match parts {
             0 => Nanos(0),
-            parts => self.second_phase_quantile(now, parts as f64, LIKELY_QUANTILE).unwrap_or_default(),
+            parts => {
+                self.second_phase_quantile(now, parts as f64, TYPICAL_DURATION_QUANTILE).unwrap_or_default()
+            }
         }
     }
 
-    /// A quantile of the second phases of this size, or of the nearest known size, smaller ones first.
+    /// Returns a quantile of the durations of second phases of this size class. Without enough of them it is that of
+    /// the nearest smaller class, or else of the nearest larger one.
     fn second_phase_quantile(&mut self, now: Nanos, parts: f64, share: f64) -> Option<Nanos> {
         let class = size_class(parts);
         let mut nearest_first = (0..=class).rev().chain(class + 1..SIZE_CLASSES);
--- a/crates/fernknot-two-phase/tests/filters_never_deny_what_they_hold.rs
+++ b/crates/fernknot-two-phase/tests/filters_never_deny_what_they_hold.rs
@@ -1,4 +1,4 @@
-//! Term filters contain what they were made of, and their cache stays within its bound.
+//! Term filters have no false negatives, and their cache stays within its memory bound.
 
 use fernknot::interface::ShardId;
 use fernknot_two_phase::{FilterAnswer, TermFilter, TermFilterCache, term_fingerprint};
@@ -10,16 +10,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(16), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards rule 5: a filter that denies what it holds would rule out a block that matches.
+    /// A false negative would rule out a block that matches.
     #[test]
-    fn a_filter_may_contain_all_that_it_was_made_of(fingerprints in prop::collection::vec(any::<u64>(), 0..400)) {
+    fn a_filter_has_no_false_negatives(fingerprints in prop::collection::vec(any::<u64>(), 0..400)) {
         let filter = TermFilter::new(fingerprints.clone());
         prop_assert!(fingerprints.iter().all(|fingerprint| filter.may_contain(*fingerprint)));
     }
 
-    /// Guards the stated bound on memory, whatever is inserted in whatever order.
+    /// The bound holds for any sizes, versions and order of insertions. No version is replaced by an earlier one.
     #[test]
-    fn the_cache_stays_within_its_bound(
+    fn the_cache_stays_within_its_memory_bound(
         inserts in prop::collection::vec((0u32..40, 0u64..5, 0usize..300), 1..120),
     ) {
         let mut cache = TermFilterCache::new(MAX_BYTES);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn one_absent_term_rules_a_block_out_and_no_terms_say_nothing() {
+fn one_absent_term_rules_a_block_out_and_a_query_without_terms_has_an_unknown_answer() {
     let mut cache = TermFilterCache::new(10_000);
     cache.insert(ShardId(1), 4, vec![term_fingerprint("beach"), term_fingerprint("2024")]);
     let terms = |words: &[&str]| words.iter().map(|word| term_fingerprint(word)).collect::<Vec<_>>();
