--- a/crates/fernknot-merge/src/lib.rs
+++ b/crates/fernknot-merge/src/lib.rs
@@ -1,44 +1,44 @@
-//! Merging of shards' answers, without I/O or clock.
+//! Merging of shards' answers, without I/O or a clock.
 //!
-//! This crate owns the rule by which the answers of a fanout become one: the greatest records of all, in falling
-//! order, if enough shards answered. The gateway calls [`merge_answers`] once a query is complete.
+//! The merged answer consists of the greatest records of all answers, in descending order, if enough shards answered.
+//! The gateway calls [`merge_answers`] once a query is complete.
 
 #![deny(missing_docs)]
 
-/// Bytes of one record; a shorter rest at the end of an answer is ignored.
+/// Size of a record in bytes. An incomplete record at the end of an answer is ignored.
 pub const RECORD_BYTES: usize = 16;
 
-/// Fractions are compared with this tolerance: a quorum such as 0.7 has no exact binary value.
+/// Tolerance of the comparison with the quorum, in answers: a quorum such as 0.7 has no exact binary value.
 const QUORUM_TOLERANCE: f64 = 1e-9;
 
-/// The separator of seals in [`MergedAnswer::seals`].
+/// Separator of seals in [`MergedAnswer::seals`].
 const SEAL_SEPARATOR: &str = ", ";
 
-/// The answer of one shard.
+/// Answer of one shard.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardAnswer<'a> {
-    /// The seal of the answer (`Answer-Seal`): proof that it belongs to this request.
+    /// Seal of the answer (`Answer-Seal`): proof that it belongs to this request.
     pub seal: &'a str,
-    /// The records, each of [`RECORD_BYTES`].
+    /// Records of [`RECORD_BYTES`] each.
     pub body: &'a [u8],
 }
 
-/// The merged answer to a query.
+/// Merged answer to a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MergedAnswer {
-    /// The seals of the merged answers, joined by commas (`Part-Seals`).
+    /// Seals of the merged answers, separated by commas (`Part-Seals`).
     pub seals: String,
-    /// How many shards are missing (`Parts-Missing`).
+    /// Number of shards without an answer (`Parts-Missing`).
     pub missing_shards: usize,
-    /// The greatest records in falling order.
+    /// Greatest records in descending order.
     pub body: Vec<u8>,
 }
 
-/// Merges the answers to a query that went to `shards` shards into its `top_k` greatest records. Equal records all
-/// count.
+/// Merges the answers to a query that went to `shards` shards into its `top_k` greatest records. Equal records are all
+/// kept.
 ///
-/// `None` where the answers are fewer than the fraction `quorum` of the shards, or there is none at all, or two have
-/// the same seal: the result would be no success, or a wrong one.
+/// Returns `None` if the query did not succeed: there is no answer, or fewer than the fraction `quorum` of the shards
+/// answered. Also if the answers cannot be right: there are more of them than shards, or two have the same seal.
 #[must_use]
 pub fn merge_answers(
     answers: &[ShardAnswer],
@@ -46,8 +46,8 @@
     top_k: usize,
     quorum: f64,
 ) -> Option<MergedAnswer> {
-    let is_answered = !answers.is_empty() && answers.len() <= shards;
-    if !is_answered || !has_quorum(answers.len(), shards, quorum) || has_repeated_seal(answers) {
+    let is_count_valid = !answers.is_empty() && answers.len() <= shards;
+    if !is_count_valid || !has_quorum(answers.len(), shards, quorum) || has_repeated_seal(answers) {
         return None;
     }
     let records = top_records(answers, top_k);
@@ -68,7 +68,7 @@
     indexed.any(|(index, answer)| answers[..index].iter().any(|earlier| earlier.seal == answer.seal))
 }
 
-/// The greatest records in falling order. Compared as big-endian numbers, which is the order of their bytes.
+/// Returns the greatest records in descending order, which is that of their bytes: as big-endian numbers.
 fn top_records(answers: &[ShardAnswer], top_k: usize) -> Vec<u128> {
     let count = answers.iter().map(|answer| answer.body.len() / RECORD_BYTES).sum();
     let mut records: Vec<u128> = Vec::with_capacity(count);
@@ -76,14 +76,14 @@
         let (complete, _) = answer.body.as_chunks::<RECORD_BYTES>();
         records.extend(complete.iter().map(|record| u128::from_be_bytes(*record)));
     }
-    let falling = |one: &u128, other: &u128| other.cmp(one);
+    let descending = |one: &u128, other: &u128| other.cmp(one);
     if top_k < records.len() {
-        // Only the greatest have to be sorted.
+        // Selection first, so that only the records that are kept are sorted.
         if top_k > 0 {
-            records.select_nth_unstable_by(top_k - 1, falling);
+            records.select_nth_unstable_by(top_k - 1, descending);
         }
         records.truncate(top_k);
     }
-    records.sort_unstable_by(falling);
+    records.sort_unstable_by(descending);
     records
 }
--- a/crates/fernknot-merge/tests/merge_answers.rs
+++ b/crates/fernknot-merge/tests/merge_answers.rs
@@ -1,4 +1,4 @@
-//! The answers of enough shards become one answer with the greatest records of all.
+//! Merging of shards' answers: the greatest records, the quorum, and invalid sets of answers.
 
 use fernknot_merge::{MergedAnswer, RECORD_BYTES, ShardAnswer, merge_answers};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn given_answers_out_of_order_then_the_greatest_records_come_first_and_equal_ones_all_count() {
+fn given_unsorted_answers_then_the_greatest_records_come_first_and_equal_ones_are_all_kept() {
     let (one, other) = (body(&[3, 9, 1]), body(&[9, 4]));
     let answers = [ShardAnswer { seal: "a", body: &one }, ShardAnswer { seal: "b", body: &other }];
     let expected = MergedAnswer { seals: "a, b".into(), missing_shards: 0, body: body(&[9, 9, 4]) };
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn given_a_rest_shorter_than_a_record_then_it_is_ignored() {
+fn given_an_incomplete_record_at_the_end_then_it_is_ignored() {
     let mut bytes = body(&[5]);
     bytes.extend([255; RECORD_BYTES - 1]);
     let merged =
@@ -25,9 +25,9 @@
     assert_eq!(merged, Some(body(&[5])));
 }
 
-#[test_case(3, 4, 0.75, true; "just the quorum")]
-#[test_case(2, 4, 0.75, false; "under the quorum")]
-#[test_case(0, 4, 0.0, false; "a success has one answer at least")]
+#[test_case(3, 4, 0.75, true; "exactly the quorum")]
+#[test_case(2, 4, 0.75, false; "below the quorum")]
+#[test_case(0, 4, 0.0, false; "no answer, even with a quorum of zero")]
 #[test_case(7, 10, 0.7, true; "a fraction without an exact binary value")]
 #[test_case(5, 4, 0.5, false; "more answers than shards")]
 fn given_some_answers_then_only_a_quorum_of_them_makes_a_merged_answer(
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn given_one_seal_twice_then_there_is_no_merged_answer() {
+fn given_two_answers_with_the_same_seal_then_there_is_no_merged_answer() {
     let answers = [ShardAnswer { seal: "a", body: b"" }, ShardAnswer { seal: "a", body: b"" }];
     assert_eq!(merge_answers(&answers, 2, 5, 0.5), None);
 }
 
 proptest! {
     #[test]
-    fn whatever_is_merged_the_result_is_the_head_of_all_records_in_falling_order(
+    fn the_merged_body_is_the_top_k_of_all_records_in_descending_order(
         bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..400), 1..6),
         top_k in 0usize..40,
     ) {
