--- a/crates/fernknot-bench-adapter/src/adapter.rs
+++ b/crates/fernknot-bench-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! All instances, and which of them an event concerns.
+//! Dispatch of events to the instances that they affect.
 
 use crate::error::AdapterError;
 use crate::instance::Instance;
@@ -6,26 +6,26 @@
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// All instances.
+/// All instances of the decision module.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Instance>,
-    /// The directories given so far, by number.
+    /// Directories received so far, by number.
     directories: HashMap<u64, Vec<Node>>,
 }
 
 impl Adapter {
-    /// Applies a batch, and asks the instances that it concerned for their decisions.
+    /// Applies a batch and polls the instances that it affects for their decisions.
     pub fn apply(&mut self, batch: &Batch) -> Result<Reply, AdapterError> {
         let now = Nanos::from_millis(batch.now_ms);
-        let mut concerned = BTreeSet::new();
+        let mut affected = BTreeSet::new();
         for (name, raw) in batch.events.iter().flatten() {
             if let Some(event) = parse_event(name, raw)? {
-                concerned.extend(self.apply_event(now, event)?);
+                affected.extend(self.apply_event(now, event)?);
             }
         }
         let mut actions = Vec::new();
-        for number in concerned {
+        for number in affected {
             if let Some(instance) = self.instances.get_mut(&number) {
                 instance.poll_actions(now, &mut actions);
             }
@@ -33,9 +33,10 @@
         Ok(Reply { actions })
     }
 
-    /// Applies an event; the number of the instance that it concerns. Events for an unknown instance are ignored.
+    /// Applies an event and returns the number of the instance that it affects, if any. Events for an unknown instance
+    /// are ignored.
     fn apply_event(&mut self, now: Nanos, event: Event) -> Result<Option<u64>, AdapterError> {
-        let concerned = match event {
+        let affected = match event {
             Event::Directory(directory) => {
                 self.directories.insert(directory.number, directory.nodes);
                 return Ok(None);
@@ -50,12 +51,12 @@
                 stop.instance
             }
             Event::NodeList(list) => {
-                self.list_nodes(now, &list)?;
+                self.apply_node_list(now, &list)?;
                 list.instance
             }
             Event::QueryOrPart(arrival) => {
                 let number = arrival.instance;
-                self.with(number, |instance| instance.arrive(now, arrival));
+                self.with_instance(number, |instance| instance.query_or_part_arrived(now, arrival));
                 number
             }
             Event::AttemptEnded(ended) => {
@@ -65,35 +66,35 @@
                 ended.instance
             }
             Event::LoadReported(report) => {
-                self.with(report.instance, |instance| instance.load_reported(&report));
+                self.with_instance(report.instance, |instance| instance.load_reported(&report));
                 report.instance
             }
             Event::ClientTimedOut(query) => {
-                self.with(query.instance, |instance| instance.client_timed_out(&query.query_name));
+                self.with_instance(query.instance, |instance| instance.client_timed_out(&query.query_name));
                 query.instance
             }
             Event::Datagram(datagram) => {
-                self.with(datagram.instance, |instance| instance.datagram_received(now, &datagram));
+                self.with_instance(datagram.instance, |instance| instance.datagram_received(now, &datagram));
                 datagram.instance
             }
             Event::Wake(wake) => wake.instance,
         };
-        Ok(Some(concerned))
+        Ok(Some(affected))
     }
 
-    fn with(&mut self, number: u64, apply: impl FnOnce(&mut Instance)) {
+    fn with_instance(&mut self, number: u64, apply: impl FnOnce(&mut Instance)) {
         if let Some(instance) = self.instances.get_mut(&number) {
             apply(instance);
         }
     }
 
-    fn list_nodes(&mut self, now: Nanos, list: &NodeList) -> Result<(), AdapterError> {
+    fn apply_node_list(&mut self, now: Nanos, list: &NodeList) -> Result<(), AdapterError> {
         let Some(instance) = self.instances.get_mut(&list.instance) else { return Ok(()) };
         let directory = list.directory.and_then(|number| self.directories.get(&number));
         match (list.mode, directory) {
-            (ListMode::Lost, _) => instance.list_nodes(now, list.mode, &[]),
-            (_, Some(nodes)) => instance.list_nodes(now, list.mode, nodes),
-            (_, None) => return Err(AdapterError::UnknownSheet),
+            (ListMode::Lost, _) => instance.apply_node_list(now, list.mode, &[]),
+            (_, Some(nodes)) => instance.apply_node_list(now, list.mode, nodes),
+            (_, None) => return Err(AdapterError::UnknownDirectory),
         }
         Ok(())
     }
--- a/crates/fernknot-bench-adapter/src/error.rs
+++ b/crates/fernknot-bench-adapter/src/error.rs
@@ -1,40 +1,40 @@
-//! Why the adapter gives up: the bench and the adapter do not understand each other.
+//! Errors that end the adapter.
 
 use thiserror::Error;
 
-/// Why the adapter gives up.
+/// Fatal error: input that the adapter does not understand, or a failure of standard input or output.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// Standard input failed.
+    /// Standard input cannot be read.
     #[error("cannot read a batch: {0}")]
     ReadBatch(std::io::Error),
-    /// A line is not JSON.
+    /// A line of input is not valid JSON.
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// A line is JSON, but no batch.
+    /// A line of input is valid JSON, but not a batch.
     #[error("not a batch: {0}")]
     NotABatch(serde_json::Error),
-    /// The fields of an event are not those of its name.
+    /// The fields of an event are missing or of the wrong type.
     #[error("event {event}: {source}")]
     MalformedEvent {
-        /// The event's name.
+        /// Name of the event.
         event: String,
-        /// What is wrong.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// An event `view` names a sheet that no `directory` gave.
-    #[error("event view: its sheet was never given")]
-    UnknownSheet,
-    /// The settings of an instance were rejected.
+    /// An event `view` refers to a directory (`sheet`) that no earlier event `directory` defined.
+    #[error("event view: no earlier event directory has its sheet")]
+    UnknownDirectory,
+    /// The settings of an instance are invalid.
     #[error("{0}")]
     Settings(#[from] fernknot_router_config::ConfigError),
-    /// An event `finished` has a status that stands for no outcome.
-    #[error("unknown outcome {0}")]
-    UnknownOutcome(u32),
-    /// A reply could not be serialised.
+    /// The status of an event `finished` is not that of any outcome.
+    #[error("event finished: unknown status {0}")]
+    UnknownStatus(u32),
+    /// A reply cannot be serialised.
     #[error("cannot write a reply: {0}")]
     WriteReply(serde_json::Error),
-    /// Standard output failed.
-    #[error("cannot write: {0}")]
+    /// Standard output cannot be written.
+    #[error("cannot write to standard output: {0}")]
     Write(std::io::Error),
 }
--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the decision module, and the wire's names for what it holds.
+//! Instance of the decision module, with the wire's names of its nodes, queries and parts.
 
 use crate::error::AdapterError;
 use crate::hex;
@@ -14,23 +14,23 @@
 use fernknot_protocol::peer_updates::NodeTags;
 use std::collections::BTreeMap;
 
-/// Bytes that the wire lets one datagram have.
+/// Maximum size of a datagram on the wire, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// The label of the only timer that an instance sets.
+/// Label of the only timer that an instance sets.
 const TIMER_LABEL: u64 = 0;
 
-/// One instance.
+/// Instance of the decision module.
 pub struct Instance {
     number: u64,
     router: Router,
     nodes: NodeNames,
-    /// Short forms of the nodes' names, for datagrams.
+    /// Short forms of the nodes' names, used in datagrams.
     tags: NodeTags,
     queries: QueryNames,
 }
 
 impl Instance {
-    /// An instance that starts now.
+    /// Starts an instance.
     pub fn new(now: Nanos, start: InstanceStarted) -> Result<Instance, AdapterError> {
         let settings = start.settings.decision_settings().map_err(AdapterError::Settings)?;
         Ok(Instance {
@@ -44,8 +44,8 @@
 
     // ---- Events ----------------------------------------------------------------------------
 
-    /// A list of nodes arrived, or the source of lists is gone.
-    pub fn list_nodes(&mut self, now: Nanos, mode: ListMode, nodes: &[Node]) {
+    /// Applies a list of nodes, or the loss of the source of lists.
+    pub fn apply_node_list(&mut self, now: Nanos, mode: ListMode, nodes: &[Node]) {
         let kind = match mode {
             ListMode::Lost => return self.router.list_failed(now),
             ListMode::Changes => ListKind::Changes,
@@ -79,16 +79,16 @@
         id
     }
 
-    /// A query, or a part of one, arrives.
-    pub fn arrive(&mut self, now: Nanos, arrival: QueryOrPart) {
+    /// Applies the arrival of a query or of a part of one.
+    pub fn query_or_part_arrived(&mut self, now: Nanos, arrival: QueryOrPart) {
         if arrival.is_query() {
-            self.query_arrives(now, arrival);
+            self.query_arrived(now, arrival);
         } else {
-            self.part_arrives(now, arrival);
+            self.part_arrived(now, arrival);
         }
     }
 
-    fn query_arrives(&mut self, now: Nanos, query: QueryOrPart) {
+    fn query_arrived(&mut self, now: Nanos, query: QueryOrPart) {
         let multiget = MultigetId(query.query_number);
         let arrival = Arrival {
             multiget,
@@ -103,7 +103,7 @@
         self.queries.add_query(multiget, query.name);
     }
 
-    fn part_arrives(&mut self, now: Nanos, part: QueryOrPart) {
+    fn part_arrived(&mut self, now: Nanos, part: QueryOrPart) {
         let multiget = MultigetId(part.query_number);
         let Some(id) = self.queries.add_part(multiget, part.name) else { return };
         let arrival = PartArrival {
@@ -115,7 +115,7 @@
         self.router.part_arrived(now, &arrival);
     }
 
-    /// An attempt of a part ended.
+    /// Applies the end of an attempt. Ignores it if the part or the node is unknown.
     pub fn attempt_ended(&mut self, now: Nanos, ended: &AttemptEnded) -> Result<(), AdapterError> {
         let outcome = outcome(ended.status)?;
         let Some(part) = self.queries.part(&ended.part_name) else { return Ok(()) };
@@ -133,38 +133,38 @@
         Ok(())
     }
 
-    /// A node reported its load without a part.
+    /// Applies a node's load report that did not come with the end of an attempt.
     pub fn load_reported(&mut self, report: &LoadReported) {
         if let Some(node) = self.nodes.id(&report.node) {
             self.router.load_reported(node, load_report(&report.load));
         }
     }
 
-    /// Another router sent a datagram.
+    /// Applies a datagram from another router. Ignores it if it cannot be parsed.
     pub fn datagram_received(&mut self, now: Nanos, datagram: &Datagram) {
         if let Some(updates) = self.tags.read(&hex::decode(&datagram.bytes_hex)) {
             self.router.apply_updates(now, PeerId(datagram.sender), &updates);
         }
     }
 
-    /// A query's client is gone.
+    /// Applies the time-out of a query's client. Ignores it if the query is unknown.
     pub fn client_timed_out(&mut self, query_name: &str) {
         if let Some(multiget) = self.queries.query(query_name) {
             self.router.client_gone(multiget);
-            self.queries.query_over(multiget);
+            self.queries.mark_over(multiget);
         }
     }
 
     // ---- Decisions -------------------------------------------------------------------------
 
-    /// Appends all that the module decides now.
+    /// Appends the actions for all decisions that are due.
     pub fn poll_actions(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         while let Some(decision) = self.router.poll_decision(now) {
             self.carry_out(decision, actions);
         }
     }
 
-    /// Turns a decision into actions of the wire. One about a query that is no longer known has none.
+    /// Translates a decision into actions of the wire. A decision on an unknown query has none.
     fn carry_out(&mut self, decision: Decision, actions: &mut Vec<Action>) {
         let instance = self.number;
         match decision {
@@ -174,30 +174,30 @@
                 let (node, stop_at_ms) = (self.nodes.name(node).to_string(), stop_at.as_millis());
                 actions.push(Action::SendPart { instance, part_name, node, stop_at_ms });
             }
-            Decision::CancelAttempt { part, number: no } => {
+            Decision::CancelAttempt { part, number } => {
                 let Some(part_name) = self.queries.part_name(part) else { return };
-                actions.push(Action::CancelAttempt { instance, part_name, attempt: no.0 });
+                actions.push(Action::CancelAttempt { instance, part_name, attempt: number.0 });
             }
-            Decision::Complete { multiget, complete: whole, last } => {
+            Decision::Complete { multiget, complete: is_complete, last } => {
                 let Some(query_name) = self.queries.query_name(multiget) else { return };
-                actions.push(Action::CompleteQuery { instance, query_name, is_complete: whole });
+                actions.push(Action::CompleteQuery { instance, query_name, is_complete });
                 if last {
-                    self.queries.query_over(multiget);
+                    self.queries.mark_over(multiget);
                 }
             }
-            Decision::Reject { multiget, retry_after: wait } => {
+            Decision::Reject { multiget, retry_after } => {
                 let Some(query_name) = self.queries.query_name(multiget) else { return };
-                let retry_after_ms = wait.as_millis();
+                let retry_after_ms = retry_after.as_millis();
                 actions.push(Action::RejectQuery { instance, query_name, retry_after_ms });
-                self.queries.query_over(multiget);
+                self.queries.mark_over(multiget);
             }
             Decision::Abort { multiget } => {
                 let Some(query_name) = self.queries.query_name(multiget) else { return };
                 actions.push(Action::FailQuery { instance, query_name });
-                self.queries.query_over(multiget);
+                self.queries.mark_over(multiget);
             }
             Decision::RequestList => actions.push(Action::SubscribeToNodeList { instance, full: true }),
-            // On the bench connections go silent only together with their nodes.
+            // In the bench, connections fail only together with their nodes, so there is nothing to renew.
             Decision::RenewConnections { .. } => {}
             Decision::NotifyPeers { updates } => self.publish(&updates, actions),
             Decision::Wake { after } => {
@@ -215,7 +215,7 @@
     }
 }
 
-/// The outcome that the wire expresses by a status in the manner of HTTP.
+/// Returns the outcome for a status of the wire, which resembles the status codes of HTTP.
 fn outcome(status: u32) -> Result<Outcome, AdapterError> {
     Ok(match status {
         200 => Outcome::Answered,
@@ -226,7 +226,7 @@
         520 => Outcome::Invalid,
         444 => Outcome::Cancelled,
         409 => Outcome::NeverSent,
-        other => return Err(AdapterError::UnknownOutcome(other)),
+        other => return Err(AdapterError::UnknownStatus(other)),
     })
 }
 
--- a/crates/fernknot-bench-adapter/src/main.rs
+++ b/crates/fernknot-bench-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Runs fernknot's decision module on the bench's wire: batches of events in on standard input, replies out on standard
-//! output, one JSON object a line each.
+//! Adapter between fernknot's decision module and a bench that simulates queries and nodes. Reads batches of events
+//! from standard input and writes replies to standard output, one JSON object per line.
 //!
-//! This program owns the translation between the wire's names and the module's ids. The bench starts it
-//! (`deploy/balancer.toml`); one process hosts many instances of the module, which share nothing.
+//! The program translates between the names of the bench's wire format and the module's ids. The bench starts it
+//! (`deploy/balancer.toml`); one process hosts many instances of the module, which share no state.
 
 mod adapter;
 mod error;
@@ -16,7 +16,7 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-/// Answers each batch with a reply, until the input ends.
+/// Answers each batch with a reply until the end of the input.
 fn run() -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut input = std::io::stdin().lock();
--- a/crates/fernknot-bench-adapter/src/names.rs
+++ b/crates/fernknot-bench-adapter/src/names.rs
@@ -1,9 +1,9 @@
-//! The wire's names for what an instance has ids for.
+//! Tables between the wire's names and an instance's ids of nodes, queries and parts.
 
 use fernknot::interface::{MultigetId, NodeId, PartId};
 use std::collections::HashMap;
 
-/// The names of nodes, which are numbered as they are first met.
+/// Names of nodes, which are numbered in the order in which they become known.
 #[derive(Default)]
 pub struct NodeNames {
     names: Vec<String>,
@@ -11,12 +11,12 @@
 }
 
 impl NodeNames {
-    /// The id of a node that was met before.
+    /// Returns the id of a known node.
     pub fn id(&self, name: &str) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
-    /// Numbers a node that was not met before.
+    /// Adds an unknown node and returns its new id.
     pub fn add(&mut self, name: &str) -> NodeId {
         let id = NodeId(self.names.len() as u32);
         self.names.push(name.to_string());
@@ -24,30 +24,30 @@
         id
     }
 
-    /// The name of a node that was met before.
+    /// Returns the name of a known node.
     pub fn name(&self, id: NodeId) -> &str {
         &self.names[id.0 as usize]
     }
 }
 
-/// What a name stands for.
+/// Query or part that a name refers to.
 #[derive(Clone, Copy)]
 enum Named {
     Query(MultigetId),
     Part(PartId),
 }
 
-/// The names of one query and its parts.
+/// Names of one query and its parts.
 struct QueryEntry {
     name: String,
     part_names: Vec<String>,
     attempts_in_flight: usize,
-    /// It has had its final answer, or its client's time-out.
+    /// Whether the query has its final answer, or its client has timed out.
     is_over: bool,
 }
 
-/// The names of queries and their parts, kept while the wire may still name any of them: until the query is over and
-/// no attempt of it is in flight.
+/// Names of queries and their parts. They are kept while later events may refer to them: until the query is over and no
+/// attempt of it is in flight.
 #[derive(Default)]
 pub struct QueryNames {
     by_name: HashMap<String, Named>,
@@ -55,14 +55,14 @@
 }
 
 impl QueryNames {
-    /// Names a query.
+    /// Adds a query.
     pub fn add_query(&mut self, query: MultigetId, name: String) {
         self.by_name.insert(name.clone(), Named::Query(query));
         let entry = QueryEntry { name, part_names: Vec::new(), attempts_in_flight: 0, is_over: false };
         self.queries.insert(query, entry);
     }
 
-    /// Numbers a part of a query; `None` if the query is unknown.
+    /// Adds a part of a query and returns its new id; `None` if the query is unknown.
     pub fn add_part(&mut self, query: MultigetId, name: String) -> Option<PartId> {
         let entry = self.queries.get_mut(&query)?;
         let part = PartId { multiget: query, index: entry.part_names.len() };
@@ -71,7 +71,7 @@
         Some(part)
     }
 
-    /// The query of this name.
+    /// Returns the query of this name.
     pub fn query(&self, name: &str) -> Option<MultigetId> {
         match self.by_name.get(name) {
             Some(Named::Query(query)) => Some(*query),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The part of this name.
+    /// Returns the part of this name.
     pub fn part(&self, name: &str) -> Option<PartId> {
         match self.by_name.get(name) {
             Some(Named::Part(part)) => Some(*part),
@@ -87,40 +87,42 @@
         }
     }
 
-    /// The name of a known query.
+    /// Returns the name of a query; `None` if it is unknown.
     pub fn query_name(&self, query: MultigetId) -> Option<String> {
         self.queries.get(&query).map(|entry| entry.name.clone())
     }
 
-    /// The name of a part of a known query.
+    /// Returns the name of a part; `None` if its query is unknown.
     pub fn part_name(&self, part: PartId) -> Option<String> {
         self.queries.get(&part.multiget).map(|entry| entry.part_names[part.index].clone())
     }
 
-    /// An attempt of a part of this query was sent.
+    /// Counts an attempt of a part of this query as in flight.
     pub fn attempt_started(&mut self, query: MultigetId) {
         if let Some(entry) = self.queries.get_mut(&query) {
             entry.attempts_in_flight += 1;
         }
     }
 
-    /// An attempt of a part of this query ended.
+    /// Counts an attempt of a part of this query as ended, and removes the query's names if nothing can refer to them
+    /// any more.
     pub fn attempt_ended(&mut self, query: MultigetId) {
         if let Some(entry) = self.queries.get_mut(&query) {
             entry.attempts_in_flight = entry.attempts_in_flight.saturating_sub(1);
         }
-        self.forget_if_done(query);
+        self.remove_if_done(query);
     }
 
-    /// This query has had its final answer, or its client's time-out.
-    pub fn query_over(&mut self, query: MultigetId) {
+    /// Marks a query as over: it has its final answer, or its client has timed out. Removes its names if nothing can
+    /// refer to them any more.
+    pub fn mark_over(&mut self, query: MultigetId) {
         if let Some(entry) = self.queries.get_mut(&query) {
             entry.is_over = true;
         }
-        self.forget_if_done(query);
+        self.remove_if_done(query);
     }
 
-    fn forget_if_done(&mut self, query: MultigetId) {
+    fn remove_if_done(&mut self, query: MultigetId) {
         let is_done = |entry: &QueryEntry| entry.is_over && entry.attempts_in_flight == 0;
         if !self.queries.get(&query).is_some_and(is_done) {
             return;
--- a/crates/fernknot-bench-adapter/src/wire.rs
+++ b/crates/fernknot-bench-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The bench's wire, as far as the adapter reads and writes it. The wire's names end here: where the code has another
-//! term, a rename attribute keeps the wire's.
+//! Messages of the bench's wire format, as far as the adapter reads and writes them. Rename attributes map the wire's
+//! names to the terms of the code; no other module uses the wire's names.
 
 use crate::error::AdapterError;
 use fernknot_router_config::RawSettings;
@@ -8,26 +8,26 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// A line of input: events at one time.
+/// Line of input: events at one time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
-    /// The time, in milliseconds.
+    /// Time of the events, in milliseconds.
     #[serde(rename = "wall")]
     pub now_ms: f64,
-    /// Events by name, their fields not yet parsed.
+    /// Events, each as a map from its name to its unparsed fields.
     #[serde(borrow)]
     pub events: Vec<BTreeMap<&'a str, &'a RawValue>>,
 }
 
-/// An event that the adapter takes notice of.
+/// Event that the adapter handles.
 pub enum Event {
-    /// `directory`: nodes under a number.
+    /// `directory`: a list of nodes with a number.
     Directory(Directory),
-    /// `powerOn`: an instance begins.
+    /// `powerOn`: an instance starts.
     InstanceStarted(Box<InstanceStarted>),
-    /// `down`: an instance is gone.
+    /// `down`: an instance stops.
     InstanceStopped(InstanceOnly),
-    /// `view`: an instance gets a list of nodes.
+    /// `view`: an instance receives a list of nodes.
     NodeList(NodeList),
     /// `order`: a query or a part of one arrives.
     QueryOrPart(QueryOrPart),
@@ -35,95 +35,95 @@
     AttemptEnded(AttemptEnded),
     /// `statusBack`: a node reported its load.
     LoadReported(LoadReported),
-    /// `lapsed`: a query's client is gone.
+    /// `lapsed`: a query's client has timed out.
     ClientTimedOut(ClientTimedOut),
     /// `datagram`: another router sent a datagram.
     Datagram(Datagram),
-    /// `bell` or `streaming`: only the instance matters; it is asked for its decisions.
+    /// `bell` or `streaming`: an instance is polled for its decisions.
     Wake(InstanceOnly),
 }
 
-/// Nodes under a number by which later events name them.
+/// List of nodes with a number by which later events refer to it.
 #[derive(Deserialize)]
 pub struct Directory {
-    /// The number.
+    /// Number of the directory.
     #[serde(rename = "sheet")]
     pub number: u64,
-    /// The nodes.
+    /// Nodes of the directory.
     #[serde(rename = "nodesList")]
     pub nodes: Vec<Node>,
 }
 
-/// A node of a list.
+/// Node of a list.
 #[derive(Deserialize)]
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     #[serde(rename = "node")]
     pub name: String,
-    /// The place whose shards it holds.
+    /// Place whose shards the node holds.
     #[serde(rename = "cell")]
     pub place: u32,
-    /// The zone that it is in, where that is known.
+    /// Zone of the node, if known.
     #[serde(rename = "campus")]
     pub zone: Option<u32>,
-    /// Its health.
+    /// Health of the node.
     pub health: NodeHealth,
-    /// Since when it has been so, in milliseconds.
+    /// Time since which the node has this health, in milliseconds.
     #[serde(rename = "since", default)]
     pub since_ms: f64,
 }
 
-/// The health of a node by a list.
+/// Health of a node according to a list.
 #[derive(Clone, Copy, Deserialize)]
 pub enum NodeHealth {
-    /// It takes parts.
+    /// The node accepts parts.
     Running,
-    /// It takes no new parts.
+    /// The node accepts no new parts.
     #[serde(rename = "Stopping")]
     Draining,
-    /// It is gone.
+    /// The node has been removed.
     Deleted,
 }
 
-/// An instance begins.
+/// Start of an instance.
 #[derive(Deserialize)]
 pub struct InstanceStarted {
-    /// The instance's number.
+    /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
-    /// Determines the random choices of the instance.
+    /// Seed of the instance's random numbers.
     #[serde(rename = "prng")]
     pub seed: u64,
-    /// The settings, as the bench gives them.
+    /// Settings in the bench's format.
     #[serde(rename = "facts")]
     pub settings: RawSettings,
 }
 
-/// An event of which only the instance matters.
+/// Event without fields beyond its instance.
 #[derive(Deserialize)]
 pub struct InstanceOnly {
-    /// The instance's number.
+    /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
 }
 
-/// An instance gets a list of nodes.
+/// List of nodes for an instance.
 #[derive(Deserialize)]
 pub struct NodeList {
-    /// The instance's number.
+    /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
-    /// What the list holds.
+    /// Contents of the list.
     pub mode: ListMode,
-    /// The number of a directory.
+    /// Number of the directory that contains the nodes; not used with `lost`.
     #[serde(rename = "sheet")]
     pub directory: Option<u64>,
 }
 
-/// What a list of nodes holds.
+/// Contents of a list of nodes.
 #[derive(Clone, Copy, Deserialize, PartialEq)]
 pub enum ListMode {
-    /// What has changed since the last list.
+    /// Entries that have changed since the last list.
     #[serde(rename = "incr")]
     Changes,
     /// All nodes.
@@ -132,42 +132,42 @@
     /// All nodes, as another instance knows them.
     #[serde(rename = "warm_copy")]
     FullFromPeer,
-    /// The source of lists is gone.
+    /// No list: the source of lists is unavailable.
     #[serde(rename = "lost")]
     Lost,
 }
 
-/// A query, or one part of it.
+/// Arrival of a query or of one part of it.
 #[derive(Deserialize)]
 pub struct QueryOrPart {
-    /// The instance's number.
+    /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
-    /// The wire's name of it.
+    /// Name of the query or part on the wire.
     #[serde(rename = "req")]
     pub name: String,
-    /// The customer's number.
+    /// Number of the customer.
     #[serde(rename = "project", default)]
     pub customer: usize,
-    /// The use case's number.
+    /// Number of the use case.
     #[serde(rename = "lane", default)]
     pub use_case: usize,
-    /// The shard of a part; negative for the query itself.
+    /// Shard of a part; negative for the query itself.
     #[serde(rename = "rangeNo")]
     pub shard: f64,
-    /// When the client stops waiting, in milliseconds.
+    /// Time at which the client stops waiting, in milliseconds.
     #[serde(rename = "clientDeadline")]
     pub client_deadline_ms: f64,
-    /// Whether the client asks again.
+    /// Whether the client repeats an earlier query.
     #[serde(rename = "retry", default)]
     pub is_retry: bool,
-    /// The number that a query has in common with its parts.
+    /// Number that a query shares with its parts.
     #[serde(rename = "query")]
     pub query_number: u64,
-    /// The expected work, in milliseconds, where that is known.
+    /// Expected work, in milliseconds, if known.
     #[serde(rename = "effort")]
     pub effort_ms: Option<f64>,
-    /// The share of a part in the complete answer.
+    /// Share of the complete answer that a part contributes, from 0 to 1.
     #[serde(rename = "heft", default)]
     pub weight: f64,
 }
@@ -179,77 +179,77 @@
     }
 }
 
-/// An attempt of a part ended.
+/// End of an attempt at a part.
 #[derive(Deserialize)]
 pub struct AttemptEnded {
-    /// The instance's number.
+    /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
-    /// The wire's name of the part.
+    /// Name of the part on the wire.
     #[serde(rename = "req")]
     pub part_name: String,
-    /// How it ended, in the manner of HTTP.
+    /// Outcome of the attempt, as a status that resembles those of HTTP.
     #[serde(rename = "how")]
     pub status: u32,
-    /// How long it took, in milliseconds.
+    /// Duration of the attempt, in milliseconds.
     #[serde(rename = "duration", default)]
     pub took_ms: f64,
-    /// The number of the attempt, from 0 for each part.
+    /// Number of the attempt among those of its part, from 0.
     #[serde(rename = "sendNo", default)]
     pub attempt: u32,
-    /// The node's name.
+    /// Name of the node.
     pub node: String,
-    /// The node's load, by the names of its figures.
+    /// Load of the node: values by name.
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
 }
 
-/// A node reported its load without a part.
+/// Load report of a node that does not belong to an attempt.
 #[derive(Deserialize)]
 pub struct LoadReported {
-    /// The instance's number.
+    /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
-    /// The node's name.
+    /// Name of the node.
     pub node: String,
-    /// The node's load, by the names of its figures.
+    /// Load of the node: values by name.
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
 }
 
-/// The client of a query is gone.
+/// Time-out of a query's client.
 #[derive(Deserialize)]
 pub struct ClientTimedOut {
-    /// The instance's number.
+    /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
-    /// The wire's name of the query.
+    /// Name of the query on the wire.
     #[serde(rename = "req")]
     pub query_name: String,
 }
 
-/// Another router sent a datagram.
+/// Datagram from another router.
 #[derive(Deserialize)]
 pub struct Datagram {
-    /// The instance's number.
+    /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
-    /// The number of the router that sent it.
+    /// Number of the router that sent the datagram.
     pub sender: u32,
-    /// In hexadecimal digits.
+    /// Contents of the datagram, in hexadecimal digits.
     #[serde(rename = "msg")]
     pub bytes_hex: String,
 }
 
-/// A line of output.
+/// Line of output.
 #[derive(Serialize)]
 pub struct Reply {
-    /// What the instances want done, in their order.
+    /// Actions that the instances request, in the order of their numbers.
     #[serde(rename = "output")]
     pub actions: Vec<Action>,
 }
 
-/// What an instance wants done. The wire's names stand in the attributes.
+/// Action that an instance requests. The attributes contain the wire's names.
 #[derive(Serialize)]
 pub enum Action {
     /// Sends a part to a node.
@@ -273,7 +273,7 @@
         #[serde(rename = "sendNo")]
         attempt: u32,
     },
-    /// Asks for a `bell` after some time.
+    /// Requests an event `bell` after some time.
     #[serde(rename = "timer")]
     SetTimer {
         #[serde(rename = "router")]
@@ -282,7 +282,7 @@
         after_ms: f64,
         label: u64,
     },
-    /// Ends a query with an error.
+    /// Ends a query with an error, after parts of it may have run.
     #[serde(rename = "finishError")]
     FailQuery {
         #[serde(rename = "router")]
@@ -300,7 +300,7 @@
         #[serde(rename = "wait")]
         retry_after_ms: f64,
     },
-    /// Gives a query's answer.
+    /// Ends a query with its answer.
     #[serde(rename = "wrapUp")]
     CompleteQuery {
         #[serde(rename = "router")]
@@ -310,7 +310,7 @@
         #[serde(rename = "full")]
         is_complete: bool,
     },
-    /// Asks for the list of nodes and its changes.
+    /// Requests the list of nodes and subscribes to its changes.
     #[serde(rename = "streamChanges")]
     SubscribeToNodeList {
         #[serde(rename = "router")]
@@ -335,25 +335,25 @@
     })
 }
 
-/// Parses an event; `None` for one that the adapter takes no notice of.
+/// Parses an event; `None` for one that the adapter ignores.
 pub fn parse_event(name: &str, raw: &RawValue) -> Result<Option<Event>, AdapterError> {
     let event = match name {
-        "directory" => Event::Directory(fields(name, raw)?),
-        "powerOn" => Event::InstanceStarted(fields(name, raw)?),
-        "down" => Event::InstanceStopped(fields(name, raw)?),
-        "view" => Event::NodeList(fields(name, raw)?),
-        "order" => Event::QueryOrPart(fields(name, raw)?),
-        "finished" => Event::AttemptEnded(fields(name, raw)?),
-        "statusBack" => Event::LoadReported(fields(name, raw)?),
-        "lapsed" => Event::ClientTimedOut(fields(name, raw)?),
-        "datagram" => Event::Datagram(fields(name, raw)?),
-        "bell" | "streaming" => Event::Wake(fields(name, raw)?),
+        "directory" => Event::Directory(parse_fields(name, raw)?),
+        "powerOn" => Event::InstanceStarted(parse_fields(name, raw)?),
+        "down" => Event::InstanceStopped(parse_fields(name, raw)?),
+        "view" => Event::NodeList(parse_fields(name, raw)?),
+        "order" => Event::QueryOrPart(parse_fields(name, raw)?),
+        "finished" => Event::AttemptEnded(parse_fields(name, raw)?),
+        "statusBack" => Event::LoadReported(parse_fields(name, raw)?),
+        "lapsed" => Event::ClientTimedOut(parse_fields(name, raw)?),
+        "datagram" => Event::Datagram(parse_fields(name, raw)?),
+        "bell" | "streaming" => Event::Wake(parse_fields(name, raw)?),
         _ => return Ok(None),
     };
     Ok(Some(event))
 }
 
-fn fields<'a, T: Deserialize<'a>>(event: &str, raw: &'a RawValue) -> Result<T, AdapterError> {
+fn parse_fields<'a, T: Deserialize<'a>>(event: &str, raw: &'a RawValue) -> Result<T, AdapterError> {
     serde_json::from_str(raw.get())
         .map_err(|source| AdapterError::MalformedEvent { event: event.to_string(), source })
 }
--- a/crates/fernknot-bench-adapter/tests/queries_over_the_wire.rs
+++ b/crates/fernknot-bench-adapter/tests/queries_over_the_wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the bench runs it: a query from its arrival to its answer, and lines that it rejects.
+//! The adapter process: a query from its arrival to its answer, and lines of input that are rejected.
 
 use serde_json::{Value, json};
 use std::io::Write;
@@ -7,7 +7,7 @@
 
 const CONFIG: &str = include_str!("../../../examples/config.json");
 
-/// The settings of the example configuration.
+/// Settings of the example configuration.
 fn settings() -> Value {
     let config: Value = serde_json::from_str(CONFIG).unwrap();
     config["settings"].clone()
@@ -28,7 +28,7 @@
     json!({"wall": now_ms, "events": events}).to_string()
 }
 
-/// The fields of the only action of this name in a reply.
+/// Returns the fields of the only action with this name in a reply.
 fn action(reply: &str, name: &str) -> Value {
     let reply: Value = serde_json::from_str(reply).unwrap();
     let actions = reply["output"].as_array().unwrap();
@@ -65,11 +65,11 @@
     assert_eq!(action(replies[1], "wrapUp"), json!({"router": 1, "req": "q", "full": true}));
 }
 
-#[test_case("{", "not JSON: "; "no JSON")]
-#[test_case("[1]", "not a batch: "; "no batch")]
+#[test_case("{", "not JSON: "; "invalid JSON")]
+#[test_case("[1]", "not a batch: "; "not a batch")]
 #[test_case(r#"{"wall":1,"events":[{"order":{"router":1}}]}"#, "event order: missing field"; "an event without its fields")]
 #[test_case(r#"{"wall":1,"events":[{"view":{"router":1,"mode":"odd"}}]}"#, "event view: unknown variant"; "an unknown mode")]
-fn a_line_that_is_not_understood_ends_the_adapter_and_says_why(line: &str, message: &str) {
+fn an_invalid_line_ends_the_adapter_with_an_error_message(line: &str, message: &str) {
     let output = run(&[line.to_string()]);
     let text = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1));
