--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -179,7 +179,7 @@
         self.attempt_ended(now, part, number, outcome, report);
     }
 
-    /// Reports that an attempt ended without an answer. Only the first report for an attempt counts.
+    /// Reports that an attempt ended without an answer. Later reports on the same attempt are ignored.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -252,6 +252,7 @@
         None
     }
 
+    /// Returns the action that cancels an attempt whose deadline has passed, if any.
     fn next_timeout(&mut self, now: Nanos) -> Option<Action> {
         let (at, part, number) = self.attempt_deadlines.first().copied().filter(|(at, _, _)| *at <= now)?;
         self.attempt_deadlines.remove(&(at, part, number));
@@ -299,6 +300,8 @@
         }
     }
 
+    /// Starts an attempt. A `stop_at` of 0 stands for the client's deadline. An attempt whose deadline has passed ends at
+    /// once as never sent.
     fn start_attempt(&mut self, now: Nanos, part: PartId, node: NodeId, stop_at: Nanos) -> Option<Action> {
         let multiget = self.table.get_mut(part.multiget)?;
         let deadline =
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -25,12 +25,12 @@
     pub fetch_chance: f64,
     /// Whether an answer of the first phase named the block.
     pub named: bool,
-    outcome: CandidateOutcome,
+    state: CandidateState,
 }
 
 /// State of a candidate, set when the second phase is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CandidateOutcome {
+enum CandidateState {
     /// The block may match but is not fetched. Also the state before the second phase is opened.
     NotFetched,
     Fetched,
@@ -40,7 +40,7 @@
 impl Candidate {
     /// Returns a candidate that no answer has named.
     pub fn new(block: CandidateBlock, fetch_chance: f64) -> Candidate {
-        Candidate { block, fetch_chance, named: false, outcome: CandidateOutcome::NotFetched }
+        Candidate { block, fetch_chance, named: false, state: CandidateState::NotFetched }
     }
 }
 
@@ -160,12 +160,12 @@
                 || !settings.prunes_unmatched
                 || may_be_named && settings.unanswered_block == UnansweredBlock::Fetch;
             if is_fetched {
-                candidate.outcome = CandidateOutcome::Fetched;
+                candidate.state = CandidateState::Fetched;
                 plan.blocks.push(candidate.block.clone());
             } else if may_be_named {
                 plan.is_complete = false;
             } else {
-                candidate.outcome = CandidateOutcome::RuledOut;
+                candidate.state = CandidateState::RuledOut;
                 plan.ruled_out_weight += candidate.block.weight;
             }
         }
@@ -175,15 +175,15 @@
 
     /// Returns the state of each candidate for the final answer.
     pub fn block_outcomes(&self, is_in_answer: impl Fn(ShardId) -> bool) -> Vec<(ShardId, BlockState)> {
-        let outcome = |(shard, candidate): (&ShardId, &Candidate)| {
-            let state = match candidate.outcome {
-                CandidateOutcome::Fetched if is_in_answer(*shard) => BlockState::Fetched,
-                CandidateOutcome::Fetched => BlockState::Missing,
-                CandidateOutcome::RuledOut => BlockState::Pruned,
-                CandidateOutcome::NotFetched => BlockState::Unasked,
+        let block_state = |(shard, candidate): (&ShardId, &Candidate)| {
+            let state = match candidate.state {
+                CandidateState::Fetched if is_in_answer(*shard) => BlockState::Fetched,
+                CandidateState::Fetched => BlockState::Missing,
+                CandidateState::RuledOut => BlockState::Pruned,
+                CandidateState::NotFetched => BlockState::Unasked,
             };
             (*shard, state)
         };
-        self.candidates.iter().map(outcome).collect()
+        self.candidates.iter().map(block_state).collect()
     }
 }
