--- a/crates/fernknot-consensus/src/types/view.rs
+++ b/crates/fernknot-consensus/src/types/view.rs
@@ -95,8 +95,8 @@
         votes > self.voters().count() / 2
     }
 
-    /// Returns the number of founders needed to choose the first view. Any two such sets share more disks than may be lost, so
-    /// among the voters of a second founding there is one that still has the first on disk.
+    /// Returns the number of founders needed to choose the first view. Any two such sets share more disks than may be
+    /// lost, so among the voters of a second founding there is one that still has the first on disk.
     pub(crate) fn founding_quorum(&self, fault_tolerance: usize) -> usize {
         let founders = self.members.len();
         (founders.saturating_add(fault_tolerance) / 2 + 1).min(founders)
