--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The requests in flight, the engine that decides on their attempts, and the connections that carry these.
+//! Requests in flight, the engine that decides on their attempts, and the connections that carry the attempts.
 
 use crate::counters::NodeCounters;
 use crate::decisions::Decisions;
@@ -15,13 +15,13 @@
 use fernknot_router_config::Limits;
 use fernknot_telemetry::part;
 
-/// How long an idle connection may be reused until a node states a time-out.
+/// Time for which an idle connection may be reused before any node has stated a time-out, in milliseconds.
 const DEFAULT_NODE_IDLE_MS: f64 = 4000.0;
-/// A connection is reused for this share of the time-out that its node states, so that nothing is sent into a
+/// Share of a node's stated time-out for which an idle connection is reused, so that no request is sent into a
 /// connection that the node is closing.
-const NODE_IDLE_SHARE: f64 = 0.75;
+const NODE_IDLE_TIMEOUT_SHARE: f64 = 0.75;
 
-/// Attempts in flight. Without an engine, which starts with the first configuration, there are none.
+/// Requests and attempts in flight. There are none before the engine starts with the first configuration.
 pub(crate) struct Attempts {
     decisions: Decisions,
     requests: RequestTable,
@@ -69,7 +69,7 @@
 
     // ---- Requests --------------------------------------------------------------------------
 
-    /// Hands a request to the engine, which decides on its attempts.
+    /// Passes a request to the engine, which decides on its attempts. Returns `None` if there is no engine yet.
     pub(crate) fn start(
         &mut self,
         now: Nanos,
@@ -97,13 +97,13 @@
         Some(id)
     }
 
-    /// The client of a request has gone.
+    /// Cancels a request whose client has disconnected.
     pub(crate) fn cancel(&mut self, now: Nanos, id: RequesterId) {
         let Some(request) = self.requests.remove(id) else { return };
         self.decisions.cancel_request(now, request.multiget);
     }
 
-    /// Ends a request on which the engine has decided.
+    /// Removes a request that the engine has completed. A failed request of which nothing was sent counts as rejected.
     pub(crate) fn complete<N: Network>(
         &mut self,
         now: Nanos,
@@ -121,9 +121,9 @@
         Some(CompletedRequest { request, verdict })
     }
 
-    /// Whether nothing of a request was sent, and nothing of it will be. Guards against a 502 or 504 where nothing can
-    /// have been executed, and against a 503 where something may have been: only a connection that never opened counts
-    /// as one over which nothing was sent, and it is closed before the client is told.
+    /// Closes the connections of a request of which nothing was sent. Returns whether that is so; the client may then
+    /// receive a 503, which states that the request was not executed. Only a connection that never opened counts as one
+    /// over which nothing was sent, and it is closed before the response, so that nothing can be sent afterwards.
     fn withdraw_unsent<N: Network>(&mut self, now: Nanos, id: RequesterId, network: &mut N) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let has_bug = self.seeded_bug == Some(SeededBug::RejectAfterClose);
@@ -138,7 +138,7 @@
 
     // ---- Attempts --------------------------------------------------------------------------
 
-    /// Sends an attempt; where that fails, the engine is told.
+    /// Sends an attempt, or reports to the engine that it could not be sent.
     pub(crate) fn send<N: Network>(
         &mut self,
         now: Nanos,
@@ -188,7 +188,7 @@
         Ok(())
     }
 
-    /// The engine no longer waits for an attempt.
+    /// Ends an attempt that the engine no longer waits for, and closes its connection.
     pub(crate) fn abandon<N: Network>(
         &mut self,
         now: Nanos,
@@ -206,7 +206,7 @@
         self.decisions.attempt_ended(now, attempt, outcome);
     }
 
-    /// The connections to a node are not reused, since it may hang.
+    /// Excludes the connections to a node from reuse, because the node may hang.
     pub(crate) fn renew_connections<N: Network>(&mut self, now: Nanos, node: NodeId, network: &mut N) {
         if self.seeded_bug == Some(SeededBug::RetryAfterTimeout) {
             for id in self.connections.in_flight(Some(node), Nanos(u64::MAX)) {
@@ -218,8 +218,8 @@
         }
     }
 
-    /// Abandons connections that are not open yet. Nothing of what they carry has been sent. Guards against taking one
-    /// that was open and is closed, which has still to be reported, for one that never was.
+    /// Closes the connections that are not open yet, over which nothing has been sent. A connection that was open and
+    /// has closed is left alone until its end is reported, since its attempt may have been executed.
     fn abandon_unopened<N: Network>(&mut self, now: Nanos, ids: Vec<ConnectionId>, network: &mut N) {
         for id in ids {
             let has_bug = self.seeded_bug == Some(SeededBug::ClosedCountsAsUnopened);
@@ -229,19 +229,19 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and abandons those that were begun at this time or before
+    /// Closes connections that have been idle for too long, and those that were started at `started_until` or before
     /// and are not open yet.
-    pub(crate) fn close_expired<N: Network>(&mut self, now: Nanos, begun_until: Nanos, network: &mut N) {
+    pub(crate) fn close_expired<N: Network>(&mut self, now: Nanos, started_until: Nanos, network: &mut N) {
         for id in self.connections.remove_expired(now) {
             network.close(id);
         }
-        let in_flight = self.connections.in_flight(None, begun_until);
+        let in_flight = self.connections.in_flight(None, started_until);
         self.abandon_unopened(now, in_flight, network);
     }
 
     // ---- Nodes and their connections -------------------------------------------------------
 
-    /// Tells the engine which nodes have changed, and closes connections to those that are gone.
+    /// Passes changes of nodes to the engine, and closes connections to nodes that are gone.
     pub(crate) fn apply_node_changes<N: Network>(
         &mut self,
         now: Nanos,
@@ -253,18 +253,18 @@
         for id in self.apply_endpoint_changes(changes.endpoints) {
             network.close(id);
         }
-        // What has not been sent by now may not reach a node that leaves: its connection may take seconds to open.
+        // Unsent attempts may not reach a node that leaves in time, since a connection may take seconds to open.
         for node in changes.leaving {
             let in_flight = self.connections.in_flight(Some(node), Nanos(u64::MAX));
             self.abandon_unopened(now, in_flight, network);
         }
         if !changes.entries.is_empty() {
-            log::info!(target: part::NODES, "{} changes, {known_nodes} known", changes.entries.len());
+            log::info!(target: part::NODES, "{} node changes applied; {known_nodes} nodes known", changes.entries.len());
             self.decisions.apply_node_entries(&changes.entries);
         }
     }
 
-    /// Returns the idle connections to nodes that are gone, to be closed.
+    /// Applies changes of addresses. Returns the idle connections to nodes that are gone, which the caller closes.
     fn apply_endpoint_changes(&mut self, changes: Vec<EndpointChange>) -> Vec<ConnectionId> {
         let mut idle = Vec::new();
         for change in changes {
@@ -278,12 +278,12 @@
         idle
     }
 
-    /// The incarnation that a node's identifier stands for, while the node may get attempts.
+    /// Returns the incarnation with this node identifier, while attempts may be sent to it.
     pub(crate) fn incarnation(&self, node: NodeId) -> Option<String> {
         self.connections.endpoint(node).map(|endpoint| endpoint.incarnation.clone())
     }
 
-    /// A connection to a node was reported as closed.
+    /// Handles a connection to a node that was reported as closed.
     pub(crate) fn connection_closed<N: Network>(
         &mut self,
         now: Nanos,
@@ -313,7 +313,7 @@
 
     // ---- Responses of nodes ----------------------------------------------------------------
 
-    /// Reads a connection to a node. Returns the node if another incarnation has answered in its place.
+    /// Reads a connection to a node. Returns the node if another incarnation has answered at its address.
     pub(crate) fn read<N: Network>(
         &mut self,
         now: Nanos,
@@ -335,7 +335,7 @@
         }
     }
 
-    /// The same for a response that was complete before its connection failed.
+    /// Reads a response that was complete before its connection failed. Returns the same as [`read`](Self::read).
     pub(crate) fn read_remaining<N: Network>(
         &mut self,
         now: Nanos,
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Returns whether another incarnation has answered than the one that was meant.
+    /// Handles a response. Returns whether another incarnation than the addressed one has answered.
     fn handle_response<N: Network>(
         &mut self,
         now: Nanos,
@@ -363,7 +363,8 @@
     ) -> bool {
         response.has_certain_end |= self.seeded_bug == Some(SeededBug::TruncatedIsComplete);
         if let Some(timeout_s) = response.header("keep-alive").and_then(headers::keep_alive_timeout_s) {
-            self.node_idle_timeout = Nanos::from_millis(timeout_s as f64 * 1e3).times(NODE_IDLE_SHARE);
+            self.node_idle_timeout =
+                Nanos::from_millis(timeout_s as f64 * 1e3).times(NODE_IDLE_TIMEOUT_SHARE);
         }
         let class = self.classify(attempt, &response);
         self.release_connection(now, id, &class, network);
@@ -379,7 +380,7 @@
         classify_response(response, attempt_id)
     }
 
-    /// After a response, its connection is idle or closed.
+    /// Makes the connection of a response idle, or closes it.
     fn release_connection<N: Network>(
         &mut self,
         now: Nanos,
@@ -396,7 +397,7 @@
         }
     }
 
-    /// Returns whether another incarnation has answered than the one that was meant.
+    /// Handles a response. Returns whether another incarnation than the addressed one has answered.
     fn record_response(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-gateway/src/budget.rs
+++ b/crates/fernknot-gateway/src/budget.rs
@@ -1,10 +1,10 @@
-//! This gateway's share of the budget for retries.
+//! This gateway's share of the retry budget.
 
-/// The retries that are free in each window, for all gateways together, and this gateway's share of them.
+/// Retries that are allowed in each window whatever the number of requests, and this gateway's share of them.
 pub(crate) struct BudgetShare {
-    /// Free retries of one service in a window, over all gateways.
+    /// Free retries of one service in a window, of all gateways together.
     total: f64,
-    /// How many gateways share them; `None` while this one may take no share.
+    /// Number of gateways that share them; `None` while this one may use no share.
     sharers: Option<u32>,
 }
 
@@ -13,7 +13,7 @@
         BudgetShare { total, sharers: None }
     }
 
-    /// Sets how many gateways share the budget; returns whether that has changed.
+    /// Sets the number of gateways that share the budget; returns whether it has changed.
     pub(crate) fn set_sharers(&mut self, sharers: Option<u32>) -> bool {
         std::mem::replace(&mut self.sharers, sharers) != sharers
     }
@@ -22,8 +22,8 @@
         self.sharers
     }
 
-    /// Free retries of this gateway in a window; none while the others may not count it.
-    pub(crate) fn slack(&self) -> f64 {
+    /// Free retries of this gateway in a window; 0 while it may use no share.
+    pub(crate) fn free_retries(&self) -> f64 {
         self.sharers.map_or(0.0, |sharers| self.total / f64::from(sharers.max(1)))
     }
 }
--- a/crates/fernknot-gateway/src/clients/connections.rs
+++ b/crates/fernknot-gateway/src/clients/connections.rs
@@ -1,4 +1,4 @@
-//! All connections of clients: requests read from them, responses written to them, and their time-outs.
+//! All client connections: reading requests, writing responses, and time-outs.
 
 use super::connection::ClientConnection;
 use super::rejection::{LocalReply, Rejection};
@@ -12,28 +12,28 @@
 use fernknot_router_config::Limits;
 use std::collections::HashMap;
 
-/// What was read from a connection.
+/// Result of reading from a connection.
 pub(crate) enum ClientRead {
     /// A complete request.
     Request(Request),
-    /// A request that is rejected.
+    /// A request that has to be rejected.
     Rejected(Rejection),
 }
 
-/// How long clients may take, by the configuration in force.
+/// Time-outs of client connections, by the configuration in force.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClientTimeouts {
-    /// How long a connection may be idle.
+    /// Time that a connection may be idle.
     pub(crate) idle: Nanos,
-    /// How long a request may take to arrive.
+    /// Time that a request may take to arrive completely.
     pub(crate) receive: Nanos,
 }
 
-/// The connections of clients.
+/// All connections of clients and of the platform.
 #[derive(Default)]
 pub(crate) struct ClientConnections {
     connections: HashMap<ConnectionId, ClientConnection>,
-    /// Bytes kept for the bodies of incomplete requests, over all connections.
+    /// Bytes buffered for the bodies of incomplete requests, over all connections.
     partial_body_bytes: usize,
     seeded_bug: Option<SeededBug>,
 }
@@ -43,7 +43,7 @@
         self.seeded_bug = Some(bug);
     }
 
-    /// Takes a connection that was accepted; it may be idle for so long until a response says otherwise.
+    /// Adds an accepted connection. `idle_timeout` applies until a response sets another one.
     pub(crate) fn accept(
         &mut self,
         now: Nanos,
@@ -55,7 +55,7 @@
         self.connections.insert(id, ClientConnection::new(listen_address, now, idle_timeout));
     }
 
-    /// Where a connection was accepted.
+    /// Returns the listening socket at which a connection was accepted.
     pub(crate) fn listen_address(&self, id: ConnectionId) -> Option<ListenAddress> {
         self.connections.get(&id).map(|connection| connection.listen_address)
     }
@@ -64,27 +64,27 @@
         self.connections.contains_key(&id)
     }
 
-    /// Forgets a connection; its pending request is returned.
+    /// Removes a connection and returns its pending request.
     pub(crate) fn remove(&mut self, id: ConnectionId) -> Option<RequesterId> {
         let connection = self.connections.remove(&id)?;
         self.partial_body_bytes -= connection.partial_body_bytes;
         connection.pending
     }
 
-    /// Whether all connections that are left came in at the readiness address.
+    /// Whether all remaining connections were accepted at the address for readiness.
     pub(crate) fn are_all_readiness(&self) -> bool {
         self.connections.values().all(|connection| connection.listen_address == ListenAddress::Ready)
     }
 
-    /// A request waits for its response; the next one is read after that.
+    /// Sets the pending request. The next request is read only after its response.
     pub(crate) fn set_pending(&mut self, id: ConnectionId, request: RequesterId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.pending = Some(request);
         }
     }
 
-    /// Reads the next request, unless one is pending. Bodies that are incomplete may take `max_partial_body_bytes`
-    /// together: guards the memory against many clients that each send a large body slowly.
+    /// Reads the next request, unless one is pending. Incomplete bodies may use `max_partial_body_bytes` in total, so
+    /// that many clients that send large bodies slowly cannot exhaust the memory.
     pub(crate) fn read<N: Network>(
         &mut self,
         now: Nanos,
@@ -94,7 +94,7 @@
         network: &mut N,
     ) -> Option<ClientRead> {
         let connection = self.connections.get_mut(&id)?;
-        // What is pipelined behind a request waits for its response.
+        // Pipelined requests wait for the response to the pending one.
         if connection.pending.is_some() && self.seeded_bug != Some(SeededBug::ConcurrentPipelining) {
             return None;
         }
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Counts what a client has sent of an incomplete body; returns the bytes of all clients together.
+    /// Updates the number of bytes buffered for a connection's incomplete body. Returns the total of all connections.
     fn count_partial_body(&mut self, id: ConnectionId) -> usize {
         if let Some(connection) = self.connections.get_mut(&id) {
             let before =
@@ -130,7 +130,7 @@
         self.partial_body_bytes
     }
 
-    /// Writes the reply to a request that is rejected.
+    /// Writes the reply to a rejected request.
     pub(crate) fn reject<N: Network>(
         &mut self,
         now: Nanos,
@@ -147,7 +147,7 @@
         self.write_reply(now, id, &rejection.reply(), is_stopping, network);
     }
 
-    /// Writes a reply of the gateway itself.
+    /// Writes a reply that the gateway itself produced.
     pub(crate) fn write_reply<N: Network>(
         &mut self,
         now: Nanos,
@@ -169,9 +169,9 @@
         let expects_no_body = std::mem::take(&mut connection.expects_no_body);
         if let Some(output) = network.output(id) {
             head.write(output, reply.body);
-            // A client that sent a `HEAD` would take a body for its next response.
-            let surplus = if expects_no_body { reply.body.len() } else { 0 };
-            output.truncate(output.len() - surplus);
+            // A client that sent a `HEAD` would read a body as the start of its next response.
+            let body_bytes = if expects_no_body { reply.body.len() } else { 0 };
+            output.truncate(output.len() - body_bytes);
         }
         if !keep_alive {
             self.remove(id);
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Writes the response to the pending request, which was read under a configuration by which connections may be
-    /// idle for so long. Returns whether the connection stays open.
+    /// Writes the response to the pending request. `idle_ms` is the idle time-out of the configuration under which the
+    /// request was read. Returns whether the connection stays open.
     pub(crate) fn write_response<N: Network>(
         &mut self,
         now: Nanos,
@@ -194,7 +194,7 @@
         let keep_alive = connection.keep_alive && !connection.is_http_1_0 && !is_stopping;
         (connection.pending, connection.waiting_since) = (None, now);
         connection.expects_no_body = false;
-        // The client is told a little less than the gateway keeps to, so that it does not send into a closing connection.
+        // The stated time-out is shorter than the actual one, so that clients do not send into a closing connection.
         let idle_s = (idle_ms / 1000).saturating_sub(1);
         connection.set_idle_timeout(Nanos::from_millis(idle_ms as f64), idle_s > 0);
         if let Some(output) = network.output(id) {
@@ -207,8 +207,8 @@
         keep_alive
     }
 
-    /// Connections that have been idle, or receiving one request, for too long. What a client was told of its idle
-    /// time holds against a configuration that has shortened it since.
+    /// Returns the connections that have been idle, or receiving one request, for too long. An idle time-out that was
+    /// stated to a client stays valid after a new configuration has shortened it.
     pub(crate) fn timed_out(&self, now: Nanos, timeouts: ClientTimeouts) -> Vec<ConnectionId> {
         self.matching(|connection| {
             let timeout = match connection.is_receiving {
@@ -224,20 +224,20 @@
         self.connections.get(&id).is_some_and(|connection| connection.is_receiving)
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection immediately.
     pub(crate) fn close<N: Network>(&mut self, id: ConnectionId, network: &mut N) {
         self.remove(id);
         network.close(id);
     }
 
-    /// Closes the connections without a pending or arriving request.
+    /// Closes the connections that have neither a pending nor an arriving request.
     pub(crate) fn close_idle<N: Network>(&mut self, network: &mut N) {
         for id in self.matching(ClientConnection::is_idle) {
             self.close(id, network);
         }
     }
 
-    /// Sorted, so that a run can be replayed.
+    /// Returns matching connections, sorted so that runs are reproducible.
     fn matching(&self, is_wanted: impl Fn(&ClientConnection) -> bool) -> Vec<ConnectionId> {
         let wanted = self.connections.iter().filter(|(_, connection)| is_wanted(connection));
         let mut ids: Vec<ConnectionId> = wanted.map(|(id, _)| *id).collect();
@@ -246,7 +246,8 @@
     }
 }
 
-/// A request is incomplete: notes since when it has been arriving, and lets the client send its body.
+/// Handles an incomplete request: records the time since which it has been arriving, and answers
+/// `Expect: 100-continue`.
 fn wait_for_rest<N: Network>(
     now: Nanos,
     id: ConnectionId,
--- a/crates/fernknot-gateway/src/clients/mod.rs
+++ b/crates/fernknot-gateway/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, and of the platform that asks for readiness.
+//! Connections of clients, and of the platform's readiness probes.
 
 mod connection;
 mod connections;
--- a/crates/fernknot-gateway/src/clients/rejection.rs
+++ b/crates/fernknot-gateway/src/clients/rejection.rs
@@ -1,4 +1,4 @@
-//! Responses that a gateway gives itself, without asking a node.
+//! Responses that a gateway produces itself, without forwarding the request to a node.
 
 use fernknot::decide::FIRST_RETRY_AFTER;
 use fernknot::interface::Nanos;
@@ -17,20 +17,20 @@
     }
 }
 
-/// Why a client's request is rejected.
+/// Reason for rejecting a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Rejection {
     /// No configuration is in force yet.
     NoConfig,
-    /// No route matches.
+    /// No route matches the request.
     NoRoute,
-    /// `Attempt-Id` is missing, or a node would not get it unchanged.
+    /// `Attempt-Id` is missing, or would not reach a node unchanged.
     InvalidAttemptId,
-    /// It is no valid HTTP, or too large.
+    /// The request is not valid HTTP, or is too large.
     Malformed(HttpError),
-    /// The bodies that are arriving take all the memory they may.
+    /// Incomplete bodies use all the memory that is allowed for them.
     TooManyPartialBodies,
-    /// It did not arrive completely in time.
+    /// The request did not arrive completely in time.
     ReceiveTimeout,
 }
 
@@ -43,7 +43,7 @@
         LocalReply { status: self.status(), retry_after, body: self.body() }
     }
 
-    /// Whether the connection is closed after the reply, since where the next request would begin is not known.
+    /// Whether the connection is closed after the reply, because the start of the next request is unknown.
     pub(crate) fn closes_connection(&self) -> bool {
         matches!(self, Rejection::Malformed(_) | Rejection::TooManyPartialBodies | Rejection::ReceiveTimeout)
     }
--- a/crates/fernknot-gateway/src/config_snapshot.rs
+++ b/crates/fernknot-gateway/src/config_snapshot.rs
@@ -1,42 +1,42 @@
-//! One revision of the routing configuration, with the engine's identifiers for its routes.
+//! A revision of the routing configuration, with the engine's identifiers for its routes.
 
 use fernknot::interface::UseCaseId;
 use fernknot_schema::{Route, RouteTable, RouteTarget, RoutingConfig};
 
-/// A revision that is in force, or that a request in flight was read under.
+/// Configuration revision that is in force, or that was when a request in flight was read.
 pub struct ConfigSnapshot {
-    /// The position among all configurations that were ever in force.
+    /// Sequence number of the revision among all configurations that were ever in force.
     pub revision: u64,
-    /// The configuration.
+    /// Contents of the revision.
     pub config: RoutingConfig,
     table: RouteTable,
-    /// The engine's use case of each route.
+    /// Use case of each route in the engine.
     use_cases: Vec<UseCaseId>,
 }
 
 impl ConfigSnapshot {
-    /// A snapshot; `use_cases` has one entry for each route of the configuration.
+    /// Creates a snapshot. `use_cases` has one entry for each route of the configuration.
     pub(crate) fn new(revision: u64, config: RoutingConfig, use_cases: Vec<UseCaseId>) -> ConfigSnapshot {
         let table = RouteTable::new(&config);
         ConfigSnapshot { revision, config, table, use_cases }
     }
 
-    /// The index of the route of a request.
+    /// Returns the index of the route that matches a request.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         self.table.find(host, path)
     }
 
-    /// A route by its index.
+    /// Returns a route by its index.
     pub fn route(&self, index: usize) -> &Route {
         &self.config.routes[index]
     }
 
-    /// The engine's use case of a route, by the route's index.
+    /// Returns the engine's use case of the route with this index.
     pub fn use_case(&self, index: usize) -> UseCaseId {
         self.use_cases[index]
     }
 
-    /// The services that the routes name, some of them more than once.
+    /// Returns the services that the routes name, with duplicates.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.config.routes.iter().flat_map(|route| match &route.target {
             RouteTarget::Service(service) => vec![service.as_str()],
--- a/crates/fernknot-gateway/src/counters.rs
+++ b/crates/fernknot-gateway/src/counters.rs
@@ -1,11 +1,11 @@
-//! What a gateway counts, and its text for operators: one counter a line, name and value.
+//! Counters and current values of a gateway, and their text for operators: one per line, name and value.
 
 use crate::clients::Rejection;
 
-/// Requests of clients, since the start of the process.
+/// Counters of clients' requests since the start of the process.
 #[derive(Default)]
 pub(crate) struct ClientCounters {
-    /// Requests that were read at the address for clients.
+    /// Requests received at the address for clients.
     pub(crate) requests: u64,
     unrouted: u64,
     without_config: u64,
@@ -26,33 +26,37 @@
     }
 }
 
-/// Connections to nodes and their responses, since the start of the process.
+/// Counters of connections to nodes and of nodes' responses since the start of the process.
 #[derive(Default)]
 pub(crate) struct NodeCounters {
-    /// Connections that were begun.
+    /// Connections that were started.
     pub(crate) connections_opened: u64,
     /// Responses to another attempt than the one that their connection carried.
     pub(crate) mismatched_responses: u64,
-    /// Bytes that were no response, or belonged to no attempt.
+    /// Malformed or truncated responses, and bytes received on idle connections.
     pub(crate) invalid_responses: u64,
-    /// Responses of another incarnation than the one that was meant.
+    /// Responses of another incarnation than the addressed one.
     pub(crate) wrong_node_responses: u64,
 }
 
-/// What a gateway holds at the moment.
-pub(crate) struct Levels {
+/// Values that describe a gateway's current state.
+pub(crate) struct CurrentValues {
     pub(crate) requests_in_flight: usize,
     pub(crate) node_connections: usize,
     pub(crate) nodes: usize,
     pub(crate) services: usize,
-    /// The operator's number of the configuration in force; 0 for none.
+    /// Operator's epoch number of the configuration in force; 0 for none.
     pub(crate) config_epoch: u64,
-    /// No source in touch with the controllers was heard for long.
+    /// Whether no source in contact with the controllers has sent a heartbeat for too long.
     pub(crate) is_config_stale: bool,
 }
 
-/// All counters and levels but the engine's.
-pub(crate) fn counters_text(clients: &ClientCounters, nodes: &NodeCounters, levels: &Levels) -> String {
+/// Returns all counters and current values except the engine's counters.
+pub(crate) fn counters_text(
+    clients: &ClientCounters,
+    nodes: &NodeCounters,
+    current_values: &CurrentValues,
+) -> String {
     let lines = [
         ("requests", clients.requests),
         ("unrouted", clients.unrouted),
@@ -63,12 +67,12 @@
         ("invalid_responses", nodes.invalid_responses),
         ("node_connections_opened", nodes.connections_opened),
         ("wrong_node_responses", nodes.wrong_node_responses),
-        ("requests_in_flight", levels.requests_in_flight as u64),
-        ("node_connections", levels.node_connections as u64),
-        ("nodes", levels.nodes as u64),
-        ("services", levels.services as u64),
-        ("config_epoch", levels.config_epoch),
-        ("config_stale", u64::from(levels.is_config_stale)),
+        ("requests_in_flight", current_values.requests_in_flight as u64),
+        ("node_connections", current_values.node_connections as u64),
+        ("nodes", current_values.nodes as u64),
+        ("services", current_values.services as u64),
+        ("config_epoch", current_values.config_epoch),
+        ("config_stale", u64::from(current_values.is_config_stale)),
     ];
     lines.iter().map(|(name, value)| format!("{name} {value}\n")).collect()
 }
--- a/crates/fernknot-gateway/src/data_plane.rs
+++ b/crates/fernknot-gateway/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! The way of requests: from clients, by the configuration in force, to nodes and back.
+//! Processing of requests: from clients, routed by the configuration in force, to nodes and back.
 
 use crate::attempts::Attempts;
 use crate::budget::BudgetShare;
@@ -21,10 +21,10 @@
 use fernknot_telemetry::part;
 use std::rc::Rc;
 
-/// Clients, their requests, and the nodes that these are sent to.
+/// Clients, their requests, and the nodes that the requests are sent to.
 pub(crate) struct DataPlane {
     settings: GatewaySettings,
-    /// Seeds the engine's random numbers.
+    /// Seed of the engine's random numbers.
     seed: u64,
     pub(crate) clients: ClientConnections,
     pub(crate) routing: Routing,
@@ -32,12 +32,12 @@
     pub(crate) nodes: NodeTable,
     budget: BudgetShare,
     pub(crate) counters: ClientCounters,
-    /// Connections are closed after the responses that they wait for.
+    /// Whether a shutdown has begun: clients' connections are closed after their pending responses.
     pub(crate) is_stopping: bool,
 }
 
 impl DataPlane {
-    /// No connections, no configuration and no nodes.
+    /// Creates a data plane without connections, configuration and nodes.
     pub(crate) fn new(
         process: &ProcessSettings,
         settings: GatewaySettings,
@@ -65,7 +65,7 @@
 
     // ---- Clients ---------------------------------------------------------------------------
 
-    /// Takes a connection that was accepted for clients or for the platform.
+    /// Adds a connection that was accepted at the address for clients or for the platform.
     pub(crate) fn accept_client(&mut self, now: Nanos, id: ConnectionId, address: ListenAddress) {
         self.clients.accept(now, id, address, self.routing.client_timeouts().idle);
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Reads the next request. One that cannot be read is rejected.
+    /// Reads the next request. Malformed and oversized requests are rejected.
     pub(crate) fn read_request<N: Network>(
         &mut self,
         now: Nanos,
@@ -85,7 +85,7 @@
         network: &mut N,
     ) -> Option<Request> {
         let limits = self.routing.http_limits();
-        // One body that the configuration allows is always accepted.
+        // A single body of the configured maximum size is always accepted.
         let max_partial_body_bytes = self.settings.max_partial_body_bytes.max(limits.max_body_bytes);
         match self.clients.read(now, id, limits, max_partial_body_bytes, network)? {
             ClientRead::Request(request) => Some(request),
@@ -111,12 +111,12 @@
     fn reject<N: Network>(&mut self, now: Nanos, id: ConnectionId, rejection: Rejection, network: &mut N) {
         self.counters.count(rejection);
         if let Rejection::Malformed(error) = rejection {
-            log::debug!(target: part::CONNECTIONS, "request rejected: {} {}", error.status, error.reason);
+            log::debug!(target: part::CONNECTIONS, "client request rejected: {} {}", error.status, error.reason);
         }
         self.clients.reject(now, id, rejection, self.is_stopping, network);
     }
 
-    /// Writes the response to a request on which the engine has decided, and serves the client's next ones.
+    /// Writes the response to a request that the engine has completed, and serves the client's next requests.
     fn complete_request<N: Network>(
         &mut self,
         now: Nanos,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A client has closed its connection, or the connection has failed.
+    /// Handles the end or failure of a client's connection: cancels its pending request.
     pub(crate) fn client_closed<N: Network>(&mut self, now: Nanos, id: ConnectionId, network: &mut N) {
         network.close(id);
         if let Some(request) = self.clients.remove(id) {
@@ -156,7 +156,7 @@
         self.handle_wrong_node(now, wrong_node, network);
     }
 
-    /// A connection to a node was reported as closed.
+    /// Handles a connection to a node that was reported as closed.
     pub(crate) fn node_connection_closed<N: Network>(
         &mut self,
         now: Nanos,
@@ -169,7 +169,7 @@
         self.attempts.connection_closed(now, id, was_open, network);
     }
 
-    /// Another incarnation has answered at the address of a node, which is gone then.
+    /// Marks a node as lost if another incarnation has answered at its address.
     fn handle_wrong_node<N: Network>(&mut self, now: Nanos, node: Option<NodeId>, network: &mut N) {
         let Some(incarnation) = node.and_then(|node| self.attempts.incarnation(node)) else { return };
         if self.nodes.mark_lost(now, &incarnation) {
@@ -179,7 +179,7 @@
 
     // ---- Engine ----------------------------------------------------------------------------
 
-    /// Carries out the engine's actions until none is due.
+    /// Executes the engine's actions until none is due.
     pub(crate) fn run_engine<N: Network>(&mut self, now: Nanos, network: &mut N) {
         while self.attempts.decisions().is_due(now) {
             while let Some(action) = self.attempts.decisions_mut().poll_action(now) {
@@ -204,7 +204,7 @@
 
     // ---- Configuration, nodes and budget ---------------------------------------------------
 
-    /// Puts a configuration in force, unless one of its revision or a later one is.
+    /// Puts a configuration in force; returns `None` if one of the same or a later revision already is.
     pub(crate) fn apply_config(
         &mut self,
         now: Nanos,
@@ -213,7 +213,7 @@
     ) -> Option<Rc<ConfigSnapshot>> {
         let (snapshot, change) = self.routing.apply(now, revision, config)?;
         let (epoch, routes) = (snapshot.config.epoch, snapshot.config.routes.len());
-        log::info!(target: part::ROUTING_CONFIG, "epoch {epoch} with {routes} routes is in force");
+        log::info!(target: part::ROUTING_CONFIG, "routing configuration applied: epoch {epoch}, {routes} routes");
         let decisions = self.attempts.decisions_mut();
         if decisions.has_engine() {
             decisions.apply_use_cases(now, &change);
@@ -224,13 +224,13 @@
         Some(snapshot)
     }
 
-    /// Tells the engine of all nodes that differ from what it was told before.
+    /// Passes the changes of all nodes to the engine.
     pub(crate) fn apply_all_node_changes<N: Network>(&mut self, now: Nanos, network: &mut N) {
         let changes = self.nodes.all_changes(self.routing.ids());
         self.apply_node_changes(now, changes, network);
     }
 
-    /// The same for the nodes of services that have changed since the last call.
+    /// Passes the changes of services that have changed since the last call to the engine.
     pub(crate) fn apply_recent_node_changes<N: Network>(&mut self, now: Nanos, network: &mut N) {
         if !self.attempts.decisions().has_engine() {
             return self.nodes.skip_recent_changes();
@@ -244,16 +244,16 @@
         self.attempts.apply_node_changes(now, changes, known_nodes, network);
     }
 
-    /// What the sources and subscribers of updates are told of this gateway.
+    /// Returns the state that sources and subscribers of updates receive.
     pub(crate) fn local_state(&self, is_synchronized: bool, is_ready: bool) -> LocalState<'_> {
         let config = self.routing.config().map(|config| (config.revision, &config.config));
         LocalState { nodes: self.nodes.directory(), config, is_synchronized, is_ready }
     }
 
-    /// By how many gateways the budget for retries is shared.
+    /// Sets the number of gateways that share the retry budget; `None` while this one may use no share.
     pub(crate) fn set_budget_sharers(&mut self, now: Nanos, sharers: Option<u32>) {
         if self.budget.set_sharers(sharers) {
-            self.attempts.decisions_mut().set_budget(now, self.budget.slack(), sharers);
+            self.attempts.decisions_mut().set_budget(now, self.budget.free_retries(), sharers);
         }
     }
 
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Forgets nodes that are no longer reported, and identifiers that are out of use.
+    /// Removes nodes that are no longer reported, and releases unused identifiers.
     pub(crate) fn sweep_nodes<N: Network>(&mut self, now: Nanos, network: &mut N) {
         self.nodes.expire(now);
         self.apply_recent_node_changes(now, network);
--- a/crates/fernknot-gateway/src/decisions.rs
+++ b/crates/fernknot-gateway/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The engine that decides on attempts, which starts with the first configuration.
+//! The engine that decides on attempts, started with the first configuration.
 
 use crate::nodes::AttemptKey;
 use crate::routing::UseCaseChange;
@@ -6,7 +6,7 @@
 use fernknot_engine::{Action, Engine, RequesterId};
 use fernknot_protocol::multiget::MultigetRequest;
 
-/// The engine, once there is one. Before that, nothing is in flight and nothing is due.
+/// The engine, once it has started. Before that, no request is in flight and no action is due.
 #[derive(Default)]
 pub(crate) struct Decisions {
     engine: Option<Engine>,
@@ -22,7 +22,7 @@
         self.engine = Some(Engine::new(seed, site, &[], 0, now));
     }
 
-    /// A further configuration is in force.
+    /// Applies the changes of use cases that a further configuration causes.
     pub(crate) fn apply_use_cases(&mut self, now: Nanos, change: &UseCaseChange) {
         let Some(engine) = &mut self.engine else { return };
         for use_case in &change.released {
@@ -33,10 +33,10 @@
         }
     }
 
-    /// This gateway's free retries, and by how many gateways the budget is shared, where that is known.
-    pub(crate) fn set_budget(&mut self, now: Nanos, slack: f64, sharers: Option<u32>) {
+    /// Sets this gateway's free retries, and the number of gateways that share the budget if it is known.
+    pub(crate) fn set_budget(&mut self, now: Nanos, free_retries: f64, sharers: Option<u32>) {
         let Some(engine) = &mut self.engine else { return };
-        engine.set_free_retries(slack);
+        engine.set_free_retries(free_retries);
         if let Some(sharers) = sharers {
             engine.set_sharing_routers(now, sharers as usize);
         }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes a request; `None` while there is no engine.
+    /// Passes a request to the engine; returns `None` while there is no engine.
     pub(crate) fn start_request(
         &mut self,
         now: Nanos,
@@ -66,44 +66,44 @@
         self.engine.as_mut().map(|engine| engine.take(now, id, deadline, multiget))
     }
 
-    /// The client of a request has gone.
+    /// Cancels a request whose client has disconnected.
     pub(crate) fn cancel_request(&mut self, now: Nanos, multiget: MultigetId) {
         if let Some(engine) = &mut self.engine {
             engine.client_gone(now, multiget);
         }
     }
 
-    /// A node has answered an attempt.
+    /// Reports to the engine that a node has answered an attempt.
     pub(crate) fn attempt_answered(&mut self, now: Nanos, attempt: AttemptKey) {
         if let Some(engine) = &mut self.engine {
             engine.answered(now, attempt.part, attempt.number, String::new(), LoadReport::default());
         }
     }
 
-    /// An attempt has ended without an answer.
+    /// Reports to the engine that an attempt has ended without an answer.
     pub(crate) fn attempt_ended(&mut self, now: Nanos, attempt: AttemptKey, outcome: Outcome) {
         if let Some(engine) = &mut self.engine {
             engine.ended(now, attempt.part, attempt.number, outcome, LoadReport::default());
         }
     }
 
-    /// When actions will be due without an event.
+    /// Time at which the next action is due without an event.
     pub(crate) fn next_wakeup(&self) -> Option<Nanos> {
         self.engine.as_ref().and_then(Engine::next_due)
     }
 
-    /// Whether there may be actions to be polled.
+    /// Whether the engine may have actions to execute.
     pub(crate) fn is_due(&self, now: Nanos) -> bool {
         let Some(engine) = &self.engine else { return false };
         engine.next_due().is_some_and(|at| at <= now) || engine.has_input()
     }
 
-    /// The next action, until there is none.
+    /// Returns the next action; `None` if there is none.
     pub(crate) fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         self.engine.as_mut().and_then(|engine| engine.poll_action(now))
     }
 
-    /// The engine's counters: one a line, name and value.
+    /// Returns the engine's counters: one per line, name and value.
     pub(crate) fn counters_text(&self) -> String {
         self.engine.as_ref().map(|engine| engine.counters.text()).unwrap_or_default()
     }
--- a/crates/fernknot-gateway/src/discovery.rs
+++ b/crates/fernknot-gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! How controllers are found when none of those that are known answers.
+//! Discovery of controllers when none of the known ones answers.
 
 use crate::settings::GatewaySettings;
 use fernknot::interface::Nanos;
@@ -7,15 +7,15 @@
 use fernknot_rpc::ShuffleProtocol;
 use std::net::SocketAddrV4;
 
-/// Partial views are shuffled once in so many times `contact_ms`.
+/// Interval of peer sampling's shuffles, in multiples of `contact_ms`.
 const SHUFFLE_INTERVAL_CONTACTS: f64 = 2.0;
 
-/// Peer sampling by datagrams, and requests to the host to read the settings file again.
+/// Peer sampling over datagrams, and requests to the host to read the settings file again.
 pub(crate) struct Discovery {
     peer_sampling: ShuffleProtocol,
     reload_interval: Nanos,
     next_reload_at: Nanos,
-    wants_settings_reload: bool,
+    settings_reload_requested: bool,
 }
 
 impl Discovery {
@@ -25,21 +25,21 @@
         settings: &GatewaySettings,
         rng_seed: u64,
     ) -> Discovery {
-        let shuffle_interval = settings.contact.times(SHUFFLE_INTERVAL_CONTACTS);
+        let shuffle_interval = settings.contact_timeout.times(SHUFFLE_INTERVAL_CONTACTS);
         Discovery {
             peer_sampling: ShuffleProtocol::new(own, seeds, shuffle_interval, rng_seed),
-            reload_interval: settings.contact,
+            reload_interval: settings.contact_timeout,
             next_reload_at: Nanos(0),
-            wants_settings_reload: false,
+            settings_reload_requested: false,
         }
     }
 
-    /// The settings name these controllers now.
+    /// Replaces the seeds with the controllers that the settings name now.
     pub(crate) fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.peer_sampling.set_seeds(seeds);
     }
 
-    /// Handles a datagram of another process and sends its reply.
+    /// Handles a datagram from another process and sends the reply, if there is one.
     pub(crate) fn handle_datagram<N: Network>(
         &mut self,
         now: Nanos,
@@ -59,18 +59,18 @@
         }
     }
 
-    /// Where controllers may be that no source of updates names any more. The settings may name others by now, so the
-    /// host is asked to read them again, at most once in a reload interval.
+    /// Returns addresses of controllers that may answer although no source of updates names them any more. The settings
+    /// may name other controllers by now, so the host is asked to read them again, at most once per reload interval.
     pub(crate) fn find_controllers(&mut self, now: Nanos) -> Vec<SocketAddrV4> {
         if now >= self.next_reload_at {
             self.next_reload_at = now + self.reload_interval;
-            self.wants_settings_reload = true;
+            self.settings_reload_requested = true;
         }
         self.peer_sampling.candidate_controllers()
     }
 
-    /// Whether the host is to read the settings again; true once for each request.
+    /// Whether the host has to read the settings again; true once for each request.
     pub(crate) fn take_settings_reload_request(&mut self) -> bool {
-        std::mem::take(&mut self.wants_settings_reload)
+        std::mem::take(&mut self.settings_reload_requested)
     }
 }
--- a/crates/fernknot-gateway/src/engine_ids.rs
+++ b/crates/fernknot-gateway/src/engine_ids.rs
@@ -10,33 +10,33 @@
 #[derive(Default)]
 pub struct EngineIds {
     shard_by_service: HashMap<String, ShardId>,
-    /// Since when services that have an identifier are out of use.
+    /// Time since which a service that has an identifier is unused.
     unused_since: HashMap<String, Nanos>,
-    /// Never decreases: a released identifier is not given again, so that what the engine still knows by it cannot pass
-    /// for another service's.
+    /// Next identifier of a service. Released identifiers are not reused, so that the engine's remaining state for one
+    /// is not taken for that of another service.
     next_shard: u32,
-    /// The group of each shard of a fan-out, whose shards have similar work.
+    /// Group of each shard of a fan-out, whose shards have similar work.
     shard_groups: HashMap<ShardId, u32>,
-    /// The use cases of the revision in force. What the engine measures of a route is kept while its key exists.
+    /// Use cases of the revision in force. The engine's measurements of a route are kept while its key exists.
     use_case_by_key: HashMap<UseCaseKey, UseCaseId>,
     free_use_cases: Vec<UseCaseId>,
-    /// Use cases of removed routes, with the time from which no request of them can be in flight.
+    /// Use cases of removed routes, with the time from which none of their requests can be in flight.
     retiring_use_cases: BTreeSet<(Nanos, UseCaseId)>,
     next_use_case: usize,
 }
 
-/// A new revision, and what the engine has to be told of it.
+/// A new revision, and the changes of use cases that the engine has to apply.
 pub struct SnapshotChange {
-    /// The revision.
+    /// Snapshot of the revision.
     pub snapshot: ConfigSnapshot,
-    /// The use case of each route, by identifier.
+    /// Use cases of the routes, sorted by identifier.
     pub use_cases: Vec<(UseCaseId, UseCaseSettings)>,
-    /// Use cases of earlier revisions that no request has any more.
+    /// Use cases of earlier revisions that no request can have any more.
     pub released: Vec<UseCaseId>,
 }
 
 impl EngineIds {
-    /// The identifier of a service; a new one where it has none.
+    /// Returns the identifier of a service, and assigns one if it has none.
     pub fn shard(&mut self, service: &str) -> ShardId {
         if let Some(shard) = self.shard_by_service.get(service) {
             return *shard;
@@ -47,8 +47,8 @@
         shard
     }
 
-    /// Releases the identifiers of services that have been out of use for longer than `retention`; a service that comes
-    /// back gets another. Guards the memory of a long-lived gateway against index layouts that came and went.
+    /// Releases the identifiers of services that have been unused for longer than `retention`; a service that is used
+    /// again gets a new one. Otherwise the identifiers of removed index layouts would accumulate.
     pub fn release_unused(&mut self, now: Nanos, retention: Nanos, is_in_use: impl Fn(&str) -> bool) {
         self.unused_since.retain(|service, _| !is_in_use(service));
         for service in self.shard_by_service.keys().filter(|service| !is_in_use(service)) {
@@ -61,17 +61,18 @@
         self.shard_groups.retain(|shard, _| named.contains(shard));
     }
 
-    /// How many services have an identifier.
+    /// Number of services that have an identifier.
     pub fn service_count(&self) -> usize {
         self.shard_by_service.len()
     }
 
-    /// The group of shards with similar work that a shard belongs to; a shard of no fan-out has its own.
+    /// Returns the group of shards with similar work that a shard belongs to. A shard of no fan-out has its own group.
     pub fn group(&self, shard: ShardId) -> u32 {
         self.shard_groups.get(&shard).copied().unwrap_or(shard.0 + 1)
     }
 
-    /// Takes a revision. Use cases that it no longer has are released after `retention`.
+    /// Assigns identifiers to the routes of a new revision. Use cases that it no longer has are released after
+    /// `retention`.
     pub fn snapshot(
         &mut self,
         now: Nanos,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Frees the use cases that no request can have any more.
+    /// Releases the use cases that no request can have any more.
     fn release_retired_use_cases(&mut self, now: Nanos) -> Vec<UseCaseId> {
         let mut released = Vec::new();
         while let Some((_, id)) = self.retiring_use_cases.first().filter(|(at, _)| *at <= now).copied() {
@@ -111,7 +112,7 @@
         released
     }
 
-    /// The use case that a key has in the revision in force, or else one that is free.
+    /// Returns the use case of a key in the revision in force, or else a free one.
     fn use_case(&mut self, key: &UseCaseKey) -> UseCaseId {
         let known = self.use_case_by_key.get(key).copied();
         known.or_else(|| self.free_use_cases.pop()).unwrap_or_else(|| {
--- a/crates/fernknot-gateway/src/engine_setup.rs
+++ b/crates/fernknot-gateway/src/engine_setup.rs
@@ -1,13 +1,13 @@
-//! What an engine is told at its start.
+//! Settings with which the engine starts.
 
 use crate::budget::BudgetShare;
 use crate::settings::GatewaySettings;
 use fernknot::interface::*;
 
-/// Granularity of the event loop, which is also the network term of the engine's estimates.
+/// Granularity of the event loop, in milliseconds; also the network term of the engine's estimates.
 pub(crate) const LOOP_GRANULARITY_MS: f64 = 3.0;
 
-/// The site of an engine that starts with these use cases.
+/// Returns the site settings of an engine that starts with these use cases.
 pub(crate) fn initial_site(
     settings: &GatewaySettings,
     budget: &BudgetShare,
@@ -23,7 +23,7 @@
         tick: Nanos::from_millis(LOOP_GRANULARITY_MS),
         warmup: SlowStartSettings::default(),
         budget: Some(RetryBudgetSettings {
-            free: budget.slack(),
+            free: budget.free_retries(),
             share: settings.retry_ratio,
             window: settings.retry_window,
             each_shard: true,
@@ -38,9 +38,9 @@
         peers: false,
         by_work: false,
         zone: Some(settings.zone),
-        // The deadline that a client sends shows when it first asked, but a late answer still has some value.
+        // A client's deadline shows when it first sent the request, but a late answer still has some value.
         marks_repeats: true,
-        // A request that is rejected twice costs a third of its value, which a late answer still has.
+        // Rejecting a request twice costs a third of its value, which a late answer would still have.
         refusals_cost: true,
     }
 }
--- a/crates/fernknot-gateway/src/error.rs
+++ b/crates/fernknot-gateway/src/error.rs
@@ -1,12 +1,12 @@
-//! Why a gateway cannot be made.
+//! Errors of creating a gateway.
 
 use fernknot_router_config::ConfigError;
 use thiserror::Error;
 
-/// The settings of a process are not enough for a gateway.
+/// Error of creating a gateway from the settings of its process.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// There is less memory, or there are fewer connections, than a gateway needs.
+    /// The settings allow less memory or fewer connections than a gateway needs.
     #[error(transparent)]
     ResourceLimits(#[from] ConfigError),
 }
--- a/crates/fernknot-gateway/src/gateway.rs
+++ b/crates/fernknot-gateway/src/gateway.rs
@@ -1,8 +1,8 @@
-//! One gateway without sockets, clock or signals: events become inputs of its parts, and what these decide is carried
-//! out over the network that it is lent.
+//! One gateway without sockets, clock or signals: events are routed to its parts, whose decisions are carried out over
+//! the network that the host passes in.
 
 use crate::clients::LocalReply;
-use crate::counters::{Levels, counters_text};
+use crate::counters::{CurrentValues, counters_text};
 use crate::data_plane::DataPlane;
 use crate::discovery::Discovery;
 use crate::error::GatewayError;
@@ -23,24 +23,24 @@
 use fernknot_telemetry::part;
 use std::net::SocketAddrV4;
 
-/// The time between two sweeps for what has timed out.
+/// Interval of the sweeps that close and remove whatever has timed out.
 const SWEEP_INTERVAL: Nanos = Nanos(500_000_000);
 
-/// One gateway, which has no socket, clock, signal or file.
+/// A gateway that has no socket, clock, signal handler or file of its own.
 ///
-/// A host passes it what happened to its connections with [`step`](Gateway::step) and lends it its [`Network`], over
-/// which it sends. It wants another step after each event, and without one at [`next_wakeup`](Gateway::next_wakeup).
-/// Times are nanoseconds since any one moment before the first step, and never decrease.
+/// A host passes the events of its connections to [`step`](Gateway::step), together with the [`Network`] over which the
+/// gateway sends. A step is due after each event, and without events at [`next_wakeup`](Gateway::next_wakeup). Times
+/// are nanoseconds since a fixed moment before the first step, and never decrease.
 ///
-/// [`stop`](Gateway::stop) begins a graceful shutdown, and [`poll_shutdown`](Gateway::poll_shutdown) says after each
-/// step whether it is complete. Where [`take_settings_reload_request`](Gateway::take_settings_reload_request) says so,
-/// the host reads its settings again and passes the seeds to [`set_seeds`](Gateway::set_seeds).
+/// [`stop`](Gateway::stop) begins a graceful shutdown, and [`poll_shutdown`](Gateway::poll_shutdown) returns after each
+/// step whether it is complete. When [`take_settings_reload_request`](Gateway::take_settings_reload_request) returns
+/// true, the host reads its settings again and passes the seeds to [`set_seeds`](Gateway::set_seeds).
 pub struct Gateway {
     settings: GatewaySettings,
     listeners: ListenerIds,
     data_plane: DataPlane,
     update_relay: UpdateRelay,
-    /// A source of updates has sent a complete snapshot.
+    /// Whether a source of updates has sent a complete snapshot.
     is_synchronized: bool,
     discovery: Discovery,
     shutdown: Shutdown,
@@ -49,11 +49,11 @@
 }
 
 impl Gateway {
-    /// A gateway that listens at these sockets. `seed` is the identifier of its incarnation and the seed of its random
-    /// numbers: no two incarnations of a system may have the same.
+    /// Creates a gateway that listens at these sockets. `seed` identifies its incarnation and seeds its random numbers:
+    /// no two incarnations of a system may have the same seed.
     ///
     /// # Errors
-    /// There is less memory, or there are fewer connections, than a gateway needs.
+    /// Fails if the settings allow less memory or fewer connections than a gateway needs.
     pub fn new(process: ProcessSettings, listeners: ListenerIds, seed: u64) -> Result<Gateway, GatewayError> {
         let settings = GatewaySettings::new(&process);
         let (addr, seeds) = (inner_addr(&process), controller_seeds(&process));
@@ -68,23 +68,23 @@
             is_synchronized: false,
             discovery: Discovery::new(descriptor, &seeds, &settings, seed),
             shutdown: Shutdown::new(Nanos::from_millis(process.bounds.grace_s * 1e3)),
-            stall_detector: StallDetector::new(settings.apply),
+            stall_detector: StallDetector::new(settings.apply_timeout),
             next_sweep_at: Nanos(0),
             settings,
         })
     }
 
-    /// The same gateway with a bug, for the tests of checkers.
+    /// Adds a seeded bug, for tests of checkers.
     #[doc(hidden)]
     pub fn with_seeded_bug(mut self, bug: SeededBug) -> Gateway {
         self.data_plane.set_seeded_bug(bug);
         self
     }
 
-    /// Handles what happened up to now, does what is due, and sends what there is to send.
+    /// Handles the events up to `now`, runs everything that is due, and writes the output to the network.
     pub fn step<N: Network>(&mut self, now: Nanos, events: impl IntoIterator<Item = Event>, network: &mut N) {
         if let Some(gap) = self.stall_detector.step(now) {
-            log::warn!(target: part::PROCESS, "the event loop stalled for {:.0} ms", gap.as_millis());
+            log::warn!(target: part::PROCESS, "event loop stalled for {:.0} ms; restarting time-outs", gap.as_millis());
             self.update_relay.resume_after_stall(now);
         }
         for event in events {
@@ -97,31 +97,31 @@
         }
     }
 
-    /// When the gateway wants a step without an event.
+    /// Time of the next step that is due without an event.
     pub fn next_wakeup(&self) -> Nanos {
         let engine = self.data_plane.attempts.decisions().next_wakeup().unwrap_or(Nanos(u64::MAX));
         engine.min(self.update_relay.next_wakeup()).min(self.next_sweep_at)
     }
 
-    /// The settings name these controllers now, by their inner addresses.
+    /// Replaces the seeds with the inner addresses of the controllers that the settings name now.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.update_relay.add_controllers(seeds);
         self.discovery.set_seeds(seeds);
     }
 
-    /// Whether no known source sends updates, so that the host is to read the settings again, which may name others.
-    /// Each request is returned once.
+    /// Whether the host has to read the settings again, which may name other controllers, because no known source sends
+    /// updates. Returns true once for each request.
     pub fn take_settings_reload_request(&mut self) -> bool {
         self.discovery.take_settings_reload_request()
     }
 
-    /// Closes and forgets what has timed out.
+    /// Closes connections and removes records that have timed out.
     fn sweep<N: Network>(&mut self, now: Nanos, network: &mut N) {
         self.next_sweep_at = now + SWEEP_INTERVAL;
         self.data_plane.sweep_connections(now, network);
         self.discovery.send_due(now, network);
-        // Controllers that no seed and no heartbeat names any more are found through other processes.
-        if self.update_relay.config_age(now).is_none_or(|age| age > self.settings.apply) {
+        // Peer sampling finds controllers that neither the seeds nor heartbeats name any more.
+        if self.update_relay.config_age(now).is_none_or(|age| age > self.settings.apply_timeout) {
             self.update_relay.add_controllers(&self.discovery.find_controllers(now));
         }
         self.data_plane.sweep_nodes(now, network);
@@ -129,18 +129,18 @@
 
     // ---- Shutdown --------------------------------------------------------------------------
 
-    /// Begins a graceful shutdown: the gateway is no longer ready, and completes what is in flight.
+    /// Begins a graceful shutdown: the gateway is no longer ready, and completes the requests in flight.
     pub fn stop<N: Network>(&mut self, now: Nanos, network: &mut N) {
         if self.shutdown.request(now) {
             self.data_plane.is_stopping = true;
             let in_flight = self.data_plane.attempts.requests().len();
-            log::info!(target: part::PROCESS, "stop requested, {in_flight} requests in flight");
+            log::info!(target: part::PROCESS, "stop requested; completing {in_flight} requests in flight");
             self.update_relay.announce_shutdown(network);
         }
     }
 
-    /// Goes on with a shutdown. Returns whether it is complete: all requests are answered, or the grace is nearly over.
-    /// Pending output has still to be written then.
+    /// Advances a shutdown. Returns whether it is complete: all requests are answered, or the grace period is nearly
+    /// over. The host still has to write pending output then.
     pub fn poll_shutdown<N: Network>(&mut self, now: Nanos, network: &mut N) -> bool {
         match self.shutdown.phase(now) {
             ShutdownPhase::Running | ShutdownPhase::Unready => false,
@@ -168,7 +168,7 @@
             Event::ReadClosed { connection } => self.handle_read_closed(now, connection, network),
             Event::Closed { connection, was_open, error } => {
                 if self.data_plane.attempts.connections().contains(connection) {
-                    log::debug!(target: part::CONNECTIONS, "{error}");
+                    log::debug!(target: part::CONNECTIONS, "connection to a node closed: {error}");
                     self.data_plane.node_connection_closed(now, connection, was_open, network);
                 } else if self.update_relay.owns_connection(connection) {
                     self.update_relay.connection_closed(now, connection);
@@ -217,7 +217,7 @@
 
     // ---- Platform --------------------------------------------------------------------------
 
-    /// Answers requests for readiness and counters.
+    /// Serves requests for readiness and counters.
     fn serve_platform<N: Network>(&mut self, now: Nanos, id: ConnectionId, network: &mut N) {
         while let Some(request) = self.data_plane.read_request(now, id, network) {
             self.answer_platform(now, id, &request, network);
@@ -247,7 +247,7 @@
     fn counters_text(&self, now: Nanos) -> String {
         let DataPlane { attempts, nodes, routing, counters, .. } = &self.data_plane;
         let config_age = self.update_relay.config_age(now);
-        let levels = Levels {
+        let current_values = CurrentValues {
             requests_in_flight: attempts.requests().len(),
             node_connections: attempts.connections().len(),
             nodes: nodes.engine_node_count(),
@@ -255,7 +255,7 @@
             config_epoch: routing.config().map_or(0, |snapshot| snapshot.config.epoch),
             is_config_stale: config_age.is_none_or(|age| age > self.settings.drain_cutoff),
         };
-        counters_text(counters, attempts.counters(), &levels) + &attempts.decisions().counters_text()
+        counters_text(counters, attempts.counters(), &current_values) + &attempts.decisions().counters_text()
     }
 
     // ---- Updates ---------------------------------------------------------------------------
@@ -316,7 +316,7 @@
         self.data_plane.apply_all_node_changes(now, network);
     }
 
-    /// What this gateway knows, for a person to read.
+    /// Returns the report on a topic, as text for operators.
     fn inspect(&self, now: Nanos, topic: InspectionTopic) -> String {
         match topic {
             InspectionTopic::Counters => self.counters_text(now),
@@ -336,8 +336,8 @@
     let heartbeat_interval = Nanos::from_millis(process.heartbeat_interval_ms);
     OwnedKeysSettings {
         max_keys: 0,
-        handover_timeout: settings.apply,
-        confirmation_timeout: confirmation_timeout(settings.contact, heartbeat_interval),
+        handover_timeout: settings.apply_timeout,
+        confirmation_timeout: confirmation_timeout(settings.contact_timeout, heartbeat_interval),
         budget_window: settings.retry_window,
     }
 }
--- a/crates/fernknot-gateway/src/headers.rs
+++ b/crates/fernknot-gateway/src/headers.rs
@@ -1,24 +1,24 @@
-//! Header fields of the system's protocol, and which fields a gateway forwards.
+//! Header fields of the system's protocol, and the selection of the fields that a gateway forwards.
 
-/// Identifies a client's attempt; every response to it has the same value.
+/// Identifier of a client's attempt, repeated in every response to it.
 pub const ATTEMPT_ID: &str = "Attempt-Id";
-/// How long the sender waits for the response, in milliseconds.
+/// Time that the sender waits for the response, in milliseconds.
 pub const DEADLINE_MS: &str = "Deadline-Ms";
-/// The node incarnation that a request is meant for.
+/// Identifier of the node incarnation that a request is addressed to.
 pub const TARGET_NODE: &str = "Target-Node";
-/// Proof that a response was produced for its attempt.
+/// Proof that a node produced the response for this attempt.
 pub const ANSWER_SEAL: &str = "Answer-Seal";
-/// Says that the node did not execute the request.
+/// Marks the response to a request that the node did not execute.
 pub const NOT_EXECUTED: &str = "Not-Executed";
-/// The seals of the shards whose answers a response merges.
+/// `Answer-Seal` values of the shards whose answers a merged response contains.
 pub const PART_SEALS: &str = "Part-Seals";
-/// How many shards a merged response lacks.
+/// Number of shards whose answers are missing from a merged response.
 pub const PARTS_MISSING: &str = "Parts-Missing";
 
-/// Longest `Attempt-Id`, in bytes.
+/// Maximum length of an `Attempt-Id`, in bytes.
 const MAX_ATTEMPT_ID_BYTES: usize = 256;
 
-/// Fields that concern one connection only (RFC 9110, 7.6.1), or that the gateway writes itself.
+/// Hop-by-hop fields (RFC 9110, 7.6.1), and fields that the gateway writes itself.
 const UNFORWARDED_HEADERS: [&str; 13] = [
     "connection",
     "keep-alive",
@@ -35,17 +35,17 @@
     "target-node",
 ];
 
-/// Whether a field is passed on between a client and a node.
+/// Whether a field is forwarded between a client and a node.
 pub(crate) fn is_forwarded_header(name: &str) -> bool {
     !UNFORWARDED_HEADERS.iter().any(|unforwarded| name.eq_ignore_ascii_case(unforwarded))
 }
 
-/// Whether a node would get an `Attempt-Id` exactly as the client sent it.
+/// Whether an `Attempt-Id` reaches a node exactly as the client sent it.
 pub(crate) fn is_valid_attempt_id(id: &str) -> bool {
     (1..=MAX_ATTEMPT_ID_BYTES).contains(&id.len()) && id.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// The time-out of a `Keep-Alive` field, in seconds.
+/// Returns the time-out that a `Keep-Alive` value states, in seconds.
 pub(crate) fn keep_alive_timeout_s(value: &str) -> Option<u64> {
     let timeout = value.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok()
--- a/crates/fernknot-gateway/src/host.rs
+++ b/crates/fernknot-gateway/src/host.rs
@@ -1,4 +1,4 @@
-//! The program's host: sockets, clock, signals and the settings file around one [`Gateway`].
+//! The host process of one [`Gateway`]: sockets, clock, signals and the settings file.
 
 use crate::gateway::Gateway;
 use crate::listeners::ListenerIds;
@@ -11,12 +11,12 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Bytes read ahead of their consumer on one connection.
+/// Maximum number of bytes that are read from a connection before the gateway consumes them.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
-/// The longest wait for events.
+/// Maximum time that one poll waits for events.
 const MAX_WAIT: Nanos = Nanos(250_000_000);
 
-/// The program.
+/// A gateway with its sockets, clock, signal handlers and settings file.
 pub struct Host {
     node_name: String,
     zone: String,
@@ -28,10 +28,10 @@
 }
 
 impl Host {
-    /// Begins to listen. `seed` must differ from start to start and from machine to machine.
+    /// Opens the listening sockets. `seed` must be different for each start and each machine.
     ///
     /// # Errors
-    /// The settings lack what a gateway needs, or the operating system refuses it.
+    /// Fails if a required setting is missing, or if the operating system refuses a socket or signal handler.
     pub fn new(
         settings: ProcessSettings,
         settings_file: SettingsFile,
@@ -49,7 +49,7 @@
 
     /// Serves until a requested shutdown is complete.
     pub fn run(&mut self) {
-        log::info!(target: part::PROCESS, "{} serves in {}", self.node_name, self.zone);
+        log::info!(target: part::PROCESS, "gateway {} is serving in zone {}", self.node_name, self.zone);
         let mut events = Vec::new();
         loop {
             let wait = (self.gateway.next_wakeup() - self.clock.now()).min(MAX_WAIT);
@@ -58,21 +58,21 @@
             self.gateway.step(now, events.drain(..), &mut self.event_loop);
             self.handle_requests(now);
             if self.gateway.poll_shutdown(now, &mut self.event_loop) {
-                // Sends what was written last.
+                // Sends the output of the last step.
                 self.event_loop.poll(Some(Duration::ZERO), &mut events);
-                log::info!(target: part::PROCESS, "stopped");
+                log::info!(target: part::PROCESS, "shutdown complete");
                 return;
             }
         }
     }
 
-    /// Handles signals, and the gateway's request for other seeds.
+    /// Handles signals, and the gateway's requests to reload the seeds.
     fn handle_requests(&mut self, now: Nanos) {
         if self.signals.take_stop_request() {
             self.gateway.stop(now, &mut self.event_loop);
         }
         if self.signals.take_reload_request() {
-            log::info!(target: part::SETTINGS, "a signal says that the file has changed");
+            log::info!(target: part::SETTINGS, "reload signal received; reading the settings file again");
             self.reload_seeds();
         }
         if self.gateway.take_settings_reload_request() {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Listens at the addresses of the settings.
+/// Opens the listening sockets at the addresses in the settings.
 fn listen(settings: &ProcessSettings, event_loop: &mut EventLoop) -> Result<ListenerIds, ProcessError> {
     let required = |addr: Option<SocketAddrV4>, name: &str| {
         addr.ok_or_else(|| ProcessError::Settings(format!("bind_addrs.{name} is missing")))
--- a/crates/fernknot-gateway/src/lib.rs
+++ b/crates/fernknot-gateway/src/lib.rs
@@ -1,14 +1,14 @@
-//! The system's data plane: one gateway between clients and nodes.
+//! Data plane of the system: one gateway between clients and nodes.
 //!
-//! A [`Gateway`] owns what is in flight: the connections of clients and to nodes, the requests and their attempts, the
-//! configuration in force and the list of nodes. It has no socket, clock, signal or file. The program's host ([`host`])
-//! or a simulation passes it what happens to its connections, with a time, lends it a network
-//! ([`fernknot_net::Network`]), and asks it when it wants to be called again. What is on its connections are bytes:
-//! HTTP/1.1 with clients and nodes, messages of `fernknot-rpc` with controllers and other gateways.
+//! A [`Gateway`] owns the connections to clients and nodes, the requests in flight and their attempts, the
+//! configuration in force and the list of nodes. It has no socket, clock, signal handler or file of its own. The host
+//! process ([`host`]) or a simulation calls it with the time, the events of its connections and a network
+//! ([`fernknot_net::Network`]), and asks it for the time of the next call. Connections carry bytes: HTTP/1.1 to
+//! clients and nodes, messages of `fernknot-rpc` to controllers and other gateways.
 //!
-//! [`Gateway`] only routes events. `data_plane` is the way of requests: `clients` has the connections of clients,
+//! [`Gateway`] only dispatches events. `data_plane` processes requests: `clients` has the connections of clients,
 //! `routing` the configuration, `attempts` the requests in flight with the engine's `decisions` and the connections to
-//! [`nodes`]. `updates` has the streams by which nodes and configurations become known.
+//! [`nodes`]. `updates` has the streams over which nodes and configurations are received.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-gateway/src/listeners.rs
+++ b/crates/fernknot-gateway/src/listeners.rs
@@ -1,23 +1,23 @@
-//! The listening sockets of a gateway.
+//! Listening sockets of a gateway.
 
 use fernknot_net::ConnectionId;
 
-/// The sockets at which a gateway listens. The host opens them.
+/// Sockets at which a gateway listens, opened by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenerIds {
-    /// For clients.
+    /// Socket for clients.
     pub front: ConnectionId,
-    /// For the platform, which asks whether the gateway is ready, and for readers of counters.
+    /// Socket for the platform's readiness probes and for readers of counters.
     pub ready: ConnectionId,
-    /// For other processes of the system.
+    /// Socket for other processes of the system.
     pub inner: ConnectionId,
 }
 
-/// The listening socket at which an HTTP connection was accepted.
+/// Listening socket at which an HTTP connection was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenAddress {
-    /// The address for clients (`front_addr`).
+    /// Address for clients (`front_addr`).
     Front,
-    /// The address for readiness and counters (`ready_addr`).
+    /// Address for readiness and counters (`ready_addr`).
     Ready,
 }
--- a/crates/fernknot-gateway/src/main.rs
+++ b/crates/fernknot-gateway/src/main.rs
@@ -10,12 +10,12 @@
 
 usage: fernknot-gateway [--check] [--help] [--version]
 
-  --check    reads the settings, names every fault, and ends
+  --check    reads the settings, reports every error, and exits
 
 FERNKNOT_CONFIG  path of the settings, JSON
 FERNKNOT_LOG     error, warn, info (the default), debug or trace
 
-Exit codes: 0 after an order to stop, 1 where the system refuses what is needed, 2 for bad settings or usage.";
+Exit codes: 0 after a requested shutdown, 1 if the operating system refuses a resource, 2 for bad settings or usage.";
 
 const PROGRAM: Program = Program { name: "fernknot-gateway", version: env!("CARGO_PKG_VERSION"), help: HELP };
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// The identifier of this incarnation, which also seeds its random numbers: no two processes start at one address at
-/// one time.
+/// Returns the identifier of this incarnation, which also seeds its random numbers. It is unique as long as no two
+/// processes with the same address and process identifier start in the same nanosecond.
 fn incarnation_seed(settings: &ProcessSettings) -> u64 {
     let time_ns = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_nanos() as u64);
     time_ns ^ (u64::from(u32::from(settings.ip)) << 32) ^ u64::from(std::process::id())
--- a/crates/fernknot-gateway/src/nodes/connections.rs
+++ b/crates/fernknot-gateway/src/nodes/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: one attempt at a time on each, reused while they are sound.
+//! Connections to nodes. Each carries one attempt at a time, and is reused until it times out or becomes invalid.
 
 use fernknot::interface::*;
 use fernknot_net::{Buffer, ConnectionId};
@@ -7,49 +7,49 @@
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// Identifies one attempt to have a part of a request executed.
+/// Identifier of one attempt to have a part of a request executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
-    /// The part of a request.
+    /// Identifier of the part.
     pub part: PartId,
-    /// The number of the attempt among those of the part.
+    /// Number of the attempt among those of the part.
     pub number: AttemptNumber,
 }
 
 /// A connection to a node.
 struct NodeConnection {
     node: NodeId,
-    /// The attempt that the connection carries.
+    /// Attempt that the connection carries; `None` while it is idle.
     attempt: Option<AttemptKey>,
     reader: ResponseReader,
-    /// The response to the attempt has no body.
+    /// Whether the response to the attempt has no body.
     expects_no_body: bool,
-    /// Not to be reused after the attempt that it carries.
+    /// Whether the connection has to be closed after the attempt that it carries.
     not_reusable: bool,
-    /// Not to be reused from then on.
+    /// Time from which the connection may not carry another attempt.
     reusable_until: Nanos,
     connect_started_at: Nanos,
 }
 
 /// An incarnation of a node that attempts may be sent to.
 pub struct NodeEndpoint {
-    /// The incarnation's identifier.
+    /// Identifier of the incarnation.
     pub incarnation: String,
-    /// Where it listens.
+    /// Address at which the incarnation listens.
     pub addr: SocketAddrV4,
-    /// Its idle connections, the one used last at the end.
+    /// Idle connections to it, the most recently used one last.
     idle_connections: Vec<ConnectionId>,
 }
 
-/// What was read from a connection.
+/// Result of reading from a connection.
 pub enum ReadOutcome {
-    /// No complete response.
+    /// No complete response has been received.
     Incomplete,
     /// A complete response.
     Response {
-        /// The attempt that the connection carried.
+        /// Attempt that the connection carried.
         attempt: AttemptKey,
-        /// The node that the connection leads to.
+        /// Node at the other end of the connection.
         node: NodeId,
         /// The response.
         response: Response,
@@ -58,7 +58,7 @@
     Invalid,
 }
 
-/// The connections to all nodes.
+/// Connections to all nodes.
 #[derive(Default)]
 pub struct NodeConnections {
     connections: HashMap<ConnectionId, NodeConnection>,
@@ -67,19 +67,20 @@
 }
 
 impl NodeConnections {
-    /// An incarnation of a node that attempts may be sent to, or its new address.
+    /// Adds an incarnation of a node that attempts may be sent to, or sets its new address.
     pub fn add_endpoint(&mut self, node: NodeId, incarnation: &str, addr: SocketAddrV4) {
         let endpoint =
             || NodeEndpoint { incarnation: incarnation.to_string(), addr, idle_connections: Vec::new() };
         self.endpoints.entry(node).or_insert_with(endpoint).addr = addr;
     }
 
-    /// The address and incarnation of a node.
+    /// Returns the address and incarnation of a node.
     pub fn endpoint(&self, node: NodeId) -> Option<&NodeEndpoint> {
         self.endpoints.get(&node)
     }
 
-    /// Forgets an incarnation that is gone. Its idle connections are returned, to be closed; attempts in flight go on.
+    /// Removes an incarnation that is gone. Returns its idle connections, which the caller closes. Attempts in flight
+    /// continue.
     pub fn remove_endpoint(&mut self, node: NodeId) -> Vec<ConnectionId> {
         let endpoint = self.endpoints.remove(&node);
         let idle = endpoint.map(|endpoint| endpoint.idle_connections).unwrap_or_default();
@@ -87,7 +88,8 @@
         idle
     }
 
-    /// No connection to a node is reused: the idle ones are returned, to be closed; attempts in flight go on.
+    /// Excludes all connections to a node from reuse. Returns the idle ones, which the caller closes. Attempts in
+    /// flight continue.
     pub fn retire_connections(&mut self, node: NodeId) -> Vec<ConnectionId> {
         let Some(endpoint) = self.endpoints.get_mut(&node) else { return Vec::new() };
         let idle = std::mem::take(&mut endpoint.idle_connections);
@@ -104,7 +106,7 @@
         }
     }
 
-    /// How many connections there are, idle ones among them.
+    /// Number of connections, idle ones included.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
@@ -114,13 +116,13 @@
         self.connections.is_empty()
     }
 
-    /// Whether this is a connection to a node.
+    /// Whether a connection leads to a node.
     pub fn contains(&self, id: ConnectionId) -> bool {
         self.connections.contains_key(&id)
     }
 
-    /// Takes the idle connection to a node that was used last, except those in `excluded`. Connections whose time is
-    /// over are returned too, to be closed.
+    /// Takes the most recently used idle connection to a node that is not in `excluded`. Also returns the expired
+    /// connections that were removed, which the caller closes.
     pub fn take_idle(
         &mut self,
         now: Nanos,
@@ -143,7 +145,7 @@
         (None, expired)
     }
 
-    /// Forgets the connections that have been idle for too long; they are returned, to be closed.
+    /// Removes the connections that have been idle for too long and returns them; the caller closes them.
     pub fn remove_expired(&mut self, now: Nanos) -> Vec<ConnectionId> {
         let is_expired =
             |connection: &NodeConnection| connection.attempt.is_none() && connection.reusable_until <= now;
@@ -154,16 +156,17 @@
         expired
     }
 
-    /// Connections that carry an attempt to this node, or to any for `None`, and were begun at this time at the latest.
-    pub fn in_flight(&self, node: Option<NodeId>, begun_until: Nanos) -> Vec<ConnectionId> {
+    /// Returns the connections that carry an attempt to this node (to any node for `None`) and on which connecting was
+    /// started at `started_until` or earlier.
+    pub fn in_flight(&self, node: Option<NodeId>, started_until: Nanos) -> Vec<ConnectionId> {
         self.matching(|connection| {
             connection.attempt.is_some()
                 && node.is_none_or(|node| connection.node == node)
-                && connection.connect_started_at <= begun_until
+                && connection.connect_started_at <= started_until
         })
     }
 
-    /// In the order in which they were begun, so that a run can be replayed.
+    /// Returns connections in the order of their identifiers, which makes runs reproducible.
     fn matching(&self, is_wanted: impl Fn(&NodeConnection) -> bool) -> Vec<ConnectionId> {
         let wanted = self.connections.iter().filter(|(_, connection)| is_wanted(connection));
         let mut ids: Vec<ConnectionId> = wanted.map(|(id, _)| *id).collect();
@@ -171,7 +174,7 @@
         ids
     }
 
-    /// Adds a connection that was begun for an attempt.
+    /// Adds a connection that is being opened for an attempt.
     pub fn insert(&mut self, now: Nanos, id: ConnectionId, node: NodeId, attempt: AttemptKey) {
         let connection = NodeConnection {
             node,
@@ -186,7 +189,7 @@
         self.by_attempt.insert(attempt, id);
     }
 
-    /// An idle connection carries an attempt.
+    /// Assigns an attempt to an idle connection.
     pub fn assign(&mut self, id: ConnectionId, attempt: AttemptKey) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.attempt = Some(attempt);
@@ -194,19 +197,19 @@
         }
     }
 
-    /// Whether the response to the attempt that a connection carries has no body.
+    /// Sets whether the response to the attempt that a connection carries has no body.
     pub fn set_expects_no_body(&mut self, id: ConnectionId, expects_no_body: bool) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.expects_no_body = expects_no_body;
         }
     }
 
-    /// The connection that carries an attempt.
+    /// Returns the connection that carries an attempt.
     pub fn connection_of(&self, attempt: AttemptKey) -> Option<ConnectionId> {
         self.by_attempt.get(&attempt).copied()
     }
 
-    /// Forgets a connection; the attempt that it carried is returned.
+    /// Removes a connection and returns the attempt that it carried.
     pub fn remove(&mut self, id: ConnectionId) -> Option<AttemptKey> {
         let connection = self.connections.remove(&id)?;
         if let Some(endpoint) = self.endpoints.get_mut(&connection.node) {
@@ -217,8 +220,8 @@
         Some(attempt)
     }
 
-    /// Reads a response; `read_closed` says that no more bytes follow. Guards against bytes that belong to no attempt:
-    /// a connection that has any is invalid.
+    /// Reads a response; `read_closed` states that no more bytes follow. A connection that receives bytes while it
+    /// carries no attempt is invalid, since those bytes could be taken for the response to its next attempt.
     pub fn read(
         &mut self,
         id: ConnectionId,
@@ -247,8 +250,8 @@
         }
     }
 
-    /// Reads a response that was complete before its connection failed; the connection is not reused. Guards against
-    /// dropping such a response, and against taking the failure for the end of one.
+    /// Reads a response that was complete before its connection failed; the connection is not reused. The failure does
+    /// not count as the end of a response without a length, which may be truncated.
     pub fn read_remaining(&mut self, id: ConnectionId, mut input: Buffer, limits: &Limits) -> ReadOutcome {
         match self.connections.get_mut(&id) {
             Some(connection) if connection.attempt.is_some() => connection.not_reusable = true,
@@ -257,7 +260,8 @@
         self.read(id, &mut input, false, limits)
     }
 
-    /// After a response: the connection is idle until then. Returns false where it has to be closed instead.
+    /// Makes a connection idle after a response, reusable until the given time. Returns false if the caller has to
+    /// close it instead.
     pub fn release(&mut self, id: ConnectionId, reusable_until: Nanos) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         let endpoint = self.endpoints.get_mut(&connection.node).filter(|_| !connection.not_reusable);
--- a/crates/fernknot-gateway/src/nodes/mod.rs
+++ b/crates/fernknot-gateway/src/nodes/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes: which there are, and the connections to them.
+//! The known nodes, and the connections to them.
 
 mod connections;
 mod node_table;
--- a/crates/fernknot-gateway/src/nodes/node_table.rs
+++ b/crates/fernknot-gateway/src/nodes/node_table.rs
@@ -1,4 +1,4 @@
-//! The nodes that are known, as other processes report them and as the engine was told of them.
+//! The known nodes: the records that other processes report, and the state that the engine has been given.
 
 use crate::engine_ids::EngineIds;
 use crate::settings::ZoneIds;
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
 
-/// The nodes of all services.
+/// Nodes of all services.
 pub(crate) struct NodeTable {
     directory: NodeDirectory,
-    /// What the engine was told of the incarnations of each service.
+    /// Incarnations of each service as last passed to the engine.
     engine_nodes: HashMap<ShardId, BTreeMap<String, EngineNode>>,
     next_node_id: u32,
     zones: ZoneIds,
@@ -23,19 +23,19 @@
     health: Health,
 }
 
-/// An address that attempts may be sent to.
+/// Addition or removal of an address that attempts may be sent to.
 pub(crate) enum EndpointChange {
     Add { node: NodeId, incarnation: String, addr: SocketAddrV4 },
     Remove { node: NodeId },
 }
 
-/// What has changed since the engine was told last.
+/// Differences between the reported nodes and the state that the engine has been given.
 #[derive(Default)]
 pub(crate) struct NodeChanges {
-    /// The group of each service that was looked at.
+    /// Group of each service that was compared.
     pub(crate) groups: Vec<(PlaceId, u32)>,
     pub(crate) endpoints: Vec<EndpointChange>,
-    /// Nodes that get no further attempts.
+    /// Nodes that receive no further attempts.
     pub(crate) leaving: Vec<NodeId>,
     pub(crate) entries: Vec<NodeEntry>,
 }
@@ -50,18 +50,18 @@
         }
     }
 
-    /// What other processes have reported.
+    /// Returns the records that other processes have reported.
     pub(crate) fn directory(&self) -> &NodeDirectory {
         &self.directory
     }
 
-    /// How many incarnations the engine knows.
+    /// Number of incarnations that the engine knows.
     pub(crate) fn engine_node_count(&self) -> usize {
         self.engine_nodes.values().map(BTreeMap::len).sum()
     }
 
-    /// Takes reported records. Returns those that say something new: only these are forwarded, so that no record is
-    /// forwarded in a circle.
+    /// Applies reported records. Returns those with a new state or a newer sequence number: only these are forwarded,
+    /// so that no record circulates between relays for ever.
     pub(crate) fn apply_updates(&mut self, now: Nanos, records: &[NodeRecord]) -> Vec<NodeRecord> {
         let is_new = |record: &&NodeRecord| {
             let known = self.directory.get(&record.id);
@@ -72,7 +72,7 @@
         new
     }
 
-    /// All records of a subscription have been reported since the watermark.
+    /// Completes a snapshot: all records of the subscription have been reported since the watermark.
     pub(crate) fn finish_snapshot(&mut self, watermark: u64, subscription: &Subscription) {
         let services = match subscription {
             Subscription::All => None,
@@ -81,36 +81,36 @@
         self.directory.finish_snapshot(watermark, services);
     }
 
-    /// A source of updates is in touch with the controllers.
+    /// Records a heartbeat of a source of updates that is in contact with the controllers.
     pub(crate) fn record_source_heartbeat(&mut self, now: Nanos) {
         self.directory.record_source_heartbeat(now);
     }
 
-    /// Drops records that no source has named for long.
+    /// Removes records that no source has reported for too long.
     pub(crate) fn expire(&mut self, now: Nanos) {
         self.directory.expire(now);
     }
 
-    /// Another incarnation has answered at the address of this one, which is gone then. Returns whether it is listed.
+    /// Marks an incarnation as lost after another one has answered at its address. Returns whether it is listed.
     pub(crate) fn mark_lost(&mut self, now: Nanos, incarnation: &str) -> bool {
         let Some(record) = self.directory.get(incarnation).cloned() else { return false };
         self.directory.apply_updates(now, &[NodeRecord { state: NodeState::Lost, ..record }]);
         true
     }
 
-    /// What differs from what the engine was told, in all services.
+    /// Returns the changes that the engine has not been given, in all services.
     pub(crate) fn all_changes(&mut self, ids: &mut EngineIds) -> NodeChanges {
         let services: Vec<String> = self.directory.services().map(str::to_string).collect();
         self.changes_of(services, ids)
     }
 
-    /// The same in services that have changed since the last call.
+    /// Returns these changes for the services that have changed since the last call.
     pub(crate) fn recent_changes(&mut self, ids: &mut EngineIds) -> NodeChanges {
         let services = self.directory.take_changed_services();
         self.changes_of(services, ids)
     }
 
-    /// Forgets which services have changed: there is no engine yet, and it is told of all nodes once there is one.
+    /// Clears the set of changed services. It is not needed before the engine starts, which is then given all nodes.
     pub(crate) fn skip_recent_changes(&mut self) {
         let _ = self.directory.take_changed_services();
     }
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Nodes that the directory has dropped without a report that they are gone: no source names them, and nothing
-    /// further may be sent to them.
+    /// Adds the removal of nodes that the directory has dropped without a report that they are gone: no source reports
+    /// them any more, so no further attempts may be sent to them.
     fn add_dropped_nodes(&mut self, service: &str, shard: ShardId, changes: &mut NodeChanges) {
         let Some(engine_nodes) = self.engine_nodes.get_mut(&shard) else { return };
         let directory = &self.directory;
--- a/crates/fernknot-gateway/src/requests/completed_request.rs
+++ b/crates/fernknot-gateway/src/requests/completed_request.rs
@@ -1,4 +1,4 @@
-//! A request on which the engine has decided, and the response to its client.
+//! A request that the engine has completed, and the response to its client.
 
 use super::pending_request::PendingRequest;
 use super::response::FinalResponse;
@@ -6,14 +6,14 @@
 use fernknot::interface::Nanos;
 use fernknot_engine::Verdict;
 
-/// A request on which the engine has decided.
+/// A request with the engine's verdict on it.
 pub(crate) struct CompletedRequest {
     pub(crate) request: PendingRequest,
     pub(crate) verdict: Verdict,
 }
 
 impl CompletedRequest {
-    /// The response to the client. A merged body is written into `merged`.
+    /// Returns the response to the client. A merged body is written into `merged`.
     pub(crate) fn response<'a>(&'a self, now: Nanos, merged: &'a mut Vec<u8>) -> FinalResponse<'a> {
         let granularity = Nanos::from_millis(LOOP_GRANULARITY_MS);
         match &self.verdict {
--- a/crates/fernknot-gateway/src/requests/mod.rs
+++ b/crates/fernknot-gateway/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of clients that are in flight, and the responses that nodes and the gateway give to them.
+//! Requests of clients that are in flight, and the responses to them.
 
 mod completed_request;
 mod pending_request;
--- a/crates/fernknot-gateway/src/requests/pending_request.rs
+++ b/crates/fernknot-gateway/src/requests/pending_request.rs
@@ -1,4 +1,4 @@
-//! One request of a client while nodes work on it.
+//! A request of a client that is in flight.
 
 use super::response::FinalResponse;
 use crate::config_snapshot::ConfigSnapshot;
@@ -11,45 +11,44 @@
 use std::io::Write;
 use std::rc::Rc;
 
-/// Bytes that the head of a request usually fits in.
-const HEAD_CAPACITY_BYTES: usize = 256;
+/// Initial capacity for the head of a request, in bytes.
+const INITIAL_HEAD_CAPACITY_BYTES: usize = 256;
 
 /// A request that waits for its response.
 pub struct PendingRequest {
-    /// The client's connection.
+    /// Connection of the client.
     pub client: ConnectionId,
-    /// The engine's identifier of the request.
+    /// Identifier of the request in the engine.
     pub multiget: MultigetId,
-    /// The configuration that was in force when the request was read; it stays until the response is written.
+    /// Configuration that was in force when the request was read, which applies until the response is written.
     pub config: Rc<ConfigSnapshot>,
-    /// The index of its route in the configuration.
+    /// Index of the request's route in the configuration.
     pub route: usize,
-    /// The client's `Attempt-Id`.
+    /// `Attempt-Id` of the client.
     pub attempt_id: String,
-    /// Until when the client waits.
+    /// Time until which the client waits.
     pub deadline: Nanos,
-    /// The method is `HEAD`: responses have no body.
+    /// Whether the method is `HEAD`, whose responses have no body.
     pub expects_no_body: bool,
-    /// The connections that it was sent over, one for each attempt. Guards against a late or duplicate response to one
-    /// attempt in the place of the response to another: both have the same `Attempt-Id`, so that only the connection
-    /// tells them apart.
+    /// Connections that the attempts were sent over; none is used twice. All attempts have the same `Attempt-Id`, so
+    /// that only the connection distinguishes the response to one from a late or duplicate response to another.
     pub used_connections: Vec<ConnectionId>,
-    /// It was sent over a connection that was open.
+    /// Whether the request was sent over a connection that was already open.
     pub was_sent: bool,
-    /// Connections that were begun for it and are not known to have failed before they were open: what was written to
-    /// one has not been sent only while it is still opening.
+    /// Connections that were started for the request, except those known to have failed before they opened. Output for
+    /// one of them is certain to be unsent only while the connection is still opening.
     pub opening_connections: Vec<ConnectionId>,
-    /// The head as nodes get it, without the fields that differ from node to node.
+    /// Head as sent to nodes, without the fields that differ between nodes.
     head: Vec<u8>,
     body: Vec<u8>,
-    /// The first answer of each shard.
+    /// First answer of each shard.
     parts: Vec<Option<Response>>,
-    /// A complete response of a node that is a failure, for want of a better one.
+    /// Complete error response of a node, which is forwarded if there is no better one.
     failure: Option<Response>,
 }
 
 impl PendingRequest {
-    /// A request that nothing has been sent for.
+    /// Creates a request for which no attempt has been sent.
     pub fn new(
         client: ConnectionId,
         config: Rc<ConfigSnapshot>,
@@ -77,33 +76,37 @@
         }
     }
 
-    /// Writes the request for one node, which stops working on it when `time_left` is over.
+    /// Writes the request for one node, with `time_left` as its deadline.
     pub fn write_to_node(&self, output: &mut Buffer, incarnation: &str, time_left: Nanos) {
         output.push(&self.head);
-        let left_ms = (time_left.0 / 1_000_000).max(1);
+        let time_left_ms = (time_left.0 / 1_000_000).max(1);
         let (deadline, target) = (headers::DEADLINE_MS, headers::TARGET_NODE);
         // Writing to a buffer does not fail.
-        let _ = write!(output, "{deadline}: {left_ms}\r\n{target}: {incarnation}\r\n\r\n");
+        let _ = write!(output, "{deadline}: {time_left_ms}\r\n{target}: {incarnation}\r\n\r\n");
         output.push(&self.body);
     }
 
-    /// Keeps the first answer of a shard.
+    /// Stores the answer of a shard, unless the shard has answered before.
     pub fn add_part(&mut self, index: usize, response: Response) {
         if let Some(part) = self.parts.get_mut(index) {
             part.get_or_insert(response);
         }
     }
 
-    /// Keeps a failure for want of a better response, unless its status promises what may be untrue: that the request
-    /// was not executed, or that it may be repeated.
+    /// Stores an error response in case there is no better one. Statuses that state that the request was not executed
+    /// or may be repeated are excluded, since that may be untrue.
     pub fn record_failure(&mut self, response: Response) {
-        let is_promise = matches!(response.status, 408 | 421 | 429 | 503);
-        if self.parts.len() == 1 && response.has_certain_end && response.status >= 400 && !is_promise {
+        let implies_not_executed = matches!(response.status, 408 | 421 | 429 | 503);
+        if self.parts.len() == 1
+            && response.has_certain_end
+            && response.status >= 400
+            && !implies_not_executed
+        {
             self.failure = Some(response);
         }
     }
 
-    /// The response made of the answers that were received, if they reach the quorum. A merged body is written into
+    /// Returns the response made from the answers received, if they reach the quorum. A merged body is written into
     /// `merged`.
     pub fn merged_response<'a>(&'a self, merged: &'a mut Vec<u8>) -> Option<FinalResponse<'a>> {
         let RouteTarget::Fanout { top_k, quorum, .. } = &self.config.route(self.route).target else {
@@ -123,7 +126,8 @@
         Some(FinalResponse { status: 200, headers: fields, body: merged, content_length: None })
     }
 
-    /// The response where no answer reaches the quorum: a node's own failure, or else an empty one of this status.
+    /// Returns the response to a request without a quorum of answers: a node's error response, or else an empty
+    /// response with this status.
     pub fn error_response(&self, status: u16) -> FinalResponse<'_> {
         match &self.failure {
             Some(failure) => self.forward_response(failure),
@@ -134,7 +138,7 @@
         }
     }
 
-    /// The response to a request that was not executed and may be repeated after this time.
+    /// Returns the response to a request that was not executed and may be repeated after this time.
     pub fn rejection(&self, retry_after: Nanos) -> FinalResponse<'_> {
         let retry_after_s = retry_after.as_millis() / 1e3;
         let fields = vec![self.attempt_id_field(), ("Retry-After", format!("{retry_after_s:.3}"))];
@@ -153,9 +157,9 @@
     }
 }
 
-/// The request line and the fields that all nodes get.
+/// Returns the request line and the fields that are sent to every node.
 fn forwarded_head(request: &Request) -> Vec<u8> {
-    let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
+    let mut head = Vec::with_capacity(INITIAL_HEAD_CAPACITY_BYTES);
     // Writing to a vector does not fail.
     let _ = write!(head, "{} {} HTTP/1.1\r\n", request.method, request.target);
     for (name, value) in request.headers().iter().filter(|(name, _)| is_forwarded_header(name)) {
--- a/crates/fernknot-gateway/src/requests/request_table.rs
+++ b/crates/fernknot-gateway/src/requests/request_table.rs
@@ -1,4 +1,4 @@
-//! All requests in flight, by the identifiers that clients' connections and the engine have for them.
+//! All requests in flight, by the identifiers that clients' connections and the engine use for them.
 
 use super::pending_request::PendingRequest;
 use fernknot::interface::*;
@@ -15,7 +15,7 @@
 }
 
 impl RequestTable {
-    /// An identifier that no request had before.
+    /// Returns an identifier that no request has had before.
     pub(crate) fn next_id(&mut self) -> RequesterId {
         let id = RequesterId(self.next_id);
         self.next_id += 1;
@@ -37,13 +37,13 @@
         self.requests.get(&id)
     }
 
-    /// The request that a part belongs to.
+    /// Returns the request that a part belongs to.
     pub(crate) fn of_part(&mut self, part: PartId) -> Option<&mut PendingRequest> {
         let id = self.by_multiget.get(&part.multiget)?;
         self.requests.get_mut(id)
     }
 
-    /// A connection that was begun for a part is known never to have opened.
+    /// Removes a connection that was started for a part and is known never to have opened.
     pub(crate) fn remove_opening_connection(&mut self, part: PartId, connection: ConnectionId) {
         if let Some(request) = self.of_part(part) {
             request.opening_connections.retain(|opening| *opening != connection);
--- a/crates/fernknot-gateway/src/requests/response.rs
+++ b/crates/fernknot-gateway/src/requests/response.rs
@@ -1,28 +1,28 @@
-//! What a response of a node is worth, and how a response to a client is written.
+//! Classification of nodes' responses, and serialisation of responses to clients.
 
 use crate::headers;
 use fernknot_net::Buffer;
 use fernknot_protocol::http::Response;
 use std::io::Write;
 
-/// What a response of a node means for the attempt that its connection carries.
+/// Class of a node's response, with regard to the attempt that its connection carries.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ResponseClass {
     /// A sealed, complete answer.
     Part,
     /// The node did not execute the request.
     NotExecuted {
-        /// Another incarnation than the one that was meant has answered.
+        /// Whether another incarnation than the addressed one has answered.
         wrong_node: bool,
     },
-    /// The node may have executed the request, and has no valid answer.
+    /// The node may have executed the request, but the response is no valid answer.
     Failure,
     /// A response to another attempt, or to none.
     Mismatched,
 }
 
-/// Classifies a response by its head. Guards against a late response in the place of another, a truncated one, and a
-/// failure that has a seal.
+/// Classifies a response by its head. A response counts as an answer only if its `Attempt-Id` matches, its status is a
+/// success, it has a seal, its end is certain, and its body is not encoded.
 pub fn classify_response(response: &Response, attempt_id: &str) -> ResponseClass {
     if response.header(headers::ATTEMPT_ID) != Some(attempt_id) {
         return ResponseClass::Mismatched;
@@ -39,21 +39,21 @@
     }
 }
 
-/// A response to a client, as it is written.
+/// A response to a client.
 pub struct FinalResponse<'a> {
-    /// The HTTP status code.
+    /// HTTP status code.
     pub status: u16,
     /// Header fields without those that concern the connection or the length.
     pub headers: Vec<(&'a str, String)>,
-    /// The body; empty for a response to `HEAD`.
+    /// Body; empty for a response to `HEAD`.
     pub body: &'a [u8],
-    /// The value of `Content-Length` where it is not the length of `body`: in a response to `HEAD`.
+    /// Value of `Content-Length` if it differs from the length of `body`, as in a response to `HEAD`.
     pub content_length: Option<&'a str>,
 }
 
 impl FinalResponse<'_> {
-    /// Writes the response. The connection stays open after it if `keep_alive`; the client may then reuse it for
-    /// `idle_s` seconds, which a value of 0 leaves unsaid.
+    /// Writes the response. If `keep_alive` is set, the connection stays open, and the response states that the client
+    /// may reuse it for `idle_s` seconds; 0 states nothing.
     pub fn write(&self, output: &mut Buffer, keep_alive: bool, idle_s: u64) {
         // Writing to a buffer does not fail.
         let _ = write!(output, "HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and which services a request is for by it.
+//! The configuration in force, and the routing of requests to services by it.
 
 use crate::clients::{ClientTimeouts, Rejection};
 use crate::config_snapshot::ConfigSnapshot;
@@ -16,29 +16,31 @@
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 
-/// Unused identifiers are looked for once in so many times `contact_ms`.
+/// Interval of the sweeps for unused identifiers, in multiples of `contact_ms`.
 const ID_SWEEP_INTERVAL_CONTACTS: f64 = 2.0;
-/// A request may take so many times `header_ms` to arrive.
+/// Maximum time for a complete request to arrive, in multiples of `header_ms`.
 const RECEIVE_TIMEOUT_HEADERS: f64 = 2.0;
-/// A use case is kept after its route has been removed: for so many times the longest deadline, and some time more.
+/// Time for which a use case is kept after its route has been removed, in multiples of the longest deadline.
 const USE_CASE_RETENTION_DEADLINES: f64 = 2.0;
-const USE_CASE_RETENTION_MS: f64 = 10_000.0;
-/// What was spent on retries of a service counts by its identifier in this many windows.
-const ID_RETENTION_WINDOWS: f64 = 2.0;
+/// Time that is added to the retention of use cases, in milliseconds.
+const EXTRA_USE_CASE_RETENTION_MS: f64 = 10_000.0;
+/// Time for which the identifier of an unused service is kept, in retry windows: the retries that were spent on the
+/// service count by its identifier for as long.
+const ID_RETENTION_RETRY_WINDOWS: f64 = 2.0;
 
-/// A request with the services that answer it.
+/// A request with its route and the services that have to answer it.
 pub(crate) struct RoutedRequest {
     pub(crate) request: Request,
     pub(crate) config: Rc<ConfigSnapshot>,
-    /// The index of its route in the configuration.
+    /// Index of the request's route in the configuration.
     pub(crate) route: usize,
     pub(crate) attempt_id: String,
-    /// How long the client waits.
+    /// Time that the client waits, bounded by the deadline of the route.
     pub(crate) timeout: Nanos,
     pub(crate) parts: Vec<RequestedPart>,
 }
 
-/// The configuration in force.
+/// Configuration in force, with the engine's identifiers and the limits that depend on it.
 pub(crate) struct Routing {
     config: Option<Rc<ConfigSnapshot>>,
     ids: EngineIds,
@@ -50,7 +52,7 @@
 }
 
 impl Routing {
-    /// No configuration yet.
+    /// Creates routing without a configuration.
     pub(crate) fn new(
         settings: &GatewaySettings,
         max_connections: usize,
@@ -63,18 +65,18 @@
             ids: EngineIds::default(),
             http_limits,
             rng: Mwc::new(rng_seed),
-            id_sweep_interval: settings.contact.times(ID_SWEEP_INTERVAL_CONTACTS),
-            id_retention: settings.retry_window.times(ID_RETENTION_WINDOWS),
+            id_sweep_interval: settings.contact_timeout.times(ID_SWEEP_INTERVAL_CONTACTS),
+            id_retention: settings.retry_window.times(ID_RETENTION_RETRY_WINDOWS),
             next_id_sweep_at: Nanos(0),
         })
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` before the first one.
     pub(crate) fn config(&self) -> Option<&Rc<ConfigSnapshot>> {
         self.config.as_ref()
     }
 
-    /// The engine's identifiers.
+    /// Returns the engine's identifiers.
     pub(crate) fn ids(&mut self) -> &mut EngineIds {
         &mut self.ids
     }
@@ -83,12 +85,12 @@
         self.ids.service_count()
     }
 
-    /// Bounds of messages over HTTP.
+    /// Returns the size limits of HTTP messages.
     pub(crate) fn http_limits(&self) -> &Limits {
         &self.http_limits
     }
 
-    /// The time-outs of clients' connections.
+    /// Returns the time-outs of clients' connections.
     pub(crate) fn client_timeouts(&self) -> ClientTimeouts {
         let default = ClientLimits::default();
         let limits = self.config.as_ref().map_or(&default, |config| &config.config.limits);
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Puts a configuration in force; `None` if its revision is not above the one in force. Guards against going back.
+    /// Puts a configuration in force. Returns `None` if its revision is not newer than the one in force, so that a
+    /// delayed update cannot restore an older configuration.
     pub(crate) fn apply(
         &mut self,
         now: Nanos,
@@ -108,8 +111,9 @@
         if self.config.as_ref().is_some_and(|current| current.revision >= revision) {
             return None;
         }
-        let longest_ms = config.routes.iter().map(|route| route.deadline_ms).max().unwrap_or(0);
-        let retention_ms = longest_ms as f64 * USE_CASE_RETENTION_DEADLINES + USE_CASE_RETENTION_MS;
+        let longest_deadline_ms = config.routes.iter().map(|route| route.deadline_ms).max().unwrap_or(0);
+        let retention_ms =
+            longest_deadline_ms as f64 * USE_CASE_RETENTION_DEADLINES + EXTRA_USE_CASE_RETENTION_MS;
         self.http_limits.max_head_bytes = config.limits.header_bytes as usize;
         self.http_limits.max_body_bytes = config.limits.body_bytes as usize;
         let change = self.ids.snapshot(now, revision, config, Nanos::from_millis(retention_ms));
@@ -128,8 +132,9 @@
         let attempt_id = attempt_id.filter(|id| headers::is_valid_attempt_id(id));
         let attempt_id = attempt_id.ok_or(Rejection::InvalidAttemptId)?.to_string();
         let route = config.route(index);
-        let requested = request.header(headers::DEADLINE_MS).and_then(|text| text.trim().parse::<u64>().ok());
-        let timeout_ms = requested.unwrap_or(u64::MAX).min(route.deadline_ms);
+        let requested_timeout_ms =
+            request.header(headers::DEADLINE_MS).and_then(|text| text.trim().parse::<u64>().ok());
+        let timeout_ms = requested_timeout_ms.unwrap_or(u64::MAX).min(route.deadline_ms);
         let parts = self.parts(&route.target);
         Ok(RoutedRequest {
             request,
@@ -141,7 +146,7 @@
         })
     }
 
-    /// One part for each service that answers, all of the same weight.
+    /// Returns one part for each service that has to answer, all of the same weight.
     fn parts(&mut self, target: &RouteTarget) -> Vec<RequestedPart> {
         let services: Vec<&str> = match target {
             RouteTarget::Service(service) => vec![service],
@@ -153,21 +158,21 @@
         services.into_iter().map(part).collect()
     }
 
-    /// Draws one of the services that share a route, by their weights.
+    /// Draws one of the services that share a route, with probabilities proportional to their weights.
     fn pick_weighted_service<'a>(&mut self, services: &'a [(String, f64)]) -> &'a str {
         let total: f64 = services.iter().map(|(_, weight)| weight.max(0.0)).sum();
-        let mut left = self.rng.share() * total;
+        let mut remaining = self.rng.share() * total;
         let drawn = services.iter().find(|(_, weight)| {
-            left -= weight.max(0.0);
-            left < 0.0 && *weight > 0.0
+            remaining -= weight.max(0.0);
+            remaining < 0.0 && *weight > 0.0
         });
-        // Rounding may leave none.
+        // Rounding errors may leave no service drawn.
         let last = || services.iter().rfind(|(_, weight)| *weight > 0.0);
         drawn.or_else(last).map_or("", |(name, _)| name)
     }
 
-    /// Releases, now and then, the identifiers of services that no revision names which is in force or which a request
-    /// in flight was read under, and that have no listed node.
+    /// Releases the identifiers of unused services, once per sweep interval. A service is in use while the
+    /// configuration in force or that of a request in flight names it, or while a node of it is listed.
     pub(crate) fn release_unused_ids<'a>(
         &mut self,
         now: Nanos,
@@ -191,15 +196,16 @@
     }
 }
 
-/// What a new configuration changes in the engine.
+/// Changes of use cases that a new configuration causes in the engine.
 pub(crate) struct UseCaseChange {
-    /// The use case of each route, by identifier.
+    /// Use cases of the routes, sorted by identifier.
     pub(crate) use_cases: Vec<(UseCaseId, UseCaseSettings)>,
-    /// Use cases that no request has any more.
+    /// Use cases that no request can have any more.
     pub(crate) released: Vec<UseCaseId>,
 }
 
-/// What else bounds are made of. A gateway uses only the sizes of HTTP messages, which do not depend on it.
+/// Returns socket settings that satisfy the constructor of [`Limits`]. A gateway uses only the size limits of HTTP
+/// messages, which do not depend on them.
 fn unused_socket_settings(settings: &GatewaySettings) -> SocketSettings {
     SocketSettings {
         use_cases: Vec::new(),
--- a/crates/fernknot-gateway/src/settings.rs
+++ b/crates/fernknot-gateway/src/settings.rs
@@ -1,52 +1,52 @@
-//! What a gateway derives from the settings of its process.
+//! Settings that a gateway derives from those of its process.
 
 use fernknot::interface::{Nanos, ZoneId};
 use fernknot_schema::ProcessSettings;
 use std::net::SocketAddrV4;
 
-/// Descriptors that are neither clients' nor nodes'.
+/// Number of file descriptors that are not available for connections of clients and nodes.
 const RESERVED_DESCRIPTORS: usize = 220;
-/// A gateway has at least so many connections, whatever its limit of descriptors.
+/// Minimum number of connections, regardless of the limit of file descriptors.
 const MIN_CONNECTIONS: usize = 64;
-/// The part of the memory that bodies of incomplete requests may take.
+/// Share of the memory that bodies of incomplete requests may use.
 const PARTIAL_BODIES_MEMORY_SHARE: f64 = 1.0 / 8.0;
-/// A connection to a node that is not open after this share of `drain_cutoff_ms` is abandoned.
+/// Time for a connection to a node to open, as a share of `drain_cutoff_ms`.
 const CONNECT_TIMEOUT_SHARE: f64 = 0.25;
 
-/// Connections that a gateway with these settings may have at once, of all kinds.
+/// Maximum number of connections of all kinds that a gateway may have at the same time.
 pub fn max_connections(settings: &ProcessSettings) -> usize {
     (settings.limits.fd_limit as usize).saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS)
 }
 
-/// Where a gateway with these settings accepts connections of other processes of the system.
+/// Address at which a gateway accepts connections of other processes of the system.
 pub fn inner_addr(settings: &ProcessSettings) -> SocketAddrV4 {
     SocketAddrV4::new(settings.ip, settings.port_range.first)
 }
 
-/// The inner addresses of the controllers that the settings name.
+/// Inner addresses of the controllers that the settings name as seeds.
 pub fn controller_seeds(settings: &ProcessSettings) -> Vec<SocketAddrV4> {
     let inner_port = settings.port_range.first + 1;
     settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), inner_port)).collect()
 }
 
-/// Spans and bounds of one gateway.
+/// Time-outs and limits of one gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewaySettings {
-    /// How long a configuration may take to be in force everywhere.
-    pub(crate) apply: Nanos,
-    /// How long a process may be out of touch with another one.
-    pub(crate) contact: Nanos,
-    /// How long a draining node may still get requests.
+    /// Time until a configuration is in force everywhere.
+    pub(crate) apply_timeout: Nanos,
+    /// Time for which a process may be out of contact with another one.
+    pub(crate) contact_timeout: Nanos,
+    /// Time for which a draining node may still receive requests.
     pub(crate) drain_cutoff: Nanos,
-    /// A connection to a node that is not open after this time is abandoned.
+    /// Time after which a connection to a node that is not open yet is closed.
     pub(crate) connect_timeout: Nanos,
-    /// The window over which retries are counted.
+    /// Window over which retries are counted.
     pub(crate) retry_window: Nanos,
-    /// Retries for each request.
+    /// Number of retries that are allowed per request.
     pub(crate) retry_ratio: f64,
-    /// Bytes that bodies of incomplete requests may take together.
+    /// Maximum number of bytes that bodies of incomplete requests may use in total.
     pub(crate) max_partial_body_bytes: usize,
-    /// The gateway's own zone.
+    /// Zone of this gateway.
     pub(crate) zone: ZoneId,
 }
 
@@ -56,8 +56,8 @@
         let drain_cutoff = Nanos::from_millis(bounds.drain_cutoff_ms);
         let memory_bytes = settings.limits.memory_mb * f64::from(1 << 20);
         GatewaySettings {
-            apply: Nanos::from_millis(bounds.apply_ms),
-            contact: Nanos::from_millis(bounds.contact_ms),
+            apply_timeout: Nanos::from_millis(bounds.apply_ms),
+            contact_timeout: Nanos::from_millis(bounds.contact_ms),
             drain_cutoff,
             connect_timeout: drain_cutoff.times(CONNECT_TIMEOUT_SHARE),
             retry_window: Nanos::from_millis(bounds.retry_window_s * 1e3),
@@ -68,10 +68,10 @@
     }
 }
 
-/// The engine's identifiers for zones.
+/// Identifiers of zones in the engine.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneIds {
-    /// The zones that the settings name, sorted.
+    /// Zones that the settings name, sorted.
     names: Vec<String>,
 }
 
@@ -80,7 +80,7 @@
         ZoneIds { names: settings.zones.keys().cloned().collect() }
     }
 
-    /// The identifier of a zone; all unknown ones have the same.
+    /// Returns the identifier of a zone. All unknown zones have the same one.
     pub(crate) fn id(&self, name: &str) -> ZoneId {
         let index = self.names.iter().position(|zone| zone == name);
         ZoneId(index.map_or(u32::MAX, |index| index as u32))
--- a/crates/fernknot-gateway/src/shutdown.rs
+++ b/crates/fernknot-gateway/src/shutdown.rs
@@ -1,35 +1,35 @@
-//! A graceful shutdown, from the request to stop to the end of the process.
+//! Phases of a graceful shutdown, from the stop request to the exit of the process.
 
 use fernknot::interface::Nanos;
 
-/// The share of the grace after which the process ends whatever is in flight.
-const GRACE_SHARE: f64 = 0.92;
-/// How long the platform may need to notice that a gateway is not ready: two calls, with a little more.
-const MIN_UNREADY_TIME: Nanos = Nanos(2_600_000_000);
-/// The share of the grace that waiting for the platform takes at most.
-const MAX_UNREADY_SHARE: f64 = 0.6;
+/// Share of the grace period after which the process exits even if requests are in flight.
+const EXPIRY_GRACE_SHARE: f64 = 0.92;
+/// Time for the platform to notice that a gateway is not ready: two readiness probes and a margin.
+const UNREADY_TIME: Nanos = Nanos(2_600_000_000);
+/// Maximum share of the grace period that is spent waiting for the platform to notice.
+const MAX_UNREADY_GRACE_SHARE: f64 = 0.6;
 
-/// How far a shutdown is.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ShutdownPhase {
-    /// No stop was requested.
+    /// No stop has been requested.
     Running,
-    /// The gateway says that it is not ready, and serves what it still gets.
+    /// The gateway reports that it is not ready, and still serves new requests and connections.
     Unready,
-    /// No new connections are accepted, idle ones are closed, and requests in flight are completed.
+    /// New connections are not accepted, idle ones are closed, and requests in flight are completed.
     Draining,
-    /// The grace is nearly over: the process ends.
+    /// The grace period is nearly over, and the process exits.
     Expired,
 }
 
-/// The state of a shutdown.
+/// State of the shutdown of one gateway.
 pub(crate) struct Shutdown {
     requested_at: Option<Nanos>,
     grace: Nanos,
 }
 
 impl Shutdown {
-    /// No shutdown yet; once one is requested, it may take `grace`.
+    /// Returns the state before a stop request; a shutdown may take `grace` in all.
     pub(crate) fn new(grace: Nanos) -> Shutdown {
         Shutdown { requested_at: None, grace }
     }
@@ -48,9 +48,9 @@
     pub(crate) fn phase(&self, now: Nanos) -> ShutdownPhase {
         let Some(requested_at) = self.requested_at else { return ShutdownPhase::Running };
         let elapsed = now - requested_at;
-        if elapsed >= self.grace.times(GRACE_SHARE) {
+        if elapsed >= self.grace.times(EXPIRY_GRACE_SHARE) {
             ShutdownPhase::Expired
-        } else if elapsed < MIN_UNREADY_TIME.min(self.grace.times(MAX_UNREADY_SHARE)) {
+        } else if elapsed < UNREADY_TIME.min(self.grace.times(MAX_UNREADY_GRACE_SHARE)) {
             ShutdownPhase::Unready
         } else {
             ShutdownPhase::Draining
--- a/crates/fernknot-gateway/src/stall.rs
+++ b/crates/fernknot-gateway/src/stall.rs
@@ -1,23 +1,23 @@
-//! Notices when the event loop itself has not run for long.
+//! Detection of stalls of the event loop.
 
 use fernknot::interface::Nanos;
 
-/// A gap between two steps beyond this share of `apply_ms` is a stall of the process.
-const STALL_SHARE_OF_APPLY: f64 = 1.0 / 6.0;
+/// Maximum gap between two steps that is not a stall, as a share of `apply_ms`.
+const STALL_APPLY_TIMEOUT_SHARE: f64 = 1.0 / 6.0;
 
-/// Guards against taking a stall of this process for the silence of others.
+/// Detects stalls of this process, which must not count as time-outs of other processes.
 pub(crate) struct StallDetector {
     threshold: Nanos,
     last_step_at: Nanos,
 }
 
 impl StallDetector {
-    /// `apply` is how long a configuration may take to be in force everywhere.
-    pub(crate) fn new(apply: Nanos) -> StallDetector {
-        StallDetector { threshold: apply.times(STALL_SHARE_OF_APPLY), last_step_at: Nanos(0) }
+    /// Creates a detector; `apply_timeout` is the time until a configuration is in force everywhere.
+    pub(crate) fn new(apply_timeout: Nanos) -> StallDetector {
+        StallDetector { threshold: apply_timeout.times(STALL_APPLY_TIMEOUT_SHARE), last_step_at: Nanos(0) }
     }
 
-    /// Notes a step; returns how long the loop has stalled before it, if it has.
+    /// Records a step. Returns the time since the previous step if the loop has stalled in between.
     pub(crate) fn step(&mut self, now: Nanos) -> Option<Nanos> {
         let gap = now - std::mem::replace(&mut self.last_step_at, now);
         (gap > self.threshold).then_some(gap)
--- a/crates/fernknot-gateway/src/updates/controllers.rs
+++ b/crates/fernknot-gateway/src/updates/controllers.rs
@@ -1,14 +1,14 @@
-//! The controllers that are known to answer, or may.
+//! Controllers that this gateway may subscribe to.
 
 use fernknot_distribution::ControllerEndpoint;
 use fernknot_rpc::ControllerEndpoint as ReportedController;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Controllers by inner address.
+/// Known controllers by inner address.
 #[derive(Default)]
 pub(super) struct KnownControllers {
-    /// The zone of each; empty for a seed, whose zone is not known.
+    /// Zone of each controller; empty for a seed, whose zone is unknown.
     zones: BTreeMap<SocketAddrV4, String>,
 }
 
@@ -20,26 +20,26 @@
         }
     }
 
-    /// A source in touch with the controllers has reported all of them.
+    /// Replaces all controllers with the complete list that a source in contact with them has reported.
     pub(super) fn replace(&mut self, controllers: Vec<ReportedController>) {
         self.zones = controllers.into_iter().map(|known| (known.addr, known.zone)).collect();
     }
 
-    /// As the choice of sources needs them.
+    /// Returns the controllers for the selection of sources.
     pub(super) fn endpoints(&self) -> Vec<ControllerEndpoint> {
         let endpoint =
             |(addr, zone): (&SocketAddrV4, &String)| ControllerEndpoint { addr: *addr, zone: zone.clone() };
         self.zones.iter().map(endpoint).collect()
     }
 
-    /// As subscribers are told of them.
+    /// Returns the controllers for heartbeats to subscribers.
     pub(super) fn reported(&self) -> Vec<ReportedController> {
         let reported =
             |(addr, zone): (&SocketAddrV4, &String)| ReportedController { addr: *addr, zone: zone.clone() };
         self.zones.iter().map(reported).collect()
     }
 
-    /// The controllers, for a person to read.
+    /// Returns the controllers as text for operators.
     pub(super) fn describe(&self) -> String {
         self.zones.iter().map(|(addr, zone)| format!("controller {addr} {zone}\n")).collect()
     }
--- a/crates/fernknot-gateway/src/updates/mod.rs
+++ b/crates/fernknot-gateway/src/updates/mod.rs
@@ -1,5 +1,5 @@
-//! Updates of configuration, nodes and ownership: taken from a controller or from the relay of the zone, and forwarded
-//! to the gateways that subscribe here.
+//! Updates of configuration, nodes and ownership: received from a controller or from the relay of the zone, and
+//! forwarded to the gateways that subscribe to this one.
 
 mod controllers;
 mod ownership;
--- a/crates/fernknot-gateway/src/updates/ownership.rs
+++ b/crates/fernknot-gateway/src/updates/ownership.rs
@@ -1,13 +1,13 @@
-//! Which gateways are live by the newest assignment, and how many share the budget for retries.
+//! The live gateways by the newest assignment, and the number of gateways that share the retry budget.
 
 use fernknot::interface::Nanos;
 use fernknot_ownership::{Assignment, FencingToken, GatewayRecord, OwnedKeys, OwnedKeysSettings};
 use std::fmt::Write;
 
-/// The newest assignment.
+/// Newest assignment, and this gateway's part in it.
 pub(super) struct Ownership {
     assignment: Assignment,
-    /// Whether this gateway may take a share of the budget, and among how many.
+    /// Decides whether this gateway may use a share of the retry budget, and among how many gateways it is divided.
     owned_keys: OwnedKeys,
 }
 
@@ -30,28 +30,28 @@
         self.fencing_token() > FencingToken::default()
     }
 
-    /// Takes an assignment under a newer fencing token.
+    /// Applies an assignment that has a newer fencing token.
     pub(super) fn apply(&mut self, now: Nanos, assignment: Assignment) {
         self.assignment = assignment.sorted();
         self.owned_keys.apply(now, self.assignment.clone());
     }
 
-    /// A source in touch with the controllers says that this token is the newest.
+    /// Confirms that a fencing token is the newest, by a heartbeat of a source in contact with the controllers.
     pub(super) fn confirm(&mut self, now: Nanos, token: FencingToken) {
         self.owned_keys.confirm(now, token);
     }
 
-    /// By how many gateways the budget is shared; `None` while this one may take no share.
+    /// Number of gateways that share the retry budget; `None` while this one may use no share.
     pub(super) fn budget_sharers(&self, now: Nanos) -> Option<u32> {
         self.owned_keys.budget_sharers(now)
     }
 
-    /// This gateway takes no share of the budget any more.
+    /// Gives up this gateway's share of the retry budget.
     pub(super) fn begin_shutdown(&mut self) {
         self.owned_keys.begin_shutdown();
     }
 
-    /// The assignment, for a person to read.
+    /// Returns the assignment as text for operators.
     pub(super) fn describe(&self) -> String {
         let token = self.fencing_token();
         let mut text = format!("assignment {}.{}\n", token.view(), token.count());
--- a/crates/fernknot-gateway/src/updates/relay.rs
+++ b/crates/fernknot-gateway/src/updates/relay.rs
@@ -1,4 +1,4 @@
-//! Routes updates: from the sources that `fernknot-distribution` chooses to this gateway and to its subscribers.
+//! Routing of updates from the sources that `fernknot-distribution` selects to this gateway and to its subscribers.
 
 use super::controllers::KnownControllers;
 use super::ownership::Ownership;
@@ -19,19 +19,19 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// Bytes of one message: a configuration of the largest size that an operator may send.
+/// Maximum size of a message, in bytes. A configuration of the largest size that operators may send fits.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// The interval of this gateway's own heartbeats, in intervals of its sources' heartbeats.
+/// Interval of this gateway's own heartbeats, in intervals of its sources' heartbeats.
 const HEARTBEAT_INTERVALS: f64 = 2.0;
-/// A subscriber that has sent no heartbeat for this many of its intervals may be gone.
+/// Time after which a subscriber without heartbeats may be gone, in heartbeat intervals.
 const HEARTBEAT_TIMEOUT_INTERVALS: f64 = 3.0;
-/// Why an operator's request to force a view is rejected here.
+/// Reason given for rejecting an operator's request to force a view.
 const NO_VIEW_REASON: &str = "a gateway is in no view; order it at a controller";
 
-/// The streams of updates that reach and leave a gateway.
+/// Streams of updates that a gateway receives and sends.
 pub(crate) struct UpdateRelay {
     this_gateway: GatewayRecord,
-    /// Chooses the sources.
+    /// Selects the sources.
     relays: Relays,
     sources: SourceStreams,
     subscribers: Subscribers,
@@ -39,38 +39,38 @@
     heartbeat_interval: Nanos,
     next_heartbeat_at: Nanos,
     controllers: KnownControllers,
-    /// Services that the configuration in force names.
+    /// Services in the configuration in force.
     services: BTreeSet<String>,
-    /// The controller that the newest heartbeat comes from.
+    /// Identifier of the controller that sent the newest heartbeat with a lease.
     last_heartbeat_from: u64,
 }
 
-/// A gateway that subscribes here.
+/// A gateway that subscribes to this one.
 struct NewSubscriber {
     gateway: GatewayRecord,
     subscription: Subscription,
-    /// The revision of the configuration that it has; 0 for none.
+    /// Revision of the configuration that it has; 0 for none.
     revision: u64,
 }
 
 impl UpdateRelay {
-    /// A relay without streams. Handing over a relayed topic may take as long as a configuration to be in force
-    /// everywhere, which `settings` has as its hand-over time-out.
+    /// Creates a relay without streams. The hand-over time-out in `settings` bounds both the hand-over of a relayed
+    /// topic and the time until a configuration is in force everywhere.
     pub(crate) fn new(
         this_gateway: GatewayRecord,
         seeds: &[SocketAddrV4],
         settings: OwnedKeysSettings,
         rng_seed: u64,
     ) -> UpdateRelay {
-        let (incarnation, zone, apply) =
+        let (incarnation, zone, apply_timeout) =
             (this_gateway.incarnation, &this_gateway.zone, settings.handover_timeout);
         let mut relay = UpdateRelay {
-            relays: Relays::new(incarnation, zone, apply, RelaysLimits::default(), rng_seed),
+            relays: Relays::new(incarnation, zone, apply_timeout, RelaysLimits::default(), rng_seed),
             ownership: Ownership::new(&this_gateway, settings),
             this_gateway,
             sources: SourceStreams::default(),
             subscribers: Subscribers::default(),
-            heartbeat_interval: Relays::heartbeat_interval(apply).times(HEARTBEAT_INTERVALS),
+            heartbeat_interval: Relays::heartbeat_interval(apply_timeout).times(HEARTBEAT_INTERVALS),
             next_heartbeat_at: Nanos(0),
             controllers: KnownControllers::default(),
             services: BTreeSet::new(),
@@ -86,40 +86,41 @@
         self.relays.set_controllers(&self.controllers.endpoints());
     }
 
-    /// The services that the configuration in force names.
+    /// Sets the services that the configuration in force names.
     pub(crate) fn set_services(&mut self, config: &RoutingConfig) {
         self.relays.set_services(config.services.iter().map(|service| service.name.as_str()));
         self.services = config.services.iter().map(|service| service.name.clone()).collect();
     }
 
-    /// How long ago a source in touch with the controllers spoke for the configuration.
+    /// Time since a source in contact with the controllers last confirmed the configuration; `None` if none ever did.
     pub(crate) fn config_age(&self, now: Nanos) -> Option<Nanos> {
         self.relays.time_since_lease(now, &Topic::Configuration)
     }
 
-    /// The event loop has stalled: what was not received meanwhile says nothing of the sources.
+    /// Restarts the time-outs of sources after a stall of the event loop: messages that were not received during the
+    /// stall prove no fault of the sources.
     pub(crate) fn resume_after_stall(&mut self, now: Nanos) {
         self.relays.reset_liveness(now);
     }
 
-    /// By how many gateways the budget is shared; `None` while this one may take no share.
+    /// Number of gateways that share the retry budget; `None` while this one may use no share.
     pub(crate) fn budget_sharers(&self, now: Nanos) -> Option<u32> {
         self.ownership.budget_sharers(now)
     }
 
-    /// The fencing token of the newest assignment.
+    /// Returns the fencing token of the newest assignment.
     pub(crate) fn fencing_token(&self) -> FencingToken {
         self.ownership.fencing_token()
     }
 
-    /// When the relay wants to be polled without an event.
+    /// Time at which the relay is due to be polled without an event.
     pub(crate) fn next_wakeup(&self) -> Nanos {
         self.relays.wakes_at().min(self.next_heartbeat_at)
     }
 
     // ---- Connections -----------------------------------------------------------------------
 
-    /// Takes a connection that was accepted at the inner address.
+    /// Adds a connection that was accepted at the inner address.
     pub(crate) fn accept(&mut self, id: ConnectionId) {
         self.subscribers.accept(id);
     }
@@ -129,21 +130,21 @@
         self.sources.contains(id) || self.subscribers.contains(id)
     }
 
-    /// A connection is closed.
+    /// Handles the end of a connection: removes its subscriber, or reports its source as lost.
     pub(crate) fn connection_closed(&mut self, now: Nanos, id: ConnectionId) {
         if let Some(addr) = self.subscribers.remove(id) {
             self.relays.subscribe(addr, []);
         }
         if let Some(stream) = self.sources.remove(id) {
             let Source { kind, addr } = stream.source;
-            log::info!(target: part::CONNECTIONS, "the stream of updates from {addr} is lost");
+            log::info!(target: part::CONNECTIONS, "update stream from {addr} closed; selecting a source again");
             self.relays.source_lost(now, addr, kind);
         }
     }
 
     // ---- Subscriptions of this gateway -----------------------------------------------------
 
-    /// Subscribes and unsubscribes as the relays' actions say, and sends the heartbeats that are due.
+    /// Executes the subscriptions and cancellations that are due, and sends heartbeats.
     pub(crate) fn poll<N: Network>(&mut self, now: Nanos, network: &mut N, state: &LocalState<'_>) {
         while let Some(action) = self.relays.poll_action(now) {
             match action {
@@ -183,7 +184,7 @@
         let id = match known.map_or_else(|| network.connect(source.addr), Ok) {
             Ok(id) => id,
             Err(error) => {
-                log::warn!(target: part::CONNECTIONS, "{error}");
+                log::warn!(target: part::CONNECTIONS, "cannot subscribe to updates: {error}; selecting a source again");
                 return self.relays.source_lost(now, source.addr, source.kind);
             }
         };
@@ -215,9 +216,9 @@
         }
     }
 
-    /// Tells each source that this gateway is live, and the source of the configuration which of its subscribers are.
-    /// Relays of several topics subscribe to each other in circles: over all streams, reports of gateways that are gone
-    /// would circulate for ever, and grow. The streams of the configuration alone form a tree.
+    /// Sends each source a heartbeat, and reports the live subscribers to the source of the configuration only. Relays
+    /// of different topics may subscribe to each other in cycles: if reports were sent to all sources, those of
+    /// gateways that are gone would circulate for ever and accumulate. The streams of the configuration form a tree.
     fn send_heartbeats<N: Network>(&self, now: Nanos, network: &mut N, is_ready: bool) {
         let since = now - self.heartbeat_interval.times(HEARTBEAT_TIMEOUT_INTERVALS);
         for (id, stream) in self.sources.iter() {
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Tells the sources that this gateway stops, so that nobody waits for it.
+    /// Notifies the sources that this gateway is shutting down, so that no process waits for its heartbeats.
     pub(crate) fn announce_shutdown<N: Network>(&mut self, network: &mut N) {
         self.ownership.begin_shutdown();
         for (id, _) in self.sources.iter() {
@@ -245,7 +246,7 @@
 
     // ---- Messages --------------------------------------------------------------------------
 
-    /// Reads the messages that were received. What concerns the gateway itself is added to `updates`.
+    /// Reads the messages that were received on a connection, and adds those for the gateway itself to `updates`.
     pub(crate) fn read<N: Network>(
         &mut self,
         now: Nanos,
@@ -273,7 +274,7 @@
                 Ok(Some(())) => {}
                 Ok(None) => return,
                 Err(error) => {
-                    log::warn!(target: part::CONNECTIONS, "a message is rejected: {error}");
+                    log::warn!(target: part::CONNECTIONS, "cannot decode a message: {error}; closing its connection");
                     network.close(id);
                     return self.connection_closed(now, id);
                 }
@@ -350,7 +351,7 @@
             return;
         }
         let (count, token) = (assignment.gateways.len(), assignment.fencing_token.0);
-        log::info!(target: part::OWNERSHIP, "{count} gateways are live by the assignment under {token}");
+        log::info!(target: part::OWNERSHIP, "assignment with fencing token {token} applied: {count} live gateways");
         self.ownership.apply(now, assignment);
         self.relays.apply_assignment(now, self.ownership.assignment());
     }
@@ -387,7 +388,7 @@
         }
     }
 
-    /// A gateway subscribes here: it gets all that this one knows.
+    /// Accepts a subscription, and sends the assignment, the configuration and the subscribed node records.
     fn handle_subscribe<N: Network>(
         &mut self,
         now: Nanos,
@@ -440,7 +441,7 @@
         }
     }
 
-    /// Forwards a configuration that is new here.
+    /// Forwards a configuration that has just been applied.
     pub(crate) fn forward_config<N: Network>(&self, network: &mut N, revision: u64, config: &RoutingConfig) {
         if !self.subscribers.is_empty() {
             let config = config.clone();
@@ -454,19 +455,19 @@
         self.subscribers.broadcast(network, &ControllerToGateway::Assignment(assignment));
     }
 
-    /// Forwards that this gateway has a complete snapshot.
+    /// Notifies the subscribers that this gateway has a complete snapshot.
     pub(crate) fn forward_snapshot_complete<N: Network>(&self, network: &mut N) {
         self.subscribers.broadcast(network, &ControllerToGateway::SnapshotComplete);
     }
 
-    /// Forwards records that are new here.
+    /// Forwards node records that have changed.
     pub(crate) fn forward_nodes<N: Network>(&self, network: &mut N, records: &[NodeRecord]) {
         self.subscribers.forward_nodes(network, records, &self.services);
     }
 
     // ---- Inspection ------------------------------------------------------------------------
 
-    /// What this gateway knows of relays, ownership or controllers, for a person to read.
+    /// Returns the report on relays, ownership or controllers, as text for operators.
     pub(crate) fn describe(&self, topic: InspectionTopic) -> String {
         match topic {
             InspectionTopic::Relays => self.sources.describe() + &self.subscribers.describe(),
@@ -475,7 +476,7 @@
         }
     }
 
-    /// Sends an operator what was asked for.
+    /// Sends a report to the operator who requested it.
     pub(crate) fn send_report<N: Network>(&self, network: &mut N, id: ConnectionId, report: String) {
         send(network, id, &ControllerToGateway::InspectionReport(report));
     }
--- a/crates/fernknot-gateway/src/updates/sources.rs
+++ b/crates/fernknot-gateway/src/updates/sources.rs
@@ -1,4 +1,4 @@
-//! Streams of updates that this gateway has subscribed to.
+//! Update streams that this gateway has subscribed to.
 
 use fernknot_distribution::SourceKind;
 use fernknot_net::{ConnectionId, Network};
@@ -6,24 +6,25 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// A process that sends updates.
+/// A process that this gateway receives updates from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Source {
     pub(super) kind: SourceKind,
     pub(super) addr: SocketAddrV4,
 }
 
-/// One stream.
+/// Update stream from one source.
 pub(super) struct SourceStream {
     pub(super) source: Source,
     pub(super) subscription: Subscription,
-    /// The configuration comes from this source, which is told of the gateways that subscribe here; no other is.
+    /// Whether the configuration is received from this source. Only this source receives reports of the gateways that
+    /// subscribe to this one.
     pub(super) carries_config: bool,
-    /// The directory's watermark when the subscription was sent.
+    /// Watermark of the node directory at the time of the subscription.
     pub(super) watermark: u64,
 }
 
-/// All streams.
+/// All update streams, by connection and by source.
 #[derive(Default)]
 pub(super) struct SourceStreams {
     streams: BTreeMap<ConnectionId, SourceStream>,
@@ -64,14 +65,14 @@
         }
     }
 
-    /// Forgets a stream whose connection is closed.
+    /// Removes a stream whose connection is closed.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<SourceStream> {
         let stream = self.streams.remove(&id)?;
         self.by_source.remove(&stream.source);
         Some(stream)
     }
 
-    /// The sources, for a person to read.
+    /// Returns the sources as text for operators.
     pub(super) fn describe(&self) -> String {
         let line = |stream: &SourceStream| {
             let Source { kind, addr } = stream.source;
--- a/crates/fernknot-gateway/src/updates/subscribers.rs
+++ b/crates/fernknot-gateway/src/updates/subscribers.rs
@@ -1,4 +1,4 @@
-//! Gateways that have subscribed to this one.
+//! Gateways that have subscribed to updates of this one.
 
 use fernknot::interface::Nanos;
 use fernknot_net::{ConnectionId, Network};
@@ -8,16 +8,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// Bytes that may wait to be written to a subscriber; one that reads nothing is dropped beyond that.
+/// Maximum number of bytes that wait to be written to a subscriber; beyond it, the connection is closed.
 const MAX_PENDING_OUTPUT_BYTES: usize = 32 << 20;
-/// Gateways that are reported as live subscribers, at most.
+/// Maximum number of gateways that are reported as live subscribers.
 const MAX_REPORTED_GATEWAYS: usize = 1024;
 
 struct Subscriber {
     gateway: GatewayRecord,
     subscription: Subscription,
     last_heartbeat_at: Nanos,
-    /// The gateways that subscribe to it in turn, as it reported last.
+    /// Gateways that subscribe to it directly or indirectly, by its last report.
     descendants: Vec<GatewayRecord>,
 }
 
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub(super) struct Subscribers {
     subscribers: BTreeMap<ConnectionId, Subscriber>,
-    /// Connections that have not subscribed.
+    /// Connections over which no gateway has subscribed yet.
     unidentified: BTreeSet<ConnectionId>,
 }
 
@@ -38,7 +38,8 @@
         self.subscribers.contains_key(&id) || self.unidentified.contains(&id)
     }
 
-    /// The peer of a connection says that it is a gateway, which is to be told to [`insert`](Self::insert).
+    /// Removes a connection from the unidentified ones: its peer has identified itself as a gateway, which the caller
+    /// passes to [`insert`](Self::insert) if the subscription is accepted.
     pub(super) fn identify(&mut self, id: ConnectionId) {
         self.unidentified.remove(&id);
     }
@@ -55,13 +56,13 @@
         self.subscribers.insert(id, subscriber);
     }
 
-    /// Forgets a connection; the address of the gateway that had subscribed over it is returned.
+    /// Removes a connection. Returns the address of the gateway that had subscribed over it.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<SocketAddrV4> {
         self.unidentified.remove(&id);
         self.unsubscribe(id)
     }
 
-    /// The gateway at a connection wants no further updates.
+    /// Cancels the subscription over a connection. Returns the address of its gateway.
     pub(super) fn unsubscribe(&mut self, id: ConnectionId) -> Option<SocketAddrV4> {
         self.subscribers.remove(&id).map(|subscriber| subscriber.gateway.addr)
     }
@@ -78,9 +79,8 @@
         }
     }
 
-    /// The gateways that are live by subscribers' heartbeats since this time: the subscribers without the one at
-    /// `excluded`, and those that subscribe to them. A subscriber that hangs keeps its connection, so that only its
-    /// heartbeats show that it lives.
+    /// Returns the subscribers with a heartbeat at or after `since`, except the one at `excluded`, and the gateways
+    /// that subscribe to them. An open connection alone does not count, since a subscriber that hangs keeps it open.
     pub(super) fn live_gateways(&self, since: Nanos, excluded: SocketAddrV4) -> Vec<GatewayRecord> {
         let live = self.subscribers.values().filter(|subscriber| {
             subscriber.last_heartbeat_at >= since && subscriber.gateway.addr != excluded
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The subscribers, for a person to read.
+    /// Returns the subscribers as text for operators.
     pub(super) fn describe(&self) -> String {
         let line = |subscriber: &Subscriber| {
             let (addr, count) = (subscriber.gateway.addr, subscriber.descendants.len());
@@ -141,7 +141,7 @@
     }
 }
 
-/// Sends a message over an inner connection, unless its peer does not read: it is closed then.
+/// Sends a message over an inner connection, or closes the connection if its peer does not read.
 pub(super) fn send<N: Network>(network: &mut N, id: ConnectionId, message: &ControllerToGateway) {
     if network.pending_output_bytes(id) > MAX_PENDING_OUTPUT_BYTES {
         return network.close(id);
@@ -151,8 +151,8 @@
     }
 }
 
-/// The records of a subscription. Services that no configuration names yet belong to every one, so that their nodes
-/// are known once a configuration names them.
+/// Returns the records that a subscription covers. Services that are not in the configuration belong to every
+/// subscription, so that their nodes are known as soon as a configuration names them.
 pub(super) fn select<'a>(
     subscription: &Subscription,
     records: impl Iterator<Item = &'a NodeRecord>,
--- a/crates/fernknot-gateway/src/use_case.rs
+++ b/crates/fernknot-gateway/src/use_case.rs
@@ -1,17 +1,17 @@
-//! What the engine has to know of a route.
+//! The engine's settings for a route.
 
 use fernknot::decide::{LATE_SHARE, earnings};
 use fernknot::interface::*;
 use fernknot_schema::{Route, RouteTarget, TrafficClass};
 
-/// What tells use cases apart. Requests in flight under an earlier revision are judged by the facts of their use case,
-/// so that a route with another quorum or other effects needs another one.
+/// Identity of a use case over revisions of the configuration. Requests in flight under an earlier revision still use
+/// the settings of their use case, so a route whose quorum or traffic class changes needs a new use case.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct UseCaseKey {
     host: String,
     path_prefix: String,
     traffic_class: TrafficClass,
-    /// The bits of the quorum's share, since `f64` has no `Eq`.
+    /// Bits of the quorum's share, since `f64` has no `Eq`.
     quorum_bits: u64,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// The share of a route's shards that a response needs.
+/// Share of a route's shards that must answer for a success, from 0 to 1.
 fn quorum(route: &Route) -> f64 {
     match &route.target {
         RouteTarget::Fanout { quorum, .. } => *quorum,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The engine's description of a route.
+/// Returns the engine's settings for a route.
 pub(crate) fn use_case_settings(route: &Route) -> UseCaseSettings {
     let effect = match route.traffic_class {
         TrafficClass::Mutating => Effect::NonIdempotent,
