--- a/crates/fernknot-gateway/tests/common/mod.rs
+++ b/crates/fernknot-gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies as they stand on the wire, read by the readers that the gateway uses.
+//! Requests and responses parsed from text by the readers that the gateway uses.
 
 use fernknot::interface::Nanos;
 use fernknot_net::Buffer;
@@ -6,7 +6,7 @@
 use fernknot_router_config::{Limits, SocketSettings};
 
 pub fn limits() -> Limits {
-    let facts = SocketSettings {
+    let socket_settings = SocketSettings {
         use_cases: Vec::new(),
         shards: 0,
         max_calls_per_connection: 1,
@@ -19,7 +19,7 @@
         position: 0,
         zones: Vec::new(),
     };
-    Limits::new(1000, 64.0, &facts).unwrap()
+    Limits::new(1000, 64.0, &socket_settings).unwrap()
 }
 
 pub fn buffer(text: &str) -> Buffer {
--- a/crates/fernknot-gateway/tests/scenarios/mod.rs
+++ b/crates/fernknot-gateway/tests/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios of one gateway, step by step, at the level of bytes.
+//! Scripted scenarios of one gateway whose connections are byte buffers.
 
 use crate::simulation::{CONTROLLER, settings};
 use fernknot::interface::Nanos;
@@ -17,7 +17,7 @@
 mod resets;
 
 const NODE: &str = "10.128.0.1:8080";
-/// The longest time between two steps.
+/// Maximum time between two steps.
 const STEP_INTERVAL: Nanos = Nanos(10_000_000);
 const HEARTBEAT_INTERVAL: Nanos = Nanos(100_000_000);
 
@@ -27,13 +27,13 @@
     network: SimulatedPorts,
     listeners: ListenerIds,
     controller: ConnectionId,
-    /// Connections to the node that were begun, oldest first.
+    /// Connections to the node that were started, oldest first.
     node_connections: Vec<ConnectionId>,
     closed: Vec<ConnectionId>,
     revision: u64,
 }
 
-/// A configuration with one service of one node, to which requests under `/m/` are sent once at most.
+/// Returns a configuration with one service of one node, whose route `/m/` allows one attempt per request.
 pub fn config(limits: ClientLimits) -> RoutingConfig {
     let route = Route {
         name: "m".into(),
@@ -57,8 +57,8 @@
 }
 
 impl Scenario {
-    /// A gateway with so much memory that has this configuration and knows the node.
-    pub fn begin(memory_mb: u64, config: RoutingConfig) -> Scenario {
+    /// Starts a gateway that has this configuration and knows the node.
+    pub fn start(memory_mb: u64, config: RoutingConfig) -> Scenario {
         let mut network = SimulatedPorts::default();
         let listeners =
             ListenerIds { front: network.new_id(), ready: network.new_id(), inner: network.new_id() };
@@ -84,7 +84,7 @@
         scenario
     }
 
-    /// The controller sends a heartbeat with its lease.
+    /// Sends a heartbeat of the controller, which holds the lease.
     pub fn send_heartbeat(&mut self) {
         let addr = CONTROLLER.parse().unwrap();
         let controllers = vec![ControllerEndpoint { addr, zone: "north".into() }];
@@ -99,7 +99,7 @@
         });
     }
 
-    /// Time passes, with heartbeats of the controller.
+    /// Advances the time, with heartbeats of the controller.
     pub fn advance_with_heartbeats(&mut self, span: Nanos) {
         let end = self.now + span;
         while self.now < end {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The stream from the controller breaks, and over the next one it sends all that it knows of nodes.
+    /// Resets the update stream from the controller, which sends a snapshot of these nodes over the next stream.
     pub fn reconnect_source(&mut self, nodes: Vec<NodeRecord>) {
         let id = self.controller;
         self.network.connections.remove(&id);
@@ -123,14 +123,14 @@
         self.send_heartbeat();
     }
 
-    /// The controller sends a message.
+    /// Sends a message of the controller.
     pub fn send_update(&mut self, message: &ControllerToGateway) {
         write_message(&mut self.network.connections.get_mut(&self.controller).unwrap().input, message);
         let id = self.controller;
         self.step(vec![Event::Received { connection: id }]);
     }
 
-    /// The controller sends the next configuration.
+    /// Sends the next revision of the configuration from the controller.
     pub fn apply_config(&mut self, config: RoutingConfig) {
         self.revision += 1;
         self.send_update(&ControllerToGateway::Config {
@@ -139,7 +139,7 @@
         });
     }
 
-    /// One step with these events.
+    /// Runs one step of the gateway with these events.
     pub fn step(&mut self, events: Vec<Event>) {
         self.gateway.step(self.now, events, &mut self.network);
         for action in std::mem::take(&mut self.network.actions) {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Time passes, and nothing happens.
+    /// Advances the time without events.
     pub fn advance(&mut self, span: Nanos) {
         let end = self.now + span;
         while self.now < end {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// A client connects.
+    /// Connects a client.
     pub fn connect_client(&mut self) -> ConnectionId {
         let id = self.network.new_id();
         self.network.add_connection(id, true);
@@ -173,8 +173,8 @@
         id
     }
 
-    /// The platform connects, and sends a request.
-    pub fn ask_platform(&mut self, text: &str) -> ConnectionId {
+    /// Connects to the address for readiness and counters, and sends a request.
+    pub fn send_platform_request(&mut self, text: &str) -> ConnectionId {
         let id = self.network.new_id();
         self.network.add_connection(id, true);
         let peer = "10.9.0.1:999".parse().unwrap();
@@ -183,13 +183,13 @@
         id
     }
 
-    /// Bytes arrive on a connection.
+    /// Delivers bytes on a connection.
     pub fn receive(&mut self, id: ConnectionId, text: &str) {
         self.network.connections.get_mut(&id).unwrap().input.push(text.as_bytes());
         self.step(vec![Event::Received { connection: id }]);
     }
 
-    /// Bytes and a reset arrive on a connection, and both are reported in one step.
+    /// Delivers bytes and a reset on a connection, both reported in one step.
     pub fn receive_then_reset(&mut self, id: ConnectionId, text: &str) {
         let mut input = self.network.connections.remove(&id).unwrap().input;
         input.push(text.as_bytes());
@@ -203,7 +203,7 @@
         self.network.unread_after_reset.clear();
     }
 
-    /// What the gateway has written on a connection since the last call.
+    /// Returns the output on a connection since the last call.
     pub fn take_output(&mut self, id: ConnectionId) -> String {
         let Some(connection) = self.network.connections.get_mut(&id) else { return String::new() };
         let text = String::from_utf8_lossy(connection.output.data()).into_owned();
@@ -211,21 +211,21 @@
         text
     }
 
-    /// The connection to the node that was begun last opens; returns what is sent over it.
+    /// Opens the connection to the node that was started last. Returns the output on it.
     pub fn open_node_connection(&mut self) -> (ConnectionId, String) {
-        let id = *self.node_connections.last().expect("no connection was begun");
+        let id = *self.node_connections.last().expect("no connection was started");
         self.network.connections.get_mut(&id).unwrap().is_open = true;
         self.step(vec![Event::Connected { connection: id }]);
         (id, self.take_output(id))
     }
 
-    /// Whether the gateway has closed a connection, or does so once all is written.
+    /// Whether the gateway has closed a connection, or will close it once its output is written.
     pub fn is_closed(&self, id: ConnectionId) -> bool {
         self.network.connections.get(&id).is_none_or(|connection| connection.is_closing)
     }
 }
 
-/// The one node, as it is reported.
+/// Returns a record of the only node, as a node of this service.
 pub fn node_record(service: &str, state: NodeState) -> NodeRecord {
     NodeRecord {
         id: format!("i-{service}"),
@@ -239,12 +239,12 @@
     }
 }
 
-/// A request that may run once at most, with what its client will wait.
+/// Returns a non-idempotent request with its client's deadline.
 pub fn request(id: &str, deadline_ms: u64) -> String {
     format!("GET /m/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {id}\r\nDeadline-Ms: {deadline_ms}\r\n\r\n")
 }
 
-/// A node's complete response.
-pub fn answer(id: &str) -> String {
+/// Returns a complete response of a node.
+pub fn node_response(id: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nAnswer-Seal: s-{id}\r\nContent-Length: 2\r\n\r\nok")
 }
--- a/crates/fernknot-gateway/tests/simulation/configs.rs
+++ b/crates/fernknot-gateway/tests/simulation/configs.rs
@@ -1,25 +1,25 @@
-//! Configurations, and the services that they name.
+//! Configurations of the simulation, and the services that they name.
 
-use super::checker::{Kind, QUORUM, TOP_K};
+use super::checker::{QUORUM, RequestKind, TOP_K};
 use super::{Scheduled, Simulation};
 use fernknot_schema::{ClientLimits, Route, RouteTarget, RoutingConfig, Service, TrafficClass};
 
 pub const HOST: &str = "h.example";
-/// One service of one node, two of two, and the shards of two layouts of an index.
+/// Services of single routes, and the shards of two index layouts (`s` and `t`).
 pub const SERVICES: [&str; 8] = ["lone", "pair", "other", "s0", "s1", "s2", "t0", "t1"];
 
-pub fn prefix(kind: Kind) -> &'static str {
+pub fn prefix(kind: RequestKind) -> &'static str {
     match kind {
-        Kind::Mutating => "/m/",
-        Kind::Idempotent => "/i/",
-        Kind::Flips => "/x/",
-        Kind::Shared => "/s/",
-        Kind::Gathered => "/g/",
+        RequestKind::Mutating => "/m/",
+        RequestKind::Idempotent => "/i/",
+        RequestKind::Reclassified => "/x/",
+        RequestKind::Weighted => "/s/",
+        RequestKind::Fanout => "/g/",
     }
 }
 
-/// Whether a configuration forbids to repeat requests of a kind; where it has no route for them they are not sent.
-pub fn is_non_idempotent(config: &RoutingConfig, kind: Kind) -> bool {
+/// Whether a configuration forbids to repeat requests of a kind. Requests without a route are not sent to nodes.
+pub fn is_non_idempotent(config: &RoutingConfig, kind: RequestKind) -> bool {
     let route = config.routes.iter().find(|route| route.path_prefix == prefix(kind));
     route.is_none_or(|route| route.traffic_class == TrafficClass::Mutating)
 }
@@ -36,8 +36,8 @@
         flipping_class: Option<TrafficClass>,
         other_layout: bool,
     ) {
-        let max_attempts = 1 + self.rng.under(3) as u32;
-        let route = |kind: Kind, traffic_class, service| Route {
+        let max_attempts = 1 + self.rng.below(3) as u32;
+        let route = |kind: RequestKind, traffic_class, service| Route {
             name: prefix(kind).into(),
             authority: HOST.into(),
             path_prefix: prefix(kind).into(),
@@ -57,17 +57,25 @@
         self.checker.shard_sets.push(shards.iter().cloned().collect());
         let weighted = RouteTarget::WeightedServices(vec![("pair".into(), 2.0), ("other".into(), 1.0)]);
         let mut routes = vec![
-            route(Kind::Mutating, TrafficClass::Mutating, service_target(service)),
-            route(Kind::Idempotent, TrafficClass::Idempotent, service_target("pair")),
-            route(Kind::Shared, TrafficClass::Mutating, weighted),
+            route(RequestKind::Mutating, TrafficClass::Mutating, service_target(service)),
+            route(RequestKind::Idempotent, TrafficClass::Idempotent, service_target("pair")),
+            route(RequestKind::Weighted, TrafficClass::Mutating, weighted),
             route(
-                Kind::Gathered,
+                RequestKind::Fanout,
                 TrafficClass::Idempotent,
                 RouteTarget::Fanout { shards, top_k: TOP_K, quorum: QUORUM },
             ),
         ];
-        routes.extend(flipping_class.map(|class| route(Kind::Flips, class, service_target("lone"))));
-        let kinds = [Kind::Mutating, Kind::Idempotent, Kind::Shared, Kind::Gathered, Kind::Flips];
+        routes.extend(
+            flipping_class.map(|class| route(RequestKind::Reclassified, class, service_target("lone"))),
+        );
+        let kinds = [
+            RequestKind::Mutating,
+            RequestKind::Idempotent,
+            RequestKind::Weighted,
+            RequestKind::Fanout,
+            RequestKind::Reclassified,
+        ];
         for kind in kinds {
             let matching = routes.iter().filter(|route| route.path_prefix == prefix(kind));
             for route in matching {
@@ -93,16 +101,16 @@
         self.configs.push(RoutingConfig { epoch, routes, services, limits });
     }
 
-    /// The operator's next configuration.
+    /// Adds the operator's next configuration, and schedules its distribution.
     pub fn change_config(&mut self) {
         let epoch = self.configs.len() as u64 + 1;
-        let service = ["lone", "pair", "other"][self.rng.under(3)];
+        let service = ["lone", "pair", "other"][self.rng.below(3)];
         let flipping_class =
-            [None, Some(TrafficClass::Mutating), Some(TrafficClass::Idempotent)][self.rng.under(3)];
-        let other_layout = self.rng.odds(300);
+            [None, Some(TrafficClass::Mutating), Some(TrafficClass::Idempotent)][self.rng.below(3)];
+        let other_layout = self.rng.chance_per_mille(300);
         self.add_config(epoch, service, flipping_class, other_layout);
-        self.checker.coverage.add("changes");
-        let wait = self.rng.millis(0.0, 40.0);
-        self.schedule(self.now + wait, Scheduled::Heartbeat { again: false });
+        self.checker.coverage.add("configuration changes");
+        let wait = self.rng.duration_ms(0.0, 40.0);
+        self.schedule(self.now + wait, Scheduled::Heartbeat { repeat: false });
     }
 }
--- a/crates/fernknot-gateway/tests/simulation/controller.rs
+++ b/crates/fernknot-gateway/tests/simulation/controller.rs
@@ -1,6 +1,6 @@
-//! A controller as a gateway sees it: assignments, configurations, nodes and heartbeats.
+//! Simulated controller, which sends assignments, configurations, node records and heartbeats.
 
-use super::{CONTROLLER, Completion, SENDING, SETTLING, Scheduled, Simulation, addr};
+use super::{CLIENT_SEND_TIME, COMPLETION_TIME, CONTROLLER, Completion, Scheduled, Simulation, addr};
 use fernknot::interface::Nanos;
 use fernknot_net::{Buffer, ConnectionId};
 use fernknot_ownership::{Assignment, FencingToken, GatewayRecord};
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub struct Controller {
     subscribers: BTreeMap<ConnectionId, Subscriber>,
-    /// The fencing token of the newest assignment.
+    /// Fencing token of the newest assignment.
     fencing_token: u64,
 }
 
@@ -24,7 +24,7 @@
 struct Subscriber {
     input: Buffer,
     gateway: Option<GatewayRecord>,
-    /// How many configurations there were when it was sent the last one.
+    /// Number of configurations that existed when the last one was sent to it.
     config_count: usize,
 }
 
@@ -55,17 +55,17 @@
                     subscriber.gateway = Some(gateway.clone());
                     self.controller.fencing_token += 1;
                     let fencing_token = FencingToken::new(1, self.controller.fencing_token as u32);
-                    let cut = Assignment { fencing_token, gateways: vec![gateway], presumed_alive: 1 };
-                    self.send_update(id, &ControllerToGateway::Assignment(cut), None);
-                    let settings = self.node_records();
-                    self.send_update(id, &ControllerToGateway::NodeUpdates(settings), None);
+                    let assignment = Assignment { fencing_token, gateways: vec![gateway], presumed_alive: 1 };
+                    self.send_update(id, &ControllerToGateway::Assignment(assignment), None);
+                    let records = self.node_records();
+                    self.send_update(id, &ControllerToGateway::NodeUpdates(records), None);
                     self.send_config(id);
                     self.send_update(id, &ControllerToGateway::SnapshotComplete, None);
                     self.send_heartbeat(id);
                 }
                 Ok(Some(_)) => {}
                 Ok(None) => return,
-                Err(error) => return self.checker.violation(format!("a word that is none: {error}")),
+                Err(error) => return self.checker.violation(format!("malformed message: {error}")),
             }
         }
     }
@@ -110,21 +110,21 @@
             .collect()
     }
 
-    /// Sends heartbeats, and configurations that are new.
-    pub fn heartbeat(&mut self, again: bool) {
+    /// Sends heartbeats and new configurations to all subscribers.
+    pub fn heartbeat(&mut self, repeat: bool) {
         for id in self.subscribed() {
             self.send_config(id);
             self.send_heartbeat(id);
         }
-        if again && self.now < SENDING + SETTLING {
-            self.schedule(self.now + HEARTBEAT_INTERVAL, Scheduled::Heartbeat { again });
+        if repeat && self.now < CLIENT_SEND_TIME + COMPLETION_TIME {
+            self.schedule(self.now + HEARTBEAT_INTERVAL, Scheduled::Heartbeat { repeat });
         }
     }
 
-    /// Sends records of nodes to all subscribers.
-    pub fn report_nodes(&mut self, settings: &[NodeRecord]) {
+    /// Sends node records to all subscribers.
+    pub fn report_nodes(&mut self, records: &[NodeRecord]) {
         for id in self.subscribed() {
-            self.send_update(id, &ControllerToGateway::NodeUpdates(settings.to_vec()), None);
+            self.send_update(id, &ControllerToGateway::NodeUpdates(records.to_vec()), None);
         }
     }
 }
--- a/crates/fernknot-gateway/tests/simulation/delivery.rs
+++ b/crates/fernknot-gateway/tests/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! The network between the gateway and its peers.
+//! Simulated network between the gateway and its peers.
 
 use super::{Arrival, CONTROLLER, Completion, Peer, Scheduled, Simulation, addr};
 use fernknot::interface::Nanos;
@@ -9,13 +9,13 @@
 use std::net::SocketAddrV4;
 
 impl Simulation {
-    /// Carries out the gateway's actions, and sends its output over open connections.
+    /// Executes the gateway's network actions, and sends its output over open connections.
     pub(super) fn flush(&mut self) {
         for action in std::mem::take(&mut self.network.actions) {
             match action {
                 PortAction::Connect(id, to) => self.connected(id, to),
                 PortAction::Close(id) => self.notify_closed(id),
-                PortAction::StopListening => self.stopping = true,
+                PortAction::StopListening => self.is_stopping = true,
             }
         }
         for id in std::mem::take(&mut self.network.pending_output) {
@@ -33,7 +33,7 @@
         let closing = connection.is_closing;
         if !bytes.is_empty() {
             if matches!(self.peers.get(&id), Some(Peer::Host(_))) {
-                self.record_offers(id, &bytes);
+                self.record_sent_attempts(id, &bytes);
             }
             self.send_to_peer(id, bytes);
         }
@@ -43,17 +43,17 @@
         }
     }
 
-    pub(super) fn record_offers(&mut self, id: ConnectionId, bytes: &[u8]) {
+    pub(super) fn record_sent_attempts(&mut self, id: ConnectionId, bytes: &[u8]) {
         let mut bytes_so_far = self.partial_requests.remove(&id).unwrap_or_default();
         bytes_so_far.extend(bytes);
         loop {
             match wire::parse_message(&bytes_so_far) {
                 Ok(Some(message)) => {
                     bytes_so_far.drain(..message.length);
-                    self.note(|| {
-                        format!("{id:?} offers {} {:?}", message.start_line, message.header("Attempt-Id"))
+                    self.log_event(|| {
+                        format!("{id:?} sends {} {:?}", message.start_line, message.header("Attempt-Id"))
                     });
-                    self.checker.record_offer(self.now, id, &message);
+                    self.checker.record_sent_attempt(self.now, id, &message);
                 }
                 Ok(None) => break,
                 Err(error) => {
@@ -66,28 +66,28 @@
     }
 
     pub(super) fn send_to_peer(&mut self, id: ConnectionId, bytes: Vec<u8>) {
-        let at = self.now + self.rng.millis(0.1, 3.0);
+        let at = self.now + self.rng.duration_ms(0.1, 3.0);
         let at = at.max(self.peer_receives_at.get(&id).copied().unwrap_or_default());
         self.peer_receives_at.insert(id, at);
         self.schedule(at, Scheduled::PeerReceives(id, bytes));
     }
 
     pub(super) fn notify_closed(&mut self, id: ConnectionId) {
-        let at = self.now + self.rng.millis(0.1, 3.0);
+        let at = self.now + self.rng.duration_ms(0.1, 3.0);
         let at = at.max(self.peer_receives_at.get(&id).copied().unwrap_or_default());
         self.peer_receives_at.insert(id, at);
         self.schedule(at, Scheduled::PeerClosed(id));
     }
 
     pub(super) fn connected(&mut self, id: ConnectionId, to: SocketAddrV4) {
-        let delay = match self.rng.under(100) {
-            0..3 => self.rng.millis(50.0, 1500.0),
-            _ => self.rng.millis(0.2, 4.0),
+        let delay = match self.rng.below(100) {
+            0..3 => self.rng.duration_ms(50.0, 1500.0),
+            _ => self.rng.duration_ms(0.2, 4.0),
         };
         let arrival = if to == addr(CONTROLLER) {
             self.peers.insert(id, Peer::Controller);
-            Some(Arrival::Up)
-        } else if let Some(host) = self.hosts.iter().position(|host| host.addr == to && host.up) {
+            Some(Arrival::Connected)
+        } else if let Some(host) = self.hosts.iter().position(|host| host.addr == to && host.is_up) {
             self.peers.insert(id, Peer::Host(host));
             self.node_connected(host, id)
         } else {
@@ -98,14 +98,14 @@
         }
     }
 
-    /// Sends something towards the gateway, in order.
+    /// Schedules an arrival at the gateway. Arrivals on one connection stay in order.
     pub(super) fn send_to_gateway(&mut self, id: ConnectionId, delay: Nanos, arrival: Arrival) {
         let at = (self.now + delay).max(self.gateway_receives_at.get(&id).copied().unwrap_or_default());
         self.gateway_receives_at.insert(id, at);
-        self.schedule(at, Scheduled::Arrives(id, arrival));
+        self.schedule(at, Scheduled::GatewayReceives(id, arrival));
     }
 
-    /// Sends bytes, in one piece or several.
+    /// Sends bytes to the gateway, in one or several pieces.
     pub(super) fn send_in_pieces(
         &mut self,
         id: ConnectionId,
@@ -113,13 +113,13 @@
         completion: Option<Completion>,
     ) {
         let mut rest = &bytes[..];
-        while self.rng.odds(250) && rest.len() > 1 {
-            let (piece, more) = rest.split_at(1 + self.rng.under(rest.len() - 1));
-            let delay = self.rng.millis(0.1, 6.0);
+        while self.rng.chance_per_mille(250) && rest.len() > 1 {
+            let (piece, more) = rest.split_at(1 + self.rng.below(rest.len() - 1));
+            let delay = self.rng.duration_ms(0.1, 6.0);
             self.send_to_gateway(id, delay, Arrival::Bytes(piece.to_vec(), None));
             rest = more;
         }
-        let delay = self.rng.millis(0.1, 3.0);
+        let delay = self.rng.duration_ms(0.1, 3.0);
         self.send_to_gateway(id, delay, Arrival::Bytes(rest.to_vec(), completion));
     }
 
@@ -131,7 +131,7 @@
             return;
         }
         if let Arrival::Accepted { listener } = arrival {
-            if self.stopping {
+            if self.is_stopping {
                 return self.notify_closed(id);
             }
             self.network.add_connection(id, true);
@@ -142,7 +142,7 @@
         let lost = |step, kind: ErrorKind| NetError { step, peer: addr("10.9.0.1:999"), source: kind.into() };
         match arrival {
             Arrival::Accepted { .. } => {}
-            Arrival::Up => {
+            Arrival::Connected => {
                 connection.is_open = true;
                 self.events.push(Event::Connected { connection: id });
                 self.flush_connection(id);
@@ -157,11 +157,13 @@
                 self.events.push(Event::Received { connection: id });
                 match completion {
                     Some(Completion::NotExecuted(attempt)) => self.checker.record_rejection(&attempt, id),
-                    Some(Completion::Config(version)) => self.version = self.version.max(Some(version)),
+                    Some(Completion::Config(config_index)) => {
+                        self.config_index = self.config_index.max(Some(config_index))
+                    }
                     None => {}
                 }
                 if let Some(Peer::Client(client)) = self.peers.get(&id).copied() {
-                    self.client_reached(client, id, bytes.len());
+                    self.record_delivered_bytes(client, id, bytes.len());
                 }
             }
             Arrival::Fin => self.events.push(Event::ReadClosed { connection: id }),
--- a/crates/fernknot-gateway/tests/simulation/mod.rs
+++ b/crates/fernknot-gateway/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! One gateway of the real code among simulated clients, nodes and a controller, at the level of bytes, in simulated
-//! time, from one seed.
+//! Simulation of one gateway with clients, nodes and a controller. The gateway runs its real code on simulated byte
+//! streams and simulated time; a seed determines the whole run.
 
 mod checker;
 mod clients;
@@ -22,21 +22,22 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How long clients send, and how long after that the run ends.
-const SENDING: Nanos = Nanos(4_000_000_000);
-const SETTLING: Nanos = Nanos(3_000_000_000);
+/// Time during which clients send requests.
+const CLIENT_SEND_TIME: Nanos = Nanos(4_000_000_000);
+/// Time from the last requests to the end of the run.
+const COMPLETION_TIME: Nanos = Nanos(3_000_000_000);
 pub const CONTROLLER: &str = "10.1.0.32:7121";
 
-/// What a run has shown.
+/// Result of a run.
 pub struct Report {
     pub violations: Vec<String>,
     pub coverage: Coverage,
     pub log: Vec<String>,
 }
 
-/// Plays one run.
-pub fn play(seed: u64, bug: Option<SeededBug>, logs: bool) -> Report {
-    let mut simulation = Simulation::new(seed, bug, logs);
+/// Runs a simulation.
+pub fn run(seed: u64, seeded_bug: Option<SeededBug>, is_logging: bool) -> Report {
+    let mut simulation = Simulation::new(seed, seeded_bug, is_logging);
     simulation.run();
     Report {
         violations: simulation.checker.violations,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Who is at the other end of a connection.
+/// Peer at the other end of a connection.
 #[derive(Clone, Copy, Debug)]
 enum Peer {
     Client(usize),
@@ -53,101 +54,96 @@
     Controller,
 }
 
-/// What reaches the gateway over one connection.
+/// An event that reaches the gateway over one connection.
 enum Arrival {
     Accepted { listener: ConnectionId },
-    Up,
+    Connected,
     Refused,
     Bytes(Vec<u8>, Option<Completion>),
     Fin,
     Reset,
 }
 
-/// What the last byte of a piece completes.
+/// Message that the last byte of a piece completes.
 #[derive(Clone)]
 enum Completion {
-    /// A node's response that says that it did not execute this attempt.
+    /// A node's response that it did not execute this attempt.
     NotExecuted(String),
     /// A configuration, by its index.
     Config(usize),
 }
 
-/// What happens at a time.
+/// A scheduled event.
 enum Scheduled {
     Step,
-    Arrives(ConnectionId, Arrival),
+    GatewayReceives(ConnectionId, Arrival),
     PeerReceives(ConnectionId, Vec<u8>),
     PeerClosed(ConnectionId),
     Client(usize),
-    /// A client does something to its connection, if it is still the same.
+    /// A client interrupts its connection, if the connection is still the same.
     Interruption(usize, ConnectionId, clients::Interruption),
     Node(usize, u64, ConnectionId, Job),
     Heartbeat {
-        again: bool,
+        repeat: bool,
     },
     Fault(Fault),
 }
 
-/// A fault that the run injects.
+/// A fault that the simulation injects.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// A node's process restarts at its address, while reports of it are on their way.
-    Restart {
-        host: usize,
-        silent: bool,
-    },
-    /// Its address goes to a node of another service.
-    Reuse {
-        host: usize,
-    },
-    Drain {
-        host: usize,
-    },
-    /// A new configuration.
-    Change,
+    /// A node process restarts at its address, while reports of its end are in flight.
+    RestartNode { host: usize, silent: bool },
+    /// The address of a node is reused by a node of another service.
+    ReuseAddress { host: usize },
+    /// A node is drained and exits.
+    DrainNode { host: usize },
+    /// The operator changes the configuration.
+    ChangeConfig,
     /// The gateway's event loop stalls.
-    Freeze {
-        millis: u64,
-    },
-    /// No new connections can be begun for a while.
-    Full,
-    Room,
-    /// The gateway is asked to stop, and a new incarnation starts once it has.
-    Stop,
-    /// It is killed.
-    Kill,
+    StallGateway { millis: u64 },
+    /// The gateway cannot open connections for a while.
+    ExhaustConnections,
+    /// The gateway can open connections again, and restarts if it had stopped.
+    RestoreGateway,
+    /// The gateway is stopped gracefully, and a new incarnation starts afterwards.
+    StopGateway,
+    /// The gateway process is killed, and a new incarnation starts afterwards.
+    KillGateway,
 }
 
 struct Simulation {
     now: Nanos,
     rng: Rng,
-    bug: Option<SeededBug>,
+    seeded_bug: Option<SeededBug>,
     queue: BTreeMap<(Nanos, u64), Scheduled>,
     next_event: u64,
     gateway: Option<Gateway>,
     incarnation: u64,
     started_at: Nanos,
-    stopping: bool,
+    is_stopping: bool,
     stalled_until: Nanos,
     network: SimulatedPorts,
     listeners: ListenerIds,
     events: Vec<Event>,
-    step_at: Option<Nanos>,
+    next_step_at: Option<Nanos>,
     peers: BTreeMap<ConnectionId, Peer>,
-    /// When what was sent last arrives, at the gateway and at its peer: bytes stay in order.
+    /// Time at which the last message sent on a connection arrives at the gateway; later ones arrive no earlier.
     gateway_receives_at: BTreeMap<ConnectionId, Nanos>,
+    /// Time at which the last message sent on a connection arrives at the peer.
     peer_receives_at: BTreeMap<ConnectionId, Nanos>,
-    /// What the gateway has sent to nodes, as far as it is no complete request yet.
+    /// Bytes of incomplete requests that the gateway has sent to nodes.
     partial_requests: BTreeMap<ConnectionId, Vec<u8>>,
     clients: Vec<Client>,
     hosts: Vec<Host>,
     controller: Controller,
     configs: Vec<RoutingConfig>,
-    /// Configurations that have reached this incarnation of the gateway, now and after the step before.
-    version: Option<usize>,
-    previous_version: Option<usize>,
+    /// Index of the newest configuration that has reached this incarnation of the gateway.
+    config_index: Option<usize>,
+    /// Index of the newest configuration that had reached it at the previous step.
+    previous_config_index: Option<usize>,
     checker: Checker,
-    logs: bool,
+    is_logging: bool,
     log: Vec<String>,
 }
 
@@ -155,7 +151,7 @@
     text.parse().unwrap()
 }
 
-/// Settings of a process with so much memory.
+/// Returns the settings of a gateway process.
 pub fn settings(memory_mb: u64) -> ProcessSettings {
     let text = format!(
         r#"{{"node_name": "edge-1", "role": "gate", "machine_class": "edge", "serves": ["edge"], "ip": "10.1.0.29",
@@ -171,25 +167,25 @@
 }
 
 impl Simulation {
-    fn new(seed: u64, bug: Option<SeededBug>, logs: bool) -> Simulation {
+    fn new(seed: u64, seeded_bug: Option<SeededBug>, is_logging: bool) -> Simulation {
         let mut network = SimulatedPorts::default();
         let listeners =
             ListenerIds { front: network.new_id(), ready: network.new_id(), inner: network.new_id() };
         let mut simulation = Simulation {
             now: Nanos(0),
             rng: Rng(seed),
-            bug,
+            seeded_bug,
             queue: BTreeMap::new(),
             next_event: 0,
             gateway: None,
             incarnation: 0,
             started_at: Nanos(0),
-            stopping: false,
+            is_stopping: false,
             stalled_until: Nanos(0),
             network,
             listeners,
             events: Vec::new(),
-            step_at: None,
+            next_step_at: None,
             peers: BTreeMap::new(),
             gateway_receives_at: BTreeMap::new(),
             peer_receives_at: BTreeMap::new(),
@@ -198,10 +194,10 @@
             hosts: Vec::new(),
             controller: Controller::default(),
             configs: Vec::new(),
-            version: None,
-            previous_version: None,
+            config_index: None,
+            previous_config_index: None,
             checker: Checker::default(),
-            logs,
+            is_logging,
             log: Vec::new(),
         };
         simulation.add_first_config();
@@ -209,27 +205,27 @@
         simulation.start_gateway();
         for client in 0..6 {
             simulation.clients.push(Client::default());
-            let at = simulation.rng.millis(0.0, 400.0);
+            let at = simulation.rng.duration_ms(0.0, 400.0);
             simulation.schedule(at, Scheduled::Client(client));
         }
-        simulation.schedule(Nanos(0), Scheduled::Heartbeat { again: true });
+        simulation.schedule(Nanos(0), Scheduled::Heartbeat { repeat: true });
         simulation.schedule_faults();
         simulation
     }
 
     fn schedule_faults(&mut self) {
-        for _ in 0..3 + self.rng.under(6) {
-            let at = self.rng.millis(200.0, 4000.0);
-            let host = self.rng.under(self.hosts.len());
-            let fault = match self.rng.under(100) {
-                0..25 => Fault::Restart { host, silent: self.rng.odds(300) },
-                25..35 => Fault::Reuse { host },
-                35..45 => Fault::Drain { host },
-                45..75 => Fault::Change,
-                75..80 => Fault::Freeze { millis: 20 + self.rng.under(600) as u64 },
-                80..85 => Fault::Full,
-                85..93 => Fault::Stop,
-                _ => Fault::Kill,
+        for _ in 0..3 + self.rng.below(6) {
+            let at = self.rng.duration_ms(200.0, 4000.0);
+            let host = self.rng.below(self.hosts.len());
+            let fault = match self.rng.below(100) {
+                0..25 => Fault::RestartNode { host, silent: self.rng.chance_per_mille(300) },
+                25..35 => Fault::ReuseAddress { host },
+                35..45 => Fault::DrainNode { host },
+                45..75 => Fault::ChangeConfig,
+                75..80 => Fault::StallGateway { millis: 20 + self.rng.below(600) as u64 },
+                80..85 => Fault::ExhaustConnections,
+                85..93 => Fault::StopGateway,
+                _ => Fault::KillGateway,
             };
             self.schedule(at, Scheduled::Fault(fault));
         }
@@ -237,25 +233,26 @@
 
     fn start_gateway(&mut self) {
         self.incarnation += 1;
-        (self.started_at, self.stopping, self.version, self.previous_version) = (self.now, false, None, None);
-        // Each incarnation has its own clock, which begins at its start.
+        (self.started_at, self.is_stopping, self.config_index, self.previous_config_index) =
+            (self.now, false, None, None);
+        // Each incarnation has its own clock, which starts at 0.
         let gateway =
-            Gateway::new(settings(260), self.listeners, self.incarnation * 7919 + self.rng.draw() % 1000)
+            Gateway::new(settings(260), self.listeners, self.incarnation * 7919 + self.rng.next_u64() % 1000)
                 .unwrap();
-        self.gateway = Some(match self.bug {
-            Some(bug) => gateway.with_seeded_bug(bug),
+        self.gateway = Some(match self.seeded_bug {
+            Some(seeded_bug) => gateway.with_seeded_bug(seeded_bug),
             None => gateway,
         });
-        self.step_at(self.now);
+        self.schedule_step(self.now);
     }
 
-    /// The time by the clock of the gateway's host.
+    /// Returns the time by the clock of the gateway's process.
     fn clock(&self) -> Nanos {
         self.now - self.started_at
     }
 
-    fn note(&mut self, text: impl FnOnce() -> String) {
-        if self.logs {
+    fn log_event(&mut self, text: impl FnOnce() -> String) {
+        if self.is_logging {
             let line = format!("{:9.3} {}", self.now.as_millis(), text());
             self.log.push(line);
         }
@@ -266,24 +263,24 @@
         self.queue.insert((at, self.next_event), event);
     }
 
-    fn step_at(&mut self, at: Nanos) {
+    fn schedule_step(&mut self, at: Nanos) {
         let at = at.max(self.stalled_until);
-        if self.step_at.is_none_or(|set| at < set || set < self.now) {
-            self.step_at = Some(at);
+        if self.next_step_at.is_none_or(|set| at < set || set < self.now) {
+            self.next_step_at = Some(at);
             self.schedule(at, Scheduled::Step);
         }
     }
 
     fn run(&mut self) {
         while let Some(((at, _), event)) = self.queue.pop_first() {
-            if at > SENDING + SETTLING {
+            if at > CLIENT_SEND_TIME + COMPLETION_TIME {
                 break;
             }
             self.now = at;
             match event {
-                Scheduled::Step if self.step_at == Some(at) => self.step(),
+                Scheduled::Step if self.next_step_at == Some(at) => self.step(),
                 Scheduled::Step => {}
-                Scheduled::Arrives(id, arrival) => self.deliver(id, arrival),
+                Scheduled::GatewayReceives(id, arrival) => self.deliver(id, arrival),
                 Scheduled::PeerReceives(id, bytes) => match self.peers.get(&id).copied() {
                     Some(Peer::Client(client)) => self.client_receives(client, id, &bytes),
                     Some(Peer::Host(host)) => self.node_receives(host, id, &bytes),
@@ -296,12 +293,12 @@
                     Some(Peer::Controller) => self.controller.connection_closed(id),
                     None => {}
                 },
-                Scheduled::Client(client) => self.client_acts(client),
+                Scheduled::Client(client) => self.client_sends(client),
                 Scheduled::Interruption(client, id, interruption) => {
                     self.apply_interruption(client, id, interruption);
                 }
                 Scheduled::Node(host, incarnation, id, job) => self.node_runs_job(host, incarnation, id, job),
-                Scheduled::Heartbeat { again } => self.heartbeat(again),
+                Scheduled::Heartbeat { repeat } => self.heartbeat(repeat),
                 Scheduled::Fault(fault) => self.inject(fault),
             }
         }
@@ -309,100 +306,102 @@
         for index in 0..self.checker.requests.len() {
             self.checker.requests[index].is_non_idempotent = self.is_non_idempotent(index, newest);
         }
-        self.checker.end();
+        self.checker.check_complete_run();
     }
 
-    /// Whether no configuration under which a request may have been taken lets it be repeated.
+    /// Whether no configuration under which a request may have been read allows to repeat it.
     fn is_non_idempotent(&self, index: usize, newest: usize) -> bool {
         let request = &self.checker.requests[index];
-        let range = request.versions.0.unwrap_or(0)..=request.versions.1.unwrap_or(newest);
-        range.into_iter().all(|version| configs::is_non_idempotent(&self.configs[version], request.kind))
+        let range = request.config_range.0.unwrap_or(0)..=request.config_range.1.unwrap_or(newest);
+        range
+            .into_iter()
+            .all(|config_index| configs::is_non_idempotent(&self.configs[config_index], request.kind))
     }
 
     // ---- The gateway -----------------------------------------------------------------------
 
     fn step(&mut self) {
-        self.step_at = None;
+        self.next_step_at = None;
         let clock = self.clock();
         let Some(gateway) = &mut self.gateway else { return };
         gateway.step(clock, self.events.drain(..), &mut self.network);
         self.network.unread_after_reset.clear();
         gateway.take_settings_reload_request();
-        let is_out = gateway.poll_shutdown(clock, &mut self.network);
+        let is_shut_down = gateway.poll_shutdown(clock, &mut self.network);
         let wakeup = self.started_at + gateway.next_wakeup();
         self.flush();
         self.record_step();
-        if is_out {
-            self.note(|| "the gateway is out".into());
+        if is_shut_down {
+            self.log_event(|| "the gateway has shut down".into());
             return self.end_gateway();
         }
-        self.step_at(wakeup.max(self.now + Nanos(1000)));
+        self.schedule_step(wakeup.max(self.now + Nanos(1000)));
     }
 
-    /// The process ends, and so do all its connections.
+    /// Ends the gateway process and closes all its connections.
     fn end_gateway(&mut self) {
         self.gateway = None;
-        (self.version, self.previous_version) = (None, None);
+        (self.config_index, self.previous_config_index) = (None, None);
         self.events.clear();
         self.network.unread_after_reset.clear();
         let connections: Vec<ConnectionId> =
             std::mem::take(&mut self.network.connections).into_keys().collect();
         connections.into_iter().for_each(|id| self.notify_closed(id));
         self.network.pending_output.clear();
-        let pause = self.rng.millis(20.0, 300.0);
-        self.schedule(self.now + pause, Scheduled::Fault(Fault::Room));
+        let pause = self.rng.duration_ms(20.0, 300.0);
+        self.schedule(self.now + pause, Scheduled::Fault(Fault::RestoreGateway));
     }
 
-    /// The gateway's event loop does nothing for so long.
+    /// Stalls the gateway's event loop.
     fn stall(&mut self, span: Nanos) {
         self.stalled_until = self.stalled_until.max(self.now + span);
-        self.step_at = None;
-        self.step_at(self.stalled_until);
+        self.next_step_at = None;
+        self.schedule_step(self.stalled_until);
     }
 
     fn step_soon(&mut self) {
-        // What arrives close together is often handled in one step.
-        let delay = match self.rng.under(40) {
-            0 => self.rng.millis(2.0, 20.0),
-            1..10 => self.rng.millis(0.0, 2.0),
+        // Events that arrive shortly after each other are often handled in one step.
+        let delay = match self.rng.below(40) {
+            0 => self.rng.duration_ms(2.0, 20.0),
+            1..10 => self.rng.duration_ms(0.0, 2.0),
             _ => Nanos(0),
         };
-        self.step_at(self.now + delay);
+        self.schedule_step(self.now + delay);
     }
 
     // ---- Faults ----------------------------------------------------------------------------
 
     fn inject(&mut self, fault: Fault) {
-        self.note(|| format!("{fault:?}"));
+        self.log_event(|| format!("{fault:?}"));
         match fault {
-            Fault::Restart { host, silent } => self.restart(host, silent, false),
-            Fault::Reuse { host } => self.restart(host, false, true),
-            Fault::Drain { host } => self.drain(host),
-            Fault::Change => self.change_config(),
-            Fault::Freeze { millis } => {
+            Fault::RestartNode { host, silent } => self.restart(host, silent, false),
+            Fault::ReuseAddress { host } => self.restart(host, false, true),
+            Fault::DrainNode { host } => self.drain(host),
+            Fault::ChangeConfig => self.change_config(),
+            Fault::StallGateway { millis } => {
                 self.stall(Nanos::from_millis(millis as f64));
             }
-            Fault::Full => {
+            Fault::ExhaustConnections => {
                 self.network.is_full = true;
-                let delay = self.rng.millis(20.0, 300.0);
-                self.schedule(self.now + delay, Scheduled::Fault(Fault::Room));
+                let delay = self.rng.duration_ms(20.0, 300.0);
+                self.schedule(self.now + delay, Scheduled::Fault(Fault::RestoreGateway));
             }
-            Fault::Room => {
+            Fault::RestoreGateway => {
                 self.network.is_full = false;
                 if self.gateway.is_none() {
                     self.start_gateway();
                 }
             }
-            Fault::Stop => {
+            Fault::StopGateway => {
                 let clock = self.clock();
                 if let Some(gateway) = &mut self.gateway {
                     gateway.stop(clock, &mut self.network);
-                    self.checker.coverage.add("stops");
+                    self.checker.coverage.add("graceful shutdowns");
                 }
                 self.flush();
             }
-            Fault::Kill if self.gateway.is_some() => self.end_gateway(),
-            Fault::Kill => {}
+            Fault::KillGateway if self.gateway.is_some() => self.end_gateway(),
+            Fault::KillGateway => {}
         }
     }
 }
--- a/crates/fernknot-gateway/tests/simulation/nodes.rs
+++ b/crates/fernknot-gateway/tests/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes, well behaved and not.
+//! Simulated nodes, which respond correctly, incorrectly or not at all.
 
 use super::{Arrival, Completion, Scheduled, Simulation, configs};
 use fernknot::interface::Nanos;
@@ -8,21 +8,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// One address, and the incarnation that has it now.
+/// An address with the node incarnation that has it now.
 pub struct Host {
     pub addr: SocketAddrV4,
-    pub up: bool,
+    pub is_up: bool,
     service: &'static str,
-    number: u64,
+    incarnation_number: u64,
     connections: BTreeMap<ConnectionId, Connection>,
     state: NodeState,
-    /// The last record of the incarnation before.
-    before: Option<NodeRecord>,
+    /// Last record of the incarnation that had the address before.
+    previous_record: Option<NodeRecord>,
 }
 
 impl Host {
     fn incarnation(&self) -> String {
-        format!("i-{}-{}", self.addr.ip().octets()[3], self.number)
+        format!("i-{}-{}", self.addr.ip().octets()[3], self.incarnation_number)
     }
 
     fn record(&self) -> NodeRecord {
@@ -43,21 +43,21 @@
 struct Connection {
     input: Vec<u8>,
     queue: VecDeque<Message>,
-    busy: bool,
-    /// The request that it works on is a `HEAD`.
-    bodiless: bool,
-    /// An answer given earlier on this connection.
-    earlier: Option<Vec<u8>>,
+    is_busy: bool,
+    /// Whether the request in execution is a `HEAD`.
+    expects_no_body: bool,
+    /// Response that was sent before on this connection.
+    previous_response: Option<Vec<u8>>,
 }
 
-/// What a node does later.
+/// Scheduled activity of a node.
 pub enum Job {
-    Start(Box<Message>),
-    Finish(Box<Message>),
-    Surplus(Vec<u8>),
-    /// Records reach the controller.
+    Execute(Box<Message>),
+    Respond(Box<Message>),
+    SendDuplicate(Vec<u8>),
+    /// Delivers node records to the controller.
     Report(Vec<NodeRecord>),
-    End,
+    Exit,
 }
 
 impl Simulation {
@@ -67,23 +67,31 @@
             let addr = SocketAddrV4::new([10, 128, 0, number as u8 + 1].into(), 8080);
             let connections = BTreeMap::new();
             let state = NodeState::Ready;
-            self.hosts.push(Host { addr, up: true, service, number: 1, connections, state, before: None });
+            self.hosts.push(Host {
+                addr,
+                is_up: true,
+                service,
+                incarnation_number: 1,
+                connections,
+                state,
+                previous_record: None,
+            });
         }
     }
 
     pub fn node_records(&self) -> Vec<NodeRecord> {
-        let before = self.hosts.iter().filter_map(|host| host.before.clone());
-        before.chain(self.hosts.iter().map(Host::record)).collect()
+        let previous_records = self.hosts.iter().filter_map(|host| host.previous_record.clone());
+        previous_records.chain(self.hosts.iter().map(Host::record)).collect()
     }
 
-    /// The answer to an attempt to connect, or none where it hangs.
+    /// Returns the outcome of an attempt to connect, or `None` if it hangs.
     pub fn node_connected(&mut self, host: usize, id: ConnectionId) -> Option<Arrival> {
-        match self.rng.under(200) {
+        match self.rng.below(200) {
             0 => None,
             1..4 => Some(Arrival::Refused),
             _ => {
                 self.hosts[host].connections.insert(id, Connection::default());
-                Some(Arrival::Up)
+                Some(Arrival::Connected)
             }
         }
     }
@@ -94,7 +102,7 @@
 
     pub fn node_receives(&mut self, host: usize, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.hosts[host].connections.get_mut(&id) else {
-            // Nobody knows this connection any more.
+            // The node has closed this connection.
             return self.send_to_gateway(id, Nanos(1_000_000), Arrival::Reset);
         };
         connection.input.extend(bytes);
@@ -105,145 +113,156 @@
                     connection.queue.push_back(message);
                 }
                 Ok(None) => break,
-                Err(error) => return self.checker.violation(format!("UNASKED: a node got {error}")),
+                Err(error) => return self.checker.violation(format!("UNASKED: a node received {error}")),
             }
         }
-        self.node_takes_next(host, id);
+        self.node_starts_next_request(host, id);
     }
 
-    fn node_takes_next(&mut self, host: usize, id: ConnectionId) {
+    fn node_starts_next_request(&mut self, host: usize, id: ConnectionId) {
         let incarnation = self.hosts[host].incarnation();
-        let number = self.hosts[host].number;
+        let incarnation_number = self.hosts[host].incarnation_number;
         let Some(connection) =
-            self.hosts[host].connections.get_mut(&id).filter(|connection| !connection.busy)
+            self.hosts[host].connections.get_mut(&id).filter(|connection| !connection.is_busy)
         else {
             return;
         };
         let Some(message) = connection.queue.pop_front() else { return };
-        (connection.busy, connection.bodiless) = (true, message.start_line_part(0) == "HEAD");
+        (connection.is_busy, connection.expects_no_body) = (true, message.start_line_part(0) == "HEAD");
         let attempt = message.header("Attempt-Id").unwrap_or_default().to_string();
         let headers = [("Attempt-Id", &attempt[..]), ("Not-Executed", "1")];
         if message.header("Target-Node") != Some(&incarnation) {
-            self.checker.coverage.add("meant for another incarnation");
+            self.checker.coverage.add("requests for another incarnation");
             let bytes = wire::encode_response(421, &headers[..1], b"another");
-            return self.node_replies(host, id, bytes, Some(Completion::NotExecuted(attempt)));
+            return self.node_sends_response(host, id, bytes, Some(Completion::NotExecuted(attempt)));
         }
-        if self.rng.odds(120) {
-            self.checker.coverage.add("rejected by nodes");
+        if self.rng.chance_per_mille(120) {
+            self.checker.coverage.add("rejections by nodes");
             let bytes = wire::encode_response(503, &headers, b"full");
-            return self.node_replies(host, id, bytes, Some(Completion::NotExecuted(attempt)));
+            return self.node_sends_response(host, id, bytes, Some(Completion::NotExecuted(attempt)));
         }
-        let wait = match self.rng.under(10) {
-            0 => self.rng.millis(1.0, 60.0),
+        let wait = match self.rng.below(10) {
+            0 => self.rng.duration_ms(1.0, 60.0),
             _ => Nanos(0),
         };
-        self.schedule(self.now + wait, Scheduled::Node(host, number, id, Job::Start(Box::new(message))));
+        self.schedule(
+            self.now + wait,
+            Scheduled::Node(host, incarnation_number, id, Job::Execute(Box::new(message))),
+        );
     }
 
-    pub fn node_runs_job(&mut self, host: usize, incarnation: u64, id: ConnectionId, job: Job) {
-        let is_same = self.hosts[host].number == incarnation;
+    pub fn node_runs_job(&mut self, host: usize, incarnation_number: u64, id: ConnectionId, job: Job) {
+        let is_same = self.hosts[host].incarnation_number == incarnation_number;
         let is_connected = self.hosts[host].connections.contains_key(&id);
         match job {
-            Job::Report(settings) => self.report_nodes(&settings),
+            Job::Report(records) => self.report_nodes(&records),
             _ if !is_same => {}
-            Job::End => {
-                self.hosts[host].up = false;
+            Job::Exit => {
+                self.hosts[host].is_up = false;
                 self.hosts[host].state = NodeState::Gone;
                 self.drop_connections(host, false);
                 let record = self.hosts[host].record();
                 self.report_nodes(&[record]);
             }
-            Job::Start(message) => {
-                // Most drop a request whose connection has closed; some don't look.
-                if !is_connected && self.rng.odds(700) {
+            Job::Execute(message) => {
+                // Most nodes drop a request whose connection has closed; some execute it nevertheless.
+                if !is_connected && self.rng.chance_per_mille(700) {
                     return;
                 }
                 let service = self.hosts[host].service;
-                self.note(|| {
-                    format!("{id:?} runs {} {:?}", message.start_line, message.header("Attempt-Id"))
+                self.log_event(|| {
+                    format!("{id:?} executes {} {:?}", message.start_line, message.header("Attempt-Id"))
                 });
-                self.checker.runs(service, &message);
-                let wait = match self.rng.under(100) {
-                    0..85 => self.rng.millis(1.0, 30.0),
-                    85..97 => self.rng.millis(30.0, 250.0),
+                self.checker.record_execution(service, &message);
+                let wait = match self.rng.below(100) {
+                    0..85 => self.rng.duration_ms(1.0, 30.0),
+                    85..97 => self.rng.duration_ms(30.0, 250.0),
                     _ => Nanos(60_000_000_000),
                 };
-                self.schedule(self.now + wait, Scheduled::Node(host, incarnation, id, Job::Finish(message)));
-                if self.rng.odds(4) {
+                self.schedule(
+                    self.now + wait,
+                    Scheduled::Node(host, incarnation_number, id, Job::Respond(message)),
+                );
+                if self.rng.chance_per_mille(4) {
                     self.crash(host);
                 }
             }
-            Job::Finish(message) if is_connected => self.node_finishes(host, id, &message),
-            Job::Surplus(bytes) if is_connected => {
-                self.checker.coverage.add("surplus answers");
-                self.note(|| format!("{id:?} gets a surplus answer"));
+            Job::Respond(message) if is_connected => self.node_responds(host, id, &message),
+            Job::SendDuplicate(bytes) if is_connected => {
+                self.checker.coverage.add("late duplicate responses");
+                self.log_event(|| format!("{id:?} receives a late duplicate response"));
                 self.send_in_pieces(id, bytes, None);
             }
-            Job::Finish(_) | Job::Surplus(_) => {}
+            Job::Respond(_) | Job::SendDuplicate(_) => {}
         }
     }
 
-    fn node_finishes(&mut self, host: usize, id: ConnectionId, message: &Message) {
+    fn node_responds(&mut self, host: usize, id: ConnectionId, message: &Message) {
         let (service, incarnation) = (self.hosts[host].service, self.hosts[host].incarnation());
         let attempt = message.header("Attempt-Id").unwrap_or_default().to_string();
-        let seal = format!("{attempt}.{incarnation}.{}", self.rng.draw() % 100_000);
-        // A `HEAD` is answered without a body, though with its length.
-        let bodiless = message.start_line_part(0) == "HEAD";
-        let length = if bodiless { 0 } else { self.rng.under(100) };
-        let body: Vec<u8> = (0..length).map(|_| b'a' + self.rng.under(20) as u8).collect();
+        let seal = format!("{attempt}.{incarnation}.{}", self.rng.next_u64() % 100_000);
+        // The response to a `HEAD` has a length, but no body.
+        let is_head = message.start_line_part(0) == "HEAD";
+        let length = if is_head { 0 } else { self.rng.below(100) };
+        let body: Vec<u8> = (0..length).map(|_| b'a' + self.rng.below(20) as u8).collect();
         let sealed = [("Attempt-Id", &attempt[..]), ("Answer-Seal", &seal[..])];
-        let mut issue = |status: u16| self.checker.record_answer(&seal, &attempt, service, status, &body);
-        match self.rng.under(100) {
+        let mut record_sealed_response =
+            |status: u16| self.checker.record_node_response(&seal, &attempt, service, status, &body);
+        match self.rng.below(100) {
             0..70 => {
-                issue(200);
+                record_sealed_response(200);
                 let mut headers = sealed.to_vec();
-                if self.rng.odds(60) {
+                if self.rng.chance_per_mille(60) {
                     headers.push(("Connection", "close"));
-                } else if self.rng.odds(100) {
+                } else if self.rng.chance_per_mille(100) {
                     headers.push(("Keep-Alive", "timeout=1"));
                 }
                 let bytes = wire::encode_response(200, &headers, &body);
-                self.node_replies(host, id, bytes, None);
+                self.node_sends_response(host, id, bytes, None);
             }
             70..75 => {
-                issue(200);
+                record_sealed_response(200);
                 let head = format!("HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nAnswer-Seal: {seal}\r\n");
                 let mut bytes = format!("{head}Transfer-Encoding: chunked\r\n\r\n").into_bytes();
                 bytes.extend(wire::encode_chunked(&body, 7));
-                self.node_replies(host, id, bytes, None);
+                self.node_sends_response(host, id, bytes, None);
             }
             75..79 => {
-                issue(500);
-                self.node_replies(host, id, wire::encode_response(500, &sealed, &body), None);
+                record_sealed_response(500);
+                self.node_sends_response(host, id, wire::encode_response(500, &sealed, &body), None);
+            }
+            // The request was executed, although the status suggests that it was not.
+            79..82 => self.node_sends_response(host, id, wire::encode_response(503, &sealed, b"no"), None),
+            82..84 => {
+                self.node_sends_response(host, id, wire::encode_response(429, &sealed[..1], b"no"), None)
+            }
+            84..86 => {
+                self.node_sends_response(host, id, wire::encode_response(200, &sealed[..1], &body), None)
             }
-            // It ran, whatever the status says.
-            79..82 => self.node_replies(host, id, wire::encode_response(503, &sealed, b"no"), None),
-            82..84 => self.node_replies(host, id, wire::encode_response(429, &sealed[..1], b"no"), None),
-            84..86 => self.node_replies(host, id, wire::encode_response(200, &sealed[..1], &body), None),
             86..88 => {
                 let coded = [sealed[0], sealed[1], ("Content-Encoding", "gzip")];
-                self.node_replies(host, id, wire::encode_response(200, &coded, &body), None);
+                self.node_sends_response(host, id, wire::encode_response(200, &coded, &body), None);
             }
-            // Truncated: by a reset, by an end, or without a length.
+            // Truncated by a reset or a close, with or without a stated length.
             88..92 => {
-                issue(200);
+                record_sealed_response(200);
                 let bytes = wire::encode_response(200, &sealed, b"a body that never comes whole");
-                let body = if bodiless { 29 } else { 0 };
-                let cut = 1 + self.rng.under(bytes.len() - body - 1);
-                self.send_in_pieces(id, bytes[..cut].to_vec(), None);
+                let body_length = if is_head { 29 } else { 0 };
+                let sent_length = 1 + self.rng.below(bytes.len() - body_length - 1);
+                self.send_in_pieces(id, bytes[..sent_length].to_vec(), None);
                 self.close_node_connection(host, id);
             }
-            92..94 if !bodiless => {
+            92..94 if !is_head => {
                 let head =
                     format!("HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nAnswer-Seal: {seal}\r\n\r\ncut");
                 self.send_in_pieces(id, head.into_bytes(), None);
                 self.close_node_connection(host, id);
             }
-            94..96 => self.node_replies(host, id, b"no answer at all\r\n\r\n".to_vec(), None),
-            // Whole, and a reset right behind it.
+            94..96 => self.node_sends_response(host, id, b"no answer at all\r\n\r\n".to_vec(), None),
+            // Complete, and followed by a reset.
             96..98 => {
-                issue(200);
-                self.checker.coverage.add("complete answers before a reset");
+                record_sealed_response(200);
+                self.checker.coverage.add("complete responses before a reset");
                 self.send_in_pieces(id, wire::encode_response(200, &sealed, &body), None);
                 self.hosts[host].connections.remove(&id);
                 self.send_to_gateway(id, Nanos(0), Arrival::Reset);
@@ -252,68 +271,72 @@
         }
     }
 
-    /// Ends a connection with a reset or in order.
+    /// Closes a connection with a reset or a FIN.
     fn close_node_connection(&mut self, host: usize, id: ConnectionId) {
         self.hosts[host].connections.remove(&id);
-        self.checker.coverage.add("connections broken by nodes");
-        let end = if self.rng.odds(500) { Arrival::Reset } else { Arrival::Fin };
-        let wait = self.rng.millis(0.1, 3.0);
+        self.checker.coverage.add("connections closed by nodes");
+        let end = if self.rng.chance_per_mille(500) { Arrival::Reset } else { Arrival::Fin };
+        let wait = self.rng.duration_ms(0.1, 3.0);
         self.send_to_gateway(id, wait, end);
     }
 
-    /// Sends an answer, at times with another one before it or the same behind it.
-    fn node_replies(
+    /// Sends a response, sometimes with an earlier one before it or a duplicate after it.
+    fn node_sends_response(
         &mut self,
         host: usize,
         id: ConnectionId,
         mut bytes: Vec<u8>,
         completion: Option<Completion>,
     ) {
-        let number = self.hosts[host].number;
-        let closes = self.hosts[host].state == NodeState::Draining && self.rng.odds(300);
+        let incarnation_number = self.hosts[host].incarnation_number;
+        let closes = self.hosts[host].state == NodeState::Draining && self.rng.chance_per_mille(300);
         let Some(connection) = self.hosts[host].connections.get_mut(&id) else { return };
-        connection.busy = false;
-        if std::mem::take(&mut connection.bodiless)
+        connection.is_busy = false;
+        if std::mem::take(&mut connection.expects_no_body)
             && let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n")
         {
             bytes.truncate(end + 4);
         }
-        let earlier = connection.earlier.replace(bytes.clone());
-        if let Some(earlier) = earlier.filter(|_| self.rng.odds(20)) {
-            self.checker.coverage.add("earlier answers again");
-            self.send_in_pieces(id, earlier, None);
+        let previous_response = connection.previous_response.replace(bytes.clone());
+        if let Some(previous_response) = previous_response.filter(|_| self.rng.chance_per_mille(20)) {
+            self.checker.coverage.add("replayed earlier responses");
+            self.send_in_pieces(id, previous_response, None);
         }
-        // On purpose: the same rejection again, when the next attempt may be on its way.
+        // Duplicate rejections are more frequent: the next attempt may be in flight when they arrive.
         let late = if completion.is_some() { 20 } else { 8 };
         self.send_in_pieces(id, bytes.clone(), completion);
-        match self.rng.under(100) {
+        match self.rng.below(100) {
             0..3 => {
-                self.checker.coverage.add("doubled answers");
+                self.checker.coverage.add("duplicate responses");
                 self.send_in_pieces(id, bytes, None);
             }
             drawn if drawn < late => {
-                let wait = self.rng.millis(0.5, 120.0);
-                self.schedule(self.now + wait, Scheduled::Node(host, number, id, Job::Surplus(bytes)));
+                let wait = self.rng.duration_ms(0.5, 120.0);
+                self.schedule(
+                    self.now + wait,
+                    Scheduled::Node(host, incarnation_number, id, Job::SendDuplicate(bytes)),
+                );
             }
             _ => {}
         }
         if closes {
             return self.close_node_connection(host, id);
         }
-        self.node_takes_next(host, id);
+        self.node_starts_next_request(host, id);
     }
 
+    /// Removes all connections of a node; the gateway receives resets unless `silent` is set.
     fn drop_connections(&mut self, host: usize, silent: bool) {
         for id in std::mem::take(&mut self.hosts[host].connections).into_keys() {
             if !silent {
-                let wait = self.rng.millis(0.1, 5.0);
+                let wait = self.rng.duration_ms(0.1, 5.0);
                 self.send_to_gateway(id, wait, Arrival::Reset);
             }
         }
     }
 
-    /// On purpose: a node ends amid its work, and the gateway handles the end of its connections and the record of it in
-    /// one step.
+    /// Crashes a node during an execution, such that the gateway handles the end of its connections and the report of
+    /// the crash in one step.
     fn crash(&mut self, host: usize) {
         self.checker.coverage.add("crashes reported in one step");
         self.hosts[host].state = NodeState::Lost;
@@ -323,42 +346,43 @@
         self.stall(Nanos(10_000_000));
     }
 
-    /// An incarnation ends, and another one, of this service or another, has its address.
+    /// Replaces an incarnation with another one at its address, of a random service if `reuse` is set. The connections
+    /// are dropped without a reset if `silent` is set.
     pub fn restart(&mut self, host: usize, silent: bool, reuse: bool) {
-        self.checker.coverage.add("restarts of nodes");
+        self.checker.coverage.add("node restarts");
         let old = NodeRecord { state: NodeState::Lost, ..self.hosts[host].record() };
         self.drop_connections(host, silent);
-        let service = configs::SERVICES[self.rng.under(configs::SERVICES.len())];
+        let service = configs::SERVICES[self.rng.below(configs::SERVICES.len())];
         let host_state = &mut self.hosts[host];
-        host_state.before = Some(old.clone());
-        (host_state.number, host_state.up, host_state.state) =
-            (host_state.number + 1, true, NodeState::Ready);
+        host_state.previous_record = Some(old.clone());
+        (host_state.incarnation_number, host_state.is_up, host_state.state) =
+            (host_state.incarnation_number + 1, true, NodeState::Ready);
         if reuse {
             host_state.service = service;
         }
-        let (record, number) = (host_state.record(), host_state.number);
-        // At times the records are as quick as the end of the connections.
-        let longest = if self.rng.odds(300) { 4.0 } else { 400.0 };
-        let wait = self.rng.millis(0.0, longest);
+        let (record, incarnation_number) = (host_state.record(), host_state.incarnation_number);
+        // Sometimes the records arrive together with the end of the connections.
+        let longest = if self.rng.chance_per_mille(300) { 4.0 } else { 400.0 };
+        let wait = self.rng.duration_ms(0.0, longest);
         self.schedule(
             self.now + wait,
-            Scheduled::Node(host, number, ConnectionId(0), Job::Report(vec![old, record])),
+            Scheduled::Node(host, incarnation_number, ConnectionId(0), Job::Report(vec![old, record])),
         );
     }
 
-    /// A node is draining, and ends after a while.
+    /// Starts to drain a node, which exits later.
     pub fn drain(&mut self, host: usize) {
         if self.hosts[host].state != NodeState::Ready {
             return;
         }
         self.hosts[host].state = NodeState::Draining;
-        let (record, number) = (self.hosts[host].record(), self.hosts[host].number);
-        let wait = self.rng.millis(0.0, 100.0);
+        let (record, incarnation_number) = (self.hosts[host].record(), self.hosts[host].incarnation_number);
+        let wait = self.rng.duration_ms(0.0, 100.0);
         self.schedule(
             self.now + wait,
-            Scheduled::Node(host, number, ConnectionId(0), Job::Report(vec![record])),
+            Scheduled::Node(host, incarnation_number, ConnectionId(0), Job::Report(vec![record])),
         );
-        let wait = self.rng.millis(300.0, 900.0);
-        self.schedule(self.now + wait, Scheduled::Node(host, number, ConnectionId(0), Job::End));
+        let wait = self.rng.duration_ms(300.0, 900.0);
+        self.schedule(self.now + wait, Scheduled::Node(host, incarnation_number, ConnectionId(0), Job::Exit));
     }
 }
