--- a/crates/fernknot-gateway/tests/client_guarantees.rs
+++ b/crates/fernknot-gateway/tests/client_guarantees.rs
@@ -23,7 +23,7 @@
     "successes",
     "rejections",
     "408 responses",
-    "503 responses",
+    "421, 429 and 503 responses",
     "502 and 504 responses",
     "forwarded error responses",
     "404 responses",
--- a/crates/fernknot-gateway/tests/simulation/checker.rs
+++ b/crates/fernknot-gateway/tests/simulation/checker.rs
@@ -183,7 +183,7 @@
             }
             408 | 421 | 429 | 503 => {
                 self.coverage.add("rejections");
-                self.coverage.add(if status == 408 { "408 responses" } else { "503 responses" });
+                self.coverage.add(if status == 408 { "408 responses" } else { "421, 429 and 503 responses" });
                 self.rejection_statuses.insert(index, status);
             }
             400 if !attempt.is_ascii() => self.coverage.add("attempt identifiers that are not ASCII"),
