--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -231,5 +231,5 @@
 }
 
 fn load_report(load: &BTreeMap<String, f64>) -> LoadReport {
-    fernknot_protocol::report::report(load.iter().map(|(name, value)| (name.as_str(), *value)))
+    fernknot_protocol::report::from_fields(load.iter().map(|(name, value)| (name.as_str(), *value)))
 }
--- a/crates/fernknot-engine/benches/multiget.rs
+++ b/crates/fernknot-engine/benches/multiget.rs
@@ -67,7 +67,7 @@
                 is_retry: false,
                 text: "text".to_string(),
                 parts: (0..10).map(part).collect(),
-                second: None,
+                second_phase: None,
             };
             engine.submit(now, RequesterId(query), now + request.timeout, request);
             let (mut sent, mut answers) = (Vec::new(), 0);
--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -114,7 +114,7 @@
         self.counters.multigets_taken += 1;
         self.counters.multigets_repeated += u64::from(request.is_retry);
         self.counters.parts_taken += request.parts.len() as u64;
-        let second = request.second.take();
+        let second = request.second_phase.take();
         let second = second.and_then(|second| self.begin_first_phase(now, multiget, &mut request, second));
         let arrival = Arrival {
             multiget,
--- a/crates/fernknot-engine/src/multiget.rs
+++ b/crates/fernknot-engine/src/multiget.rs
@@ -53,7 +53,7 @@
         client_deadline: Nanos,
         request: &mut MultigetRequest,
     ) -> MultigetState {
-        let phase = if request.second.is_some() { Phase::Match } else { Phase::Plain };
+        let phase = if request.second_phase.is_some() { Phase::Match } else { Phase::Plain };
         let second_phase = |second: &mut SecondPhaseRequest| SecondPhase {
             text: std::mem::take(&mut second.text),
             is_open: false,
@@ -62,7 +62,7 @@
             parts: request.parts.iter().map(|part| PartState::new(&request.id, part.shard, phase)).collect(),
             idempotency_key: request.key.take(),
             text: std::mem::take(&mut request.text),
-            second_phase: request.second.as_mut().map(|second| Box::new(second_phase(second))),
+            second_phase: request.second_phase.as_mut().map(|second| Box::new(second_phase(second))),
             id: std::mem::take(&mut request.id),
             requester,
             client_deadline,
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -194,7 +194,7 @@
         &mut self,
         use_case: usize,
         parts: Vec<RequestedPart>,
-        second: Option<SecondPhaseRequest>,
+        second_phase: Option<SecondPhaseRequest>,
         client_timeout_ms: f64,
     ) -> u64 {
         let query = self.query_count;
@@ -208,7 +208,7 @@
             is_retry: false,
             text: "match".to_string(),
             parts,
-            second,
+            second_phase,
         };
         let id = self.engine.submit(
             ms(self.now_ms),
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -367,10 +367,10 @@
     assert!(host.final_answer(query).is_some() && host.final_answer(next).is_some());
 }
 
-fn match_value(blocks: Vec<ShardId>, sketch: Option<(u64, &[&str])>) -> String {
+fn match_value(blocks: Vec<ShardId>, summary: Option<(u64, &[&str])>) -> String {
     let fingerprints = |terms: &[&str]| terms.iter().map(|term| term_fingerprint(term)).collect();
-    let sketch = sketch.map(|(version, terms)| (version, fingerprints(terms)));
-    matches::write(&MatchAnswer { names: MatchedBlocks::Blocks(blocks), sketch })
+    let summary = summary.map(|(version, terms)| (version, fingerprints(terms)));
+    matches::write(&MatchAnswer { matched_blocks: MatchedBlocks::Blocks(blocks), summary })
 }
 
 /// The router has cached version 6 of the block's term filter, which does not contain the term.
--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -284,8 +284,8 @@
     fn match_value(&self, multiget: MultigetId, shard: ShardId) -> String {
         let query = self.query_of.get(&multiget);
         let is_match = query.is_some_and(|query| self.queries[*query].matches.contains(&shard));
-        let names = MatchedBlocks::Blocks(is_match.then_some(shard).into_iter().collect());
-        matches::write(&MatchAnswer { names, sketch: None })
+        let matched_blocks = MatchedBlocks::Blocks(is_match.then_some(shard).into_iter().collect());
+        matches::write(&MatchAnswer { matched_blocks, summary: None })
     }
 
     fn poll_engine(&mut self) {
--- a/crates/fernknot-experiments/src/two_phase/workload.rs
+++ b/crates/fernknot-experiments/src/two_phase/workload.rs
@@ -156,7 +156,7 @@
         is_retry: false,
         text: String::new(),
         parts: parts(shards, MATCH_MS),
-        second: Some(second),
+        second_phase: Some(second),
     };
     PlannedQuery { at, asked, matches }
 }
--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -87,7 +87,7 @@
             is_retry: false,
             text: String::new(),
             parts: routed.parts,
-            second: None,
+            second_phase: None,
         };
         let RoutedRequest { request, config, route, attempt_id, .. } = routed;
         let mut pending =
@@ -361,7 +361,7 @@
         mut response: Response,
         network: &mut N,
     ) -> bool {
-        response.has_certain_end |= self.seeded_bug == Some(SeededBug::TruncatedIsComplete);
+        response.is_self_delimited |= self.seeded_bug == Some(SeededBug::TruncatedIsComplete);
         if let Some(timeout_s) = response.header("keep-alive").and_then(headers::keep_alive_timeout_s) {
             self.node_idle_timeout = Nanos::from_millis(timeout_s as f64 * 1e3).times(NODE_IDLE_SHARE);
         }
--- a/crates/fernknot-gateway/src/requests/pending_request.rs
+++ b/crates/fernknot-gateway/src/requests/pending_request.rs
@@ -98,7 +98,7 @@
     /// was not executed, or that it may be repeated.
     pub fn record_failure(&mut self, response: Response) {
         let is_promise = matches!(response.status, 408 | 421 | 429 | 503);
-        if self.parts.len() == 1 && response.has_certain_end && response.status >= 400 && !is_promise {
+        if self.parts.len() == 1 && response.is_self_delimited && response.status >= 400 && !is_promise {
             self.failure = Some(response);
         }
     }
--- a/crates/fernknot-gateway/src/requests/response.rs
+++ b/crates/fernknot-gateway/src/requests/response.rs
@@ -30,7 +30,7 @@
     let is_sealed = response.header(headers::ANSWER_SEAL).is_some_and(|seal| !seal.is_empty());
     let is_encoded = response.header("content-encoding").is_some();
     match response.status {
-        200..300 if is_sealed && response.has_certain_end && !is_encoded => ResponseClass::Part,
+        200..300 if is_sealed && response.is_self_delimited && !is_encoded => ResponseClass::Part,
         421 => ResponseClass::NotExecuted { wrong_node: true },
         _ if response.header(headers::NOT_EXECUTED).is_some() => {
             ResponseClass::NotExecuted { wrong_node: false }
--- a/crates/fernknot-net/src/connection.rs
+++ b/crates/fernknot-net/src/connection.rs
@@ -73,7 +73,7 @@
             if self.input.len() >= read_ahead {
                 break ReadEnd::BufferFull;
             }
-            let space = self.input.space(READ_CHUNK_BYTES.min(read_ahead));
+            let space = self.input.reserve(READ_CHUNK_BYTES.min(read_ahead));
             let size = space.len();
             match self.stream.read(space) {
                 Ok(0) => {
@@ -81,7 +81,7 @@
                     break ReadEnd::Closed;
                 }
                 Ok(count) => {
-                    self.input.filled(count);
+                    self.input.commit(count);
                     received = true;
                     // A short read has emptied the socket, and mio reports what is received later. After the peer
                     // has hung up it reports nothing more: the end or the reset behind the bytes has to be read now.
--- a/crates/fernknot-protocol/src/buffer.rs
+++ b/crates/fernknot-protocol/src/buffer.rs
@@ -24,12 +24,13 @@
         self.start == self.end
     }
 
-    /// Space to write at least so many bytes behind the data; [`Buffer::filled`] then says how many were written.
-    pub fn space(&mut self, least: usize) -> &mut [u8] {
-        if self.bytes.len() - self.end < least {
+    /// Makes room for at least `min_len` bytes behind the data and returns the free space; [`Buffer::commit`] then adds
+    /// the bytes written there to the data.
+    pub fn reserve(&mut self, min_len: usize) -> &mut [u8] {
+        if self.bytes.len() - self.end < min_len {
             self.bytes.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
-            let needed = self.end + least;
+            let needed = self.end + min_len;
             if self.bytes.len() < needed {
                 self.bytes.resize(needed.next_power_of_two(), 0);
             }
@@ -37,15 +38,15 @@
         &mut self.bytes[self.end..]
     }
 
-    /// Adds the first so many bytes of [`Buffer::space`] to the data.
-    pub fn filled(&mut self, count: usize) {
+    /// Adds the first `count` bytes of the free space, which [`Buffer::reserve`] returned, to the data.
+    pub fn commit(&mut self, count: usize) {
         self.end += count;
     }
 
     /// Adds bytes to the end of the data.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.space(bytes.len())[..bytes.len()].copy_from_slice(bytes);
-        self.filled(bytes.len());
+        self.reserve(bytes.len())[..bytes.len()].copy_from_slice(bytes);
+        self.commit(bytes.len());
     }
 
     /// Removes so many bytes, or all, from the front of the data.
--- a/crates/fernknot-protocol/src/http/response_reader.rs
+++ b/crates/fernknot-protocol/src/http/response_reader.rs
@@ -21,7 +21,7 @@
     /// The connection is kept after the response.
     pub keeps_connection: bool,
     /// The head tells where the body ends, so that one cut short cannot pass for complete.
-    pub has_certain_end: bool,
+    pub is_self_delimited: bool,
 }
 
 impl Response {
@@ -81,7 +81,7 @@
     ) -> Result<Option<Response>, HttpError> {
         while let Some((response, _)) = read_head(buffer, limits)? {
             if response.status >= FIRST_FINAL_STATUS {
-                return Ok(Some(Response { has_certain_end: true, ..response }));
+                return Ok(Some(Response { is_self_delimited: true, ..response }));
             }
         }
         Ok(None)
@@ -108,7 +108,7 @@
         headers: parsed.headers.iter().map(head::text).collect(),
         body: Vec::new(),
         keeps_connection: parsed.version == Some(1) && !is_closing && !is_to_end,
-        has_certain_end: !is_to_end,
+        is_self_delimited: !is_to_end,
     };
     buffer.consume(head_bytes);
     let framing = if has_no_body { BodyFraming::Length(0) } else { framing.unwrap_or(BodyFraming::ToEnd) };
--- a/crates/fernknot-protocol/src/matches.rs
+++ b/crates/fernknot-protocol/src/matches.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MatchAnswer {
     /// The blocks that hold matches.
-    pub names: MatchedBlocks,
+    pub matched_blocks: MatchedBlocks,
     /// A summary with its version: the fingerprints of all terms that the block holds.
-    pub sketch: Option<(u64, Vec<u64>)>,
+    pub summary: Option<(u64, Vec<u64>)>,
 }
 
 /// Why a match value cannot be read. No part of such a value is used.
@@ -61,17 +61,17 @@
 /// The value cannot be read, or has two meanings at once.
 pub fn read(value: &str) -> Result<MatchAnswer, MatchError> {
     let value: Value = serde_json::from_str(value).map_err(|_| MatchError::Malformed)?;
-    let names = match (value.blocks, value.same) {
+    let matched_blocks = match (value.blocks, value.same) {
         (Some(blocks), None) => MatchedBlocks::Blocks(blocks.into_iter().map(ShardId).collect()),
         (None, Some(version)) => MatchedBlocks::Same(version),
         _ => return Err(MatchError::Ambiguous),
     };
-    let sketch = match (value.version, value.prints) {
+    let summary = match (value.version, value.prints) {
         (Some(version), Some(prints)) => Some((version, decode_fingerprints(&prints)?)),
         (None, Some(_)) => return Err(MatchError::MissingVersion),
         _ => None,
     };
-    Ok(MatchAnswer { names, sketch })
+    Ok(MatchAnswer { matched_blocks, summary })
 }
 
 fn decode_fingerprints(text: &str) -> Result<Vec<u64>, MatchError> {
@@ -90,15 +90,15 @@
 
 /// The value as a store writes it.
 pub fn write(answer: &MatchAnswer) -> String {
-    let (blocks, same) = match &answer.names {
+    let (blocks, same) = match &answer.matched_blocks {
         MatchedBlocks::Blocks(blocks) => (Some(blocks.iter().map(|shard| shard.0).collect()), None),
         MatchedBlocks::Same(version) => (None, Some(*version)),
     };
     let value = Value {
         blocks,
         same,
-        version: answer.sketch.as_ref().map(|(version, _)| *version),
-        prints: answer.sketch.as_ref().map(|(_, fingerprints)| encode_fingerprints(fingerprints)),
+        version: answer.summary.as_ref().map(|(version, _)| *version),
+        prints: answer.summary.as_ref().map(|(_, fingerprints)| encode_fingerprints(fingerprints)),
     };
     serde_json::to_string(&value).unwrap_or_default()
 }
--- a/crates/fernknot-protocol/src/multiget/request.rs
+++ b/crates/fernknot-protocol/src/multiget/request.rs
@@ -37,7 +37,7 @@
     /// The shards that are asked.
     pub parts: Vec<RequestedPart>,
     /// The second of two phases; `text` and `parts` are the first one's then.
-    pub second: Option<SecondPhaseRequest>,
+    pub second_phase: Option<SecondPhaseRequest>,
 }
 
 /// The second phase of a query in two phases.
@@ -83,7 +83,7 @@
         is_retry: request.header("req-retry").is_some_and(|value| value.trim() == "1"),
         text,
         parts,
-        second,
+        second_phase: second,
     })
 }
 
--- a/crates/fernknot-protocol/src/report.rs
+++ b/crates/fernknot-protocol/src/report.rs
@@ -6,7 +6,7 @@
 ///
 /// Guards against two sets of names: on sockets too the fields come under the names of the simulator's wire; the plain
 /// names are those of the protocol's own example.
-pub fn report<'a>(fields: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
+pub fn from_fields<'a>(fields: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in fields.filter(|(_, value)| value.is_finite()) {
         match name {
@@ -21,5 +21,5 @@
 /// The report in the form that frames have: `name=value`, separated by commas; `-` where there is none.
 pub fn from_text(text: &str) -> LoadReport {
     let fields = text.split(',').filter_map(|field| field.split_once('='));
-    report(fields.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
+    from_fields(fields.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
 }
--- a/crates/fernknot-protocol/tests/buffer.rs
+++ b/crates/fernknot-protocol/tests/buffer.rs
@@ -17,5 +17,5 @@
     assert_eq!(buffer.data(), &want[..3]);
     buffer.consume(9);
     buffer.shrink(16);
-    assert!(buffer.is_empty() && buffer.space(1).len() < 64);
+    assert!(buffer.is_empty() && buffer.reserve(1).len() < 64);
 }
--- a/crates/fernknot-protocol/tests/match_values.rs
+++ b/crates/fernknot-protocol/tests/match_values.rs
@@ -12,9 +12,13 @@
     r#"{"blocks":[],"version":7,"prints":"AQAAAAAAAAA="}"#, MatchedBlocks::Blocks(vec![]), Some((7, vec![1]));
     "with a summary"
 )]
-fn match_values_are_read_and_written(text: &str, names: MatchedBlocks, sketch: Option<(u64, Vec<u64>)>) {
+fn match_values_are_read_and_written(
+    text: &str,
+    matched_blocks: MatchedBlocks,
+    summary: Option<(u64, Vec<u64>)>,
+) {
     let value = read(text).unwrap();
-    assert_eq!(value, MatchAnswer { names, sketch });
+    assert_eq!(value, MatchAnswer { matched_blocks, summary });
     assert_eq!(read(&write(&value)).unwrap(), value);
 }
 
--- a/crates/fernknot-protocol/tests/multiget.rs
+++ b/crates/fernknot-protocol/tests/multiget.rs
@@ -57,7 +57,7 @@
     let body = r#"{"match":{"body":"find","terms":["beach"]},"fetch":{"body":"get","buckets":[
         {"bucket":2,"part":0.75,"effort":9000},{"bucket":0,"part":0.25}]}}"#;
     let asked = multiget::parse_multiget(&request("/page", HEAD, body), &settings(), &limits()).unwrap();
-    let second = asked.second.unwrap();
+    let second = asked.second_phase.unwrap();
     assert_eq!(
         (asked.text.as_str(), second.text.as_str(), second.terms),
         ("find", "get", vec!["beach".into()])
@@ -97,7 +97,7 @@
     let settings = SocketSettings { phases: vec![Some(phases(true))], ..settings() };
     let body = format!(r#"{{"match":{{"body":"","buckets":[{{"bucket":1,"part":1}}]}},{BOTH}}}"#);
     let asked = multiget::parse_multiget(&request("/page", HEAD, &body), &settings, &limits()).unwrap();
-    assert_eq!((asked.parts[0].shard, asked.second.unwrap().parts[0].shard), (ShardId(1), ShardId(0)));
+    assert_eq!((asked.parts[0].shard, asked.second_phase.unwrap().parts[0].shard), (ShardId(1), ShardId(0)));
 }
 
 #[test]
--- a/crates/fernknot-router/src/tcp_connection.rs
+++ b/crates/fernknot-router/src/tcp_connection.rs
@@ -107,9 +107,9 @@
             if self.input.len() >= max_bytes {
                 return Ok(ReadOutcome::MoreAvailable);
             }
-            match (&*self.stream).read(self.input.space(READ_BYTES)) {
+            match (&*self.stream).read(self.input.reserve(READ_BYTES)) {
                 Ok(0) => self.has_ended = true,
-                Ok(count) => self.input.filled(count),
+                Ok(count) => self.input.commit(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.is_readable = false,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
--- a/crates/fernknot-schema/src/process_settings.rs
+++ b/crates/fernknot-schema/src/process_settings.rs
@@ -45,7 +45,7 @@
     /// How nodes are discovered, as the platform names it.
     pub discovery: String,
     /// How clients reach the gateways, as the platform names it.
-    pub entry: String,
+    pub client_entry: String,
     /// About how often a node sends its heartbeat, in milliseconds.
     pub heartbeat_interval_ms: f64,
     /// The names of the invariants that are in force.
--- a/crates/fernknot-schema/src/process_settings_parser.rs
+++ b/crates/fernknot-schema/src/process_settings_parser.rs
@@ -14,7 +14,7 @@
 const SOCKET_ADDRESS: &str = "an IPv4 address with a port";
 const DEFAULT_HEARTBEAT_INTERVAL_MS: f64 = 1000.0;
 const DEFAULT_DISCOVERY: &str = "registry";
-const DEFAULT_ENTRY: &str = "vip";
+const DEFAULT_CLIENT_ENTRY: &str = "vip";
 
 impl ProcessSettings {
     /// Parses the settings file. Unknown keys are ignored.
@@ -60,7 +60,7 @@
         limits,
         data_dir: root.string("data_dir").map(PathBuf::from),
         discovery: root.string("discovery").unwrap_or_else(|| DEFAULT_DISCOVERY.into()),
-        entry: root.string("entry").unwrap_or_else(|| DEFAULT_ENTRY.into()),
+        client_entry: root.string("entry").unwrap_or_else(|| DEFAULT_CLIENT_ENTRY.into()),
         heartbeat_interval_ms: root.positive_or("beat_ms", DEFAULT_HEARTBEAT_INTERVAL_MS),
         invariants: root.list("invariants", "a string"),
         fault_budget,
--- a/crates/fernknot-testbed/src/peer_stream.rs
+++ b/crates/fernknot-testbed/src/peer_stream.rs
@@ -45,10 +45,10 @@
     pub fn receive(&mut self, timeout: Duration) -> Result<(), ConnectionError> {
         let timeout_set = self.stream.set_read_timeout(Some(timeout));
         timeout_set.map_err(ConnectionError::at("read from", self.peer))?;
-        match self.stream.read(self.input.space(READ_BYTES)) {
+        match self.stream.read(self.input.reserve(READ_BYTES)) {
             Ok(0) => Err(self.error(ErrorKind::UnexpectedEof, "it closed without a response")),
             Ok(count) => {
-                self.input.filled(count);
+                self.input.commit(count);
                 Ok(())
             }
             Err(error) if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock) => Ok(()),
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -132,7 +132,7 @@
         if asked.answered {
             return Ok(false);
         }
-        let named = match answer.names {
+        let named = match answer.matched_blocks {
             MatchedBlocks::Blocks(blocks) => {
                 query.check_named(from, &blocks, statistics.settings.names_others)?;
                 NamedBlocks { blocks, ruled_out_by_filter: false }
@@ -142,7 +142,7 @@
         if asked.filter_answer == FilterAnswer::CannotMatch && !named.ruled_out_by_filter {
             statistics.record_denied_match(!named.blocks.is_empty());
         }
-        if let (Some((version, fingerprints)), Some(filters)) = (answer.sketch, self.filters.as_mut()) {
+        if let (Some((version, fingerprints)), Some(filters)) = (answer.summary, self.filters.as_mut()) {
             filters.insert(from, version, fingerprints);
         }
         query.apply_answer(from, &named.blocks, &statistics.settings);
--- a/examples/stand-in/src/discovery.rs
+++ b/examples/stand-in/src/discovery.rs
@@ -101,9 +101,9 @@
                     return Ok(());
                 }
             }
-            Ok(None) => match stream.read(input.space(4096))? {
+            Ok(None) => match stream.read(input.reserve(4096))? {
                 0 => return Ok(()),
-                count => input.filled(count),
+                count => input.commit(count),
             },
             Err(_) => return Ok(()),
         }
--- a/examples/stand-in/src/node.rs
+++ b/examples/stand-in/src/node.rs
@@ -135,9 +135,9 @@
             input.consume(length);
             continue;
         }
-        match stream.read(input.space(4096))? {
+        match stream.read(input.reserve(4096))? {
             0 => return Ok(()),
-            count => input.filled(count),
+            count => input.commit(count),
         }
     }
 }
@@ -159,7 +159,10 @@
                 Some("match") => {
                     thread::sleep(match_after);
                     let blocks = if matches { vec![ShardId(call.shard)] } else { Vec::new() };
-                    matches::write(&MatchAnswer { names: MatchedBlocks::Blocks(blocks), sketch: None })
+                    matches::write(&MatchAnswer {
+                        matched_blocks: MatchedBlocks::Blocks(blocks),
+                        summary: None,
+                    })
                 }
                 Some(_) => match fetch_after {
                     Some(wait) => {
