--- a/crates/fernknot-protocol/src/body.rs
+++ b/crates/fernknot-protocol/src/body.rs
@@ -1,4 +1,4 @@
-//! A message's body: of a known length, in chunks, or up to the end of the connection.
+//! Body of an HTTP message: with a content length, chunked, or up to the end of the connection.
 
 use crate::buffer::Buffer;
 use crate::http_error::HttpError;
@@ -7,55 +7,56 @@
 const BODY_TOO_LARGE: HttpError = HttpError { status: 413, reason: "body too large" };
 const BAD_CHUNK: HttpError = HttpError { status: 400, reason: "bad chunk" };
 
-/// How the end of a body is told, and how far it has been read.
+/// Framing of a body, with the progress of reading it.
 #[derive(Debug)]
 pub(crate) enum BodyFraming {
-    /// A body of so many bytes.
+    /// Body with this length in bytes.
     Length(usize),
-    /// A body in chunks, the last of which is empty.
-    Chunks(ChunkState),
-    /// All that comes until the connection ends.
-    ToEnd,
+    /// Body in the chunked transfer coding.
+    Chunked(ChunkState),
+    /// Body that ends where the connection is closed.
+    UntilClose,
 }
 
-/// What comes next of a body in chunks.
+/// Element that is read next of a chunked body.
 #[derive(Debug, Default)]
 pub(crate) enum ChunkState {
-    /// The line with the size of a chunk.
+    /// Line with the size of a chunk.
     #[default]
     Size,
-    /// So many bytes of a chunk.
+    /// Data of a chunk, with the number of its bytes still to be read.
     Data(usize),
-    /// The line end behind a chunk.
+    /// Line end after the data of a chunk.
     DataEnd,
-    /// The trailers, of which so many bytes have been read.
+    /// Trailer fields, with the number of their bytes read so far.
     Trailers(usize),
 }
 
-/// Bounds on the bytes of a body.
+/// Limits on the size of a body.
 #[derive(Clone, Copy)]
 pub(crate) struct BodyLimits {
     pub(crate) max_body_bytes: usize,
-    /// The most bytes of a chunk's head, or of all trailers.
+    /// Largest size in bytes of a chunk's size line, and of all trailer fields together.
     pub(crate) max_line_bytes: usize,
 }
 
-/// The framing that a head's lines give; `None` where they give none.
+/// Returns the framing that the header fields declare; `None` if they declare none.
 ///
 /// # Errors
-/// The lines contradict each other, or name a coding that is not known here.
+/// The fields contradict each other, or name an unsupported transfer coding.
 pub(crate) fn framing(headers: &[httparse::Header]) -> Result<Option<BodyFraming>, HttpError> {
-    let mut codings = values(headers, "transfer-encoding");
+    let mut transfer_codings = values(headers, "transfer-encoding");
     let lengths: Vec<&[u8]> = values(headers, "content-length").collect();
-    let Some(coding) = codings.next() else { return content_length(&lengths) };
-    // Guards against two readings of one message: with both, or with an unknown coding, its end is not certain.
-    if !lengths.is_empty() || codings.next().is_some() {
+    let Some(coding) = transfer_codings.next() else { return content_length(&lengths) };
+    // Both fields at once, or an unsupported coding, leave the end of the message ambiguous, which would allow request
+    // smuggling.
+    if !lengths.is_empty() || transfer_codings.next().is_some() {
         return Err(HttpError { status: 400, reason: "length and coding both" });
     }
     if !coding.trim_ascii().eq_ignore_ascii_case(b"chunked") {
         return Err(HttpError { status: 501, reason: "unknown transfer coding" });
     }
-    Ok(Some(BodyFraming::Chunks(ChunkState::default())))
+    Ok(Some(BodyFraming::Chunked(ChunkState::default())))
 }
 
 fn values<'a>(headers: &'a [httparse::Header<'a>], name: &'a str) -> impl Iterator<Item = &'a [u8]> {
@@ -76,10 +77,10 @@
 }
 
 impl BodyFraming {
-    /// Moves what has come from `buffer` to `body`; true once the body is complete.
+    /// Moves the received bytes of the body from `buffer` to `body`; returns true once the body is complete.
     ///
     /// # Errors
-    /// The body is larger than its limit, or its chunks cannot be read.
+    /// The body is larger than its limit, or its chunks are malformed.
     pub(crate) fn read(
         &mut self,
         buffer: &mut Buffer,
@@ -94,18 +95,18 @@
                 move_bytes(buffer, body, missing);
                 Ok(body.len() == *length)
             }
-            BodyFraming::ToEnd => {
+            BodyFraming::UntilClose => {
                 move_bytes(buffer, body, usize::MAX);
                 if body.len() > limits.max_body_bytes { Err(BODY_TOO_LARGE) } else { Ok(false) }
             }
-            BodyFraming::Chunks(state) => state.read(buffer, body, limits),
+            BodyFraming::Chunked(state) => state.read(buffer, body, limits),
         }
     }
 }
 
-/// What reading one element of a body in chunks came to.
+/// Result of reading one element of a chunked body.
 enum ChunkProgress {
-    /// This comes next.
+    /// The element is complete; the given one follows.
     Next(ChunkState),
     /// More bytes are needed.
     Incomplete,
@@ -123,7 +124,7 @@
         loop {
             let progress = match self {
                 ChunkState::Size => read_chunk_size(buffer, body.len(), limits)?,
-                ChunkState::Data(left) => read_chunk_data(buffer, body, left),
+                ChunkState::Data(remaining) => read_chunk_data(buffer, body, remaining),
                 ChunkState::DataEnd => read_chunk_end(buffer)?,
                 ChunkState::Trailers(read) => read_trailer(buffer, read, limits.max_line_bytes)?,
             };
@@ -155,9 +156,9 @@
     }
 }
 
-fn read_chunk_data(buffer: &mut Buffer, body: &mut Vec<u8>, left: &mut usize) -> ChunkProgress {
-    *left -= move_bytes(buffer, body, *left);
-    if *left > 0 { ChunkProgress::Incomplete } else { ChunkProgress::Next(ChunkState::DataEnd) }
+fn read_chunk_data(buffer: &mut Buffer, body: &mut Vec<u8>, remaining: &mut usize) -> ChunkProgress {
+    *remaining -= move_bytes(buffer, body, *remaining);
+    if *remaining > 0 { ChunkProgress::Incomplete } else { ChunkProgress::Next(ChunkState::DataEnd) }
 }
 
 fn read_chunk_end(buffer: &mut Buffer) -> Result<ChunkProgress, HttpError> {
@@ -171,7 +172,7 @@
     }
 }
 
-/// Skips one line of the trailers, of which `read` bytes came before; an empty line ends the body.
+/// Skips one line of the trailer section, of which `read` bytes have been skipped before; an empty line ends the body.
 fn read_trailer(
     buffer: &mut Buffer,
     read: &mut usize,
@@ -190,7 +191,7 @@
     if read > max_line_bytes { Err(BAD_CHUNK) } else { Ok(ChunkProgress::Next(ChunkState::Trailers(read))) }
 }
 
-/// Moves up to so many bytes from the buffer to the body, and returns how many.
+/// Moves up to `max` bytes from the buffer to the body, and returns their number.
 fn move_bytes(buffer: &mut Buffer, body: &mut Vec<u8>, max: usize) -> usize {
     let count = buffer.len().min(max);
     body.extend_from_slice(&buffer.data()[..count]);
--- a/crates/fernknot-protocol/src/buffer.rs
+++ b/crates/fernknot-protocol/src/buffer.rs
@@ -1,6 +1,6 @@
-//! The bytes of one direction of a connection.
+//! Byte buffer for one direction of a connection.
 
-/// A queue of bytes that grows as needed and is compacted in place.
+/// Queue of bytes that grows as needed and is compacted in place.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -9,17 +9,17 @@
 }
 
 impl Buffer {
-    /// The bytes that have been put in and not consumed.
+    /// Returns the bytes that were added and not yet consumed.
     pub fn data(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// How many bytes [`Buffer::data`] has.
+    /// Returns the length of [`Buffer::data`].
     pub fn len(&self) -> usize {
         self.end - self.start
     }
 
-    /// Whether there are no bytes to consume.
+    /// Returns whether [`Buffer::data`] is empty.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
@@ -49,7 +49,7 @@
         self.commit(bytes.len());
     }
 
-    /// Removes so many bytes, or all, from the front of the data.
+    /// Removes up to `count` bytes from the front of the data.
     pub fn consume(&mut self, count: usize) {
         self.start += count.min(self.len());
         if self.is_empty() {
@@ -57,21 +57,21 @@
         }
     }
 
-    /// Keeps the first so many bytes of the data.
+    /// Shortens the data to its first `len` bytes; shorter data is left as it is.
     pub fn truncate(&mut self, len: usize) {
         self.end = self.start + len.min(self.len());
     }
 
-    /// Frees the memory of an empty buffer that has more than `kept` bytes.
-    pub fn shrink(&mut self, kept: usize) {
-        if self.is_empty() && self.bytes.len() > kept {
+    /// Frees the memory of the buffer if it is empty and its capacity exceeds `max_idle_bytes`.
+    pub fn shrink(&mut self, max_idle_bytes: usize) {
+        if self.is_empty() && self.bytes.len() > max_idle_bytes {
             self.bytes = Vec::new();
             (self.start, self.end) = (0, 0);
         }
     }
 }
 
-/// Writing to a buffer does not fail.
+/// Appends to the buffer; never fails.
 impl std::io::Write for Buffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.push(bytes);
--- a/crates/fernknot-protocol/src/http.rs
+++ b/crates/fernknot-protocol/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1, both sides: requests read and responses written for clients, responses read from discovery and nodes.
+//! HTTP/1.1: reads requests of clients and writes the responses; reads responses of discovery and of nodes.
 
 mod head;
 mod request;
--- a/crates/fernknot-protocol/src/http/head.rs
+++ b/crates/fernknot-protocol/src/http/head.rs
@@ -1,17 +1,17 @@
-//! Lines of a message's head, for requests and responses.
+//! Access to the header fields of requests and responses.
 
-/// A line as text; bytes that are not UTF-8 are replaced.
-pub(super) fn text(header: &httparse::Header) -> (String, String) {
+/// Returns the name and the value of a header field; bytes that are not UTF-8 are replaced.
+pub(super) fn to_strings(header: &httparse::Header) -> (String, String) {
     (header.name.to_string(), String::from_utf8_lossy(header.value).into_owned())
 }
 
-/// The value of the first line of this name, in any case of letters.
-pub(super) fn find<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
+/// Returns the value of the first header field of this name, compared without regard to case.
+pub(super) fn find_value<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let named = headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name));
     named.map(|(_, value)| value.as_str())
 }
 
-/// Whether the comma-separated values of the lines of this name have this token.
+/// Returns whether a header field of this name lists the token among its comma-separated values.
 pub(super) fn has_token(headers: &[httparse::Header], name: &str, token: &str) -> bool {
     headers
         .iter()
--- a/crates/fernknot-protocol/src/http/request.rs
+++ b/crates/fernknot-protocol/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients.
+//! Reading of requests from clients.
 
 use super::head;
 use crate::body::{BodyFraming, BodyLimits, framing};
@@ -7,69 +7,70 @@
 use fernknot_router_config::Limits;
 use httparse::Status;
 
-/// A request that has been read completely.
+/// Request that has been received completely.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// The method as it was sent.
+    /// Method as it was sent.
     pub method: String,
-    /// The path with the query.
+    /// Path with the query.
     pub target: String,
     headers: Vec<(String, String)>,
-    /// The body, without its framing.
+    /// Body without its framing.
     pub body: Vec<u8>,
-    /// The connection is kept after the response.
+    /// Whether the connection stays open after the response.
     pub keeps_connection: bool,
-    /// The request is of HTTP/1.0, so that a kept connection must be announced.
+    /// Whether the request uses HTTP/1.0, where the response has to announce that the connection stays open.
     pub is_http_1_0: bool,
-    /// The client waits for an interim response before it sends the body.
+    /// Whether the client waits for an interim response before it sends the body.
     pub expects_continue: bool,
 }
 
 impl Request {
-    /// The value of the first line of this name, in any case of letters.
+    /// Returns the value of the first header field of this name, compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        head::find(&self.headers, name)
+        head::find_value(&self.headers, name)
     }
 
-    /// All lines of the head, in the order in which they came.
+    /// Returns all header fields in the order received.
     pub fn headers(&self) -> &[(String, String)] {
         &self.headers
     }
 
-    /// The target without the query.
+    /// Returns the target without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 }
 
-/// Reads the requests of one connection, one after the other.
+/// Reads the requests of one connection in turn.
 #[derive(Debug, Default)]
 pub struct RequestReader {
-    /// A request whose head has been read, but not all of its body.
+    /// Request whose head has been read, but not all of its body.
     pending: Option<(Request, BodyFraming)>,
 }
 
 impl RequestReader {
-    /// Whether a head has been read whose body is not complete.
+    /// Returns whether a head has been read whose body is not complete.
     pub fn has_pending_body(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Bytes of memory kept for a body that is not complete: those that came, and space for the length that its head
-    /// announced.
+    /// Returns the number of bytes allocated for an incomplete body; a content length is allocated in full once the head
+    /// has been read.
     pub fn body_capacity(&self) -> usize {
         self.pending.as_ref().map_or(0, |(request, _)| request.body.capacity())
     }
 
-    /// Whether the client waits for [`CONTINUE`](super::CONTINUE) before it sends the body; true once a request.
+    /// Returns whether the client waits for [`CONTINUE`](super::CONTINUE) before it sends the body; true at most once per
+    /// request.
     pub fn take_expects_continue(&mut self) -> bool {
         self.pending.as_mut().is_some_and(|(request, _)| std::mem::take(&mut request.expects_continue))
     }
 
-    /// The next request, once it is complete in `buffer`; its bytes are consumed.
+    /// Returns the next request and consumes its bytes, once it is complete in `buffer`.
     ///
     /// # Errors
-    /// The bytes are no request, or one beyond the limits.
+    /// The bytes are not a valid request, or it exceeds the limits.
     pub fn read(&mut self, buffer: &mut Buffer, limits: &Limits) -> Result<Option<Request>, HttpError> {
         if self.pending.is_none() {
             self.pending = read_head(buffer, limits)?;
@@ -93,16 +94,16 @@
         }
         Err(_) => return Err(HttpError { status: 400, reason: "not HTTP" }),
     };
-    let old = parsed.version == Some(0);
+    let is_version_1_0 = parsed.version == Some(0);
     let connection = |token| head::has_token(parsed.headers, "connection", token);
     let request = Request {
         method: parsed.method.unwrap_or_default().to_string(),
         target: parsed.path.unwrap_or_default().to_string(),
-        headers: parsed.headers.iter().map(head::text).collect(),
+        headers: parsed.headers.iter().map(head::to_strings).collect(),
         body: Vec::new(),
-        keeps_connection: if old { connection("keep-alive") } else { !connection("close") },
-        is_http_1_0: old,
-        expects_continue: !old && head::has_token(parsed.headers, "expect", "100-continue"),
+        keeps_connection: if is_version_1_0 { connection("keep-alive") } else { !connection("close") },
+        is_http_1_0: is_version_1_0,
+        expects_continue: !is_version_1_0 && head::has_token(parsed.headers, "expect", "100-continue"),
     };
     let framing = framing(parsed.headers)?.unwrap_or(BodyFraming::Length(0));
     buffer.consume(head_bytes);
--- a/crates/fernknot-protocol/src/http/response.rs
+++ b/crates/fernknot-protocol/src/http/response.rs
@@ -1,27 +1,27 @@
-//! Responses to clients.
+//! Writing of responses to clients.
 
 use crate::buffer::Buffer;
 use std::io::Write;
 
-/// The interim response that lets a client send its body, or that tells it only that its request has been heard.
+/// Interim response that asks a client to send the body of its request, or acknowledges that a request was received.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A response's head, and whether the connection is kept.
+/// Head of a response.
 pub struct ResponseHead<'a> {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The content type.
+    /// Value of `Content-Type`.
     pub content_type: &'a str,
-    /// When to retry, in seconds.
+    /// Time after which the client may retry, in seconds.
     pub retry_after_s: Option<f64>,
-    /// The connection is kept after the response.
+    /// Whether the connection stays open after the response.
     pub keeps_connection: bool,
-    /// The request was of HTTP/1.0, so that a kept connection must be announced.
+    /// Whether the request used HTTP/1.0, where the response has to announce that the connection stays open.
     pub is_http_1_0: bool,
 }
 
 impl ResponseHead<'_> {
-    /// Writes the response with this body.
+    /// Writes the head, followed by the body.
     pub fn write(&self, out: &mut Buffer, body: &[u8]) {
         let connection = match (self.keeps_connection, self.is_http_1_0) {
             (false, _) => "Connection: close\r\n",
@@ -30,7 +30,7 @@
         };
         let retry_after =
             self.retry_after_s.map(|wait| format!("Retry-After: {wait:.3}\r\n")).unwrap_or_default();
-        // Writing to a buffer does not fail.
+        // Writing to a buffer never fails.
         let _ = write!(
             out,
             "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n{connection}{retry_after}\r\n",
--- a/crates/fernknot-protocol/src/http/response_reader.rs
+++ b/crates/fernknot-protocol/src/http/response_reader.rs
@@ -1,4 +1,4 @@
-//! Responses of discovery and nodes.
+//! Reading of responses from discovery and from nodes.
 
 use super::head;
 use crate::body::{BodyFraming, BodyLimits, framing};
@@ -7,57 +7,57 @@
 use fernknot_router_config::Limits;
 use httparse::Status;
 
-/// The least status of a response that is not an interim one.
+/// Lowest status code of a final response; those below are interim.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// A response that has been read completely.
+/// Response that has been received completely.
 #[derive(Debug, Default)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
     headers: Vec<(String, String)>,
-    /// The body, without its framing.
+    /// Body without its framing.
     pub body: Vec<u8>,
-    /// The connection is kept after the response.
+    /// Whether the connection stays open after the response.
     pub keeps_connection: bool,
-    /// The head tells where the body ends, so that one cut short cannot pass for complete.
+    /// Whether the head determines the end of the body, so that a truncated body is never taken for complete.
     pub is_self_delimited: bool,
 }
 
 impl Response {
-    /// The value of the first line of this name, in any case of letters.
+    /// Returns the value of the first header field of this name, compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        head::find(&self.headers, name)
+        head::find_value(&self.headers, name)
     }
 
-    /// All lines of the head, in the order in which they came.
+    /// Returns all header fields in the order received.
     pub fn headers(&self) -> &[(String, String)] {
         &self.headers
     }
 }
 
-/// Reads the responses of one connection, one after the other.
+/// Reads the responses of one connection in turn.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    /// A response whose head has been read, but not all of its body.
+    /// Response whose head has been read, but not all of its body.
     pending: Option<(Response, BodyFraming)>,
 }
 
 impl ResponseReader {
-    /// The next final response, once it is complete in `buffer`; its bytes are consumed. `ended` says that nothing
-    /// further will come, which ends a body without a length.
+    /// Returns the next final response and consumes its bytes, once it is complete in `buffer`. `is_eof` says that the
+    /// other side has closed the connection, which ends a body without a length.
     ///
     /// # Errors
-    /// The bytes are no response, or one beyond the limits.
+    /// The bytes are not a valid response, or it exceeds the limits.
     pub fn read(
         &mut self,
         buffer: &mut Buffer,
-        ended: bool,
+        is_eof: bool,
         limits: &Limits,
     ) -> Result<Option<Response>, HttpError> {
         while self.pending.is_none() {
             let Some((response, framing)) = read_head(buffer, limits)? else { return Ok(None) };
-            // An interim response announces the real one.
+            // Interim responses are skipped; the final one follows.
             if response.status >= FIRST_FINAL_STATUS {
                 self.pending = Some((response, framing));
             }
@@ -66,14 +66,14 @@
         let body_limits =
             BodyLimits { max_body_bytes: limits.max_list_bytes, max_line_bytes: limits.max_chunk_line_bytes };
         let is_complete = framing.read(buffer, &mut response.body, body_limits)?;
-        let is_complete = is_complete || ended && matches!(framing, BodyFraming::ToEnd);
+        let is_complete = is_complete || is_eof && matches!(framing, BodyFraming::UntilClose);
         Ok(self.pending.take_if(|_| is_complete).map(|(response, _)| response))
     }
 
-    /// The same for a response that has no body, whatever length its head gives: one to a `HEAD`.
+    /// Reads like [`ResponseReader::read`] the response to a `HEAD`, which has no body whatever length its head gives.
     ///
     /// # Errors
-    /// The bytes are no response, or one beyond the limits.
+    /// The bytes are not a valid response, or it exceeds the limits.
     pub fn read_bodiless(
         &mut self,
         buffer: &mut Buffer,
@@ -102,15 +102,16 @@
     });
     let has_no_body = matches!(status, 100..200 | 204 | 304);
     let framing = framing(parsed.headers)?;
-    let is_to_end = framing.is_none() && !has_no_body;
+    let is_until_close = framing.is_none() && !has_no_body;
     let response = Response {
         status,
-        headers: parsed.headers.iter().map(head::text).collect(),
+        headers: parsed.headers.iter().map(head::to_strings).collect(),
         body: Vec::new(),
-        keeps_connection: parsed.version == Some(1) && !is_closing && !is_to_end,
-        is_self_delimited: !is_to_end,
+        keeps_connection: parsed.version == Some(1) && !is_closing && !is_until_close,
+        is_self_delimited: !is_until_close,
     };
     buffer.consume(head_bytes);
-    let framing = if has_no_body { BodyFraming::Length(0) } else { framing.unwrap_or(BodyFraming::ToEnd) };
+    let framing =
+        if has_no_body { BodyFraming::Length(0) } else { framing.unwrap_or(BodyFraming::UntilClose) };
     Ok(Some((response, framing)))
 }
--- a/crates/fernknot-protocol/src/http_error.rs
+++ b/crates/fernknot-protocol/src/http_error.rs
@@ -1,11 +1,12 @@
-//! Why a message of HTTP cannot be read.
+//! Error of reading an HTTP message.
 
-/// A message that cannot be read. Where it ends is not certain then, so the connection has to be closed.
+/// Error of an HTTP message that is malformed or too large. The end of the message is unknown, so the connection has to
+/// be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct HttpError {
-    /// The status to answer with, if there is anyone to be answered.
+    /// Status code for the response, if the message was a request.
     pub status: u16,
-    /// What is wrong, in a few words.
+    /// Short description of the error, which may go into the response's body.
     pub reason: &'static str,
 }
