--- a/crates/fernknot-protocol/src/discovery.rs
+++ b/crates/fernknot-protocol/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's lists of data nodes, and the watch that follows them.
+//! Node lists from discovery, and the long-polling watch that keeps them up to date.
 
 mod list;
 mod watch;
--- a/crates/fernknot-protocol/src/discovery/list.rs
+++ b/crates/fernknot-protocol/src/discovery/list.rs
@@ -1,11 +1,11 @@
-//! Lists of data nodes.
+//! Parsing of discovery's node lists.
 
 use fernknot::interface::{Health, Nanos, PlaceId};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// A list as it is written. The name stands in messages of the parser, which go to the log.
+/// JSON form of a list. The struct's name appears in the parser's error messages, which are logged.
 #[derive(Deserialize)]
 struct Listed<'a> {
     generation: u64,
@@ -14,7 +14,7 @@
     instances: Vec<&'a RawValue>,
 }
 
-/// An entry as it is written. The name stands in messages of the parser, which go to the log.
+/// JSON form of an entry. The struct's name appears in the parser's error messages, which are logged.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Instance {
@@ -35,59 +35,59 @@
     Removed,
 }
 
-/// A data node as listed. One that is gone may come without address and place.
+/// Data node in a list. A node that is gone may lack an address and a place.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedNode {
-    /// The id that discovery knows it by.
+    /// Id of the node at discovery.
     pub name: String,
-    /// Where it accepts connections.
+    /// Address at which the node accepts connections.
     pub address: Option<SocketAddr>,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub place: Option<PlaceId>,
-    /// Its zone as the list names it.
+    /// Name of the node's zone.
     pub zone: Option<String>,
-    /// Whether it takes calls.
+    /// Lifecycle state, which decides whether the node gets calls.
     pub health: Health,
-    /// When it last started, as Unix time; zero for long ago.
+    /// Unix time of the node's last start; zero if the list gives none.
     pub started_at: Nanos,
 }
 
-/// A list of data nodes, or the changes to one.
+/// List of data nodes, or changes to an earlier list.
 #[derive(Debug)]
 pub struct NodeList {
-    /// The version of the list.
+    /// Version of the list.
     pub generation: u64,
-    /// All nodes are listed, so that any other is gone; else those that have changed.
+    /// Whether all nodes are listed, so that any other node is gone; otherwise only changed nodes are listed.
     pub is_full: bool,
-    /// The entries that could be used, in their order.
+    /// Valid entries, in the order of the list.
     pub nodes: Vec<ListedNode>,
-    /// What is wrong with the entries that were left out.
+    /// Errors of the invalid entries, which were skipped.
     pub rejected_entries: Vec<EntryError>,
 }
 
-/// A list that cannot be read.
+/// Error of a list that is malformed as a whole.
 #[derive(Debug, thiserror::Error)]
-#[error("not a list: {0}")]
+#[error("invalid node list: {0}")]
 pub struct ListError(#[from] serde_json::Error);
 
-/// An entry of a list that cannot be used.
+/// Error of a list entry that is invalid and therefore skipped.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// It is not of the form that is expected.
+    /// The entry is not JSON of the expected form.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// The node of this id is not gone, but has no address or failure domain.
-    #[error("{0}: no usable hostPort or cell")]
+    /// The node with this id is not gone, but lacks a valid address or failure domain.
+    #[error("node {0}: hostPort or cell is missing or invalid")]
     MissingAddress(String),
-    /// The id is empty, or the time of its start is not finite.
-    #[error("{0}: no usable instanceId or startedAtMs")]
+    /// The id is empty, or the start time is not finite.
+    #[error("node {0}: instanceId or startedAtMs is missing or invalid")]
     InvalidIdentity(String),
 }
 
-/// Reads a list in discovery's form. An entry that cannot be used does not cost the others.
+/// Parses a list in discovery's JSON form. An invalid entry is skipped and reported; the others are returned.
 ///
 /// # Errors
-/// The JSON is no list.
+/// The JSON is not a node list.
 pub fn parse_list(json: &[u8]) -> Result<NodeList, ListError> {
     let listed: Listed = serde_json::from_slice(json)?;
     let (mut nodes, mut rejected_entries) = (Vec::new(), Vec::new());
--- a/crates/fernknot-protocol/src/discovery/watch.rs
+++ b/crates/fernknot-protocol/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch that follows discovery's list: one call after the other over one connection.
+//! Watch of discovery's node list by successive long-polling calls on one connection.
 
 use super::list::{ListError, NodeList, parse_list};
 use crate::buffer::Buffer;
@@ -10,70 +10,70 @@
 
 const OK: u16 = 200;
 
-/// A call that brought no list.
+/// Error of a call that returned no list.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// The bytes are no response.
+    /// The bytes are not a valid HTTP response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// Discovery answered with this status.
-    #[error("answered {0}")]
+    /// Discovery responded with this status instead of 200.
+    #[error("discovery responded with status {0}")]
     Status(u16),
-    /// The body is no list.
+    /// The body is not a node list.
     #[error(transparent)]
     List(#[from] ListError),
 }
 
-/// What a call brought.
+/// Result of a successful call.
 #[derive(Debug)]
 pub struct WatchUpdate {
-    /// The list, or the changes to it.
+    /// Complete list, or changes to the previous one.
     pub list: NodeList,
-    /// The connection can be used for the next call.
+    /// Whether the connection can be used for the next call.
     pub keeps_connection: bool,
 }
 
-/// One call after the other: the whole list first, then what has changed since.
+/// State of a watch: the first call requests the complete list, each later one the changes since the previous call.
 #[derive(Debug, Default)]
 pub struct Watch {
-    /// The version of the list that the next call continues from.
+    /// Version of the list after which the next call requests changes; `None` requests the complete list.
     generation: Option<u64>,
     reader: ResponseReader,
 }
 
 impl Watch {
-    /// Writes the next call; true if discovery may wait as long as `wait` for a change before it answers.
+    /// Writes the next call; returns true if discovery may wait up to `wait` for a change before it responds.
     pub fn write_request(&mut self, out: &mut Buffer, host: SocketAddr, wait: Nanos) -> bool {
         self.reader = ResponseReader::default();
         let wait_ms = wait.as_millis().round() as u64;
         let query = self.generation.map(|generation| format!("?index={generation}&wait={wait_ms}"));
         let is_long_poll = query.is_some();
         let query = query.unwrap_or_default();
-        // Writing to a buffer does not fail.
+        // Writing to a buffer never fails.
         let _ = write!(out, "GET /discovery/hosts{query} HTTP/1.1\r\nHost: {host}\r\n\r\n");
         is_long_poll
     }
 
-    /// The list that has come, once it is complete; `ended` says that nothing further will come.
+    /// Returns the received list, once it is complete; `is_eof` says that the other side has closed the connection.
     ///
     /// # Errors
-    /// The call brought no list; the next one asks for all of it, unless the response itself could not be read.
+    /// The call returned no list; the next call then requests the complete list, except after [`WatchError::Http`].
     pub fn read(
         &mut self,
         buffer: &mut Buffer,
-        ended: bool,
+        is_eof: bool,
         limits: &Limits,
     ) -> Result<Option<WatchUpdate>, WatchError> {
-        let Some(response) = self.reader.read(buffer, ended, limits)? else { return Ok(None) };
+        let Some(response) = self.reader.read(buffer, is_eof, limits)? else { return Ok(None) };
         let parsed = match response.status {
             OK => parse_list(&response.body).map_err(WatchError::from),
             status => Err(WatchError::Status(status)),
         };
         let list = parsed.inspect_err(|_| self.generation = None)?;
-        // Changes of an older version than the one known continue nothing: discovery has begun anew, so all of its
-        // list is asked for.
-        let goes_back = !list.is_full && self.generation.is_some_and(|known| list.generation < known);
-        self.generation = Some(list.generation).filter(|_| !goes_back);
+        // Changes with a lower version than the known one mean that discovery has restarted, so they cannot be applied
+        // to the known list; the next call requests the complete list.
+        let is_older = !list.is_full && self.generation.is_some_and(|known| list.generation < known);
+        self.generation = Some(list.generation).filter(|_| !is_older);
         Ok(Some(WatchUpdate { list, keeps_connection: response.keeps_connection }))
     }
 }
--- a/crates/fernknot-protocol/src/frames.rs
+++ b/crates/fernknot-protocol/src/frames.rs
@@ -1,6 +1,7 @@
-//! Frames between a router and a data node: four bytes of length, little-endian, a byte for the kind, and a payload.
+//! Frames between a router and a data node: a length of four bytes in little-endian order, a byte for the kind, and the
+//! payload. The length counts the kind and the payload.
 //!
-//! A router sends calls, each of several parts, and cancels parts; a node answers each part by itself.
+//! A router sends calls of several parts and cancellations of parts; a node responds to each part separately.
 
 use crate::buffer::Buffer;
 use crate::report;
@@ -17,31 +18,31 @@
 
 const LENGTH_BYTES: usize = 4;
 
-/// One part of a call, as it is sent.
+/// Part of a call that a router sends.
 pub struct CallPart<'a> {
-    /// The part's id, which its response repeats; without spaces and line ends.
+    /// Id of the part, which the response repeats; without spaces and line ends.
     pub id: &'a str,
-    /// The shard that is asked.
+    /// Shard that the part is for.
     pub shard: u32,
-    /// Milliseconds that the router will wait.
+    /// Time that the router waits for the response, in milliseconds.
     pub timeout_ms: u64,
-    /// The client's idempotency key; without spaces, commas and line ends.
+    /// Idempotency key of the client; without spaces, commas and line ends.
     pub key: Option<&'a str>,
-    /// Of a query in two phases: which one.
+    /// Phase of a two-phase query; `None` for any other query.
     pub phase: Option<CallPhase>,
-    /// What is asked.
+    /// Query text for the node.
     pub text: &'a str,
 }
 
-/// The phase of a query in two phases that a part belongs to.
+/// Phase of a two-phase query that a part belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPhase {
-    /// The first: which blocks hold matches.
+    /// First phase: finds the blocks that hold matches.
     Match {
-        /// The version of the block's summary that the router keeps.
+        /// Version of the block's summary in the router's cache.
         version: Option<u64>,
     },
-    /// The second: the block's records.
+    /// Second phase: fetches the block's records.
     Fetch,
 }
 
@@ -56,109 +57,109 @@
     }
 }
 
-/// One part of a call, as a node reads it.
+/// Part of a call that a node has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedPart<'a> {
-    /// The part's id.
+    /// Id of the part.
     pub id: &'a str,
-    /// The shard that is asked.
+    /// Shard that the part is for.
     pub shard: u32,
-    /// Time-out, key and phase, as `name=value` separated by commas.
+    /// Time-out, key and phase as comma-separated `name=value` pairs.
     pub options: &'a str,
-    /// What is asked.
+    /// Query text for the node.
     pub text: &'a str,
 }
 
-/// How a node answered a part.
+/// Status of a node's response to a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallStatus {
-    /// With a value.
+    /// The response has a value.
     Success,
-    /// It could not.
+    /// The node failed to execute the part.
     Fault,
-    /// It rejected the part without working on it.
+    /// The node rejected the part without executing it.
     Overload,
 }
 
-/// A frame of a node, as a router reads it.
+/// Frame from a node, as a router reads it.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    /// The answer to one part of a call.
+    /// Response to one part of a call.
     Response {
-        /// The part's id.
+        /// Id of the part.
         id: String,
-        /// How the node answered.
+        /// Status of the response.
         status: CallStatus,
-        /// The node's own load.
+        /// Load that the node reports of itself.
         load: LoadReport,
-        /// The value; empty without success.
+        /// Value of the response; empty without success.
         value: Vec<u8>,
     },
-    /// A health check or the answer to one; this router sends none.
+    /// Health check or the response to one; the router sends no health checks and ignores both.
     HealthCheckResponse,
-    /// The node could not use a frame, and closes; its reason.
+    /// Reason why the node rejected a frame; the node closes the connection.
     Rejected(String),
 }
 
-/// A frame as it came.
+/// Undecoded frame.
 pub struct RawFrame<'a> {
-    /// The byte for the kind.
+    /// Byte for the kind.
     pub kind: u8,
-    /// What follows the kind.
+    /// Bytes after the kind.
     pub payload: &'a [u8],
-    /// The bytes that the frame takes in the buffer.
+    /// Number of bytes of the frame in the buffer, with its length field.
     pub length: usize,
 }
 
-/// Why a frame cannot be read. What follows it cannot be read either.
+/// Error of a malformed frame, after which the rest of the connection's bytes cannot be read either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The length is zero or beyond the limit.
-    #[error("a frame's length is unfit")]
+    /// The length is zero or above the limit.
+    #[error("frame length is zero or above the limit")]
     InvalidLength,
-    /// No frame is of this kind.
-    #[error("a frame's letter is unknown")]
+    /// The kind is unknown.
+    #[error("unknown frame kind")]
     UnknownKind,
-    /// A response has no line end.
-    #[error("an answer has no line")]
+    /// A response's header line does not end.
+    #[error("response has no header line")]
     MissingLine,
-    /// A response's line has too few fields.
-    #[error("an answer's line is short")]
+    /// A response's header line has too few fields.
+    #[error("response header line has too few fields")]
     MissingField,
     /// A response's id is not UTF-8.
-    #[error("an answer's id is no text")]
+    #[error("response id is not UTF-8")]
     InvalidId,
     /// A response's status is unknown.
-    #[error("an answer's end is unknown")]
+    #[error("unknown response status")]
     UnknownStatus,
 }
 
-/// Writes a call of these parts.
+/// Writes a call with the given parts.
 pub fn write_call<'a>(out: &mut Buffer, parts: impl Iterator<Item = CallPart<'a>>) {
     let mut payload = Vec::new();
     for CallPart { id, shard, timeout_ms, key, phase, text } in parts {
         let key = key.map(|key| format!(",k={key}")).unwrap_or_default();
         let phase = CallPhase::options(phase);
-        // Writing to a vector does not fail.
+        // Writing to a vector never fails.
         let _ = writeln!(payload, "{id} {shard} d={timeout_ms}{key}{phase} {}", text.len());
         payload.extend_from_slice(text.as_bytes());
     }
     write_frame(out, CALL, &payload);
 }
 
-/// Writes that the answer to the part of this id is no longer needed.
+/// Writes the cancellation of the part with this id, whose response is no longer needed.
 pub fn write_cancel(out: &mut Buffer, id: &str) {
     write_frame(out, CANCEL, id.as_bytes());
 }
 
-/// Writes any frame, for both sides.
+/// Writes a frame of any kind; used by routers and nodes.
 pub fn write_frame(out: &mut Buffer, kind: u8, payload: &[u8]) {
     out.push(&(payload.len() as u32 + 1).to_le_bytes());
     out.push(&[kind]);
     out.push(payload);
 }
 
-/// The parts of a call's payload; `None` if it is not one.
+/// Returns the parts in the payload of a call; `None` if it is malformed.
 pub fn read_call(mut payload: &[u8]) -> Option<Vec<ReceivedPart<'_>>> {
     let mut parts = Vec::new();
     while !payload.is_empty() {
@@ -173,10 +174,10 @@
     Some(parts)
 }
 
-/// The next frame, whatever it is, once it is complete; it stays in the buffer.
+/// Returns the next frame of any kind, once it is complete, and leaves it in the buffer.
 ///
 /// # Errors
-/// The frame's length is zero or beyond the limit.
+/// The frame's length is zero or above the limit.
 pub fn peek_frame<'a>(buffer: &'a Buffer, limits: &Limits) -> Result<Option<RawFrame<'a>>, FrameError> {
     let Some((length, rest)) = buffer.data().split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
@@ -189,10 +190,10 @@
     Ok(Some(RawFrame { kind: rest[0], payload: &rest[1..length], length: LENGTH_BYTES + length }))
 }
 
-/// The next frame of a node, once it is complete; its bytes are consumed.
+/// Returns the next frame from a node and consumes its bytes, once it is complete.
 ///
 /// # Errors
-/// The bytes are no frame that a node sends.
+/// The bytes are not a frame that a node sends.
 pub fn read(buffer: &mut Buffer, limits: &Limits) -> Result<Option<Frame>, FrameError> {
     let Some(RawFrame { kind, payload, length }) = peek_frame(buffer, limits)? else { return Ok(None) };
     let frame = match kind {
@@ -220,7 +221,7 @@
     Ok(Frame::Response {
         id: id.to_string(),
         status,
-        // Guards a good answer against a report that cannot be read.
+        // An unreadable load report is ignored, so that it does not invalidate the response.
         load: report::from_text(&String::from_utf8_lossy(report)),
         value: payload[line_end + 1..].to_vec(),
     })
--- a/crates/fernknot-protocol/src/lib.rs
+++ b/crates/fernknot-protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! What the router in service exchanges with its clients, its data nodes, discovery and its peers, as bytes.
+//! Wire formats that the router uses with its clients, its data nodes, discovery and its peers.
 //!
-//! Everything here is fed bytes and returns messages, or writes messages into a [`buffer::Buffer`]; nothing knows a
-//! socket or a clock. The router, the gateway and the stand-ins of its tests own the connections and call it.
+//! The readers take bytes and return messages, the writers add messages to a [`buffer::Buffer`]; neither uses sockets or
+//! clocks. The connections belong to the callers: the router, the gateway, and the stand-ins that replace nodes and
+//! discovery in the router's tests.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-protocol/src/matches.rs
+++ b/crates/fernknot-protocol/src/matches.rs
@@ -1,45 +1,47 @@
-//! What a store answers in the first of two phases: which blocks hold matches, and a summary of its own block.
+//! Match values: a store's responses in the first phase of a two-phase query. They name the blocks that hold matches, and
+//! may have a summary of the store's own block.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use fernknot::interface::ShardId;
 use serde::{Deserialize, Serialize};
 
-/// The blocks that hold matches.
+/// Blocks that hold matches.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MatchedBlocks {
-    /// These blocks.
+    /// The listed blocks.
     Blocks(Vec<ShardId>),
-    /// The block is as in this version of its summary, which the router said that it keeps.
+    /// The block is unchanged since this version of its summary, which the router has cached; the router derives the
+    /// result from that summary.
     Same(u64),
 }
 
-/// A store's answer in the first of two phases.
+/// Store's response in the first phase of a two-phase query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MatchAnswer {
-    /// The blocks that hold matches.
+    /// Blocks that hold matches.
     pub matched_blocks: MatchedBlocks,
-    /// A summary with its version: the fingerprints of all terms that the block holds.
+    /// Version of the block's summary, and the summary: the fingerprints of all terms in the block.
     pub summary: Option<(u64, Vec<u64>)>,
 }
 
-/// Why a match value cannot be read. No part of such a value is used.
+/// Error of a malformed match value, which is ignored in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MatchError {
-    /// It is not JSON of the form that is expected.
-    #[error("a match value cannot be read")]
+    /// The value is not JSON of the expected form.
+    #[error("match value is not JSON of the expected form")]
     Malformed,
-    /// It has neither or both of `blocks` and `same`.
-    #[error("a match value has not just one of blocks and same")]
+    /// The value has neither or both of `blocks` and `same`.
+    #[error("match value must have exactly one of blocks and same")]
     Ambiguous,
-    /// A summary has no version.
-    #[error("prints come without their version")]
+    /// The summary has no version.
+    #[error("match value has prints without a version")]
     MissingVersion,
-    /// A summary is not in base64.
-    #[error("prints are not base64")]
+    /// The summary is not valid base64.
+    #[error("prints are not valid base64")]
     NotBase64,
-    /// A summary is not a whole number of fingerprints.
-    #[error("prints are not of eight bytes each")]
+    /// The length of the summary is not a multiple of a fingerprint's eight bytes.
+    #[error("length of prints is not a multiple of eight bytes")]
     PartialFingerprint,
 }
 
@@ -55,10 +57,10 @@
     prints: Option<String>,
 }
 
-/// Reads a match value.
+/// Parses a match value.
 ///
 /// # Errors
-/// The value cannot be read, or has two meanings at once.
+/// The value is malformed or ambiguous.
 pub fn read(value: &str) -> Result<MatchAnswer, MatchError> {
     let value: Value = serde_json::from_str(value).map_err(|_| MatchError::Malformed)?;
     let matched_blocks = match (value.blocks, value.same) {
@@ -88,7 +90,7 @@
     STANDARD.encode(bytes.collect::<Vec<u8>>())
 }
 
-/// The value as a store writes it.
+/// Returns the match value in a store's JSON form.
 pub fn write(answer: &MatchAnswer) -> String {
     let (blocks, same) = match &answer.matched_blocks {
         MatchedBlocks::Blocks(blocks) => (Some(blocks.iter().map(|shard| shard.0).collect()), None),
--- a/crates/fernknot-protocol/src/multiget.rs
+++ b/crates/fernknot-protocol/src/multiget.rs
@@ -1,4 +1,4 @@
-//! A client's multiget, read from its request, and the response to it.
+//! Parsing of a client's multiget from its HTTP request, and the body of the response.
 
 mod body;
 mod error;
--- a/crates/fernknot-protocol/src/multiget/body.rs
+++ b/crates/fernknot-protocol/src/multiget/body.rs
@@ -1,10 +1,10 @@
-//! The JSON of a multiget's body.
+//! JSON form of a multiget's body.
 
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// A query in two phases: what the first asks of which blocks, and what the second asks of those blocks that the
-/// answers name.
+/// Body of a two-phase query: what the first phase asks of which blocks, and what the second asks of the blocks that the
+/// first phase's responses name.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PhasedBody<'a> {
@@ -17,7 +17,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FirstBody<'a> {
-    /// All blocks that may be fetched, where none are given.
+    /// Blocks to be asked in the first phase; by default all blocks that may be fetched.
     pub(super) buckets: Option<Vec<Bucket>>,
     #[serde(borrow)]
     pub(super) body: Cow<'a, str>,
@@ -32,17 +32,17 @@
     pub(super) body: Cow<'a, str>,
 }
 
-/// What is asked of one shard.
+/// Part of a multiget for one shard.
 #[derive(Deserialize)]
 pub(super) struct Bucket {
     pub(super) bucket: u32,
     pub(super) part: f64,
-    /// The work that it is expected to take, in microseconds.
+    /// Expected work of the part, in microseconds.
     pub(super) effort: Option<f64>,
 }
 
-/// Whether a body is of a query in two phases.
-pub(super) fn is_phased(body: &[u8]) -> bool {
+/// Returns whether a body is that of a two-phase query.
+pub(super) fn is_two_phase(body: &[u8]) -> bool {
     #[derive(Deserialize)]
     struct PhaseMarker {
         #[serde(rename = "match")]
--- a/crates/fernknot-protocol/src/multiget/error.rs
+++ b/crates/fernknot-protocol/src/multiget/error.rs
@@ -1,6 +1,6 @@
-//! Why a request is no multiget that can be answered.
+//! Error of an invalid multiget request.
 
-/// What is wrong with a request that was read completely.
+/// Error of a well-formed HTTP request that is not a valid multiget. The text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The path names no use case.
@@ -9,34 +9,34 @@
     /// The method is not `POST`.
     #[error("a multiget is a POST")]
     NotPost,
-    /// The request has no id, or one that cannot stand in frames.
+    /// The request's id is missing, or invalid in frames.
     #[error("Req-Id missing or unfit")]
     InvalidId,
-    /// The client's wait is missing, not positive or too long.
+    /// The client's time-out is missing, not positive or too long.
     #[error("Req-Deadline missing or unfit")]
     InvalidDeadline,
-    /// The use case needs an idempotency key, which is missing or cannot stand in frames.
+    /// The use case requires an idempotency key, which is missing, or invalid in frames.
     #[error("Idempotency-Key missing or unfit")]
     InvalidIdempotencyKey,
-    /// The body is not JSON of the form that is expected.
+    /// The body is not JSON of the expected form.
     #[error("body unfit")]
     InvalidBody,
-    /// The body of a query in two phases is not of the form that is expected.
+    /// The body of a two-phase query is not of the expected form.
     #[error("match or fetch unfit")]
     InvalidPhases,
-    /// No shard is asked.
+    /// The list of parts is empty.
     #[error("no parts")]
     NoParts,
-    /// A shard does not exist, or stands twice in a list.
+    /// A shard does not exist, or is listed twice.
     #[error("a shard is unknown or asked for twice")]
     InvalidShard,
-    /// A part's share is not between 0 and 1.
+    /// A part's share is not from 0 to 1.
     #[error("a part's share is unfit")]
     InvalidShare,
     /// The shares of all parts do not add up to 1.
     #[error("the parts' shares make no whole")]
     InvalidShareSum,
-    /// A block may be fetched that no answer of the first phase could name.
+    /// A block is listed for the second phase that no response of the first phase could name.
     #[error("a block is to be fetched that is not asked for matches")]
     UnreachableBlock,
     /// There are too many terms, or one is empty or too long.
@@ -45,7 +45,7 @@
 }
 
 impl RequestError {
-    /// The status to answer with.
+    /// Returns the status code of the response.
     pub fn status(self) -> u16 {
         match self {
             RequestError::UnknownUseCase => 404,
--- a/crates/fernknot-protocol/src/multiget/request.rs
+++ b/crates/fernknot-protocol/src/multiget/request.rs
@@ -1,6 +1,6 @@
-//! What a client asks for.
+//! Parsing of a multiget request.
 
-use super::body::{Body, Bucket, FirstBody, PhasedBody, is_phased};
+use super::body::{Body, Bucket, FirstBody, PhasedBody, is_two_phase};
 use super::error::RequestError;
 use crate::http::Request;
 use fernknot::interface::{Nanos, ShardId, UseCaseId};
@@ -8,53 +8,53 @@
 use std::borrow::Cow;
 use std::collections::BTreeSet;
 
-/// What is asked of one shard.
+/// Part of a multiget for one shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestedPart {
-    /// The shard.
+    /// Shard that is queried.
     pub shard: ShardId,
-    /// The part's share of the whole answer, between 0 and 1.
+    /// Share of the part in the complete answer, from 0 to 1.
     pub weight: f64,
-    /// The work that it is expected to take.
+    /// Expected processing time of the part, if the client gives one.
     pub effort: Option<Nanos>,
 }
 
-/// A multiget as its client asks for it.
+/// Validated multiget of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MultigetRequest {
-    /// The client's id for the request.
+    /// Id that the client gave the request.
     pub id: String,
-    /// The use case that the path names.
+    /// Use case that the path names.
     pub use_case: UseCaseId,
-    /// The idempotency key, where the use case needs one.
+    /// Idempotency key, if the use case requires one.
     pub key: Option<String>,
-    /// How long the client waits.
+    /// Time that the client waits for the response.
     pub timeout: Nanos,
-    /// The client says that it has sent the request before.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// What is asked of each shard.
+    /// Query text for each shard.
     pub text: String,
-    /// The shards that are asked.
+    /// Parts of the multiget, one for each shard queried.
     pub parts: Vec<RequestedPart>,
-    /// The second of two phases; `text` and `parts` are the first one's then.
+    /// Second phase of a two-phase query, for which `text` and `parts` are those of the first phase.
     pub second_phase: Option<SecondPhaseRequest>,
 }
 
-/// The second phase of a query in two phases.
+/// Second phase of a two-phase query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SecondPhaseRequest {
-    /// What is asked of each block.
+    /// Query text for each block.
     pub text: String,
-    /// The blocks that may be fetched.
+    /// Blocks that may be fetched.
     pub parts: Vec<RequestedPart>,
-    /// What the query looks for, for summaries of blocks.
+    /// Search terms of the query, which are looked up in summaries of blocks.
     pub terms: Vec<String>,
 }
 
-/// Reads a multiget.
+/// Parses a multiget request.
 ///
 /// # Errors
-/// The request is none that can be answered.
+/// The request is not a valid multiget.
 pub fn parse_multiget(
     request: &Request,
     settings: &SocketSettings,
@@ -66,91 +66,100 @@
     if request.method != "POST" {
         return Err(RequestError::NotPost);
     }
-    let id = request.header("req-id").filter(|id| is_name(id, limits)).ok_or(RequestError::InvalidId)?;
-    let wait = parse_wait(request, limits)?;
+    let id =
+        request.header("req-id").filter(|id| is_valid_name(id, limits)).ok_or(RequestError::InvalidId)?;
+    let client_timeout = parse_timeout(request, limits)?;
     let is_keyed = settings.use_cases[use_case].1;
     let key = if is_keyed { Some(parse_key(request, limits)?) } else { None };
-    let ParsedBody { text, parts, second } = match settings.phases.get(use_case).and_then(Option::as_ref) {
-        // Only a query in two phases has such a body; any other is read as for any use case.
-        Some(phases) if is_phased(&request.body) => parse_phased(&request.body, settings, phases, limits)?,
-        _ => parse_plain(&request.body, settings, limits)?,
-    };
+    let ParsedBody { text, parts, second_phase } =
+        match settings.phases.get(use_case).and_then(Option::as_ref) {
+            // In a use case with two phases, a query without them is parsed like that of any other use case.
+            Some(phases) if is_two_phase(&request.body) => {
+                parse_two_phase(&request.body, settings, phases, limits)?
+            }
+            _ => parse_plain(&request.body, settings, limits)?,
+        };
     Ok(MultigetRequest {
         id: id.to_string(),
         use_case: UseCaseId(use_case),
         key: key.map(str::to_string),
-        timeout: wait,
+        timeout: client_timeout,
         is_retry: request.header("req-retry").is_some_and(|value| value.trim() == "1"),
         text,
         parts,
-        second_phase: second,
+        second_phase,
     })
 }
 
-fn parse_wait(request: &Request, limits: &Limits) -> Result<Nanos, RequestError> {
+fn parse_timeout(request: &Request, limits: &Limits) -> Result<Nanos, RequestError> {
     let seconds = request.header("req-deadline").and_then(|text| text.trim().parse::<f64>().ok());
     seconds
         .filter(|seconds| seconds.is_finite() && *seconds > 0.0)
         .map(|seconds| Nanos::from_millis(seconds * 1e3))
-        .filter(|wait| *wait <= limits.max_client_wait)
+        .filter(|timeout| *timeout <= limits.max_client_wait)
         .ok_or(RequestError::InvalidDeadline)
 }
 
 fn parse_key<'a>(request: &'a Request, limits: &Limits) -> Result<&'a str, RequestError> {
-    let key = request.header("idempotency-key").filter(|key| is_name(key, limits));
+    let key = request.header("idempotency-key").filter(|key| is_valid_name(key, limits));
     key.ok_or(RequestError::InvalidIdempotencyKey)
 }
 
-/// Names go into frames, whose fields end at spaces, commas and line ends.
-fn is_name(text: &str, limits: &Limits) -> bool {
+/// Returns whether a name is valid in frames, whose fields end at spaces, commas and line ends.
+fn is_valid_name(text: &str, limits: &Limits) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && byte != b',';
     !text.is_empty() && text.len() <= limits.max_name_bytes && text.bytes().all(is_allowed)
 }
 
-/// What the body of a request asks for.
+/// Parsed body of a request.
 struct ParsedBody {
     text: String,
     parts: Vec<RequestedPart>,
-    second: Option<SecondPhaseRequest>,
+    second_phase: Option<SecondPhaseRequest>,
 }
 
 fn parse_plain(body: &[u8], settings: &SocketSettings, limits: &Limits) -> Result<ParsedBody, RequestError> {
     let body: Body = serde_json::from_slice(body).map_err(|_| RequestError::InvalidBody)?;
     let parts = parse_parts(&body.buckets, settings, limits)?;
-    Ok(ParsedBody { text: body.body.into_owned(), parts, second: None })
+    Ok(ParsedBody { text: body.body.into_owned(), parts, second_phase: None })
 }
 
-fn parse_phased(
+fn parse_two_phase(
     body: &[u8],
     settings: &SocketSettings,
     phases: &TwoPhaseSettings,
     limits: &Limits,
 ) -> Result<ParsedBody, RequestError> {
     let body: PhasedBody = serde_json::from_slice(body).map_err(|_| RequestError::InvalidPhases)?;
-    let fetched = parse_parts(&body.second.buckets, settings, limits)?;
-    let asked = first_parts(&body.first, &fetched, settings, limits)?;
-    let asked_shards: BTreeSet<ShardId> = asked.iter().map(|part| part.shard).collect();
-    // Guards against blocks that nothing could ever name or rule out.
-    if !phases.names_others && fetched.iter().any(|part| !asked_shards.contains(&part.shard)) {
+    let fetch_parts = parse_parts(&body.second.buckets, settings, limits)?;
+    let match_parts = first_phase_parts(&body.first, &fetch_parts, settings, limits)?;
+    let match_shards: BTreeSet<ShardId> = match_parts.iter().map(|part| part.shard).collect();
+    // A block that is not asked for matches can only be named by other blocks. Without that, nothing could decide whether
+    // to fetch it.
+    if !phases.names_others && fetch_parts.iter().any(|part| !match_shards.contains(&part.shard)) {
         return Err(RequestError::UnreachableBlock);
     }
     check_terms(&body.first.terms, limits)?;
     let terms = body.first.terms.into_iter().map(Cow::into_owned).collect();
-    let second = SecondPhaseRequest { text: body.second.body.into_owned(), parts: fetched, terms };
-    Ok(ParsedBody { text: body.first.body.into_owned(), parts: asked, second: Some(second) })
+    let second_phase = SecondPhaseRequest { text: body.second.body.into_owned(), parts: fetch_parts, terms };
+    Ok(ParsedBody {
+        text: body.first.body.into_owned(),
+        parts: match_parts,
+        second_phase: Some(second_phase),
+    })
 }
 
-/// The parts of the first phase: those that are given, or all that may be fetched.
-fn first_parts(
+/// Returns the parts of the first phase: those given, or by default all that may be fetched.
+fn first_phase_parts(
     first: &FirstBody,
-    fetched: &[RequestedPart],
+    fetch_parts: &[RequestedPart],
     settings: &SocketSettings,
     limits: &Limits,
 ) -> Result<Vec<RequestedPart>, RequestError> {
     match &first.buckets {
         Some(buckets) => parse_parts(buckets, settings, limits),
-        // What a match costs is not what a fetch costs.
-        None => Ok(fetched.iter().map(|part| RequestedPart { effort: None, ..part.clone() }).collect()),
+        // The expected work is that of a fetch, which says nothing about the work of a match.
+        None => Ok(fetch_parts.iter().map(|part| RequestedPart { effort: None, ..part.clone() }).collect()),
     }
 }
 
@@ -162,7 +171,7 @@
     Ok(())
 }
 
-/// The parts that a list of buckets asks for.
+/// Validates a list of buckets and returns their parts.
 fn parse_parts(
     buckets: &[Bucket],
     settings: &SocketSettings,
@@ -184,10 +193,10 @@
     if (share_sum - 1.0).abs() > limits.share_tolerance {
         return Err(RequestError::InvalidShareSum);
     }
-    Ok(buckets.iter().map(asked_part).collect())
+    Ok(buckets.iter().map(requested_part).collect())
 }
 
-fn asked_part(bucket: &Bucket) -> RequestedPart {
+fn requested_part(bucket: &Bucket) -> RequestedPart {
     let effort_us = bucket.effort.filter(|effort| *effort > 0.0);
     RequestedPart {
         shard: ShardId(bucket.bucket),
--- a/crates/fernknot-protocol/src/multiget/response.rs
+++ b/crates/fernknot-protocol/src/multiget/response.rs
@@ -1,19 +1,19 @@
-//! The response to a multiget.
+//! Body of the response to a multiget.
 
 use fernknot::interface::ShardId;
 use serde::Serialize;
 
-/// What became of a block of a query in two phases.
+/// Final state of a block of a two-phase query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BlockState {
-    /// Its records are in the response.
+    /// The block's records are in the response.
     Fetched,
-    /// It holds no match, so it was not fetched.
+    /// The block holds no match, so it was not fetched.
     Pruned,
-    /// It holds a match, or may hold one, but its records did not come.
+    /// The block's records were requested but not received.
     Missing,
-    /// It was not asked for its records, though it was not known to hold no match.
+    /// The block's records were not requested, although it may hold a match.
     Unasked,
 }
 
@@ -37,7 +37,7 @@
     blocks: Option<Vec<BlockStatus>>,
 }
 
-/// The body of a response from the parts that are in, and from the state of each block of a query in two phases.
+/// Returns the JSON body of the response with the received parts and, for a two-phase query, the state of each block.
 pub fn response_body<'a>(
     is_complete: bool,
     parts: impl Iterator<Item = (ShardId, &'a str)>,
--- a/crates/fernknot-protocol/src/report.rs
+++ b/crates/fernknot-protocol/src/report.rs
@@ -1,11 +1,11 @@
-//! A data node's report of its own load, as far as the decision module uses it.
+//! Parsing of the load that a data node reports of itself, limited to the fields that the decision module uses.
 
 use fernknot::interface::LoadReport;
 
-/// The report from fields by name; unknown names and numbers that are not finite are ignored.
+/// Returns the report with the values of the named fields; unknown names and numbers that are not finite are ignored.
 ///
-/// Guards against two sets of names: on sockets too the fields come under the names of the simulator's wire; the plain
-/// names are those of the protocol's own example.
+/// Each field has two accepted names: the one of the simulator's wire format, which nodes use on sockets too, and the
+/// one in the example of the protocol's documentation.
 pub fn from_fields<'a>(fields: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in fields.filter(|(_, value)| value.is_finite()) {
@@ -18,7 +18,7 @@
     report
 }
 
-/// The report in the form that frames have: `name=value`, separated by commas; `-` where there is none.
+/// Parses a report in the form of frames: comma-separated `name=value` pairs, or `-` for an empty report.
 pub fn from_text(text: &str) -> LoadReport {
     let fields = text.split(',').filter_map(|field| field.split_once('='));
     from_fields(fields.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
