--- a/crates/fernknot-protocol/tests/common/mod.rs
+++ b/crates/fernknot-protocol/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings for the tests, and readers fed whole, byte by byte and split at every byte.
+//! Settings for the tests, and a check that a reader's messages do not depend on how its input is split.
 #![allow(dead_code)]
 
 use fernknot::interface::Nanos;
@@ -7,16 +7,16 @@
 use std::fmt::Debug;
 
 pub fn settings() -> SocketSettings {
-    let span = Nanos::from_millis(1000.0);
+    let one_second = Nanos::from_millis(1000.0);
     SocketSettings {
         zones: Vec::new(),
         use_cases: vec![("page".to_string(), false), ("mark".to_string(), true)],
         shards: 4,
         max_calls_per_connection: 8,
         max_parts_per_call: 1,
-        node_idle_timeout: span,
-        connect_timeout: span,
-        drain_grace: span,
+        node_idle_timeout: one_second,
+        connect_timeout: one_second,
+        drain_grace: one_second,
         longest_deadline: Nanos(3_000_000_000),
         phases: vec![Some(phases(false)), None],
         position: 0,
@@ -41,35 +41,40 @@
     Limits::new(256, 64.0, &settings()).unwrap()
 }
 
-/// What is read of `bytes` fed in these pieces: all that comes, and whether reading failed.
-fn feed<'a, T>(
+/// Returns the messages read from input that arrives in these pieces, and the error that ended reading, if any.
+fn read_pieces<'a, T>(
     pieces: impl Iterator<Item = &'a [u8]>,
     mut read: impl FnMut(&mut Buffer) -> Result<Option<T>, String>,
 ) -> (Vec<T>, Option<String>) {
-    let (mut buffer, mut got) = (Buffer::default(), Vec::new());
+    let (mut buffer, mut messages) = (Buffer::default(), Vec::new());
     for piece in pieces {
         buffer.push(piece);
         loop {
             match read(&mut buffer) {
-                Ok(Some(message)) => got.push(message),
+                Ok(Some(message)) => messages.push(message),
                 Ok(None) => break,
-                Err(why) => return (got, Some(why)),
+                Err(error) => return (messages, Some(error)),
             }
         }
     }
-    (got, None)
+    (messages, None)
 }
 
-/// Whole, split at each byte and byte by byte, the same must be read; `fresh` makes a new reader.
-pub fn same_however_cut<T, R>(bytes: &[u8], fresh: impl Fn() -> R) -> (Vec<T>, Option<String>)
+/// Checks that the same messages are read from input in one piece, split at any one byte, and byte by byte, and returns
+/// them with the error, if any; `new_reader` returns a new reader.
+pub fn read_at_every_split<T, R>(bytes: &[u8], new_reader: impl Fn() -> R) -> (Vec<T>, Option<String>)
 where
     T: PartialEq + Debug,
     R: FnMut(&mut Buffer) -> Result<Option<T>, String>,
 {
-    let whole = feed(std::iter::once(bytes), fresh());
-    for cut in 0..bytes.len() {
-        assert_eq!(feed([&bytes[..cut], &bytes[cut..]].into_iter(), fresh()), whole, "cut at {cut}");
+    let unsplit = read_pieces(std::iter::once(bytes), new_reader());
+    for split in 0..bytes.len() {
+        assert_eq!(
+            read_pieces([&bytes[..split], &bytes[split..]].into_iter(), new_reader()),
+            unsplit,
+            "split at {split}"
+        );
     }
-    assert_eq!(feed(bytes.chunks(1), fresh()), whole);
-    whole
+    assert_eq!(read_pieces(bytes.chunks(1), new_reader()), unsplit);
+    unsplit
 }
--- a/crates/fernknot-protocol/tests/frames.rs
+++ b/crates/fernknot-protocol/tests/frames.rs
@@ -1,15 +1,15 @@
-//! Frames are read however they are cut, and calls as they were written.
+//! Reading and writing of frames and calls.
 
 mod common;
 
-use common::{limits, same_however_cut};
+use common::{limits, read_at_every_split};
 use fernknot::interface::LoadReport;
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::frames::{self, CallPart, CallPhase, CallStatus, Frame, ReceivedPart};
 use test_case::test_case;
 
-fn frames_of(bytes: &[u8]) -> (Vec<Frame>, Option<String>) {
-    same_however_cut(bytes, || {
+fn read_frames(bytes: &[u8]) -> (Vec<Frame>, Option<String>) {
+    read_at_every_split(bytes, || {
         let limits = limits();
         move |buffer: &mut Buffer| frames::read(buffer, &limits).map_err(|error| error.to_string())
     })
@@ -17,15 +17,15 @@
 
 fn framed(frames: &[(u8, &[u8])]) -> Vec<u8> {
     let mut out = Buffer::default();
-    frames.iter().for_each(|(letter, rest)| frames::write_frame(&mut out, *letter, rest));
+    frames.iter().for_each(|(kind, payload)| frames::write_frame(&mut out, *kind, payload));
     out.data().to_vec()
 }
 
 #[test]
-fn frames_are_read_however_they_are_cut() {
-    let ended = |id: &str, end, waiting, value: &[u8]| Frame::Response {
+fn frames_are_read_wherever_the_input_is_split() {
+    let response = |id: &str, status, waiting, value: &[u8]| Frame::Response {
         id: id.into(),
-        status: end,
+        status,
         load: LoadReport { busy_share: None, waiting },
         value: value.to_vec(),
     };
@@ -37,31 +37,31 @@
         (b'E', b"b.0 overload 1 -\n"),
         (b'F', b"no such letter"),
     ]);
-    let want = vec![
-        ended("a.3", CallStatus::Success, Some(4.0), b"va\nlue"),
-        ended("a.4", CallStatus::Fault, None, b""),
+    let expected = vec![
+        response("a.3", CallStatus::Success, Some(4.0), b"va\nlue"),
+        response("a.4", CallStatus::Fault, None, b""),
         Frame::HealthCheckResponse,
-        ended("a.5", CallStatus::Success, None, b"v"),
-        ended("b.0", CallStatus::Overload, None, b""),
+        response("a.5", CallStatus::Success, None, b"v"),
+        response("b.0", CallStatus::Overload, None, b""),
         Frame::Rejected("no such letter".into()),
     ];
-    assert_eq!(frames_of(&bytes), (want, None));
+    assert_eq!(read_frames(&bytes), (expected, None));
 }
 
-#[test_case(&framed(&[(b'Z', b"")]); "unknown letter")]
-#[test_case(&framed(&[(b'E', b"a.1 maybe 1 -\n")]); "unknown end")]
-#[test_case(&framed(&[(b'E', b"a.1 hit 1\n")]); "short line")]
-#[test_case(&framed(&[(b'E', b"a.1 hit 1 -")]); "no line")]
-#[test_case(&framed(&[(b'E', b"\xff hit 1 -\n")]); "no text")]
-#[test_case(&[0, 0, 0, 0]; "no letter")]
-#[test_case(&[255, 255, 255, 255]; "oversized")]
-fn bad_frames_are_refused(bytes: &[u8]) {
-    let (got, why) = frames_of(bytes);
-    assert!(got.is_empty() && why.is_some());
+#[test_case(&framed(&[(b'Z', b"")]); "unknown kind")]
+#[test_case(&framed(&[(b'E', b"a.1 maybe 1 -\n")]); "unknown status")]
+#[test_case(&framed(&[(b'E', b"a.1 hit 1\n")]); "missing field")]
+#[test_case(&framed(&[(b'E', b"a.1 hit 1 -")]); "header line without an end")]
+#[test_case(&framed(&[(b'E', b"\xff hit 1 -\n")]); "id that is not UTF-8")]
+#[test_case(&[0, 0, 0, 0]; "length of zero")]
+#[test_case(&[255, 255, 255, 255]; "length above the limit")]
+fn malformed_frames_are_rejected(bytes: &[u8]) {
+    let (received, error) = read_frames(bytes);
+    assert!(received.is_empty() && error.is_some());
 }
 
 #[test]
-fn a_call_is_read_as_it_was_written() {
+fn a_call_is_read_as_written() {
     let part = |id, key, text| CallPart { id, shard: 3, timeout_ms: 240, key, phase: None, text };
     let mut out = Buffer::default();
     frames::write_call(&mut out, [part("a.3", Some("5c"), "x\ny"), part("b.3", None, "")].into_iter());
@@ -73,15 +73,15 @@
     assert_eq!(frames::read_call(&frame.payload[..frame.payload.len() - 8]), None);
 }
 
-#[test_case(None, "d=240,k=5c"; "plain, as ever")]
-#[test_case(Some(CallPhase::Match { version: None }), "d=240,k=5c,p=match"; "a match")]
-#[test_case(Some(CallPhase::Match { version: Some(7) }), "d=240,k=5c,p=match,v=7"; "with a version")]
-#[test_case(Some(CallPhase::Fetch), "d=240,k=5c,p=fetch"; "a fetch")]
-fn the_options_of_a_part_give_its_phase(phase: Option<CallPhase>, list: &str) {
+#[test_case(None, "d=240,k=5c"; "no phase")]
+#[test_case(Some(CallPhase::Match { version: None }), "d=240,k=5c,p=match"; "match")]
+#[test_case(Some(CallPhase::Match { version: Some(7) }), "d=240,k=5c,p=match,v=7"; "match with a version")]
+#[test_case(Some(CallPhase::Fetch), "d=240,k=5c,p=fetch"; "fetch")]
+fn the_options_of_a_part_contain_its_phase(phase: Option<CallPhase>, options: &str) {
     let part = CallPart { id: "a,m.3", shard: 3, timeout_ms: 240, key: Some("5c"), phase, text: "x" };
     let mut out = Buffer::default();
     frames::write_call(&mut out, [part].into_iter());
     let frame = frames::peek_frame(&out, &limits()).unwrap().unwrap();
-    let received = ReceivedPart { id: "a,m.3", shard: 3, options: list, text: "x" };
+    let received = ReceivedPart { id: "a,m.3", shard: 3, options, text: "x" };
     assert_eq!(frames::read_call(frame.payload).unwrap(), [received]);
 }
