--- a/crates/fernknot-schema/src/json_digest.rs
+++ b/crates/fernknot-schema/src/json_digest.rs
@@ -1,13 +1,13 @@
-//! A digest of JSON values, by which configurations are compared.
+//! Digest of JSON values, used to compare configurations.
 
 use serde_json::{Number, Value};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Integers at and above this magnitude are not exact as floating-point numbers.
+/// Exponent of 2 from which on a floating-point number without a fraction is hashed as a float, not as an integer.
 const FLOAT_INTEGER_LIMIT_EXPONENT: i32 = 63;
 
-/// Hashes a body by its JSON value: the order of keys, white space and the spelling of numbers don't matter. A body that
-/// is no JSON is hashed as it is. The digest is the same on every machine and in every build.
+/// Hashes a body by its JSON value: the order of keys, white space and the notation of numbers make no difference. A body
+/// that is not JSON is hashed byte by byte. The digest is the same on every machine and in every build.
 pub fn json_digest(bytes: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     match serde_json::from_slice::<Value>(bytes) {
@@ -20,7 +20,8 @@
     hash.digest()
 }
 
-/// Each kind of value begins with a tag of its own, and whatever has a length with that.
+/// Hashes a value with a tag for its type and with its length, if it has one, so that different values cannot produce the
+/// same input to the hash.
 fn hash_value(hash: &mut Xxh3, value: &Value) {
     match value {
         Value::Null => hash.update(b"n"),
@@ -33,7 +34,7 @@
             items.iter().for_each(|item| hash_value(hash, item));
         }
         Value::Object(object) => {
-            // Sorted here: whether the map is sorted depends on the features of the build.
+            // Sorted here, because the features of the build decide whether the map itself is sorted.
             let mut entries: Vec<(&String, &Value)> = object.iter().collect();
             entries.sort_unstable_by_key(|(key, _)| *key);
             hash.update(b"o");
@@ -56,7 +57,7 @@
     hash.update(&(length as u64).to_le_bytes());
 }
 
-/// 600 and 600.0 are one number.
+/// Hashes integers and floats of the same value alike, such as 600 and 600.0.
 fn hash_number(hash: &mut Xxh3, number: &Number) {
     let float = number.as_f64().unwrap_or(f64::NAN);
     let is_integer = float.fract() == 0.0 && float.abs() < 2f64.powi(FLOAT_INTEGER_LIMIT_EXPONENT);
--- a/crates/fernknot-schema/src/node_heartbeat.rs
+++ b/crates/fernknot-schema/src/node_heartbeat.rs
@@ -1,4 +1,4 @@
-//! The heartbeat that a node sends to a controller.
+//! Heartbeats that nodes send to controllers.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -7,46 +7,47 @@
 use crate::object_reader::{ErrorCollector, ObjectReader, parse_object};
 use crate::validation_error::ValidationError;
 
-/// Capacity of a node that gives none.
+/// Capacity of a node whose heartbeat has none.
 const DEFAULT_CAPACITY: u64 = 1;
 
-/// The body of a heartbeat. The node's id is in the path of the call.
+/// Body of a heartbeat. The node's id is in the path of the HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct NodeHeartbeat {
-    /// The service that the node belongs to.
+    /// Service that the node belongs to.
     pub service: String,
-    /// Where the node accepts requests.
+    /// Address at which the node accepts requests.
     pub address: SocketAddrV4,
-    /// The zone (failure domain) of its machine.
+    /// Zone (failure domain) of the node's machine.
     pub zone: String,
-    /// The epoch of the node's software.
+    /// Epoch of the node's software.
     pub software_epoch: String,
-    /// How many requests it works on at once.
+    /// Number of requests that the node executes at the same time.
     pub capacity: u32,
-    /// Whether it accepts new requests.
+    /// State that the node reports of itself.
     pub state: ReportedNodeState,
-    /// How much longer it is warming up, in milliseconds.
+    /// Remaining time of the node's warm-up, in milliseconds.
     pub warm_up_left_ms: u64,
-    /// Rises with every call of the node's incarnation, so that a late call is recognised.
+    /// Number that increases with every heartbeat of the node's incarnation, so that one that arrives out of order is
+    /// recognised.
     pub sequence: u64,
 }
 
-/// The state that a node reports of itself.
+/// State that a node reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum ReportedNodeState {
-    /// It accepts new requests.
+    /// The node accepts new requests.
     Ready,
-    /// It accepts no new requests and will end.
+    /// The node accepts no new requests and will stop.
     Draining,
 }
 
 impl NodeHeartbeat {
-    /// Parses the body of a heartbeat. Unknown keys are ignored, and only what is indispensable is required: a node
-    /// whose heartbeats are rejected gets no requests.
+    /// Parses the body of a heartbeat. Unknown keys are ignored, and few keys are required, since a node whose heartbeats
+    /// are rejected gets no requests.
     ///
     /// # Errors
     ///
-    /// Every error of the body at once; the call is to be answered with a 4xx.
+    /// Returns all errors of the body; the caller responds with a 4xx status.
     pub fn parse(bytes: &[u8]) -> Result<NodeHeartbeat, Vec<ValidationError>> {
         let value = parse_object(bytes)?;
         let errors = ErrorCollector::default();
@@ -81,7 +82,7 @@
     }
 }
 
-/// The epoch is a name, for which a number is accepted as well.
+/// Parses the epoch, which is a string or a number.
 fn parse_software_epoch(root: &ObjectReader<'_>) -> String {
     match root.get("epoch").filter(|epoch| epoch.is_number()) {
         Some(number) => number.to_string(),
--- a/crates/fernknot-schema/src/object_reader.rs
+++ b/crates/fernknot-schema/src/object_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a JSON object key by key and collects every error instead of ending at the first.
+//! Reading of JSON objects key by key, which collects all errors instead of stopping at the first.
 
 use std::cell::RefCell;
 use std::str::FromStr;
@@ -19,7 +19,7 @@
         self.errors.borrow_mut().push(error);
     }
 
-    /// The value if there was no error.
+    /// Returns the value if there was no error, otherwise all errors.
     pub fn into_result<T>(self, value: T) -> Result<T, Vec<ValidationError>> {
         let errors = self.errors.into_inner();
         if errors.is_empty() { Ok(value) } else { Err(errors) }
@@ -35,7 +35,7 @@
     }
 }
 
-/// Reads one object. A missing key, or one that is null, is no error unless it is required.
+/// Reader of one object. A key that is missing or null is not an error unless it is required.
 pub(crate) struct ObjectReader<'a> {
     path: String,
     object: Option<&'a Map<String, Value>>,
@@ -43,22 +43,22 @@
 }
 
 impl<'a> ObjectReader<'a> {
-    /// Reads the outermost object.
+    /// Returns the reader of the outermost object.
     pub fn root(value: &'a Value, errors: &'a ErrorCollector) -> ObjectReader<'a> {
         ObjectReader { path: String::new(), object: value.as_object(), errors }
     }
 
-    /// Adds an error at a key.
+    /// Records an error at a key.
     pub fn report(&self, key: &str, reason: &str) {
         self.errors.push(ValidationError::new(self.path_of(key), reason));
     }
 
-    /// The value under a key, unless that is missing or null.
+    /// Returns the value of a key, unless it is missing or null.
     pub fn get(&self, key: &str) -> Option<&'a Value> {
         self.object.and_then(|object| object.get(key)).filter(|value| !value.is_null())
     }
 
-    /// Reports the keys that are missing.
+    /// Records an error for each of the keys that is missing.
     pub fn require(&self, keys: &[&str]) {
         for key in keys {
             if self.get(key).is_none() {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The object under a key; an empty one where there is none.
+    /// Returns the reader of the object under a key; it is empty if there is none.
     pub fn nested(&self, key: &str) -> ObjectReader<'a> {
         let value = self.get(key);
         if value.is_some_and(|value| !value.is_object()) {
@@ -77,12 +77,12 @@
         ObjectReader { path: self.path_of(key), object, errors: self.errors }
     }
 
-    /// All keys of the object with their values.
+    /// Returns all keys of the object with their values.
     pub fn entries(&self) -> impl Iterator<Item = (&'a String, &'a Value)> {
         self.object.into_iter().flatten()
     }
 
-    /// A string.
+    /// Returns the string under a key.
     pub fn string(&self, key: &str) -> Option<String> {
         let string = self.get(key)?.as_str().map(str::to_string);
         if string.is_none() {
@@ -91,7 +91,7 @@
         string
     }
 
-    /// A boolean.
+    /// Returns the boolean under a key.
     pub fn boolean(&self, key: &str) -> Option<bool> {
         let boolean = self.get(key)?.as_bool();
         if boolean.is_none() {
@@ -100,7 +100,7 @@
         boolean
     }
 
-    /// A number of 0 or more.
+    /// Returns the number under a key, which has to be finite and at least 0.
     pub fn number(&self, key: &str) -> Option<f64> {
         let number = self.get(key)?.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
         if number.is_none() {
@@ -109,7 +109,8 @@
         number
     }
 
-    /// A number above 0, for what others are divided by or paced with; the default where there is none.
+    /// Returns the number under a key, which has to be above 0, or the default if there is none. For divisors and
+    /// intervals.
     pub fn positive_or(&self, key: &str, default: f64) -> f64 {
         let number = self.number(key).unwrap_or(default);
         if number == 0.0 {
@@ -118,16 +119,16 @@
         number
     }
 
-    /// A number of 0 or more, rounded up: a time or an amount is never rounded to 0.
+    /// Returns the number under a key, which has to be at least 0, rounded up: a time or an amount is never rounded to 0.
     pub fn rounded_up(&self, key: &str) -> Option<u64> {
         if let Some(integer) = self.get(key)?.as_u64() {
             return Some(integer);
         }
-        // The conversion saturates.
+        // The conversion to an integer saturates.
         self.number(key).map(|number| number.ceil() as u64)
     }
 
-    /// A string that parses as `T`; `expected` says what it is to be.
+    /// Returns the string under a key parsed as `T`; `expected` describes the expected value in the error.
     pub fn parsed<T: FromStr>(&self, key: &str, expected: &str) -> Option<T> {
         let parsed = self.string(key)?.parse().ok();
         if parsed.is_none() {
@@ -136,7 +137,7 @@
         parsed
     }
 
-    /// A list of strings that parse as `T`; each that does not is an error with its index.
+    /// Returns the list of strings under a key, each parsed as `T`; an invalid string is an error with its index.
     pub fn list<T: FromStr>(&self, key: &str, expected: &str) -> Vec<T> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let Some(items) = value.as_array() else {
--- a/crates/fernknot-schema/src/process_settings.rs
+++ b/crates/fernknot-schema/src/process_settings.rs
@@ -1,107 +1,107 @@
-//! The settings of a process.
+//! Settings of a controller or gateway process.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// The value of `serves` of a process that clients call.
+/// Value in `serves` for a process that clients call.
 pub(crate) const SERVES_EDGE: &str = "edge";
-/// The value of `serves` of a process that nodes and the operator call.
+/// Value in `serves` for a process that nodes and the operator call.
 pub(crate) const SERVES_CONTROL_PLANE: &str = "control_plane";
 
-/// The validated settings file of a process.
+/// Validated settings file of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessSettings {
-    /// The name of the machine.
+    /// Name of the machine.
     pub node_name: String,
-    /// The role of the machine, as the platform names it.
+    /// Role of the machine, in the platform's terms.
     pub role: String,
-    /// The class of the machine, as the platform names it.
+    /// Class of the machine, in the platform's terms.
     pub machine_class: String,
-    /// Who may call this process from outside: `edge`, `control_plane`, both or none.
+    /// Groups of external callers that this process serves: `edge`, `control_plane`, both or none.
     pub serves: Vec<String>,
-    /// The address that other machines reach this one at.
+    /// Address of the machine for other machines.
     pub ip: Ipv4Addr,
-    /// The zone (failure domain) of the machine.
+    /// Zone (failure domain) of the machine.
     pub zone: String,
-    /// The region of the machine.
+    /// Region of the machine.
     pub region: String,
-    /// The region of each zone.
+    /// Region of each zone, by the zone's name.
     pub zones: BTreeMap<String, String>,
-    /// Where the process listens for callers from outside.
+    /// Addresses at which the process listens for external callers.
     pub bind_addrs: BindAddrs,
-    /// The ports that are free for messages between the processes of the system.
+    /// Ports available for messages between the processes of the system.
     pub port_range: PortRange,
-    /// Control addresses of some controllers when the file was written.
+    /// Control addresses of some of the controllers that ran when the file was written.
     pub seeds: Vec<SocketAddrV4>,
-    /// The whole system starts for the first time, with empty disks.
+    /// Whether the system starts for the first time, with empty disks.
     pub bootstrap: bool,
-    /// The machine counts towards the fault budget.
+    /// Whether a loss of the machine counts towards the fault budget.
     pub counts_in_fault_budget: bool,
-    /// What the machine gives the process.
+    /// Resources that the machine grants the process.
     pub limits: ResourceLimits,
-    /// Where the process may keep data; none where there is no disk.
+    /// Directory for the data of the process; `None` if there is no disk.
     pub data_dir: Option<PathBuf>,
-    /// How nodes are discovered, as the platform names it.
+    /// Method of node discovery, in the platform's terms.
     pub discovery: String,
-    /// How clients reach the gateways, as the platform names it.
+    /// Method by which clients reach the gateways, in the platform's terms.
     pub client_entry: String,
-    /// About how often a node sends its heartbeat, in milliseconds.
+    /// Approximate interval between two heartbeats of a node, in milliseconds.
     pub heartbeat_interval_ms: f64,
-    /// The names of the invariants that are in force.
+    /// Names of the invariants that are in force.
     pub invariants: Vec<String>,
-    /// What may be lost at one time while every invariant holds.
+    /// Simultaneous losses under which every invariant holds.
     pub fault_budget: FaultBudget,
-    /// The figures of the invariants.
+    /// Parameters of the invariants.
     pub bounds: InvariantBounds,
 }
 
 impl ProcessSettings {
-    /// Whether clients call this process.
+    /// Returns whether the process serves clients.
     pub fn serves_edge(&self) -> bool {
         self.serves.iter().any(|serves| serves == SERVES_EDGE)
     }
 
-    /// Whether nodes and the operator call this process.
+    /// Returns whether the process serves nodes and the operator.
     pub fn serves_control(&self) -> bool {
         self.serves.iter().any(|serves| serves == SERVES_CONTROL_PLANE)
     }
 }
 
-/// A range of ports, both ends included.
+/// Range of ports, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
-    /// The lowest port; never 0.
+    /// Lowest port; never 0.
     pub first: u16,
-    /// The highest port; not below the first.
+    /// Highest port; at least `first`.
     pub last: u16,
 }
 
-/// Where the process listens for callers from outside.
+/// Addresses at which the process listens for external callers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BindAddrs {
-    /// For queries of clients.
+    /// Address for queries of clients.
     pub front_addr: Option<SocketAddrV4>,
-    /// For the platform's readiness checks.
+    /// Address for the platform's readiness checks.
     pub ready_addr: Option<SocketAddrV4>,
-    /// For nodes and the operator.
+    /// Address for nodes and the operator.
     pub control_addr: Option<SocketAddrV4>,
 }
 
-/// What the machine gives the process. A limit that was not given has the default.
+/// Resources that the machine grants the process. Missing limits have their default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Share of a core.
+    /// Share of a core that the process may use.
     pub cpu_share: f64,
-    /// The speed of that core as a multiple of the platform's standard core.
+    /// Speed of that core as a multiple of the platform's standard core.
     pub core_speed: f64,
     /// Memory in megabytes.
     pub memory_mb: f64,
-    /// Open file descriptors.
+    /// Number of file descriptors that may be open.
     pub fd_limit: u64,
     /// Bandwidth of the network link in megabits per second.
     pub link_mbps: f64,
-    /// Disk space in megabytes; 0 where there is no disk.
+    /// Disk space in megabytes; 0 if there is no disk.
     pub disk_mb: f64,
 }
 
@@ -118,49 +118,49 @@
     }
 }
 
-/// What may be lost at one time while every invariant holds.
+/// Simultaneous losses under which every invariant holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultBudget {
-    /// Machines.
+    /// Number of machines.
     pub machine_losses: u64,
-    /// Zones.
+    /// Number of zones.
     pub zones: u64,
-    /// Regions.
+    /// Number of regions.
     pub region_losses: u64,
 }
 
-/// The figures of the invariants, under the names of the users' rules. A bound that was not given has the default.
+/// Parameters of the invariants, under the names in the users' rules. Missing bounds have their default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvariantBounds {
-    /// How far the list of controllers that callers choose from lags behind, in seconds.
+    /// Longest time by which the list of controllers that callers choose from is out of date, in seconds.
     pub seed_lag_s: f64,
-    /// How long the address of an ended node stays unused, in seconds.
+    /// Time for which the address of a stopped node is not reused, in seconds.
     pub reuse_after_s: f64,
-    /// How long a machine has run and been connected before it counts as in contact, in milliseconds.
+    /// Time for which a machine has to run and be connected before it counts as in contact, in milliseconds.
     pub contact_ms: f64,
-    /// In what time a configuration has to be acknowledged, in milliseconds.
+    /// Time within which a configuration has to be acknowledged, in milliseconds.
     pub ack_deadline_ms: f64,
-    /// In what time a restarted process has to catch up, in seconds.
+    /// Time within which a restarted process has to catch up, in seconds.
     pub catch_up_s: f64,
-    /// How long requests may still go to a node after its draining was acknowledged, in milliseconds.
+    /// Time for which requests may still go to a node after its draining was acknowledged, in milliseconds.
     pub drain_cutoff_ms: f64,
-    /// How long a process has from SIGTERM to SIGKILL, in seconds.
+    /// Time from SIGTERM to SIGKILL, in seconds.
     pub grace_s: f64,
-    /// How late after its last byte a request may still be lost without counting, in milliseconds.
+    /// Time after the last byte of a request within which a loss of the request does not count, in milliseconds.
     pub loss_slack_ms: f64,
-    /// In what time an acknowledged configuration has to be in force everywhere, in milliseconds.
+    /// Time within which an acknowledged configuration has to be in force everywhere, in milliseconds.
     pub apply_ms: f64,
-    /// How long requests under an older configuration may follow ones under a newer, in milliseconds.
+    /// Time for which requests under an older configuration may follow requests under a newer one, in milliseconds.
     pub revert_slack_ms: f64,
-    /// The span over which losses of the control plane are judged, in milliseconds.
+    /// Length of the window over which losses of the control plane are evaluated, in milliseconds.
     pub stretch_ms: f64,
-    /// Extra attempts per request.
+    /// Number of extra attempts allowed per request.
     pub retry_ratio: f64,
-    /// The window over which extra attempts are counted, in seconds.
+    /// Length of the window over which extra attempts are counted, in seconds.
     pub retry_window_s: f64,
-    /// Extra attempts that are free in each window.
+    /// Number of extra attempts allowed in each window beyond the ratio.
     pub retry_slack: f64,
-    /// In what time service has to recover once machines are back, in seconds.
+    /// Time within which service has to recover once lost machines are back, in seconds.
     pub recover_s: f64,
 }
 
--- a/crates/fernknot-schema/src/process_settings_parser.rs
+++ b/crates/fernknot-schema/src/process_settings_parser.rs
@@ -1,4 +1,4 @@
-//! Parses the settings file of a process.
+//! Parsing of the settings file of a process.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -11,7 +11,7 @@
 };
 use crate::validation_error::ValidationError;
 
-const SOCKET_ADDRESS: &str = "an IPv4 address with a port";
+const EXPECTED_SOCKET_ADDRESS: &str = "an IPv4 address with a port";
 const DEFAULT_HEARTBEAT_INTERVAL_MS: f64 = 1000.0;
 const DEFAULT_DISCOVERY: &str = "registry";
 const DEFAULT_CLIENT_ENTRY: &str = "vip";
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// Every error of the file at once, so that one look is enough to correct it.
+    /// Returns all errors of the file, so that they can be corrected at once.
     pub fn parse(bytes: &[u8]) -> Result<ProcessSettings, Vec<ValidationError>> {
         let value = parse_object(bytes)?;
         let errors = ErrorCollector::default();
@@ -41,7 +41,7 @@
     let fault_budget = parse_fault_budget(&root.nested("fault_budget"));
     let zone = root.string("zone").unwrap_or_default();
     let zones = parse_zones(&root.nested("zones"));
-    // Without a region of its own the process is in that of its zone.
+    // The region defaults to that of the zone.
     let region = root.string("region").or_else(|| zones.get(&zone).cloned()).unwrap_or_default();
     ProcessSettings {
         node_name: root.string("node_name").unwrap_or_default(),
@@ -54,7 +54,7 @@
         zones,
         bind_addrs,
         port_range: parse_port_range(root),
-        seeds: root.list("seeds", SOCKET_ADDRESS),
+        seeds: root.list("seeds", EXPECTED_SOCKET_ADDRESS),
         bootstrap: root.boolean("bootstrap").unwrap_or(false),
         counts_in_fault_budget: root.boolean("counted").unwrap_or(false),
         limits,
@@ -70,13 +70,13 @@
 
 fn parse_bind_addrs(bind: &ObjectReader<'_>) -> BindAddrs {
     BindAddrs {
-        front_addr: bind.parsed("front_addr", SOCKET_ADDRESS),
-        ready_addr: bind.parsed("ready_addr", SOCKET_ADDRESS),
-        control_addr: bind.parsed("control_addr", SOCKET_ADDRESS),
+        front_addr: bind.parsed("front_addr", EXPECTED_SOCKET_ADDRESS),
+        ready_addr: bind.parsed("ready_addr", EXPECTED_SOCKET_ADDRESS),
+        control_addr: bind.parsed("control_addr", EXPECTED_SOCKET_ADDRESS),
     }
 }
 
-/// Whoever a process serves has to have an address to call.
+/// Requires the addresses for all groups of callers that the process serves.
 fn require_bind_addrs(bind: &ObjectReader<'_>, serves: &[String]) {
     let serves = |role: &str| serves.iter().any(|serves| serves == role);
     if serves(SERVES_EDGE) {
@@ -140,7 +140,7 @@
     region_by_zone
 }
 
-/// The ports, or what stands for them beside an error.
+/// Returns the port range, or a placeholder after recording an error.
 fn parse_port_range(root: &ObjectReader<'_>) -> PortRange {
     const INVALID: PortRange = PortRange { first: 0, last: 0 };
     let Some(value) = root.get("port_range") else { return INVALID };
@@ -150,7 +150,10 @@
     match ports.as_deref() {
         Some(&[first, last]) if 0 < first && first <= last => PortRange { first, last },
         _ => {
-            root.report("port_range", "is not two ports, the first not above the second");
+            root.report(
+                "port_range",
+                "is not a list of two ports from 1 to 65535, the second at least the first",
+            );
             INVALID
         }
     }
--- a/crates/fernknot-schema/src/raw_config.rs
+++ b/crates/fernknot-schema/src/raw_config.rs
@@ -1,8 +1,8 @@
-//! The operator's routing configuration under the keys of its JSON, loaded with `schematic`: its loader takes a string
-//! without any file, gives defaults, ignores unknown keys and collects the errors of single settings. What concerns
-//! several settings at once is checked in [`crate::routing_config_parser`].
+//! Operator's routing configuration under its JSON keys, loaded with `schematic`. The loader parses a string, applies
+//! defaults, ignores unknown keys and collects the errors of single settings. Conditions on several settings are checked
+//! in [`crate::routing_config_parser`].
 //!
-//! Its JSON parser also accepts comments, so the bytes are parsed strictly beforehand.
+//! The JSON parser of `schematic` also accepts comments, so the bytes are first parsed with a strict parser.
 
 use schematic::{Config, ConfigError, ConfigLoader, Schematic, ValidateError, ValidateResult};
 use serde::{Deserialize, Deserializer, Serialize, de};
@@ -10,11 +10,10 @@
 use crate::routing_config::{ClientLimits, TrafficClass};
 use crate::validation_error::ValidationError;
 
-/// The name of the text in error messages of `schematic`.
+/// Name of the parsed text in error messages of `schematic`.
 const SOURCE_NAME: &str = "plan.json";
 
-/// A number of 0 or more that may come as `600` or as `600.0`; a fraction is rounded up, so that a short time never
-/// becomes 0.
+/// Number of at least 0, written as `600` or `600.0`; a fraction is rounded up, so that a short time never becomes 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct NonNegativeInteger(pub u64);
 
@@ -46,7 +45,7 @@
     }
 }
 
-/// The configuration; see [`crate::RoutingConfig`].
+/// JSON form of [`crate::RoutingConfig`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawConfig {
@@ -60,7 +59,7 @@
     pub(crate) limits: RawClientLimits,
 }
 
-/// A route; see [`crate::Route`].
+/// JSON form of [`crate::Route`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawRoute {
@@ -84,7 +83,7 @@
     pub(crate) tries: Option<NonNegativeInteger>,
 }
 
-/// Whether requests may be repeated; without a class they may not.
+/// JSON form of [`crate::TrafficClass`]; by default requests may not be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RawTrafficClass {
@@ -93,7 +92,7 @@
     Mutating,
 }
 
-/// A service with its weight; see [`crate::RouteTarget`].
+/// JSON form of a service with its weight in [`crate::RouteTarget::WeightedServices`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawWeightedService {
@@ -103,7 +102,7 @@
     pub(crate) weight: Option<f64>,
 }
 
-/// A service; see [`crate::Service`].
+/// JSON form of [`crate::Service`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawService {
@@ -117,7 +116,7 @@
     pub(crate) tls: bool,
 }
 
-/// What clients may send; see [`crate::ClientLimits`].
+/// JSON form of [`crate::ClientLimits`].
 #[derive(Config, Debug)]
 #[config(allow_unknown_fields)]
 pub(crate) struct RawClientLimits {
@@ -128,7 +127,7 @@
 }
 
 impl RawClientLimits {
-    /// The limits, with the default for each that was not given.
+    /// Returns the limits, with the defaults for missing ones.
     pub(crate) fn resolve(&self) -> ClientLimits {
         let default = ClientLimits::default();
         let given_or = |given: Option<NonNegativeInteger>, default| given.map_or(default, |given| given.0);
@@ -172,11 +171,11 @@
     if is_valid { Ok(()) } else { Err(ValidateError::new(reason)) }
 }
 
-/// Loads the text, which is known to be JSON.
+/// Loads a text that has been checked to be JSON.
 ///
 /// # Errors
 ///
-/// What is wrong with single settings.
+/// Returns all errors of single settings.
 pub(crate) fn load(text: &str) -> Result<RawConfig, Vec<ValidationError>> {
     let mut loader = ConfigLoader::<RawConfig>::new();
     let loaded = loader.code(text, SOURCE_NAME).and_then(|loader| loader.load());
--- a/crates/fernknot-schema/src/route_table.rs
+++ b/crates/fernknot-schema/src/route_table.rs
@@ -1,23 +1,23 @@
-//! Which route a request takes, by its host and path.
+//! Look-up of the route of a request by its host and path.
 
 use std::collections::HashMap;
 
 use crate::routing_config::RoutingConfig;
 
-/// Hosts up to this length are looked up without an allocation.
+/// Length up to which a host is looked up without an allocation, in bytes.
 const MAX_STACK_HOST_BYTES: usize = 256;
 
-/// The routes of one configuration, indexed for look-ups.
+/// Routes of one configuration, indexed for look-ups.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     routes_by_host: HashMap<Vec<u8>, HostRoutes>,
 }
 
-/// The routes of one host. A look-up costs one probe for each length of a prefix that occurs, however many prefixes
-/// there are and however long the path is.
+/// Routes of one host. The number of probes of a look-up is at most the number of distinct prefix lengths; it depends
+/// neither on the number of prefixes nor on the length of the path.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
-    /// Longest first, each once.
+    /// Distinct lengths of the prefixes in bytes, longest first.
     prefix_lengths: Vec<usize>,
     route_by_prefix: HashMap<Vec<u8>, usize>,
 }
@@ -30,7 +30,7 @@
 }
 
 impl RouteTable {
-    /// Indexes the routes of a configuration.
+    /// Returns the index of a configuration's routes.
     pub fn new(config: &RoutingConfig) -> RouteTable {
         let mut table = RouteTable::default();
         for (index, route) in config.routes.iter().enumerate() {
@@ -47,14 +47,14 @@
         table
     }
 
-    /// The index in [`RoutingConfig::routes`] of the route with the longest prefix that begins the path, among those of
-    /// the host. The host may carry a port and the path a query; neither counts.
+    /// Returns the index in [`RoutingConfig::routes`] of the host's route with the longest prefix of the path. A port of
+    /// the host and a query of the path are ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         self.routes_of_host(host)?.find(path.as_bytes())
     }
 
-    /// Whether any route has this host.
+    /// Returns whether any route has this host.
     pub fn has_host(&self, host: &str) -> bool {
         self.routes_of_host(host).is_some()
     }
@@ -73,12 +73,12 @@
     }
 }
 
-/// A host without its port. An IPv6 host keeps its brackets.
+/// Returns a host without its port. An IPv6 host keeps its brackets.
 pub(crate) fn host_without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
-        Some((bare, port)) if port.bytes().all(|digit| digit.is_ascii_digit()) => {
+        Some((name, port)) if port.bytes().all(|digit| digit.is_ascii_digit()) => {
             // A colon inside brackets belongs to the address.
-            if bare.starts_with('[') && !bare.ends_with(']') { host } else { bare }
+            if name.starts_with('[') && !name.ends_with(']') { host } else { name }
         }
         _ => host,
     }
--- a/crates/fernknot-schema/src/routing_config.rs
+++ b/crates/fernknot-schema/src/routing_config.rs
@@ -1,28 +1,28 @@
-//! The operator's routing configuration, validated.
+//! Validated routing configuration of the operator.
 
 use bitcode::{Decode, Encode};
 
 use crate::validation_error::ValidationError;
 
-/// One version of the routing configuration.
+/// Version of the routing configuration.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RoutingConfig {
-    /// The operator's version number; rises with each version.
+    /// Version number that the operator assigns; higher for each new version.
     pub epoch: u64,
-    /// The routes, in the order of the operator's list.
+    /// Routes in the order of the operator's list.
     pub routes: Vec<Route>,
-    /// The services that routes may name.
+    /// Services that routes may name.
     pub services: Vec<Service>,
-    /// What clients may send.
+    /// Limits on what clients may send.
     pub limits: ClientLimits,
 }
 
 impl RoutingConfig {
-    /// Checks that this version may follow the current one.
+    /// Checks that this version may replace the current one.
     ///
     /// # Errors
     ///
-    /// The epoch is not above the current one.
+    /// The epoch is not higher than the current one.
     pub fn check_epoch_above(&self, current_epoch: u64) -> Result<(), ValidationError> {
         if self.epoch > current_epoch {
             return Ok(());
@@ -31,58 +31,58 @@
     }
 }
 
-/// Which requests are routed where, and with which limits.
+/// Rule for routing the requests of one host and path prefix, with their limits.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
-    /// The name for operators; may be empty.
+    /// Name for operators; may be empty.
     pub name: String,
-    /// The host that requests of this route carry.
+    /// Host that requests of this route are for.
     pub authority: String,
-    /// The prefix of the path of these requests; begins and ends with a slash.
+    /// Prefix of the path of these requests; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether requests may be repeated.
+    /// Whether requests may be executed more than once.
     pub traffic_class: TrafficClass,
-    /// The deadline of a request in milliseconds; never 0.
+    /// Deadline of a request in milliseconds; never 0.
     pub deadline_ms: u64,
-    /// The latency target in milliseconds: an answer within it has its full value.
+    /// Latency target in milliseconds; a response within it has its full value.
     pub target_ms: u64,
-    /// The priority; 0 is the highest.
+    /// Priority of the requests; 0 is the highest.
     pub rank: u32,
-    /// Where the requests go.
+    /// Services that the requests are sent to.
     pub target: RouteTarget,
-    /// The largest number of nodes that one client request may be sent to; at least 1.
+    /// Largest number of nodes that one client request may be sent to; at least 1.
     pub max_attempts: u32,
 }
 
-/// Whether requests may be repeated.
+/// Permission to execute a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum TrafficClass {
-    /// They may be.
+    /// Requests may be executed more than once.
     Idempotent,
-    /// They may run once only.
+    /// Requests may be executed at most once.
     Mutating,
 }
 
-/// Where the requests of a route go.
+/// Services that the requests of a route are sent to.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum RouteTarget {
-    /// All to one service.
+    /// All requests go to one service.
     Service(String),
-    /// Each to one of several services, drawn by weight; the weights do not add up to 0.
+    /// Each request goes to one of several services, chosen at random by weight; the sum of the weights is above 0.
     WeightedServices(Vec<(String, f64)>),
-    /// Each to all of several services (shards), whose answers are merged.
+    /// Each request goes to all of several services (shards), whose responses are merged.
     Fanout {
-        /// The names of the services.
+        /// Names of the services.
         shards: Vec<String>,
-        /// How many of the greatest records the client gets.
+        /// Number of records that the client gets, the greatest first.
         top_k: usize,
-        /// The least share of the shards that makes a success, 0 to 1.
+        /// Share of the shards that have to respond for a success, from 0 to 1.
         quorum: f64,
     },
 }
 
 impl RouteTarget {
-    /// Every service that requests may be sent to, in the order given.
+    /// Returns the names of all services that requests may be sent to, in the order given.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         let (one, weighted, shards) = match self {
             RouteTarget::Service(name) => (Some(name), &[][..], &[][..]),
@@ -94,31 +94,31 @@
     }
 }
 
-/// A service that routes may name.
+/// Service that routes may name.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Service {
-    /// The name that routes and nodes' heartbeats use.
+    /// Name that routes and heartbeats of nodes use.
     pub name: String,
-    /// The path of health checks.
+    /// Path of health checks.
     pub probe_path: String,
-    /// Connections that each node accepts from all callers together.
+    /// Number of connections that each node accepts from all callers together.
     pub max_connections: u32,
-    /// The protocol that the nodes speak.
+    /// Protocol of the nodes.
     pub protocol: String,
     /// Whether connections to the nodes use TLS.
     pub tls: bool,
 }
 
-/// What a client may send and how long it may take.
+/// Limits on the size and the time of clients' requests.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClientLimits {
-    /// Size of a request's head, in bytes.
+    /// Largest size of a request's head, in bytes.
     pub header_bytes: u64,
-    /// Size of a request's body, in bytes.
+    /// Largest size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Time to send a request's head, in milliseconds.
+    /// Longest time to send a request's head, in milliseconds.
     pub header_ms: u64,
-    /// Time without a request on a connection, in milliseconds.
+    /// Longest time without a request on a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
--- a/crates/fernknot-schema/src/routing_config_parser.rs
+++ b/crates/fernknot-schema/src/routing_config_parser.rs
@@ -1,4 +1,4 @@
-//! Parses and validates the operator's routing configuration.
+//! Parsing and validation of the operator's routing configuration.
 
 use std::collections::HashSet;
 use std::fmt::Display;
@@ -17,14 +17,14 @@
 const DEFAULT_MAX_ATTEMPTS: u64 = 1;
 
 impl RoutingConfig {
-    /// Parses and validates a configuration. Unknown keys are ignored, and what the users' protocol does not forbid is
-    /// accepted: to reject a valid version is a fault.
+    /// Parses and validates a configuration. Unknown keys are ignored, and everything that the users' protocol does not
+    /// forbid is accepted, since a valid version must never be rejected.
     ///
     /// # Errors
     ///
-    /// Everything that makes it invalid; the call is to be answered with a 400.
+    /// Returns all errors that were found; the caller responds with status 400.
     pub fn parse(bytes: &[u8]) -> Result<RoutingConfig, Vec<ValidationError>> {
-        // Strict first: what `schematic` accepts may hold comments and trailing commas.
+        // A strict parser comes first, because `schematic` accepts comments and trailing commas.
         serde_json::from_slice::<IgnoredAny>(bytes).map_err(not_json)?;
         let text = std::str::from_utf8(bytes).map_err(not_json)?;
         validate(raw_config::load(text)?)
@@ -35,7 +35,7 @@
     vec![ValidationError::new("", format!("cannot be read whole: {error}"))]
 }
 
-/// Checks what concerns several settings at once; single ones were checked by `schematic`.
+/// Checks conditions on several settings at once; `schematic` has checked the single settings.
 fn validate(raw: RawConfig) -> Result<RoutingConfig, Vec<ValidationError>> {
     let mut errors = Vec::new();
     let services = parse_services(raw.backends.unwrap_or_default(), &mut errors);
@@ -89,7 +89,7 @@
 
 fn parse_route(mut raw: RawRoute, path: &str, errors: &mut Vec<ValidationError>) -> Route {
     let target = parse_target(&mut raw, path, errors);
-    // What is fanned out may be repeated whatever the class says; without a class nothing else may.
+    // Requests of a fanout may always be repeated, whatever the class; other requests without a class may not.
     let traffic_class = match (&target, raw.traffic_class) {
         (RouteTarget::Fanout { .. }, _) => TrafficClass::Idempotent,
         (_, class) => class.unwrap_or_default().into(),
@@ -109,7 +109,7 @@
     }
 }
 
-/// A fanout counts before weighted services, and these before a single one.
+/// Parses the target of a route. A fanout takes precedence over weighted services, and these over a single service.
 fn parse_target(raw: &mut RawRoute, path: &str, errors: &mut Vec<ValidationError>) -> RouteTarget {
     if let Some(shards) = raw.fanout.take() {
         check_shards(&shards, path, errors);
--- a/crates/fernknot-schema/src/validation_error.rs
+++ b/crates/fernknot-schema/src/validation_error.rs
@@ -1,18 +1,18 @@
-//! The error for a value that is not valid.
+//! Error of an invalid value.
 
 use std::fmt;
 
-/// What is wrong with a value that was parsed, and where.
+/// Error of an invalid value, with the path of its key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ValidationError {
-    /// A path such as `limits.cpu_share`; empty for the body as a whole.
+    /// Path such as `limits.cpu_share`; empty for the complete body.
     pub path: String,
-    /// What is wrong, as a predicate: "is missing".
+    /// Description of the error as a predicate, such as "is missing".
     pub reason: String,
 }
 
 impl ValidationError {
-    /// An error at a path; the empty path stands for the body as a whole.
+    /// Returns an error at a path; the empty path stands for the complete body.
     pub fn new(path: impl Into<String>, reason: impl Into<String>) -> ValidationError {
         ValidationError { path: path.into(), reason: reason.into() }
     }
--- a/crates/fernknot-schema/tests/common/mod.rs
+++ b/crates/fernknot-schema/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: valid bodies, for tests to break.
+//! Valid bodies as fixtures, and functions to make them invalid.
 #![allow(dead_code, reason = "each test file uses some of the fixtures")]
 
 use fernknot_schema::{RoutingConfig, ValidationError};
@@ -22,17 +22,17 @@
       "limits": {"header_bytes": 16384, "body_bytes": 262144, "header_ms": 3000, "idle_ms": 15000}})
 }
 
-/// The valid body with the value at a JSON pointer replaced.
+/// Returns the body with the value at a JSON pointer replaced.
 pub fn changed(mut json: Value, pointer: &str, value: Value) -> Value {
-    *json.pointer_mut(pointer).expect("the pointer leads somewhere") = value;
+    *json.pointer_mut(pointer).expect("the pointer refers to a value") = value;
     json
 }
 
-/// The body without the key at the end of a JSON pointer.
+/// Returns the body without the key at the end of a JSON pointer.
 pub fn without(mut json: Value, pointer: &str) -> Value {
-    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+    let (parent, key) = pointer.rsplit_once('/').expect("a JSON pointer");
     let parent = json.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
-    parent.remove(key).expect("the key is there");
+    parent.remove(key).expect("the key exists");
     json
 }
 
--- a/crates/fernknot-schema/tests/node_heartbeat.rs
+++ b/crates/fernknot-schema/tests/node_heartbeat.rs
@@ -1,4 +1,4 @@
-//! A valid heartbeat is accepted, an invalid one is rejected with all its errors.
+//! Parsing of heartbeats: valid ones are accepted, invalid ones are rejected with all their errors.
 
 mod common;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn given_a_valid_heartbeat_when_parsed_then_every_part_is_there() {
+fn given_a_valid_heartbeat_when_parsed_then_every_field_has_its_value() {
     let heartbeat = NodeHeartbeat::parse(heartbeat_json().to_string().as_bytes()).unwrap();
     assert_eq!(
         (heartbeat.service.as_str(), heartbeat.software_epoch.as_str(), heartbeat.capacity),
--- a/crates/fernknot-schema/tests/process_settings.rs
+++ b/crates/fernknot-schema/tests/process_settings.rs
@@ -1,4 +1,4 @@
-//! Valid process settings are accepted with their defaults, invalid ones are rejected with all their errors.
+//! Parsing of process settings: valid ones are accepted with their defaults, invalid ones are rejected with all errors.
 
 mod common;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn given_valid_settings_when_parsed_then_every_setting_is_there() {
+fn given_valid_settings_when_parsed_then_every_setting_has_its_value() {
     let settings = parse(&settings_json()).unwrap();
     assert!(settings.serves_edge() && !settings.serves_control());
     assert_eq!(settings.bind_addrs.front_addr, Some("10.1.0.29:8726".parse().unwrap()));
@@ -21,12 +21,12 @@
     assert_eq!((settings.limits.cpu_share, settings.limits.fd_limit), (0.21, 4100));
     assert_eq!(settings.data_dir, None);
     assert_eq!((settings.bounds.apply_ms, settings.bounds.retry_ratio), (3000.5, 0.2));
-    assert_eq!(settings.bounds.grace_s, 6.0, "a bound that was not given has the default");
+    assert_eq!(settings.bounds.grace_s, 6.0, "a missing bound has its default");
     assert_eq!(settings.fault_budget.machine_losses, 1);
 }
 
 #[test]
-fn given_many_errors_when_parsed_then_all_are_returned_at_once() {
+fn given_several_errors_when_parsed_then_all_are_returned() {
     let json = changed(settings_json(), "/limits/cpu_share", json!("much"));
     let json = changed(json, "/bind_addrs/front_addr", json!("here"));
     let json = changed(json, "/seeds/1", json!("10.2.0.43"));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn given_callers_without_an_address_to_call_when_parsed_then_that_is_an_error() {
+fn given_a_served_group_without_a_bind_address_when_parsed_then_the_missing_address_is_an_error() {
     let json = changed(settings_json(), "/serves", json!(["edge", "control_plane"]));
     assert_eq!(parse(&json).unwrap_err(), ["bind_addrs.control_addr"]);
 }
@@ -50,7 +50,7 @@
 #[test_case("/fault_budget"; "no budget")]
 #[test_case("/region"; "no region")]
 #[test_case("/seeds"; "no seeds")]
-fn given_settings_without_what_has_a_default_when_parsed_then_they_are_accepted(key: &str) {
+fn given_settings_without_an_optional_key_when_parsed_then_they_are_accepted(key: &str) {
     let settings = parse(&without(settings_json(), key)).unwrap();
-    assert_eq!(settings.region, "windhoek", "a region is known by its zone as well");
+    assert_eq!(settings.region, "windhoek", "a missing region is that of the zone");
 }
--- a/crates/fernknot-schema/tests/route_table.rs
+++ b/crates/fernknot-schema/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! A request takes the route of its host with the longest prefix.
+//! Look-up of routes: a request gets its host's route with the longest prefix of its path.
 
 mod common;
 
@@ -7,16 +7,20 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-#[test_case("file10.example", "/gozi722/2f", Some(1); "the longest prefix")]
-#[test_case("FILE10.Example:8080", "/gozi722/", Some(1); "a port and capital letters")]
-#[test_case("file10.example", "/gozi722", Some(2); "a path that ends before the prefix does")]
-#[test_case("file10.example", "/else/2f", Some(2); "the shorter prefix")]
-#[test_case("file10.example", "/else?to=/gozi722/", Some(2); "a query that does not count")]
-#[test_case("daka4.example", "/hubo77/2f", None; "a prefix that is not there")]
-#[test_case("daka4.example", "*", None; "no path")]
-#[test_case("nobody.example", "/", None; "an unknown host")]
-#[test_case("", "", None; "nothing")]
-fn given_a_request_when_its_route_is_looked_up(host: &str, path: &str, route: Option<usize>) {
+#[test_case("file10.example", "/gozi722/2f", Some(1); "longest prefix")]
+#[test_case("FILE10.Example:8080", "/gozi722/", Some(1); "port and capital letters")]
+#[test_case("file10.example", "/gozi722", Some(2); "path shorter than the longest prefix")]
+#[test_case("file10.example", "/else/2f", Some(2); "shorter prefix")]
+#[test_case("file10.example", "/else?to=/gozi722/", Some(2); "prefix in the query only")]
+#[test_case("daka4.example", "/hubo77/2f", None; "no matching prefix")]
+#[test_case("daka4.example", "*", None; "asterisk instead of a path")]
+#[test_case("nobody.example", "/", None; "unknown host")]
+#[test_case("", "", None; "empty host and path")]
+fn given_a_request_when_looked_up_then_it_gets_the_longest_prefix_of_its_host(
+    host: &str,
+    path: &str,
+    route: Option<usize>,
+) {
     let table = RouteTable::new(&parse_config(&config_json()).unwrap());
     assert_eq!(table.find(host, path), route);
 }
