--- a/crates/fernknot-protocol/src/http/request.rs
+++ b/crates/fernknot-protocol/src/http/request.rs
@@ -55,14 +55,14 @@
         self.pending.is_some()
     }
 
-    /// Returns the number of bytes allocated for an incomplete body; a content length is allocated in full once the head
-    /// has been read.
+    /// Returns the number of bytes allocated for an incomplete body; a content length is allocated in full once the
+    /// head has been read.
     pub fn body_capacity(&self) -> usize {
         self.pending.as_ref().map_or(0, |(request, _)| request.body.capacity())
     }
 
-    /// Returns whether the client waits for [`CONTINUE`](super::CONTINUE) before it sends the body; true at most once per
-    /// request.
+    /// Returns whether the client waits for [`CONTINUE`](super::CONTINUE) before it sends the body; true at most once
+    /// per request.
     pub fn take_expects_continue(&mut self) -> bool {
         self.pending.as_mut().is_some_and(|(request, _)| std::mem::take(&mut request.expects_continue))
     }
--- a/crates/fernknot-protocol/src/lib.rs
+++ b/crates/fernknot-protocol/src/lib.rs
@@ -1,8 +1,7 @@
 //! Wire formats that the router uses with its clients, its data nodes, discovery and its peers.
 //!
-//! The readers take bytes and return messages, the writers add messages to a [`buffer::Buffer`]; neither uses sockets or
-//! clocks. The connections belong to the callers: the router, the gateway, and the stand-ins that replace nodes and
-//! discovery in the router's tests.
+//! The readers take bytes and return messages, the writers add messages to a [`buffer::Buffer`]; neither uses sockets
+//! or clocks. The connections belong to the callers: the router, the gateway, and the stand-ins of the router's tests.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-protocol/src/matches.rs
+++ b/crates/fernknot-protocol/src/matches.rs
@@ -1,5 +1,5 @@
-//! Match values: a store's responses in the first phase of a two-phase query. They name the blocks that hold matches, and
-//! may have a summary of the store's own block.
+//! Match values: a store's responses in the first phase of a two-phase query. They name the blocks that hold matches,
+//! and may have a summary of the store's own block.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
--- a/crates/fernknot-protocol/src/multiget/body.rs
+++ b/crates/fernknot-protocol/src/multiget/body.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Body of a two-phase query: what the first phase asks of which blocks, and what the second asks of the blocks that the
-/// first phase's responses name.
+/// Body of a two-phase query: what the first phase asks of which blocks, and what the second asks of the blocks that
+/// responses of the first phase name.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PhasedBody<'a> {
--- a/crates/fernknot-protocol/src/multiget/request.rs
+++ b/crates/fernknot-protocol/src/multiget/request.rs
@@ -134,8 +134,8 @@
     let fetch_parts = parse_parts(&body.second.buckets, settings, limits)?;
     let match_parts = first_phase_parts(&body.first, &fetch_parts, settings, limits)?;
     let match_shards: BTreeSet<ShardId> = match_parts.iter().map(|part| part.shard).collect();
-    // A block that is not asked for matches can only be named by other blocks. Without that, nothing could decide whether
-    // to fetch it.
+    // A block that is not asked for matches can only be named by other blocks. If these name only themselves, nothing
+    // could decide whether to fetch it.
     if !phases.names_others && fetch_parts.iter().any(|part| !match_shards.contains(&part.shard)) {
         return Err(RequestError::UnreachableBlock);
     }
--- a/crates/fernknot-protocol/src/peer_updates.rs
+++ b/crates/fernknot-protocol/src/peer_updates.rs
@@ -1,8 +1,8 @@
 //! Encoding of the updates on attempts that routers send to each other.
 //!
-//! A message starts with a byte for the number of attempts sent, followed by the two-byte tag of the node of each. Then
-//! come, for each attempt that ended, the tag of its node and a byte for its outcome: the code of a latency, or one of two
-//! codes for an attempt that is overdue or failed.
+//! A message starts with a byte for the number of attempts sent, followed by the two-byte tag of the node of each.
+//! Then come, for each other update, the tag of the node and a byte for the outcome of the attempt: the code of its
+//! latency, or one of two codes for an attempt that is overdue or failed.
 
 use fernknot::interface::{Nanos, NodeId, Update};
 use std::collections::HashMap;
@@ -26,8 +26,8 @@
 }
 
 impl NodeTags {
-    /// Assigns a node its tag; an id that is reused loses its old tag. New ids have to be added in ascending order without
-    /// gaps.
+    /// Assigns a node its tag; an id that is reused loses its old tag. New ids have to be added in ascending order,
+    /// without gaps.
     pub fn add(&mut self, name: &str, node: NodeId) {
         let hash = fernknot_router_config::fingerprint(name);
         let tag = (hash ^ (hash >> 16)) as u16;
@@ -41,7 +41,7 @@
         self.nodes.entry(tag).and_modify(|node| *node = None).or_insert(Some(node));
     }
 
-    /// Returns the messages with all updates, each of at most `max_bytes` bytes. Updates of nodes without a tag are omitted.
+    /// Returns messages with all updates, each of at most `max_bytes` bytes. Omits updates of nodes without a tag.
     pub fn write(&self, updates: &[(NodeId, Update)], max_bytes: usize) -> Vec<Vec<u8>> {
         let (sent, ended): (Vec<_>, Vec<_>) = updates.iter().partition(|(_, update)| *update == Update::Sent);
         let mut messages = Vec::new();
--- a/crates/fernknot-schema/src/json_digest.rs
+++ b/crates/fernknot-schema/src/json_digest.rs
@@ -3,11 +3,11 @@
 use serde_json::{Number, Value};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Exponent of 2 from which on a floating-point number without a fraction is hashed as a float, not as an integer.
+/// Exponent of the power of 2 below which a float without a fraction is hashed as an integer.
 const FLOAT_INTEGER_LIMIT_EXPONENT: i32 = 63;
 
-/// Hashes a body by its JSON value: the order of keys, white space and the notation of numbers make no difference. A body
-/// that is not JSON is hashed byte by byte. The digest is the same on every machine and in every build.
+/// Hashes a body by its JSON value: the order of keys, white space and the notation of numbers make no difference. The
+/// bytes of a body that is not JSON are hashed as they are. The digest is the same on every machine and in every build.
 pub fn json_digest(bytes: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     match serde_json::from_slice::<Value>(bytes) {
@@ -20,8 +20,8 @@
     hash.digest()
 }
 
-/// Hashes a value with a tag for its type and with its length, if it has one, so that different values cannot produce the
-/// same input to the hash.
+/// Hashes a value with a tag for its type and with its length, if it has one, so that different values cannot produce
+/// the same input to the hash.
 fn hash_value(hash: &mut Xxh3, value: &Value) {
     match value {
         Value::Null => hash.update(b"n"),
--- a/crates/fernknot-schema/src/node_heartbeat.rs
+++ b/crates/fernknot-schema/src/node_heartbeat.rs
@@ -27,8 +27,8 @@
     pub state: ReportedNodeState,
     /// Remaining time of the node's warm-up, in milliseconds.
     pub warm_up_left_ms: u64,
-    /// Number that increases with every heartbeat of the node's incarnation, so that one that arrives out of order is
-    /// recognised.
+    /// Number that increases with every heartbeat of the node's incarnation, to detect heartbeats that arrive out of
+    /// order.
     pub sequence: u64,
 }
 
@@ -42,8 +42,8 @@
 }
 
 impl NodeHeartbeat {
-    /// Parses the body of a heartbeat. Unknown keys are ignored, and few keys are required, since a node whose heartbeats
-    /// are rejected gets no requests.
+    /// Parses the body of a heartbeat. Unknown keys are ignored, and few keys are required, since a node whose
+    /// heartbeats are rejected gets no requests.
     ///
     /// # Errors
     ///
--- a/crates/fernknot-schema/src/object_reader.rs
+++ b/crates/fernknot-schema/src/object_reader.rs
@@ -119,7 +119,8 @@
         number
     }
 
-    /// Returns the number under a key, which has to be at least 0, rounded up: a time or an amount is never rounded to 0.
+    /// Returns the number under a key, which has to be at least 0, rounded up, so that no time or amount becomes 0 by
+    /// rounding.
     pub fn rounded_up(&self, key: &str) -> Option<u64> {
         if let Some(integer) = self.get(key)?.as_u64() {
             return Some(integer);
--- a/crates/fernknot-schema/src/raw_config.rs
+++ b/crates/fernknot-schema/src/raw_config.rs
@@ -1,6 +1,6 @@
-//! Operator's routing configuration under its JSON keys, loaded with `schematic`. The loader parses a string, applies
-//! defaults, ignores unknown keys and collects the errors of single settings. Conditions on several settings are checked
-//! in [`crate::routing_config_parser`].
+//! JSON form of the operator's routing configuration, loaded with `schematic`. The loader parses a string, applies
+//! defaults, ignores unknown keys and collects the errors of single settings. Conditions on several settings are
+//! checked in [`crate::routing_config_parser`].
 //!
 //! The JSON parser of `schematic` also accepts comments, so the bytes are first parsed with a strict parser.
 
--- a/crates/fernknot-schema/src/route_table.rs
+++ b/crates/fernknot-schema/src/route_table.rs
@@ -47,8 +47,8 @@
         table
     }
 
-    /// Returns the index in [`RoutingConfig::routes`] of the host's route with the longest prefix of the path. A port of
-    /// the host and a query of the path are ignored.
+    /// Returns the index in [`RoutingConfig::routes`] of the host's route with the longest prefix of the path. Ignores
+    /// a port of the host and a query of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         self.routes_of_host(host)?.find(path.as_bytes())
--- a/crates/fernknot-schema/src/routing_config.rs
+++ b/crates/fernknot-schema/src/routing_config.rs
@@ -4,7 +4,7 @@
 
 use crate::validation_error::ValidationError;
 
-/// Version of the routing configuration.
+/// Routing configuration of one version.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RoutingConfig {
     /// Version number that the operator assigns; higher for each new version.
