--- a/crates/fernknot-protocol/src/peer_updates.rs
+++ b/crates/fernknot-protocol/src/peer_updates.rs
@@ -15,8 +15,8 @@
 const TAG_BYTES: usize = 2;
 const OUTCOME_BYTES: usize = TAG_BYTES + 1;
 
-/// Tags of nodes: hashes of their names, which are the same at every router. A tag that two nodes share is not used for
-/// either.
+/// Tags of nodes: hashes of their names, which are the same at every router. Received updates for a tag that two nodes
+/// share are ignored.
 #[derive(Default)]
 pub struct NodeTags {
     /// Tag of each node, indexed by the node's id.
