--- a/crates/fernknot-gateway/src/requests/pending_request.rs
+++ b/crates/fernknot-gateway/src/requests/pending_request.rs
@@ -98,7 +98,7 @@
     pub fn record_failure(&mut self, response: Response) {
         let implies_not_executed = matches!(response.status, 408 | 421 | 429 | 503);
         if self.parts.len() == 1
-            && response.has_certain_end
+            && response.is_self_delimited
             && response.status >= 400
             && !implies_not_executed
         {
