--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -8,8 +8,8 @@
 };
 use fernknot::decide::Router;
 use fernknot::interface::{
-    Arrival, AttemptNumber, CustomerId, Decision, Ending, Health, ListKind, LoadReport, MultigetId, Nanos,
-    NodeEntry, NodeId, Outcome, PartArrival, PeerId, PlaceId, ShardId, Update, UseCaseId, ZoneId,
+    Arrival, AttemptEnd, AttemptNumber, CustomerId, Decision, Health, ListKind, LoadReport, MultigetId,
+    Nanos, NodeEntry, NodeId, Outcome, PartArrival, PeerId, PlaceId, ShardId, Update, UseCaseId, ZoneId,
 };
 use fernknot_protocol::peer_updates::NodeTags;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
             place: PlaceId(node.place),
             zone: node.zone.map(ZoneId),
             health,
-            since: Nanos::from_millis(node.since_ms),
+            started_at: Nanos::from_millis(node.since_ms),
         }
     }
 
@@ -94,10 +94,10 @@
             multiget,
             use_case: UseCaseId(query.use_case),
             customer: CustomerId(query.customer),
-            client_end: Nanos::from_millis(query.client_deadline_ms),
-            repeat: query.is_retry,
+            client_deadline: Nanos::from_millis(query.client_deadline_ms),
+            is_retry: query.is_retry,
             effort: query.effort_ms.map(Nanos::from_millis),
-            second: None,
+            second_phase: None,
         };
         self.router.multiget_arrived(now, &arrival);
         self.queries.add_query(multiget, query.name);
@@ -120,12 +120,12 @@
         let outcome = outcome(ended.status)?;
         let Some(part) = self.queries.part(&ended.part_name) else { return Ok(()) };
         let Some(node) = self.nodes.id(&ended.node) else { return Ok(()) };
-        let ending = Ending {
+        let ending = AttemptEnd {
             part,
             number: AttemptNumber(ended.attempt),
             node,
             outcome,
-            took: Nanos::from_millis(ended.took_ms),
+            duration: Nanos::from_millis(ended.took_ms),
             report: load_report(&ended.load),
         };
         self.router.attempt_ended(now, &ending);
@@ -178,7 +178,7 @@
                 let Some(part_name) = self.queries.part_name(part) else { return };
                 actions.push(Action::CancelAttempt { instance, part_name, attempt: no.0 });
             }
-            Decision::Complete { multiget, complete: whole, last } => {
+            Decision::Complete { multiget, is_complete: whole, is_final: last } => {
                 let Some(query_name) = self.queries.query_name(multiget) else { return };
                 actions.push(Action::CompleteQuery { instance, query_name, is_complete: whole });
                 if last {
--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -7,8 +7,9 @@
 use crate::table::MultigetTable;
 use fernknot::decide::Router;
 use fernknot::interface::{
-    Arrival, AttemptNumber, CustomerId, Decision, Ending, ListKind, LoadReport, MultigetId, Nanos, NodeEntry,
-    NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteSettings, Update, UseCaseId, UseCaseSettings,
+    Arrival, AttemptEnd, AttemptNumber, CustomerId, Decision, ListKind, LoadReport, MultigetId, Nanos,
+    NodeEntry, NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteSettings, Update, UseCaseId,
+    UseCaseSettings,
 };
 use fernknot_protocol::multiget::{MultigetRequest, RequestedPart};
 use fernknot_router_config::TwoPhaseSettings;
@@ -24,7 +25,7 @@
     /// What has been done since the start.
     pub counters: Counters,
     /// Attempts that ended, which the decision module has not been given yet.
-    endings: VecDeque<Ending>,
+    endings: VecDeque<AttemptEnd>,
     /// When attempts in flight are no longer waited for.
     attempt_deadlines: BTreeSet<(Nanos, PartId, AttemptNumber)>,
     wake_at: Option<Nanos>,
@@ -81,7 +82,7 @@
 
     /// This router's part of the retries that are free, from now on.
     pub fn set_free_retries(&mut self, free: f64) {
-        self.decisions.set_free_attempts(free);
+        self.decisions.set_free_retries(free);
     }
 
     /// From now on the work of this place is alike to that of all others in this group.
@@ -119,10 +120,10 @@
             multiget,
             use_case: asked.use_case,
             customer: CustomerId(0),
-            client_end,
-            repeat: asked.is_retry,
+            client_deadline: client_end,
+            is_retry: asked.is_retry,
             effort: total_effort(&asked.parts),
-            second,
+            second_phase: second,
         };
         self.decisions.multiget_arrived(now, &arrival);
         self.take_parts(now, multiget, 0, asked.parts.iter());
@@ -197,7 +198,7 @@
             multiget.in_flight -= 1;
         }
         *self.outcome_counter(outcome) += 1;
-        self.endings.push_back(Ending { part, number: no, node, outcome, took: now - sent, report });
+        self.endings.push_back(AttemptEnd { part, number: no, node, outcome, duration: now - sent, report });
     }
 
     fn outcome_counter(&mut self, outcome: Outcome) -> &mut u64 {
@@ -274,11 +275,11 @@
                 self.counters.hand_offs_called_off += 1;
                 Some(Action::Cancel { part, no, outcome: Outcome::Cancelled })
             }
-            Decision::Complete { multiget, last: false, .. } => {
+            Decision::Complete { multiget, is_final: false, .. } => {
                 self.open_second_phase(now, multiget);
                 None
             }
-            Decision::Complete { multiget, complete: whole, .. } => {
+            Decision::Complete { multiget, is_complete: whole, .. } => {
                 let verdict = self.found(multiget, whole)?;
                 self.answer(now, multiget, verdict)
             }
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -22,11 +22,11 @@
         latency_target: ms(GOAL),
         hard_limit: ms(HARD),
         value: 1.0,
-        late_share: 0.0,
-        squared: false,
+        late_value_share: 0.0,
+        squares_partial_value: false,
         effect,
-        stretch: 0.0,
-        required: 1.0,
+        target_work_factor: 0.0,
+        complete_share: 1.0,
         quorum: 0.5,
         two_phase: false,
         max_attempts: None,
@@ -34,28 +34,33 @@
     SiteSettings {
         routers: 1,
         use_cases: vec![case(Effect::Idempotent), case(Effect::NonIdempotent), case(Effect::Idempotent)],
-        shortest_goal: None,
-        customers: Vec::new(),
+        min_latency_target: None,
+        customer_quotas: Vec::new(),
         tick: ms(1.0),
-        warmup: SlowStartSettings { from: 0.2, warm_after: ms(10_000.0), multiple: 2.0, window: ms(1000.0) },
-        budget: Some(RetryBudgetSettings {
-            free: 1000.0,
-            share: 0.0,
+        slow_start: SlowStartSettings {
+            initial_share: 0.2,
+            warmup_time: ms(10_000.0),
+            max_load_multiple: 2.0,
+            window: ms(1000.0),
+        },
+        retry_budget: Some(RetryBudgetSettings {
+            free_retries: 1000.0,
+            retry_ratio: 0.0,
             window: ms(10_000.0),
-            each_shard: false,
+            per_shard: false,
         }),
         places: 4,
-        width: 1,
-        cancel: true,
+        places_per_shard: 1,
+        cancellation: true,
         hedging: true,
         max_attempts: 3,
         max_retry_after: Some(ms(500.0)),
-        must_ask: false,
-        peers: false,
-        by_work: false,
+        list_changes_on_request: false,
+        peer_updates: false,
+        value_by_work: false,
         zone: None,
-        marks_repeats: true,
-        refusals_cost: false,
+        clients_mark_retries: true,
+        rejections_cost_value: false,
     }
 }
 
@@ -354,7 +359,7 @@
 }
 
 pub fn entry(node: u32, health: Health) -> NodeEntry {
-    NodeEntry { node: NodeId(node), place: PlaceId(node % 4), zone: None, health, since: Nanos(0) }
+    NodeEntry { node: NodeId(node), place: PlaceId(node % 4), zone: None, health, started_at: Nanos(0) }
 }
 
 pub fn is_whole(given: &Final) -> bool {
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -205,7 +205,7 @@
         steps in prop::collection::vec(step(), 300..500),
     ) {
         let names_others = facts.names_others;
-        let mut host = Host::new(SiteSettings { cancel, ..site() }, facts, 3);
+        let mut host = Host::new(SiteSettings { cancellation: cancel, ..site() }, facts, 3);
         let mut seen = Seen::default();
         play(&mut host, &steps, &mut seen);
         check(&host, &seen, names_others);
--- a/crates/fernknot-engine/tests/plain.rs
+++ b/crates/fernknot-engine/tests/plain.rs
@@ -25,10 +25,11 @@
 
 #[test]
 fn given_an_engine_that_runs_when_a_use_case_comes_then_it_is_served_by_its_own_limits() {
-    let budget = RetryBudgetSettings { free: 0.0, share: 0.0, window: ms(10_000.0), each_shard: true };
-    let mut host = Host::new(SiteSettings { budget: Some(budget), ..site() }, phases(), 3);
+    let budget =
+        RetryBudgetSettings { free_retries: 0.0, retry_ratio: 0.0, window: ms(10_000.0), per_shard: true };
+    let mut host = Host::new(SiteSettings { retry_budget: Some(budget), ..site() }, phases(), 3);
     let facts = UseCaseSettings {
-        required: 1.0,
+        complete_share: 1.0,
         quorum: 1.0,
         max_attempts: Some(2),
         ..site().use_cases.remove(PLAIN)
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -317,7 +317,7 @@
 
 #[test]
 fn a_late_match_answer_is_counted_and_changes_nothing() {
-    let mut host = Host::new(SiteSettings { cancel: false, ..site() }, phases(), 3);
+    let mut host = Host::new(SiteSettings { cancellation: false, ..site() }, phases(), 3);
     host.warm_up(12, &ALL, 20.0, 100.0);
     let asker = host.ask(REPLAYABLE, &ALL);
     let silent = host.out(asker, Phase::Match)[3].clone();
@@ -335,8 +335,9 @@
 
 #[test]
 fn copies_of_first_phases_leave_second_ones_their_share_of_the_budget() {
-    let budget = RetryBudgetSettings { free: 4.0, share: 0.0, window: ms(60_000.0), each_shard: false };
-    let mut host = Host::new(SiteSettings { budget: Some(budget), ..site() }, phases(), 3);
+    let budget =
+        RetryBudgetSettings { free_retries: 4.0, retry_ratio: 0.0, window: ms(60_000.0), per_shard: false };
+    let mut host = Host::new(SiteSettings { retry_budget: Some(budget), ..site() }, phases(), 3);
     host.warm_up(80, &ALL, 10.0, 20.0);
     let asker = host.ask(REPLAYABLE, &ALL);
     host.pass(400.0);
--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -348,6 +348,6 @@
         place: PlaceId(index as u32 % places),
         zone: None,
         health: Health::Running,
-        since: Nanos(0),
+        started_at: Nanos(0),
     }
 }
--- a/crates/fernknot-gateway/src/clients/rejection.rs
+++ b/crates/fernknot-gateway/src/clients/rejection.rs
@@ -1,6 +1,6 @@
 //! Responses that a gateway gives itself, without asking a node.
 
-use fernknot::decide::FIRST_RETRY_AFTER;
+use fernknot::decide::DEFAULT_RETRY_AFTER;
 use fernknot::interface::Nanos;
 use fernknot_protocol::http::HttpError;
 
@@ -37,7 +37,7 @@
 impl Rejection {
     pub(crate) fn reply(&self) -> LocalReply<'static> {
         let retry_after = match self {
-            Rejection::NoConfig | Rejection::TooManyPartialBodies => Some(FIRST_RETRY_AFTER),
+            Rejection::NoConfig | Rejection::TooManyPartialBodies => Some(DEFAULT_RETRY_AFTER),
             _ => None,
         };
         LocalReply { status: self.status(), retry_after, body: self.body() }
--- a/crates/fernknot-gateway/src/engine_setup.rs
+++ b/crates/fernknot-gateway/src/engine_setup.rs
@@ -18,29 +18,29 @@
     SiteSettings {
         routers: budget.sharers().unwrap_or(1).max(1) as usize,
         use_cases,
-        shortest_goal,
-        customers: Vec::new(),
+        min_latency_target: shortest_goal,
+        customer_quotas: Vec::new(),
         tick: Nanos::from_millis(LOOP_GRANULARITY_MS),
-        warmup: SlowStartSettings::default(),
-        budget: Some(RetryBudgetSettings {
-            free: budget.slack(),
-            share: settings.retry_ratio,
+        slow_start: SlowStartSettings::default(),
+        retry_budget: Some(RetryBudgetSettings {
+            free_retries: budget.slack(),
+            retry_ratio: settings.retry_ratio,
             window: settings.retry_window,
-            each_shard: true,
+            per_shard: true,
         }),
         places: u32::MAX,
-        width: 1,
-        cancel: true,
+        places_per_shard: 1,
+        cancellation: true,
         hedging: true,
         max_attempts: 1,
         max_retry_after: shortest_goal,
-        must_ask: false,
-        peers: false,
-        by_work: false,
+        list_changes_on_request: false,
+        peer_updates: false,
+        value_by_work: false,
         zone: Some(settings.zone),
         // The deadline that a client sends shows when it first asked, but a late answer still has some value.
-        marks_repeats: true,
+        clients_mark_retries: true,
         // A request that is rejected twice costs a third of its value, which a late answer still has.
-        refusals_cost: true,
+        rejections_cost_value: true,
     }
 }
--- a/crates/fernknot-gateway/src/nodes/node_table.rs
+++ b/crates/fernknot-gateway/src/nodes/node_table.rs
@@ -151,7 +151,7 @@
             }
             let zone = Some(self.zones.id(&record.zone));
             let place = PlaceId(shard.0);
-            changes.entries.push(NodeEntry { node, place, zone, health, since: Nanos(0) });
+            changes.entries.push(NodeEntry { node, place, zone, health, started_at: Nanos(0) });
         }
     }
 
@@ -170,7 +170,7 @@
                 place: PlaceId(shard.0),
                 zone: None,
                 health: Health::Gone,
-                since: Nanos(0),
+                started_at: Nanos(0),
             });
         }
         if engine_nodes.is_empty() {
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -156,7 +156,7 @@
     /// Draws one of the services that share a route, by their weights.
     fn pick_weighted_service<'a>(&mut self, services: &'a [(String, f64)]) -> &'a str {
         let total: f64 = services.iter().map(|(_, weight)| weight.max(0.0)).sum();
-        let mut left = self.rng.share() * total;
+        let mut left = self.rng.fraction() * total;
         let drawn = services.iter().find(|(_, weight)| {
             left -= weight.max(0.0);
             left < 0.0 && *weight > 0.0
--- a/crates/fernknot-gateway/src/use_case.rs
+++ b/crates/fernknot-gateway/src/use_case.rs
@@ -1,6 +1,6 @@
 //! What the engine has to know of a route.
 
-use fernknot::decide::{LATE_SHARE, earnings};
+use fernknot::decide::{DEFAULT_LATE_VALUE_SHARE, value_of_rank};
 use fernknot::interface::*;
 use fernknot_schema::{Route, RouteTarget, TrafficClass};
 
@@ -43,12 +43,12 @@
     UseCaseSettings {
         latency_target: Nanos::from_millis(route.target_ms as f64),
         hard_limit: Nanos::from_millis(route.deadline_ms as f64),
-        value: earnings(route.rank),
-        late_share: LATE_SHARE,
-        squared: matches!(route.target, RouteTarget::Fanout { .. }),
+        value: value_of_rank(route.rank),
+        late_value_share: DEFAULT_LATE_VALUE_SHARE,
+        squares_partial_value: matches!(route.target, RouteTarget::Fanout { .. }),
         effect,
-        stretch: 0.0,
-        required: 1.0,
+        target_work_factor: 0.0,
+        complete_share: 1.0,
         quorum: quorum(route),
         two_phase: false,
         max_attempts: Some(route.max_attempts.max(1)),
--- a/crates/fernknot-membership/src/outbox.rs
+++ b/crates/fernknot-membership/src/outbox.rs
@@ -55,7 +55,7 @@
 
     /// Takes one datagram out of the rate limit.
     pub fn count_sent(&mut self, now: Nanos) {
-        self.rate_limit.datagrams.draw(now);
+        self.rate_limit.datagrams.try_draw(now);
     }
 }
 
@@ -77,10 +77,10 @@
     }
 
     fn allows(&mut self, now: Nanos, spare: f64) -> bool {
-        self.datagrams.left(now) >= self.needed(spare)
+        self.datagrams.available(now) >= self.needed(spare)
     }
 
     fn allows_at(&self, spare: f64) -> Nanos {
-        self.datagrams.reaches(self.needed(spare))
+        self.datagrams.available_at(self.needed(spare))
     }
 }
--- a/crates/fernknot-protocol/src/report.rs
+++ b/crates/fernknot-protocol/src/report.rs
@@ -11,7 +11,7 @@
     for (name, value) in fields.filter(|(_, value)| value.is_finite()) {
         match name {
             "cpu_share" | "util" => report.busy_share = Some(value),
-            "pending" | "queue" => report.waiting = Some(value),
+            "pending" | "queue" => report.queued_parts = Some(value),
             _ => {}
         }
     }
--- a/crates/fernknot-protocol/tests/frames.rs
+++ b/crates/fernknot-protocol/tests/frames.rs
@@ -26,7 +26,7 @@
     let ended = |id: &str, end, waiting, value: &[u8]| Frame::Response {
         id: id.into(),
         status: end,
-        load: LoadReport { busy_share: None, waiting },
+        load: LoadReport { busy_share: None, queued_parts: waiting },
         value: value.to_vec(),
     };
     let bytes = framed(&[
--- a/crates/fernknot-protocol/tests/load_reports.rs
+++ b/crates/fernknot-protocol/tests/load_reports.rs
@@ -10,5 +10,5 @@
 #[test_case("inflight=7,util=0.61", Some(0.61), None; "words of the page")]
 #[test_case("pending=many,=,cpu_share=inf,x", None, None; "strange")]
 fn reports_are_read_under_either_name(text: &str, busy_share: Option<f64>, waiting: Option<f64>) {
-    assert_eq!(from_text(text), LoadReport { busy_share, waiting });
+    assert_eq!(from_text(text), LoadReport { busy_share, queued_parts: waiting });
 }
--- a/crates/fernknot-router-config/src/router.rs
+++ b/crates/fernknot-router-config/src/router.rs
@@ -181,7 +181,7 @@
 
 /// The peers' addresses, which are required where routers may talk and there is more than one.
 fn peer_addresses(file: &File, site: &SiteSettings) -> Result<Option<PeerAddresses>, ConfigError> {
-    if !site.peers || site.routers <= 1 {
+    if !site.peer_updates || site.routers <= 1 {
         return Ok(None);
     }
     let missing = |key: &str| ConfigError::new(key, ConfigFault::MissingPeerAddress);
--- a/crates/fernknot-router-config/src/site.rs
+++ b/crates/fernknot-router-config/src/site.rs
@@ -18,26 +18,26 @@
         Ok(SiteSettings {
             routers: self.balancers,
             use_cases: use_cases.map(|(index, class)| use_case(index, class, &self.family_info)).collect(),
-            shortest_goal: None,
-            customers: self.accounts.iter().map(|account| account.quota_per_s).collect(),
+            min_latency_target: None,
+            customer_quotas: self.accounts.iter().map(|account| account.quota_per_s).collect(),
             tick: Nanos::from_millis(self.tick),
-            warmup: warm_up(&self.rules),
-            budget: retry_budget(&self.rules)?,
+            slow_start: warm_up(&self.rules),
+            retry_budget: retry_budget(&self.rules)?,
             places: self.family_info.places,
-            width: self.family_info.width,
-            cancel: self.allowed.cancel,
+            places_per_shard: self.family_info.width,
+            cancellation: self.allowed.cancel,
             hedging: self.allowed.second_copies,
             max_attempts: self.allowed.try_limit,
             max_retry_after: self
                 .allowed
                 .retry_after
                 .then_some(Nanos::from_millis(self.allowed.max_retry_after)),
-            must_ask: self.discovery == "ask",
-            peers: self.allowed.peers,
-            marks_repeats: self.client_habits.marks_retry.unwrap_or(true),
-            refusals_cost: false,
+            list_changes_on_request: self.discovery == "ask",
+            peer_updates: self.allowed.peers,
+            clients_mark_retries: self.client_habits.marks_retry.unwrap_or(true),
+            rejections_cost_value: false,
             zone: self.locality.filter(|_| self.zones.len() > 1).map(ZoneId),
-            by_work: self.worth_by == WorthBy::Work,
+            value_by_work: self.worth_by == WorthBy::Work,
         })
     }
 
@@ -58,15 +58,15 @@
         latency_target: Nanos::from_millis(class.on_time),
         hard_limit: Nanos::from_millis(class.deadline),
         value: class.worth,
-        late_share: class.late_share,
-        squared: false,
+        late_value_share: class.late_share,
+        squares_partial_value: false,
         effect: match class.effect {
             ClassEffect::Safe => Effect::Idempotent,
             ClassEffect::Keyed => Effect::Deduplicated(Nanos::from_millis(class.repeat_window)),
             ClassEffect::Unsafe => Effect::NonIdempotent,
         },
-        stretch: class.aim_stretch,
-        required: need,
+        target_work_factor: class.aim_stretch,
+        complete_share: need,
         quorum: at_index(&family.min_share, need),
         two_phase: at_index(&family.class_fetch, 0.0) > 0.0,
         max_attempts: None,
@@ -75,9 +75,9 @@
 
 fn warm_up(rules: &Rules) -> SlowStartSettings {
     SlowStartSettings {
-        from: rules.cold_from,
-        warm_after: Nanos::from_millis(rules.cold),
-        multiple: rules.fall_multiple,
+        initial_share: rules.cold_from,
+        warmup_time: Nanos::from_millis(rules.cold),
+        max_load_multiple: rules.fall_multiple,
         window: Nanos::from_millis(rules.fall),
     }
 }
@@ -91,9 +91,9 @@
         .counted_over
         .ok_or_else(|| ConfigError::new("rules.countedOver", ConfigFault::MissingBudgetWindow))?;
     Ok(Some(RetryBudgetSettings {
-        free: rules.free_resends.unwrap_or(0.0),
-        share: rules.extra_share.unwrap_or(0.0),
+        free_retries: rules.free_resends.unwrap_or(0.0),
+        retry_ratio: rules.extra_share.unwrap_or(0.0),
         window: Nanos::from_millis(window),
-        each_shard: false,
+        per_shard: false,
     }))
 }
--- a/crates/fernknot-router-config/tests/router_config.rs
+++ b/crates/fernknot-router-config/tests/router_config.rs
@@ -82,14 +82,14 @@
 fn zones_and_value_by_work_are_off_unless_they_are_set() {
     let site = |text: &str| RouterConfig::parse(text, Precedence::Environment, |_| None).unwrap().site;
     let old = site(EXAMPLE);
-    assert_eq!((old.by_work, old.marks_repeats, old.zone), (false, true, None));
+    assert_eq!((old.value_by_work, old.clients_mark_retries, old.zone), (false, true, None));
     let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
     config["settings"]["worthBy"] = json!("work");
     config["settings"]["clientHabits"] = json!({"marksRetry": false});
     config["settings"]["zones"] = json!(["a", "b"]);
     config["settings"]["locality"] = json!(1);
     let new = site(&config.to_string());
-    assert_eq!((new.by_work, new.marks_repeats, new.zone), (true, false, Some(ZoneId(1))));
+    assert_eq!((new.value_by_work, new.clients_mark_retries, new.zone), (true, false, Some(ZoneId(1))));
 }
 
 #[test]
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -95,7 +95,7 @@
         self.set_health(context, id, listed.health);
         let zone = context.settings.zones.iter().position(|zone| listed.zone.as_ref() == Some(zone));
         let zone = zone.map(|zone| ZoneId(zone as u32));
-        Some(NodeEntry { node: id, place, zone, health: listed.health, since: listed.started_at })
+        Some(NodeEntry { node: id, place, zone, health: listed.health, started_at: listed.started_at })
     }
 
     /// Guards against ids without end where nodes come under ever new names: past a limit, a new one takes the id of
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -99,12 +99,12 @@
         let least = if is_fetch_certain { statistics.least_second_phase(now, named) } else { Nanos(0) };
         let settings = &statistics.settings;
         Some(SecondPhaseEstimate {
-            needs,
+            expected_duration: needs,
             // A rejection may rest on what is certain only, never on what is merely expected.
-            needs_least: least.min(needs),
-            parts,
+            min_duration: least.min(needs),
+            expected_parts: parts,
             effort: query.mean_effort,
-            least: if settings.unanswered_block == UnansweredBlock::Refuse {
+            min_first_phase_share: if settings.unanswered_block == UnansweredBlock::Refuse {
                 1.0
             } else {
                 settings.min_match_share
@@ -160,7 +160,11 @@
         }
         let may_reject = statistics.settings.rejects_late_second_phase;
         let needs = may_reject.then(|| statistics.likely_second_phase(now, plan.blocks.len()));
-        let step = SecondPhaseStart { needs, base: plan.ruled_out_weight, whole: plan.is_complete };
+        let step = SecondPhaseStart {
+            expected_duration: needs,
+            settled_share: plan.ruled_out_weight,
+            first_phase_complete: plan.is_complete,
+        };
         Some(SecondPhase { blocks: plan.blocks, step })
     }
 
--- a/crates/fernknot-two-phase/src/use_case_statistics.rs
+++ b/crates/fernknot-two-phase/src/use_case_statistics.rs
@@ -81,7 +81,7 @@
 
     /// A block whose filter denied a match was asked; whether it matched.
     pub fn record_denied_match(&mut self, matched: bool) {
-        self.stale_rate.add_from(Some(INITIAL_STALE_RATE), f64::from(u8::from(matched)), GAIN);
+        self.stale_rate.add_with_prior(Some(INITIAL_STALE_RATE), f64::from(u8::from(matched)), GAIN);
     }
 
     /// A first phase took so long.
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,123 +2,123 @@
 
 use super::*;
 
-/// The share of a target that the delay may fill: at the best earnings, the least, beyond a share.
-const FILL_BEST: f64 = 0.65;
-const FILL_LEAST: f64 = 0.5;
-const FILL_BEYOND: f64 = 0.33;
-/// A multiget that would touch more than this share of the nodes at once is tried with one part first
-/// while the delay so made fills less than this share of its target.
-const WIDE: f64 = 0.5;
-const EASY: f64 = 0.4;
-/// While the delay that multigets meet fills more than this share of the target in the mean, and that of
-/// a second phase as much of what is left, its estimate over all parts must reach the target.
-const CROWDED: f64 = 0.2;
-/// At any other time a second phase is refused only if it is likelier to fail than not.
-const LIKELY: f64 = 0.5;
+/// Limits of the expected delay as a share of the target, by value per work and over the customer's quota.
+const MAX_DELAY_SHARE_HIGHEST_VALUE: f64 = 0.65;
+const MAX_DELAY_SHARE_NO_VALUE: f64 = 0.5;
+const MAX_DELAY_SHARE_OVER_QUOTA: f64 = 0.33;
+/// Share of the nodes above which a multiget that needs them all at once sends one part as a probe first.
+const MAX_UNPROBED_NODE_SHARE: f64 = 0.5;
+/// Limit of the expected delay with a probe, as a share of the target; above it, all parts are sent at once.
+const MAX_PROBED_SHARE: f64 = 0.4;
+/// Share of the target, and of a second phase's remaining time, that expected delays exceed under congestion.
+const CONGESTED_SHARE: f64 = 0.2;
+/// Probability of completion that a second phase needs without congestion; `MIN_SERVICE_LEVEL` with it.
+const MIN_SECOND_PHASE_PROBABILITY: f64 = 0.5;
 
-/// When a part would be answered, where it would go, and the part. The longest delay where it can go nowhere.
-type Offer<'a> = (Nanos, Option<Candidate>, &'a Part);
+/// Expected delay of a part, the node that it would be sent to, and the part; `u64::MAX` if it has no node.
+type Planned<'a> = (Nanos, Option<Candidate>, &'a Part);
 
 impl Router {
-    /// The first look at a multiget: where its parts would go and how long they take. What cannot be in time
-    /// is rejected before any is sent, sooner where it earns little or its customer is beyond its share.
+    /// Sends the first attempts of a phase, or rejects it if its expected delay is too long.
     pub(super) fn admit(&mut self, now: Nanos, id: MultigetId) -> bool {
-        let Some(multiget) = self.open.get_mut(&id) else { return false };
-        multiget.fresh = false;
-        let (use_case, customer, second) = (multiget.use_case, multiget.customer, multiget.step_from > 0);
-        let left = multiget.target_end - now;
-        let (estimate, opened, rest) = (multiget.second, multiget.opened, multiget.until - now);
-        let parts = multiget.step().to_vec();
-        self.use_cases[use_case.0].work.add(parts.iter().map(|part| part.size).sum(), SIZE_GAIN);
-        let offers = self.offer_nodes(now, &parts, left);
+        let Some(open) = self.multigets.get_mut(&id) else { return false };
+        open.awaits_admission = false;
+        let (use_case, customer, is_second) = (open.use_case, open.customer, open.phase_from > 0);
+        let left = open.target_end - now;
+        let (estimate, start, rest) = (open.second_phase, open.second_start, open.value_end - now);
+        let parts = open.phase_parts().to_vec();
+        self.use_cases[use_case.0].total_size.add(parts.iter().map(|part| part.size).sum(), MEAN_GAIN);
+        let planned = self.plan_parts(now, &parts, left);
         let case = &self.use_cases[use_case.0];
-        // The delay by which enough of the parts would be in for an answer.
-        let mut reached = opened.map_or(0.0, |step| step.base) + ROUNDING;
-        let enough = offers.iter().position(|(_, _, part)| {
+        // The expected delay of the multiget is that of the part with which the quorum is reached.
+        let mut reached = start.map_or(0.0, |phase| phase.settled_share) + WEIGHT_TOLERANCE;
+        let quorum_index = planned.iter().position(|(_, _, part)| {
             reached += part.weight;
             reached >= case.quorum
         });
-        let enough = &offers[..enough.map_or(offers.len(), |last| last + 1)];
-        let delay = enough.last().map_or(Nanos(0), |(delay, _, _)| *delay);
-        if opened.is_some_and(|step| self.is_second_phase_late(step, enough, rest)) {
+        let quorum = &planned[..quorum_index.map_or(planned.len(), |last| last + 1)];
+        let delay = quorum.last().map_or(Nanos(0), |(delay, _, _)| *delay);
+        if start.is_some_and(|phase| self.is_second_phase_late(phase, quorum, rest)) {
             self.rejected_at = Some(now);
             self.give_up(now, id);
             return false;
         }
-        // What second phases were promised stands before all that is new. Guards against cheap first phases.
+        // Work reserved for second phases delays new multigets, or else too many first phases are admitted.
         let place = self.place_of(parts.first().map_or(ShardId(0), |part| part.shard));
-        let own = estimate.map_or(0.0, |estimate| {
-            estimate.parts
-                * self.size_of(case, place, estimate.effort.map(|effort| (effort.0.max(1) as f64).ln()))
+        let second_phase_work = estimate.map_or(0.0, |estimate| {
+            let log_effort = estimate.effort.map(|effort| (effort.0.max(1) as f64).ln());
+            estimate.expected_parts * self.relative_size(case, place, log_effort)
         });
-        let usual = self.groups.get(place).pace.get().unwrap_or_default();
-        let ahead = Nanos((usual * self.promised / self.nodes.len().max(1) as f64) as u64);
-        let delay = if second { delay } else { delay + ahead };
-        let by_work = self.by_work.then_some(1.0);
-        let yields = |case: &UseCase| by_work.or(case.work.get()).map_or(0.0, |work| case.value / work);
-        let best = self.use_cases.iter().map(yields).fold(f64::MIN_POSITIVE, f64::max);
-        let shed = FILL_LEAST + (FILL_BEST - FILL_LEAST) * yields(case) / best;
-        let fill = if self.refusals_cost { 1.0 } else { shed };
-        // What is rejected draws nothing from its customer's share. Guards repeats from passing for a flood.
-        let share = self.shares.get_mut(customer.0).filter(|_| !second);
-        // A client that is short of time by its own doing is refused only what is past hope.
-        let aim = case.latency_target;
-        let room = |fill: f64| aim.times(fill).min(left);
-        if !second {
-            self.met.add(delay.min(aim).0 as f64 / aim.0.max(1) as f64, SIZE_GAIN);
+        let time_per_work = self.groups.get(place).time_per_work.get().unwrap_or_default();
+        let reserved = Nanos((time_per_work * self.reserved_work / self.nodes.len().max(1) as f64) as u64);
+        let delay = if is_second { delay } else { delay + reserved };
+        let fixed_work = self.value_by_work.then_some(1.0);
+        let value_per_work =
+            |case: &UseCase| fixed_work.or(case.total_size.get()).map_or(0.0, |work| case.value / work);
+        let highest = self.use_cases.iter().map(value_per_work).fold(f64::MIN_POSITIVE, f64::max);
+        let shed_share = MAX_DELAY_SHARE_NO_VALUE
+            + (MAX_DELAY_SHARE_HIGHEST_VALUE - MAX_DELAY_SHARE_NO_VALUE) * value_per_work(case) / highest;
+        let max_share = if self.rejections_cost_value { 1.0 } else { shed_share };
+        // Rejected multigets do not use up the quota: retries of theirs would otherwise count as excess load.
+        let quota = self.customer_quotas.get_mut(customer.0).filter(|_| !is_second);
+        // A multiget whose client leaves it little time is rejected only if it cannot be in time.
+        let target = case.latency_target;
+        let limit = |share: f64| target.times(share).min(left);
+        if !is_second {
+            self.delay_share.add(delay.min(target).0 as f64 / target.0.max(1) as f64, MEAN_GAIN);
         }
-        let within = share.is_none_or(|share| delay <= room(fill) && share.draw(now));
-        let room = room(if within { fill } else { fill.min(FILL_BEYOND) });
-        if !second && delay > room {
+        let in_quota = quota.is_none_or(|quota| delay <= limit(max_share) && quota.try_draw(now));
+        let limit = limit(if in_quota { max_share } else { max_share.min(MAX_DELAY_SHARE_OVER_QUOTA) });
+        if !is_second && delay > limit {
             let wait = self.max_retry_after;
-            self.ready.push_back(Decision::Reject { multiget: id, retry_after: wait });
+            self.decisions.push_back(Decision::Reject { multiget: id, retry_after: wait });
             self.rejected_at = Some(now);
-            self.end(id);
+            self.finish(id);
             return false;
         }
-        self.promise(id, own);
-        self.send_first_attempts(now, id, offers, delay);
+        self.reserve_work(id, second_phase_work);
+        self.send_first_attempts(now, id, planned, delay);
         true
     }
 
-    /// Where each part would go, by its delay; what one part adds to a node's load counts for the next.
-    fn offer_nodes<'a>(&self, now: Nanos, parts: &'a [Part], left: Nanos) -> Vec<Offer<'a>> {
-        let mut planned = Loads::new();
-        let mut offers = Vec::new();
+    /// Returns each part with its node, sorted by delay; a planned part counts as load for the ones after it.
+    fn plan_parts<'a>(&self, now: Nanos, parts: &'a [Part], time_left: Nanos) -> Vec<Planned<'a>> {
+        let mut planned_load = Loads::new();
+        let mut planned = Vec::new();
         for part in parts {
-            let offer = self.choose(now, part, left, &planned);
-            if let Some(offer) = offer {
-                *planned.entry(offer.node).or_insert(0.0) += part.size;
+            let node = self.choose_node(now, part, time_left, &planned_load);
+            if let Some(node) = node {
+                *planned_load.entry(node.node).or_insert(0.0) += part.size;
             }
-            offers.push((offer.map_or(Nanos(u64::MAX), |offer| offer.delay), offer, part));
+            planned.push((node.map_or(Nanos(u64::MAX), |node| node.delay), node, part));
         }
-        offers.sort_by_key(|(delay, _, part)| (*delay, part.id));
-        offers
+        planned.sort_by_key(|(delay, _, part)| (*delay, part.id));
+        planned
     }
 
-    /// Guards against a second phase that is likelier late than not, and where all is slow against one
-    /// that is not likely enough in time: it is refused before any of it is sent.
-    fn is_second_phase_late(&self, step: SecondPhaseStart, enough: &[Offer], rest: Nanos) -> bool {
-        let delay = enough.last().map_or(Nanos(0), |(delay, _, _)| *delay);
-        let chance: f64 = enough.iter().map(|(_, offer, _)| offer.map_or(0.0, |offer| offer.phi)).product();
-        let crowded = self.met.get() > Some(CROWDED) && delay > rest.times(CROWDED);
-        let level = if crowded { TARGET } else { LIKELY };
-        step.needs.is_some_and(|needs| delay.max(needs) > rest || chance < level)
+    /// Whether a second phase is too likely to be late for any of it to be sent; stricter under congestion.
+    fn is_second_phase_late(&self, phase: SecondPhaseStart, quorum: &[Planned], rest: Nanos) -> bool {
+        let delay = quorum.last().map_or(Nanos(0), |(delay, _, _)| *delay);
+        let probability: f64 = quorum.iter().map(|(_, to, _)| to.map_or(0.0, |to| to.probability)).product();
+        let congested = self.delay_share.get() > Some(CONGESTED_SHARE) && delay > rest.times(CONGESTED_SHARE);
+        let required = if congested { MIN_SERVICE_LEVEL } else { MIN_SECOND_PHASE_PROBABILITY };
+        phase.expected_duration.is_some_and(|time| delay.max(time) > rest || probability < required)
     }
 
-    /// Guards all routers together against multigets that touch most nodes and then fail: while there
-    /// is time, the quickest part goes first, and the others once it has answered.
-    fn send_first_attempts(&mut self, now: Nanos, id: MultigetId, mut offers: Vec<Offer>, delay: Nanos) {
-        let Some(multiget) = self.open.get(&id) else { return };
-        let (aim, second) = (self.use_cases[multiget.use_case.0].latency_target, multiget.step_from > 0);
-        offers.retain(|(_, offer, _)| offer.is_some());
-        let first = offers.first().map_or(Nanos(0), |(delay, _, _)| *delay);
-        let wide = offers.len() as f64 > WIDE * self.nodes.len() as f64;
-        let scouting = !second && offers.len() > 1 && wide && delay + first <= aim.times(EASY);
-        offers.truncate(if scouting { 1 } else { offers.len() });
-        self.open.get_mut(&id).into_iter().for_each(|multiget| multiget.scouting = scouting);
-        let offered = offers.iter().filter_map(|(_, offer, part)| offer.as_ref().map(|offer| (offer, part)));
-        offered.for_each(|(offer, part)| self.send_attempt(now, part.id, offer));
-        offers.iter().for_each(|(_, _, part)| self.hedge(now, part.id));
+    /// Sends first attempts as planned. If they would load most nodes and there is time, the fastest part is
+    /// sent as a probe and the others after its answer, so that a multiget that fails loads few nodes.
+    fn send_first_attempts(&mut self, now: Nanos, id: MultigetId, mut planned: Vec<Planned>, delay: Nanos) {
+        let Some(open) = self.multigets.get(&id) else { return };
+        let (target, is_second) = (self.use_cases[open.use_case.0].latency_target, open.phase_from > 0);
+        planned.retain(|(_, node, _)| node.is_some());
+        let first = planned.first().map_or(Nanos(0), |(delay, _, _)| *delay);
+        let is_wide = planned.len() as f64 > MAX_UNPROBED_NODE_SHARE * self.nodes.len() as f64;
+        let has_time = delay + first <= target.times(MAX_PROBED_SHARE);
+        let is_probing = !is_second && planned.len() > 1 && is_wide && has_time;
+        planned.truncate(if is_probing { 1 } else { planned.len() });
+        self.multigets.get_mut(&id).into_iter().for_each(|multiget| multiget.is_probing = is_probing);
+        let sent = planned.iter().filter_map(|(_, node, part)| node.as_ref().map(|node| (node, part)));
+        sent.for_each(|(node, part)| self.send_attempt(now, part.id, node));
+        planned.iter().for_each(|(_, _, part)| self.send_planned_copies(now, part.id));
     }
 }
--- a/src/decide/completion.rs
+++ b/src/decide/completion.rs
@@ -2,134 +2,134 @@
 
 use super::*;
 
-/// How long before an end the last answer is given, in ticks of the host.
-const END_TICKS: f64 = 4.0;
-/// A partial answer is held back for one expected to be worth so many times as much.
-const WORTH_MORE: f64 = 1.05;
+/// Time before a deadline at which the last answer is given, in ticks of the host's clock.
+const MARGIN_TICKS: f64 = 4.0;
+/// Factor by which the expected value of waiting must exceed that of a partial answer now.
+const MIN_WAIT_GAIN: f64 = 1.05;
 
 impl Router {
-    /// All that is decided of one multiget, in the order in which it matters.
+    /// Makes the decisions due for one multiget: admission, then retries, then completion.
     pub(super) fn review(&mut self, now: Nanos, id: MultigetId) {
-        let Some(multiget) = self.open.get(&id) else { return };
-        if multiget.ended {
+        let Some(multiget) = self.multigets.get(&id) else { return };
+        if multiget.finished {
             if multiget.parts.iter().all(|part| part.pending().next().is_none()) {
-                self.open.remove(&id);
+                self.multigets.remove(&id);
             }
             return;
         }
-        if !multiget.step().is_empty() {
-            if multiget.fresh && !self.admit(now, id) {
+        if !multiget.phase_parts().is_empty() {
+            if multiget.awaits_admission && !self.admit(now, id) {
                 return;
             }
             self.retry_parts(now, id);
         }
-        let Some(multiget) = self.open.get(&id).filter(|held| !held.ended) else { return };
+        let Some(multiget) = self.multigets.get(&id).filter(|multiget| !multiget.finished) else { return };
         let case = &self.use_cases[multiget.use_case.0];
-        // An answer has to reach the client, which asked up to a tick before it was heard, and the
-        // host looks only once a tick. Guards against partial answers a moment too late.
-        let ends = [multiget.target_end, multiget.until, multiget.client_end];
-        let ends @ [aim_end, until, client_end] = ends.map(|end| end - self.tick.times(END_TICKS));
-        let second = multiget.step_from > 0;
-        let whole = if second || multiget.second.is_some() { 1.0 } else { case.required };
-        let least = if second && case.quorum >= case.required { 1.0 } else { case.quorum };
-        let least = multiget.second.map_or(least, |estimate| estimate.least);
-        let weigh = |keep: fn(&Part) -> bool| -> f64 {
-            let weights = multiget.step().iter().filter(|part| keep(part)).map(|part| part.weight);
-            weights.sum::<f64>() + multiget.opened.map_or(0.0, |step| step.base) + ROUNDING
+        // The margin covers the way from and to the client, and the time until the host polls, up to a tick.
+        let ends = [multiget.target_end, multiget.value_end, multiget.client_deadline];
+        let ends @ [target_end, value_end, deadline] = ends.map(|end| end - self.tick.times(MARGIN_TICKS));
+        let is_second = multiget.phase_from > 0;
+        let complete = if is_second || multiget.second_phase.is_some() { 1.0 } else { case.complete_share };
+        let min_share = if is_second && case.quorum >= case.complete_share { 1.0 } else { case.quorum };
+        let min_share = multiget.second_phase.map_or(min_share, |estimate| estimate.min_first_phase_share);
+        let weigh = |counts: fn(&Part) -> bool| -> f64 {
+            let weights = multiget.phase_parts().iter().filter(|part| counts(part)).map(|part| part.weight);
+            let settled = multiget.second_start.map_or(0.0, |phase| phase.settled_share);
+            weights.sum::<f64>() + settled + WEIGHT_TOLERANCE
         };
-        let last = until.min(client_end);
-        let waits = multiget.step().is_empty();
+        let last = value_end.min(deadline);
+        let awaits_parts = multiget.phase_parts().is_empty();
         let answered = weigh(|part| part.answered);
         let reachable = weigh(|part| part.answered || !part.given_up);
-        if answered >= whole {
-            self.complete(now, id, !second || multiget.first_whole);
-        } else if answered >= least
-            && (reachable <= answered || now >= aim_end && !self.gains_late(now, multiget, answered, last))
+        if answered >= complete {
+            self.complete(now, id, !is_second || multiget.first_phase_complete);
+        } else if answered >= min_share
+            && (reachable <= answered || now >= target_end && !self.wait_gains(now, multiget, answered, last))
         {
             self.complete(now, id, false);
-        } else if now >= client_end || !waits && (reachable < least || now >= until) {
+        } else if now >= deadline || !awaits_parts && (reachable < min_share || now >= value_end) {
             self.give_up(now, id);
         } else {
-            // Guards against a final answer that comes too late, whatever else is awaited.
-            let end = ends.into_iter().find(|at| now < *at).unwrap_or(client_end);
-            let pending = multiget.step().iter().filter(|part| !part.answered && !part.given_up);
-            let checks = pending.map(|part| self.check_at(now, part));
-            self.look_again(id, checks.fold(end, Nanos::min));
+            // The next end is always among the times: no attempt may delay the final answer past it.
+            let end = ends.into_iter().find(|at| now < *at).unwrap_or(deadline);
+            let pending = multiget.phase_parts().iter().filter(|part| !part.answered && !part.given_up);
+            let checks = pending.map(|part| self.next_check_at(now, part));
+            self.schedule_review(id, checks.fold(end, Nanos::min));
         }
     }
 
-    pub(super) fn complete(&mut self, now: Nanos, id: MultigetId, whole: bool) {
-        let Some(multiget) = self.open.get_mut(&id) else { return };
-        let case = &mut self.use_cases[multiget.use_case.0];
-        let last = multiget.step_from > 0 || !case.two_phase && multiget.second.is_none();
-        self.ready.push_back(Decision::Complete { multiget: id, complete: whole, last });
-        if last {
-            return self.end(id);
+    pub(super) fn complete(&mut self, now: Nanos, id: MultigetId, is_complete: bool) {
+        let Some(open) = self.multigets.get_mut(&id) else { return };
+        let case = &mut self.use_cases[open.use_case.0];
+        let is_final = open.phase_from > 0 || !case.two_phase && open.second_phase.is_none();
+        self.decisions.push_back(Decision::Complete { multiget: id, is_complete, is_final });
+        if is_final {
+            return self.finish(id);
         }
-        let from = multiget.step_from..multiget.parts.len();
-        (multiget.step_from, multiget.first_whole, multiget.fresh) = (from.end, whole, true);
-        (multiget.target_end, multiget.until) = multiget.whole_ends;
-        multiget.second = None;
-        let until = multiget.client_end - self.tick.times(END_TICKS);
-        self.promise(id, 0.0);
-        from.for_each(|index| self.cancel_attempts(PartId { multiget: id, index }));
-        self.look_again(id, until.max(now + self.tick));
+        let phase = open.phase_from..open.parts.len();
+        (open.phase_from, open.first_phase_complete, open.awaits_admission) = (phase.end, is_complete, true);
+        (open.target_end, open.value_end) = open.overall_ends;
+        open.second_phase = None;
+        let end = open.client_deadline - self.tick.times(MARGIN_TICKS);
+        self.reserve_work(id, 0.0);
+        phase.for_each(|index| self.cancel_attempts(PartId { multiget: id, index }));
+        self.schedule_review(id, end.max(now + self.tick));
     }
 
-    /// What cannot be answered any more gets its final answer at once. A dismissal says that asking again is
-    /// harmless, so nothing may have run that must not run twice.
+    /// Ends a multiget that can no longer be answered. A rejection tells the client that a retry is harmless,
+    /// so it is given only if nothing may have run that must not run twice.
     pub(super) fn give_up(&mut self, now: Nanos, id: MultigetId) {
-        let Some(multiget) = self.open.get(&id) else { return };
-        let lasts = |part: &&Part| part.effect != Effect::Idempotent;
-        let ran = multiget.parts.iter().filter(lasts).any(|part| part.attempts.iter().any(may_have_run));
-        self.ready.push_back(if now < multiget.client_end && !ran {
+        let Some(multiget) = self.multigets.get(&id) else { return };
+        let has_effect = |part: &&Part| part.effect != Effect::Idempotent;
+        let ran = multiget.parts.iter().filter(has_effect).any(|part| part.attempts.iter().any(may_have_run));
+        self.decisions.push_back(if now < multiget.client_deadline && !ran {
             Decision::Reject { multiget: id, retry_after: self.max_retry_after }
         } else {
             Decision::Abort { multiget: id }
         });
-        self.end(id);
+        self.finish(id);
     }
 
-    pub(super) fn end(&mut self, id: MultigetId) {
-        let Some(multiget) = self.open.get_mut(&id) else { return };
-        multiget.ended = true;
-        self.promised -= std::mem::take(&mut multiget.promised);
-        self.due.remove(&(multiget.look_at, id));
+    pub(super) fn finish(&mut self, id: MultigetId) {
+        let Some(multiget) = self.multigets.get_mut(&id) else { return };
+        multiget.finished = true;
+        self.reserved_work -= std::mem::take(&mut multiget.reserved_work);
+        self.reviews.remove(&(multiget.review_at, id));
         (0..multiget.parts.len()).for_each(|index| self.cancel_attempts(PartId { multiget: id, index }));
-        self.touched.push_back(id);
+        self.review_queue.push_back(id);
     }
 
-    /// Whether waiting until `last` promises more than the partial answer that can be given now.
-    fn gains_late(&self, now: Nanos, multiget: &Multiget, answered: f64, last: Nanos) -> bool {
+    /// Whether the answer at `last` is expected to be worth more than the partial answer available now.
+    fn wait_gains(&self, now: Nanos, multiget: &Multiget, answered: f64, last: Nanos) -> bool {
         let case = &self.use_cases[multiget.use_case.0];
-        let worth = if now < multiget.target_end { case.late_share } else { 1.0 };
-        let (mut mean, mut spread) = (answered, 0.0);
-        for part in multiget.step().iter().filter(|part| !part.answered) {
-            let missed = self.chance_missed(now, part, last - now);
-            mean += part.weight * (1.0 - missed);
-            spread += part.weight * part.weight * missed * (1.0 - missed);
+        let value = if now < multiget.target_end { case.late_value_share } else { 1.0 };
+        let (mut mean, mut variance) = (answered, 0.0);
+        for part in multiget.phase_parts().iter().filter(|part| !part.answered) {
+            let miss = self.miss_probability(now, part, last - now);
+            mean += part.weight * (1.0 - miss);
+            variance += part.weight * part.weight * miss * (1.0 - miss);
         }
-        case.squared && worth * (mean * mean + spread) > WORTH_MORE * answered * answered
+        case.squares_partial_value && value * (mean * mean + variance) > MIN_WAIT_GAIN * answered * answered
     }
 
-    pub(super) fn look_again(&mut self, id: MultigetId, at: Nanos) {
-        if let Some(multiget) = self.open.get_mut(&id) {
-            self.due.remove(&(multiget.look_at, id));
-            multiget.look_at = at;
-            self.due.insert((at, id));
+    pub(super) fn schedule_review(&mut self, id: MultigetId, at: Nanos) {
+        if let Some(multiget) = self.multigets.get_mut(&id) {
+            self.reviews.remove(&(multiget.review_at, id));
+            multiget.review_at = at;
+            self.reviews.insert((at, id));
         }
     }
 
-    /// When a part that is not answered must be looked at again.
-    pub(super) fn check_at(&self, now: Nanos, part: &Part) -> Nanos {
-        let overdue = part.pending().map(|sent| sent.sent + self.patience(sent)).min();
-        overdue.filter(|at| *at > now).unwrap_or(now + self.shortest_goal.times(DELAY_STEP))
+    /// Returns the time at which an unanswered part needs a review: when an attempt becomes overdue.
+    pub(super) fn next_check_at(&self, now: Nanos, part: &Part) -> Nanos {
+        let overdue_at = part.pending().map(|sent| sent.sent_at + self.overdue_after(sent)).min();
+        overdue_at.filter(|at| *at > now).unwrap_or(now + self.shortest_target.times(DELAY_STEP_SHARE))
     }
 
-    /// Counts so much work as promised to the second phase of a multiget.
-    pub(super) fn promise(&mut self, id: MultigetId, work: f64) {
-        if let Some(multiget) = self.open.get_mut(&id) {
-            self.promised = (self.promised + work - std::mem::replace(&mut multiget.promised, work)).max(0.0);
+    pub(super) fn reserve_work(&mut self, id: MultigetId, work: f64) {
+        if let Some(open) = self.multigets.get_mut(&id) {
+            let previous = std::mem::replace(&mut open.reserved_work, work);
+            self.reserved_work = (self.reserved_work + work - previous).max(0.0);
         }
     }
 }
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -1,85 +1,86 @@
-//! What may be sent at all: by idempotence, the retry budget, overload and nodes that warm up.
+//! Limits of attempts: by effect, retry budget, overload and slow start.
 
 use super::*;
 
-/// A cold replica gets this part of what the rule would allow.
-const COLD_CARE: f64 = 0.8;
-/// The part of the ration of retries that copies in the first of two phases may use.
-const FIRST_RATION: f64 = 0.5;
+/// Share of the slow-start limit that is used.
+const SLOW_START_LIMIT_SHARE: f64 = 0.8;
+/// Share of the retry budget that copies in the first of two phases may use.
+const FIRST_PHASE_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Guards a jam, in which all replicas slow together, against second copies.
+    /// Whether a multiget was rejected lately. Copies would then add to an overload of all replicas.
     pub(super) fn is_shedding(&self, now: Nanos) -> bool {
-        self.rejected_at.is_some_and(|at| now - at < self.shortest_goal.times(OVERDUE_GOAL))
+        self.rejected_at.is_some_and(|at| now - at < self.shortest_target.times(MIN_OVERDUE_SHARE))
     }
 
-    /// Whether one more copy keeps all retries under this share of the parts.
-    pub(super) fn may_copy(&self, now: Nanos, share: f64) -> bool {
-        let span = RECOMPUTE.times(2.0);
-        self.budget_use.all.retries.within(now, span) + 1.0 < share * self.first_sends.within(now, span)
+    /// Whether retries stay below this share of the first attempts with one more copy.
+    pub(super) fn may_copy(&self, now: Nanos, max_share: f64) -> bool {
+        let span = PLAN_INTERVAL.times(2.0);
+        self.budget_use.all.retries.within(now, span) + 1.0 < max_share * self.first_sends.within(now, span)
     }
 
-    /// Whether a part may be handed off again now: by its effect, its limit and the ration.
-    pub(super) fn may_send_further(&self, now: Nanos, part: &Part) -> bool {
-        let Some(multiget) = self.open.get(&part.id.multiget) else { return false };
-        let out = part.pending().next().is_some();
-        // Guards second phases against copies made in first ones.
-        let share = if out && multiget.second.is_some() { FIRST_RATION } else { 1.0 };
-        let is_spent = |budget: &RetryBudgetSettings| {
+    /// Whether a part may be sent again now: by its effect, its limit of attempts and the retry budget.
+    pub(super) fn may_retry_now(&self, now: Nanos, part: &Part) -> bool {
+        let Some(multiget) = self.multigets.get(&part.id.multiget) else { return false };
+        let is_pending = part.pending().next().is_some();
+        // Copies in first phases leave budget for retries in second ones.
+        let share = if is_pending && multiget.second_phase.is_some() { FIRST_PHASE_SHARE } else { 1.0 };
+        let is_used_up = |budget: &RetryBudgetSettings| {
             self.budget_use.remaining(now, part.shard, budget, share, self.tick) < 1.0
         };
-        let rationed = self.budget.as_ref().is_some_and(is_spent);
-        !rationed && (!out || self.hedging) && self.may_yet(now, part)
+        let is_over_budget = self.retry_budget.as_ref().is_some_and(is_used_up);
+        !is_over_budget && (!is_pending || self.hedging) && self.may_retry(now, part)
     }
 
-    /// Whether a part may still be handed off at all: by its effect and its limit.
-    pub(super) fn may_yet(&self, now: Nanos, part: &Part) -> bool {
-        let first_run = part.attempts.iter().filter(|sent| may_have_run(sent)).map(|sent| sent.sent).min();
-        let allowed = match (part.effect, first_run) {
+    /// Whether a part may be sent again, now or later: by its effect and its limit of attempts.
+    pub(super) fn may_retry(&self, now: Nanos, part: &Part) -> bool {
+        let first_run = part.attempts.iter().filter(|sent| may_have_run(sent)).map(|sent| sent.sent_at).min();
+        let is_harmless = match (part.effect, first_run) {
             (Effect::Idempotent, _) | (_, None) => true,
             (Effect::Deduplicated(window), Some(first)) => now + self.tick < first + window,
             (Effect::NonIdempotent, Some(_)) => false,
         };
-        let most = self.use_cases[part.kind.0.0].max_attempts;
-        let most = most.map_or(self.max_attempts, |most| most as usize);
-        allowed && part.attempts.len() < most && !self.holders(part.shard).is_empty()
+        let limit = self.use_cases[part.kind.0.0].max_attempts;
+        let limit = limit.map_or(self.max_attempts, |limit| limit as usize);
+        is_harmless && part.attempts.len() < limit && !self.running_replicas(part.shard).is_empty()
     }
 
     pub(super) fn is_cold(&self, now: Nanos, node: &Node) -> bool {
-        node.since.0 > 0 && now - node.since < self.warmup.warm_after + self.warmup.window
+        node.started_at.0 > 0 && now - node.started_at < self.slow_start.warmup_time + self.slow_start.window
     }
 
-    /// The share of its capacity that a replica has at least.
-    pub(super) fn warmth(&self, now: Nanos, node: &Node) -> f64 {
-        let grown = (now - node.since).0 as f64 / self.warmup.warm_after.0.max(1) as f64;
-        if node.since.0 > 0 { (self.warmup.from + (1.0 - self.warmup.from) * grown).min(1.0) } else { 1.0 }
+    /// Returns the share of its full capacity that a node is taken to have, from the initial share to 1.
+    pub(super) fn capacity_share(&self, now: Nanos, node: &Node) -> f64 {
+        let initial = self.slow_start.initial_share;
+        let grown = (now - node.started_at).0 as f64 / self.slow_start.warmup_time.0.max(1) as f64;
+        if node.started_at.0 > 0 { (initial + (1.0 - initial) * grown).min(1.0) } else { 1.0 }
     }
 
-    /// A cold replica takes this router's part of what the rule allows, by what warm ones answer to it and
-    /// how busy they are. Where nothing is known of those, it takes one part at a time.
-    pub(super) fn has_cold_room(&self, now: Nanos, node: &Node) -> bool {
+    /// Whether slow start lets this router send a part; one at a time while warm nodes' capacity is unknown.
+    pub(super) fn slow_start_allows(&self, now: Nanos, node: &Node) -> bool {
         if !self.is_cold(now, node) {
             return true;
         }
-        let Some((room, most)) = self.cold_room(now, node) else { return node.out.is_empty() };
-        // Guards against routers whose part is under one each, all of which could send one at once: it
-        // is open for as much of the time as they together may send of what is usually sent.
-        let share = COLD_CARE * self.warmup.multiple * self.warmth(now, node) / self.busy_all;
-        room >= 0.0 && (most >= 1.0 || room < share.max(most))
+        let Some((left, limit)) = self.cold_allowance(now, node) else { return node.in_flight.is_empty() };
+        // Routers whose limit is below one part may send only at times, so that their sum keeps to the limit.
+        let max_multiple = SLOW_START_LIMIT_SHARE * self.slow_start.max_load_multiple;
+        let share = max_multiple * self.capacity_share(now, node) / self.warm_busy_share;
+        left >= 0.0 && (limit >= 1.0 || left < share.max(limit))
     }
 
-    /// The sizes that a cold replica may be sent now, and those that one window allows. The first part
-    /// waits for a random while, as all routers hear of a start at once.
-    pub(super) fn cold_room(&self, now: Nanos, node: &Node) -> Option<(f64, f64)> {
-        let rate = COLD_CARE * self.warmup.multiple * self.warmth(now, node) * self.bears.get()?;
-        let most = rate * self.warmup.window.0 as f64;
-        let (left, at) = node.cold_room;
-        let room = left + rate * (now - at.max(node.since)).0 as f64;
-        Some((if most >= 1.0 { room.min(most) } else { room - room.floor().max(0.0) }, most))
+    /// Returns the work that a cold node may be sent now, and the limit per window; `None` while the capacity
+    /// of warm nodes is unknown. Routers start at random deficits, as all learn of a start at once.
+    pub(super) fn cold_allowance(&self, now: Nanos, node: &Node) -> Option<(f64, f64)> {
+        let max_multiple = SLOW_START_LIMIT_SHARE * self.slow_start.max_load_multiple;
+        let rate = max_multiple * self.capacity_share(now, node) * self.warm_capacity.get()?;
+        let limit = rate * self.slow_start.window.0 as f64;
+        let (left, at) = node.cold_allowance;
+        let left = left + rate * (now - at.max(node.started_at)).0 as f64;
+        Some((if limit >= 1.0 { left.min(limit) } else { left - left.floor().max(0.0) }, limit))
     }
 }
 
-/// An attempt that is out, or ended in any way that does not prove otherwise, may have run.
-pub(super) fn may_have_run(sent: &Attempt) -> bool {
-    !matches!(sent.outcome, Some(Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent))
+/// Whether an attempt may have run: it is in flight, or ended without proof that it did not.
+pub(super) fn may_have_run(attempt: &Attempt) -> bool {
+    !matches!(attempt.outcome, Some(Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent))
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,12 +1,11 @@
-//! Every decision of a fernknot query router.
+//! Decisions of a fernknot query router.
 //!
-//! A host makes one [`Router`] a process start and tells it what it learns (`list`, `take`, `ended`, ...);
-//! this only updates what is known. After each batch of news it calls `next` until that returns `None` and
-//! carries out each decision; a `Wake` asks for `next` later, even without news. Ids, times, settings and
-//! decisions are in `interface.rs`, plain containers in `state.rs`; the reasons are in `docs/design.md`.
-//!
-//! A file for each concern: `observation` takes in what is measured, `admission` and `completion` decide on a
-//! whole query, `replica_selection`, `retry` and `limits` on its parts, `hedging` on how many copies of each.
+//! A host creates one [`Router`] per process start and reports events to it (`apply_list`, `attempt_ended`,
+//! ...); these only update its state. After each batch of events the host calls `poll_decision` until that
+//! returns `None`, and carries out each decision; a `Wake` schedules the next call if no event comes before.
+//! `interface.rs` has ids, times, settings and decisions, `state/` containers, `docs/design.md` the reasons.
+//! `observation` records what the host reports, `admission` and `completion` decide on a whole query,
+//! `replica_selection`, `retry` and `limits` on its parts, and `hedging` on the number of copies of each.
 
 mod admission;
 mod completion;
@@ -19,117 +18,116 @@
 use crate::interface::*;
 pub use crate::state::Router;
 use crate::state::*;
-pub use hedging::{cut_target, service_level};
+pub use hedging::{reduced_target, service_level};
 use limits::may_have_run;
 
-/// Weight of one part in the running means of sizes.
-const SIZE_GAIN: f64 = 0.02;
-/// The level that the estimate must reach; the least number of copies that does is taken.
-const TARGET: f64 = 0.95;
-/// Service time and its spread are read from this share of the latencies, the fastest ones.
-const FASTEST: f64 = 0.7;
-/// Extra copies stay under this share of the parts.
-const COPY_SHARE: f64 = 0.1;
-/// How often copies are planned anew and measurements halved.
-const RECOMPUTE: Nanos = Nanos(2_000_000_000);
-/// Bins of a latency histogram: the first ends at this share of the shortest target.
-const FIRST_BIN: f64 = 1.0 / 48.0;
+/// Weight of one observation in running means of sizes, delays and efforts.
+const MEAN_GAIN: f64 = 0.02;
+/// Service level that planned copies must reach; the least number of copies that reaches it is planned.
+const MIN_SERVICE_LEVEL: f64 = 0.95;
+/// Share of the latencies, the fastest ones, that service time and its variation are estimated from.
+const FASTEST_SHARE: f64 = 0.7;
+/// Limit of planned copies as a share of the first attempts.
+const MAX_COPY_SHARE: f64 = 0.1;
+/// Time between two plans of copies, when measurements are halved, too.
+const PLAN_INTERVAL: Nanos = Nanos(2_000_000_000);
+/// Upper bound of a latency histogram's first bin, as a share of the shortest target.
+const FIRST_BIN_SHARE: f64 = 1.0 / 48.0;
 const BIN_RATIO: f64 = 1.5;
-const BINS: usize = 14;
-/// So many more where use cases come and go, whose targets may be far apart.
-const MORE_BINS: usize = 6;
-/// Replicas whose expected delays lie within this share of the target are equal.
-const DELAY_STEP: f64 = 1.0 / 24.0;
-/// An attempt is overdue after so many times its expected delay, and this share of its target.
-const OVERDUE: f64 = 2.5;
-const OVERDUE_GOAL: f64 = 0.3;
-/// Seconds of its share that a customer may use at once.
-const SHARE_SPAN: f64 = 2.0;
-/// What one message to the other routers may hold.
-const MAX_UPDATES: usize = 80;
-/// A share counts as reached when it falls short by no more than rounding.
-const ROUNDING: f64 = 0.00005;
+const BIN_COUNT: usize = 14;
+/// Number of further bins if use cases may be added later, whose targets may be far apart.
+const EXTRA_BIN_COUNT: usize = 6;
+/// Step in which expected delays of replicas are compared, as a share of the shortest target.
+const DELAY_STEP_SHARE: f64 = 1.0 / 24.0;
+/// Time until an attempt is overdue: a multiple of its expected delay, but at least a share of the target.
+const OVERDUE_DELAY_FACTOR: f64 = 2.5;
+const MIN_OVERDUE_SHARE: f64 = 0.3;
+/// Burst that a customer's quota allows, in seconds of the quota.
+const QUOTA_BURST_SECONDS: f64 = 2.0;
+const MAX_MESSAGE_UPDATES: usize = 80;
+/// Rounding error up to which a sum of weights counts as reaching a share.
+const WEIGHT_TOLERANCE: f64 = 0.00005;
 
-/// What an answer past its target earns where nothing is told, as a share of its value.
-pub const LATE_SHARE: f64 = 1.0 / 3.0;
-/// When a rejected client may come back before the settings say so.
-pub const FIRST_RETRY_AFTER: Nanos = Nanos(500_000_000);
+/// Value of an answer after its target, as a share of its value, if the settings have none.
+pub const DEFAULT_LATE_VALUE_SHARE: f64 = 1.0 / 3.0;
+/// Time after which a rejected client may retry, before there are settings.
+pub const DEFAULT_RETRY_AFTER: Nanos = Nanos(500_000_000);
 
-/// What a use case earns by its rank: each half as much as the one before.
-pub fn earnings(rank: u32) -> f64 {
+/// Value of a use case by its rank: 1 for rank 0, and half as much for each further rank.
+pub fn value_of_rank(rank: u32) -> f64 {
     0.5f64.powi(rank.min(30) as i32)
 }
 
 impl Router {
-    /// A router at its start, which knows of no node. `seed` makes its random choices.
+    /// Creates a router that knows no node; `seed` determines its random choices.
     pub fn new(seed: u64, settings: SiteSettings, now: Nanos) -> Router {
-        let goal = settings.use_cases.iter().map(|case| case.latency_target).min();
-        let least_goal = settings.shortest_goal.unwrap_or_default().max(settings.tick);
-        let shortest_goal = goal.or(settings.shortest_goal).unwrap_or(RECOMPUTE).max(least_goal);
-        let finest = settings.shortest_goal.map_or(shortest_goal, |_| least_goal).0 as f64 * FIRST_BIN;
-        let more = settings.shortest_goal.map_or(0, |_| MORE_BINS);
-        let bins = Histogram::new(finest, BIN_RATIO, BINS + more);
-        let use_cases = settings.use_cases.iter().map(|case| UseCase::new(case, &bins));
-        let own_share = |rate: &f64| {
+        let target = settings.use_cases.iter().map(|case| case.latency_target).min();
+        let min_target = settings.min_latency_target.unwrap_or_default().max(settings.tick);
+        let shortest_target = target.or(settings.min_latency_target).unwrap_or(PLAN_INTERVAL).max(min_target);
+        let finest = settings.min_latency_target.map_or(shortest_target, |_| min_target).0 as f64;
+        let extra_bins = settings.min_latency_target.map_or(0, |_| EXTRA_BIN_COUNT);
+        let empty_bins = Histogram::new(finest * FIRST_BIN_SHARE, BIN_RATIO, BIN_COUNT + extra_bins);
+        let use_cases = settings.use_cases.iter().map(|case| UseCase::new(case, &empty_bins));
+        let own_quota = |rate: &f64| {
             let rate = rate / settings.routers.max(1) as f64;
-            TokenBucket::new(rate, rate.max(1.0) * SHARE_SPAN, now)
+            TokenBucket::new(rate, rate.max(1.0) * QUOTA_BURST_SECONDS, now)
         };
         Router {
             use_cases: use_cases.collect(),
             router_count: settings.routers.max(1) as f64,
-            shares: settings.customers.iter().map(own_share).collect(),
+            customer_quotas: settings.customer_quotas.iter().map(own_quota).collect(),
             tick: settings.tick,
-            shortest_goal,
-            least_goal,
-            warmup: settings.warmup,
-            budget_use: RetryBudgetUse::new(settings.budget.as_ref()),
-            budget: settings.budget,
+            shortest_target,
+            min_target,
+            slow_start: settings.slow_start,
+            budget_use: RetryBudgetUse::new(settings.retry_budget.as_ref()),
+            retry_budget: settings.retry_budget,
             places: settings.places.max(1),
-            width: settings.width.max(1),
-            cancel: settings.cancel,
+            places_per_shard: settings.places_per_shard.max(1),
+            cancellation: settings.cancellation,
             hedging: settings.hedging,
             max_attempts: settings.max_attempts as usize,
             max_retry_after: settings.max_retry_after.unwrap_or_default(),
-            ask_at: settings.must_ask.then_some(now),
-            must_ask: settings.must_ask,
-            peers: settings.peers && settings.routers > 1,
-            by_work: settings.by_work,
+            list_request_at: settings.list_changes_on_request.then_some(now),
+            list_changes_on_request: settings.list_changes_on_request,
+            peer_updates: settings.peer_updates && settings.routers > 1,
+            value_by_work: settings.value_by_work,
             zone: settings.zone,
-            unmarked: !settings.marks_repeats,
-            refusals_cost: settings.refusals_cost,
+            has_unmarked_retries: !settings.clients_mark_retries,
+            rejections_cost_value: settings.rejections_cost_value,
             random: Mwc::new(seed),
-            groups: Groups::new(&bins),
-            bins,
-            replan_at: now + RECOMPUTE,
+            groups: Groups::new(&empty_bins),
+            empty_bins,
+            replan_at: now + PLAN_INTERVAL,
             mean_copies: 1.0,
-            busy_all: 1.0,
+            warm_busy_share: 1.0,
             ..Router::default()
         }
     }
 
-    /// The next decision; `None`: nothing more until an input, or until the time of the last `Wake`.
+    /// Returns the next decision; `None` if there is none until the next event or the last `Wake`'s time.
     pub fn poll_decision(&mut self, now: Nanos) -> Option<Decision> {
         loop {
-            if let Some(decision) = self.ready.pop_front() {
+            if let Some(decision) = self.decisions.pop_front() {
                 return Some(decision);
             }
-            if self.ask_at.is_some_and(|at| at <= now) {
-                self.ask_at = None;
+            if self.list_request_at.is_some_and(|at| at <= now) {
+                self.list_request_at = None;
                 return Some(Decision::RequestList);
             }
             if now >= self.replan_at {
                 self.replan(now);
-            } else if let Some(multiget) = self.touched.pop_front() {
+            } else if let Some(multiget) = self.review_queue.pop_front() {
                 self.review(now, multiget);
-            } else if let Some(first) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-                self.due.remove(&first);
-                self.touched.push_back(first.1);
+            } else if let Some(first) = self.reviews.first().copied().filter(|(at, _)| *at <= now) {
+                self.reviews.remove(&first);
+                self.review_queue.push_back(first.1);
             } else if self.notify_at.is_some_and(|at| at <= now) {
-                let updates = self.updates.drain(..self.updates.len().min(MAX_UPDATES)).collect();
+                let updates = self.updates.drain(..self.updates.len().min(MAX_MESSAGE_UPDATES)).collect();
                 self.notify_at = self.notify_at.filter(|_| !self.updates.is_empty());
                 return Some(Decision::NotifyPeers { updates });
             } else {
-                let due = [self.due.first().map(|(at, _)| *at), self.ask_at, self.notify_at];
+                let due = [self.reviews.first().map(|(at, _)| *at), self.list_request_at, self.notify_at];
                 let at = due.into_iter().flatten().fold(self.replan_at, Nanos::min);
                 if self.wake_at.is_some_and(|set| set > now && set <= at) {
                     return None;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,26 +1,25 @@
-//! What passes between the decision module and its host: ids, times, the settings as they are
-//! given, outcomes and decisions. Nothing here decides anything.
+//! Types exchanged between the decision module and its host: ids, times, settings, outcomes and decisions.
 
 #![deny(missing_docs)]
 
 use std::ops::{Add, Sub};
 
-/// Whole nanoseconds, of the host's clock or as a span.
+/// Nanoseconds: a time of the host's clock, or a duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Nanos(pub u64);
 
 impl Nanos {
-    /// From milliseconds; negative ones count as 0.
+    /// Converts milliseconds; negative ones count as 0.
     pub fn from_millis(ms: f64) -> Nanos {
         Nanos((ms.max(0.0) * 1e6).round() as u64)
     }
 
-    /// In milliseconds.
+    /// Converts to milliseconds.
     pub fn as_millis(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// This span stretched or shrunk.
+    /// Multiplies a duration; negative factors count as 0.
     pub fn times(self, factor: f64) -> Nanos {
         Nanos((self.0 as f64 * factor.max(0.0)) as u64)
     }
@@ -35,7 +34,7 @@
 
 impl Sub for Nanos {
     type Output = Nanos;
-    /// What remains; nothing where the other is larger.
+    /// Difference; 0 if the other is larger.
     fn sub(self, other: Nanos) -> Nanos {
         Nanos(self.0.saturating_sub(other.0))
     }
@@ -50,291 +49,291 @@
 }
 
 ids!(
-    /// A query of a client; never used again by the host.
+    /// Id of a multiget: a client's query, split into a part for each shard. The host never uses an id again.
     MultigetId(u64),
-    /// A node, as the host numbers them.
+    /// Number that the host gives a node.
     NodeId(u32),
-    /// A shard.
+    /// Number of a shard.
     ShardId(u32),
-    /// A place that holds some shards; replicas of a shard stand at the same places.
+    /// Position in the placement of shards: the nodes at one place are replicas of the same shards.
     PlaceId(u32),
-    /// A failure domain.
+    /// Number of a zone (failure domain).
     ZoneId(u32),
-    /// An index into the use cases of the settings.
+    /// Index into the use cases of the settings.
     UseCaseId(usize),
-    /// An index into the customers of the settings.
+    /// Index into the customers of the settings.
     CustomerId(usize),
-    /// Another router of the same tier.
+    /// Number of another router of the same tier.
     PeerId(u32),
-    /// The number of an attempt among those of its part, from 0 on.
+    /// Index of an attempt among those of its part.
     AttemptNumber(u32)
 );
 
-/// A part is known by its multiget and its place among the parts handed in.
+/// Id of a part: its multiget and its index there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId {
-    /// The multiget that it belongs to.
+    /// Multiget that the part belongs to.
     pub multiget: MultigetId,
-    /// Its index among the parts of that multiget, in order of arrival.
+    /// Index among the parts of that multiget, in order of arrival.
     pub index: usize,
 }
 
-/// What a repeat of a part may do.
+/// Effect of executing a part more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
     /// Idempotent: it may be repeated at any time.
     #[default]
     Idempotent,
-    /// A repeat is dropped for this long after the first attempt that may have run.
+    /// Nodes drop duplicates for this time after the first attempt that may have run.
     Deduplicated(Nanos),
     /// Non-idempotent: it must not run twice.
     NonIdempotent,
 }
 
-/// The settings of a use case: a kind of queries with one latency target and one value.
+/// Settings of a use case: a kind of queries with one latency target and one value.
 #[derive(Clone, Debug, Default)]
 pub struct UseCaseSettings {
-    /// The latency target.
+    /// Time from the first try until a query should be answered.
     pub latency_target: Nanos,
-    /// How long a client waits in all, over all its tries.
+    /// Time until the client gives up, over all its tries.
     pub hard_limit: Nanos,
-    /// The value of an answer in time, relative to other use cases.
+    /// Value of an answer within the target, relative to other use cases.
     pub value: f64,
-    /// The worth of a late answer, as a share.
-    pub late_share: f64,
-    /// The worth of a partial answer is the square of the share that is in.
-    pub squared: bool,
-    /// Whether its parts are idempotent.
+    /// Value of an answer after the target, as a share of `value`.
+    pub late_value_share: f64,
+    /// Whether the value of a partial answer is the square of its share of the weight.
+    pub squares_partial_value: bool,
+    /// Effect of repeating its parts.
     pub effect: Effect,
-    /// The target grows by this multiple of the multiget's own work.
-    pub stretch: f64,
-    /// The share of the weight that makes an answer complete.
-    pub required: f64,
-    /// The smallest share of the weight that may be answered at all (quorum).
+    /// Multiple of a multiget's own expected work by which its latency target grows.
+    pub target_work_factor: f64,
+    /// Share of the weight that makes an answer complete, from 0 to 1.
+    pub complete_share: f64,
+    /// Smallest share of the weight that may be answered at all, from 0 to 1.
     pub quorum: f64,
-    /// Its queries run in two phases.
+    /// Whether its queries run in two phases.
     pub two_phase: bool,
-    /// To how many nodes one of its parts may be handed in all; `None` for the site's number.
+    /// Limit of attempts per part; `None` for the limit in [`SiteSettings`].
     pub max_attempts: Option<u32>,
 }
 
-/// Slow start: how much a node that has just started may be sent.
+/// Slow start: limits on the load of a node that has just started.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStartSettings {
-    /// The share of its capacity that a node has at its start.
-    pub from: f64,
-    /// The time after its start at which it has its full capacity; linear until then.
-    pub warm_after: Nanos,
-    /// How many times its share of the work that warm nodes take in a window it may be sent.
-    pub multiple: f64,
-    /// The window over which that is counted.
+    /// Share of its capacity that a node has when it starts, from 0 to 1.
+    pub initial_share: f64,
+    /// Time from a node's start until its full capacity, which grows linearly until then.
+    pub warmup_time: Nanos,
+    /// Limit of a cold node's load in a window, as a multiple of a warm node's load times the capacity share.
+    pub max_load_multiple: f64,
+    /// Window over which load is counted.
     pub window: Nanos,
 }
 
-/// The retry budget: how many attempts beyond the first of each part may be sent in a window.
+/// Retry budget: limit of the attempts beyond the first of each part in a window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudgetSettings {
-    /// So many attempts in any case.
-    pub free: f64,
-    /// And this share of the parts that were accepted.
-    pub share: f64,
-    /// The sliding window that both are counted over.
+    /// Number of retries that are always allowed.
+    pub free_retries: f64,
+    /// Number of further retries allowed per accepted part.
+    pub retry_ratio: f64,
+    /// Length of the window in which parts and retries are counted.
     pub window: Nanos,
-    /// The budget counts for each shard apart, against the parts that this shard is asked for, and holds in every
-    /// window, wherever that begins; else it counts for all together and holds in the window that ends now.
-    pub each_shard: bool,
+    /// Whether each shard has a budget of its own, against the parts sent to it, which holds in every window,
+    /// wherever that begins. Otherwise one budget covers all shards and holds in the window that ends now.
+    pub per_shard: bool,
 }
 
-/// The settings as given when a router starts.
+/// Settings of a router, given when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct SiteSettings {
-    /// How many routers share the load and the limits; 1 at least.
+    /// Number of routers that share the load and the limits, at least 1.
     pub routers: usize,
-    /// The use cases, by [`UseCaseId`].
+    /// Use cases, indexed by [`UseCaseId`].
     pub use_cases: Vec<UseCaseSettings>,
-    /// Where use cases come and go, the least target that latencies are told apart for.
-    pub shortest_goal: Option<Nanos>,
-    /// For each customer, multigets a second inside its share, over all routers.
-    pub customers: Vec<f64>,
-    /// The resolution of the host's clock: nothing is decided on finer spans.
+    /// Shortest latency target that latencies are resolved for, if use cases may be added later.
+    pub min_latency_target: Option<Nanos>,
+    /// Quota of each customer in multigets per second, over all routers, indexed by [`CustomerId`].
+    pub customer_quotas: Vec<f64>,
+    /// Resolution of the host's clock.
     pub tick: Nanos,
     /// Slow start of nodes.
-    pub warmup: SlowStartSettings,
-    /// The retry budget; `None`: unlimited.
-    pub budget: Option<RetryBudgetSettings>,
-    /// How many places the shards are spread over.
+    pub slow_start: SlowStartSettings,
+    /// Retry budget; `None` for unlimited retries.
+    pub retry_budget: Option<RetryBudgetSettings>,
+    /// Number of places that the shards are spread over.
     pub places: u32,
-    /// How many places after one another hold a shard.
-    pub width: u32,
-    /// Attempts may be cancelled at their node.
-    pub cancel: bool,
-    /// A part may have more than one attempt in flight (hedged requests).
+    /// Number of consecutive places that hold each shard.
+    pub places_per_shard: u32,
+    /// Whether attempts may be cancelled at their node.
+    pub cancellation: bool,
+    /// Whether a part may have more than one attempt in flight (hedged requests).
     pub hedging: bool,
-    /// How many nodes one part may be sent to in all.
+    /// Limit of attempts per part.
     pub max_attempts: u32,
-    /// The longest time after which a rejected client may be told to come back.
+    /// Longest time after which a rejected client may be asked to retry; `None` to leave it to the client.
     pub max_retry_after: Option<Nanos>,
-    /// Changes of the node list arrive only when they are asked for.
-    pub must_ask: bool,
-    /// Routers may send each other short messages.
-    pub peers: bool,
-    /// Earnings grow with the work of a multiget.
-    pub by_work: bool,
-    /// The router's own zone, if attempts to others cost more.
+    /// Whether changes of the node list arrive only after [`Decision::RequestList`].
+    pub list_changes_on_request: bool,
+    /// Whether routers exchange [`Update`]s.
+    pub peer_updates: bool,
+    /// Whether the value of a multiget grows with its work.
+    pub value_by_work: bool,
+    /// Zone of this router, if attempts to other zones cost more.
     pub zone: Option<ZoneId>,
-    /// Clients say when they ask again.
-    pub marks_repeats: bool,
-    /// A refusal costs worth of its own, so that only what is past hope is refused.
-    pub refusals_cost: bool,
+    /// Whether clients mark their retries.
+    pub clients_mark_retries: bool,
+    /// Whether a rejection loses value, so that only multigets that cannot be in time are rejected.
+    pub rejections_cost_value: bool,
 }
 
-/// The state of a node according to the list.
+/// State of a node according to the node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It takes new attempts.
+    /// It accepts new attempts.
     Running,
-    /// It completes what it has and takes nothing new.
+    /// It completes its attempts and accepts no new ones.
     Draining,
-    /// It has ended.
+    /// It has stopped.
     Gone,
 }
 
-/// One entry of the node list.
+/// Entry of the node list.
 #[derive(Clone, Debug)]
 pub struct NodeEntry {
-    /// The node.
+    /// Number of the node.
     pub node: NodeId,
-    /// Where it stands: which shards it holds follows from that.
+    /// Place of the node, which determines its shards.
     pub place: PlaceId,
-    /// Its zone, where the list tells.
+    /// Zone of the node, if the list has it.
     pub zone: Option<ZoneId>,
-    /// Its state.
+    /// State of the node.
     pub health: Health,
-    /// When it last started, if lately.
-    pub since: Nanos,
+    /// Time of its last start; 0 if that was long ago.
+    pub started_at: Nanos,
 }
 
-/// What a list holds.
+/// Coverage of a node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
     Changes,
-    /// All nodes: one that is not named has gone.
+    /// All nodes: one that is not listed has stopped.
     Full,
 }
 
-/// A multiget that a client has sent.
+/// Arrival of a multiget from a client.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id, never used again.
+    /// Id of the multiget.
     pub multiget: MultigetId,
-    /// Its use case.
+    /// Use case of the multiget.
     pub use_case: UseCaseId,
-    /// Whose rate limit it counts against.
+    /// Customer whose quota it counts against.
     pub customer: CustomerId,
-    /// When its client gives up.
-    pub client_end: Nanos,
-    /// The client has asked before and says so.
-    pub repeat: bool,
-    /// Expected work of all parts, where the host is told.
+    /// Time at which its client gives up.
+    pub client_deadline: Nanos,
+    /// Whether the client marked it as a retry.
+    pub is_retry: bool,
+    /// Expected work of all parts, if the host knows it.
     pub effort: Option<Nanos>,
-    /// What is known of its second phase, where it has two. Its first one may be repeated, whatever its
-    /// use case says of effects.
-    pub second: Option<SecondPhaseEstimate>,
+    /// Estimate of its second phase, if it has two. Parts of the first one count as idempotent, whatever the
+    /// use case's effect.
+    pub second_phase: Option<SecondPhaseEstimate>,
 }
 
-/// What is known of a second phase while the first one runs.
+/// Estimate of a second phase while the first one runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondPhaseEstimate {
-    /// The time that it is expected to take, and the least that it takes for certain.
-    pub needs: Nanos,
-    /// The time that it takes at the least.
-    pub needs_least: Nanos,
-    /// The parts that it is expected to have, and the work of one, where the host is told.
-    pub parts: f64,
-    /// The expected work of one of these parts, where the host is told.
+    /// Expected duration of the second phase.
+    pub expected_duration: Nanos,
+    /// Lower bound of its duration.
+    pub min_duration: Nanos,
+    /// Expected number of its parts.
+    pub expected_parts: f64,
+    /// Expected work of one of these parts, if the host knows it.
     pub effort: Option<Nanos>,
-    /// The share of the first phase with which the second may be opened.
-    pub least: f64,
+    /// Share of the first phase's weight that suffices to open the second, from 0 to 1.
+    pub min_first_phase_share: f64,
 }
 
-/// What a second phase is when it is opened; its parts follow.
+/// Start of a second phase; its parts follow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SecondPhaseStart {
-    /// The time that it is expected to take; `None` admits it whatever is left.
-    pub needs: Option<Nanos>,
-    /// The share of the answer that needs no part any more.
-    pub base: f64,
-    /// Nothing is missing from what the first phase had to say.
-    pub whole: bool,
+    /// Expected duration of the second phase; `None` admits it however little time is left.
+    pub expected_duration: Option<Nanos>,
+    /// Share of the answer that needs no part of the second phase, from 0 to 1.
+    pub settled_share: f64,
+    /// Whether the first phase was answered completely.
+    pub first_phase_complete: bool,
 }
 
-/// One part of a multiget.
+/// Arrival of one part of a multiget.
 #[derive(Clone, Debug)]
 pub struct PartArrival {
-    /// Its id.
+    /// Id of the part.
     pub part: PartId,
-    /// The shard that it asks.
+    /// Shard that the part queries.
     pub shard: ShardId,
-    /// Its share of the whole answer.
+    /// Share of the answer's weight, from 0 to 1.
     pub weight: f64,
-    /// Its expected work, where the host is told.
+    /// Expected work of the part, if the host knows it.
     pub effort: Option<Nanos>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an answer.
+    /// The node answered.
     Answered,
-    /// With a failure of the node.
+    /// The node failed while executing it.
     Error,
-    /// Rejected by the node before it ran.
+    /// The node rejected it before it ran.
     Rejected,
-    /// Without an answer until its end.
+    /// No answer arrived before the time-out.
     TimedOut,
-    /// Without a connection, or one that broke: it may have run.
+    /// The connection was refused or broke: it may have run.
     Unreachable,
-    /// With something that is not a valid answer.
+    /// The answer was malformed.
     Invalid,
-    /// Cancelled by the module.
+    /// The router cancelled it.
     Cancelled,
-    /// Not a byte of it was sent: it cannot have run.
+    /// None of its bytes were sent: it cannot have run.
     NeverSent,
 }
 
-/// A node's own account of its load, as far as it gives one.
+/// Load that a node reported, as far as it does.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// How busy it is, from 0 to 1.
+    /// Share of its capacity in use, from 0 to 1.
     pub busy_share: Option<f64>,
-    /// How many parts are in its queue.
-    pub waiting: Option<f64>,
+    /// Number of parts in its queue.
+    pub queued_parts: Option<f64>,
 }
 
-/// The end of an attempt.
+/// End of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ending {
-    /// The part.
+pub struct AttemptEnd {
+    /// Id of the part.
     pub part: PartId,
-    /// Which attempt of the part.
+    /// Number of the attempt within its part.
     pub number: AttemptNumber,
-    /// The node that it was sent to.
+    /// Node that the attempt was sent to.
     pub node: NodeId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took.
-    pub took: Nanos,
-    /// What the node said of its load.
+    /// Time from its start to its end.
+    pub duration: Nanos,
+    /// Load that the node reported with its answer.
     pub report: LoadReport,
 }
 
-/// What a router tells the others of one attempt.
+/// Event of one attempt, as a router reports it to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Update {
     /// It was sent.
     Sent,
-    /// It was answered, after so long.
+    /// It was answered after this time.
     Answered(Nanos),
     /// It takes much longer than expected.
     Overdue,
@@ -342,62 +341,62 @@
     Failed,
 }
 
-/// What the host is to do.
+/// Decision for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Send an attempt.
     SendAttempt {
-        /// The part.
+        /// Id of the part.
         part: PartId,
-        /// The node to send it to.
+        /// Node to send it to.
         node: NodeId,
-        /// When to give it up as timed out.
+        /// Time at which it ends as timed out.
         stop_at: Nanos,
     },
     /// Cancel an attempt.
     CancelAttempt {
-        /// The part.
+        /// Id of the part.
         part: PartId,
-        /// Which attempt of the part.
+        /// Number of the attempt within its part.
         number: AttemptNumber,
     },
-    /// `last` is false for the answer that brings a second step.
+    /// Answer a multiget or, with `is_final` false, end its first phase.
     Complete {
-        /// Which multiget.
+        /// Id of the multiget.
         multiget: MultigetId,
-        /// The answer is complete.
-        complete: bool,
-        /// The final one.
-        last: bool,
+        /// Whether the answer is complete.
+        is_complete: bool,
+        /// Whether no second phase follows.
+        is_final: bool,
     },
-    /// Reject a multiget before anything of it was sent, or when nothing can have run.
+    /// Reject a multiget of which nothing ran that must not run twice.
     Reject {
-        /// Which multiget.
+        /// Id of the multiget.
         multiget: MultigetId,
-        /// When its client is to come back.
+        /// Time after which its client may retry.
         retry_after: Nanos,
     },
-    /// End a multiget without an answer: something of it may have run.
+    /// End a multiget without an answer: some of it may have run.
     Abort {
-        /// Which multiget.
+        /// Id of the multiget.
         multiget: MultigetId,
     },
-    /// Ask for the changes of the node list.
+    /// Request the changes of the node list.
     RequestList,
-    /// Sends nothing further over connections to a node that have been silent for as long as
-    /// something has been out on them.
+    /// Send nothing further over connections to a node that have received nothing for as long as a request has
+    /// been in flight on them.
     RenewConnections {
-        /// The node.
+        /// Number of the node.
         node: NodeId,
     },
-    /// To all other routers.
+    /// Send updates to all other routers.
     NotifyPeers {
-        /// Nodes, and what happened to an attempt there.
+        /// Nodes, each with an event of an attempt there.
         updates: Vec<(NodeId, Update)>,
     },
-    /// Ask again after so long, even if nothing happens.
+    /// Poll again after this time, even without an input.
     Wake {
-        /// A span from now.
+        /// Time from now.
         after: Nanos,
     },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! fernknot: a co-ordinator of queries over replicated shards.
+//! fernknot: the decision module of a query router over replicated shards.
 
 #![deny(missing_docs)]
 
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,28 +1,28 @@
-//! Counts over a sliding window, the retry budget that is spent from them, and token buckets.
+//! Sliding counts, the use of the retry budget, and token buckets.
 
 use super::windowed_budget::WindowedBudget;
 use crate::interface::{Nanos, RetryBudgetSettings, ShardId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Amounts of the last while, kept to the instant.
+/// Amounts with their exact times, summed over a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingCount {
     entries: VecDeque<(Nanos, f64)>,
 }
 
 impl SlidingCount {
-    /// Adds an amount that came at this time; times must not fall.
+    /// Adds an amount; times must not decrease.
     pub fn add(&mut self, at: Nanos, amount: f64) {
         self.entries.push_back((at, amount));
     }
 
-    /// The sum of what came less than `span` ago.
+    /// Returns the sum of the amounts added less than `span` ago.
     pub fn within(&self, now: Nanos, span: Nanos) -> f64 {
         let recent = self.entries.iter().rev().take_while(|(at, _)| now - *at < span);
         recent.map(|(_, amount)| amount).sum()
     }
 
-    /// Drops what is older than `span`.
+    /// Drops amounts older than `span`.
     pub fn forget(&mut self, now: Nanos, span: Nanos) {
         while self.entries.front().is_some_and(|(at, _)| now - *at > span) {
             self.entries.pop_front();
@@ -30,10 +30,10 @@
     }
 }
 
-/// Parts taken, and attempts past the first of each.
+/// Accepted parts and retries over all shards.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetUse {
-    /// Parts accepted.
+    /// Accepted parts, and accepted multigets.
     pub accepted: SlidingCount,
     /// Attempts beyond the first of a part.
     pub retries: SlidingCount,
@@ -46,15 +46,15 @@
     }
 }
 
-/// What all shards spent together, multigets counted as taken too, and where wanted each shard alone.
+/// Use of the retry budget, over all shards and, if the settings say so, of each shard.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudgetUse {
-    /// Over all shards.
+    /// Use over all shards.
     pub all: BudgetUse,
-    each: Option<ShardBudgets>,
+    by_shard: Option<ShardBudgets>,
 }
 
-/// The budgets of shards, which hold in every window.
+/// Budgets by shard, which hold in every window.
 #[derive(Clone, Debug)]
 struct ShardBudgets {
     window: Nanos,
@@ -62,30 +62,30 @@
 }
 
 impl ShardBudgets {
-    fn of(&mut self, shard: ShardId) -> &mut WindowedBudget {
+    fn get_mut(&mut self, shard: ShardId) -> &mut WindowedBudget {
         self.shards.entry(shard).or_insert_with(|| WindowedBudget::new(self.window))
     }
 }
 
 impl RetryBudgetUse {
-    /// Nothing spent yet; where the settings count each shard apart, so does this.
+    /// Creates an unused budget, with one for each shard if the settings say so.
     pub fn new(settings: Option<&RetryBudgetSettings>) -> RetryBudgetUse {
-        let each = settings.filter(|settings| settings.each_shard);
+        let per_shard = settings.filter(|settings| settings.per_shard);
         let shard_budgets = |settings: &RetryBudgetSettings| ShardBudgets {
             window: settings.window,
             shards: BTreeMap::new(),
         };
-        RetryBudgetUse { all: BudgetUse::default(), each: each.map(shard_budgets) }
+        RetryBudgetUse { all: BudgetUse::default(), by_shard: per_shard.map(shard_budgets) }
     }
 
-    /// How many shards have spending of their own.
+    /// Number of shards with a budget of their own.
     pub(crate) fn shard_count(&self) -> usize {
-        self.each.as_ref().map_or(0, |each| each.shards.len())
+        self.by_shard.as_ref().map_or(0, |by_shard| by_shard.shards.len())
     }
 
-    /// How many more attempts past the first a shard may be sent if it may use this share of the budget: in every
-    /// window where shards are counted apart, else in the window that ends now, both edges counted conservatively
-    /// by a tick.
+    /// Number of retries that a shard is still allowed if it may use this share of the budget. With a budget for
+    /// each shard it holds in every window, otherwise in the window that ends now, where both edges are counted
+    /// conservatively by a tick.
     pub fn remaining(
         &self,
         now: Nanos,
@@ -94,81 +94,84 @@
         share: f64,
         tick: Nanos,
     ) -> f64 {
-        let (free, ratio) = (share * settings.free, share * settings.share);
-        let Some(each) = &self.each else {
+        let (free, ratio) = (share * settings.free_retries, share * settings.retry_ratio);
+        let Some(by_shard) = &self.by_shard else {
             let accepted = self.all.accepted.within(now, settings.window - tick);
             return free + ratio * accepted - self.all.retries.within(now, settings.window + tick);
         };
-        each.shards.get(&shard).map_or(free, |budget| budget.remaining(now, free, ratio))
+        by_shard.shards.get(&shard).map_or(free, |budget| budget.remaining(now, free, ratio))
     }
 
     /// Counts an accepted part.
     pub fn accept(&mut self, now: Nanos, shard: ShardId) {
         self.all.accepted.add(now, 1.0);
-        self.each.iter_mut().for_each(|each| each.of(shard).count_request(now));
+        self.by_shard.iter_mut().for_each(|by_shard| by_shard.get_mut(shard).count_request(now));
     }
 
-    /// Counts an attempt beyond the first.
+    /// Counts an attempt beyond the first of its part.
     pub fn count_retry(&mut self, now: Nanos, shard: ShardId) {
         self.all.retries.add(now, 1.0);
-        self.each.iter_mut().for_each(|each| each.of(shard).count_retry(now));
+        self.by_shard.iter_mut().for_each(|by_shard| by_shard.get_mut(shard).count_retry(now));
     }
 
-    /// Drops what is older than `span`, and shards without any.
+    /// Drops counts over all shards that are older than `span`, and idle budgets of shards.
     pub fn forget(&mut self, now: Nanos, span: Nanos) {
         self.all.forget(now, span);
-        self.each.iter_mut().for_each(|each| each.shards.retain(|_, budget| !budget.is_idle(now)));
+        self.by_shard
+            .iter_mut()
+            .for_each(|by_shard| by_shard.shards.retain(|_, budget| !budget.is_idle(now)));
     }
 }
 
-/// A fill of so much a second, up to a limit, from which takings are drawn.
+/// Token bucket.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens added per second.
     pub rate: f64,
-    limit: f64,
-    left: f64,
-    since: Nanos,
+    capacity: f64,
+    tokens: f64,
+    filled_at: Nanos,
 }
 
 impl TokenBucket {
-    /// A full bucket of `limit` tokens.
-    pub fn new(rate: f64, limit: f64, now: Nanos) -> TokenBucket {
-        TokenBucket { rate, limit, left: limit, since: now }
+    /// Creates a full bucket of `capacity` tokens.
+    pub fn new(rate: f64, capacity: f64, now: Nanos) -> TokenBucket {
+        TokenBucket { rate, capacity, tokens: capacity, filled_at: now }
     }
 
-    /// A rate so many times as high from now on.
+    /// Multiplies rate and capacity from now on; the capacity stays at least 1.
     pub fn scale(&mut self, now: Nanos, factor: f64) {
         self.fill(now);
         self.rate *= factor;
-        self.limit = (self.limit * factor).max(1.0);
-        self.left = self.left.min(self.limit);
+        self.capacity = (self.capacity * factor).max(1.0);
+        self.tokens = self.tokens.min(self.capacity);
     }
 
     fn fill(&mut self, now: Nanos) {
-        self.left = (self.left + self.rate * (now - self.since).0 as f64 / 1e9).min(self.limit);
-        self.since = now;
+        self.tokens = (self.tokens + self.rate * (now - self.filled_at).0 as f64 / 1e9).min(self.capacity);
+        self.filled_at = now;
     }
 
-    /// What there is now.
-    pub fn left(&mut self, now: Nanos) -> f64 {
+    /// Returns the number of tokens available now.
+    pub fn available(&mut self, now: Nanos) -> f64 {
         self.fill(now);
-        self.left
+        self.tokens
     }
 
-    /// When there will be so much, up to its limit; a little later, so that rounding leaves nothing out.
-    pub fn reaches(&self, wanted: f64) -> Nanos {
-        let missing = (wanted - self.left).max(0.0) / self.rate;
-        self.since + Nanos((missing * 1e9) as u64 + 1000)
+    /// Returns the time at which that many tokens are available, if the capacity allows them; 1 µs late, so that
+    /// rounding cannot make it too early.
+    pub fn available_at(&self, wanted: f64) -> Nanos {
+        let missing = (wanted - self.tokens).max(0.0) / self.rate;
+        self.filled_at + Nanos((missing * 1e9) as u64 + 1000)
     }
 
-    /// Draws one, if there is one.
-    pub fn draw(&mut self, now: Nanos) -> bool {
+    /// Takes one token if there is one.
+    pub fn try_draw(&mut self, now: Nanos) -> bool {
         self.fill(now);
-        let enough = self.left >= 1.0;
-        if enough {
-            self.left -= 1.0;
+        let has_token = self.tokens >= 1.0;
+        if has_token {
+            self.tokens -= 1.0;
         }
-        enough
+        has_token
     }
 }
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -1,40 +1,40 @@
-//! Measurements shared by the replicas of places whose work is alike.
+//! Statistics shared by the replicas of places with similar work.
 
 use super::histogram::Histogram;
 use super::statistics::{FailureRate, RunningMean};
 use crate::interface::PlaceId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the replicas of some places showed together.
+/// Statistics over all replicas of a group of places.
 #[derive(Clone, Default)]
 pub struct Group {
-    /// Over sizes, misses among them, and as they were.
+    /// Latencies in nanoseconds divided by the size of the part, misses included.
     pub latencies: Histogram,
-    /// Latencies in nanoseconds, not divided by sizes.
+    /// Latencies in nanoseconds.
     pub raw_latencies: Histogram,
-    /// Attempts that failed, of all.
+    /// Failure rate of attempts.
     pub failures: FailureRate,
-    /// Time for each size of work in the queue.
-    pub pace: RunningMean,
+    /// Nanoseconds per unit of work in flight at a replica.
+    pub time_per_work: RunningMean,
 }
 
-/// Places by the group whose work is alike; those that nobody put in one share the first.
+/// Groups of places with similar work; places without a group are in group 0.
 #[derive(Default)]
 pub struct Groups {
-    blank: Group,
-    of: BTreeMap<u32, Group>,
+    empty: Group,
+    by_number: BTreeMap<u32, Group>,
     by_place: BTreeMap<PlaceId, u32>,
 }
 
 impl Groups {
-    /// No group yet; all histograms have these bins.
+    /// Creates an empty set of groups whose histograms have these bins.
     pub fn new(bins: &Histogram) -> Groups {
-        let blank = Group { latencies: bins.clone(), raw_latencies: bins.clone(), ..Group::default() };
-        Groups { blank, ..Groups::default() }
+        let empty = Group { latencies: bins.clone(), raw_latencies: bins.clone(), ..Group::default() };
+        Groups { empty, ..Groups::default() }
     }
 
-    /// Puts a place in a group.
-    pub fn put(&mut self, place: PlaceId, group: u32) {
+    /// Assigns a place to a group.
+    pub fn assign(&mut self, place: PlaceId, group: u32) {
         self.by_place.insert(place, group);
     }
 
@@ -42,30 +42,30 @@
         self.by_place.get(&place).copied().unwrap_or(0)
     }
 
-    /// The group of a place.
+    /// Returns the group of a place.
     pub fn get(&self, place: PlaceId) -> &Group {
-        self.of.get(&self.number(place)).unwrap_or(&self.blank)
+        self.by_number.get(&self.number(place)).unwrap_or(&self.empty)
     }
 
-    /// The group of a place, made if it has none yet.
+    /// Returns the group of a place, and creates it if needed.
     pub fn get_mut(&mut self, place: PlaceId) -> &mut Group {
-        let blank = &self.blank;
-        self.of.entry(self.number(place)).or_insert_with(|| blank.clone())
+        let empty = &self.empty;
+        self.by_number.entry(self.number(place)).or_insert_with(|| empty.clone())
     }
 
-    /// Ages what is measured.
+    /// Halves the weight of all past measurements.
     pub fn halve(&mut self) {
-        for group in self.of.values_mut() {
+        for group in self.by_number.values_mut() {
             group.latencies.halve();
             group.raw_latencies.halve();
             group.failures.halve();
         }
     }
 
-    /// Forgets places, and groups that are left without any.
-    pub fn keep(&mut self, keeps: impl Fn(&PlaceId) -> bool) {
-        self.by_place.retain(|place, _| keeps(place));
-        let named: BTreeSet<u32> = self.by_place.values().copied().chain([0]).collect();
-        self.of.retain(|group, _| named.contains(group));
+    /// Keeps only the assignments of matching places, and drops groups without a place.
+    pub fn retain(&mut self, is_kept: impl Fn(&PlaceId) -> bool) {
+        self.by_place.retain(|place, _| is_kept(place));
+        let assigned: BTreeSet<u32> = self.by_place.values().copied().chain([0]).collect();
+        self.by_number.retain(|group, _| assigned.contains(group));
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! Plain containers for what a router knows, a file for each kind. Nothing here decides anything.
+//! State of a router: containers and statistics without decisions.
 
 #![deny(missing_docs)]
 
--- a/src/state/node.rs
+++ b/src/state/node.rs
@@ -1,4 +1,4 @@
-//! What is known of a node.
+//! State of a node as a router knows it.
 
 use super::budget::SlidingCount;
 use super::histogram::Histogram;
@@ -7,81 +7,87 @@
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-/// What is known of a data node.
+/// State and statistics of a node.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where it stands.
+    /// Place of the node.
     pub place: PlaceId,
-    /// Its zone, if known.
+    /// Zone of the node, if known.
     pub zone: Option<ZoneId>,
-    /// Its state by the list.
+    /// State according to the node list.
     pub health: Health,
-    /// When it last started, if lately.
-    pub since: Nanos,
-    /// Latencies over sizes, misses among them.
+    /// Time of its last start; 0 if that was long ago.
+    pub started_at: Nanos,
+    /// Latencies in nanoseconds divided by the size of the part, misses included.
     pub latencies: Histogram,
-    /// Failures, all and by kind of work.
+    /// Failure rate of all attempts.
     pub failures: FailureRate,
-    /// Failures by kind of work.
-    pub kinds: BTreeMap<WorkKind, FailureRate>,
-    /// Time that a part took for each size of work in flight when it was sent.
-    pub pace: RunningMean,
-    /// Attempts that are out: their sizes, and whether they are overdue.
-    pub out: BTreeMap<(Nanos, PartId, usize), (f64, bool)>,
-    /// Attempts of other routers, as they told: by whom, when, and the work in flight then.
-    pub others: Vec<(PeerId, Nanos, f64)>,
-    /// When the latest of the attempts that it has answered was sent.
-    pub answered_to: Nanos,
-    /// When its measurements were last halved.
+    /// Failure rates by kind of work.
+    pub failures_by_kind: BTreeMap<WorkKind, FailureRate>,
+    /// Nanoseconds that a part took per unit of work in flight when it was sent.
+    pub time_per_work: RunningMean,
+    /// Attempts in flight, by time sent, part and number: their size, and whether they are overdue.
+    pub in_flight: BTreeMap<(Nanos, PartId, usize), (f64, bool)>,
+    /// Attempts of peers in flight: the peer, the time of its message, and the work in flight then.
+    pub peer_attempts: Vec<(PeerId, Nanos, f64)>,
+    /// Time at which the latest of the answered attempts was sent.
+    pub latest_answered_sent_at: Nanos,
+    /// Time at which its statistics were last halved.
     pub halved_at: Nanos,
-    /// How busy it last said that it is, from 0 to 1.
+    /// Share of its capacity in use that it last reported, from 0 to 1.
     pub busy_share: Option<f64>,
-    /// What may be sent to it while it is cold, less what was, and when that was reckoned.
-    pub cold_room: (f64, Nanos),
-    /// Sizes answered.
-    pub served: SlidingCount,
+    /// Work that it may still be sent while it is cold, negative if it was sent too much, and the time at which
+    /// that was computed.
+    pub cold_allowance: (f64, Nanos),
+    /// Work that it answered.
+    pub answered_work: SlidingCount,
 }
 
 impl Node {
-    /// A node by its list entry, with nothing measured.
+    /// Creates a node from its list entry, without measurements.
     pub fn new(entry: &NodeEntry, bins: &Histogram) -> Node {
         Node {
             place: entry.place,
             zone: entry.zone,
             health: entry.health,
-            since: entry.since,
+            started_at: entry.started_at,
             latencies: bins.clone(),
             failures: FailureRate::default(),
-            kinds: BTreeMap::new(),
-            pace: RunningMean::default(),
-            out: BTreeMap::new(),
-            others: Vec::new(),
-            answered_to: Nanos(0),
+            failures_by_kind: BTreeMap::new(),
+            time_per_work: RunningMean::default(),
+            in_flight: BTreeMap::new(),
+            peer_attempts: Vec::new(),
+            latest_answered_sent_at: Nanos(0),
             halved_at: Nanos(0),
             busy_share: None,
-            cold_room: (0.0, Nanos(0)),
-            served: SlidingCount::default(),
+            cold_allowance: (0.0, Nanos(0)),
+            answered_work: SlidingCount::default(),
         }
     }
 
-    /// Nothing is out and nothing that it did still counts.
+    /// Whether it has no attempt in flight and its past measurements have lost their weight.
     pub fn is_forgotten(&self) -> bool {
-        self.out.is_empty() && self.latencies.total() < 1.0
+        self.in_flight.is_empty() && self.latencies.total() < 1.0
     }
 
-    /// When the first of the overdue attempts was sent after which nothing has been answered.
+    /// Returns the time at which the first overdue attempt was sent that no answered attempt was sent after.
     pub fn stuck_since(&self) -> Option<Nanos> {
-        let overdue =
-            self.out.iter().find(|((sent, _, _), (_, overdue))| *overdue && *sent >= self.answered_to);
-        overdue.map(|((sent, _, _), _)| *sent)
+        let overdue = self
+            .in_flight
+            .iter()
+            .find(|((sent_at, _, _), (_, overdue))| *overdue && *sent_at >= self.latest_answered_sent_at);
+        overdue.map(|((sent_at, _, _), _)| *sent_at)
     }
 
-    /// Sizes of work that it has of ours and of others', for all that is known. What is overdue counts as
-    /// lost if it was sent before `lost_before`, or before something that has been answered.
-    pub fn holds(&self, lost_before: Nanos) -> f64 {
-        let ours = lost_before.max(self.answered_to);
-        let held = self.out.iter().filter(|((sent, _, _), (_, overdue))| !overdue || *sent >= ours);
-        let others = self.others.iter().filter(|(_, sent, _)| *sent >= lost_before).count();
-        held.map(|(_, (size, _))| size).sum::<f64>() + others as f64
+    /// Returns the known work in flight at the node, from this router and its peers. Overdue attempts count as lost
+    /// if they were sent before `lost_before`, or before an attempt that has been answered.
+    pub fn work_in_flight(&self, lost_before: Nanos) -> f64 {
+        let own_lost_before = lost_before.max(self.latest_answered_sent_at);
+        let pending = self
+            .in_flight
+            .iter()
+            .filter(|((sent_at, _, _), (_, overdue))| !overdue || *sent_at >= own_lost_before);
+        let peers = self.peer_attempts.iter().filter(|(_, sent_at, _)| *sent_at >= lost_before).count();
+        pending.map(|(_, (size, _))| size).sum::<f64>() + peers as f64
     }
 }
--- a/src/state/places.rs
+++ b/src/state/places.rs
@@ -1,47 +1,47 @@
-//! Which nodes stand at which place.
+//! Index of nodes by place.
 
 use crate::interface::{NodeId, PlaceId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which nodes stand at which place.
+/// Nodes by place.
 #[derive(Clone, Debug, Default)]
 pub struct NodesByPlace(BTreeMap<PlaceId, BTreeSet<NodeId>>);
 
 impl NodesByPlace {
-    /// Moves a node from one place to another.
-    pub fn put(&mut self, node: NodeId, from: PlaceId, to: PlaceId) {
-        if let Some(left) = self.0.get_mut(&from) {
-            left.remove(&node);
+    /// Moves a node from one place to another; adds it if it is new.
+    pub fn move_node(&mut self, node: NodeId, from: PlaceId, to: PlaceId) {
+        if let Some(previous) = self.0.get_mut(&from) {
+            previous.remove(&node);
         }
         self.0.entry(to).or_default().insert(node);
     }
 
-    /// Forgets all other nodes, and places with none.
-    pub fn keep(&mut self, keeps: impl Fn(&NodeId) -> bool) {
-        self.0.values_mut().for_each(|nodes| nodes.retain(&keeps));
+    /// Keeps only matching nodes, and drops places without any.
+    pub fn retain(&mut self, is_kept: impl Fn(&NodeId) -> bool) {
+        self.0.values_mut().for_each(|nodes| nodes.retain(&is_kept));
         self.0.retain(|_, nodes| !nodes.is_empty());
     }
 
-    /// How many places have nodes.
+    /// Number of places with nodes.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Any node stands there.
-    pub fn has(&self, place: PlaceId) -> bool {
+    /// Whether the place has nodes, or had any since the last [`retain`](Self::retain).
+    pub fn contains(&self, place: PlaceId) -> bool {
         self.0.contains_key(&place)
     }
 
-    /// The nodes at any of these places that are wanted, in order.
-    pub fn all_in(
+    /// Returns the matching nodes at any of these places, sorted and without duplicates.
+    pub fn nodes_at(
         &self,
         places: impl Iterator<Item = PlaceId>,
-        wanted: impl Fn(&NodeId) -> bool,
+        matches: impl Fn(&NodeId) -> bool,
     ) -> Vec<NodeId> {
         let mut nodes: Vec<NodeId> = places
             .filter_map(|place| self.0.get(&place))
             .flatten()
-            .filter(|id| wanted(id))
+            .filter(|id| matches(id))
             .copied()
             .collect();
         nodes.sort();
--- a/src/state/query.rs
+++ b/src/state/query.rs
@@ -1,82 +1,82 @@
-//! A query in flight: its parts and their attempts.
+//! State of a query in flight: its parts and their attempts.
 
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-/// One attempt of a part.
+/// Attempt of a part.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The node that it was sent to.
+    /// Node that it was sent to.
     pub node: NodeId,
-    /// When it was sent.
-    pub sent: Nanos,
-    /// How long it was expected to take.
-    pub expected: Nanos,
-    /// The work in flight at its node when it was sent, itself included.
-    pub queue_ahead: f64,
-    /// How it ended; `None` while it is in flight.
+    /// Time at which it was sent.
+    pub sent_at: Nanos,
+    /// Time that it was expected to take.
+    pub expected_delay: Nanos,
+    /// Work in flight at its node when it was sent, itself included.
+    pub work_in_flight: f64,
+    /// Outcome; `None` while it is in flight.
     pub outcome: Option<Outcome>,
-    /// It was cancelled.
+    /// Whether it was cancelled.
     pub cancelled: bool,
-    /// It has been counted as a miss of its node while still out.
-    pub missed: bool,
+    /// Whether it was counted as a miss of its node while in flight.
+    pub is_miss: bool,
 }
 
-/// Sizes of work by node.
+/// Work by node, in sizes of parts.
 pub type Loads = BTreeMap<NodeId, f64>;
 
 impl Attempt {
-    /// An attempt that is sent now.
-    pub fn new(offer: &Candidate, sent: Nanos, ahead: f64) -> Attempt {
+    /// Creates an attempt that is sent now.
+    pub fn new(candidate: &Candidate, sent_at: Nanos, work_in_flight: f64) -> Attempt {
         Attempt {
-            node: offer.node,
-            sent,
-            expected: offer.delay,
-            queue_ahead: ahead,
+            node: candidate.node,
+            sent_at,
+            expected_delay: candidate.delay,
+            work_in_flight,
             outcome: None,
             cancelled: false,
-            missed: false,
+            is_miss: false,
         }
     }
 }
 
-/// A use case, and whether it is the second of its two phases.
+/// Kind of work: a use case, and whether the work belongs to a second phase.
 pub type WorkKind = (UseCaseId, bool);
 
-/// One part of a multiget: the query to one shard.
+/// Part of a multiget: the query to one shard.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// Its id.
+    /// Id of the part.
     pub id: PartId,
-    /// The shard that it asks.
+    /// Shard that the part queries.
     pub shard: ShardId,
-    /// Its share of the whole answer.
+    /// Share of the answer's weight, from 0 to 1.
     pub weight: f64,
-    /// Its expected work, relative to the mean part.
+    /// Expected work, relative to the mean part.
     pub size: f64,
-    /// Logarithm of the work hinted at.
-    pub hint: Option<f64>,
-    /// Whether it may be repeated.
+    /// Logarithm of the expected work in nanoseconds, if the host gave it.
+    pub log_effort: Option<f64>,
+    /// Effect of repeating it.
     pub effect: Effect,
     /// Its use case and phase.
     pub kind: WorkKind,
     /// All its attempts, in order.
     pub attempts: Vec<Attempt>,
-    /// An answer is in.
+    /// Whether it was answered.
     pub answered: bool,
-    /// No further attempt is made.
+    /// Whether it gets no further attempt.
     pub given_up: bool,
 }
 
 impl Part {
-    /// One that may be repeated, of a first phase, with no hint.
+    /// Creates an idempotent part of a first phase, without a known effort.
     pub fn new(arrival: &PartArrival, use_case: UseCaseId, size: f64) -> Part {
         Part {
             id: arrival.part,
             shard: arrival.shard,
             weight: arrival.weight,
             size,
-            hint: None,
+            log_effort: None,
             effect: Effect::Idempotent,
             kind: (use_case, false),
             attempts: Vec::new(),
@@ -85,85 +85,85 @@
         }
     }
 
-    /// The attempts in flight.
+    /// Returns the attempts in flight.
     pub fn pending(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|sent| sent.outcome.is_none())
+        self.attempts.iter().filter(|attempt| attempt.outcome.is_none())
     }
 }
 
-/// A query in flight.
+/// Query in flight.
 #[derive(Clone, Debug)]
 pub struct Multiget {
-    /// Its use case.
+    /// Use case of the query.
     pub use_case: UseCaseId,
-    /// Whose rate limit it counts against.
+    /// Customer whose quota it counts against.
     pub customer: CustomerId,
-    /// When to have answered: the target, or sooner where clients leave sooner.
+    /// Time by which to answer: the end of the latency target, or the client's deadline if that is earlier.
     pub target_end: Nanos,
-    /// When nothing more can be earned.
-    pub until: Nanos,
-    /// Both, as they are for the multiget as a whole while its first phase has less.
-    pub whole_ends: (Nanos, Nanos),
-    /// When its client gives up.
-    pub client_end: Nanos,
-    /// Of its second phase, while the first one runs, and the work counted as promised to it.
-    pub second: Option<SecondPhaseEstimate>,
-    /// The sizes of work reserved for its second phase.
-    pub promised: f64,
-    /// Its second phase, once that is open.
-    pub opened: Option<SecondPhaseStart>,
-    /// Its parts, those of the first phase first.
+    /// Time after which an answer has no value.
+    pub value_end: Nanos,
+    /// `target_end` and `value_end` of the whole query, since the first of two phases has earlier ones.
+    pub overall_ends: (Nanos, Nanos),
+    /// Time at which its client gives up.
+    pub client_deadline: Nanos,
+    /// Estimate of its second phase, while the first one runs.
+    pub second_phase: Option<SecondPhaseEstimate>,
+    /// Work reserved for its second phase, in sizes of parts.
+    pub reserved_work: f64,
+    /// Start of its second phase, once that is open.
+    pub second_start: Option<SecondPhaseStart>,
+    /// Parts of the first phase, then those of the second.
     pub parts: Vec<Part>,
-    /// Where the parts of the present step begin.
-    pub step_from: usize,
-    /// No part of the present step has been looked at yet.
-    pub fresh: bool,
-    /// Its other parts wait for the first one's answer.
-    pub scouting: bool,
-    /// Nothing was missing from its first phase.
-    pub first_whole: bool,
-    /// When it is to be looked at without news.
-    pub look_at: Nanos,
-    /// It has had its final answer; kept only for what is still out.
-    pub ended: bool,
+    /// Index of the first part of the current phase.
+    pub phase_from: usize,
+    /// Whether the current phase has not been through admission yet.
+    pub awaits_admission: bool,
+    /// Whether its other parts wait until the first one is answered.
+    pub is_probing: bool,
+    /// Whether its first phase was answered completely.
+    pub first_phase_complete: bool,
+    /// Time of its next review.
+    pub review_at: Nanos,
+    /// Whether it has its final answer; it is kept until none of its attempts is in flight.
+    pub finished: bool,
 }
 
 impl Multiget {
-    /// One that has just arrived, without parts.
-    pub fn new(arrival: &Arrival, aim_end: Nanos, until: Nanos) -> Multiget {
+    /// Creates a query that has just arrived, without parts.
+    pub fn new(arrival: &Arrival, target_end: Nanos, value_end: Nanos) -> Multiget {
         Multiget {
             use_case: arrival.use_case,
             customer: arrival.customer,
-            target_end: aim_end,
-            until,
-            whole_ends: (aim_end, until),
-            client_end: arrival.client_end,
-            second: None,
-            promised: 0.0,
-            opened: None,
+            target_end,
+            value_end,
+            overall_ends: (target_end, value_end),
+            client_deadline: arrival.client_deadline,
+            second_phase: None,
+            reserved_work: 0.0,
+            second_start: None,
             parts: Vec::new(),
-            step_from: 0,
-            fresh: true,
-            scouting: false,
-            first_whole: true,
-            look_at: Nanos(0),
-            ended: false,
+            phase_from: 0,
+            awaits_admission: true,
+            is_probing: false,
+            first_phase_complete: true,
+            review_at: Nanos(0),
+            finished: false,
         }
     }
 
-    /// The parts of the present phase.
-    pub fn step(&self) -> &[Part] {
-        &self.parts[self.step_from..]
+    /// Returns the parts of the current phase.
+    pub fn phase_parts(&self) -> &[Part] {
+        &self.parts[self.phase_from..]
     }
 }
 
-/// What is expected of a part at a node; `phi` is the chance of an answer in time.
+/// Node that a part may be sent to.
 #[derive(Clone, Copy)]
 pub struct Candidate {
-    /// The node.
+    /// Number of the node.
     pub node: NodeId,
-    /// The expected time to an answer.
+    /// Expected time to an answer.
     pub delay: Nanos,
-    /// The chance of an answer in time.
-    pub phi: f64,
+    /// Probability of an answer in time.
+    pub probability: f64,
 }
--- a/src/state/router.rs
+++ b/src/state/router.rs
@@ -1,4 +1,4 @@
-//! All that one router knows.
+//! State of a router.
 
 use super::budget::{RetryBudgetUse, SlidingCount, TokenBucket};
 use super::groups::Groups;
@@ -12,117 +12,130 @@
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// All that a router knows; what it makes of it is in `decide`.
+/// State of a router; its decisions are in [`decide`](crate::decide).
 #[derive(Default)]
 pub struct Router {
     pub(crate) use_cases: Vec<UseCase>,
-    pub(crate) by_work: bool,
-    pub(crate) unmarked: bool,
-    pub(crate) refusals_cost: bool,
+    pub(crate) value_by_work: bool,
+    pub(crate) has_unmarked_retries: bool,
+    pub(crate) rejections_cost_value: bool,
     pub(crate) zone: Option<ZoneId>,
-    /// Among how many routers limits are shared.
+    /// Number of routers that share the limits.
     pub(crate) router_count: f64,
-    /// Multigets within each customer's share at this router.
-    pub(crate) shares: Vec<TokenBucket>,
+    /// This router's share of each customer's quota, in multigets.
+    pub(crate) customer_quotas: Vec<TokenBucket>,
     pub(crate) tick: Nanos,
-    pub(crate) shortest_goal: Nanos,
-    /// What that never falls under, and the empty histogram that all are made from.
-    pub(crate) least_goal: Nanos,
-    pub(crate) bins: Histogram,
-    pub(crate) warmup: SlowStartSettings,
-    /// What a warm replica could answer to this router, in sizes a nanosecond.
-    pub(crate) bears: RunningMean,
-    /// How busy warm replicas are.
-    pub(crate) busy_all: f64,
-    pub(crate) budget: Option<RetryBudgetSettings>,
+    /// Shortest latency target of the current use cases.
+    pub(crate) shortest_target: Nanos,
+    /// Lower bound of `shortest_target`.
+    pub(crate) min_target: Nanos,
+    /// Empty histogram that all others are copied from.
+    pub(crate) empty_bins: Histogram,
+    pub(crate) slow_start: SlowStartSettings,
+    /// Work that a fully busy warm replica could answer to this router, in sizes of parts per nanosecond.
+    pub(crate) warm_capacity: RunningMean,
+    /// Share of their capacity that warm replicas use, from 0 to 1.
+    pub(crate) warm_busy_share: f64,
+    pub(crate) retry_budget: Option<RetryBudgetSettings>,
     pub(crate) places: u32,
-    pub(crate) width: u32,
-    pub(crate) cancel: bool,
+    pub(crate) places_per_shard: u32,
+    pub(crate) cancellation: bool,
     pub(crate) hedging: bool,
     pub(crate) max_attempts: usize,
     pub(crate) max_retry_after: Nanos,
-    /// When to ask to be told of changes of the list, where that must be asked.
-    pub(crate) ask_at: Option<Nanos>,
-    pub(crate) must_ask: bool,
-    pub(crate) ask_wait: f64,
-    /// What the other routers are to be told, where they may be, and when.
-    pub(crate) peers: bool,
+    /// Time of the next request for changes of the node list, if they must be requested.
+    pub(crate) list_request_at: Option<Nanos>,
+    pub(crate) list_changes_on_request: bool,
+    /// Mean wait after the last failed request for the list, in replanning intervals; 0 after a success.
+    pub(crate) list_wait: f64,
+    pub(crate) peer_updates: bool,
+    /// Updates to be sent to the other routers.
     pub(crate) updates: Vec<(NodeId, Update)>,
+    /// Time at which to send them.
     pub(crate) notify_at: Option<Nanos>,
     pub(crate) random: Mwc,
     pub(crate) nodes: BTreeMap<NodeId, Node>,
-    pub(crate) by_place: NodesByPlace,
-    pub(crate) open: BTreeMap<MultigetId, Multiget>,
-    /// What all replicas showed whose work is alike.
+    pub(crate) nodes_by_place: NodesByPlace,
+    pub(crate) multigets: BTreeMap<MultigetId, Multiget>,
+    /// Statistics over replicas with similar work.
     pub(crate) groups: Groups,
-    /// Hints of work against latencies, as logarithms.
-    pub(crate) hints: LinearTrend,
-    /// Planned copies, and first attempts of the running period.
-    pub(crate) plan: BTreeMap<(ShardId, UseCaseId), usize>,
-    pub(crate) sends: BTreeMap<(ShardId, UseCaseId), f64>,
-    pub(crate) turns: BTreeMap<ShardId, usize>,
+    /// Trend of the logarithm of latency over the logarithm of expected work.
+    pub(crate) effort_trend: LinearTrend,
+    /// Number of copies planned for each first attempt, where it is more than one.
+    pub(crate) planned_copies: BTreeMap<(ShardId, UseCaseId), usize>,
+    /// Number of first attempts since the last planning.
+    pub(crate) sends_since_replan: BTreeMap<(ShardId, UseCaseId), f64>,
+    /// Number of first attempts by shard, from a random start, which rotates equal replicas.
+    pub(crate) rotations: BTreeMap<ShardId, usize>,
     pub(crate) replan_at: Nanos,
+    /// Mean number of copies planned for a part.
     pub(crate) mean_copies: f64,
+    /// First attempts over all shards.
     pub(crate) first_sends: SlidingCount,
     pub(crate) budget_use: RetryBudgetUse,
-    /// The share of the target that the expected delay of multigets fills.
-    pub(crate) met: RunningMean,
-    /// Sizes promised to second phases of multigets whose first one runs.
-    pub(crate) promised: f64,
-    /// When a multiget was last rejected for the delay it would meet.
+    /// Mean ratio of a multiget's expected delay to its latency target.
+    pub(crate) delay_share: RunningMean,
+    /// Work reserved for second phases of multigets in their first phase, in sizes of parts.
+    pub(crate) reserved_work: f64,
+    /// Time at which a multiget was last rejected for its expected delay.
     pub(crate) rejected_at: Option<Nanos>,
-    pub(crate) touched: VecDeque<MultigetId>,
-    pub(crate) due: BTreeSet<(Nanos, MultigetId)>,
+    /// Multigets to review because of an input.
+    pub(crate) review_queue: VecDeque<MultigetId>,
+    /// Scheduled reviews.
+    pub(crate) reviews: BTreeSet<(Nanos, MultigetId)>,
+    /// Time of the last [`Decision::Wake`] that was returned.
     pub(crate) wake_at: Option<Nanos>,
-    pub(crate) ready: VecDeque<Decision>,
+    /// Decisions to be returned.
+    pub(crate) decisions: VecDeque<Decision>,
 }
 
 impl Router {
-    /// This router's part of the retries that are free, from now on.
-    pub fn set_free_attempts(&mut self, free: f64) {
-        self.budget.iter_mut().for_each(|budget| budget.free = free);
+    /// Sets this router's share of the free retries.
+    pub fn set_free_retries(&mut self, free: f64) {
+        self.retry_budget.iter_mut().for_each(|budget| budget.free_retries = free);
     }
 
-    /// From now on the work of this place is alike to that of all others in this group, and its replicas are
-    /// averaged with theirs. Guards what is unheard of one service against passing for another's.
+    /// Puts a place in a group of places with similar work, whose replicas share statistics. Separate groups keep the
+    /// measurements of one service from being applied to another that has none yet.
     pub fn set_group(&mut self, place: PlaceId, group: u32) {
-        self.groups.put(place, group);
+        self.groups.assign(place, group);
     }
 }
 
 impl Router {
-    /// Adds a use case at the next free id, or replaces one, also for what is open. What was measured of it
-    /// stays if only its times, worth and limit of attempts changed and it has not been taken away.
+    /// Adds a use case at the next free id, or replaces one, also for multigets in flight. The measurements of a
+    /// replaced one stay if only its times, values and limit of attempts change and it has not been removed.
     pub fn set_use_case(&mut self, _now: Nanos, id: UseCaseId, settings: &UseCaseSettings) {
-        let mut case = UseCase::new(settings, &self.bins);
-        let work = |case: &UseCase| (case.live, case.effect, case.required, case.quorum, case.two_phase);
-        if let Some(old) = self.use_cases.get_mut(id.0) {
-            if work(old) == work(&case) {
-                (case.size, case.work) = (old.size, old.work);
-                case.latencies = std::mem::take(&mut old.latencies);
+        let mut case = UseCase::new(settings, &self.empty_bins);
+        let work =
+            |case: &UseCase| (case.is_live, case.effect, case.complete_share, case.quorum, case.two_phase);
+        if let Some(previous) = self.use_cases.get_mut(id.0) {
+            if work(previous) == work(&case) {
+                (case.part_size, case.total_size) = (previous.part_size, previous.total_size);
+                case.latencies = std::mem::take(&mut previous.latencies);
             } else {
-                self.nodes.values_mut().for_each(|node| node.kinds.retain(|kind, _| kind.0 != id));
+                self.nodes.values_mut().for_each(|node| node.failures_by_kind.retain(|kind, _| kind.0 != id));
             }
-            *old = case;
+            *previous = case;
         } else if id.0 == self.use_cases.len() {
             self.use_cases.push(case);
         }
-        self.set_shortest();
+        self.update_shortest_target();
     }
 
-    /// Takes a use case away, of which nothing new comes; its id may be used again once nothing is open.
+    /// Removes a use case without further arrivals; its id may be used again once none of its multigets is in flight.
     pub fn remove_use_case(&mut self, id: UseCaseId) {
-        self.use_cases.get_mut(id.0).into_iter().for_each(|case| case.live = false);
-        self.nodes.values_mut().for_each(|node| node.kinds.retain(|kind, _| kind.0 != id));
-        self.set_shortest();
+        self.use_cases.get_mut(id.0).into_iter().for_each(|case| case.is_live = false);
+        self.nodes.values_mut().for_each(|node| node.failures_by_kind.retain(|kind, _| kind.0 != id));
+        self.update_shortest_target();
     }
 
-    fn set_shortest(&mut self) {
-        let goals = self.use_cases.iter().filter(|case| case.live).map(|case| case.latency_target);
-        self.shortest_goal = goals.min().unwrap_or(self.shortest_goal).max(self.least_goal);
+    fn update_shortest_target(&mut self) {
+        let targets = self.use_cases.iter().filter(|case| case.is_live).map(|case| case.latency_target);
+        self.shortest_target = targets.min().unwrap_or(self.shortest_target).max(self.min_target);
     }
 
-    /// The first of the places that hold a shard.
+    /// First of the places that hold a shard.
     pub(crate) fn place_of(&self, shard: ShardId) -> PlaceId {
         PlaceId(shard.0 % self.places)
     }
@@ -130,47 +143,48 @@
     /// All places that hold a shard.
     pub(crate) fn places_of(&self, shard: ShardId) -> impl Iterator<Item = PlaceId> {
         let places = u64::from(self.places);
-        (0..self.width).map(move |step| PlaceId(((u64::from(shard.0) + u64::from(step)) % places) as u32))
+        (0..self.places_per_shard)
+            .map(move |step| PlaceId(((u64::from(shard.0) + u64::from(step)) % places) as u32))
     }
 
-    /// Drops nodes, places and shards that are gone and of which nothing is known, and counts older than `longest`.
-    /// Guards the memory of a router that runs for days against shards that came and went.
+    /// Drops stopped nodes without recent measurements, the state of places and shards without nodes, and counts older
+    /// than `longest`. Bounds the memory of a router that runs for days while shards come and go.
     pub(crate) fn forget_unused(&mut self, now: Nanos, longest: Nanos) {
         self.nodes.retain(|_, node| node.health != Health::Gone || !node.is_forgotten());
-        self.by_place.keep(|id| self.nodes.contains_key(id));
+        self.nodes_by_place.retain(|id| self.nodes.contains_key(id));
         self.first_sends.forget(now, longest);
         self.budget_use.forget(now, longest);
-        let mut turns = std::mem::take(&mut self.turns);
-        turns.retain(|shard, _| self.places_of(*shard).any(|place| self.by_place.has(place)));
-        self.turns = turns;
-        self.groups.keep(|place| self.by_place.has(*place));
+        let mut rotations = std::mem::take(&mut self.rotations);
+        rotations.retain(|shard, _| self.places_of(*shard).any(|place| self.nodes_by_place.contains(place)));
+        self.rotations = rotations;
+        self.groups.retain(|place| self.nodes_by_place.contains(*place));
     }
 }
 
-/// How much a router holds, to be watched over days.
+/// Numbers of entries that a router keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetainedCounts {
-    /// Queries in flight.
+    /// Number of multigets in flight.
     pub multigets: usize,
-    /// Nodes known.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Places with nodes.
+    /// Number of places with nodes.
     pub places: usize,
-    /// Shards with a turn, and those with spending of their own.
-    pub turns: usize,
-    /// Shards with spending of their own.
-    pub spending: usize,
+    /// Number of shards with a rotation of their replicas.
+    pub rotations: usize,
+    /// Number of shards with a retry budget of their own.
+    pub shard_budgets: usize,
 }
 
 impl Router {
-    /// Counts what is kept, to show that it is bounded.
-    pub fn retained(&self) -> RetainedCounts {
+    /// Returns the numbers of entries kept, to check that memory is bounded.
+    pub fn retained_counts(&self) -> RetainedCounts {
         RetainedCounts {
-            multigets: self.open.len(),
+            multigets: self.multigets.len(),
             nodes: self.nodes.len(),
-            places: self.by_place.len(),
-            turns: self.turns.len(),
-            spending: self.budget_use.shard_count(),
+            places: self.nodes_by_place.len(),
+            rotations: self.rotations.len(),
+            shard_budgets: self.budget_use.shard_count(),
         }
     }
 }
--- a/src/state/statistics.rs
+++ b/src/state/statistics.rs
@@ -1,88 +1,88 @@
 //! Running means, failure rates and linear trends.
 
-/// A mean that gives each new figure the same weight.
+/// Exponentially weighted mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunningMean(Option<f64>);
 
 impl RunningMean {
-    /// Takes in a figure with the weight `gain`, from 0 to 1.
+    /// Adds a value with the weight `gain`, from 0 to 1.
     pub fn add(&mut self, value: f64, gain: f64) {
         self.0 = Some(self.0.map_or(value, |mean| mean + gain * (value - mean)));
     }
 
-    /// The same, from a figure that stands for what came before the first.
-    pub fn add_from(&mut self, prior: Option<f64>, value: f64, gain: f64) {
+    /// Adds a value as [`add`](Self::add) does; before the first one, the mean is `prior`.
+    pub fn add_with_prior(&mut self, prior: Option<f64>, value: f64, gain: f64) {
         self.0 = self.0.or(prior);
         self.add(value, gain);
     }
 
-    /// Multiplies the mean.
+    /// Multiplies the mean by a factor.
     pub fn scale(&mut self, factor: f64) {
         self.0 = self.0.map(|mean| mean * factor);
     }
 
-    /// The mean, once there is a figure.
+    /// Returns the mean; `None` before the first value.
     pub fn get(&self) -> Option<f64> {
         self.0
     }
 }
 
-/// How many of so many failed.
+/// Counts of failures and of all events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureRate {
-    failed: f64,
-    all: f64,
+    failures: f64,
+    total: f64,
 }
 
 impl FailureRate {
-    /// Counts one.
+    /// Counts an event.
     pub fn add(&mut self, failed: bool) {
-        self.failed += if failed { 1.0 } else { 0.0 };
-        self.all += 1.0;
+        self.failures += if failed { 1.0 } else { 0.0 };
+        self.total += 1.0;
     }
 
-    /// Takes one failure back.
-    pub fn take_failure(&mut self) {
-        self.failed = (self.failed - 1.0).max(0.0);
-        self.all = (self.all - 1.0).max(self.failed);
+    /// Removes one failure.
+    pub fn remove_failure(&mut self) {
+        self.failures = (self.failures - 1.0).max(0.0);
+        self.total = (self.total - 1.0).max(self.failures);
     }
 
     /// Halves both counts.
     pub fn halve(&mut self) {
-        self.failed /= 2.0;
-        self.all /= 2.0;
+        self.failures /= 2.0;
+        self.total /= 2.0;
     }
 
-    /// The share that failed, with `prior` counted as seen `weight` times.
+    /// Returns the share of failures, from 0 to 1, with `weight` further events of which the share `prior` failed.
     pub fn share(&self, prior: f64, weight: f64) -> f64 {
-        (self.failed + prior * weight) / (self.all + weight)
+        (self.failures + prior * weight) / (self.total + weight)
     }
 }
 
-/// Running means of two figures, and how the second moves with the first.
+/// Running means of two variables, and the regression of the second on the first.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinearTrend {
-    /// The mean of the first figure.
+    /// Mean of the first variable.
     pub x: RunningMean,
-    /// The mean of the second.
+    /// Mean of the second variable.
     pub y: RunningMean,
-    spread: f64,
-    joint: f64,
+    variance_x: f64,
+    covariance: f64,
 }
 
 impl LinearTrend {
-    /// Takes in a pair with the weight `gain`, from 0 to 1.
+    /// Adds a pair with the weight `gain`, from 0 to 1.
     pub fn add(&mut self, x: f64, y: f64, gain: f64) {
         let dx = x - self.x.get().unwrap_or(x);
         let dy = y - self.y.get().unwrap_or(y);
         self.x.add(x, gain);
         self.y.add(y, gain);
-        self.spread += gain * (dx * dx - self.spread);
-        self.joint += gain * (dx * dy - self.joint);
+        self.variance_x += gain * (dx * dx - self.variance_x);
+        self.covariance += gain * (dx * dy - self.covariance);
     }
 
-    /// The slope, with `prior` counted as seen at a spread of `weight`.
+    /// Returns the slope, where `prior` counts like observations of x with the variance `weight`.
     pub fn slope(&self, prior: f64, weight: f64) -> f64 {
-        (self.joint + prior * weight) / (self.spread + weight)
+        (self.covariance + prior * weight) / (self.variance_x + weight)
     }
 }
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -1,18 +1,18 @@
-//! Recorded encodings: reads a file of named hex lines, and checks values against them in both directions.
+//! Recorded encodings: checks values, in both directions, against a file of named hex lines.
 //!
 //! Packages include this file by path. A recorded file holds what an earlier release wrote to its disk or sent
-//! to another process. Do not record it anew to make a test pass: a difference means that processes of both
-//! releases can't run side by side, or that a disk of the earlier one can't be read.
+//! to another process. Never change it to make a test pass: a difference means that processes of both releases
+//! cannot run side by side, or that a disk of the earlier one cannot be read.
 
 use bitcode::{DecodeOwned, Encode};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 use std::path::Path;
 
-/// Marks a line of a recorded file that is for readers only.
+/// First character of a comment line in a recorded file.
 const COMMENT: char = '#';
 
-/// The recorded encodings of one file that are not checked yet, by name.
+/// Recorded encodings of one file that have not been checked yet, by name.
 pub struct Fixtures {
     file: &'static str,
     unchecked: BTreeMap<String, Vec<u8>>,
@@ -33,7 +33,7 @@
         Fixtures { file, unchecked }
     }
 
-    /// The value is encoded to exactly the recorded bytes, and they are decoded to the value.
+    /// Fails unless the value is encoded to exactly the recorded bytes, and they are decoded to the value.
     pub fn check<T: Encode + DecodeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
         let recorded = self.take(name);
         assert_eq!(hex_of_bytes(&bitcode::encode(value)), hex_of_bytes(&recorded), "encode {name}");
@@ -41,12 +41,12 @@
         assert_eq!(decoded, *value, "decode {name}");
     }
 
-    /// The recorded bytes of a name, each only once.
+    /// Returns the recorded bytes of a name, and marks them as checked.
     pub fn take(&mut self, name: &str) -> Vec<u8> {
         self.unchecked.remove(name).unwrap_or_else(|| panic!("{}: {name} is not recorded", self.file))
     }
 
-    /// Everything that is recorded has been checked.
+    /// Fails unless all recorded encodings have been checked.
     pub fn finish(self) {
         let names: Vec<&String> = self.unchecked.keys().collect();
         assert!(names.is_empty(), "{}: recorded and not checked: {names:?}", self.file);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One small case for each failure that measuring or an incident has shown.
+//! Failure cases of the decision module: faulty or slow replicas, overload, retries and peers.
 
 mod common;
 
@@ -7,340 +7,357 @@
 use fernknot::state::{Histogram, LinearTrend, Mwc, Node, SlidingCount};
 use test_case::test_case;
 
-fn first_sends(host: &mut Host, use_case: usize, count: usize) -> Vec<NodeId> {
-    let ids: Vec<MultigetId> = (0..count).map(|_| host.take(use_case, &[1.0])).collect();
-    ids.iter().flat_map(|id| host.sends(*id, 0)).collect()
+fn first_attempt_nodes(host: &mut Host, use_case: usize, count: usize) -> Vec<NodeId> {
+    let ids: Vec<MultigetId> = (0..count).map(|_| host.submit(use_case, &[1.0])).collect();
+    ids.iter().flat_map(|id| host.attempt_nodes(*id, 0)).collect()
 }
 
 #[test]
-fn equals_take_turns() {
-    let mut host = Host::new(facts(), 3);
-    let mut nodes = first_sends(&mut host, REPLAYABLE, 3);
+fn equal_replicas_take_turns() {
+    let mut host = Host::new(site_settings(), 3);
+    let mut nodes = first_attempt_nodes(&mut host, IDEMPOTENT, 3);
     nodes.sort();
     assert_eq!(nodes, [NodeId(0), NodeId(1), NodeId(2)]);
 }
 
 #[test]
-fn same_events_same_decisions() {
+fn the_same_seed_and_events_give_the_same_decisions() {
     let run = || {
-        let mut host = Host::new(facts(), 3);
-        host.warm_up(PARTIAL, 30, 40.0);
-        host.take(REPLAYABLE, &[0.5, 0.5]);
-        host.pass(2000.0);
-        host.log
+        let mut host = Host::new(site_settings(), 3);
+        host.warm_up(PARTIAL_ANSWERS, 30, 40.0);
+        host.submit(IDEMPOTENT, &[0.5, 0.5]);
+        host.advance(2000.0);
+        host.decisions
     };
     assert_eq!(run(), run());
 }
 
 #[test]
-fn a_silent_replica_is_left_for_the_others() {
-    let mut host = Host::new(facts(), 3);
-    host.warm_up(REPLAYABLE, 60, 50.0);
-    let stuck = host.take(REPLAYABLE, &[1.0]);
-    let silent = host.sends(stuck, 0)[0];
-    host.pass(600.0);
-    let rescue = host.sends(stuck, 0);
-    assert!(rescue.len() == 2 && rescue[1] != silent, "the part itself goes to another replica");
-    assert!(!first_sends(&mut host, REPLAYABLE, 6).contains(&silent));
+fn a_silent_replica_gets_no_further_parts() {
+    let mut host = Host::new(site_settings(), 3);
+    host.warm_up(IDEMPOTENT, 60, 50.0);
+    let stuck = host.submit(IDEMPOTENT, &[1.0]);
+    let silent = host.attempt_nodes(stuck, 0)[0];
+    host.advance(600.0);
+    let nodes = host.attempt_nodes(stuck, 0);
+    assert!(nodes.len() == 2 && nodes[1] != silent, "the part is retried at another replica");
+    assert!(!first_attempt_nodes(&mut host, IDEMPOTENT, 6).contains(&silent));
 }
 
-/// Of a multiget of many parts some always fail; each is tried again while it may, and what is in is kept.
-#[test_case(Outcome::Rejected; "turned away")]
+/// A part that fails repeatedly is retried after a wait, and the answers of the other parts are kept.
+#[test_case(Outcome::Rejected; "rejected")]
 #[test_case(Outcome::Error; "failed")]
-fn a_part_that_fails_twice_ends_no_multiget(outcome: Outcome) {
-    let mut host = Host::new(facts(), 8);
-    host.warm_up(REPLAYABLE, 40, 50.0);
-    let id = host.take(REPLAYABLE, &[0.5, 0.5]);
-    host.end(id, 0, 0, Outcome::Answered, 20.0);
+fn a_part_that_fails_twice_does_not_end_its_multiget(outcome: Outcome) {
+    let mut host = Host::new(site_settings(), 8);
+    host.warm_up(IDEMPOTENT, 40, 50.0);
+    let id = host.submit(IDEMPOTENT, &[0.5, 0.5]);
+    host.end_attempt(id, 0, 0, Outcome::Answered, 20.0);
     for no in 0..2 {
-        host.end(id, 1, no, outcome, 5.0);
-        host.pull();
+        host.end_attempt(id, 1, no, outcome, 5.0);
+        host.poll();
     }
-    assert_eq!((host.sends(id, 1).len(), host.finals(id)), (2, Vec::new()), "it waits");
-    host.pass(400.0);
-    host.end(id, 1, 2, Outcome::Answered, 20.0);
-    host.pull();
-    assert_eq!(host.finals(id), [Decision::Complete { multiget: id, complete: true, last: true }]);
+    assert_eq!(
+        (host.attempt_nodes(id, 1).len(), host.final_answers(id)),
+        (2, Vec::new()),
+        "the third attempt waits"
+    );
+    host.advance(400.0);
+    host.end_attempt(id, 1, 2, Outcome::Answered, 20.0);
+    host.poll();
+    assert_eq!(
+        host.final_answers(id),
+        [Decision::Complete { multiget: id, is_complete: true, is_final: true }]
+    );
 }
 
-/// What may not be tried again is given up without a wait.
+/// A part that may not be retried is given up without a wait.
 #[test]
-fn a_part_with_no_hand_off_left_ends_its_multiget_at_once() {
-    let mut host = Host::new(SiteSettings { max_attempts: 2, ..facts() }, 8);
-    let id = host.take(REPLAYABLE, &[1.0]);
+fn a_part_without_attempts_left_ends_its_multiget_at_once() {
+    let mut host = Host::new(SiteSettings { max_attempts: 2, ..site_settings() }, 8);
+    let id = host.submit(IDEMPOTENT, &[1.0]);
     for no in 0..2 {
-        host.end(id, 0, no, Outcome::Error, 5.0);
-        host.pull();
+        host.end_attempt(id, 0, no, Outcome::Error, 5.0);
+        host.poll();
     }
-    assert!(matches!(host.finals(id)[..], [Decision::Reject { .. }]));
+    assert!(matches!(host.final_answers(id)[..], [Decision::Reject { .. }]));
 }
 
-/// Where the list must be asked, a fleet that starts together must not ask again in step, nor at one pace.
+/// If the list must be requested, routers that start together must not repeat their requests together.
 #[test]
-fn calls_for_the_list_that_fail_are_spread_and_grow_rarer() {
-    let mut later = Vec::new();
+fn failed_list_requests_are_repeated_after_random_and_growing_waits() {
+    let mut second_requests = Vec::new();
     for seed in 0..50 {
-        let mut host = Host::with_seed(SiteSettings { must_ask: true, ..facts() }, 2, seed);
-        let mut asks = Vec::new();
+        let mut host =
+            Host::with_seed(SiteSettings { list_changes_on_request: true, ..site_settings() }, 2, seed);
+        let mut requests = Vec::new();
         while host.now < 1_020_000.0 {
-            if host.pass(5.0).contains(&Decision::RequestList) {
-                asks.push(host.now);
+            if host.advance(5.0).contains(&Decision::RequestList) {
+                requests.push(host.now);
                 host.router.list_failed(ms(host.now));
             }
         }
-        assert!(asks[0] <= 1_000_005.0, "the first at once");
-        assert!((16..=30).contains(&asks.len()), "{} calls in 20 s", asks.len());
-        later.push(asks[1]);
+        assert!(requests[0] <= 1_000_005.0, "the first request is immediate");
+        assert!((16..=30).contains(&requests.len()), "{} requests in 20 s", requests.len());
+        second_requests.push(requests[1]);
         host.router.apply_list(ListKind::Changes, &[]);
         host.router.list_failed(ms(host.now));
-        assert!(host.pass(755.0).contains(&Decision::RequestList), "after one that came, soon again");
+        assert!(
+            host.advance(755.0).contains(&Decision::RequestList),
+            "after a success, the next wait is short"
+        );
     }
-    later.sort_by(f64::total_cmp);
-    assert!(later[49] - later[0] > 400.0, "within half a second of each other");
+    second_requests.sort_by(f64::total_cmp);
+    assert!(second_requests[49] - second_requests[0] > 400.0, "spread over less than half a second");
 }
 
-/// Where repeats are not marked, a stay that the hard limit cuts short tells.
-#[test_case(true, 1; "they would say so")]
-#[test_case(false, 0; "they never say so")]
-fn an_unmarked_repeat_is_known_by_its_stay(marks_repeats: bool, sends: usize) {
-    let mut host = Host::new(SiteSettings { marks_repeats, ..facts() }, 2);
-    host.warm_up(REPLAYABLE, 20, 50.0);
-    let id = host.take_for(REPLAYABLE, &[1.0], 1900.0);
-    assert_eq!(host.sends(id, 0).len(), sends);
+/// If clients do not mark retries, a wait that the hard limit has cut short shows one.
+#[test_case(true, 1; "clients mark retries")]
+#[test_case(false, 0; "clients do not mark retries")]
+fn an_unmarked_retry_is_detected_by_its_short_wait(clients_mark_retries: bool, attempts: usize) {
+    let mut host = Host::new(SiteSettings { clients_mark_retries, ..site_settings() }, 2);
+    host.warm_up(IDEMPOTENT, 20, 50.0);
+    let id = host.submit_for(IDEMPOTENT, &[1.0], 1900.0);
+    assert_eq!(host.attempt_nodes(id, 0).len(), attempts);
 }
 
 #[test]
-fn equals_in_the_own_zone_go_first() {
-    let mut host = Host::new(SiteSettings { zone: Some(ZoneId(1)), ..facts() }, 3);
-    let near = NodeEntry { zone: Some(ZoneId(1)), ..entry(2, Health::Running, 0.0) };
+fn equal_replicas_in_the_own_zone_are_preferred() {
+    let mut host = Host::new(SiteSettings { zone: Some(ZoneId(1)), ..site_settings() }, 3);
+    let near = NodeEntry { zone: Some(ZoneId(1)), ..node_entry(2, Health::Running, 0.0) };
     host.router.apply_list(ListKind::Changes, &[near]);
     for _ in 0..4 {
-        let id = host.take(REPLAYABLE, &[1.0]);
-        assert_eq!(host.sends(id, 0), [NodeId(2)]);
-        host.pass(20.0);
-        host.end(id, 0, 0, Outcome::Answered, 20.0);
+        let id = host.submit(IDEMPOTENT, &[1.0]);
+        assert_eq!(host.attempt_nodes(id, 0), [NodeId(2)]);
+        host.advance(20.0);
+        host.end_attempt(id, 0, 0, Outcome::Answered, 20.0);
     }
 }
 
 #[test]
-fn a_replica_that_fails_one_use_case_keeps_the_others() {
-    let mut host = Host::new(facts(), 2);
-    host.warm_up(REFERENCED, 20, 20.0);
+fn a_replica_that_fails_one_use_case_still_serves_the_others() {
+    let mut host = Host::new(site_settings(), 2);
+    host.warm_up(DEDUPLICATED, 20, 20.0);
     let mut sends = [0, 0];
     for _ in 0..40 {
-        let id = host.take(PARTIAL, &[1.0]);
-        let node = host.sends(id, 0)[0];
-        host.pass(20.0);
+        let id = host.submit(PARTIAL_ANSWERS, &[1.0]);
+        let node = host.attempt_nodes(id, 0)[0];
+        host.advance(20.0);
         let failed = node == NodeId(0);
-        host.end(id, 0, 0, if failed { Outcome::Error } else { Outcome::Answered }, 20.0);
-        host.pull();
-        if failed && host.sends(id, 0).len() > 1 {
-            host.end(id, 0, 1, Outcome::Answered, 20.0);
-            host.pull();
+        host.end_attempt(id, 0, 0, if failed { Outcome::Error } else { Outcome::Answered }, 20.0);
+        host.poll();
+        if failed && host.attempt_nodes(id, 0).len() > 1 {
+            host.end_attempt(id, 0, 1, Outcome::Answered, 20.0);
+            host.poll();
         }
         sends[0] += usize::from(failed);
         for _ in 0..2 {
-            let other = host.take(REFERENCED, &[1.0]);
-            sends[1] += usize::from(host.sends(other, 0)[0] == NodeId(0));
-            host.pass(20.0);
-            host.end(other, 0, 0, Outcome::Answered, 20.0);
-            host.pull();
+            let other = host.submit(DEDUPLICATED, &[1.0]);
+            sends[1] += usize::from(host.attempt_nodes(other, 0)[0] == NodeId(0));
+            host.advance(20.0);
+            host.end_attempt(other, 0, 0, Outcome::Answered, 20.0);
+            host.poll();
         }
     }
     assert!(sends[0] <= 6, "{} parts of the failing use case", sends[0]);
-    assert!(sends[1] >= 2 * sends[0], "{} parts of the other", sends[1]);
+    assert!(sends[1] >= 2 * sends[0], "{} parts of the other use case", sends[1]);
 }
 
 #[test]
-fn a_late_answer_takes_back_its_miss() {
+fn a_late_answer_replaces_its_miss() {
     let mut latencies = Histogram::new(10.0, 1.5, 14);
     latencies.add_miss();
-    latencies.take_miss();
+    latencies.remove_miss();
     latencies.add(100.0);
-    assert_eq!((latencies.total(), latencies.under(200.0)), (1.0, 1.0));
+    assert_eq!((latencies.total(), latencies.count_below(200.0)), (1.0, 1.0));
 }
 
 #[test]
-fn overload_is_dismissed_at_once_with_advice_when_to_return() {
-    let mut host = Host::new(facts(), 2);
-    host.warm_up(REPLAYABLE, 20, 200.0);
-    let ids: Vec<MultigetId> = (0..30).map(|_| host.take(REPLAYABLE, &[1.0])).collect();
-    let dismissed = ids.iter().filter(|id| !host.finals(**id).is_empty());
-    let dismissed: Vec<&MultigetId> = dismissed.collect();
-    assert!(dismissed.len() >= 20, "{} of 30", dismissed.len());
-    for id in dismissed {
-        assert!(matches!(host.finals(*id)[..], [Decision::Reject { retry_after: wait, .. }] if wait.0 > 0));
-        assert!(host.sends(*id, 0).is_empty(), "before any part is sent");
+fn excess_load_is_rejected_at_once_with_a_retry_time() {
+    let mut host = Host::new(site_settings(), 2);
+    host.warm_up(IDEMPOTENT, 20, 200.0);
+    let ids: Vec<MultigetId> = (0..30).map(|_| host.submit(IDEMPOTENT, &[1.0])).collect();
+    let rejected = ids.iter().filter(|id| !host.final_answers(**id).is_empty());
+    let rejected: Vec<&MultigetId> = rejected.collect();
+    assert!(rejected.len() >= 20, "{} of 30", rejected.len());
+    for id in rejected {
+        assert!(
+            matches!(host.final_answers(*id)[..], [Decision::Reject { retry_after, .. }] if retry_after.0 > 0)
+        );
+        assert!(host.attempt_nodes(*id, 0).is_empty(), "rejected before any part is sent");
     }
 }
 
-#[test_case(1000.0, 10, 14; "within its share")]
-#[test_case(0.0, 3, 8; "beyond its share: a smaller queue")]
-fn a_customer_beyond_its_share_goes_first(quota: f64, least: usize, most: usize) {
-    let mut given = facts();
-    given.customers = vec![quota];
-    let mut host = Host::new(given, 2);
-    host.warm_up(REPLAYABLE, 20, 100.0);
-    let within = first_sends(&mut host, REPLAYABLE, 40).len();
-    assert!((least..=most).contains(&within), "{within} taken on");
+#[test_case(1000.0, 10, 14; "within its quota")]
+#[test_case(0.0, 3, 8; "over its quota: a shorter queue")]
+fn a_customer_over_its_quota_is_rejected_first(quota: f64, min: usize, max: usize) {
+    let mut settings = site_settings();
+    settings.customer_quotas = vec![quota];
+    let mut host = Host::new(settings, 2);
+    host.warm_up(IDEMPOTENT, 20, 100.0);
+    let admitted = first_attempt_nodes(&mut host, IDEMPOTENT, 40).len();
+    assert!((min..=max).contains(&admitted), "{admitted} admitted");
 }
 
 #[test]
-fn dismissed_repeats_draw_nothing_from_the_share() {
-    let mut given = facts();
-    given.customers = vec![6.0];
-    let mut host = Host::new(given, 1);
-    host.warm_up(REPLAYABLE, 1, 100.0);
+fn rejected_multigets_do_not_use_up_the_quota() {
+    let mut settings = site_settings();
+    settings.customer_quotas = vec![6.0];
+    let mut host = Host::new(settings, 1);
+    host.warm_up(IDEMPOTENT, 1, 100.0);
     host.router.apply_list(ListKind::Full, &[]);
     for _ in 0..20 {
-        host.take(REPLAYABLE, &[1.0]);
+        host.submit(IDEMPOTENT, &[1.0]);
     }
-    host.router.apply_list(ListKind::Full, &[entry(0, Health::Running, 0.0)]);
-    assert_eq!(first_sends(&mut host, REPLAYABLE, 4).len(), 4);
+    host.router.apply_list(ListKind::Full, &[node_entry(0, Health::Running, 0.0)]);
+    assert_eq!(first_attempt_nodes(&mut host, IDEMPOTENT, 4).len(), 4);
 }
 
 #[test]
-fn no_second_copies_while_work_is_turned_away() {
-    let mut host = Host::new(facts(), 2);
-    host.warm_up(REPLAYABLE, 20, 50.0);
-    let stuck = host.take(REPLAYABLE, &[1.0]);
+fn no_copies_are_sent_while_multigets_are_rejected() {
+    let mut host = Host::new(site_settings(), 2);
+    host.warm_up(IDEMPOTENT, 20, 50.0);
+    let stuck = host.submit(IDEMPOTENT, &[1.0]);
     for _ in 0..30 {
-        host.pass(20.0);
-        host.take_for(REPLAYABLE, &[1.0], 30.0);
+        host.advance(20.0);
+        host.submit_for(IDEMPOTENT, &[1.0], 30.0);
     }
-    assert_eq!(host.sends(stuck, 0).len(), 1);
-    host.pass(350.0);
-    assert_eq!(host.sends(stuck, 0).len(), 2);
+    assert_eq!(host.attempt_nodes(stuck, 0).len(), 1);
+    host.advance(350.0);
+    assert_eq!(host.attempt_nodes(stuck, 0).len(), 2);
 }
 
-#[test_case(300.0, 1; "more than a part takes: tried")]
-#[test_case(150.0, 0; "less than a part takes: past hope")]
-fn clients_short_of_time_are_refused_only_past_hope(stays: f64, sends: usize) {
-    let mut host = Host::new(facts(), 2);
-    host.warm_up(REPLAYABLE, 20, 200.0);
-    let id = host.take_for(REPLAYABLE, &[1.0], stays);
-    assert_eq!(host.sends(id, 0).len(), sends);
+#[test_case(300.0, 1; "more time than a part takes: sent")]
+#[test_case(150.0, 0; "less time than a part takes: rejected")]
+fn multigets_with_little_time_are_rejected_only_if_they_cannot_be_in_time(wait: f64, attempts: usize) {
+    let mut host = Host::new(site_settings(), 2);
+    host.warm_up(IDEMPOTENT, 20, 200.0);
+    let id = host.submit_for(IDEMPOTENT, &[1.0], wait);
+    assert_eq!(host.attempt_nodes(id, 0).len(), attempts);
 }
 
-#[test_case(50.0, 2; "others answer at once: it is lost")]
-#[test_case(600.0, 1; "all take as long: it may still come")]
-fn a_late_copy_goes_out_where_it_adds_to_the_chance(usual: f64, sends: usize) {
-    let mut host = Host::new(facts(), 40);
+#[test_case(50.0, 2; "other attempts are fast: this one is lost")]
+#[test_case(600.0, 1; "all attempts take as long: this one may still be answered")]
+fn a_late_copy_is_sent_only_if_it_makes_an_answer_likelier(latency: f64, attempts: usize) {
+    let mut host = Host::new(site_settings(), 40);
     for _ in 0..6 {
-        let ids: Vec<MultigetId> = (0..30).map(|_| host.take(REPLAYABLE, &[1.0])).collect();
-        host.pass(usual);
-        ids.iter().for_each(|id| host.end(*id, 0, 0, Outcome::Answered, usual));
+        let ids: Vec<MultigetId> = (0..30).map(|_| host.submit(IDEMPOTENT, &[1.0])).collect();
+        host.advance(latency);
+        ids.iter().for_each(|id| host.end_attempt(*id, 0, 0, Outcome::Answered, latency));
     }
-    let id = host.take(REPLAYABLE, &[1.0]);
-    host.pass(450.0);
-    assert_eq!(host.sends(id, 0).len(), sends);
+    let id = host.submit(IDEMPOTENT, &[1.0]);
+    host.advance(450.0);
+    assert_eq!(host.attempt_nodes(id, 0).len(), attempts);
 }
 
-#[test_case(2500.0, 1; "a first try")]
-#[test_case(1900.0, 0; "a repeat whose goal time has passed since the first try")]
-fn the_goal_time_of_a_repeat_runs_from_the_first_try(stays: f64, sends: usize) {
-    let mut host = Host::new(facts(), 2);
-    host.warm_up(REPLAYABLE, 20, 50.0);
+#[test_case(2500.0, 1; "a wait longer than the target: in time")]
+#[test_case(1900.0, 0; "a wait that shows that the target has passed")]
+fn the_latency_target_of_a_retry_runs_from_the_first_try(wait: f64, attempts: usize) {
+    let mut host = Host::new(site_settings(), 2);
+    host.warm_up(IDEMPOTENT, 20, 50.0);
     let (id, at) = (MultigetId(1000), ms(host.now));
-    host.router.multiget_arrived(at, &Arrival { repeat: true, ..arrival(id, REPLAYABLE, host.now + stays) });
-    host.parts(id, 0, &[1.0]);
-    assert_eq!(host.sends(id, 0).len(), sends);
+    host.router.multiget_arrived(at, &Arrival { is_retry: true, ..arrival(id, IDEMPOTENT, host.now + wait) });
+    host.add_parts(id, 0, &[1.0]);
+    assert_eq!(host.attempt_nodes(id, 0).len(), attempts);
 }
 
 #[test]
-fn a_slow_replica_met_rarely_is_remembered() {
-    let mut host = Host::new(facts(), 2);
-    host.warm_up(REPLAYABLE, 40, 50.0);
-    // One late answer of some twenty is within chance; two are not.
+fn a_slow_replica_with_little_traffic_is_remembered() {
+    let mut host = Host::new(site_settings(), 2);
+    host.warm_up(IDEMPOTENT, 40, 50.0);
+    // One late answer out of about twenty may be chance; two are not.
     let slow = NodeId(0);
     for _ in 0..4 {
-        let id = host.take(REPLAYABLE, &[1.0]);
-        let late = host.sends(id, 0)[0] == slow;
-        let (outcome, took) = if late { (Outcome::TimedOut, GOAL) } else { (Outcome::Answered, 50.0) };
-        host.pass(took - 5.0);
-        host.end(id, 0, 0, outcome, took);
+        let id = host.submit(IDEMPOTENT, &[1.0]);
+        let late = host.attempt_nodes(id, 0)[0] == slow;
+        let (outcome, took) = if late { (Outcome::TimedOut, TARGET_MS) } else { (Outcome::Answered, 50.0) };
+        host.advance(took - 5.0);
+        host.end_attempt(id, 0, 0, outcome, took);
     }
-    host.pass(4000.0);
-    assert!(!first_sends(&mut host, REPLAYABLE, 3).contains(&slow));
+    host.advance(4000.0);
+    assert!(!first_attempt_nodes(&mut host, IDEMPOTENT, 3).contains(&slow));
 }
 
-#[test_case(Update::Sent; "work in hand")]
+#[test_case(Update::Sent; "work in flight")]
 #[test_case(Update::Overdue; "misses")]
 #[test_case(Update::Failed; "failures")]
-#[test_case(Update::Answered(ms(GOAL)); "latencies")]
-fn what_others_tell_counts_like_what_is_seen(what: Update) {
-    let mut given = facts();
-    given.peers = true;
-    let mut host = Host::new(given, 2);
-    host.warm_up(REPLAYABLE, 20, 50.0);
-    let told =
-        host.log.iter().filter(|(_, decision)| matches!(decision, Decision::NotifyPeers { .. })).count();
-    assert!(told >= 20, "{told} messages");
-    let unknown = (NodeId(77), what);
-    host.router.apply_updates(ms(host.now), PeerId(1), &[&[(NodeId(0), what); 8][..], &[unknown]].concat());
-    assert!(!first_sends(&mut host, REPLAYABLE, 4).contains(&NodeId(0)));
+#[test_case(Update::Answered(ms(TARGET_MS)); "latencies")]
+fn peer_updates_count_like_own_observations(update: Update) {
+    let mut settings = site_settings();
+    settings.peer_updates = true;
+    let mut host = Host::new(settings, 2);
+    host.warm_up(IDEMPOTENT, 20, 50.0);
+    let messages = host
+        .decisions
+        .iter()
+        .filter(|(_, decision)| matches!(decision, Decision::NotifyPeers { .. }))
+        .count();
+    assert!(messages >= 20, "{messages} messages");
+    let unknown = (NodeId(77), update);
+    host.router.apply_updates(ms(host.now), PeerId(1), &[&[(NodeId(0), update); 8][..], &[unknown]].concat());
+    assert!(!first_attempt_nodes(&mut host, IDEMPOTENT, 4).contains(&NodeId(0)));
 }
 
-#[test_case(4, 4; "few nodes of many: all at once")]
-#[test_case(24, 1; "many nodes at once: one first")]
-fn one_part_goes_first_where_many_nodes_are_at_stake(parts: usize, first: usize) {
-    let mut host = Host::new(facts(), 40);
-    host.warm_up(REPLAYABLE, 40, 20.0);
-    let id = host.take(REPLAYABLE, &vec![1.0 / parts as f64; parts]);
-    let sent =
-        |host: &Host| (0..parts).filter(|index| !host.sends(id, *index).is_empty()).collect::<Vec<_>>();
-    let scout = sent(&host)[0];
-    assert_eq!(sent(&host).len(), first);
-    host.pass(20.0);
-    host.end(id, scout, 0, Outcome::Answered, 20.0);
-    host.pull();
+#[test_case(4, 4; "few nodes of many: all parts at once")]
+#[test_case(24, 1; "most nodes: one part first")]
+fn a_multiget_that_needs_most_nodes_sends_one_part_first(parts: usize, sent_first: usize) {
+    let mut host = Host::new(site_settings(), 40);
+    host.warm_up(IDEMPOTENT, 40, 20.0);
+    let id = host.submit(IDEMPOTENT, &vec![1.0 / parts as f64; parts]);
+    let sent = |host: &Host| {
+        (0..parts).filter(|index| !host.attempt_nodes(id, *index).is_empty()).collect::<Vec<_>>()
+    };
+    let probe = sent(&host)[0];
+    assert_eq!(sent(&host).len(), sent_first);
+    host.advance(20.0);
+    host.end_attempt(id, probe, 0, Outcome::Answered, 20.0);
+    host.poll();
     assert_eq!(sent(&host).len(), parts);
 }
 
-/// Over a long day the list names many nodes that are replaced; the turns of those are no one's.
+/// Stopped nodes that the list still names must not take turns: running ones would get uneven shares.
 #[test]
-fn replicas_that_run_take_even_turns_beside_many_that_are_gone() {
-    let mut host = Host::new(facts(), 12);
+fn running_replicas_take_even_turns_beside_many_stopped_ones() {
+    let mut host = Host::new(site_settings(), 12);
     host.router.apply_list(
         ListKind::Changes,
-        &(0..10).map(|node| entry(node, Health::Gone, 0.0)).collect::<Vec<_>>(),
+        &(0..10).map(|node| node_entry(node, Health::Gone, 0.0)).collect::<Vec<_>>(),
     );
     let mut turns = [0, 0];
     for round in 0..24 {
-        let id = host.take(REPLAYABLE, &[1.0]);
-        turns[host.sends(id, 0)[0].0 as usize - 10] += 1;
-        host.end(id, 0, 0, Outcome::Answered, 20.0);
-        // Some are forgotten meanwhile.
-        host.pass(if round == 12 { 5000.0 } else { 5.0 });
+        let id = host.submit(IDEMPOTENT, &[1.0]);
+        turns[host.attempt_nodes(id, 0)[0].0 as usize - 10] += 1;
+        host.end_attempt(id, 0, 0, Outcome::Answered, 20.0);
+        // During the long wait, stopped nodes are dropped.
+        host.advance(if round == 12 { 5000.0 } else { 5.0 });
     }
     assert_eq!(turns, [12, 12]);
 }
 
 #[test_case(false, 0.0, 1.0; "not overdue")]
-#[test_case(true, 0.0, 1.0; "overdue, but the latest heard of")]
-#[test_case(true, 80.0, 0.0; "overdue and overtaken")]
-fn lost_parts_are_no_work_in_hand(overdue: bool, answered_to: f64, held: f64) {
+#[test_case(true, 0.0, 1.0; "overdue, but sent after the latest answered attempt")]
+#[test_case(true, 80.0, 0.0; "overdue, and a later attempt was answered")]
+fn lost_attempts_do_not_count_as_work_in_flight(is_overdue: bool, latest_answered_sent_at: f64, work: f64) {
     let bins = Histogram::new(10.0, 1.5, 14);
-    let mut node = Node::new(&entry(0, Health::Running, 0.0), &bins);
+    let mut node = Node::new(&node_entry(0, Health::Running, 0.0), &bins);
     let part = PartId { multiget: MultigetId(0), index: 0 };
-    node.out.insert((ms(50.0), part, 0), (1.0, overdue));
-    node.answered_to = ms(answered_to);
-    assert_eq!(node.holds(ms(10.0)), held);
+    node.in_flight.insert((ms(50.0), part, 0), (1.0, is_overdue));
+    node.latest_answered_sent_at = ms(latest_answered_sent_at);
+    assert_eq!(node.work_in_flight(ms(10.0)), work);
 }
 
-#[test_case(1.0, 1.0; "latency follows the hint")]
-#[test_case(0.0, 0.1; "latency ignores the hint")]
-fn hints_count_as_far_as_latencies_follow(power: f64, slope: f64) {
-    let mut hints = LinearTrend::default();
+#[test_case(1.0, 1.0; "latency is proportional to the effort")]
+#[test_case(0.0, 0.1; "latency does not depend on the effort")]
+fn the_slope_of_efforts_follows_the_latencies(power: f64, slope: f64) {
+    let mut trend = LinearTrend::default();
     for round in 0..400 {
-        let hint = f64::from(round % 7) / 3.0;
-        hints.add(hint, power * hint, 0.02);
+        let log_effort = f64::from(round % 7) / 3.0;
+        trend.add(log_effort, power * log_effort, 0.02);
     }
-    assert!((hints.slope(0.5, 0.1) - slope).abs() < 0.1);
+    assert!((trend.slope(0.5, 0.1) - slope).abs() < 0.1);
 }
 
 #[test]
-fn sliding_count_drops_what_is_a_span_old() {
+fn a_sliding_count_excludes_amounts_that_are_a_span_old() {
     let mut count = SlidingCount::default();
     count.add(ms(0.0), 1.0);
     count.add(ms(10.0), 1.0);
@@ -348,8 +365,8 @@
 }
 
 #[test]
-fn chance_stays_under_its_bound_and_moves() {
-    let mut chance = Mwc::new(0);
-    let drawn: Vec<u32> = (0..64).map(|_| chance.under(10)).collect();
+fn random_numbers_stay_below_their_bound_and_vary() {
+    let mut random = Mwc::new(0);
+    let drawn: Vec<u32> = (0..64).map(|_| random.below(10)).collect();
     assert!(drawn.iter().all(|value| *value < 10) && drawn.iter().any(|value| *value != drawn[0]));
 }
--- a/tests/windowed_budget.rs
+++ b/tests/windowed_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget that holds in every window: what it allows, and that no window exceeds it, summed over routers.
+//! Retry budget that holds in every window: number of retries allowed, and the sum over routers in any window.
 
 use fernknot::interface::Nanos;
 use fernknot::state::{Mwc, SlidingCount, WindowedBudget};
@@ -11,7 +11,7 @@
     Nanos::from_millis(millis)
 }
 
-/// Requests at this rate a second from one time to another, in milliseconds.
+/// Counts requests at a rate per second from one time to another, in milliseconds.
 fn count_requests(budget: &mut WindowedBudget, per_second: f64, from: f64, to: f64) {
     let interval = 1000.0 / per_second;
     let mut at = from;
@@ -21,8 +21,8 @@
     }
 }
 
-/// Counts retries until there is none left, and says how many there were.
-fn spend_all(budget: &mut WindowedBudget, at: f64, free: f64) -> usize {
+/// Counts retries until no further one is allowed; returns their number.
+fn count_retries_allowed(budget: &mut WindowedBudget, at: f64, free: f64) -> usize {
     let mut spent = 0;
     while budget.remaining(ms(at), free, RATIO) >= 1.0 {
         budget.count_retry(ms(at));
@@ -34,17 +34,18 @@
 #[test]
 fn given_no_request_when_retries_are_needed_then_only_the_free_ones_are_allowed() {
     let mut budget = WindowedBudget::new(ms(WINDOW_MS));
-    assert_eq!(spend_all(&mut budget, 50_000.0, 3.0), 3);
-    assert_eq!(spend_all(&mut budget, 59_000.0, 3.0), 0);
-    assert_eq!(spend_all(&mut budget, 60_300.0, 3.0), 3, "a window and its edge later");
+    assert_eq!(count_retries_allowed(&mut budget, 50_000.0, 3.0), 3);
+    assert_eq!(count_retries_allowed(&mut budget, 59_000.0, 3.0), 0);
+    assert_eq!(count_retries_allowed(&mut budget, 60_300.0, 3.0), 3, "a window and its margin later");
 }
 
 #[test]
 fn given_steady_requests_when_all_retries_are_needed_at_once_then_a_quarter_of_a_window_is_allowed() {
     let mut budget = WindowedBudget::new(ms(WINDOW_MS));
     count_requests(&mut budget, 100.0, 0.0, 30_000.0);
-    let at_once = spend_all(&mut budget, 30_000.0, 0.0);
-    // 1,000 requests a window allow 200 retries; half the earlier window's first half counts, less its edges.
+    let at_once = count_retries_allowed(&mut budget, 30_000.0, 0.0);
+    // 1,000 requests per window allow 200 retries. Half of those of the earlier window's first half count, less
+    // its margins.
     assert!((45..=50).contains(&at_once), "{at_once}");
 }
 
@@ -56,43 +57,43 @@
     for step in 0..200 {
         let at = 20_000.0 + f64::from(step) * 100.0;
         count_requests(&mut budget, 100.0, at, at + 100.0);
-        spent += spend_all(&mut budget, at + 99.0, 0.0);
+        spent += count_retries_allowed(&mut budget, at + 99.0, 0.0);
     }
-    // 2,000 requests in two windows allow 400.
+    // 2,000 requests in two windows allow 400 retries.
     assert!((370..=400).contains(&spent), "{spent}");
 }
 
 #[test]
-fn given_a_start_when_retries_are_needed_at_once_then_half_the_ratio_of_its_requests_is_allowed() {
+fn given_a_new_budget_when_retries_are_needed_at_once_then_half_the_ratio_of_its_requests_is_allowed() {
     let mut budget = WindowedBudget::new(ms(WINDOW_MS));
     count_requests(&mut budget, 100.0, 100_000.0, 101_000.0);
-    let spent = spend_all(&mut budget, 101_000.0, 0.0);
+    let spent = count_retries_allowed(&mut budget, 101_000.0, 0.0);
     assert!((8..=10).contains(&spent), "{spent} for 100 requests");
 }
 
 #[test]
-fn given_fewer_free_retries_than_were_used_when_asked_then_nothing_is_left() {
+fn given_fewer_free_retries_than_were_used_then_the_remaining_budget_is_negative() {
     let mut budget = WindowedBudget::new(ms(WINDOW_MS));
-    assert_eq!(spend_all(&mut budget, 1000.0, 4.0), 4);
+    assert_eq!(count_retries_allowed(&mut budget, 1000.0, 4.0), 4);
     assert!(budget.remaining(ms(1000.0), 1.0, RATIO) <= -3.0);
 }
 
 #[test]
-fn given_a_window_and_a_half_without_anything_when_asked_then_the_budget_is_idle() {
+fn given_no_request_for_more_than_a_window_and_a_half_then_the_budget_is_idle() {
     let mut budget = WindowedBudget::new(ms(WINDOW_MS));
     budget.count_request(ms(1000.0));
     assert!(!budget.is_idle(ms(1000.0 + 1.5 * WINDOW_MS)));
     assert!(budget.is_idle(ms(1000.0 + 1.6 * WINDOW_MS)));
 }
 
-/// How a router decides on a retry.
-trait Spender {
+/// Policy by which a router decides on retries.
+trait RetryPolicy {
     fn count_request(&mut self, at: Nanos);
     /// Counts a retry if it is allowed.
     fn retry(&mut self, at: Nanos, free: f64) -> bool;
 }
 
-impl Spender for WindowedBudget {
+impl RetryPolicy for WindowedBudget {
     fn count_request(&mut self, at: Nanos) {
         WindowedBudget::count_request(self, at);
     }
@@ -106,14 +107,14 @@
     }
 }
 
-/// Looks only at the window that ends now.
+/// Budget that checks only the window that ends now.
 #[derive(Default)]
-struct EndingWindow {
+struct CurrentWindowBudget {
     requests: SlidingCount,
     retries: SlidingCount,
 }
 
-impl Spender for EndingWindow {
+impl RetryPolicy for CurrentWindowBudget {
     fn count_request(&mut self, at: Nanos) {
         self.requests.add(at, 1.0);
     }
@@ -129,7 +130,7 @@
     }
 }
 
-/// All that routers did: when clients sent requests, and when retries arrived, in milliseconds.
+/// Times at which clients sent requests, and at which retries reached nodes, in milliseconds.
 #[derive(Default)]
 struct Observed {
     sent: Vec<f64>,
@@ -137,12 +138,12 @@
 }
 
 impl Observed {
-    /// How many of these moments, which are in order, are in the window.
-    fn count(moments: &[f64], begin: f64) -> usize {
-        moments.partition_point(|at| *at <= begin + WINDOW_MS) - moments.partition_point(|at| *at < begin)
+    /// Returns the number of these sorted times in the window that begins at `begin`.
+    fn count(times: &[f64], begin: f64) -> usize {
+        times.partition_point(|at| *at <= begin + WINDOW_MS) - times.partition_point(|at| *at < begin)
     }
 
-    /// The largest excess over the budget in any window.
+    /// Returns the largest excess over the budget in any window.
     fn worst_excess(mut self, slack: f64) -> f64 {
         self.sent.sort_by(f64::total_cmp);
         self.arrived.sort_by(f64::total_cmp);
@@ -157,29 +158,29 @@
     }
 }
 
-/// Routers whose traffic comes in spells, of which some end while others begin. Each sends a retry whenever it may;
-/// what clients sent came up to 70 ms before it was counted, and retries arrive up to 70 ms later.
-fn spend_in_spells<S: Spender>(seed: u64, routers: usize, new: impl Fn() -> S) -> f64 {
-    const EDGE_MS: f64 = 70.0;
+/// Simulates routers with bursts of traffic, each of which sends a retry whenever it may. Requests are counted up to
+/// 70 ms after they were sent, and retries arrive up to 70 ms after that. Returns the largest excess in any window.
+fn worst_excess_in_bursts<S: RetryPolicy>(seed: u64, routers: usize, new: impl Fn() -> S) -> f64 {
+    const MAX_DELAY_MS: f64 = 70.0;
     const SLACK: f64 = 8.0;
     const STEP_MS: f64 = 20.0;
     let mut random = Mwc::new(seed);
     let mut observed = Observed::default();
     let free = SLACK / routers as f64;
     for _ in 0..routers {
-        let mut spender = new();
+        let mut policy = new();
         let mut rate_per_second = 0.0;
-        let mut now = EDGE_MS;
+        let mut now = MAX_DELAY_MS;
         while now < 60_000.0 {
-            if random.share() < 0.004 {
-                rate_per_second = [0.0, 2.0, 10.0, 40.0][random.under(4) as usize] / routers as f64;
+            if random.fraction() < 0.004 {
+                rate_per_second = [0.0, 2.0, 10.0, 40.0][random.below(4) as usize] / routers as f64;
             }
-            if random.share() < rate_per_second * STEP_MS / 1000.0 {
-                spender.count_request(ms(now));
-                observed.sent.push(now - random.share() * EDGE_MS);
+            if random.fraction() < rate_per_second * STEP_MS / 1000.0 {
+                policy.count_request(ms(now));
+                observed.sent.push(now - random.fraction() * MAX_DELAY_MS);
             }
-            while random.share() < 0.5 && spender.retry(ms(now), free) {
-                observed.arrived.push(now + random.share() * EDGE_MS);
+            while random.fraction() < 0.5 && policy.retry(ms(now), free) {
+                observed.arrived.push(now + random.fraction() * MAX_DELAY_MS);
             }
             now += STEP_MS;
         }
@@ -190,15 +191,15 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(6)]
-fn given_traffic_in_spells_when_routers_retry_all_they_may_then_no_window_exceeds_the_budget(routers: usize) {
+fn given_bursts_of_traffic_when_routers_retry_all_they_may_then_no_window_exceeds_the_budget(routers: usize) {
     for seed in 0..25 {
-        let excess = spend_in_spells(seed, routers, || WindowedBudget::new(ms(WINDOW_MS)));
-        assert!(excess <= 0.0, "seed {seed}: {excess} over");
+        let excess = worst_excess_in_bursts(seed, routers, || WindowedBudget::new(ms(WINDOW_MS)));
+        assert!(excess <= 0.0, "seed {seed}: {excess} retries over the budget");
     }
 }
 
 #[test]
-fn given_traffic_in_spells_when_only_the_window_that_ends_now_is_held_then_another_exceeds_the_budget() {
-    let exceeds = |seed: &u64| spend_in_spells(*seed, 2, EndingWindow::default) > 0.0;
-    assert!((0..25).filter(exceeds).count() > 0, "the check would see an excess");
+fn given_bursts_of_traffic_when_only_the_window_that_ends_now_is_checked_then_another_exceeds_the_budget() {
+    let exceeds = |seed: &u64| worst_excess_in_bursts(*seed, 2, CurrentWindowBudget::default) > 0.0;
+    assert!((0..25).filter(exceeds).count() > 0, "the simulation can detect an excess");
 }
