--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -162,7 +162,7 @@
         let needs = may_reject.then(|| statistics.likely_second_phase(now, plan.blocks.len()));
         let step = SecondPhaseStart {
             expected_duration: needs,
-            settled_share: plan.ruled_out_weight,
+            known_share: plan.ruled_out_weight,
             first_phase_complete: plan.is_complete,
         };
         Some(SecondPhase { blocks: plan.blocks, step })
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -31,7 +31,7 @@
         let planned = self.plan_parts(now, &parts, left);
         let case = &self.use_cases[use_case.0];
         // The expected delay of the multiget is that of the part with which the quorum is reached.
-        let mut reached = start.map_or(0.0, |phase| phase.settled_share) + WEIGHT_TOLERANCE;
+        let mut reached = start.map_or(0.0, |phase| phase.known_share) + WEIGHT_TOLERANCE;
         let quorum_index = planned.iter().position(|(_, _, part)| {
             reached += part.weight;
             reached >= case.quorum
--- a/src/decide/completion.rs
+++ b/src/decide/completion.rs
@@ -34,8 +34,8 @@
         let min_share = multiget.second_phase.map_or(min_share, |estimate| estimate.min_first_phase_share);
         let weigh = |counts: fn(&Part) -> bool| -> f64 {
             let weights = multiget.phase_parts().iter().filter(|part| counts(part)).map(|part| part.weight);
-            let settled = multiget.second_start.map_or(0.0, |phase| phase.settled_share);
-            weights.sum::<f64>() + settled + WEIGHT_TOLERANCE
+            let known = multiget.second_start.map_or(0.0, |phase| phase.known_share);
+            weights.sum::<f64>() + known + WEIGHT_TOLERANCE
         };
         let last = value_end.min(deadline);
         let awaits_parts = multiget.phase_parts().is_empty();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -263,7 +263,7 @@
     /// Expected duration of the second phase; `None` admits it however little time is left.
     pub expected_duration: Option<Nanos>,
     /// Share of the answer that needs no part of the second phase, from 0 to 1.
-    pub settled_share: f64,
+    pub known_share: f64,
     /// Whether the first phase was answered completely.
     pub first_phase_complete: bool,
 }
