--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -165,8 +165,8 @@
         let part = PartId { multiget: id, index };
         let node = self.attempt_nodes(id, index)[number as usize];
         let report = LoadReport::default();
-        let number = AttemptNumber(number);
-        let end = AttemptEnd { part, number, node, outcome, duration: ms(took), report };
+        let end =
+            AttemptEnd { part, number: AttemptNumber(number), node, outcome, duration: ms(took), report };
         self.router.attempt_ended(ms(self.now), &end);
     }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -107,7 +107,7 @@
         );
     }
     second_requests.sort_by(f64::total_cmp);
-    assert!(second_requests[49] - second_requests[0] > 400.0, "spread over less than half a second");
+    assert!(second_requests[49] - second_requests[0] > 400.0, "spread over 400 ms or less");
 }
 
 /// If clients do not mark retries, a wait that the hard limit has cut short shows one.
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -259,8 +259,7 @@
     waits: bool,
 ) {
     let mut site = routes();
-    let route = &mut site.use_cases[FANOUT];
-    (route.squares_partial_value, route.late_value_share) = (squared, 0.5);
+    (site.use_cases[FANOUT].squares_partial_value, site.use_cases[FANOUT].late_value_share) = (squared, 0.5);
     let mut host = host(site, 5, 2);
     // The fifth part of these multigets shows how long a late answer takes.
     let ids: Vec<_> = (0..8).map(|_| host.submit(FANOUT, &[0.2; 5])).collect();
