--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -7,8 +7,9 @@
 use crate::table::MultigetTable;
 use fernknot::decide::Router;
 use fernknot::interface::{
-    Arrival, AttemptNumber, CustomerId, Decision, Ending, ListKind, LoadReport, MultigetId, Nanos, NodeEntry,
-    NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteSettings, Update, UseCaseId, UseCaseSettings,
+    Arrival, AttemptEnd, AttemptNumber, CustomerId, Decision, ListKind, LoadReport, MultigetId, Nanos,
+    NodeEntry, NodeId, Outcome, PartArrival, PartId, PeerId, PlaceId, SiteSettings, Update, UseCaseId,
+    UseCaseSettings,
 };
 use fernknot_protocol::multiget::{MultigetRequest, RequestedPart};
 use fernknot_router_config::TwoPhaseSettings;
@@ -24,7 +25,7 @@
     /// Counters since the start.
     pub counters: Counters,
     /// Ended attempts that have not been reported to the decision module yet.
-    endings: VecDeque<Ending>,
+    endings: VecDeque<AttemptEnd>,
     /// Deadlines of the attempts in flight, earliest first.
     attempt_deadlines: BTreeSet<(Nanos, PartId, AttemptNumber)>,
     wake_at: Option<Nanos>,
@@ -82,7 +83,7 @@
 
     /// Sets this router's share of the free retries of the retry budget.
     pub fn set_free_retries(&mut self, free: f64) {
-        self.decisions.set_free_attempts(free);
+        self.decisions.set_free_retries(free);
     }
 
     /// Assigns a place to a group of places with similar work per part.
@@ -120,10 +121,10 @@
             multiget,
             use_case: request.use_case,
             customer: CustomerId(0),
-            client_end: client_deadline,
-            repeat: request.is_retry,
+            client_deadline,
+            is_retry: request.is_retry,
             effort: total_effort(&request.parts),
-            second,
+            second_phase: second,
         };
         self.decisions.multiget_arrived(now, &arrival);
         self.add_parts(now, multiget, 0, request.parts.iter());
@@ -198,7 +199,7 @@
             multiget.in_flight -= 1;
         }
         *self.outcome_counter(outcome) += 1;
-        self.endings.push_back(Ending { part, number, node, outcome, took: now - sent_at, report });
+        self.endings.push_back(AttemptEnd { part, number, node, outcome, duration: now - sent_at, report });
     }
 
     fn outcome_counter(&mut self, outcome: Outcome) -> &mut u64 {
@@ -276,11 +277,11 @@
                 self.counters.hand_offs_called_off += 1;
                 Some(Action::Cancel { part, number, outcome: Outcome::Cancelled })
             }
-            Decision::Complete { multiget, last: false, .. } => {
+            Decision::Complete { multiget, is_final: false, .. } => {
                 self.open_second_phase(now, multiget);
                 None
             }
-            Decision::Complete { multiget, complete: is_complete, .. } => {
+            Decision::Complete { multiget, is_complete, .. } => {
                 let verdict = self.completed_verdict(multiget, is_complete)?;
                 self.answer(now, multiget, verdict)
             }
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -225,7 +225,7 @@
         steps in prop::collection::vec(step(), 300..500),
     ) {
         let names_others = settings.names_others;
-        let mut host = Host::new(SiteSettings { cancel, ..site() }, settings, 3);
+        let mut host = Host::new(SiteSettings { cancellation: cancel, ..site() }, settings, 3);
         let mut observations = Observations::default();
         run_steps(&mut host, &steps, &mut observations);
         check_guarantees(&host, &observations, names_others);
--- a/crates/fernknot-engine/tests/plain.rs
+++ b/crates/fernknot-engine/tests/plain.rs
@@ -29,10 +29,11 @@
 
 #[test]
 fn given_a_running_engine_when_a_use_case_is_added_then_its_own_limits_apply() {
-    let budget = RetryBudgetSettings { free: 0.0, share: 0.0, window: ms(10_000.0), each_shard: true };
-    let mut host = Host::new(SiteSettings { budget: Some(budget), ..site() }, two_phase_settings(), 3);
+    let budget =
+        RetryBudgetSettings { free_retries: 0.0, retry_ratio: 0.0, window: ms(10_000.0), per_shard: true };
+    let mut host = Host::new(SiteSettings { retry_budget: Some(budget), ..site() }, two_phase_settings(), 3);
     let settings = UseCaseSettings {
-        required: 1.0,
+        complete_share: 1.0,
         quorum: 1.0,
         max_attempts: Some(2),
         ..site().use_cases.remove(ONE_PHASE)
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -332,7 +332,7 @@
 
 #[test]
 fn a_late_match_answer_is_counted_and_has_no_effect() {
-    let mut host = Host::new(SiteSettings { cancel: false, ..site() }, two_phase_settings(), 3);
+    let mut host = Host::new(SiteSettings { cancellation: false, ..site() }, two_phase_settings(), 3);
     host.warm_up(12, &ALL, 20.0, 100.0);
     let query = host.submit(IDEMPOTENT, &ALL);
     let unanswered = host.in_flight(query, Phase::Match)[3].clone();
@@ -350,8 +350,9 @@
 
 #[test]
 fn retries_of_first_phases_leave_half_of_the_budget_to_second_phases() {
-    let budget = RetryBudgetSettings { free: 4.0, share: 0.0, window: ms(60_000.0), each_shard: false };
-    let mut host = Host::new(SiteSettings { budget: Some(budget), ..site() }, two_phase_settings(), 3);
+    let budget =
+        RetryBudgetSettings { free_retries: 4.0, retry_ratio: 0.0, window: ms(60_000.0), per_shard: false };
+    let mut host = Host::new(SiteSettings { retry_budget: Some(budget), ..site() }, two_phase_settings(), 3);
     host.warm_up(80, &ALL, 10.0, 20.0);
     let query = host.submit(IDEMPOTENT, &ALL);
     host.advance(400.0);
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -161,7 +161,7 @@
     /// Draws one of the services that share a route, with probabilities proportional to their weights.
     fn pick_weighted_service<'a>(&mut self, services: &'a [(String, f64)]) -> &'a str {
         let total: f64 = services.iter().map(|(_, weight)| weight.max(0.0)).sum();
-        let mut remaining = self.rng.share() * total;
+        let mut remaining = self.rng.fraction() * total;
         let drawn = services.iter().find(|(_, weight)| {
             remaining -= weight.max(0.0);
             remaining < 0.0 && *weight > 0.0
--- a/crates/fernknot-protocol/tests/frames.rs
+++ b/crates/fernknot-protocol/tests/frames.rs
@@ -26,7 +26,7 @@
     let response = |id: &str, status, waiting, value: &[u8]| Frame::Response {
         id: id.into(),
         status,
-        load: LoadReport { busy_share: None, waiting },
+        load: LoadReport { busy_share: None, queued_parts: waiting },
         value: value.to_vec(),
     };
     let bytes = framed(&[
--- a/crates/fernknot-protocol/tests/load_reports.rs
+++ b/crates/fernknot-protocol/tests/load_reports.rs
@@ -10,5 +10,5 @@
 #[test_case("inflight=7,util=0.61", Some(0.61), None; "CPU share under its documented name")]
 #[test_case("pending=many,=,cpu_share=inf,x", None, None; "malformed fields")]
 fn reports_are_parsed_under_both_sets_of_names(text: &str, busy_share: Option<f64>, waiting: Option<f64>) {
-    assert_eq!(from_text(text), LoadReport { busy_share, waiting });
+    assert_eq!(from_text(text), LoadReport { busy_share, queued_parts: waiting });
 }
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -100,12 +100,12 @@
         let needs_least = if is_fetch_certain { statistics.min_second_phase(now, named) } else { Nanos(0) };
         let settings = &statistics.settings;
         Some(SecondPhaseEstimate {
-            needs,
+            expected_duration: needs,
             // A query is rejected only if its second phase is certain to be late, not because that is expected.
-            needs_least: needs_least.min(needs),
-            parts,
+            min_duration: needs_least.min(needs),
+            expected_parts: parts,
             effort: query.mean_effort,
-            least: if settings.unanswered_block == UnansweredBlock::Refuse {
+            min_first_phase_share: if settings.unanswered_block == UnansweredBlock::Refuse {
                 1.0
             } else {
                 settings.min_match_share
@@ -161,7 +161,11 @@
         }
         let may_reject = statistics.settings.rejects_late_second_phase;
         let needs = may_reject.then(|| statistics.typical_second_phase(now, plan.blocks.len()));
-        let start = SecondPhaseStart { needs, base: plan.ruled_out_weight, whole: plan.is_complete };
+        let start = SecondPhaseStart {
+            expected_duration: needs,
+            known_share: plan.ruled_out_weight,
+            first_phase_complete: plan.is_complete,
+        };
         Some(SecondPhase { blocks: plan.blocks, start })
     }
 
--- a/crates/fernknot-two-phase/src/use_case_statistics.rs
+++ b/crates/fernknot-two-phase/src/use_case_statistics.rs
@@ -81,7 +81,11 @@
 
     /// Records whether a block matched although its filter denied a match.
     pub fn record_denied_match(&mut self, matched: bool) {
-        self.stale_rate.add_from(Some(INITIAL_STALE_RATE), f64::from(u8::from(matched)), RUNNING_MEAN_GAIN);
+        self.stale_rate.add_with_prior(
+            Some(INITIAL_STALE_RATE),
+            f64::from(u8::from(matched)),
+            RUNNING_MEAN_GAIN,
+        );
     }
 
     /// Records the duration of a first phase.
