--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -69,7 +69,7 @@
         min_first_phase_share: 0.1,
         max_first_phase_share: 0.95,
         unanswered_block: UnansweredBlock::Fetch,
-        names_others: false,
+        may_name_other_blocks: false,
         min_match_share: 0.5,
         split: LatencySplit::Learned,
         rejects_late_second_phase: true,
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -57,9 +57,9 @@
         Just(UnansweredBlock::Refuse)
     ];
     (unanswered_block, any::<bool>(), 0.3..1.0).prop_map(
-        |(unanswered_block, names_others, min_match_share)| TwoPhaseSettings {
+        |(unanswered_block, may_name_other_blocks, min_match_share)| TwoPhaseSettings {
             unanswered_block,
-            names_others,
+            may_name_other_blocks,
             min_match_share,
             ..two_phase_settings()
         },
@@ -137,7 +137,7 @@
     host.run_actions();
 }
 
-fn check_guarantees(host: &Host, observations: &Observations, names_others: bool) {
+fn check_guarantees(host: &Host, observations: &Observations, may_name_other_blocks: bool) {
     // Each query whose client has not gone has exactly one final answer, before the client's deadline. No attempt is
     // sent after it.
     for query in 0..host.query_count() {
@@ -191,7 +191,7 @@
         let all_answered = shards.iter().all(|shard| own_answer(*shard).is_some());
         for (shard, _) in blocks.iter().filter(|(_, state)| *state == BlockState::Pruned) {
             assert_eq!(own_answer(shard.0), Some(false), "{shard:?} {answer:?}");
-            assert!(!names_others || all_answered, "{answer:?}");
+            assert!(!may_name_other_blocks || all_answered, "{answer:?}");
         }
         assert_eq!(blocks.len(), shards.len(), "every block has a state");
         let is_done =
@@ -224,10 +224,10 @@
         cancel in any::<bool>(),
         steps in prop::collection::vec(step(), 300..500),
     ) {
-        let names_others = settings.names_others;
+        let may_name_other_blocks = settings.may_name_other_blocks;
         let mut host = Host::new(SiteSettings { cancel, ..site() }, settings, 3);
         let mut observations = Observations::default();
         run_steps(&mut host, &steps, &mut observations);
-        check_guarantees(&host, &observations, names_others);
+        check_guarantees(&host, &observations, may_name_other_blocks);
     }
 }
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -168,7 +168,7 @@
 #[test]
 fn where_blocks_name_others_no_block_is_ruled_out_while_one_has_not_answered() {
     let settings = TwoPhaseSettings {
-        names_others: true,
+        may_name_other_blocks: true,
         unanswered_block: UnansweredBlock::Leave,
         ..two_phase_settings()
     };
--- a/crates/fernknot-experiments/src/two_phase/workload.rs
+++ b/crates/fernknot-experiments/src/two_phase/workload.rs
@@ -49,7 +49,7 @@
         min_first_phase_share: 0.1,
         max_first_phase_share: 0.9,
         unanswered_block: UnansweredBlock::Fetch,
-        names_others: false,
+        may_name_other_blocks: false,
         min_match_share: 0.75,
         split: if variant == Variant::FixedSplit { LatencySplit::Half } else { LatencySplit::Learned },
         rejects_late_second_phase: variant != Variant::WithoutRejection,
--- a/crates/fernknot-fault-tests/src/cluster.rs
+++ b/crates/fernknot-fault-tests/src/cluster.rs
@@ -10,7 +10,7 @@
 use crate::router_process::{RouterProcess, router_program};
 use crate::router_view::{RouterView, datagrams_sent, http_get};
 use crate::schedule::Schedule;
-use fernknot_stand_in::{Behaviour, DataNode};
+use fernknot_stand_in::{DataNode, NodeBehaviour};
 use rustix::process::Signal;
 use std::io::{BufRead, BufReader, Result as IoResult};
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
         let private: Vec<SocketAddr> = numbers().map(|router| addresses.private_datagrams(router)).collect();
         let broadcast = addresses.broadcast();
         let datagrams = DatagramRelay::start(&public, &private, broadcast, schedule.seed)?;
-        let store = |_| DataNode::start(Behaviour::Late(STORE_LATENCY));
+        let store = |_| DataNode::start(NodeBehaviour::Delayed(STORE_LATENCY));
         let stores: Vec<DataNode> = (0..STORES).map(store).collect::<IoResult<_>>()?;
         let prepare_router = |router: usize| {
             let own = RouterAddresses { public: &public, private: private[router], broadcast };
--- a/crates/fernknot-protocol/src/multiget/request.rs
+++ b/crates/fernknot-protocol/src/multiget/request.rs
@@ -131,7 +131,7 @@
     let asked = first_parts(&body.first, &fetched, settings, limits)?;
     let asked_shards: BTreeSet<ShardId> = asked.iter().map(|part| part.shard).collect();
     // Guards against blocks that nothing could ever name or rule out.
-    if !phases.names_others && fetched.iter().any(|part| !asked_shards.contains(&part.shard)) {
+    if !phases.may_name_other_blocks && fetched.iter().any(|part| !asked_shards.contains(&part.shard)) {
         return Err(RequestError::UnreachableBlock);
     }
     check_terms(&body.first.terms, limits)?;
--- a/crates/fernknot-protocol/tests/common/mod.rs
+++ b/crates/fernknot-protocol/tests/common/mod.rs
@@ -23,13 +23,13 @@
     }
 }
 
-pub fn phases(names_others: bool) -> TwoPhaseSettings {
+pub fn phases(may_name_other_blocks: bool) -> TwoPhaseSettings {
     TwoPhaseSettings {
         latency_target: Nanos::from_millis(1000.0),
         min_first_phase_share: 0.2,
         max_first_phase_share: 0.8,
         unanswered_block: UnansweredBlock::Fetch,
-        names_others,
+        may_name_other_blocks,
         min_match_share: 1.0,
         split: LatencySplit::Learned,
         rejects_late_second_phase: true,
--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -45,7 +45,7 @@
     /// The longest wait that a client may ask for.
     pub max_client_wait: Nanos,
     /// Beyond so many nodes, the id of a node that is gone is given to a new one.
-    pub nodes_before_reuse: usize,
+    pub max_nodes_before_id_reuse: usize,
     /// The most bytes that an idle connection's buffer may keep.
     pub idle_buffer_bytes: usize,
     /// Bytes of one connection that are read, or made ready to be written, ahead of what is done
@@ -124,7 +124,7 @@
             max_name_bytes: 128,
             share_tolerance: 0.01,
             max_client_wait: seconds(24 * 3600),
-            nodes_before_reuse: 4096,
+            max_nodes_before_id_reuse: 4096,
             idle_buffer_bytes: 4 * KIB,
             read_ahead_bytes: READ_AHEAD_BYTES,
             max_datagram_bytes: 256,
--- a/crates/fernknot-router-config/src/phases.rs
+++ b/crates/fernknot-router-config/src/phases.rs
@@ -37,7 +37,7 @@
     /// What happens to a block that did not answer the first phase.
     pub unanswered_block: UnansweredBlock,
     /// A block's match answer may name others than itself.
-    pub names_others: bool,
+    pub may_name_other_blocks: bool,
     /// The share of the first phase with which the second may be opened, above 0 and at most 1.
     pub min_match_share: f64,
     /// How the latency target is divided between the phases.
--- a/crates/fernknot-router-config/tests/router_config.rs
+++ b/crates/fernknot-router-config/tests/router_config.rs
@@ -75,7 +75,7 @@
         (0.5, Nanos(1_500_000_000)),
         "the use case's own least share and goal"
     );
-    assert!(phases.rejects_late_second_phase && phases.prunes_unmatched && !phases.names_others);
+    assert!(phases.rejects_late_second_phase && phases.prunes_unmatched && !phases.may_name_other_blocks);
 }
 
 #[test]
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -114,7 +114,7 @@
                 && record.grace_end.is_some_and(|end| end < now)
         };
         let count = self.records.len();
-        let is_full = count >= context.limits.nodes_before_reuse;
+        let is_full = count >= context.limits.max_nodes_before_id_reuse;
         let index = self.records.iter().position(|record| is_full && is_unused(record)).unwrap_or(count);
         let id = NodeId(index as u32);
         let record = NodeRecord {
--- a/crates/fernknot-router/tests/common/mod.rs
+++ b/crates/fernknot-router/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! The real binary against stand-ins on free loopback ports.
 #![allow(dead_code)]
 
-use fernknot_stand_in::{Behaviour, CONFIG, DataNode, Discovery};
+use fernknot_stand_in::{CONFIG, DataNode, Discovery, NodeBehaviour};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -119,9 +119,9 @@
 }
 
 /// A router, and nodes at places 0, 1, 0, 1 in turn, listed as up.
-pub fn deployment(behaviours: &[Behaviour]) -> (Router, Vec<DataNode>, Discovery) {
+pub fn deployment(behaviours: &[NodeBehaviour]) -> (Router, Vec<DataNode>, Discovery) {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let start = |(index, behaviour): (usize, &Behaviour)| {
+    let start = |(index, behaviour): (usize, &NodeBehaviour)| {
         let node = DataNode::start(*behaviour).unwrap();
         discovery.put(&format!("s-{index}"), node.address, index as u32 % 2, "up");
         node
--- a/crates/fernknot-router/tests/end_to_end.rs
+++ b/crates/fernknot-router/tests/end_to_end.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fernknot_stand_in::{Behaviour, DataNode, Discovery};
+use fernknot_stand_in::{DataNode, Discovery, NodeBehaviour};
 use rustix::process::Signal;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -13,7 +13,7 @@
 
 #[test]
 fn multigets_on_one_connection_are_served_whole_and_unchanged() {
-    let (router, nodes, _discovery) = deployment(&[Behaviour::Answer; 2]);
+    let (router, nodes, _discovery) = deployment(&[NodeBehaviour::Answer; 2]);
     let mut stream = router.connect();
     // Both at once: the second waits its turn.
     let both = request("page", &[0, 1], "2", "") + &request("mark", &[3], "1.5", "");
@@ -30,14 +30,14 @@
         calls.iter().all(|call| call.text == "te\"xt\n\u{e9}" && call.id.ends_with(&call.shard.to_string()))
     );
     let keyed = calls.iter().find(|call| call.shard == 3).unwrap();
-    assert!(keyed.list.starts_with("d=1") && keyed.list.contains(",k=k"), "{keyed:?}");
-    assert!(!calls.iter().any(|call| call.shard == 1 && call.list.contains("k=")));
+    assert!(keyed.options.starts_with("d=1") && keyed.options.contains(",k=k"), "{keyed:?}");
+    assert!(!calls.iter().any(|call| call.shard == 1 && call.options.contains("k=")));
     assert_eq!((router.counter("settled_whole"), router.counter("outcome_answered")), (2, 3));
 }
 
 #[test]
 fn what_one_silent_place_owes_is_left_out_and_said_so() {
-    let (router, _nodes, _discovery) = deployment(&[Behaviour::Answer, Behaviour::Silent]);
+    let (router, _nodes, _discovery) = deployment(&[NodeBehaviour::Answer, NodeBehaviour::Unresponsive]);
     let answer = router.ask("list", &[0, 1], "3");
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains(r#""finished":false"#), "{answer}");
     assert!(answer.contains(r#""bucket":0"#) && !answer.contains(r#""bucket":1"#), "{answer}");
@@ -45,22 +45,22 @@
 
 #[test]
 fn a_shard_without_nodes_is_rejected_with_advice() {
-    let (router, nodes, _discovery) = deployment(&[Behaviour::Answer]);
+    let (router, nodes, _discovery) = deployment(&[NodeBehaviour::Answer]);
     let answer = router.ask("page", &[0, 1], "2");
     assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: "), "{answer}");
     assert_eq!(nodes[0].calls(), []);
 }
 
 /// Beside a sound replica, each trouble ends hand-offs in its own way and costs no answer.
-#[test_case(Behaviour::Fault, "outcome_error"; "error")]
-#[test_case(Behaviour::Overload, "outcome_turned_away"; "turned away")]
-#[test_case(Behaviour::Break, "outcome_broken"; "broken after the frame")]
-#[test_case(Behaviour::Unusable, "outcome_error"; "frame not usable")]
-#[test_case(Behaviour::Strange, "frames_bad"; "an answer to what was never sent")]
-#[test_case(Behaviour::Endless, "frames_bad"; "a frame that never comes whole")]
-#[test_case(Behaviour::Noisy, "frames_bad"; "more than was asked for")]
-fn failed_attempts_are_distinguished_and_retried(behaviour: Behaviour, counter: &str) {
-    let (router, _nodes, _discovery) = deployment(&[behaviour, Behaviour::Answer, Behaviour::Answer]);
+#[test_case(NodeBehaviour::Fault, "outcome_error"; "error")]
+#[test_case(NodeBehaviour::Overload, "outcome_turned_away"; "turned away")]
+#[test_case(NodeBehaviour::CloseConnection, "outcome_broken"; "broken after the frame")]
+#[test_case(NodeBehaviour::RejectFrame, "outcome_error"; "frame not usable")]
+#[test_case(NodeBehaviour::UnknownIdFirst, "frames_bad"; "an answer to what was never sent")]
+#[test_case(NodeBehaviour::TruncatedFrame, "frames_bad"; "a frame that never comes whole")]
+#[test_case(NodeBehaviour::TrailingBytes, "frames_bad"; "more than was asked for")]
+fn failed_attempts_are_distinguished_and_retried(behaviour: NodeBehaviour, counter: &str) {
+    let (router, _nodes, _discovery) = deployment(&[behaviour, NodeBehaviour::Answer, NodeBehaviour::Answer]);
     until(counter, || {
         let answer = router.ask("page", &[0], "3");
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_break_after_the_frame_may_have_run_so_a_keyed_multiget_is_broken_off() {
-    let (router, _nodes, _discovery) = deployment(&[Behaviour::Break]);
+    let (router, _nodes, _discovery) = deployment(&[NodeBehaviour::CloseConnection]);
     let answer = router.ask("mark", &[0], "1");
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
     assert!(router.counter("outcome_broken") >= 1);
@@ -89,11 +89,11 @@
 
 #[test]
 fn a_spoilt_answer_holds_no_later_parts_back() {
-    let (router, nodes, _discovery) = deployment(&[Behaviour::Strange; 4]);
+    let (router, nodes, _discovery) = deployment(&[NodeBehaviour::UnknownIdFirst; 4]);
     assert!(!router.ask("page", &[0], "2").starts_with("HTTP/1.1 200"));
     // As often as a part may be handed off.
     assert_eq!((router.counter("frames_bad"), router.counter("outcome_error")), (4, 4));
-    nodes.iter().for_each(|node| node.set(Behaviour::Silent));
+    nodes.iter().for_each(|node| node.set_behaviour(NodeBehaviour::Unresponsive));
     // Were the first part tried alone, its client would be gone before the other went out.
     router.ask("page", &[0, 1], "0.2");
     until("both parts at their nodes", || nodes.iter().map(|node| node.calls().len()).sum::<usize>() == 6);
@@ -101,25 +101,28 @@
 
 #[test]
 fn a_silent_node_costs_no_more_than_the_clients_time_and_gets_a_cancellation() {
-    let (router, nodes, _discovery) = deployment(&[Behaviour::Silent]);
+    let (router, nodes, _discovery) = deployment(&[NodeBehaviour::Unresponsive]);
     let start = Instant::now();
     let answer = router.ask("mark", &[0], "0.4");
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
-    until("the node received the cancellation", || nodes[0].given_up() == [nodes[0].calls()[0].id.clone()]);
+    until("the node received the cancellation", || {
+        nodes[0].cancelled_ids() == [nodes[0].calls()[0].id.clone()]
+    });
 }
 
 #[test]
 fn a_connection_that_falls_silent_takes_nothing_further() {
-    let (router, nodes, _discovery) = deployment(&[Behaviour::Mute]);
+    let (router, nodes, _discovery) = deployment(&[NodeBehaviour::UnresponsiveFirstConnection]);
     assert!(!router.ask("page", &[0], "1").starts_with("HTTP/1.1 200"));
     assert!(router.ask("page", &[0], "2").starts_with("HTTP/1.1 200"));
-    assert_eq!((nodes[0].connections(), router.counter("outcome_answered")), (2, 1));
+    assert_eq!((nodes[0].connection_count(), router.counter("outcome_answered")), (2, 1));
 }
 
 #[test]
 fn a_draining_node_gets_nothing_new() {
-    let (router, nodes, discovery) = deployment(&[Behaviour::Answer, Behaviour::Answer, Behaviour::Answer]);
+    let (router, nodes, discovery) =
+        deployment(&[NodeBehaviour::Answer, NodeBehaviour::Answer, NodeBehaviour::Answer]);
     until("both nodes of the place in use", || {
         router.ask("page", &[0], "2");
         !nodes[0].calls().is_empty() && !nodes[2].calls().is_empty()
@@ -137,8 +140,9 @@
 #[test]
 fn a_silent_discovery_leaves_the_known_list_in_use_and_a_bad_entry_costs_no_other() {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    discovery.set_silent(true);
-    let nodes = [DataNode::start(Behaviour::Answer).unwrap(), DataNode::start(Behaviour::Answer).unwrap()];
+    discovery.set_unresponsive(true);
+    let nodes =
+        [DataNode::start(NodeBehaviour::Answer).unwrap(), DataNode::start(NodeBehaviour::Answer).unwrap()];
     let mut config = config();
     let entry = json!({"instanceId": "s-0", "hostPort": nodes[0].address.to_string(), "cell": 0,
         "lifecycle": "up", "startedAtMs": 0});
@@ -146,16 +150,17 @@
     let router = Router::start(&config, discovery.address);
     assert!(router.ask("page", &[0], "2").starts_with("HTTP/1.1 200"));
     until("a call given up", || router.counter("list_calls_failed") > 0);
-    discovery.put_raw("s-9", r#"{"instanceId":"s-9","lifecycle":"asleep"}"#);
+    discovery.put_entry("s-9", r#"{"instanceId":"s-9","lifecycle":"asleep"}"#);
     discovery.put("s-1", nodes[1].address, 1, "up");
-    discovery.set_silent(false);
+    discovery.set_unresponsive(false);
     until("the new list", || router.ask("page", &[1], "2").starts_with("HTTP/1.1 200"));
     assert!(router.counter("list_entries_bad") > 0);
 }
 
 #[test]
 fn a_discovery_that_refuses_is_called_again_until_it_answers() {
-    let nodes = [DataNode::start(Behaviour::Answer).unwrap(), DataNode::start(Behaviour::Answer).unwrap()];
+    let nodes =
+        [DataNode::start(NodeBehaviour::Answer).unwrap(), DataNode::start(NodeBehaviour::Answer).unwrap()];
     let mut config = config();
     let entry =
         json!({"instanceId": "s-0", "hostPort": nodes[0].address.to_string(), "cell": 0, "lifecycle": "up"});
@@ -173,12 +178,12 @@
 
 #[test]
 fn a_new_configuration_moves_discovery_and_costs_nothing_in_hand() {
-    let (router, nodes, old) = deployment(&[Behaviour::Late(Duration::from_millis(300))]);
+    let (router, nodes, old) = deployment(&[NodeBehaviour::Delayed(Duration::from_millis(300))]);
     let new = Discovery::start("127.0.0.1:0").unwrap();
-    let second = DataNode::start(Behaviour::Answer).unwrap();
+    let second = DataNode::start(NodeBehaviour::Answer).unwrap();
     new.put("s-0", nodes[0].address, 0, "up");
     new.put("s-1", second.address, 1, "up");
-    until("the watch", || old.calls() == 2);
+    until("the watch", || old.call_count() == 2);
     let mut held = router.connect();
     held.write_all(request("page", &[0], "3", "").as_bytes()).unwrap();
     until("its part at the node", || nodes[0].calls().len() == 1);
@@ -192,15 +197,15 @@
     router.signal(Signal::HUP);
     until("the new list", || router.ask("page", &[1], "2").starts_with("HTTP/1.1 200"));
     assert!(read_answer(&mut held).starts_with("HTTP/1.1 200"));
-    assert_eq!((old.calls(), router.counter("list_calls_failed")), (2, 0));
+    assert_eq!((old.call_count(), router.counter("list_calls_failed")), (2, 0));
     assert_eq!(router.counter("configurations_taken"), 1);
 }
 
 #[test]
 fn a_node_that_moves_stays_the_same_node() {
-    let (router, nodes, discovery) = deployment(&[Behaviour::Answer]);
+    let (router, nodes, discovery) = deployment(&[NodeBehaviour::Answer]);
     assert!(router.ask("page", &[0], "2").starts_with("HTTP/1.1 200"));
-    let moved = DataNode::start(Behaviour::Answer).unwrap();
+    let moved = DataNode::start(NodeBehaviour::Answer).unwrap();
     discovery.put("s-0", moved.address, 0, "up");
     until("the new address in use", || {
         assert!(router.ask("page", &[0], "2").starts_with("HTTP/1.1 200"));
@@ -208,19 +213,22 @@
     });
     let before = nodes[0].calls().len();
     assert!(router.ask("page", &[0], "2").starts_with("HTTP/1.1 200"));
-    assert_eq!((nodes[0].calls().len(), nodes[0].connections(), moved.connections()), (before, 1, 1));
+    assert_eq!(
+        (nodes[0].calls().len(), nodes[0].connection_count(), moved.connection_count()),
+        (before, 1, 1)
+    );
 }
 
 #[test]
 fn a_client_that_closes_has_gone_and_one_that_only_stops_sending_has_not() {
-    let (router, nodes, _discovery) = deployment(&[Behaviour::Silent]);
+    let (router, nodes, _discovery) = deployment(&[NodeBehaviour::Unresponsive]);
     let mut gone = router.connect();
     gone.write_all(request("page", &[0], "20", "").as_bytes()).unwrap();
     until("its part at the node", || nodes[0].calls().len() == 1);
     drop(gone);
     until("its leaving", || router.counter("lapsed") == 1);
-    until("the node received it", || nodes[0].given_up().len() == 1);
-    nodes[0].set(Behaviour::Late(Duration::from_millis(50)));
+    until("the node received it", || nodes[0].cancelled_ids().len() == 1);
+    nodes[0].set_behaviour(NodeBehaviour::Delayed(Duration::from_millis(50)));
     let mut half = router.connect();
     half.write_all(request("page", &[0], "3", "").as_bytes()).unwrap();
     half.shutdown(Shutdown::Write).unwrap();
@@ -230,7 +238,7 @@
 
 #[test]
 fn a_stopping_router_answers_what_it_took_then_ends_and_starts_again_at_once() {
-    let (mut router, nodes, discovery) = deployment(&[Behaviour::Late(Duration::from_millis(200))]);
+    let (mut router, nodes, discovery) = deployment(&[NodeBehaviour::Delayed(Duration::from_millis(200))]);
     let mut idle = router.connect();
     idle.write_all(request("page", &[0], "3", "").as_bytes()).unwrap();
     read_answer(&mut idle);
@@ -248,7 +256,7 @@
     assert!(router.ask("page", &[0], "3").starts_with("HTTP/1.1 200"));
     assert!(read_answer(&mut held).starts_with("HTTP/1.1 200"));
     // Then they end one by one, once what is owed has been answered, by the end of the stop if not before.
-    nodes[0].set(Behaviour::Silent);
+    nodes[0].set_behaviour(NodeBehaviour::Unresponsive);
     held.write_all(request("page", &[0], "600", "").as_bytes()).unwrap();
     let mut rest = String::new();
     idle.read_to_string(&mut rest).unwrap();
@@ -266,7 +274,7 @@
 
 #[test]
 fn a_stopping_router_hands_its_connections_over_one_by_one() {
-    let (mut router, _nodes, _discovery) = deployment(&[Behaviour::Answer]);
+    let (mut router, _nodes, _discovery) = deployment(&[NodeBehaviour::Answer]);
     let mut idle: Vec<TcpStream> = (0..40).map(|_| router.connect()).collect();
     until("all accepted", || router.counter("client_connections") >= 40);
     idle.iter().for_each(|stream| stream.set_nonblocking(true).unwrap());
@@ -286,7 +294,7 @@
 
 #[test]
 fn a_router_that_stops_after_a_quiet_while_still_accepts_clients() {
-    let (mut router, _nodes, _discovery) = deployment(&[Behaviour::Answer]);
+    let (mut router, _nodes, _discovery) = deployment(&[NodeBehaviour::Answer]);
     let quiet = Instant::now();
     until("a quiet while", || quiet.elapsed() > Duration::from_millis(900));
     let stopped_at = Instant::now();
@@ -315,7 +323,7 @@
 /// A router and a socket in the place of the only other one, with and without membership.
 fn with_peer(fleet: Option<serde_json::Value>) -> (Router, UdpSocket, SocketAddr, DataNode, Discovery) {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let node = DataNode::start(Behaviour::Answer).unwrap();
+    let node = DataNode::start(NodeBehaviour::Answer).unwrap();
     discovery.put("s-0", node.address, 0, "up");
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -385,7 +393,7 @@
 #[test_case("/page", HEAD, r#"{"buckets":[{"bucket":0,"part":1}],"#, 400; "cut off JSON")]
 #[test_case("/page", HEAD, "[[[[[[[[", 400; "not JSON")]
 fn bad_requests_are_rejected_and_the_connection_goes_on(path: &str, head: &str, body: &str, status: u16) {
-    let (router, nodes, _discovery) = deployment(&[Behaviour::Answer]);
+    let (router, nodes, _discovery) = deployment(&[NodeBehaviour::Answer]);
     let mut stream = router.connect();
     write!(stream, "POST {path} HTTP/1.1\r\n{head}Content-Length: {}\r\n\r\n{body}", body.len()).unwrap();
     stream.write_all(request("page", &[0], "2", "").as_bytes()).unwrap();
@@ -404,7 +412,7 @@
 #[test_case("POST /page HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400; "two lengths")]
 #[test_case("POST /page HTTP/1.1\r\nContent-Length: 5\r\n\r\nab", 400; "cut off by the client")]
 fn where_framing_is_lost_the_connection_ends_after_the_answer(text: &str, status: u16) {
-    let (router, _nodes, _discovery) = deployment(&[Behaviour::Answer]);
+    let (router, _nodes, _discovery) = deployment(&[NodeBehaviour::Answer]);
     let mut stream = router.connect();
     stream.write_all(text.as_bytes()).unwrap();
     if text.ends_with("ab") {
@@ -418,7 +426,7 @@
 
 #[test]
 fn an_open_request_keeps_its_id_for_itself() {
-    let (router, nodes, _discovery) = deployment(&[Behaviour::Late(Duration::from_millis(300))]);
+    let (router, nodes, _discovery) = deployment(&[NodeBehaviour::Delayed(Duration::from_millis(300))]);
     let asked = request("page", &[0], "3", "");
     let (mut first, mut second) = (router.connect(), router.connect());
     first.write_all(asked.as_bytes()).unwrap();
@@ -452,7 +460,7 @@
 #[test]
 fn past_the_limit_of_connections_idle_ones_make_room() {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let node = DataNode::start(Behaviour::Answer).unwrap();
+    let node = DataNode::start(NodeBehaviour::Answer).unwrap();
     discovery.put("s-0", node.address, 0, "up");
     let mut config = config();
     config["limits"]["sockets"] = json!(64);
@@ -469,7 +477,7 @@
 #[test]
 fn at_the_limit_those_that_have_asked_make_room_for_a_first_request() {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let node = DataNode::start(Behaviour::Answer).unwrap();
+    let node = DataNode::start(NodeBehaviour::Answer).unwrap();
     discovery.put("s-0", node.address, 0, "up");
     let mut config = config();
     config["limits"]["sockets"] = json!(64);
--- a/crates/fernknot-router/tests/migration.rs
+++ b/crates/fernknot-router/tests/migration.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fernknot_stand_in::{Behaviour, DataNode, Discovery};
+use fernknot_stand_in::{DataNode, Discovery, NodeBehaviour};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -38,11 +38,12 @@
     /// Two nodes of either zone at either place; all hold all shards, as they must while both shapes run.
     fn start() -> Move {
         let discovery = Discovery::start("127.0.0.1:0").unwrap();
-        let nodes: Vec<DataNode> =
-            (0..8).map(|_| DataNode::start(Behaviour::Late(Duration::from_millis(10))).unwrap()).collect();
+        let nodes: Vec<DataNode> = (0..8)
+            .map(|_| DataNode::start(NodeBehaviour::Delayed(Duration::from_millis(10))).unwrap())
+            .collect();
         for (index, node) in nodes.iter().enumerate() {
             let (name, zone) = (format!("s-{index}"), ["a", "b"][index / 4]);
-            discovery.put_raw(&name, &entry(&name, node.address, index % 2, zone, "up", 0));
+            discovery.put_entry(&name, &entry(&name, node.address, index % 2, zone, "up", 0));
         }
         let old = Router::start(&config(), discovery.address);
         let new = Router::start(&new_shape(), discovery.address);
@@ -67,7 +68,7 @@
         let routers = [&self.old, &self.new];
         let before = routers.map(|router| router.counter("lists_changes"));
         let (name, address) = (format!("s-{node}"), self.nodes[node].address);
-        self.discovery.put_raw(&name, &entry(&name, address, node % 2, "b", lifecycle, started));
+        self.discovery.put_entry(&name, &entry(&name, address, node % 2, "b", lifecycle, started));
         let has_changes = |(router, before): (&Router, u64)| router.counter("lists_changes") > before;
         until("both have the changes", || routers.into_iter().zip(before).all(has_changes));
     }
--- a/crates/fernknot-router/tests/two_phase.rs
+++ b/crates/fernknot-router/tests/two_phase.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fernknot_stand_in::{Behaviour, DataNode, Discovery};
+use fernknot_stand_in::{DataNode, Discovery, NodeBehaviour};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::sync::atomic::Ordering;
@@ -30,18 +30,21 @@
     config
 }
 
-fn phased(matches: bool, fetch_after: Option<Duration>) -> Behaviour {
-    Behaviour::Phased { matches, match_after: QUICK, fetch_after }
+fn phased(matches: bool, fetch_after: Option<Duration>) -> NodeBehaviour {
+    NodeBehaviour::TwoPhase { matches, match_after: QUICK, fetch_after }
 }
 
 /// So many nodes of these behaviours at each place.
-fn deploy(places: [(Behaviour, usize); 4]) -> (Router, Vec<Vec<DataNode>>, Discovery) {
+fn deploy(places: [(NodeBehaviour, usize); 4]) -> (Router, Vec<Vec<DataNode>>, Discovery) {
     deploy_within(GOAL, places)
 }
 
-fn deploy_within(goal: Duration, places: [(Behaviour, usize); 4]) -> (Router, Vec<Vec<DataNode>>, Discovery) {
+fn deploy_within(
+    goal: Duration,
+    places: [(NodeBehaviour, usize); 4],
+) -> (Router, Vec<Vec<DataNode>>, Discovery) {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let start = |(place, (behaviour, count)): (usize, (Behaviour, usize))| {
+    let start = |(place, (behaviour, count)): (usize, (NodeBehaviour, usize))| {
         let node = |index: usize| {
             let node = DataNode::start(behaviour).unwrap();
             discovery.put(&format!("s-{place}-{index}"), node.address, place as u32, "up");
@@ -118,9 +121,9 @@
     assert_eq!(body["found"][1], json!({"bucket": 3, "item": "get of shard 3"}));
     let calls = nodes[0][0].calls();
     let [first, second] = &calls[..] else { panic!("a match and a fetch: {calls:?}") };
-    assert!(first.id.ends_with(",m.0") && first.text == "find" && first.list.ends_with(",p=match"));
-    assert!(!first.list.contains("k="), "a match changes nothing: {first:?}");
-    assert!(second.id.ends_with(",f.0") && second.text == "get" && second.list.contains(",k=k"));
+    assert!(first.id.ends_with(",m.0") && first.text == "find" && first.options.ends_with(",p=match"));
+    assert!(!first.options.contains("k="), "a match changes nothing: {first:?}");
+    assert!(second.id.ends_with(",f.0") && second.text == "get" && second.options.contains(",k=k"));
     assert_eq!(nodes[1][0].calls().len(), 1);
     let counters = ["phased_taken", "phased_whole", "blocks_fetched", "blocks_pruned"];
     assert_eq!(counters.map(|name| router.counter(name)), [1, 1, 2, 2]);
@@ -133,7 +136,7 @@
     let answer = router.ask("page", &[0, 1], "2");
     assert!(answer.starts_with("HTTP/1.1 200") && !answer.contains("blocks"), "{answer}");
     let call = &nodes[0][0].calls()[0];
-    assert!(!call.id.contains(',') && !call.list.contains("p="), "{call:?}");
+    assert!(!call.id.contains(',') && !call.options.contains("p="), "{call:?}");
 }
 
 #[test]
@@ -149,7 +152,7 @@
     assert!(answers.iter().all(|(status, body, _)| *status == 200 && body["finished"] == json!(true)));
     let said = ["fetched", "fetched", "fetched", "pruned"];
     assert!(answers.iter().all(|(_, body, _)| states(body) == said));
-    let fetches = nodes[3][0].calls().iter().filter(|call| call.list.contains("p=fetch")).count();
+    let fetches = nodes[3][0].calls().iter().filter(|call| call.options.contains("p=fetch")).count();
     assert_eq!((fetches, router.counter("second_phase_failed")), (0, 0));
 }
 
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -128,7 +128,7 @@
         if let Some(asked) = self.asked.get_mut(&from) {
             asked.answered = true;
         }
-        if settings.names_others {
+        if settings.may_name_other_blocks {
             let is_complete = self.is_first_phase_complete();
             let remaining = if is_complete { 0.0 } else { 1.0 - 1.0 / self.asked.len() as f64 };
             let candidates = self.candidates.values_mut();
@@ -153,8 +153,8 @@
         for (shard, candidate) in &mut self.candidates {
             // A block that did not answer may have named itself, or any block where blocks name others.
             let is_own_answer_missing = self.asked.get(shard).is_some_and(|asked| !asked.answered);
-            let may_be_named =
-                !candidate.named && (is_own_answer_missing || !is_first_complete && settings.names_others);
+            let may_be_named = !candidate.named
+                && (is_own_answer_missing || !is_first_complete && settings.may_name_other_blocks);
             plan.named += usize::from(candidate.named);
             let is_fetched = candidate.named
                 || !settings.prunes_unmatched
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -134,7 +134,7 @@
         }
         let named = match answer.names {
             MatchedBlocks::Blocks(blocks) => {
-                query.check_named(from, &blocks, statistics.settings.names_others)?;
+                query.check_named(from, &blocks, statistics.settings.may_name_other_blocks)?;
                 NamedBlocks { blocks, ruled_out_by_filter: false }
             }
             MatchedBlocks::Same(version) => named_by_filter(&mut self.filters, query, from, version),
--- a/examples/stand-in/src/discovery.rs
+++ b/examples/stand-in/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: a list that can be changed, told whole or as changes to those who watch.
+//! A discovery service whose list of nodes can be changed; watchers receive the full list or its changes.
 
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::http::{Request, RequestReader, ResponseHead};
@@ -14,8 +14,8 @@
     generation: u64,
     /// Each entry's JSON, and the generation in which it last changed.
     entries: BTreeMap<String, (u64, String)>,
-    silent: bool,
-    calls: usize,
+    is_unresponsive: bool,
+    call_count: usize,
 }
 
 struct State {
@@ -23,6 +23,7 @@
     changed: Condvar,
 }
 
+/// A discovery service on a loopback port.
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<State>,
@@ -34,11 +35,11 @@
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
         let state = Arc::new(State { list: Mutex::default(), changed: Condvar::new() });
-        let serving = state.clone();
+        let server_state = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let state = serving.clone();
-                // A connection that breaks is the router's to see.
+                let state = server_state.clone();
+                // A connection error needs no handling here: the router under test handles it.
                 thread::spawn(move || serve(stream, &state).ok());
             }
         });
@@ -46,19 +47,19 @@
     }
 
     fn list(&self) -> MutexGuard<'_, List> {
-        self.state.list.lock().expect("no panic before")
+        self.state.list.lock().expect("no thread panicked")
     }
 
-    /// Lists a node, or lists it anew.
+    /// Adds a node to the list, or replaces its entry.
     pub fn put(&self, name: &str, address: SocketAddr, cell: u32, lifecycle: &str) {
         let entry = format!(
             r#"{{"instanceId":"{name}","hostPort":"{address}","zone":"a","machineType":"m","cell":{cell},"#
         ) + &format!(r#""lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#);
-        self.put_raw(name, &entry);
+        self.put_entry(name, &entry);
     }
 
-    /// Lists whatever this is.
-    pub fn put_raw(&self, name: &str, entry: &str) {
+    /// Adds or replaces an entry given as JSON, which need not be valid.
+    pub fn put_entry(&self, name: &str, entry: &str) {
         let mut list = self.list();
         list.generation += 1;
         let generation = list.generation;
@@ -66,14 +67,15 @@
         self.state.changed.notify_all();
     }
 
-    /// Leaves calls unanswered, or answers again.
-    pub fn set_silent(&self, silent: bool) {
-        self.list().silent = silent;
+    /// Leaves all calls unanswered until it is set back to false.
+    pub fn set_unresponsive(&self, is_unresponsive: bool) {
+        self.list().is_unresponsive = is_unresponsive;
         self.state.changed.notify_all();
     }
 
-    pub fn calls(&self) -> usize {
-        self.list().calls
+    /// Number of calls received so far.
+    pub fn call_count(&self) -> usize {
+        self.list().call_count
     }
 }
 
@@ -87,10 +89,10 @@
                 let body = answer(&request, state);
                 let mut out = Buffer::default();
                 let status = if body.is_some() { 200 } else { 404 };
-                let kind = "application/json";
+                let content_type = "application/json";
                 ResponseHead {
                     status,
-                    content_type: kind,
+                    content_type,
                     retry_after_s: None,
                     keeps_connection: request.keeps_connection,
                     is_http_1_0: request.is_http_1_0,
@@ -110,29 +112,32 @@
     }
 }
 
-/// The list's JSON once there is something to tell, or the call's wait is over.
+/// Returns the JSON of the list or of its changes, at the first change or when the call's wait is over; `None` for an
+/// unknown path.
 fn answer(request: &Request, state: &State) -> Option<String> {
     if request.path() != "/discovery/hosts" {
         return None;
     }
-    let told = |name: &str| {
+    let parameter = |name: &str| {
         let query = request.target.split('?').nth(1)?;
         query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
     };
-    let since = told("index");
-    let wait = Duration::from_millis(told("wait").unwrap_or(0).min(60_000));
-    let mut list = state.list.lock().expect("no panic before");
-    list.calls += 1;
-    let nothing = |list: &mut List| list.silent || since.is_some_and(|since| list.generation <= since);
+    let since = parameter("index");
+    let wait = Duration::from_millis(parameter("wait").unwrap_or(0).min(60_000));
+    let mut list = state.list.lock().expect("no thread panicked");
+    list.call_count += 1;
+    let is_unchanged =
+        |list: &mut List| list.is_unresponsive || since.is_some_and(|since| list.generation <= since);
     if since.is_some() {
-        list = state.changed.wait_timeout_while(list, wait, nothing).expect("no panic before").0;
+        list = state.changed.wait_timeout_while(list, wait, is_unchanged).expect("no thread panicked").0;
     }
-    while list.silent {
-        list = state.changed.wait(list).expect("no panic before");
+    while list.is_unresponsive {
+        list = state.changed.wait(list).expect("no thread panicked");
     }
-    let whole = since.is_none_or(|since| since > list.generation);
-    let new = |(changed, _): &&(u64, String)| whole || Some(*changed) > since;
-    let entries: Vec<&str> = list.entries.values().filter(new).map(|(_, entry)| entry.as_str()).collect();
+    let is_full = since.is_none_or(|since| since > list.generation);
+    let is_listed = |(changed, _): &&(u64, String)| is_full || Some(*changed) > since;
+    let entries: Vec<&str> =
+        list.entries.values().filter(is_listed).map(|(_, entry)| entry.as_str()).collect();
     let generation = list.generation;
-    Some(format!(r#"{{"generation":{generation},"reset":{whole},"instances":[{}]}}"#, entries.join(",")))
+    Some(format!(r#"{{"generation":{generation},"reset":{is_full},"instances":[{}]}}"#, entries.join(",")))
 }
--- a/examples/stand-in/src/lib.rs
+++ b/examples/stand-in/src/lib.rs
@@ -5,7 +5,7 @@
 mod node;
 
 pub use discovery::Discovery;
-pub use node::{Behaviour, Call, DataNode};
+pub use node::{Call, DataNode, NodeBehaviour};
 
 use fernknot_router_config::{Limits, Precedence, RouterConfig};
 
--- a/examples/stand-in/src/main.rs
+++ b/examples/stand-in/src/main.rs
@@ -1,6 +1,6 @@
 //! Discovery and data nodes of the example configuration, for trying the router by hand.
 
-use fernknot_stand_in::{Behaviour, DataNode, Discovery};
+use fernknot_stand_in::{DataNode, Discovery, NodeBehaviour};
 use std::time::Duration;
 
 /// Two nodes at each of the example's two places.
@@ -11,7 +11,7 @@
     println!("discovery at {}", discovery.address);
     let mut nodes = Vec::new();
     for (index, place) in PLACES.into_iter().enumerate() {
-        let node = DataNode::start(Behaviour::Late(Duration::from_millis(20)))?;
+        let node = DataNode::start(NodeBehaviour::Delayed(Duration::from_millis(20)))?;
         println!("data node s-{index} at {}, place {place}", node.address);
         discovery.put(&format!("s-{index}"), node.address, place, "up");
         nodes.push(node);
--- a/examples/stand-in/src/node.rs
+++ b/examples/stand-in/src/node.rs
@@ -1,4 +1,4 @@
-//! A data node: answers each part with its shard and text, or misbehaves as told.
+//! A data node that answers each part with the part's text and shard, or misbehaves in a chosen way.
 
 use fernknot::interface::ShardId;
 use fernknot_protocol::buffer::Buffer;
@@ -10,127 +10,140 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a node does with the calls that come.
+/// Reaction of a node to the calls that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behaviour {
+pub enum NodeBehaviour {
+    /// Answers each part at once.
     Answer,
-    /// Answers after a while.
-    Late(Duration),
-    /// Answers each part twice, the first time under an id that nobody asked for.
-    Strange,
-    /// Says that a frame is longer than what comes of it.
-    Endless,
-    /// Answers, and sends a little more behind that.
-    Noisy,
-    /// Asked in two phases: says after a while whether its blocks match, and answers fetches after
-    /// another, or never. Anything else it answers at once.
-    Phased {
+    /// Answers each part after a delay.
+    Delayed(Duration),
+    /// Answers each part twice, the first time under an id that was never requested.
+    UnknownIdFirst,
+    /// Sends the beginning of a frame, and never the rest that its length announces.
+    TruncatedFrame,
+    /// Answers, and sends a few bytes of an incomplete frame after the answer.
+    TrailingBytes,
+    /// Answers the parts of two-phase queries after a delay, and all other parts at once.
+    TwoPhase {
+        /// Whether the node's blocks match.
         matches: bool,
+        /// Delay of the answers in the first phase.
         match_after: Duration,
+        /// Delay of the answers in the second phase; `None`: no answer.
         fetch_after: Option<Duration>,
     },
+    /// Answers each part with an error.
     Fault,
+    /// Rejects each part as overloaded.
     Overload,
-    Silent,
-    /// Answers nothing on its first connection and all on others.
-    Mute,
-    /// Closes each connection once a call has come.
-    Break,
-    /// Says that the frame could not be used, and closes.
-    Unusable,
+    /// Never answers.
+    Unresponsive,
+    /// Never answers on its first connection, and answers at once on all others.
+    UnresponsiveFirstConnection,
+    /// Closes each connection on which it receives a call.
+    CloseConnection,
+    /// Rejects the frame as malformed, and closes the connection.
+    RejectFrame,
 }
 
-/// One part as it came.
+/// A part of a call as it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     pub id: String,
     pub shard: u32,
-    pub list: String,
+    /// Options of the part, such as its deadline, separated by commas.
+    pub options: String,
     pub text: String,
 }
 
 struct State {
-    behaviour: Mutex<Behaviour>,
+    behaviour: Mutex<NodeBehaviour>,
     calls: Mutex<Vec<Call>>,
-    given_up: Mutex<Vec<String>>,
-    connections: Mutex<usize>,
+    cancelled_ids: Mutex<Vec<String>>,
+    connection_count: Mutex<usize>,
 }
 
+/// A data node on a loopback port, with a record of the calls that it received.
 pub struct DataNode {
     pub address: SocketAddr,
     state: Arc<State>,
 }
 
 impl DataNode {
-    /// Listens on a port of its own and serves until the process ends.
-    pub fn start(behaviour: Behaviour) -> Result<DataNode> {
+    /// Listens on a free loopback port and serves until the process ends.
+    pub fn start(behaviour: NodeBehaviour) -> Result<DataNode> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = Arc::new(State {
             behaviour: Mutex::new(behaviour),
             calls: Mutex::default(),
-            given_up: Mutex::default(),
-            connections: Mutex::default(),
+            cancelled_ids: Mutex::default(),
+            connection_count: Mutex::default(),
         });
-        let serving = state.clone();
+        let server_state = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let state = serving.clone();
+                let state = server_state.clone();
                 let number = {
-                    let mut connections = state.connections.lock().expect("no panic before");
-                    *connections += 1;
-                    *connections
+                    let mut connection_count = state.connection_count.lock().expect("no thread panicked");
+                    *connection_count += 1;
+                    *connection_count
                 };
-                // A connection that breaks is the router's to see.
+                // A connection error needs no handling here: the router under test handles it.
                 thread::spawn(move || serve(stream, number, &state).ok());
             }
         });
         Ok(DataNode { address, state })
     }
 
-    pub fn set(&self, behaviour: Behaviour) {
-        *self.state.behaviour.lock().expect("no panic before") = behaviour;
+    /// Changes the reaction to all further calls.
+    pub fn set_behaviour(&self, behaviour: NodeBehaviour) {
+        *self.state.behaviour.lock().expect("no thread panicked") = behaviour;
     }
 
+    /// Parts received so far, in the order of their arrival.
     pub fn calls(&self) -> Vec<Call> {
-        self.state.calls.lock().expect("no panic before").clone()
+        self.state.calls.lock().expect("no thread panicked").clone()
     }
 
-    pub fn given_up(&self) -> Vec<String> {
-        self.state.given_up.lock().expect("no panic before").clone()
+    /// Ids of the parts whose cancellation was received.
+    pub fn cancelled_ids(&self) -> Vec<String> {
+        self.state.cancelled_ids.lock().expect("no thread panicked").clone()
     }
 
-    pub fn connections(&self) -> usize {
-        *self.state.connections.lock().expect("no panic before")
+    /// Number of connections accepted so far.
+    pub fn connection_count(&self) -> usize {
+        *self.state.connection_count.lock().expect("no thread panicked")
     }
 }
 
-fn serve(mut stream: TcpStream, number: usize, state: &State) -> Result<()> {
+fn serve(mut stream: TcpStream, connection_number: usize, state: &State) -> Result<()> {
     stream.set_nodelay(true)?;
     let limits = crate::limits();
     let mut input = Buffer::default();
     loop {
         let Ok(frame) = frames::peek_frame(&input, &limits) else {
-            return unusable(&mut stream, "unfit length");
+            return reject_frame(&mut stream, "frame length out of range");
         };
         if let Some(RawFrame { kind, payload, length }) = frame {
             match kind {
                 b'A' => match frames::read_call(payload) {
                     Some(calls) => {
                         for ReceivedPart { id, shard, options, text } in calls {
-                            let call = Call { id: id.into(), shard, list: options.into(), text: text.into() };
-                            state.calls.lock().expect("no panic before").push(call.clone());
-                            answer(&mut stream, number, state, &call)?;
+                            let call =
+                                Call { id: id.into(), shard, options: options.into(), text: text.into() };
+                            state.calls.lock().expect("no thread panicked").push(call.clone());
+                            answer(&mut stream, connection_number, state, &call)?;
                         }
                     }
-                    None => return unusable(&mut stream, "unfit call"),
+                    None => return reject_frame(&mut stream, "malformed call"),
                 },
                 b'B' => {
                     let id = String::from_utf8_lossy(payload).into_owned();
-                    state.given_up.lock().expect("no panic before").push(id);
+                    state.cancelled_ids.lock().expect("no thread panicked").push(id);
                 }
                 b'C' | b'D' => write(&mut stream, kind, b"hit")?,
-                _ => return unusable(&mut stream, "unknown letter"),
+                _ => return reject_frame(&mut stream, "unknown kind of frame"),
             }
             input.consume(length);
             continue;
@@ -142,19 +155,21 @@
     }
 }
 
-fn answer(stream: &mut TcpStream, number: usize, state: &State, call: &Call) -> Result<()> {
-    let behaviour = *state.behaviour.lock().expect("no panic before");
+fn answer(stream: &mut TcpStream, connection_number: usize, state: &State, call: &Call) -> Result<()> {
+    let behaviour = *state.behaviour.lock().expect("no thread panicked");
     let value = format!("{} of shard {}", call.text, call.shard);
-    let ended = |end: &str, id: &str, value: &str| format!("{id} {end} 1 queue=0\n{value}");
+    let response = |status: &str, id: &str, value: &str| format!("{id} {status} 1 queue=0\n{value}");
     match behaviour {
-        Behaviour::Mute if number == 1 => Ok(()),
-        Behaviour::Answer | Behaviour::Mute => write(stream, b'E', ended("hit", &call.id, &value).as_bytes()),
-        Behaviour::Late(wait) => {
-            thread::sleep(wait);
-            write(stream, b'E', ended("hit", &call.id, &value).as_bytes())
+        NodeBehaviour::UnresponsiveFirstConnection if connection_number == 1 => Ok(()),
+        NodeBehaviour::Answer | NodeBehaviour::UnresponsiveFirstConnection => {
+            write(stream, b'E', response("hit", &call.id, &value).as_bytes())
         }
-        Behaviour::Phased { matches, match_after, fetch_after } => {
-            let phase = call.list.split(',').find_map(|word| word.strip_prefix("p="));
+        NodeBehaviour::Delayed(delay) => {
+            thread::sleep(delay);
+            write(stream, b'E', response("hit", &call.id, &value).as_bytes())
+        }
+        NodeBehaviour::TwoPhase { matches, match_after, fetch_after } => {
+            let phase = call.options.split(',').find_map(|option| option.strip_prefix("p="));
             let value = match phase {
                 Some("match") => {
                     thread::sleep(match_after);
@@ -162,40 +177,40 @@
                     matches::write(&MatchAnswer { names: MatchedBlocks::Blocks(blocks), sketch: None })
                 }
                 Some(_) => match fetch_after {
-                    Some(wait) => {
-                        thread::sleep(wait);
+                    Some(delay) => {
+                        thread::sleep(delay);
                         value
                     }
                     None => return Ok(()),
                 },
                 None => value,
             };
-            write(stream, b'E', ended("hit", &call.id, &value).as_bytes())
+            write(stream, b'E', response("hit", &call.id, &value).as_bytes())
         }
-        Behaviour::Strange => {
-            write(stream, b'E', ended("hit", "nobody.0", &value).as_bytes())?;
-            write(stream, b'E', ended("hit", &call.id, &value).as_bytes())
+        NodeBehaviour::UnknownIdFirst => {
+            write(stream, b'E', response("hit", "nobody.0", &value).as_bytes())?;
+            write(stream, b'E', response("hit", &call.id, &value).as_bytes())
         }
-        Behaviour::Endless => stream.write_all(&[99, 0, 0, 0, b'E']),
-        Behaviour::Noisy => {
-            write(stream, b'E', ended("hit", &call.id, &value).as_bytes())?;
+        NodeBehaviour::TruncatedFrame => stream.write_all(&[99, 0, 0, 0, b'E']),
+        NodeBehaviour::TrailingBytes => {
+            write(stream, b'E', response("hit", &call.id, &value).as_bytes())?;
             stream.write_all(&[99, 0])
         }
-        Behaviour::Fault => write(stream, b'E', ended("fault", &call.id, "").as_bytes()),
-        Behaviour::Overload => write(stream, b'E', ended("overload", &call.id, "").as_bytes()),
-        Behaviour::Silent => Ok(()),
-        Behaviour::Break => stream.shutdown(Shutdown::Both),
-        Behaviour::Unusable => unusable(stream, "not today"),
+        NodeBehaviour::Fault => write(stream, b'E', response("fault", &call.id, "").as_bytes()),
+        NodeBehaviour::Overload => write(stream, b'E', response("overload", &call.id, "").as_bytes()),
+        NodeBehaviour::Unresponsive => Ok(()),
+        NodeBehaviour::CloseConnection => stream.shutdown(Shutdown::Both),
+        NodeBehaviour::RejectFrame => reject_frame(stream, "rejected by the test"),
     }
 }
 
-fn unusable(stream: &mut TcpStream, words: &str) -> Result<()> {
-    write(stream, b'F', words.as_bytes())?;
+fn reject_frame(stream: &mut TcpStream, reason: &str) -> Result<()> {
+    write(stream, b'F', reason.as_bytes())?;
     stream.shutdown(Shutdown::Both)
 }
 
-fn write(stream: &mut TcpStream, letter: u8, rest: &[u8]) -> Result<()> {
+fn write(stream: &mut TcpStream, kind: u8, payload: &[u8]) -> Result<()> {
     let mut out = Buffer::default();
-    frames::write_frame(&mut out, letter, rest);
+    frames::write_frame(&mut out, kind, payload);
     stream.write_all(out.data())
 }
