--- a/crates/fernknot-net/src/connection.rs
+++ b/crates/fernknot-net/src/connection.rs
@@ -1,38 +1,38 @@
-//! One TCP connection with its buffers.
+//! A TCP connection with its buffers.
 
 use fernknot_protocol::buffer::Buffer;
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddrV4;
 
-/// Bytes that one system call reads at most, and that the buffer of an idle connection keeps.
+/// Maximum number of bytes that one system call reads, and maximum capacity that the buffer of an idle connection keeps.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A connection and the bytes that wait to be consumed or written.
+/// A connection with its unconsumed input and unwritten output.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
     pub(crate) peer: SocketAddrV4,
-    /// The handshake is complete.
+    /// Whether the handshake is complete.
     pub(crate) is_open: bool,
-    /// The peer has closed its sending side, and all of its bytes have been read.
+    /// Whether the peer has closed its sending side and all of its bytes have been read.
     pub(crate) read_closed: bool,
-    /// The peer has closed or reset the connection: what is left to read ends with that.
+    /// Whether the peer has closed or reset the connection, so that the end follows the bytes that are still unread.
     pub(crate) hung_up: bool,
     pub(crate) input: Buffer,
     pub(crate) output: Buffer,
-    /// To be closed once the output is written.
+    /// Whether the connection is to be closed once the output is written.
     pub(crate) closing: bool,
 }
 
-/// What one pass of reading gave.
+/// Result of one pass of reading.
 pub(crate) struct ReadProgress {
     /// Whether any bytes were received.
     pub(crate) received: bool,
-    /// Why the pass ended.
+    /// Reason for the end of the pass.
     pub(crate) end: ReadEnd,
 }
 
-/// Why a pass of reading ended.
+/// Reason for the end of a pass of reading.
 pub(crate) enum ReadEnd {
     /// The socket has no more bytes for now.
     Drained,
@@ -44,11 +44,11 @@
     Failed(std::io::Error),
 }
 
-/// What one pass of writing achieved.
+/// Result of one pass of writing.
 pub(crate) enum WriteProgress {
     /// All output is written.
     Flushed,
-    /// The socket takes no more for now.
+    /// The socket accepts no more bytes for now.
     Blocked,
 }
 
@@ -83,8 +83,8 @@
                 Ok(count) => {
                     self.input.filled(count);
                     received = true;
-                    // A short read has emptied the socket, and mio reports what is received later. After the peer
-                    // has hung up it reports nothing more: the end or the reset behind the bytes has to be read now.
+                    // A short read has emptied the socket, and mio reports bytes that arrive later. After the peer has
+                    // hung up mio reports nothing more: the end or reset after the bytes must be read now.
                     if count < size && !self.hung_up {
                         break ReadEnd::Drained;
                     }
@@ -97,7 +97,7 @@
         ReadProgress { received, end }
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output as the socket accepts.
     ///
     /// # Errors
     /// The connection failed.
--- a/crates/fernknot-net/src/connection_table.rs
+++ b/crates/fernknot-net/src/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open connections of an event loop, and the work that each of them waits for.
+//! Connections of an event loop, with their pending reads and writes.
 
 use crate::connection::{Connection, ReadEnd, WriteProgress};
 use crate::error::NetError;
@@ -8,16 +8,16 @@
 use mio::event::Source;
 use std::collections::{BTreeSet, HashMap};
 
-/// All connections, those that are still opening among them.
+/// All connections, including those that are still opening.
 pub(crate) struct ConnectionTable {
     connections: HashMap<ConnectionId, Connection>,
-    /// Bytes that are read ahead of their consumer, for each connection.
+    /// Maximum number of unconsumed input bytes of a connection, above which it is not read.
     read_ahead: usize,
-    /// Connections with output to be written at the next poll.
+    /// Connections with output to write at the next poll.
     pending_writes: BTreeSet<ConnectionId>,
-    /// Connections whose sockets may have more bytes than were read, since the input buffer was full.
+    /// Connections whose sockets may have unread bytes, since the input buffer was full.
     pending_reads: BTreeSet<ConnectionId>,
-    /// Input that was not consumed when the last poll reported a connection as closed.
+    /// Unconsumed input of the connections that the last poll reported as closed.
     unread_inputs: HashMap<ConnectionId, Buffer>,
 }
 
@@ -62,7 +62,7 @@
         self.unread_inputs.clear();
     }
 
-    /// Closes at once. No event follows.
+    /// Closes a connection at once. No event follows.
     pub(crate) fn close(&mut self, registry: &Registry, id: ConnectionId) {
         if let Some(mut connection) = self.connections.remove(&id) {
             let _ = connection.stream.deregister(registry);
@@ -71,7 +71,7 @@
         self.pending_reads.remove(&id);
     }
 
-    /// Closes once all output is written. No event follows.
+    /// Closes a connection once all of its output is written. No event follows.
     pub(crate) fn close_after_flush(&mut self, registry: &Registry, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.output.is_empty() && !self.pending_writes.contains(&id) {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Takes the connections to be read on, since their input has been consumed. What nobody consumes is not read on,
-    /// and does not keep the loop awake.
+    /// Removes and returns the pending reads whose input buffers have space again. A connection with a full buffer is
+    /// not returned, so that it does not make the loop spin.
     pub(crate) fn take_resumable_reads(&mut self) -> Vec<ConnectionId> {
         let (connections, read_ahead) = (&self.connections, self.read_ahead);
         let has_space =
@@ -101,14 +101,14 @@
         resumable
     }
 
-    /// The peer has closed or reset the connection; what it sent before is still to be read.
+    /// Records that the peer has closed or reset the connection; the bytes that it sent before are still to be read.
     pub(crate) fn set_hung_up(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.hung_up = true;
         }
     }
 
-    /// The socket is writable: a connection that was opening is open or has failed, and output can be written on.
+    /// Handles a writable socket: an opening connection is now open or has failed; pending output is written.
     pub(crate) fn handle_writable(&mut self, registry: &Registry, id: ConnectionId, events: &mut Vec<Event>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if !connection.is_open {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Reads what the socket has.
+    /// Reads the bytes available from the socket.
     pub(crate) fn read_input(&mut self, registry: &Registry, id: ConnectionId, events: &mut Vec<Event>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if !connection.is_open || connection.read_closed {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Closes a connection that has failed, and reports it unless the host had already closed it.
+    /// Closes a connection that has failed, and reports the failure unless the host had already closed the connection.
     fn connection_failed(
         &mut self,
         registry: &Registry,
--- a/crates/fernknot-net/src/datagrams.rs
+++ b/crates/fernknot-net/src/datagrams.rs
@@ -5,9 +5,9 @@
 use std::io::ErrorKind;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// Bytes of one datagram; the rest of a longer one is cut off.
+/// Maximum size of a received datagram, in bytes; a longer datagram is truncated.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Datagrams that one poll reads.
+/// Maximum number of datagrams that one poll reads.
 const MAX_DATAGRAMS_PER_POLL: usize = 256;
 
 /// A UDP socket and its identifier in the event loop.
@@ -17,15 +17,16 @@
 }
 
 impl DatagramSocket {
-    /// Sends a datagram. One that the socket does not take now is dropped.
+    /// Sends a datagram, or drops it if the socket does not accept it now.
     pub(crate) fn send(&self, to: SocketAddrV4, bytes: &[u8]) {
         let _ = self.socket.send_to(bytes, to.into());
     }
 
-    /// Reads the datagrams that were received.
+    /// Reads the datagrams that have arrived.
     pub(crate) fn receive(&self, events: &mut Vec<Event>) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        // What is left beyond the limit waits for the next datagram: a flood does not stop the loop.
+        // The limit keeps a flood of datagrams from blocking the loop. The socket reports the rest as readable when the
+        // next datagram arrives.
         for _ in 0..MAX_DATAGRAMS_PER_POLL {
             match self.socket.recv_from(&mut buffer) {
                 Ok((count, from)) => {
@@ -33,14 +34,14 @@
                     events.push(Event::Datagram { from: ipv4_addr(from), bytes });
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // A datagram that was sent earlier met a closed port.
+                // An earlier datagram was sent to a closed port.
                 Err(_) => {}
             }
         }
     }
 }
 
-/// The address as an IPv4 one. All sockets are bound to IPv4 addresses, so that no other kind is met.
+/// Converts an address to IPv4. All sockets are bound to IPv4 addresses, so IPv6 addresses do not occur.
 pub(crate) fn ipv4_addr(addr: SocketAddr) -> SocketAddrV4 {
     match addr {
         SocketAddr::V4(addr) => addr,
--- a/crates/fernknot-net/src/error.rs
+++ b/crates/fernknot-net/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a socket could not be opened, or failed.
+//! Errors of sockets.
 
 use std::net::SocketAddrV4;
 use thiserror::Error;
@@ -7,10 +7,10 @@
 #[derive(Debug, Error)]
 #[error("{step} {peer}: {source}")]
 pub struct NetError {
-    /// What was being done, as the beginning of a sentence that the address ends: `connect to`.
+    /// Failed operation, as a phrase that the address completes, such as `connect to`.
     pub step: &'static str,
-    /// The remote address, or the local one of a listening socket.
+    /// Remote address of a connection, or local address of a listening socket.
     pub peer: SocketAddrV4,
-    /// What the operating system said.
+    /// Error of the operating system.
     pub source: std::io::Error,
 }
--- a/crates/fernknot-net/src/event.rs
+++ b/crates/fernknot-net/src/event.rs
@@ -1,16 +1,16 @@
-//! Identifiers of sockets, and the events that an event loop reports about them.
+//! Identifiers and events of sockets.
 
 use crate::error::NetError;
 use std::net::SocketAddrV4;
 
-/// Names one connection or listening socket of a process. An identifier is never used again.
+/// Identifier of a connection or listening socket of a process, which is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What happened to a socket since the last call of [`EventLoop::poll`](crate::EventLoop::poll).
+/// Event of a socket since the last call of [`EventLoop::poll`](crate::EventLoop::poll).
 #[derive(Debug)]
 pub enum Event {
-    /// A listening socket accepted a connection, which is open.
+    /// A listening socket accepted a connection, which is now open.
     Accepted {
         /// The new connection.
         connection: ConnectionId,
@@ -19,17 +19,17 @@
         /// The remote address.
         peer: SocketAddrV4,
     },
-    /// A connection that was begun with [`Network::connect`](crate::Network::connect) is open.
+    /// A connection started with [`Network::connect`](crate::Network::connect) is open.
     Connected {
         /// The connection.
         connection: ConnectionId,
     },
-    /// Bytes were received; [`Network::input`](crate::Network::input) has them.
+    /// Bytes were received; [`Network::input`](crate::Network::input) returns them.
     Received {
         /// The connection.
         connection: ConnectionId,
     },
-    /// The peer has closed its sending side. What it sent before is in [`Network::input`](crate::Network::input).
+    /// The peer has closed its sending side. [`Network::input`](crate::Network::input) returns the bytes that it sent before.
     ReadClosed {
         /// The connection.
         connection: ConnectionId,
@@ -41,7 +41,7 @@
         connection: ConnectionId,
         /// Whether the connection was ever open.
         was_open: bool,
-        /// Why it failed.
+        /// Error of the connection.
         error: NetError,
     },
     /// A datagram was received.
@@ -51,6 +51,6 @@
         /// The payload.
         bytes: Vec<u8>,
     },
-    /// Another thread used the loop's waker.
+    /// Another thread woke the loop through its waker.
     Woken,
 }
--- a/crates/fernknot-net/src/event_loop.rs
+++ b/crates/fernknot-net/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: all sockets of a process behind one `mio` poll.
+//! Event loop: all sockets of a process, polled with `mio`.
 
 use crate::connection::Connection;
 use crate::connection_table::ConnectionTable;
@@ -16,35 +16,35 @@
 use std::time::{Duration, Instant};
 
 const WAKER_TOKEN: Token = Token(0);
-/// Readiness events that one poll takes from the operating system.
+/// Maximum number of readiness events that one poll gets from the operating system.
 const MAX_EVENTS_PER_POLL: usize = 256;
 
-/// What bounds the loop.
+/// Limits of an event loop.
 #[derive(Clone, Debug)]
 pub struct EventLoopSettings {
-    /// Connections at once, accepted and begun ones together.
+    /// Maximum number of connections, accepted and outgoing ones together.
     pub max_connections: usize,
-    /// Bytes that are read ahead of their consumer, for each connection.
+    /// Maximum number of unconsumed input bytes of a connection, above which it is not read.
     pub read_ahead_bytes: usize,
-    /// A connection fails when bytes that were sent are not acknowledged for so long (`TCP_USER_TIMEOUT`).
+    /// Time without acknowledgement of sent bytes after which a connection fails (`TCP_USER_TIMEOUT`).
     pub unacknowledged_timeout: Duration,
 }
 
-/// All sockets of a process.
+/// Event loop with all sockets of a process.
 pub struct EventLoop {
     poll: Poll,
     readiness_events: Events,
     settings: EventLoopSettings,
     connections: ConnectionTable,
     listeners: HashMap<ConnectionId, TcpListener>,
-    /// Listening sockets that may have more connections than were accepted.
+    /// Listening sockets that may have connections to accept.
     pending_accepts: BTreeSet<ConnectionId>,
     datagram_socket: Option<DatagramSocket>,
     last_id: u64,
     waker: Arc<Waker>,
 }
 
-/// What the operating system reports of one socket.
+/// Readiness of a socket, as reported by the operating system.
 struct Readiness {
     token: Token,
     readable: bool,
@@ -53,7 +53,7 @@
 }
 
 impl EventLoop {
-    /// A loop without sockets.
+    /// Creates an event loop without sockets.
     ///
     /// # Errors
     /// The operating system refuses a poll instance or its waker.
@@ -73,17 +73,17 @@
         })
     }
 
-    /// A handle that wakes the loop from another thread; [`Event::Woken`] follows.
+    /// Returns a handle that wakes the loop from another thread; [`Event::Woken`] follows.
     pub fn waker(&self) -> Arc<Waker> {
         self.waker.clone()
     }
 
-    /// The time by the loop's clock.
+    /// Returns the current time of the loop's clock.
     pub fn now(&self) -> Instant {
         Instant::now()
     }
 
-    /// Begins to accept connections at this address.
+    /// Starts accepting connections at this address.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -96,14 +96,14 @@
         Ok(id)
     }
 
-    /// Accepts no further connections at this listening socket, and closes it.
+    /// Closes a listening socket, which accepts no further connections.
     pub fn stop_listening(&mut self, listener: ConnectionId) {
         if let Some(mut listener) = self.listeners.remove(&listener) {
             let _ = listener.deregister(self.poll.registry());
         }
     }
 
-    /// Opens the one socket for datagrams, at this address.
+    /// Opens the datagram socket at this address. A loop has at most one.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -116,17 +116,17 @@
         Ok(())
     }
 
-    /// Sends a datagram. It may be lost; one that the socket does not take now is dropped.
+    /// Sends a datagram, which may be lost. It is dropped if the socket does not accept it now.
     pub fn send_datagram(&self, to: SocketAddrV4, bytes: &[u8]) {
         if let Some(socket) = &self.datagram_socket {
             socket.send(to, bytes);
         }
     }
 
-    /// Begins a connection; [`Event::Connected`] or [`Event::Closed`] follows.
+    /// Starts a connection; [`Event::Connected`] or [`Event::Closed`] follows.
     ///
     /// # Errors
-    /// No connection can be begun: no descriptors, no route, too many connections.
+    /// The connection cannot be started: no file descriptor left, no route, or too many connections.
     pub fn connect(&mut self, peer: SocketAddrV4) -> Result<ConnectionId, NetError> {
         let fail = |source| NetError { step: "connect to", peer, source };
         if self.connections.len() >= self.settings.max_connections {
@@ -136,7 +136,7 @@
         self.register(stream, peer, false).map_err(fail)
     }
 
-    /// The remote address of a connection.
+    /// Returns the remote address of a connection.
     pub fn peer(&self, connection: ConnectionId) -> Option<SocketAddrV4> {
         self.connections.get(connection).map(|connection| connection.peer)
     }
@@ -146,27 +146,27 @@
         self.connections.get(connection).is_some_and(|connection| connection.is_open)
     }
 
-    /// Whether the connection exists and is not open yet: nothing that was written has been sent.
+    /// Whether the connection exists and is not open yet, so that no output has been sent.
     pub fn is_opening(&self, connection: ConnectionId) -> bool {
         self.connections.get(connection).is_some_and(|connection| !connection.is_open)
     }
 
-    /// What was received and is not consumed yet.
+    /// Returns the input that was received and not yet consumed.
     pub fn input(&mut self, connection: ConnectionId) -> Option<&mut Buffer> {
         self.connections.input(connection)
     }
 
-    /// Takes what was received and not consumed over a connection that the last poll reported as closed.
+    /// Removes and returns the unconsumed input of a connection that the last poll reported as closed.
     pub fn take_unread_input(&mut self, connection: ConnectionId) -> Option<Buffer> {
         self.connections.take_unread_input(connection)
     }
 
-    /// The buffer to write to, which the next poll sends; `None` once the connection is closing.
+    /// Returns the output buffer, which the next poll writes; `None` once the connection is closing.
     pub fn output(&mut self, connection: ConnectionId) -> Option<&mut Buffer> {
         self.connections.output(connection)
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of output bytes that are not yet written.
     pub fn pending_output_bytes(&self, connection: ConnectionId) -> usize {
         self.connections.get(connection).map_or(0, |connection| connection.output.len())
     }
@@ -181,8 +181,8 @@
         self.connections.close_after_flush(self.poll.registry(), connection);
     }
 
-    /// Writes pending output, waits for events for `timeout` at most (`None`: until there is one), and appends what
-    /// happened to `events`.
+    /// Writes pending output, waits for events for at most `timeout` (`None`: without limit), and appends them to
+    /// `events`.
     pub fn poll(&mut self, timeout: Option<Duration>, events: &mut Vec<Event>) {
         self.connections.drop_unread_inputs();
         self.connections.flush(self.poll.registry(), events);
@@ -212,7 +212,7 @@
         self.poll.registry().register(socket, Token(id.0 as usize), interest)
     }
 
-    /// Takes a stream that is open or opening into the loop.
+    /// Adds an open or opening stream to the loop.
     fn register(
         &mut self,
         mut stream: TcpStream,
@@ -220,7 +220,7 @@
         is_open: bool,
     ) -> std::io::Result<ConnectionId> {
         let _ = stream.set_nodelay(true);
-        // Guards against peers that fall silent without a reset: without power, or behind a network partition.
+        // Detects peers that disappear without a reset, by loss of power or a network partition.
         let timeout = Some(self.settings.unacknowledged_timeout);
         let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(timeout);
         let id = self.next_id();
@@ -286,7 +286,7 @@
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // No descriptors are left, or the client has gone already: the next poll tries again.
+                // No file descriptors are left, or the client has already closed the connection: the next poll retries.
                 Err(_) => {
                     self.pending_accepts.insert(listener);
                     return;
--- a/crates/fernknot-net/src/lib.rs
+++ b/crates/fernknot-net/src/lib.rs
@@ -1,11 +1,10 @@
-//! The sockets of one process. An [`EventLoop`] accepts, begins, reads, writes and closes its connections, and reports
-//! what happened as [`Event`]s; nothing here knows what the bytes mean.
+//! Sockets of a process. An [`EventLoop`] accepts, opens, reads, writes and closes connections, and reports their
+//! [`Event`]s. It does not interpret the bytes.
 //!
-//! The package owns the sockets, their buffers and the signal flags; [`process`] has what the programs around an event
-//! loop share. The hosts of `fernknot-gateway` and
-//! `fernknot-controller` drive an event loop; a state machine that only needs connections is lent a [`Network`], which
-//! simulations implement too. Every connection has a [`ConnectionId`] that is never given to another one, so that an
-//! event of a closed connection cannot be mistaken for another's.
+//! The crate owns the sockets, their buffers and the signal flags; [`process`] contains the code that the programs around
+//! an event loop share. The hosts of `fernknot-gateway` and `fernknot-controller` drive an event loop; a state machine
+//! that only needs connections borrows a [`Network`], which simulations implement too. A [`ConnectionId`] is never
+//! reused, so that an event of a closed connection cannot be mistaken for one of another connection.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-net/src/network.rs
+++ b/crates/fernknot-net/src/network.rs
@@ -1,4 +1,4 @@
-//! What a state machine may do to its connections, whoever holds them.
+//! Interface between a state machine and the connections that its host owns.
 
 use crate::error::NetError;
 use crate::event::ConnectionId;
@@ -6,36 +6,36 @@
 use fernknot_protocol::buffer::Buffer;
 use std::net::SocketAddrV4;
 
-/// Connections by their identifiers: the [`EventLoop`] of a process, or a simulated network.
+/// Network of connections by identifier: the [`EventLoop`] of a process, or a simulated network.
 ///
-/// What happens to them is reported by [`Event`](crate::Event)s. Of a connection that the caller itself closes nothing
-/// further is reported, except what had happened already.
+/// The host passes on the [`Event`](crate::Event)s of the connections. After the caller closes a connection, only events
+/// that had already occurred may follow.
 pub trait Network {
-    /// Begins a connection; [`Event::Connected`](crate::Event::Connected) or [`Event::Closed`](crate::Event::Closed)
-    /// follows. What is written before is sent once the connection is open.
+    /// Starts a connection; [`Event::Connected`](crate::Event::Connected) or [`Event::Closed`](crate::Event::Closed)
+    /// follows. Output that is written earlier is sent once the connection is open.
     ///
     /// # Errors
-    /// No connection can be begun: no descriptors, no route, too many connections.
+    /// The connection cannot be started: no file descriptor left, no route, or too many connections.
     fn connect(&mut self, peer: SocketAddrV4) -> Result<ConnectionId, NetError>;
 
     /// Whether the connection exists and is open.
     fn is_open(&self, connection: ConnectionId) -> bool;
 
-    /// Whether the connection exists and is not open yet: nothing that was written has been sent. One that is closed
-    /// may have been open before; [`Event::Closed`](crate::Event::Closed) says so.
+    /// Whether the connection exists and is not open yet, so that no output has been sent. False for a closed connection,
+    /// for which [`Event::Closed`](crate::Event::Closed) tells whether it was ever open.
     fn is_opening(&self, connection: ConnectionId) -> bool;
 
-    /// What was received and is not consumed yet.
+    /// Returns the input that was received and not yet consumed.
     fn input(&mut self, connection: ConnectionId) -> Option<&mut Buffer>;
 
-    /// Takes what was received and not consumed over a connection whose [`Event::Closed`](crate::Event::Closed) is
-    /// being handled.
+    /// Removes and returns the unconsumed input of a connection whose [`Event::Closed`](crate::Event::Closed) is being
+    /// handled.
     fn take_unread_input(&mut self, connection: ConnectionId) -> Option<Buffer>;
 
-    /// The buffer to write to; `None` once the connection is closing.
+    /// Returns the output buffer; `None` once the connection is closing.
     fn output(&mut self, connection: ConnectionId) -> Option<&mut Buffer>;
 
-    /// Bytes that wait to be written.
+    /// Returns the number of output bytes that are not yet written.
     fn pending_output_bytes(&self, connection: ConnectionId) -> usize;
 
     /// Closes the connection at once and drops its pending output.
@@ -44,7 +44,7 @@
     /// Closes the connection once all of its output is written.
     fn close_after_flush(&mut self, connection: ConnectionId);
 
-    /// Accepts no further connections at this listening socket.
+    /// Closes a listening socket, which accepts no further connections.
     fn stop_listening(&mut self, listener: ConnectionId);
 
     /// Sends a datagram, which may be lost.
--- a/crates/fernknot-net/src/process/clock.rs
+++ b/crates/fernknot-net/src/process/clock.rs
@@ -1,21 +1,21 @@
-//! The time of a process.
+//! Clock of a process.
 
 use fernknot::interface::Nanos;
 use std::time::Instant;
 
-/// A monotonic clock that begins at the start of the process.
+/// A monotonic clock that starts at 0 when the process starts.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
 }
 
 impl Clock {
-    /// A clock that shows 0 now.
+    /// Starts a clock at 0.
     pub fn start() -> Clock {
         Clock { started_at: Instant::now() }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Nanos {
         Nanos(self.started_at.elapsed().as_nanos() as u64)
     }
--- a/crates/fernknot-net/src/process/command_line.rs
+++ b/crates/fernknot-net/src/process/command_line.rs
@@ -1,39 +1,39 @@
-//! The command line of a server process: `--check`, `--help` and `--version`.
+//! Command line of a server process: `--check`, `--help` and `--version`.
 
 use std::process::ExitCode;
 
-/// The exit code for a command line or settings that are not valid.
+/// Exit code for an invalid command line or invalid settings.
 pub const BAD_USAGE_EXIT_CODE: u8 = 2;
 
-/// What a program says of itself.
+/// Name, version and help text of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// The name of the executable.
+    /// Name of the executable.
     pub name: &'static str,
-    /// The version.
+    /// Version number.
     pub version: &'static str,
-    /// The text of `--help`.
+    /// Text of `--help`.
     pub help: &'static str,
 }
 
-/// What the command line asks for.
+/// Command given on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Serve.
+    /// Run the server.
     Run,
-    /// Check the settings and end.
+    /// Check the settings and exit.
     Check,
-    /// Print the help and end.
+    /// Print the help text and exit.
     Help,
-    /// Print the version and end.
+    /// Print the version and exit.
     Version,
 }
 
 impl Program {
-    /// Reads the command line of the process, and prints what it asks to be printed.
+    /// Parses the command line of the process, and prints the help text or the version if requested.
     ///
     /// # Errors
-    /// The process is to end with this code: the arguments are not valid, or what was asked for has been printed.
+    /// The process must exit with the returned code: the arguments are not valid, or the requested text was printed.
     pub fn parse_command_line(&self) -> Result<Command, ExitCode> {
         match parse(lexopt::Parser::from_env()) {
             Ok(Command::Help) => println!("{}", self.help),
--- a/crates/fernknot-net/src/process/error.rs
+++ b/crates/fernknot-net/src/process/error.rs
@@ -1,20 +1,20 @@
-//! Why a server process cannot run.
+//! Errors that stop a server process.
 
 use crate::error::NetError;
 use thiserror::Error;
 
-/// What keeps a server process from running.
+/// Error because of which a server process cannot run.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// The settings lack what the process needs.
+    /// The settings lack a value that the process needs.
     #[error("settings: {0}")]
     Settings(String),
-    /// The operating system refuses a resource.
+    /// The operating system rejected a request for a resource.
     #[error("{step}: {source}")]
     System {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A socket cannot be opened.
@@ -23,7 +23,7 @@
 }
 
 impl ProcessError {
-    /// Turns an error of the operating system into one that names the step.
+    /// Returns a function that adds the failed operation to an error of the operating system.
     pub fn system(step: &'static str) -> impl FnOnce(std::io::Error) -> ProcessError {
         move |source| ProcessError::System { step, source }
     }
--- a/crates/fernknot-net/src/process/mod.rs
+++ b/crates/fernknot-net/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What the system's server processes share: command line, settings file, log and clock.
+//! Code shared by the server processes: command line, settings file, log and clock.
 
 mod clock;
 mod command_line;
@@ -12,12 +12,12 @@
 
 use fernknot_telemetry::LevelFilter;
 
-/// The environment variable that names the level of the log.
+/// Environment variable with the log level.
 pub const LOG_VARIABLE: &str = "FERNKNOT_LOG";
 
-/// Begins the log, at the level that [`LOG_VARIABLE`] names, or else at `info`.
+/// Initialises the log with the level in [`LOG_VARIABLE`], or `info` if it is not set or not valid.
 pub fn init_log() {
     let level = std::env::var(LOG_VARIABLE).ok().and_then(|level| level.parse().ok());
-    // It fails only where a log has begun already, which then goes on.
+    // This fails only if a log has already been initialised, which then stays in use.
     let _ = fernknot_telemetry::init(level.unwrap_or(LevelFilter::Info));
 }
--- a/crates/fernknot-net/src/process/settings_file.rs
+++ b/crates/fernknot-net/src/process/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process, which may change while it runs.
+//! Settings file of a process, which may change while the process runs.
 
 use fernknot_schema::ProcessSettings;
 use fernknot_telemetry::part;
@@ -8,19 +8,19 @@
 
 use super::command_line::BAD_USAGE_EXIT_CODE;
 
-/// The environment variable that names the path of the settings file.
+/// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "FERNKNOT_CONFIG";
 
-/// The settings file.
+/// Settings file of a process.
 #[derive(Clone, Debug)]
 pub struct SettingsFile {
     path: PathBuf,
-    /// When the file was modified, as of the last look.
+    /// Modification time of the file at the last check.
     modified_at: Option<SystemTime>,
 }
 
 impl SettingsFile {
-    /// The file that [`SETTINGS_VARIABLE`] names.
+    /// Returns the file whose path is in [`SETTINGS_VARIABLE`].
     pub fn from_env() -> SettingsFile {
         let path = PathBuf::from(std::env::var_os(SETTINGS_VARIABLE).unwrap_or_default());
         let mut file = SettingsFile { path, modified_at: None };
@@ -28,10 +28,11 @@
         file
     }
 
-    /// Reads the settings at the start of the process. `check` adds what the program needs beyond the schema.
+    /// Reads the settings at the start of the process. `check` validates the requirements of the program beyond the
+    /// schema.
     ///
     /// # Errors
-    /// Every fault of the file, by its place, as a sentence for the operator.
+    /// All faults of the file, as one message each that names the key.
     pub fn load(
         &self,
         check: impl FnOnce(&ProcessSettings) -> Result<(), Vec<String>>,
@@ -44,10 +45,10 @@
         Ok(settings)
     }
 
-    /// The same for `main`: the faults are printed to standard error.
+    /// Reads the settings like [`SettingsFile::load`], and prints all faults to standard error.
     ///
     /// # Errors
-    /// The code that the process is to end with.
+    /// The exit code of the process.
     pub fn load_or_report(
         &self,
         check: impl FnOnce(&ProcessSettings) -> Result<(), Vec<String>>,
@@ -60,20 +61,20 @@
         })
     }
 
-    /// Whether the file was modified since the last call, or since the start of the process.
+    /// Returns whether the file was modified since the last call, or since the start of the process.
     pub fn take_modified(&mut self) -> bool {
         let modified_at = std::fs::metadata(&self.path).and_then(|metadata| metadata.modified()).ok();
         std::mem::replace(&mut self.modified_at, modified_at) != modified_at
     }
 
-    /// Reads the settings again. Faults are logged; `None` then, or where there is no file.
+    /// Reads the settings again. Returns `None` if there is no file or the file has faults, which are logged.
     pub fn reload(&self) -> Option<ProcessSettings> {
         let bytes = std::fs::read(&self.path).ok()?;
         match ProcessSettings::parse(&bytes) {
             Ok(settings) => Some(settings),
             Err(errors) => {
                 for error in errors {
-                    log::warn!(target: part::SETTINGS, "the changed file is not taken: {error}");
+                    log::warn!(target: part::SETTINGS, "cannot use the changed settings file: {error}; keeping the current settings");
                 }
                 None
             }
--- a/crates/fernknot-net/src/signals.rs
+++ b/crates/fernknot-net/src/signals.rs
@@ -1,20 +1,20 @@
-//! The signals by which the platform asks a process to stop or to read its settings again.
+//! Signals that tell a process to stop or to reload its settings.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Signals that were received and not handled yet. A signal also ends the event loop's wait.
+/// Signals that were received and not yet handled. A signal also interrupts the event loop's wait.
 pub struct Signals {
     terminate: Arc<AtomicBool>,
     hang_up: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Begins to record SIGTERM and SIGHUP.
+    /// Starts recording SIGTERM and SIGHUP.
     ///
     /// # Errors
-    /// The operating system refuses a handler.
+    /// The operating system rejected a signal handler.
     pub fn install() -> std::io::Result<Signals> {
         let (terminate, hang_up) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         signal_hook::flag::register(SIGTERM, terminate.clone())?;
@@ -22,12 +22,12 @@
         Ok(Signals { terminate, hang_up })
     }
 
-    /// Whether SIGTERM was received since the last call: the process is to stop.
+    /// Returns whether SIGTERM, which tells the process to stop, was received since the last call.
     pub fn take_stop_request(&self) -> bool {
         self.terminate.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether SIGHUP was received since the last call: the settings file has changed.
+    /// Returns whether SIGHUP, which tells that the settings file has changed, was received since the last call.
     pub fn take_reload_request(&self) -> bool {
         self.hang_up.swap(false, Ordering::Relaxed)
     }
--- a/crates/fernknot-router-config/src/lib.rs
+++ b/crates/fernknot-router-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Configuration of the router in service: the one place where it is parsed, validated and defaulted.
+//! Configuration of the router process: parsing, validation and default values.
 //!
-//! [`RouterConfig`] is all that a router process is started with, from its environment and a JSON file. The
-//! `settings` object of that file is [`RawSettings`]; the decision module, which also runs without sockets, is given
-//! what [`RawSettings::decision_settings`] makes of it. Nothing here holds state: a configuration that is read again is parsed anew.
+//! [`RouterConfig`] is the complete configuration of a router process, from its environment and a JSON file. The
+//! `settings` object of that file is [`RawSettings`]; [`RawSettings::decision_settings`] derives the settings of the
+//! decision module, which also runs without sockets. The crate keeps no state: a reload parses the whole configuration.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -1,11 +1,11 @@
-//! Sizes, counts and times that bound what a router uses and waits for, fixed at its start.
+//! Limits on the sizes, counts and durations of a router, derived from the resources that it may use.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::sockets::SocketSettings;
 use fernknot::interface::Nanos;
 
-/// Descriptors that are neither clients' nor nodes': the event loop's own, listener, discovery, datagrams,
-/// signals, the three standard ones, and a few in reserve.
+/// File descriptors that are not available for clients and nodes: event loop, listener, discovery, datagrams, signals,
+/// the three standard streams, and a few spare ones.
 const RESERVED_DESCRIPTORS: usize = 24;
 const MIN_SOCKETS: usize = 40;
 const MIN_MEMORY_MB: f64 = 8.0;
@@ -14,103 +14,103 @@
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const MAX_BODY_BYTES: usize = 64 * KIB;
 const READ_AHEAD_BYTES: usize = 24 * KIB;
-/// The share of the memory that buffers of clients may take.
+/// Share of the memory that the buffers of clients may use, from 0 to 1.
 const BUFFER_MEMORY_SHARE: f64 = 1.0 / 2.0;
-/// The share of the memory that summaries of blocks may take.
+/// Share of the memory that sketches of blocks may use, from 0 to 1.
 const SKETCH_MEMORY_SHARE: f64 = 1.0 / 16.0;
 
-/// Bounds of a router, from the memory and sockets that it may use.
+/// Limits of a router, from the memory and sockets that it may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The most connections of clients.
+    /// Maximum number of client connections.
     pub max_clients: usize,
-    /// The most connections to nodes.
+    /// Maximum number of connections to nodes.
     pub max_node_connections: usize,
-    /// The most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_head_bytes: usize,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// The most bytes of a frame.
+    /// Maximum size of a frame, in bytes.
     pub max_frame_bytes: usize,
-    /// The most bytes of an endpoint list.
+    /// Maximum size of an endpoint list, in bytes.
     pub max_list_bytes: usize,
-    /// The most header lines of a request or response.
+    /// Maximum number of header lines of a request or response.
     pub max_headers: usize,
-    /// The most bytes that a chunk's head, or all trailers, may take.
+    /// Maximum size of a chunk's head, or of all trailers, in bytes.
     pub max_chunk_line_bytes: usize,
-    /// The most bytes of a name given by others: a request's id or key, a part's id.
+    /// Maximum length of an identifier chosen by clients, in bytes: a request's id or key, or a part's id.
     pub max_name_bytes: usize,
-    /// How far the sum of the shares of a multiget's parts may be from one, by rounding.
+    /// Tolerance for rounding errors in the sum of the shares of a multiget's parts, which must be 1.
     pub share_tolerance: f64,
-    /// The longest wait that a client may ask for.
+    /// Longest deadline that a client may set.
     pub max_client_wait: Nanos,
-    /// Beyond so many nodes, the id of a node that is gone is given to a new one.
+    /// Number of known nodes from which on a new node reuses the id of a removed one.
     pub max_nodes_before_id_reuse: usize,
-    /// The most bytes that an idle connection's buffer may keep.
+    /// Maximum capacity that an idle connection's buffer keeps, in bytes.
     pub idle_buffer_bytes: usize,
-    /// Bytes of one connection that are read, or made ready to be written, ahead of what is done
-    /// with them; more than a head's.
+    /// Maximum number of bytes of a connection that are read ahead of their processing or encoded ahead of their
+    /// writing; more than the maximum size of a head.
     pub read_ahead_bytes: usize,
-    /// The most bytes of a datagram.
+    /// Maximum size of a datagram, in bytes.
     pub max_datagram_bytes: usize,
-    /// The most datagrams that are read in one turn of the event loop.
+    /// Maximum number of datagrams read in one iteration of the event loop.
     pub max_datagrams_per_turn: usize,
-    /// The most cancelled parts that a connection remembers, to tell a late answer from an unknown one.
+    /// Maximum number of cancelled parts that a connection remembers to tell a late answer from an unknown one.
     pub max_remembered_cancellations: usize,
-    /// The most bytes that summaries of blocks may take.
+    /// Maximum size of all sketches of blocks, in bytes.
     pub max_sketch_bytes: usize,
-    /// The most terms that a query may name.
+    /// Maximum number of terms in a query.
     pub max_terms: usize,
-    /// The most bytes of a term.
+    /// Maximum length of a term, in bytes.
     pub max_term_bytes: usize,
-    /// The most bytes of log that wait for standard error.
+    /// Maximum size of the log lines that are not yet written to standard error, in bytes.
     pub max_pending_log_bytes: usize,
-    /// A connection to a node is closed after so long without use, before the node closes it.
+    /// Idle time after which a connection to a node is closed; shorter than the node's own idle time-out.
     pub node_idle_timeout: Nanos,
-    /// The time-out of a connection attempt.
+    /// Time-out of a connection attempt.
     pub connect_timeout: Nanos,
-    /// A frame that has begun to arrive must be complete within this time.
+    /// Time from the first byte of a frame within which the frame must be complete.
     pub frame_timeout: Nanos,
-    /// For how long calls are still sent to a node that drains or has left the list.
+    /// Time during which calls are still sent to a node that drains or was removed from the list.
     pub drain_grace: Nanos,
-    /// A client's connection may be idle for so long.
+    /// Idle time after which a client's connection is closed.
     pub client_idle_timeout: Nanos,
-    /// A client must have sent all of a request within this time.
+    /// Time from the first byte of a request within which the request must be complete.
     pub request_timeout: Nanos,
-    /// A client must take some of its response within this time.
+    /// Time without progress after which the writing of a response is abandoned.
     pub response_stall_timeout: Nanos,
-    /// How long the other side may take to close a connection that has been ended.
+    /// Time that the client has to close a connection whose sending direction the router has shut down.
     pub close_timeout: Nanos,
-    /// How long discovery may wait for a change before it answers a watch.
+    /// Time that discovery may wait for a change before it answers a watch.
     pub watch_wait: Nanos,
-    /// How much longer than `watch_wait` the answer to a watch may take.
+    /// Additional time after `watch_wait` for the answer to a watch.
     pub watch_grace: Nanos,
-    /// The least time between two calls of a watch, well under the longest pause that it may make.
+    /// Minimum time between the starts of two calls of a watch.
     pub min_watch_interval: Nanos,
-    /// The backoff after the first failed call of discovery; it doubles with each further one.
+    /// Backoff after the first failed call to discovery; it doubles with each further failure.
     pub initial_backoff: Nanos,
-    /// The longest backoff.
+    /// Maximum backoff.
     pub max_backoff: Nanos,
-    /// How long clients are still served after the signal to stop.
+    /// Time during which clients are still served after the signal to stop.
     pub shutdown_linger: Nanos,
-    /// How long the responses to the last of them may take.
+    /// Time after `shutdown_linger` within which the last pending requests must be answered.
     pub final_response_timeout: Nanos,
-    /// The last part of `shutdown_linger`, in which clients' connections are closed one by one.
+    /// Period at the end of `shutdown_linger` during which clients' connections are closed one by one.
     pub connection_handover: Nanos,
-    /// When accepting is tried again after the process ran out of descriptors.
+    /// Delay before the next attempt to accept after the process ran out of file descriptors.
     pub accept_retry_delay: Nanos,
 }
 
 impl Limits {
-    /// The limits of a process that may use so many sockets and so much memory, in mebibytes.
+    /// Limits of a process with this number of sockets and this amount of memory, in mebibytes.
     ///
     /// # Errors
-    /// Fewer sockets or less memory than a router can work with.
+    /// There are fewer sockets or there is less memory than a router needs.
     pub fn new(sockets: usize, memory_mb: f64, settings: &SocketSettings) -> Result<Limits, ConfigError> {
         check_minimum("limits.sockets", sockets as f64, MIN_SOCKETS as f64)?;
         check_minimum("limits.memory_mb", memory_mb, MIN_MEMORY_MB)?;
         let free_sockets = sockets - RESERVED_DESCRIPTORS;
-        // The signal to stop leaves the longest wait, three seconds at most, and 0.7 s.
+        // The longest deadline of a use case, at least 0.7 s and at most 3 s.
         let shutdown_linger = settings.longest_deadline.clamp(millis(700), seconds(3));
         Ok(Limits {
             max_clients: (free_sockets * 2 / 3).min(affordable_clients(memory_mb)),
@@ -130,7 +130,7 @@
             max_datagram_bytes: 256,
             max_datagrams_per_turn: 4096,
             max_remembered_cancellations: 1024,
-            // None is taken where no use case has phases.
+            // Unused where no use case has two phases.
             max_sketch_bytes: (memory_mb * BYTES_PER_MB * SKETCH_MEMORY_SHARE) as usize,
             max_terms: 64,
             max_term_bytes: 256,
@@ -156,8 +156,8 @@
     }
 }
 
-/// How many clients may send all that they are allowed to within the memory set apart for buffers: a body, and as much
-/// of what follows as is read ahead, in a buffer of up to twice that.
+/// Number of clients whose buffers fit into the memory for buffers, if each client fills its buffer: a body, and the
+/// bytes read ahead, whose buffer may have twice their size.
 fn affordable_clients(memory_mb: f64) -> usize {
     (memory_mb * BYTES_PER_MB * BUFFER_MEMORY_SHARE) as usize / (MAX_BODY_BYTES + 2 * READ_AHEAD_BYTES)
 }
--- a/crates/fernknot-router-config/src/membership.rs
+++ b/crates/fernknot-router-config/src/membership.rs
@@ -1,4 +1,4 @@
-//! How routers reach each other, and how they keep track of which of them are alive.
+//! Addresses of the peers, and settings of the membership protocol that detects which of them are alive.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::fingerprint::fingerprint;
@@ -11,46 +11,46 @@
 const MAX_PROBE_PERIOD_MS: f64 = 60_000.0;
 const DEFAULT_DATAGRAMS_PER_S: f64 = 16.0;
 const MAX_DATAGRAMS_PER_S: f64 = 10_000.0;
-/// Fewer would not let a router answer those that probe it.
+/// With fewer, a router could not answer the probes of the others.
 const MIN_DATAGRAMS_PER_PERIOD: f64 = 4.0;
 
-/// How routers reach each other, where they may.
+/// Addresses by which routers reach each other.
 #[derive(Clone, Debug)]
 pub struct PeerAddresses {
-    /// Where this router receives datagrams.
+    /// Address at which this router receives datagrams.
     pub listen: SocketAddr,
-    /// All routers in the order of their positions, this router among them.
+    /// Addresses of all routers including this one, in the order of their positions.
     pub peers: Vec<SocketAddr>,
-    /// The address whose datagrams reach all routers.
+    /// Address whose datagrams reach all routers.
     pub all_peers: SocketAddr,
 }
 
-/// How routers keep track of each other.
+/// Settings of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipSettings {
-    /// One other router is probed in each period.
+    /// Period in which one other router is probed.
     pub probe_period: Nanos,
-    /// The most datagrams that a router sends for membership in a second.
+    /// Maximum rate of the membership datagrams that a router sends, per second.
     pub max_datagrams_per_s: f64,
     /// Fingerprints of all routers' addresses, in the order of their positions.
     pub router_fingerprints: Vec<u32>,
-    /// The fingerprint of this router's name.
+    /// Fingerprint of this router's name.
     pub name_fingerprint: u32,
 }
 
-/// The `fleet` object of the file; membership is off where it is left out.
+/// The `fleet` object of the file; without it membership is off.
 #[derive(Deserialize)]
-// The name stands in messages of the parser, which operators see.
+// The parser's error messages contain the struct's name.
 #[serde(deny_unknown_fields)]
 pub(crate) struct FleetGiven {
-    /// Milliseconds.
+    /// Probe period, in milliseconds.
     period: Option<f64>,
-    /// A second.
+    /// Maximum number of datagrams per second.
     datagrams: Option<f64>,
 }
 
 impl FleetGiven {
-    /// Validated for the router of this name and position.
+    /// Validates the object and fills in the defaults, for the router of this name and position.
     pub(crate) fn validate(
         &self,
         name: &str,
@@ -93,7 +93,7 @@
     Err(ConfigError::new("fleet.datagrams", ConfigFault::OutOfRange { value: datagrams_per_s, bounds }))
 }
 
-/// The fingerprints of the peers' addresses, of which no two may be the same.
+/// Returns the fingerprints of the peers' addresses, which must all differ.
 fn distinct_fingerprints(peers: &[SocketAddr]) -> Result<Vec<u32>, ConfigError> {
     let fingerprints: Vec<u32> = peers.iter().map(|peer| fingerprint(&peer.to_string())).collect();
     for (index, own) in fingerprints.iter().enumerate() {
--- a/crates/fernknot-router-config/src/phase_settings.rs
+++ b/crates/fernknot-router-config/src/phase_settings.rs
@@ -1,4 +1,4 @@
-//! Which use cases may be asked in two phases, validated and defaulted.
+//! Validation and defaults of the two-phase settings of the use cases.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::phases::{LatencySplit, TwoPhaseSettings, UnansweredBlock};
@@ -9,7 +9,8 @@
 const DEFAULT_MAX_FIRST_PHASE_SHARE: f64 = 0.8;
 
 impl RawSettings {
-    /// For each use case, in the order of the settings, how it is asked in two phases, if it may be.
+    /// Returns the two-phase settings of each use case in the order of the settings; `None` for a use case without two
+    /// phases.
     ///
     /// # Errors
     /// A share is out of its bounds. The key is relative to the settings object.
@@ -31,9 +32,9 @@
     Ok(Some(phases))
 }
 
-fn with_defaults(raw: &PhasesGiven, goal: Nanos, min_share: f64) -> TwoPhaseSettings {
+fn with_defaults(raw: &PhasesGiven, latency_target: Nanos, min_share: f64) -> TwoPhaseSettings {
     TwoPhaseSettings {
-        latency_target: goal,
+        latency_target,
         min_first_phase_share: raw.min_first.unwrap_or(DEFAULT_MIN_FIRST_PHASE_SHARE),
         max_first_phase_share: raw.max_first.unwrap_or(DEFAULT_MAX_FIRST_PHASE_SHARE),
         unanswered_block: raw.silent.unwrap_or(UnansweredBlock::Fetch),
--- a/crates/fernknot-router-config/src/router.rs
+++ b/crates/fernknot-router-config/src/router.rs
@@ -1,4 +1,4 @@
-//! All that a router process is started with: its environment, and the file that the environment names.
+//! Configuration of a router process, from its environment and the file that the environment names.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::limits::Limits;
@@ -10,45 +10,45 @@
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// All that a router process is started with.
+/// Complete configuration of a router process.
 #[derive(Debug)]
 pub struct RouterConfig {
-    /// The router's name in its log.
+    /// Name of the router in its log.
     pub name: String,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of the router's random numbers.
+    /// Seed of the router's random numbers.
     pub seed: u64,
-    /// Failed attempts and connections are logged too.
+    /// Whether failed attempts and connections are logged too.
     pub verbose: bool,
-    /// The endpoint list as it was last known, in discovery's form.
+    /// Last known endpoint list, in the format of discovery's answers.
     pub last_known_list: Option<Box<RawValue>>,
-    /// How routers reach each other, if they may and there is more than one.
+    /// Addresses of the peers; `None` if routers may not send messages to each other, or there is only one.
     pub peer_addresses: Option<PeerAddresses>,
-    /// How routers keep track of each other, if they do.
+    /// Settings of the membership protocol; `None` if it is off.
     pub membership: Option<MembershipSettings>,
-    /// The configuration of the decision module.
+    /// Configuration of the decision module.
     pub site: SiteSettings,
-    /// What the sockets need of the settings beside it.
+    /// Settings that only the sockets need.
     pub sockets: SocketSettings,
-    /// Sizes, counts and times that bound what the router uses.
+    /// Limits on the sizes, counts and durations of the router.
     pub limits: Limits,
 }
 
-/// Which of the environment and the file decides where both set a value.
+/// Source that takes precedence where both the environment and the file set a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// At the start of the process.
+    /// The environment takes precedence, as at the start of the process.
     Environment,
-    /// For a file that is read again: the environment still holds what it held at the start.
+    /// The file takes precedence, as in a reload: the environment cannot have changed since the start.
     File,
 }
 
-/// The configuration file as it is written.
+/// Form of the configuration file, before validation.
 #[derive(Deserialize)]
-// The name stands in messages of the parser, which operators see.
+// The parser's error messages contain the struct's name.
 struct File {
     name: Option<String>,
     listen: Option<String>,
@@ -66,7 +66,7 @@
 
 /// The `limits` object of the file.
 #[derive(Deserialize)]
-// The name stands in messages of the parser, which operators see.
+// The parser's error messages contain the struct's name.
 struct Bounds {
     memory_mb: f64,
     sockets: usize,
@@ -76,7 +76,7 @@
     /// Reads the file that the environment variable `ROUTER_CONFIG` names; `variable` looks up the environment.
     ///
     /// # Errors
-    /// The variable is not set, the file cannot be read, or as of [`RouterConfig::parse`].
+    /// The variable is not set, the file cannot be read, or its content is not valid (see [`RouterConfig::parse`]).
     pub fn read(
         precedence: Precedence,
         variable: impl Fn(&str) -> Option<String>,
@@ -93,7 +93,7 @@
     /// Parses and validates the text of a configuration file; `variable` looks up the environment.
     ///
     /// # Errors
-    /// The first key that is missing or unusable.
+    /// A key is missing or not valid; the first one is reported.
     pub fn parse(
         text: &str,
         precedence: Precedence,
@@ -144,7 +144,8 @@
     })
 }
 
-/// An error of the parser. Its path ends above a missing field, whose name stands only in the message.
+/// Converts an error of the parser. For a missing field the parser's path ends at the parent object, and only the
+/// message contains the field's name.
 fn malformed(path: &str, message: String) -> ConfigError {
     let missing = message.strip_prefix("missing field `").and_then(|rest| rest.split_once('`'));
     match (path, missing) {
@@ -165,7 +166,7 @@
 
 fn decision_settings(settings: &RawSettings) -> Result<SiteSettings, ConfigError> {
     let mut site = settings.decision_settings().map_err(|error| error.below("settings"))?;
-    // On sockets a multiget is one request with one answer: there is no second step.
+    // On sockets a multiget is one request with one answer, without a second phase.
     site.use_cases.iter_mut().for_each(|use_case| use_case.two_phase = false);
     Ok(site)
 }
@@ -179,7 +180,8 @@
     text.parse().map_err(|_| ConfigError::new(key, ConfigFault::InvalidAddress(text.to_string())))
 }
 
-/// The peers' addresses, which are required where routers may talk and there is more than one.
+/// Returns the peers' addresses, which are required if routers may send messages to each other and there is more than
+/// one router.
 fn peer_addresses(file: &File, site: &SiteSettings) -> Result<Option<PeerAddresses>, ConfigError> {
     if !site.peers || site.routers <= 1 {
         return Ok(None);
--- a/crates/fernknot-router-config/src/settings.rs
+++ b/crates/fernknot-router-config/src/settings.rs
@@ -1,11 +1,9 @@
-//! The settings object as it is written: the form of its keys, before anything is validated.
-//!
-//! The fields have the names of their keys in snake case.
+//! Form of the settings object, before validation. The fields have the names of their keys in snake case.
 
 use crate::phases::{LatencySplit, UnansweredBlock};
 use serde::Deserialize;
 
-/// The settings object as the bench and the router's file give it. Unknown keys are ignored.
+/// The settings object in the form that the bench and the router's configuration file have. Unknown keys are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", rename = "Facts")]
 pub struct RawSettings {
@@ -25,7 +23,7 @@
     #[serde(default)]
     pub(crate) client_habits: ClientHabits,
     pub(crate) position: Option<usize>,
-    /// Milliseconds.
+    /// Resolution of the host's clock, in milliseconds.
     pub(crate) tick: f64,
 }
 
@@ -35,7 +33,7 @@
     pub(crate) marks_retry: Option<bool>,
 }
 
-/// What the value of an answer is counted by.
+/// Unit in which the value of answers is counted.
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WorthBy {
@@ -50,7 +48,7 @@
     pub(crate) quota_per_s: f64,
 }
 
-/// What a router may do. Durations are in milliseconds.
+/// Features and limits that apply to a router. Durations are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Allowed {
@@ -89,9 +87,9 @@
     pub(crate) phases: Option<PhasesGiven>,
 }
 
-/// A use case that may be asked in two phases; every key may be left out.
+/// Two-phase settings of a use case; all keys are optional.
 #[derive(Deserialize)]
-// The name stands in messages of the parser, which operators see.
+// The parser's error messages contain the struct's name.
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub(crate) struct PhasesGiven {
     #[serde(rename = "leastFirst")]
@@ -106,7 +104,7 @@
     pub(crate) prunes: Option<bool>,
 }
 
-/// Whether a request of a class may be repeated.
+/// Side effects of a request of a class, which determine whether it may be repeated.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum ClassEffect {
@@ -130,7 +128,7 @@
     pub(crate) class_need: Vec<f64>,
 }
 
-/// Durations are in milliseconds.
+/// Rules for retries, slow start and draining. Durations are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Rules {
--- a/crates/fernknot-router-config/src/site.rs
+++ b/crates/fernknot-router-config/src/site.rs
@@ -1,4 +1,4 @@
-//! What the decision module is given of the settings.
+//! Conversion of the settings to those of the decision module.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::settings::{Class, ClassEffect, FamilyInfo, RawSettings, Rules, WorthBy};
@@ -7,10 +7,10 @@
 };
 
 impl RawSettings {
-    /// The configuration of the decision module.
+    /// Returns the configuration of the decision module.
     ///
     /// # Errors
-    /// The router's zone is not among `zones`, or a budget of retries has no window. The key is relative to the
+    /// The router's zone is not an index into `zones`, or a retry budget has no window. The key is relative to the
     /// settings object.
     pub fn decision_settings(&self) -> Result<SiteSettings, ConfigError> {
         self.check_zone()?;
@@ -41,7 +41,8 @@
         })
     }
 
-    /// Guards against a router that takes every node for one of another zone.
+    /// Checks the router's zone. With an index outside the list, the router would treat every node as one of another
+    /// zone.
     fn check_zone(&self) -> Result<(), ConfigError> {
         let zones = self.zones.len();
         match self.locality.filter(|zone| *zone as usize >= zones.max(1)) {
@@ -82,7 +83,7 @@
     }
 }
 
-/// The budget of retries, if there is one.
+/// Returns the retry budget; `None` if retries are not limited.
 fn retry_budget(rules: &Rules) -> Result<Option<RetryBudgetSettings>, ConfigError> {
     if rules.free_resends.is_none() && rules.extra_share.is_none() {
         return Ok(None);
--- a/crates/fernknot-router-config/src/sockets.rs
+++ b/crates/fernknot-router-config/src/sockets.rs
@@ -1,43 +1,44 @@
-//! What a router on sockets needs of the settings, beside the decision module.
+//! Settings that only a router with sockets needs.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::phases::TwoPhaseSettings;
 use crate::settings::{ClassEffect, RawSettings};
 use fernknot::interface::Nanos;
 
-/// What a router on sockets needs of the settings, beside the decision module.
+/// Settings that only a router with sockets needs.
 #[derive(Clone, Debug)]
 pub struct SocketSettings {
-    /// The use cases' names as paths have them, and whether each needs an idempotency key, in the order of the
-    /// decision module's use cases.
+    /// Name of each use case in request paths, and whether it requires an idempotency key, in the order of the decision
+    /// module's use cases.
     pub use_cases: Vec<(String, bool)>,
-    /// The number of shards; their ids are below it.
+    /// Number of shards; all shard ids are below it.
     pub shards: u32,
-    /// The most calls that one connection to a node carries at once.
+    /// Maximum number of concurrent calls on one connection to a node.
     pub max_calls_per_connection: usize,
-    /// The most parts that one call holds.
+    /// Maximum number of parts in one call.
     pub max_parts_per_call: usize,
-    /// A node closes a connection that has been idle for so long.
+    /// Idle time after which a node closes a connection.
     pub node_idle_timeout: Nanos,
-    /// The time-out of a connection attempt.
+    /// Time-out of a connection attempt.
     pub connect_timeout: Nanos,
-    /// For how long calls are still sent to a node that drains or has left the list.
+    /// Time during which calls are still sent to a node that drains or was removed from the list.
     pub drain_grace: Nanos,
-    /// The longest deadline of any use case.
+    /// Longest deadline of all use cases.
     pub longest_deadline: Nanos,
-    /// For each use case, how it is asked in two phases, if it may be.
+    /// Two-phase settings of each use case; `None` for a use case without two phases.
     pub phases: Vec<Option<TwoPhaseSettings>>,
-    /// The index of this router among all routers.
+    /// Index of this router among all routers.
     pub position: usize,
-    /// The zones as the endpoint list names them; their index is their id.
+    /// Names of the zones in the endpoint list; a zone's index is its id.
     pub zones: Vec<String>,
 }
 
 impl RawSettings {
-    /// What a router on sockets needs; the decision module alone can do without.
+    /// Returns the settings of the sockets. They are optional where only the decision module runs.
     ///
     /// # Errors
-    /// A key that only sockets need is missing or out of its bounds. The key is relative to the settings object.
+    /// A key that only sockets need is missing or out of its bounds. The reported key is relative to the settings
+    /// object.
     pub fn socket_settings(&self) -> Result<SocketSettings, ConfigError> {
         self.check_class_names()?;
         let is_keyed = |effect| matches!(effect, ClassEffect::Keyed);
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Names are needed as parts of paths, so each must be there and unique.
+    /// Checks that all names are present and unique, since request paths contain them.
     fn check_class_names(&self) -> Result<(), ConfigError> {
         for (index, class) in self.classes.iter().enumerate() {
             let is_duplicate = self.classes[..index].iter().any(|other| other.name == class.name);
--- a/crates/fernknot-telemetry/src/lib.rs
+++ b/crates/fernknot-telemetry/src/lib.rs
@@ -1,11 +1,10 @@
 //! Telemetry of a process: its log and its counters.
 //!
-//! This crate owns the set-up of the log and the format of its lines, the names of the components that log ([`part`]),
-//! and the container of counters. The programs call [`init`] once; controller and gateway name a component with each
-//! line, `log::info!(target: part::CONSENSUS, ...)`, and serve their [`Counters`] as JSON.
+//! This crate defines the set-up of the log and the format of its lines, the names of the components that log
+//! ([`part`]), and the container of counters. A program calls [`init`] once. Controller and gateway name the component in
+//! each log statement, `log::info!(target: part::CONSENSUS, ...)`, and serve their [`Counters`] as JSON.
 //!
-//! Logging costs processor time, of which machines have little: only changes are logged, never a single request or
-//! heartbeat.
+//! Log state changes only, never single requests or heartbeats, whose log lines would use too much processor time.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-telemetry/src/logging.rs
+++ b/crates/fernknot-telemetry/src/logging.rs
@@ -1,16 +1,16 @@
-//! The set-up of the log.
+//! Initialisation of the log.
 
 use log::{Level, LevelFilter, SetLoggerError};
 
-/// Libraries that log every step; only their warnings and errors are of use here.
+/// Libraries with verbose logs, of which only warnings and errors are logged.
 const NOISY_LIBRARIES: [&str; 2] = ["fjall", "lsm_tree"];
 
-/// Starts the log: lines of this level and above go to standard error, each as `LEVEL COMPONENT: MESSAGE` with the
-/// level as one letter.
+/// Initialises the log: lines of this level and above are written to standard error as `LEVEL COMPONENT: MESSAGE`, with
+/// the level as one letter.
 ///
 /// # Errors
 ///
-/// A log was started before.
+/// A log has already been initialised in this process.
 pub fn init(level: LevelFilter) -> Result<(), SetLoggerError> {
     let dispatch = NOISY_LIBRARIES.iter().fold(fern::Dispatch::new().level(level), |dispatch, library| {
         dispatch.level_for(*library, level.min(LevelFilter::Warn))
--- a/crates/fernknot-telemetry/src/part.rs
+++ b/crates/fernknot-telemetry/src/part.rs
@@ -1,18 +1,18 @@
-//! The components that log. A component's name stands at the begin of each of its lines.
+//! Names of the components that log. Each log line starts with its level and the name of its component.
 
-/// The program as a whole: its start and its end.
+/// Start and end of the process.
 pub const PROCESS: &str = "process";
-/// The settings file.
+/// Settings file.
 pub const SETTINGS: &str = "settings";
-/// Connections and the processes at their other ends.
+/// Connections and their remote processes.
 pub const CONNECTIONS: &str = "connections";
-/// Which view of the controllers is in force, and how control state changes.
+/// Consensus of the controllers: their views, and changes of the control state.
 pub const CONSENSUS: &str = "consensus";
 /// Routing configurations accepted or rejected.
 pub const ROUTING_CONFIG: &str = "routing_config";
-/// Nodes that start, drain and end.
+/// Start, draining and end of nodes.
 pub const NODES: &str = "nodes";
-/// Which gateways are live and own keys.
+/// Liveness of the gateways and their ownership of keys.
 pub const OWNERSHIP: &str = "ownership";
-/// The disk.
+/// Disk storage.
 pub const STORAGE: &str = "storage";
