--- a/crates/fernknot-fault-tests/src/router_log.rs
+++ b/crates/fernknot-fault-tests/src/router_log.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const STATUS_CHANGE_MARKER: &str = " fleet: a router ";
+const STATUS_CHANGE_MARKER: &str = " fleet: status of a router changed ";
 
 /// The status change that a log line of `observer` reports, if it does; `public` has the listed address of each router.
 pub(crate) fn parse_status_change(
--- a/crates/fernknot-net/src/connection.rs
+++ b/crates/fernknot-net/src/connection.rs
@@ -5,7 +5,8 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddrV4;
 
-/// Maximum number of bytes that one system call reads, and maximum capacity that the buffer of an idle connection keeps.
+/// Maximum number of bytes that one system call reads, and maximum capacity that the buffer of an idle connection
+/// keeps.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// A connection with its unconsumed input and unwritten output.
--- a/crates/fernknot-net/src/event.rs
+++ b/crates/fernknot-net/src/event.rs
@@ -29,7 +29,8 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// The peer has closed its sending side. [`Network::input`](crate::Network::input) returns the bytes that it sent before.
+    /// The peer has closed its sending side. [`Network::input`](crate::Network::input) returns the bytes that it sent
+    /// before.
     ReadClosed {
         /// The connection.
         connection: ConnectionId,
--- a/crates/fernknot-net/src/lib.rs
+++ b/crates/fernknot-net/src/lib.rs
@@ -1,10 +1,10 @@
 //! Sockets of a process. An [`EventLoop`] accepts, opens, reads, writes and closes connections, and reports their
 //! [`Event`]s. It does not interpret the bytes.
 //!
-//! The crate owns the sockets, their buffers and the signal flags; [`process`] contains the code that the programs around
-//! an event loop share. The hosts of `fernknot-gateway` and `fernknot-controller` drive an event loop; a state machine
-//! that only needs connections borrows a [`Network`], which simulations implement too. A [`ConnectionId`] is never
-//! reused, so that an event of a closed connection cannot be mistaken for one of another connection.
+//! The crate owns the sockets, their buffers and the signal flags; [`process`] contains the code that the programs
+//! around an event loop share. The hosts of `fernknot-gateway` and `fernknot-controller` drive an event loop; a state
+//! machine that only needs connections borrows a [`Network`], which simulations implement too. A [`ConnectionId`] is
+//! never reused, so that an event of a closed connection cannot be mistaken for one of another connection.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-net/src/network.rs
+++ b/crates/fernknot-net/src/network.rs
@@ -8,8 +8,8 @@
 
 /// Network of connections by identifier: the [`EventLoop`] of a process, or a simulated network.
 ///
-/// The host passes on the [`Event`](crate::Event)s of the connections. After the caller closes a connection, only events
-/// that had already occurred may follow.
+/// The host passes on the [`Event`](crate::Event)s of the connections. After the caller closes a connection, only
+/// events that had already occurred may follow.
 pub trait Network {
     /// Starts a connection; [`Event::Connected`](crate::Event::Connected) or [`Event::Closed`](crate::Event::Closed)
     /// follows. Output that is written earlier is sent once the connection is open.
@@ -21,8 +21,8 @@
     /// Whether the connection exists and is open.
     fn is_open(&self, connection: ConnectionId) -> bool;
 
-    /// Whether the connection exists and is not open yet, so that no output has been sent. False for a closed connection,
-    /// for which [`Event::Closed`](crate::Event::Closed) tells whether it was ever open.
+    /// Whether the connection exists and is not open yet, so that no output has been sent. False for a closed
+    /// connection, for which [`Event::Closed`](crate::Event::Closed) tells whether it was ever open.
     fn is_opening(&self, connection: ConnectionId) -> bool;
 
     /// Returns the input that was received and not yet consumed.
--- a/crates/fernknot-net/src/process/settings_file.rs
+++ b/crates/fernknot-net/src/process/settings_file.rs
@@ -74,7 +74,10 @@
             Ok(settings) => Some(settings),
             Err(errors) => {
                 for error in errors {
-                    log::warn!(target: part::SETTINGS, "cannot use the changed settings file: {error}; keeping the current settings");
+                    log::warn!(
+                        target: part::SETTINGS,
+                        "cannot use the changed settings file: {error}; keeping the current settings"
+                    );
                 }
                 None
             }
--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -1,5 +1,5 @@
-//! The event loop: each turn reads all that is ready, gives it to the engine, pulls actions until there are none, and
-//! writes.
+//! Event loop: each iteration reads the ready sockets, passes the input to the engine, runs the engine's actions until
+//! there are none, and writes.
 
 use crate::clients::Clients;
 use crate::clock::Clock;
@@ -24,8 +24,8 @@
 use std::time::Duration;
 
 const NANOS_PER_US: u64 = 1000;
-/// The longest wait of the event loop when nothing is due.
-const MAX_WAIT: Nanos = Nanos(1_000_000_000);
+/// Longest wait of the event loop if no timer is set.
+const MAX_POLL_TIMEOUT: Nanos = Nanos(1_000_000_000);
 
 struct App {
     context: Context,
@@ -37,7 +37,7 @@
     peers: Option<Peers>,
 }
 
-/// Runs the router until it is told to stop and all that it owes has been answered.
+/// Runs the router until it receives a signal to stop and has answered all pending requests.
 pub fn run(config: RouterConfig) -> Result<(), RunError> {
     let mut event_loop: EventLoop<'static, ReadyEvents> =
         EventLoop::try_new().map_err(RunError::EventLoop)?;
@@ -50,10 +50,10 @@
     info!(app.context.log, "started"; "name" => name, "listen" => %listen);
     let last_known_list = last_known_list.as_deref().map(|list| list.get());
     app.discovery.start(&mut app.context, &mut app.nodes, last_known_list);
-    app.turn(&mut events);
+    app.run_iteration(&mut events);
     while !app.is_done() {
         event_loop.dispatch(Some(app.timeout()), &mut events).map_err(RunError::EventLoop)?;
-        app.turn(&mut events);
+        app.run_iteration(&mut events);
     }
     let counters = app.context.counters_text();
     info!(app.context.log, "stopped"; "counters" => counters.trim().replace('\n', ", "));
@@ -89,9 +89,9 @@
             counters: Counters::default(),
             timers: BTreeSet::new(),
             membership,
-            has_list: false,
+            has_full_list: false,
             stop_deadline: None,
-            has_lingered: false,
+            is_linger_over: false,
             limits: config.limits,
             log,
             event_loop,
@@ -101,28 +101,30 @@
         Ok(App { context, log_queue, clock, clients, nodes, discovery, peers })
     }
 
-    /// The next time at which something is due.
+    /// Returns the earliest time of all timers, of the engine and of membership.
     fn next_due(&self) -> Option<Nanos> {
         let timer = self.context.timers.first().map(|(at, _)| *at);
-        let membership = self.context.membership.as_ref().map(Membership::due);
+        let membership = self.context.membership.as_ref().map(Membership::next_wakeup);
         timer.into_iter().chain(self.context.engine.next_due()).chain(membership).min()
     }
 
-    /// How long the event loop may wait.
+    /// Returns the time that the event loop may wait for events.
     fn timeout(&self) -> Duration {
-        if self.clients.has_more() || self.nodes.has_more() {
+        if self.clients.has_readable() || self.nodes.has_readable() {
             return Duration::ZERO;
         }
-        let next = self.next_due().unwrap_or(self.context.now + MAX_WAIT);
-        // To the nanosecond; were the loop to wake early, it would only wait once more.
+        let next = self.next_due().unwrap_or(self.context.now + MAX_POLL_TIMEOUT);
+        // If the loop wakes up early, it waits again.
         Duration::from_nanos((next - self.clock.now()).0)
     }
 
     fn is_done(&self) -> bool {
-        self.context.has_lingered && self.context.engine.table.unanswered == 0 && !self.clients.are_busy()
+        self.context.is_linger_over
+            && self.context.engine.table.unanswered == 0
+            && !self.clients.has_busy_clients()
     }
 
-    /// Begins a graceful shutdown.
+    /// Starts a graceful shutdown.
     fn stop(&mut self) {
         let context = &mut self.context;
         if context.stop_deadline.is_some() {
@@ -137,19 +139,21 @@
         }
     }
 
-    /// Reads the configuration anew, as far as a running router can change: its limits, and where discovery is. One
-    /// that cannot be used changes nothing. Guards what is pending and every connection against a new file.
+    /// Reloads the configuration, and applies the part that a running router can change: the limits, the address of
+    /// discovery, and the list of routers. An invalid configuration changes nothing. Pending requests and open
+    /// connections stay.
     fn reload(&mut self) {
         let context = &mut self.context;
         match RouterConfig::read(Precedence::File, crate::variable) {
             Ok(config) => {
                 context.counters.configurations_taken += 1;
-                info!(context.log, "configuration taken"; "discovery" => %config.discovery);
+                info!(context.log, "reloaded the configuration"; "discovery" => %config.discovery);
                 self.apply_config(config);
             }
             Err(error) => {
                 context.counters.configurations_bad += 1;
-                warn!(context.log, "the new configuration is not taken"; "why" => error.to_string());
+                warn!(context.log, "cannot reload the configuration; keeping the current one";
+                    "why" => error.to_string());
             }
         }
     }
@@ -158,7 +162,7 @@
         let context = &mut self.context;
         context.limits = config.limits;
         self.discovery.change_address(context, config.discovery);
-        // Where membership is on, the list of routers may change while they run.
+        // With membership, the list of routers may change while they run.
         let new = config.membership.zip(config.peer_addresses);
         if let Some((membership, (settings, addresses))) = context.membership.as_mut().zip(new) {
             membership.change_routers(context.now, &settings, &addresses);
@@ -168,8 +172,8 @@
         }
     }
 
-    fn turn(&mut self, events: &mut ReadyEvents) {
-        self.begin_turn();
+    fn run_iteration(&mut self, events: &mut ReadyEvents) {
+        self.begin_iteration();
         for signal in std::mem::take(&mut events.signals) {
             match signal {
                 Signal::SIGHUP => self.reload(),
@@ -183,20 +187,20 @@
         self.nodes.read_more_nodes(&mut self.context);
         self.run_timers();
         if self.context.stop_deadline.is_some() {
-            self.clients.end_idle_clients(&mut self.context);
+            self.clients.close_idle_clients(&mut self.context);
         }
         self.run_actions();
         if let Some(peers) = &self.peers {
             peers.send_membership(&mut self.context);
         }
-        self.end_turn();
+        self.end_iteration();
     }
 
-    fn begin_turn(&mut self) {
+    fn begin_iteration(&mut self) {
         self.context.now = self.clock.now();
         self.context.counters.turns += 1;
         if let Some(membership) = &mut self.context.membership {
-            membership.woke(self.context.now);
+            membership.wake(self.context.now);
         }
         if let Some(at) = self.next_due() {
             let late_us = (self.context.now - at).0 / NANOS_PER_US;
@@ -205,7 +209,7 @@
         }
     }
 
-    fn end_turn(&mut self) {
+    fn end_iteration(&mut self) {
         self.log_queue.flush();
         let took_us = (self.clock.now() - self.context.now).0 / NANOS_PER_US;
         let counters = &mut self.context.counters;
@@ -242,29 +246,30 @@
         match timer {
             Timer::NodeConnection(id) => nodes.deadline_passed(context, id),
             Timer::NodeIdle(id) => nodes.idle_timer_due(context, id),
-            Timer::DrainGrace(node) => nodes.grace_over(context, node),
+            Timer::DrainGrace(node) => nodes.drain_grace_expired(context, node),
             Timer::Client(id) => clients.client_timer_due(context, id),
             Timer::Accept => clients.accept(context),
             Timer::Discovery => discovery.timer_due(context),
             Timer::ShutdownLinger => {
                 clients.accept(context);
                 clients.stop_listening();
-                context.has_lingered = true;
+                context.is_linger_over = true;
             }
         }
     }
 
-    /// Pulls actions of the engine and writes what they cause, until there is nothing left to do.
+    /// Runs the engine's actions and writes the resulting output, until neither the engine nor the writing has more
+    /// work.
     fn run_actions(&mut self) {
         loop {
             while let Some(action) = self.context.engine.poll_action(self.context.now) {
                 self.run_action(action);
             }
             let App { context, clients, nodes, .. } = self;
-            nodes.place_calls(context);
+            nodes.assign_calls(context);
             nodes.flush_nodes(context);
             clients.flush_clients(context);
-            if !context.engine.has_input() && nodes.unplaced.is_empty() {
+            if !context.engine.has_input() && nodes.unassigned.is_empty() {
                 break;
             }
         }
@@ -273,14 +278,14 @@
     fn run_action(&mut self, action: Action) {
         let App { context, clients, nodes, peers, .. } = self;
         match action {
-            Action::Send { part, number, node } => nodes.send(AttemptId { part, number }, node),
+            Action::Send { part, number, node } => nodes.queue_attempt(AttemptId { part, number }, node),
             Action::Cancel { part, number, outcome } => {
                 nodes.abandon(context, AttemptId { part, number }, outcome);
             }
             Action::Answer { requester, verdict, stage } => {
                 clients.answer(context, requester, verdict, stage)
             }
-            // Discovery is watched from the start, whether or not that must be asked for.
+            // Discovery is watched from the start, whether or not the site requires a subscription.
             Action::SubscribeToNodeList => {}
             Action::RenewConnections { node } => nodes.renew_connections(context, node),
             Action::NotifyPeers { updates } => {
--- a/crates/fernknot-router/src/attempts.rs
+++ b/crates/fernknot-router/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on connections: placed in calls, abandoned, ended.
+//! Attempts to have parts answered by nodes: assignment to connections, cancellation and end.
 
 use crate::context::Context;
 use crate::events::NodeConnectionId;
@@ -9,26 +9,27 @@
 use std::cmp::Reverse;
 
 impl Nodes {
-    /// Takes an attempt that is to go out with this turn.
-    pub fn send(&mut self, attempt: AttemptId, node: NodeId) {
-        self.unplaced.entry(node).or_default().push(attempt);
+    /// Queues an attempt to be sent in this iteration.
+    pub fn queue_attempt(&mut self, attempt: AttemptId, node: NodeId) {
+        self.unassigned.entry(node).or_default().push(attempt);
     }
 
-    /// Puts the attempts of this turn on connections, in calls as large as may be.
-    pub fn place_calls(&mut self, context: &mut Context) {
-        for (node, attempts) in std::mem::take(&mut self.unplaced) {
+    /// Assigns the attempts of this iteration to connections, grouped into calls of the maximum size.
+    pub fn assign_calls(&mut self, context: &mut Context) {
+        for (node, attempts) in std::mem::take(&mut self.unassigned) {
             for call in attempts.chunks(context.settings.max_parts_per_call) {
                 let table = &context.engine.table;
-                let is_out = |attempt: &AttemptId| table.is_attempt_in_flight(attempt.part, attempt.number);
-                let live: Vec<AttemptId> = call.iter().copied().filter(is_out).collect();
-                if !live.is_empty() {
-                    self.place(context, node, live);
+                let is_in_flight =
+                    |attempt: &AttemptId| table.is_attempt_in_flight(attempt.part, attempt.number);
+                let in_flight: Vec<AttemptId> = call.iter().copied().filter(is_in_flight).collect();
+                if !in_flight.is_empty() {
+                    self.assign_call(context, node, in_flight);
                 }
             }
         }
     }
 
-    fn place(&mut self, context: &mut Context, node: NodeId, call: Vec<AttemptId>) {
+    fn assign_call(&mut self, context: &mut Context, node: NodeId, call: Vec<AttemptId>) {
         let part_ids: Vec<String> = call
             .iter()
             .filter_map(|attempt| Some(context.engine.table.part(attempt.part)?.id.clone()))
@@ -36,7 +37,7 @@
         let free = self.free_connection(node, &part_ids, context.settings.max_calls_per_connection);
         let Some(id) = free.or_else(|| self.open_connection(context, node)) else {
             for attempt in call {
-                self.end(context, attempt, Outcome::Unreachable, LoadReport::default());
+                self.end_attempt(context, attempt, Outcome::Unreachable, LoadReport::default());
             }
             return;
         };
@@ -47,13 +48,13 @@
         for (attempt, part_id) in call.iter().zip(part_ids) {
             let pending = PendingAttempt { id: *attempt, call: number, state: WriteState::Queued };
             connection.pending.insert(part_id, pending);
-            self.connection_of.insert(*attempt, id);
+            self.connection_by_attempt.insert(*attempt, id);
         }
-        connection.queued.push_back(OutgoingFrame::Call(call));
+        connection.queued_frames.push_back(OutgoingFrame::Call(call));
         self.unflushed.push(id);
     }
 
-    /// The oldest connection to a node that accepts a call; those that are up go first.
+    /// Returns the oldest connection to a node that accepts a call, with a preference for established connections.
     fn free_connection(
         &self,
         node: NodeId,
@@ -61,14 +62,14 @@
         max_calls: usize,
     ) -> Option<NodeConnectionId> {
         let part_ids: Vec<&str> = part_ids.iter().map(String::as_str).collect();
-        let accepts = |id: &&NodeConnectionId| self.connections[id].accepts(&part_ids, max_calls);
-        let is_up = |id: &&NodeConnectionId| self.connections[id].is_up;
+        let accepts = |id: &&NodeConnectionId| self.connections[id].accepts_call(&part_ids, max_calls);
+        let is_connected = |id: &&NodeConnectionId| self.connections[id].is_connected;
         let free = self.record(node).connections.iter().filter(accepts);
-        free.max_by_key(|id| (is_up(id), Reverse(**id))).copied()
+        free.max_by_key(|id| (is_connected(id), Reverse(**id))).copied()
     }
 
-    /// Stops waiting for an attempt. One of which no byte has gone out was never sent; the node is asked to cancel any
-    /// other.
+    /// Abandons an attempt. If none of its bytes has been written, its outcome is `NeverSent`; otherwise the outcome is
+    /// `outcome`, and the node is asked to cancel it.
     pub fn abandon(&mut self, context: &mut Context, attempt: AttemptId, outcome: Outcome) {
         if !context.engine.table.is_attempt_in_flight(attempt.part, attempt.number) {
             return;
@@ -77,15 +78,16 @@
         let part_id = part.map(|part| part.id.clone()).unwrap_or_default();
         let was_sent = self.cancel(context, attempt, part_id);
         let outcome = if was_sent { outcome } else { Outcome::NeverSent };
-        self.end(context, attempt, outcome, LoadReport::default());
+        self.end_attempt(context, attempt, outcome, LoadReport::default());
     }
 
-    /// Takes an attempt off its connection; true if bytes of it have gone out, so that the node is asked to cancel it.
+    /// Removes an attempt from its connection. Returns whether bytes of it have been written; in that case the node is
+    /// asked to cancel it.
     fn cancel(&mut self, context: &Context, attempt: AttemptId, part_id: String) -> bool {
-        let Some(id) = self.connection_of.get(&attempt).copied() else { return false };
+        let Some(id) = self.connection_by_attempt.get(&attempt).copied() else { return false };
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         let was_sent =
-            connection.release(&part_id).is_some_and(|pending| pending.state != WriteState::Queued);
+            connection.remove_pending(&part_id).is_some_and(|pending| pending.state != WriteState::Queued);
         if !was_sent {
             return false;
         }
@@ -93,20 +95,26 @@
         if connection.cancelled.len() > context.limits.max_remembered_cancellations {
             connection.cancelled.pop_front();
         }
-        connection.queued.push_back(OutgoingFrame::Cancel(part_id));
+        connection.queued_frames.push_back(OutgoingFrame::Cancel(part_id));
         self.unflushed.push(id);
         true
     }
 
-    /// Reports to the engine how an attempt ended.
-    pub fn end(&mut self, context: &mut Context, attempt: AttemptId, outcome: Outcome, load: LoadReport) {
-        self.connection_of.remove(&attempt);
+    /// Reports the outcome of an attempt to the engine.
+    pub fn end_attempt(
+        &mut self,
+        context: &mut Context,
+        attempt: AttemptId,
+        outcome: Outcome,
+        load: LoadReport,
+    ) {
+        self.connection_by_attempt.remove(&attempt);
         let AttemptId { part, number } = attempt;
         let state = context.engine.table.attempt(part, number).filter(|state| !state.is_over);
         let Some(state) = state else { return };
         if !matches!(outcome, Outcome::Answered | Outcome::Cancelled | Outcome::NeverSent) {
             let (node, took) = (state.node.0, (context.now - state.sent_at).as_millis());
-            debug!(context.log, "an attempt failed"; "node" => node, "how" => ?outcome, "took_ms" => took);
+            debug!(context.log, "attempt failed"; "node" => node, "how" => ?outcome, "took_ms" => took);
         }
         context.engine.attempt_ended(context.now, part, number, outcome, load);
     }
--- a/crates/fernknot-router/src/client.rs
+++ b/crates/fernknot-router/src/client.rs
@@ -1,46 +1,47 @@
-//! One client's connection and where it stands.
+//! State of a client's connection.
 
 use crate::tcp_connection::TcpConnection;
 use fernknot::interface::{MultigetId, Nanos};
 use fernknot_protocol::http::RequestReader;
 
-/// Where a client's connection stands.
+/// Phase of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
-    /// It waits for a request or the rest of one.
+    /// Waiting for a request or the rest of one.
     Reading,
-    /// Its multiget is with the engine.
+    /// Waiting for the engine's answer to this multiget.
     Pending(MultigetId),
-    /// Its response is being written.
+    /// Writing the response.
     Writing,
-    /// It has been ended and waits for the client to close, so that no response is destroyed.
+    /// Shut down for writing, and waiting for the client to close. An immediate close could reset the connection before
+    /// the client has read the response.
     Closing,
 }
 
-/// One client's connection.
+/// A client's connection.
 pub struct Client {
     /// The socket and its buffers.
     pub tcp: TcpConnection,
-    /// Parses the input.
+    /// Parser of the input.
     pub reader: RequestReader,
-    /// Where the connection stands.
+    /// Phase of the connection.
     pub state: ClientState,
-    /// The connection is kept after the response to the current request.
+    /// Whether the connection stays open after the response to the current request.
     pub keeps_connection: bool,
-    /// The current request is of HTTP/1.0.
+    /// Whether the current request uses HTTP/1.0.
     pub is_http_1_0: bool,
-    /// It has sent a request.
+    /// Whether the client has sent a complete request on this connection.
     pub has_requested: bool,
-    /// When its request began to arrive, or bytes of its response were last written.
+    /// Time at which the current request began to arrive, or at which bytes of the response were last written.
     pub last_progress: Nanos,
-    /// When its timer is due.
+    /// Time for which the connection's timer is set.
     pub timer_at: Nanos,
-    /// It was sent an interim response to learn whether it has gone or only finished sending.
+    /// Whether the client was sent an interim response to find out if it closed the connection or only stopped sending.
     pub was_probed: bool,
 }
 
 impl Client {
-    /// A client that has just connected.
+    /// Creates the state of a newly accepted connection.
     pub fn new(tcp: TcpConnection, now: Nanos, timer_at: Nanos) -> Client {
         Client {
             tcp,
@@ -55,12 +56,12 @@
         }
     }
 
-    /// Whether the connection is between requests.
+    /// Returns whether the connection is between requests.
     pub fn is_idle(&self) -> bool {
         self.state == ClientState::Reading && self.tcp.input.is_empty() && !self.reader.has_pending_body()
     }
 
-    /// Drops what has been read.
+    /// Discards the input that has been read.
     pub fn discard_input(&mut self) {
         self.tcp.input.consume(self.tcp.input.len());
     }
--- a/crates/fernknot-router/src/client_io.rs
+++ b/crates/fernknot-router/src/client_io.rs
@@ -1,4 +1,4 @@
-//! Bytes of clients: read, parsed into requests, and written.
+//! Input and output of clients' connections: reading, parsing of requests, and writing.
 
 use crate::client::ClientState;
 use crate::clients::Clients;
@@ -8,7 +8,7 @@
 use calloop::Readiness;
 use fernknot_protocol::http::CONTINUE;
 
-/// Whether a connection can go on without waiting for its socket or the engine.
+/// Whether a connection can proceed without waiting for its socket or the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Continue,
@@ -16,36 +16,36 @@
 }
 
 impl Clients {
-    /// The event loop has found a connection ready.
+    /// Handles the readiness of a connection.
     pub fn client_ready(&mut self, context: &mut Context, id: ClientId, readiness: Readiness) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
         client.tcp.is_readable |= readiness.readable || readiness.error;
-        if client.tcp.has_ended && client.tcp.connected().is_err() {
-            return self.client_gone(context, id);
+        if client.tcp.read_closed && client.tcp.check_connected().is_err() {
+            return self.client_disconnected(context, id);
         }
         self.read_client(context, id);
     }
 
-    /// Reads on where the last turn stopped for its limit.
+    /// Continues reads that the last iteration stopped at its limit.
     pub fn read_more_clients(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.readable) {
             self.read_client(context, id);
         }
     }
 
-    /// Writes what this turn has put into output buffers.
+    /// Writes the output buffers filled in this iteration.
     pub fn flush_clients(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.unflushed) {
             self.advance(context, id);
         }
     }
 
-    /// Reads what has come, up to the limit of a turn, and goes on with the connection.
+    /// Reads the available input, up to the limit of an iteration, and advances the connection.
     pub fn read_client(&mut self, context: &mut Context, id: ClientId) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
         let was_idle = client.is_idle();
         let outcome = client.tcp.fill(context.limits.read_ahead_bytes);
-        // Guards against requests that come byte by byte without end: their time runs from the first.
+        // The request's time-out runs from its first byte, so that a client cannot extend it by sending slowly.
         if was_idle && !client.is_idle() {
             client.last_progress = context.now;
         }
@@ -53,8 +53,8 @@
             client.discard_input();
         }
         match outcome {
-            Err(_) => return self.client_gone(context, id),
-            // While a response is awaited no more is read than the buffer's limit.
+            Err(_) => return self.client_disconnected(context, id),
+            // While a response is pending, no more than the buffer's limit is read.
             Ok(ReadOutcome::MoreAvailable)
                 if matches!(client.state, ClientState::Reading | ClientState::Closing) =>
             {
@@ -65,14 +65,14 @@
         self.advance(context, id);
     }
 
-    /// Goes on with a connection as far as it will go now.
+    /// Advances a connection until it has to wait.
     fn advance(&mut self, context: &mut Context, id: ClientId) {
         while let Some(client) = self.by_id.get(&id) {
             let progress = match client.state {
                 ClientState::Reading => self.read_request(context, id),
-                ClientState::Pending(_) => self.probe_if_ended(context, id),
+                ClientState::Pending(_) => self.probe_if_read_closed(context, id),
                 ClientState::Writing => self.write_response(context, id),
-                ClientState::Closing => self.close_if_ended(context, id),
+                ClientState::Closing => self.close_if_read_closed(context, id),
             };
             if progress == Progress::Wait {
                 return;
@@ -87,11 +87,11 @@
                 self.handle_request(context, id, request);
                 Progress::Continue
             }
-            Ok(None) if client.tcp.has_ended && client.is_idle() => {
-                self.drop_client(context, id);
+            Ok(None) if client.tcp.read_closed && client.is_idle() => {
+                self.remove_client(context, id);
                 Progress::Wait
             }
-            Ok(None) if client.tcp.has_ended => {
+            Ok(None) if client.tcp.read_closed => {
                 self.reject_request(context, id, 400, "request cut off");
                 Progress::Continue
             }
@@ -103,8 +103,8 @@
         }
     }
 
-    /// No request is complete: shrinks the buffers, bounds the time of the one that has begun, and sends an interim
-    /// response if the client waits for it.
+    /// Handles a connection without a complete request: shrinks the buffers, sets the timer of a request that has begun
+    /// to arrive, and sends an interim response if the client waits for it.
     fn await_request(&mut self, context: &mut Context, id: ClientId) -> Progress {
         let Some(client) = self.by_id.get_mut(&id) else { return Progress::Wait };
         client.tcp.input.shrink(context.limits.idle_buffer_bytes);
@@ -120,21 +120,21 @@
         }
         client.tcp.output.push(CONTINUE);
         if client.tcp.flush().is_err() {
-            self.client_gone(context, id);
+            self.client_disconnected(context, id);
             return Progress::Wait;
         }
         Progress::Continue
     }
 
-    /// The client has finished sending: whether it has gone too shows only when it is sent something, so it is sent an
-    /// interim response, which one that still listens ignores.
-    fn probe_if_ended(&mut self, context: &mut Context, id: ClientId) -> Progress {
+    /// Sends an interim response to a client that has stopped sending. If the client has closed the connection, writing
+    /// fails; a client that still reads ignores the interim response.
+    fn probe_if_read_closed(&mut self, context: &mut Context, id: ClientId) -> Progress {
         let Some(client) = self.by_id.get_mut(&id) else { return Progress::Wait };
-        if client.tcp.has_ended && !client.is_http_1_0 && !std::mem::replace(&mut client.was_probed, true) {
+        if client.tcp.read_closed && !client.is_http_1_0 && !std::mem::replace(&mut client.was_probed, true) {
             client.tcp.output.push(CONTINUE);
         }
         if client.tcp.flush().is_err() {
-            self.client_gone(context, id);
+            self.client_disconnected(context, id);
         }
         Progress::Wait
     }
@@ -142,7 +142,7 @@
     fn write_response(&mut self, context: &mut Context, id: ClientId) -> Progress {
         let Some(client) = self.by_id.get_mut(&id) else { return Progress::Wait };
         let Ok(count) = client.tcp.flush() else {
-            self.client_gone(context, id);
+            self.client_disconnected(context, id);
             return Progress::Wait;
         };
         if count > 0 {
@@ -153,18 +153,18 @@
         }
         if client.keeps_connection {
             client.state = ClientState::Reading;
-            if client.tcp.is_readable && !client.tcp.has_ended {
+            if client.tcp.is_readable && !client.tcp.read_closed {
                 self.readable.push(id);
             }
         } else {
-            self.end_client(context, id);
+            self.shut_down_client(context, id);
         }
         Progress::Continue
     }
 
-    fn close_if_ended(&mut self, context: &mut Context, id: ClientId) -> Progress {
-        if self.by_id.get(&id).is_some_and(|client| client.tcp.has_ended) {
-            self.drop_client(context, id);
+    fn close_if_read_closed(&mut self, context: &mut Context, id: ClientId) -> Progress {
+        if self.by_id.get(&id).is_some_and(|client| client.tcp.read_closed) {
+            self.remove_client(context, id);
         }
         Progress::Wait
     }
--- a/crates/fernknot-router/src/client_requests.rs
+++ b/crates/fernknot-router/src/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and the responses to them.
+//! Requests of clients and their responses.
 
 use crate::client::ClientState;
 use crate::clients::Clients;
@@ -13,7 +13,7 @@
 const MILLIS_PER_SECOND: f64 = 1e3;
 
 impl Clients {
-    /// Answers a request, or gives its multiget to the engine.
+    /// Answers a request, or submits its multiget to the engine.
     pub fn handle_request(&mut self, context: &mut Context, id: ClientId, request: Request) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
         client.keeps_connection = request.keeps_connection;
@@ -21,12 +21,12 @@
         client.has_requested = true;
         match (request.method.as_str(), request.path()) {
             ("HEAD", _) => {
-                // Its response has no body, whose length a head would announce.
+                // The response to HEAD has no body although its Content-Length announces one, so the connection ends.
                 client.keeps_connection = false;
                 self.respond(context, id, 405, None, b"");
             }
             ("GET", "/up") => {
-                let is_ready = context.has_list && context.stop_deadline.is_none();
+                let is_ready = context.has_full_list && context.stop_deadline.is_none();
                 let (status, body) = if is_ready { (200, "up\n") } else { (503, "not ready\n") };
                 self.respond(context, id, status, None, body.as_bytes());
             }
@@ -36,7 +36,8 @@
             }
             ("GET", "/fleet") if context.membership.is_some() => {
                 let membership = context.membership.as_ref();
-                let text = membership.map(|membership| membership.text(context.now)).unwrap_or_default();
+                let text =
+                    membership.map(|membership| membership.status_text(context.now)).unwrap_or_default();
                 self.respond(context, id, 200, None, text.as_bytes());
             }
             _ => self.handle_multiget(context, id, &request),
@@ -45,12 +46,12 @@
 
     fn handle_multiget(&mut self, context: &mut Context, id: ClientId, request: &Request) {
         match multiget::parse_multiget(request, &context.settings, &context.limits) {
-            // Guards a client's open request against another's under its id: nodes know no other name.
-            Ok(asked) if context.engine.table.is_awaiting_answer(&asked.id) => {
+            // Nodes identify a request by its id only, so two open requests must not have the same id.
+            Ok(multiget_request) if context.engine.table.is_awaiting_answer(&multiget_request.id) => {
                 context.counters.bad_requests += 1;
                 self.respond(context, id, 409, None, b"a request of this id is open");
             }
-            Ok(asked) => self.take_multiget(context, id, asked),
+            Ok(multiget_request) => self.submit_multiget(context, id, multiget_request),
             Err(error) => {
                 context.counters.bad_requests += 1;
                 self.respond(context, id, error.status(), None, error.to_string().as_bytes());
@@ -58,26 +59,32 @@
         }
     }
 
-    fn take_multiget(&mut self, context: &mut Context, id: ClientId, asked: multiget::MultigetRequest) {
-        // Guards what comes late in a stop against the end of the process.
-        let client_end = (context.now + asked.timeout).min(context.stop_deadline.unwrap_or(Nanos(u64::MAX)));
-        let multiget = context.engine.submit(context.now, RequesterId(id.0), client_end, asked);
+    fn submit_multiget(
+        &mut self,
+        context: &mut Context,
+        id: ClientId,
+        multiget_request: multiget::MultigetRequest,
+    ) {
+        // During shutdown the request must end before the process does.
+        let client_end =
+            (context.now + multiget_request.timeout).min(context.stop_deadline.unwrap_or(Nanos(u64::MAX)));
+        let multiget = context.engine.submit(context.now, RequesterId(id.0), client_end, multiget_request);
         if let Some(client) = self.by_id.get_mut(&id) {
             client.state = ClientState::Pending(multiget);
             client.was_probed = false;
         }
     }
 
-    /// Answers a request that cannot be read, and ends the connection after it.
-    pub fn reject_request(&mut self, context: &mut Context, id: ClientId, status: u16, why: &str) {
+    /// Answers a request that cannot be parsed, and ends the connection after the response.
+    pub fn reject_request(&mut self, context: &mut Context, id: ClientId, status: u16, reason: &str) {
         context.counters.bad_requests += 1;
         if let Some(client) = self.by_id.get_mut(&id) {
             client.keeps_connection = false;
         }
-        self.respond(context, id, status, None, why.as_bytes());
+        self.respond(context, id, status, None, reason.as_bytes());
     }
 
-    /// Puts a response on its way.
+    /// Writes a response to the output buffer.
     fn respond(
         &mut self,
         context: &mut Context,
@@ -103,21 +110,21 @@
         self.unflushed.push(id);
     }
 
-    /// Gives the final answer to a pending multiget.
-    pub fn answer(&mut self, context: &mut Context, asker: RequesterId, verdict: Verdict, ended: Stage) {
-        let id = ClientId(asker.0);
-        if ended != Stage::Plain && !matches!(verdict, Verdict::Completed { .. }) {
-            debug!(context.log, "a query in two phases is given up"; "in" => ?ended);
+    /// Sends the final answer to a pending multiget.
+    pub fn answer(&mut self, context: &mut Context, requester: RequesterId, verdict: Verdict, stage: Stage) {
+        let id = ClientId(requester.0);
+        if stage != Stage::Plain && !matches!(verdict, Verdict::Completed { .. }) {
+            debug!(context.log, "two-phase query ended without an answer"; "in" => ?stage);
         }
         match verdict {
-            Verdict::Completed { is_complete: whole, values, blocks, .. } => {
+            Verdict::Completed { is_complete, values, blocks, .. } => {
                 let values = values.iter().map(|(shard, value)| (*shard, value.as_str()));
-                let body = multiget::response_body(whole, values, blocks.as_deref());
-                self.respond_with_values(context, id, whole, &body);
+                let body = multiget::response_body(is_complete, values, blocks.as_deref());
+                self.respond_with_values(context, id, is_complete, &body);
             }
-            Verdict::Rejected { retry_after: wait } => {
+            Verdict::Rejected { retry_after } => {
                 context.counters.dismissed += 1;
-                let retry_after_s = wait.map(|wait| wait.as_millis() / MILLIS_PER_SECOND);
+                let retry_after_s = retry_after.map(|wait| wait.as_millis() / MILLIS_PER_SECOND);
                 self.respond(context, id, 503, retry_after_s, b"dismissed");
             }
             Verdict::Failed => {
@@ -128,7 +135,7 @@
     }
 
     fn respond_with_values(&mut self, context: &mut Context, id: ClientId, is_complete: bool, body: &[u8]) {
-        // Guards clients that hold to the protocol's limit, and this router's memory.
+        // The protocol limits the size of a body, and the limit bounds the memory of this router.
         if body.len() > context.limits.max_body_bytes {
             context.counters.broken_off += 1;
             return self.respond(context, id, 502, None, b"answer too large");
--- a/crates/fernknot-router/src/clients.rs
+++ b/crates/fernknot-router/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections, from accepting to closing.
+//! Clients' connections: accepting, idle time-outs and closing.
 
 use crate::client::{Client, ClientState};
 use crate::context::Context;
@@ -12,26 +12,26 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Steps in which a stopping router closes its connections.
+/// Number of steps in which a stopping router closes its connections.
 const HANDOVER_STEPS: u64 = 32;
 
-/// The listener and all clients' connections.
+/// Listener and connections of clients.
 pub struct Clients {
     listener: Option<(Rc<TcpListener>, RegistrationToken)>,
     event_loop: EventLoopHandle,
-    /// All connections.
+    /// Connections by id.
     pub by_id: HashMap<ClientId, Client>,
     next_id: u64,
-    /// Connections wait to be accepted because there are too many.
-    is_paused: bool,
-    /// Clients with more to read.
+    /// Whether accepting is paused because the maximum number of connections is open.
+    is_accept_paused: bool,
+    /// Connections whose sockets have unread bytes.
     pub readable: Vec<ClientId>,
-    /// Clients with something to write.
+    /// Connections with output to write in this iteration.
     pub unflushed: Vec<ClientId>,
 }
 
 impl Clients {
-    /// Listens on an address.
+    /// Starts listening at an address.
     pub fn new(event_loop: &EventLoopHandle, listen: SocketAddr) -> Result<Clients> {
         let listener = Rc::new(TcpListener::bind(listen)?);
         listener.set_nonblocking(true)?;
@@ -41,48 +41,49 @@
             event_loop: event_loop.clone(),
             by_id: HashMap::new(),
             next_id: 0,
-            is_paused: false,
+            is_accept_paused: false,
             readable: Vec::new(),
             unflushed: Vec::new(),
         })
     }
 
-    /// Whether a connection has more to read.
-    pub fn has_more(&self) -> bool {
+    /// Returns whether a connection has unread bytes.
+    pub fn has_readable(&self) -> bool {
         !self.readable.is_empty()
     }
 
-    /// Closes the listener; connections stay.
+    /// Closes the listener. Open connections stay.
     pub fn stop_listening(&mut self) {
         if let Some((_, token)) = self.listener.take() {
             self.event_loop.remove(token);
         }
     }
 
-    /// Whether any connection is between a request's first byte and the response's last.
-    pub fn are_busy(&self) -> bool {
+    /// Returns whether any connection is between the first byte of a request and the last byte of its response.
+    pub fn has_busy_clients(&self) -> bool {
         self.by_id.values().any(|client| !client.is_idle())
     }
 
-    /// Accepts what waits, up to the limit; there, idle connections make room.
+    /// Accepts waiting connections. At the maximum number of connections the oldest idle ones are closed.
     pub fn accept(&mut self, context: &mut Context) {
         while let Some(listener) = self.listener.as_ref().map(|(listener, _)| listener.clone()) {
             while self.by_id.len() >= context.limits.max_clients {
-                if !self.end_oldest_idle(context) {
-                    self.is_paused = true;
+                if !self.close_oldest_idle(context) {
+                    self.is_accept_paused = true;
                     return;
                 }
             }
             match listener.accept() {
                 Ok((stream, _)) => self.add_client(context, stream),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // The client went before it was accepted.
+                // The client closed the connection before it was accepted.
                 Err(error)
                     if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(error) => {
-                    // Guards against a loop that spins while descriptors have run out.
+                    // Without the delay the loop would spin while no file descriptors are left.
                     context.counters.client_connections_refused += 1;
-                    warn!(context.log, "accepting waits"; "why" => error.to_string());
+                    warn!(context.log, "cannot accept client connections; retrying after a delay";
+                        "why" => error.to_string());
                     context.set_timer(context.now + context.limits.accept_retry_delay, Timer::Accept);
                     return;
                 }
@@ -96,7 +97,8 @@
         let tcp = match TcpConnection::new(&context.event_loop, stream, Source::Client(id)) {
             Ok(tcp) => tcp,
             Err(error) => {
-                warn!(context.log, "a client is not served"; "why" => error.to_string());
+                warn!(context.log, "cannot set up a client connection; closing it";
+                    "why" => error.to_string());
                 return;
             }
         };
@@ -107,19 +109,21 @@
         self.read_client(context, id);
     }
 
-    /// False if none is idle. Guards the first request of a new connection, which would fail; any other is sent once
-    /// more: those that have sent one go first.
-    fn end_oldest_idle(&mut self, context: &mut Context) -> bool {
+    /// Closes the connection that has been idle for longest, and returns whether there was one. Connections that have
+    /// sent a request are closed first: a client repeats a request that fails on a reused connection, but not the first
+    /// request on a new one.
+    fn close_oldest_idle(&mut self, context: &mut Context) -> bool {
         let idle = self.by_id.iter().filter(|(_, client)| client.is_idle());
         let oldest = idle.map(|(id, client)| (!client.has_requested, client.last_progress, *id)).min();
         let Some((_, _, id)) = oldest else { return false };
         if self.is_still_idle(context, id) {
-            self.drop_client(context, id);
+            self.remove_client(context, id);
         }
         true
     }
 
-    /// Reads once more of a connection that is to be ended. Guards a request that has just come.
+    /// Reads from a connection that is to be closed, and returns whether it is still idle, so that a request that has
+    /// just arrived is not lost.
     fn is_still_idle(&mut self, context: &mut Context, id: ClientId) -> bool {
         if let Some(client) = self.by_id.get_mut(&id) {
             client.tcp.is_readable = true;
@@ -128,30 +132,30 @@
         self.by_id.get(&id).is_some_and(Client::is_idle)
     }
 
-    /// Closes a connection and forgets it.
-    pub fn drop_client(&mut self, context: &mut Context, id: ClientId) {
+    /// Closes a connection and removes it.
+    pub fn remove_client(&mut self, context: &mut Context, id: ClientId) {
         let Some(client) = self.by_id.remove(&id) else { return };
         context.cancel_timer(client.timer_at, Timer::Client(id));
-        if std::mem::take(&mut self.is_paused) {
+        if std::mem::take(&mut self.is_accept_paused) {
             context.set_timer(context.now, Timer::Accept);
         }
     }
 
-    /// The client has closed or reset its connection.
-    pub fn client_gone(&mut self, context: &mut Context, id: ClientId) {
+    /// Handles a connection that the client has closed or reset.
+    pub fn client_disconnected(&mut self, context: &mut Context, id: ClientId) {
         let Some(client) = self.by_id.get(&id) else { return };
         match client.state {
             ClientState::Pending(multiget) => context.engine.client_gone(context.now, multiget),
             ClientState::Writing => context.counters.answers_unread += 1,
             ClientState::Reading | ClientState::Closing => {}
         }
-        self.drop_client(context, id);
+        self.remove_client(context, id);
     }
 
-    /// Ends a connection without destroying what is still on its way to the client.
-    pub fn end_client(&mut self, context: &mut Context, id: ClientId) {
+    /// Closes a connection gracefully, so that output in flight still reaches the client.
+    pub fn shut_down_client(&mut self, context: &mut Context, id: ClientId) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
-        client.tcp.finish();
+        client.tcp.shut_down_writing();
         client.state = ClientState::Closing;
         client.discard_input();
         context.cancel_timer(client.timer_at, Timer::Client(id));
@@ -160,23 +164,24 @@
         self.readable.push(id);
     }
 
-    /// Whether a stopping router no longer keeps a connection. Guards clients that have no other router yet, where one
-    /// stops as another comes back, and the others against coming all at once.
+    /// Returns whether a stopping router no longer keeps a connection. Connections end one by one over a period, so
+    /// that clients can connect to another router that is just starting, and the other routers do not receive all
+    /// clients at once.
     pub fn is_handed_over(&self, context: &Context, id: ClientId) -> bool {
         let step = (id.0 % HANDOVER_STEPS) as f64 / HANDOVER_STEPS as f64;
         let limits = &context.limits;
         let time_left = limits.final_response_timeout + limits.connection_handover.times(1.0 - step);
-        context.has_lingered || context.stop_deadline.is_some_and(|end| context.now + time_left >= end)
+        context.is_linger_over || context.stop_deadline.is_some_and(|end| context.now + time_left >= end)
     }
 
-    /// Ends those connections between requests that are handed over by now. Guards the first request of a client that
-    /// came after the signal to stop: it has had no other router to go to, so it may ask once.
-    pub fn end_idle_clients(&mut self, context: &mut Context) {
+    /// Closes the idle connections that a stopping router no longer keeps. A connection accepted after the signal to
+    /// stop stays open for its first request, since its client may have no other router to connect to.
+    pub fn close_idle_clients(&mut self, context: &mut Context) {
         let limits = &context.limits;
         let stopping_since =
             context.stop_deadline.map(|end| end - limits.final_response_timeout - limits.shutdown_linger);
         let is_new = |client: &Client| {
-            !context.has_lingered && !client.has_requested && Some(client.last_progress) >= stopping_since
+            !context.is_linger_over && !client.has_requested && Some(client.last_progress) >= stopping_since
         };
         let ended = self
             .by_id
@@ -185,22 +190,22 @@
         let ids: Vec<ClientId> = ended.map(|(id, _)| *id).collect();
         for id in ids {
             if self.is_still_idle(context, id) {
-                self.end_client(context, id);
+                self.shut_down_client(context, id);
             }
         }
     }
 
-    /// The timer of a client is due: it has either made progress since, or is ended.
+    /// Handles the timer of a connection: sets it again if the connection has made progress, and closes it otherwise.
     pub fn client_timer_due(&mut self, context: &mut Context, id: ClientId) {
         let Some(client) = self.by_id.get_mut(&id) else { return };
         let limits = &context.limits;
         let timeout = match client.state {
-            // Guards against those that connect and send nothing.
+            // A client that connects and sends nothing gets the shorter time-out.
             ClientState::Reading if client.is_idle() && client.has_requested => limits.client_idle_timeout,
             ClientState::Reading => limits.request_timeout,
             ClientState::Writing => limits.response_stall_timeout,
             ClientState::Pending(_) => Nanos(u64::MAX),
-            ClientState::Closing => return self.drop_client(context, id),
+            ClientState::Closing => return self.remove_client(context, id),
         };
         let deadline = client.last_progress + timeout;
         let next_check = context.now + limits.response_stall_timeout;
@@ -208,13 +213,13 @@
         client.timer_at = if is_in_time { deadline.min(next_check) } else { next_check };
         context.set_timer(client.timer_at, Timer::Client(id));
         if is_in_time {
-            // It has made progress since the timer was set.
+            // The connection has made progress since the timer was set.
         } else if client.is_idle() {
-            self.end_client(context, id);
+            self.shut_down_client(context, id);
         } else if client.state == ClientState::Reading {
             self.reject_request(context, id, 408, "request never came whole");
         } else {
-            self.client_gone(context, id);
+            self.client_disconnected(context, id);
         }
     }
 }
--- a/crates/fernknot-router/src/clock.rs
+++ b/crates/fernknot-router/src/clock.rs
@@ -1,25 +1,25 @@
-//! The clock of the process: monotonic from its start, counted from the Unix epoch, so that a node's start before this
-//! process can be expressed and a step of the wall clock moves no deadline.
+//! Clock of the process: monotonic, in Unix time. It can express the start times of nodes, which lie before the start
+//! of this process, and a step of the wall clock does not move deadlines.
 
 use fernknot::interface::Nanos;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that never goes back.
+/// A monotonic clock in Unix time.
 pub struct Clock {
-    started: Instant,
-    /// Unix time when the process started.
-    started_at: Nanos,
+    start: Instant,
+    /// Unix time at the start of the process.
+    start_unix_time: Nanos,
 }
 
 impl Clock {
-    /// Starts the clock at the present Unix time.
+    /// Starts the clock at the current Unix time.
     pub fn new() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), started_at: Nanos(since_epoch.as_nanos() as u64) }
+        Clock { start: Instant::now(), start_unix_time: Nanos(since_epoch.as_nanos() as u64) }
     }
 
-    /// Nanoseconds since the Unix epoch.
+    /// Returns the time since the Unix epoch.
     pub fn now(&self) -> Nanos {
-        self.started_at + Nanos(self.started.elapsed().as_nanos() as u64)
+        self.start_unix_time + Nanos(self.start.elapsed().as_nanos() as u64)
     }
 }
--- a/crates/fernknot-router/src/context.rs
+++ b/crates/fernknot-router/src/context.rs
@@ -1,5 +1,5 @@
-//! What all that stands on sockets shares: the engine, the time of the running turn, limits, timers, counters and the
-//! log. It knows none of those that use it.
+//! State shared by all modules with sockets: the engine, the time of the current iteration, limits, timers, counters
+//! and the log. It does not depend on the modules that use it.
 
 use crate::counters::Counters;
 use crate::events::Timer;
@@ -11,42 +11,42 @@
 use slog::Logger;
 use std::collections::BTreeSet;
 
-/// What all that stands on sockets shares.
+/// State shared by all modules with sockets.
 pub struct Context {
-    /// The log.
+    /// Logger of the process.
     pub log: Logger,
-    /// Where sockets are registered.
+    /// Event loop, with which sockets are registered.
     pub event_loop: EventLoopHandle,
-    /// When the running turn began.
+    /// Start of the current iteration of the event loop.
     pub now: Nanos,
-    /// The limits; a configuration that is read again replaces them.
+    /// Limits on sizes, counts and durations. A reload of the configuration replaces them.
     pub limits: Limits,
-    /// The settings of the sockets.
+    /// Settings of the sockets.
     pub settings: SocketSettings,
-    /// The counters of the sockets.
+    /// Counters of the sockets.
     pub counters: Counters,
-    /// The query router without sockets.
+    /// Query router without sockets.
     pub engine: Engine,
-    /// When timers are due.
+    /// Timers, sorted by the time for which they are set.
     pub timers: BTreeSet<(Nanos, Timer)>,
-    /// Which routers are alive, where that is asked for.
+    /// Membership, which detects the live routers; `None` if it is off.
     pub membership: Option<Membership>,
-    /// A full list of nodes has come.
-    pub has_list: bool,
-    /// When all must have been answered, once the signal to stop has come.
+    /// Whether a full list of nodes has been received.
+    pub has_full_list: bool,
+    /// Time by which all requests must be answered; `None` before the signal to stop.
     pub stop_deadline: Option<Nanos>,
-    /// The router stops, and no longer accepts connections.
-    pub has_lingered: bool,
+    /// Whether the router is stopping and no longer accepts connections.
+    pub is_linger_over: bool,
 }
 
 impl Context {
-    /// All counters, a line each.
+    /// Returns all counters, one per line.
     pub fn counters_text(&self) -> String {
         let membership = self.membership.as_ref().map(|membership| membership.counters.text());
         self.engine.counters.text() + &self.counters.text() + &membership.unwrap_or_default()
     }
 
-    /// Sets a timer; it is due in the first turn from this time on.
+    /// Sets a timer, which expires in the first iteration at or after this time.
     pub fn set_timer(&mut self, at: Nanos, timer: Timer) {
         self.timers.insert((at, timer));
     }
--- a/crates/fernknot-router/src/counters.rs
+++ b/crates/fernknot-router/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of what the sockets of a router have seen since its start.
+//! Counters of the sockets of a router since its start.
 
 fernknot_engine::counters!(
     bad_requests,
--- a/crates/fernknot-router/src/discovery.rs
+++ b/crates/fernknot-router/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery, over one connection at a time.
+//! Client of discovery: watches the list of nodes over one connection at a time.
 
 use crate::context::Context;
 use crate::events::{Source, Timer};
@@ -10,23 +10,23 @@
 use slog::{info, warn};
 use std::net::SocketAddr;
 
-/// The watch on discovery.
+/// Client of discovery.
 pub struct Discovery {
     address: SocketAddr,
     connection: Option<TcpConnection>,
     watch: Watch,
-    /// When the answer that is awaited is given up, or the next call is made.
+    /// Time at which the pending call times out, or the next call is made.
     timer_at: Option<Nanos>,
-    /// When the last call was made.
+    /// Time of the last call.
     last_call: Nanos,
-    /// No call is open; the next one waits for its time.
-    is_paused: bool,
-    /// The wait after the next failure.
+    /// Whether no call is pending and the next one waits for the timer.
+    is_between_calls: bool,
+    /// Delay after the next failure.
     backoff: Nanos,
 }
 
 impl Discovery {
-    /// A watch that has made no call.
+    /// Creates a client that has not made a call.
     pub fn new(address: SocketAddr) -> Discovery {
         Discovery {
             address,
@@ -34,12 +34,12 @@
             watch: Watch::default(),
             timer_at: None,
             last_call: Nanos(0),
-            is_paused: true,
+            is_between_calls: true,
             backoff: Nanos(0),
         }
     }
 
-    /// Takes the list as it was last known, and asks for the present one.
+    /// Applies the last known list, and requests the current one.
     pub fn start(&mut self, context: &mut Context, nodes: &mut Nodes, last_known_list: Option<&str>) {
         self.backoff = context.limits.initial_backoff;
         match last_known_list.map(|list| parse_list(list.as_bytes())) {
@@ -47,14 +47,16 @@
                 self.apply_list(context, nodes, NodeList { is_full: true, ..list });
             }
             Some(Err(error)) => {
-                warn!(context.log, "the known list is not used"; "why" => error.to_string());
+                warn!(context.log, "cannot parse the last known node list; starting without it";
+                    "why" => error.to_string());
             }
             _ => {}
         }
-        self.call(context);
+        self.send_call(context);
     }
 
-    /// Goes on at another address, from its whole list; the last one stays in use until then.
+    /// Changes the address of discovery, and requests the full list there. The current list stays in use until the
+    /// answer.
     pub fn change_address(&mut self, context: &mut Context, address: SocketAddr) {
         if address == self.address {
             return;
@@ -63,7 +65,7 @@
         self.connection = None;
         self.watch = Watch::default();
         self.backoff = context.limits.initial_backoff;
-        self.call(context);
+        self.send_call(context);
     }
 
     fn set_timer(&mut self, context: &mut Context, after: Nanos) {
@@ -74,14 +76,14 @@
         context.set_timer(at, Timer::Discovery);
     }
 
-    fn call(&mut self, context: &mut Context) {
+    fn send_call(&mut self, context: &mut Context) {
         if self.connection.is_none() {
             match TcpConnection::connect(&context.event_loop, self.address, Source::Discovery) {
                 Ok(connection) => self.connection = Some(connection),
                 Err(error) => return self.call_failed(context, &error.to_string()),
             }
         }
-        (self.last_call, self.is_paused) = (context.now, false);
+        (self.last_call, self.is_between_calls) = (context.now, false);
         let Some(connection) = &mut self.connection else { return };
         let watch_wait = context.limits.watch_wait;
         let is_long_poll = self.watch.write_request(&mut connection.output, self.address, watch_wait);
@@ -92,38 +94,42 @@
 
     fn flush(&mut self, context: &mut Context) {
         let Some(connection) = &mut self.connection else { return };
-        // While the connection is being set up there is nothing to write to.
-        let flushed = connection.connected().and_then(|is_up| if is_up { connection.flush() } else { Ok(0) });
+        // Nothing can be written before the connection is established.
+        let flushed = connection
+            .check_connected()
+            .and_then(|is_connected| if is_connected { connection.flush() } else { Ok(0) });
         if let Err(error) = flushed {
             self.call_failed(context, &error.to_string());
         }
     }
 
-    /// The event loop has found the connection ready.
+    /// Handles the readiness of the connection.
     pub fn ready(&mut self, context: &mut Context, nodes: &mut Nodes, readiness: Readiness) {
         self.flush(context);
         let Some(connection) = &mut self.connection else { return };
         connection.is_readable |= readiness.readable;
         let filled = connection.fill(2 * context.limits.max_list_bytes);
-        let has_ended = connection.has_ended;
-        if self.is_paused {
-            // Between calls the agent may close; the next one connects anew.
-            if has_ended || filled.is_err() {
+        let read_closed = connection.read_closed;
+        if self.is_between_calls {
+            // Discovery may close the connection between calls; the next call opens a new one.
+            if read_closed || filled.is_err() {
                 self.connection = None;
             }
             return;
         }
-        let update = self.watch.read(&mut connection.input, has_ended, &context.limits);
+        let update = self.watch.read(&mut connection.input, read_closed, &context.limits);
         match (update, filled) {
             (Ok(Some(WatchUpdate { list, keeps_connection })), _) => {
-                if !keeps_connection || has_ended {
+                if !keeps_connection || read_closed {
                     self.connection = None;
                 }
                 self.call_succeeded(context, nodes, list);
             }
             (Err(error), _) => self.call_failed(context, &error.to_string()),
             (Ok(None), Err(error)) => self.call_failed(context, &error.to_string()),
-            (Ok(None), Ok(_)) if has_ended => self.call_failed(context, "answer cut off"),
+            (Ok(None), Ok(_)) if read_closed => {
+                self.call_failed(context, "connection closed before the answer was complete")
+            }
             (Ok(None), Ok(_)) => {}
         }
     }
@@ -131,41 +137,42 @@
     fn call_succeeded(&mut self, context: &mut Context, nodes: &mut Nodes, list: NodeList) {
         self.backoff = context.limits.initial_backoff;
         self.apply_list(context, nodes, list);
-        // Guards against calls without end should an agent not wait as it is asked to.
+        // If discovery answers without waiting for a change, the minimum interval avoids calls in a tight loop.
         let next_call = self.last_call + context.limits.min_watch_interval;
         if next_call > context.now {
-            self.is_paused = true;
+            self.is_between_calls = true;
             self.set_timer(context, next_call - context.now);
         } else {
-            self.call(context);
+            self.send_call(context);
         }
     }
 
-    /// The last list stays in use; calls go on after bounded waits.
-    fn call_failed(&mut self, context: &mut Context, why: &str) {
+    /// Handles a failed call: the current list stays in use, and the next call follows after the backoff.
+    fn call_failed(&mut self, context: &mut Context, reason: &str) {
         context.counters.list_calls_failed += 1;
-        info!(context.log, "a call to discovery failed"; "why" => why.to_string());
+        info!(context.log, "call to discovery failed; keeping the current node list and retrying";
+            "why" => reason.to_string());
         self.connection = None;
-        self.is_paused = true;
+        self.is_between_calls = true;
         context.engine.node_list_lost(context.now);
         let wait = self.backoff;
         self.backoff = wait.times(2.0).min(context.limits.max_backoff);
         self.set_timer(context, wait);
     }
 
-    /// The answer is late, or the wait before the next call is over.
+    /// Handles the timer: the pending call has timed out, or the next call is due.
     pub fn timer_due(&mut self, context: &mut Context) {
         self.timer_at = None;
-        match self.is_paused {
-            false => self.call_failed(context, "no answer in time"),
-            true => self.call(context),
+        match self.is_between_calls {
+            false => self.call_failed(context, "no answer within the time-out"),
+            true => self.send_call(context),
         }
     }
 
     fn apply_list(&mut self, context: &mut Context, nodes: &mut Nodes, list: NodeList) {
         for error in &list.rejected_entries {
             context.counters.list_entries_bad += 1;
-            warn!(context.log, "an entry of the list is left out"; "why" => error.to_string());
+            warn!(context.log, "ignoring an invalid entry of the node list"; "why" => error.to_string());
         }
         let kind = if list.is_full { ListKind::Full } else { ListKind::Changes };
         match kind {
@@ -175,9 +182,9 @@
         if list.is_full || !list.nodes.is_empty() {
             let entries = nodes.apply_list(context, &list);
             context.engine.apply_node_list(kind, &entries);
-            info!(context.log, "listed";
+            info!(context.log, "applied a node list";
                 "generation" => list.generation, "full" => list.is_full, "nodes" => entries.len());
         }
-        context.has_list |= list.is_full;
+        context.has_full_list |= list.is_full;
     }
 }
--- a/crates/fernknot-router/src/error.rs
+++ b/crates/fernknot-router/src/error.rs
@@ -1,24 +1,24 @@
-//! Why the process ends with an error.
+//! Errors that end the process.
 
 use calloop::InsertError;
 use calloop::signals::Signals;
 
-/// A failure of the process after its configuration was read.
+/// Error that ends the process after its configuration was read.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The event loop cannot be set up, or cannot wait.
+    /// The event loop cannot be set up, or cannot wait for events.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
-    /// Signals cannot be received.
+    /// Signal handlers cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] calloop::Error),
-    /// Signals cannot be added to the event loop.
+    /// Signals cannot be registered with the event loop.
     #[error("signals: {0}")]
     SignalSource(#[source] Box<InsertError<Signals>>),
-    /// The address for clients cannot be listened on.
+    /// The process cannot listen at the address for clients.
     #[error("listen: {0}")]
     Listen(#[source] std::io::Error),
-    /// The address for peers cannot be listened on.
+    /// The process cannot listen at the address for peers.
     #[error("peer_listen: {0}")]
     PeerListen(#[source] std::io::Error),
 }
--- a/crates/fernknot-router/src/events.rs
+++ b/crates/fernknot-router/src/events.rs
@@ -1,18 +1,18 @@
-//! What the event loop knows its sources and timers by, and what one turn of it brought.
+//! Identifiers of the event loop's sources and timers, and the events of one iteration.
 
 use calloop::Readiness;
 use calloop::signals::Signal;
 use fernknot::interface::NodeId;
 
-/// A client's connection; ids are given in the order of accepting and never used again.
+/// Identifier of a client's connection. Ids are assigned in the order of accepting and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// A connection to a data node; ids are given in the order of opening and never used again.
+/// Identifier of a connection to a data node. Ids are assigned in the order of opening and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeConnectionId(pub u64);
 
-/// A socket that the event loop watches.
+/// Socket that is registered with the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     Listener,
@@ -22,26 +22,26 @@
     Peers,
 }
 
-/// What a time that has come is for. A timer whose cause is gone is ignored.
+/// Purpose of a timer. An expired timer whose connection or node no longer exists is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A connection to a node must be up, or a frame that has begun to arrive must be complete.
+    /// Deadline for a connection to a node to be established, or for a frame that has begun to arrive to be complete.
     NodeConnection(NodeConnectionId),
     NodeIdle(NodeConnectionId),
     DrainGrace(NodeId),
     Client(ClientId),
-    /// Accepting is tried again.
+    /// Next attempt to accept connections.
     Accept,
     Discovery,
-    /// New connections are no longer accepted.
+    /// End of the period in which a stopping router still accepts connections.
     ShutdownLinger,
 }
 
-/// Which sockets the event loop has found ready, and the signals that came.
+/// Ready sockets and received signals of one iteration.
 #[derive(Default)]
 pub struct ReadyEvents {
-    /// Sockets that are ready, in the order in which they were found.
+    /// Ready sockets, in the order in which the event loop reported them.
     pub sockets: Vec<(Source, Readiness)>,
-    /// Signals, in the order in which they came.
+    /// Signals, in the order in which they were received.
     pub signals: Vec<Signal>,
 }
--- a/crates/fernknot-router/src/log_queue.rs
+++ b/crates/fernknot-router/src/log_queue.rs
@@ -1,4 +1,4 @@
-//! Log lines to standard error that never block the event loop: they wait, up to a limit, until it takes them.
+//! Non-blocking log to standard error: lines are queued up to a limit until standard error accepts them.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use slog::{Drain, Key, LevelFilter, Logger, OwnedKVList, Record, Serializer, o};
@@ -15,16 +15,16 @@
     dropped_lines: usize,
 }
 
-/// What has been logged and not yet written.
+/// Queue of the log lines that are not yet written.
 #[derive(Clone)]
 pub struct LogQueue {
     pending: Arc<Mutex<PendingLines>>,
     max_bytes: usize,
 }
 
-struct KeyValueWriter<'a>(&'a mut String);
+struct KeyValueSerializer<'a>(&'a mut String);
 
-impl Serializer for KeyValueWriter<'_> {
+impl Serializer for KeyValueSerializer<'_> {
     fn emit_arguments(&mut self, key: Key, value: &fmt::Arguments) -> slog::Result {
         let text = value.to_string().replace('\n', " ");
         self.0.push_str(&format!(" {key}={text}"));
@@ -37,12 +37,12 @@
     type Err = slog::Never;
 
     fn log(&self, record: &Record, values: &OwnedKVList) -> Result<(), slog::Never> {
-        let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut line =
-            format!("{}.{:03} {} {}", at.as_secs(), at.subsec_millis(), record.level(), record.msg());
-        // Writing to a string does not fail.
-        let _ = slog::KV::serialize(&record.kv(), record, &mut KeyValueWriter(&mut line));
-        let _ = slog::KV::serialize(values, record, &mut KeyValueWriter(&mut line));
+            format!("{}.{:03} {} {}", now.as_secs(), now.subsec_millis(), record.level(), record.msg());
+        // Writing to a string cannot fail.
+        let _ = slog::KV::serialize(&record.kv(), record, &mut KeyValueSerializer(&mut line));
+        let _ = slog::KV::serialize(values, record, &mut KeyValueSerializer(&mut line));
         line.push('\n');
         let mut pending = self.lock_pending();
         if pending.bytes + line.len() > self.max_bytes {
@@ -56,19 +56,19 @@
 }
 
 impl LogQueue {
-    /// A log of this level and above.
+    /// Creates a queue, and a logger that writes records of this level and above to it.
     pub fn new(max_bytes: usize, level: slog::Level) -> (LogQueue, Logger) {
         let queue = LogQueue { pending: Arc::default(), max_bytes };
         (queue.clone(), Logger::root(LevelFilter::new(queue, level).fuse(), o!()))
     }
 
-    /// The one thread of the event loop alone takes the lock, which the logger's type requires.
+    /// Locks the queue. The logger's type requires a lock; only the thread of the event loop uses it.
     fn lock_pending(&self) -> MutexGuard<'_, PendingLines> {
         self.pending.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Writes what standard error takes without blocking: a pipe that polls as writable takes a
-    /// line of these lengths whole.
+    /// Writes queued lines as long as standard error does not block. A pipe that polls as writable accepts a complete
+    /// line of the lengths that occur here.
     pub fn flush(&self) {
         let mut pending = self.lock_pending();
         while let Some(line) = pending.lines.front() {
@@ -83,7 +83,8 @@
             pending.lines.pop_front();
             if pending.lines.is_empty() && pending.dropped_lines > 0 {
                 let dropped_lines = std::mem::take(&mut pending.dropped_lines);
-                let line = format!("{dropped_lines} lines of the log were left out\n");
+                let line =
+                    format!("{dropped_lines} log lines were dropped because standard error was blocked\n");
                 pending.bytes += line.len();
                 pending.lines.push_back(line);
             }
--- a/crates/fernknot-router/src/main.rs
+++ b/crates/fernknot-router/src/main.rs
@@ -1,7 +1,8 @@
-//! The query router in service: the engine on sockets, driven by one event loop.
+//! The query router as a process: the engine with sockets, in one event loop.
 //!
-//! Clients ask over HTTP, data nodes are called over frames, discovery is watched for the list of nodes, and peers
-//! exchange datagrams. The process is configured by its environment and a file; see `fernknot_router_config`.
+//! Clients send requests over HTTP, data nodes receive calls in frames over TCP, discovery provides the list of nodes,
+//! and routers exchange datagrams with their peers. The environment and a file configure the process; see
+//! `fernknot_router_config`.
 
 mod app;
 mod attempts;
@@ -28,8 +29,8 @@
 use fernknot_router_config::{Precedence, RouterConfig};
 use std::process::ExitCode;
 
-/// The exit code of a process whose configuration cannot be used.
-const INVALID_CONFIG: u8 = 2;
+/// Exit code for an invalid configuration.
+const INVALID_CONFIG_EXIT_CODE: u8 = 2;
 
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
@@ -40,7 +41,7 @@
         Ok(config) => config,
         Err(error) => {
             eprintln!("fernknot-router: {error}");
-            return ExitCode::from(INVALID_CONFIG);
+            return ExitCode::from(INVALID_CONFIG_EXIT_CODE);
         }
     };
     match app::run(config) {
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership on sockets: its messages in the peers' datagrams, its changes in the log and counters.
+//! Connection of the membership protocol to the datagrams between peers, the log and the counters.
 
 use fernknot::interface::Nanos;
 use fernknot_membership::{
@@ -23,20 +23,20 @@
     fleet_names_twice,
 );
 
-/// The membership protocol, the routers' addresses and the counters of both.
+/// Membership protocol with the routers' addresses and its counters.
 pub struct Membership {
     protocol: MembershipProtocol,
     addresses: BTreeMap<RouterId, SocketAddr>,
-    /// Among how many routers limits are shared, as the engine knows it.
-    sharers: usize,
+    /// Number of routers that share the quotas, as last reported to the engine.
+    quota_sharers: usize,
     has_majority: bool,
-    /// That another router has this one's name has been logged.
-    has_logged_duplicate: bool,
-    /// The counters of membership.
+    /// Whether it has been logged that another router has the same name.
+    has_logged_duplicate_name: bool,
+    /// Counters of membership.
     pub counters: Counters,
 }
 
-/// The id and address of each router of a list.
+/// Returns the addresses of all routers by id.
 fn addresses_by_id(
     settings: &MembershipSettings,
     addresses: &PeerAddresses,
@@ -46,7 +46,7 @@
 }
 
 impl Membership {
-    /// Begins membership for the router at a position of the list.
+    /// Starts membership for the router at this position in the list.
     pub fn new(
         seed: u64,
         settings: &MembershipSettings,
@@ -62,7 +62,7 @@
             max_datagram_bytes: datagram_bytes,
             variant: Variant::Full,
         };
-        // The position was checked against the list.
+        // The configuration's validation has checked the position.
         let own = RouterId(settings.router_fingerprints.get(position).copied().unwrap_or_default());
         let others = addresses.keys().copied();
         let protocol = MembershipProtocol::new(
@@ -76,36 +76,36 @@
         );
         Membership {
             protocol,
-            sharers: addresses.len(),
+            quota_sharers: addresses.len(),
             addresses,
             has_majority: false,
-            has_logged_duplicate: false,
+            has_logged_duplicate_name: false,
             counters: Counters::default(),
         }
     }
 
-    /// Takes another list of routers.
+    /// Replaces the list of routers.
     pub fn change_routers(&mut self, now: Nanos, settings: &MembershipSettings, peers: &PeerAddresses) {
         self.addresses = addresses_by_id(settings, peers);
         self.protocol.set_routers(now, self.addresses.keys().copied());
     }
 
-    /// A turn begins; see [`MembershipProtocol::wake`].
-    pub fn woke(&mut self, now: Nanos) {
+    /// Tells the protocol that an iteration of the event loop starts; see [`MembershipProtocol::wake`].
+    pub fn wake(&mut self, now: Nanos) {
         self.protocol.wake(now);
     }
 
-    /// When membership has something to do without a datagram.
-    pub fn due(&self) -> Nanos {
+    /// Returns the next time at which the protocol has to act without having received a datagram.
+    pub fn next_wakeup(&self) -> Nanos {
         self.protocol.next_wakeup()
     }
 
-    /// This router stops, and the others are to know.
+    /// Announces to the other routers that this router stops.
     pub fn leave(&mut self, now: Nanos) {
         self.protocol.leave(now);
     }
 
-    /// Takes a datagram.
+    /// Handles a received datagram.
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         let id = self.addresses.iter().find(|(_, address)| **address == from).map(|(id, _)| *id);
         let count = match self.protocol.receive(now, id, bytes) {
@@ -117,7 +117,7 @@
         *count += 1;
     }
 
-    /// The next datagram to send, until there is none. What else happened goes to the log.
+    /// Returns the next datagram to send, or `None`. Other actions of the protocol are logged.
     pub fn next_datagram(&mut self, now: Nanos, log: &Logger) -> Option<(SocketAddr, Vec<u8>)> {
         while let Some(action) = self.protocol.poll_action(now) {
             match action {
@@ -130,18 +130,21 @@
                     self.counters.fleet_held_lost += u64::from(to == ReportedStatus::Failed);
                     self.counters.fleet_returned +=
                         u64::from(from == ReportedStatus::Failed && to == ReportedStatus::Alive);
-                    info!(log, "fleet: a router"; "router" => self.name(member), "from" => %from, "to" => %to,
+                    info!(log, "fleet: status of a router changed";
+                        "router" => self.name(member), "from" => %from, "to" => %to,
                         "incarnation" => incarnation.0, "by" => self.name(cause.reporter), "path" => %cause.source);
                 }
                 Action::Refuted { accuser, incarnation } => {
                     self.counters.fleet_refuted += 1;
-                    info!(log, "fleet: refuted"; "by" => self.name(accuser), "incarnation" => incarnation.0);
+                    info!(log, "fleet: refuted a report that this router failed";
+                        "by" => self.name(accuser), "incarnation" => incarnation.0);
                 }
                 Action::DuplicateName { other, yields } => {
                     self.counters.fleet_names_twice += 1;
-                    if !std::mem::replace(&mut self.has_logged_duplicate, true) {
+                    if !std::mem::replace(&mut self.has_logged_duplicate_name, true) {
                         let other = self.name(other);
-                        warn!(log, "fleet: another router has this one's name"; "at" => other, "yields" => yields);
+                        warn!(log, "fleet: another router has the same name";
+                            "at" => other, "yields" => yields);
                     }
                 }
             }
@@ -149,24 +152,25 @@
         None
     }
 
-    /// Among how many routers limits are shared, if that has changed; a change of majority goes to the log.
-    pub fn changed_sharers(&mut self, now: Nanos, log: &Logger) -> Option<usize> {
+    /// Returns the number of routers that share the quotas if it has changed. Logs a change of the majority.
+    pub fn take_quota_sharers_change(&mut self, now: Nanos, log: &Logger) -> Option<usize> {
         let has_majority = self.protocol.has_majority(now);
         if has_majority != self.has_majority {
             self.has_majority = has_majority;
             let count = self.protocol.live_count();
-            info!(log, "fleet: majority"; "held" => has_majority, "alive" => count.live, "of" => count.total);
+            info!(log, "fleet: majority changed";
+                "held" => has_majority, "alive" => count.live, "of" => count.total);
         }
-        let sharers = self.protocol.quota_sharers(now);
-        (std::mem::replace(&mut self.sharers, sharers) != sharers).then_some(sharers)
+        let quota_sharers = self.protocol.quota_sharers(now);
+        (std::mem::replace(&mut self.quota_sharers, quota_sharers) != quota_sharers).then_some(quota_sharers)
     }
 
     fn name(&self, id: RouterId) -> String {
         self.addresses.get(&id).map_or_else(|| format!("{:08x}", id.0), SocketAddr::to_string)
     }
 
-    /// The view of this router as text: a line on itself, and one for each other.
-    pub fn text(&self, now: Nanos) -> String {
+    /// Returns this router's view of the membership as text: one line for itself, then one for each other router.
+    pub fn status_text(&self, now: Nanos) -> String {
         let count = self.protocol.live_count();
         let state = match (self.protocol.has_yielded(), self.protocol.has_left()) {
             (true, _) => "yielded",
@@ -183,7 +187,7 @@
             self.protocol.is_settling(now),
             self.protocol.is_isolated(now),
             self.protocol.health_score(),
-            self.sharers,
+            self.quota_sharers,
         );
         for report in self.protocol.member_reports(now) {
             text += &format!(
--- a/crates/fernknot-router/src/node_connection.rs
+++ b/crates/fernknot-router/src/node_connection.rs
@@ -1,96 +1,97 @@
-//! One connection to a data node, and what is on it.
+//! State of a connection to a data node.
 
 use crate::tcp_connection::TcpConnection;
 use fernknot::interface::{AttemptNumber, Nanos, NodeId, PartId};
 use fernknot_protocol::outbox::Outbox;
 use std::collections::{HashMap, VecDeque};
 
-/// One attempt to have a part answered by a node.
+/// Identifier of an attempt to have a part answered by a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The part.
+    /// Part of a multiget.
     pub part: PartId,
-    /// The attempt's number among those of the part.
+    /// Number of the attempt among those of the part.
     pub number: AttemptNumber,
 }
 
-/// How much of an attempt's frame has been written.
+/// Progress of the writing of an attempt's frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteState {
-    /// No byte.
+    /// No byte has been written.
     Queued,
-    /// Its first byte, not its last.
-    Begun,
-    /// All bytes.
+    /// Some bytes have been written, but not all.
+    Started,
+    /// All bytes have been written.
     Written,
 }
 
-/// An attempt that waits for its answer.
+/// Attempt whose answer is pending.
 pub struct PendingAttempt {
-    /// The attempt.
+    /// Identifier of the attempt.
     pub id: AttemptId,
-    /// The call that it is a part of.
+    /// Number of the call that contains the attempt.
     pub call: u64,
-    /// How much of its frame has been written.
+    /// Progress of the writing of the call's frame.
     pub state: WriteState,
 }
 
-/// A frame that is to be sent.
+/// Frame to be sent.
 pub enum OutgoingFrame {
+    /// Call with these attempts.
     Call(Vec<AttemptId>),
-    /// The answer to the part of this id is no longer needed.
+    /// Cancellation of the part with this id.
     Cancel(String),
 }
 
-/// A connection to a data node.
+/// Connection to a data node.
 pub struct NodeConnection {
-    /// The node.
+    /// Data node at the other end.
     pub node: NodeId,
     /// The socket and its buffers.
     pub tcp: TcpConnection,
-    /// The connection has been set up.
-    pub is_up: bool,
-    /// The node has moved or restarted since, or answers nothing here; it takes no new calls.
+    /// Whether the connection is established.
+    pub is_connected: bool,
+    /// Whether the connection accepts no new calls, because the node has moved or restarted or does not answer on it.
     pub is_retired: bool,
-    /// Frames that are not in the output buffer yet.
-    pub queued: VecDeque<OutgoingFrame>,
+    /// Frames that are not yet in the output buffer.
+    pub queued_frames: VecDeque<OutgoingFrame>,
     /// Frames that are in the output buffer.
     pub outbox: Outbox<OutgoingFrame>,
-    /// Attempts that wait for an answer, by the ids of their parts.
+    /// Attempts with a pending answer, by the ids of their parts.
     pub pending: HashMap<String, PendingAttempt>,
-    /// Calls with attempts that wait for an answer, and how many.
+    /// Number of attempts with a pending answer, by call.
     pub attempts_by_call: HashMap<u64, usize>,
-    /// The number of the next call.
+    /// Number of the next call.
     pub next_call: u64,
-    /// Parts that were cancelled, whose answers may still come.
+    /// Ids of cancelled parts, whose answers may still arrive.
     pub cancelled: VecDeque<String>,
-    /// When a frame was last written, or an answer last came.
+    /// Time at which a frame was last encoded, or an answer last received.
     pub last_used: Nanos,
-    /// When bytes last came.
+    /// Time at which bytes were last received.
     pub last_received: Nanos,
-    /// When the timer that closes it when idle is due.
+    /// Time for which the idle timer is set.
     pub idle_timer_at: Nanos,
-    /// When it must be up, or the frame that has begun to arrive must be complete.
+    /// Deadline for the connection to be established, or for a frame that has begun to arrive to be complete.
     pub deadline: Option<Nanos>,
 }
 
 impl NodeConnection {
-    /// Whether nothing waits to be answered or written.
+    /// Returns whether no answer is pending and no output is waiting to be written.
     pub fn is_idle(&self) -> bool {
-        self.pending.is_empty() && self.queued.is_empty() && self.tcp.output.is_empty()
+        self.pending.is_empty() && self.queued_frames.is_empty() && self.tcp.output.is_empty()
     }
 
-    /// Whether a call of parts of these ids can be sent here. The id of a part does not tell its attempts apart, so two
-    /// of one part never share a connection.
-    pub fn accepts(&self, part_ids: &[&str], max_calls: usize) -> bool {
+    /// Returns whether a call with these parts can be sent on this connection. Answers contain only the part's id, not
+    /// the attempt, so two attempts for the same part never share a connection.
+    pub fn accepts_call(&self, part_ids: &[&str], max_calls: usize) -> bool {
         let is_new = |id: &&str| {
             !self.pending.contains_key(*id) && !self.cancelled.iter().any(|cancelled| cancelled == id)
         };
         !self.is_retired && self.attempts_by_call.len() < max_calls && part_ids.iter().all(is_new)
     }
 
-    /// Removes the attempt that waits under a part's id.
-    pub fn release(&mut self, part_id: &str) -> Option<PendingAttempt> {
+    /// Removes and returns the pending attempt for a part.
+    pub fn remove_pending(&mut self, part_id: &str) -> Option<PendingAttempt> {
         let attempt = self.pending.remove(part_id)?;
         if let Some(left) = self.attempts_by_call.get_mut(&attempt.call) {
             *left -= 1;
--- a/crates/fernknot-router/src/node_connections.rs
+++ b/crates/fernknot-router/src/node_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to data nodes, from opening to closing.
+//! Connections to data nodes: opening, time-outs and closing.
 
 use crate::context::Context;
 use crate::events::{NodeConnectionId, Source, Timer};
@@ -12,8 +12,8 @@
 use std::collections::{HashMap, VecDeque};
 
 impl Nodes {
-    /// Begins to connect; beyond the limit the connection that has been idle for longest is closed. `None` if there is
-    /// none, or the system refuses.
+    /// Starts a connection to a node. At the maximum number of connections the one that has been idle for longest is
+    /// closed first. Returns `None` if no connection is idle, or the operating system reports an error.
     pub fn open_connection(&mut self, context: &mut Context, node: NodeId) -> Option<NodeConnectionId> {
         if self.connections.len() >= context.limits.max_node_connections {
             let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
@@ -27,7 +27,8 @@
             Ok(tcp) => tcp,
             Err(error) => {
                 context.counters.node_connects_failed += 1;
-                debug!(context.log, "no connection"; "node" => %address, "why" => error.to_string());
+                debug!(context.log, "cannot connect to a node";
+                    "node" => %address, "why" => error.to_string());
                 return None;
             }
         };
@@ -49,9 +50,9 @@
         let connection = NodeConnection {
             node,
             tcp,
-            is_up: false,
+            is_connected: false,
             is_retired: false,
-            queued: VecDeque::new(),
+            queued_frames: VecDeque::new(),
             outbox: Outbox::default(),
             pending: HashMap::new(),
             attempts_by_call: HashMap::new(),
@@ -66,13 +67,13 @@
         self.record_mut(node).connections.push(id);
     }
 
-    /// The event loop has found a connection ready.
+    /// Handles the readiness of a connection.
     pub fn node_ready(&mut self, context: &mut Context, id: NodeConnectionId, readiness: Readiness) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if !connection.is_up {
-            match connection.tcp.connected() {
+        if !connection.is_connected {
+            match connection.tcp.check_connected() {
                 Ok(true) => {
-                    connection.is_up = true;
+                    connection.is_connected = true;
                     context.counters.node_connections += 1;
                     if let Some(deadline) = connection.deadline.take() {
                         context.cancel_timer(deadline, Timer::NodeConnection(id));
@@ -81,7 +82,7 @@
                 Ok(false) => return,
                 Err(_) => {
                     context.counters.node_connects_failed += 1;
-                    return self.connection_broken(context, id);
+                    return self.connection_failed(context, id);
                 }
             }
         }
@@ -90,47 +91,49 @@
         self.read_node(context, id);
     }
 
-    /// Closes a connection that takes no new calls once it is idle.
+    /// Closes a connection that accepts no new calls if it is idle.
     pub fn close_if_retired(&mut self, context: &mut Context, id: NodeConnectionId) {
         if self.connections.get(&id).is_some_and(|connection| connection.is_retired && connection.is_idle()) {
             self.close_connection(context, id);
         }
     }
 
-    /// A connection cannot be read any further.
-    pub fn protocol_error(&mut self, context: &mut Context, id: NodeConnectionId, why: &str) {
+    /// Closes a connection on which the node violated the protocol.
+    pub fn protocol_error(&mut self, context: &mut Context, id: NodeConnectionId, reason: &str) {
         context.counters.frames_bad += 1;
         if let Some(connection) = self.connections.get(&id) {
             let address = self.record(connection.node).address;
-            warn!(context.log, "a connection is closed"; "node" => %address, "why" => why.to_string());
+            warn!(context.log, "protocol error on a connection to a node; closing it";
+                "node" => %address, "why" => reason.to_string());
         }
-        // The node is alive and has sent something. Guards against taking it for one that a multiget brought down.
+        // The node is alive, so the outcome is `Error`, and the engine does not conclude that a multiget crashed it.
         self.connection_lost(context, id, Outcome::Error);
     }
 
-    /// The connection is gone: what was written completely may have run, anything else has not.
-    pub fn connection_broken(&mut self, context: &mut Context, id: NodeConnectionId) {
+    /// Handles a failed connection. Calls that were written completely may have been executed, all others were not.
+    pub fn connection_failed(&mut self, context: &mut Context, id: NodeConnectionId) {
         self.connection_lost(context, id, Outcome::Invalid);
     }
 
-    /// Ends all attempts of a connection; those that were written completely have the outcome `written`.
+    /// Closes a connection and ends its attempts; those whose frames were written completely have the outcome
+    /// `written`.
     fn connection_lost(&mut self, context: &mut Context, id: NodeConnectionId, written: Outcome) {
         let Some(connection) = self.close_connection(context, id) else { return };
         let mut pending: Vec<PendingAttempt> = connection.pending.into_values().collect();
         pending.sort_by_key(|attempt| attempt.id);
         for PendingAttempt { id, state, .. } in pending {
-            // What has not begun was never on a connection that was up: it goes to the same node by another. Guards
-            // against connections that the node closes between calls.
-            if state == WriteState::Queued && connection.is_up {
-                self.unplaced.entry(connection.node).or_default().push(id);
+            // No byte of this attempt was sent on the established connection, which the node may have closed while it
+            // was idle: the attempt is sent to the same node on another connection.
+            if state == WriteState::Queued && connection.is_connected {
+                self.unassigned.entry(connection.node).or_default().push(id);
                 continue;
             }
             let outcome = if state == WriteState::Written { written } else { Outcome::Unreachable };
-            self.end(context, id, outcome, LoadReport::default());
+            self.end_attempt(context, id, outcome, LoadReport::default());
         }
     }
 
-    /// Closes a connection and forgets it; its attempts are the caller's to end.
+    /// Closes a connection and removes it. The caller has to end its attempts.
     pub fn close_connection(
         &mut self,
         context: &mut Context,
@@ -145,19 +148,19 @@
         Some(connection)
     }
 
-    /// A connection is not up in time, or a frame is not complete in time.
+    /// Handles a connection that was not established, or a frame that was not complete, by its deadline.
     pub fn deadline_passed(&mut self, context: &mut Context, id: NodeConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.deadline = None;
-        if connection.is_up {
-            return self.protocol_error(context, id, "a frame that never came whole");
+        if connection.is_connected {
+            return self.protocol_error(context, id, "incomplete frame timed out");
         }
         context.counters.node_connects_failed += 1;
-        self.connection_broken(context, id);
+        self.connection_failed(context, id);
     }
 
-    /// Closes an idle connection before the node does: what is sent on one that the node closes meanwhile may have run,
-    /// for all that is known.
+    /// Closes an idle connection before the node does. It is unknown whether a call has been executed if the node
+    /// closes the connection while the call is being sent.
     pub fn idle_timer_due(&mut self, context: &mut Context, id: NodeConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let is_idle = connection.is_idle();
@@ -172,7 +175,7 @@
         context.set_timer(connection.idle_timer_at, Timer::NodeIdle(id));
     }
 
-    /// Retires those connections on which nothing has come since the first attempt that waits there was sent.
+    /// Retires the connections to a node on which nothing was received since the oldest pending attempt was sent.
     pub fn renew_connections(&mut self, context: &mut Context, node: NodeId) {
         for id in &self.records[node.0 as usize].connections {
             let Some(connection) = self.connections.get_mut(id) else { continue };
--- a/crates/fernknot-router/src/node_reader.rs
+++ b/crates/fernknot-router/src/node_reader.rs
@@ -1,4 +1,4 @@
-//! Frames that come from data nodes.
+//! Frames received from data nodes.
 
 use crate::context::Context;
 use crate::events::{NodeConnectionId, Timer};
@@ -9,44 +9,44 @@
 use fernknot_protocol::frames::{self, CallStatus, Frame};
 
 impl Nodes {
-    /// Reads on where the last turn stopped for its limit.
+    /// Continues reads that the last iteration stopped at its limit.
     pub fn read_more_nodes(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.readable) {
             self.read_node(context, id);
         }
     }
 
-    /// Reads what has come, up to the limit of a turn, and takes the frames that are complete.
+    /// Reads the available input, up to the limit of an iteration, and handles the complete frames.
     pub fn read_node(&mut self, context: &mut Context, id: NodeConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let bytes_before = connection.tcp.input.len();
-        // Space for one complete frame, so that it can be read.
+        // The buffer must have space for a complete frame.
         let max_bytes = context.limits.max_frame_bytes + context.limits.read_ahead_bytes;
         let outcome = connection.tcp.fill(max_bytes);
         if connection.tcp.input.len() > bytes_before {
             connection.last_received = context.now;
         }
-        let has_ended = connection.tcp.has_ended;
+        let read_closed = connection.tcp.read_closed;
         if !self.read_frames(context, id) {
             return;
         }
         match outcome {
             Ok(ReadOutcome::MoreAvailable) => self.readable.push(id),
-            Ok(ReadOutcome::Drained) if !has_ended => self.close_if_retired(context, id),
-            _ => self.connection_broken(context, id),
+            Ok(ReadOutcome::Drained) if !read_closed => self.close_if_retired(context, id),
+            _ => self.connection_failed(context, id),
         }
     }
 
-    /// Takes all frames that are complete; false if the connection had to be closed for what came.
+    /// Handles all complete frames. Returns false if a protocol error closed the connection.
     fn read_frames(&mut self, context: &mut Context, id: NodeConnectionId) -> bool {
-        let mut has_read = false;
+        let mut has_read_frame = false;
         loop {
             let Some(connection) = self.connections.get_mut(&id) else { return false };
             let frame = match frames::read(&mut connection.tcp.input, &context.limits) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => {
                     connection.tcp.input.shrink(context.limits.idle_buffer_bytes);
-                    self.watch_incomplete_frame(context, id, has_read);
+                    self.watch_incomplete_frame(context, id, has_read_frame);
                     return true;
                 }
                 Err(error) => {
@@ -54,11 +54,11 @@
                     return false;
                 }
             };
-            has_read = true;
+            has_read_frame = true;
             match frame {
                 Frame::Response { id: part_id, status, load, value } => {
-                    if !self.take_response(context, id, &part_id, status, load, value) {
-                        self.protocol_error(context, id, "an answer to what was never sent");
+                    if !self.handle_response(context, id, &part_id, status, load, value) {
+                        self.protocol_error(context, id, "answer to an unknown part id");
                         return false;
                     }
                 }
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Takes a response; false if nothing here asked for it.
-    fn take_response(
+    /// Handles the answer to a part. Returns false if the part was not requested on this connection.
+    fn handle_response(
         &mut self,
         context: &mut Context,
         id: NodeConnectionId,
@@ -84,38 +84,40 @@
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         connection.last_used = context.now;
         if connection.pending.get(part_id).is_none_or(|attempt| attempt.state == WriteState::Queued) {
-            let late = connection.cancelled.iter().position(|cancelled| cancelled == part_id);
-            late.map(|index| connection.cancelled.remove(index));
-            context.counters.answers_late += u64::from(late.is_some());
-            return late.is_some();
+            let late_answer = connection.cancelled.iter().position(|cancelled| cancelled == part_id);
+            late_answer.map(|index| connection.cancelled.remove(index));
+            context.counters.answers_late += u64::from(late_answer.is_some());
+            return late_answer.is_some();
         }
-        let Some(attempt) = connection.release(part_id).map(|attempt| attempt.id) else { return false };
+        let Some(attempt) = connection.remove_pending(part_id).map(|attempt| attempt.id) else {
+            return false;
+        };
         match (status, String::from_utf8(value)) {
             (CallStatus::Success, Ok(value)) => {
-                self.connection_of.remove(&attempt);
+                self.connection_by_attempt.remove(&attempt);
                 context.engine.attempt_answered(context.now, attempt.part, attempt.number, value, load);
             }
-            // A value that is not UTF-8 cannot be passed on as it is.
+            // A value that is not UTF-8 cannot be part of the JSON response.
             (CallStatus::Success, Err(_)) | (CallStatus::Fault, _) => {
-                self.end(context, attempt, Outcome::Error, load);
+                self.end_attempt(context, attempt, Outcome::Error, load);
             }
-            (CallStatus::Overload, _) => self.end(context, attempt, Outcome::Rejected, load),
+            (CallStatus::Overload, _) => self.end_attempt(context, attempt, Outcome::Rejected, load),
         }
         true
     }
 
-    /// What has come without being a complete frame must become one in time. Guards against a length that swallows all
-    /// later answers, and against taking what nobody asked for as the head of one.
-    fn watch_incomplete_frame(&mut self, context: &mut Context, id: NodeConnectionId, has_read: bool) {
+    /// Sets or clears the deadline of an incomplete frame. Without it, a wrong length could make all later answers part
+    /// of one frame. Bytes that arrive while no answer is pending are a protocol error.
+    fn watch_incomplete_frame(&mut self, context: &mut Context, id: NodeConnectionId, has_read_frame: bool) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let has_rest = !connection.tcp.input.is_empty();
-        if has_rest && connection.pending.is_empty() && connection.cancelled.is_empty() {
-            return self.protocol_error(context, id, "more than was asked for");
+        let has_incomplete_frame = !connection.tcp.input.is_empty();
+        if has_incomplete_frame && connection.pending.is_empty() && connection.cancelled.is_empty() {
+            return self.protocol_error(context, id, "unexpected bytes while no answer is pending");
         }
-        if let Some(deadline) = connection.deadline.take_if(|_| has_read || !has_rest) {
+        if let Some(deadline) = connection.deadline.take_if(|_| has_read_frame || !has_incomplete_frame) {
             context.cancel_timer(deadline, Timer::NodeConnection(id));
         }
-        if has_rest && connection.deadline.is_none() {
+        if has_incomplete_frame && connection.deadline.is_none() {
             let deadline = context.now + context.limits.frame_timeout;
             connection.deadline = Some(deadline);
             context.set_timer(deadline, Timer::NodeConnection(id));
--- a/crates/fernknot-router/src/node_writer.rs
+++ b/crates/fernknot-router/src/node_writer.rs
@@ -1,4 +1,4 @@
-//! Frames that go to data nodes.
+//! Frames sent to data nodes.
 
 use crate::context::Context;
 use crate::events::NodeConnectionId;
@@ -11,7 +11,7 @@
 const NANOS_PER_MS: u64 = 1_000_000;
 
 impl Nodes {
-    /// Writes what this turn has queued.
+    /// Writes the frames queued in this iteration.
     pub fn flush_nodes(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.unflushed) {
             self.flush_node(context, id);
@@ -19,30 +19,30 @@
     }
 
     fn flush_node(&mut self, context: &mut Context, id: NodeConnectionId) {
-        while self.connections.get(&id).is_some_and(|connection| connection.is_up) {
-            self.encode(context, id);
+        while self.connections.get(&id).is_some_and(|connection| connection.is_connected) {
+            self.encode_frames(context, id);
             let Some(connection) = self.connections.get_mut(&id) else { return };
-            let Ok(count) = connection.tcp.flush() else { return self.connection_broken(context, id) };
+            let Ok(count) = connection.tcp.flush() else { return self.connection_failed(context, id) };
             record_written(context, connection, count);
             let is_blocked = !connection.tcp.output.is_empty();
             while let Some(frame) = connection.outbox.pop_unwritten(&mut connection.tcp.output) {
-                connection.queued.push_front(frame);
+                connection.queued_frames.push_front(frame);
             }
             connection.tcp.output.shrink(context.limits.idle_buffer_bytes);
-            if is_blocked || connection.queued.is_empty() {
+            if is_blocked || connection.queued_frames.is_empty() {
                 break;
             }
         }
         self.close_if_retired(context, id);
     }
 
-    /// Puts queued frames into the output buffer, without what is not to be sent any more.
-    fn encode(&mut self, context: &mut Context, id: NodeConnectionId) {
+    /// Encodes queued frames into the output buffer, without the attempts that are no longer to be sent.
+    fn encode_frames(&mut self, context: &mut Context, id: NodeConnectionId) {
         while let Some(connection) = self.connections.get_mut(&id) {
             if connection.tcp.output.len() >= context.limits.read_ahead_bytes {
                 return;
             }
-            let Some(frame) = connection.queued.pop_front() else { return };
+            let Some(frame) = connection.queued_frames.pop_front() else { return };
             let node = connection.node;
             let frame = match frame {
                 OutgoingFrame::Cancel(_) => frame,
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Those of a call's attempts that are still to be sent; the others end.
+    /// Returns the attempts of a call that are still to be sent, and ends the others.
     fn sendable(&mut self, context: &mut Context, node: NodeId, attempts: Vec<AttemptId>) -> Vec<AttemptId> {
-        let is_grace_over = self.record(node).grace_end.is_some_and(|end| end <= context.now);
+        let is_drain_grace_over = self.record(node).drain_grace_end.is_some_and(|end| end <= context.now);
         let mut sendable = Vec::new();
         for attempt in attempts {
             let multiget = context.engine.table.get(attempt.part.multiget);
-            if is_grace_over || multiget.is_none_or(|multiget| multiget.is_over) {
+            if is_drain_grace_over || multiget.is_none_or(|multiget| multiget.is_over) {
                 self.abandon(context, attempt, Outcome::NeverSent);
             } else if context.engine.table.is_attempt_in_flight(attempt.part, attempt.number) {
                 sendable.push(attempt);
@@ -75,14 +75,14 @@
     }
 }
 
-/// Records that so many bytes have been written: how far each attempt's frame has come.
+/// Updates the state of the attempts after `count` bytes were written.
 fn record_written(context: &Context, connection: &mut NodeConnection, count: usize) {
     let NodeConnection { outbox, pending, .. } = connection;
     outbox.record_written(count, |frame, is_complete| {
         let OutgoingFrame::Call(attempts) = frame else { return };
         for part in attempts.iter().filter_map(|attempt| context.engine.table.part(attempt.part)) {
             if let Some(attempt) = pending.get_mut(&part.id) {
-                attempt.state = if is_complete { WriteState::Written } else { WriteState::Begun };
+                attempt.state = if is_complete { WriteState::Written } else { WriteState::Started };
             }
         }
     });
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Data nodes as they are listed.
+//! Data nodes of the node list.
 
 use crate::context::Context;
 use crate::events::{NodeConnectionId, Timer};
@@ -9,62 +9,62 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A data node as the list has it.
+/// Data node of the node list.
 pub struct NodeRecord {
-    /// Where it accepts connections.
+    /// Address at which the node accepts connections.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub place: PlaceId,
-    /// Whether it takes calls.
+    /// Health according to the list, which determines whether the node gets new calls.
     pub health: Health,
-    /// When it last started, as Unix time.
+    /// Time of the node's last start, as Unix time.
     pub started_at: Nanos,
-    /// The connections to it.
+    /// Connections to the node.
     pub connections: Vec<NodeConnectionId>,
-    /// When the grace ends that it was given when it began to drain or went.
-    pub grace_end: Option<Nanos>,
+    /// End of the grace period that began when the node started to drain or was removed; `None` for a running node.
+    pub drain_grace_end: Option<Nanos>,
 }
 
-/// All data nodes, the connections to them, and the attempts on these.
+/// All data nodes, their connections, and the attempts on these connections.
 #[derive(Default)]
 pub struct Nodes {
-    /// The nodes' ids by the names of the list.
+    /// Ids of the nodes by their names in the list.
     pub ids: HashMap<String, NodeId>,
-    /// By the nodes' ids.
+    /// Records of the nodes; a node's id is its index.
     pub records: Vec<NodeRecord>,
-    /// All connections to nodes.
+    /// Connections to all nodes.
     pub connections: HashMap<NodeConnectionId, NodeConnection>,
-    /// The id of the next connection.
+    /// Id of the next connection.
     pub next_connection: u64,
-    /// Attempts of this turn that are on no connection yet.
-    pub unplaced: BTreeMap<NodeId, Vec<AttemptId>>,
-    /// The connection that each attempt is on.
-    pub connection_of: HashMap<AttemptId, NodeConnectionId>,
-    /// What nodes are called between routers, where routers may send each other messages.
+    /// Attempts that are not yet assigned to a connection, by node.
+    pub unassigned: BTreeMap<NodeId, Vec<AttemptId>>,
+    /// Connection to which each pending attempt is assigned.
+    pub connection_by_attempt: HashMap<AttemptId, NodeConnectionId>,
+    /// Tags of the nodes in messages between routers; `None` if routers may not send messages to each other.
     pub tags: Option<NodeTags>,
-    /// Connections with more to read.
+    /// Connections whose sockets have unread bytes.
     pub readable: Vec<NodeConnectionId>,
-    /// Connections with something to write.
+    /// Connections with frames to write in this iteration.
     pub unflushed: Vec<NodeConnectionId>,
 }
 
 impl Nodes {
-    /// Whether a connection has more to read.
-    pub fn has_more(&self) -> bool {
+    /// Returns whether a connection has unread bytes.
+    pub fn has_readable(&self) -> bool {
         !self.readable.is_empty()
     }
 
-    /// The record of a node that is known.
+    /// Returns the record of a known node.
     pub fn record(&self, id: NodeId) -> &NodeRecord {
         &self.records[id.0 as usize]
     }
 
-    /// The record of a node that is known, to be changed.
+    /// Returns the mutable record of a known node.
     pub fn record_mut(&mut self, id: NodeId) -> &mut NodeRecord {
         &mut self.records[id.0 as usize]
     }
 
-    /// Takes in a list; what the decision module is to be given of it comes back.
+    /// Applies a list or its changes, and returns the entries for the decision module.
     pub fn apply_list(&mut self, context: &mut Context, list: &NodeList) -> Vec<NodeEntry> {
         let mut entries = Vec::new();
         for listed in &list.nodes {
@@ -79,13 +79,13 @@
         entries
     }
 
-    /// Takes in one entry. One that is gone and was never known changes nothing.
+    /// Applies one entry. An entry that removes an unknown node has no effect.
     fn apply_entry(&mut self, context: &mut Context, listed: &ListedNode) -> Option<NodeEntry> {
         let known = self.ids.get(&listed.name).copied();
         let record = known.map(|id| self.record(id));
         let address = listed.address.or(record.map(|record| record.address))?;
         let place = listed.place.or(record.map(|record| record.place))?;
-        let id = known.unwrap_or_else(|| self.add(context, listed, address, place));
+        let id = known.unwrap_or_else(|| self.add_node(context, listed, address, place));
         let record = self.record_mut(id);
         let has_moved = record.address != address || record.started_at != listed.started_at;
         (record.address, record.place, record.started_at) = (address, place, listed.started_at);
@@ -98,9 +98,9 @@
         Some(NodeEntry { node: id, place, zone, health: listed.health, since: listed.started_at })
     }
 
-    /// Guards against ids without end where nodes come under ever new names: past a limit, a new one takes the id of
-    /// one that is gone.
-    fn add(
+    /// Adds a node. From a maximum number of nodes on, a new node reuses the id of a removed one, so that the number of
+    /// records stays bounded although nodes appear under new names.
+    fn add_node(
         &mut self,
         context: &mut Context,
         listed: &ListedNode,
@@ -111,7 +111,7 @@
         let is_unused = |record: &NodeRecord| {
             record.health == Health::Gone
                 && record.connections.is_empty()
-                && record.grace_end.is_some_and(|end| end < now)
+                && record.drain_grace_end.is_some_and(|end| end < now)
         };
         let count = self.records.len();
         let is_full = count >= context.limits.max_nodes_before_id_reuse;
@@ -123,7 +123,7 @@
             health: Health::Running,
             started_at: listed.started_at,
             connections: Vec::new(),
-            grace_end: None,
+            drain_grace_end: None,
         };
         if index == count {
             self.records.push(record);
@@ -139,18 +139,18 @@
     }
 
     fn set_health(&mut self, context: &mut Context, id: NodeId, health: Health) {
-        let grace_end = context.now + context.limits.drain_grace;
+        let drain_grace_end = context.now + context.limits.drain_grace;
         let record = self.record_mut(id);
         record.health = health;
         if health == Health::Running {
-            record.grace_end = None;
-        } else if record.grace_end.is_none() {
-            record.grace_end = Some(grace_end);
-            context.set_timer(grace_end, Timer::DrainGrace(id));
+            record.drain_grace_end = None;
+        } else if record.drain_grace_end.is_none() {
+            record.drain_grace_end = Some(drain_grace_end);
+            context.set_timer(drain_grace_end, Timer::DrainGrace(id));
         }
     }
 
-    /// For a node that moved or restarted: what is in flight on its old connections may still be answered.
+    /// Retires the connections of a node that moved or restarted. Attempts in flight on them may still be answered.
     fn retire_connections(&mut self, context: &mut Context, id: NodeId) {
         for connection_id in self.record(id).connections.clone() {
             let Some(connection) = self.connections.get_mut(&connection_id) else { continue };
@@ -161,10 +161,10 @@
         }
     }
 
-    /// The grace of a draining node has run out: what is unsent will not be sent.
-    pub fn grace_over(&mut self, context: &mut Context, id: NodeId) {
+    /// Ends the unsent attempts of a draining or removed node whose grace period is over.
+    pub fn drain_grace_expired(&mut self, context: &mut Context, id: NodeId) {
         let record = self.record(id);
-        if record.grace_end.is_none_or(|end| end > context.now) {
+        if record.drain_grace_end.is_none_or(|end| end > context.now) {
             return;
         }
         for connection_id in record.connections.clone() {
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between query routers.
+//! Datagrams between routers.
 
 use crate::context::Context;
 use crate::events::Source;
@@ -11,16 +11,16 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// The socket for datagrams between routers.
+/// Socket for datagrams between routers.
 pub struct Peers {
     socket: Rc<UdpSocket>,
     addresses: PeerAddresses,
-    /// The index of this router among the addresses.
+    /// Index of this router among the addresses.
     own_position: usize,
 }
 
 impl Peers {
-    /// Listens on the router's own address.
+    /// Opens the socket at the router's own address.
     pub fn new(event_loop: &EventLoopHandle, addresses: PeerAddresses, own_position: usize) -> Result<Peers> {
         let socket = Rc::new(UdpSocket::bind(addresses.listen)?);
         socket.set_nonblocking(true)?;
@@ -28,18 +28,18 @@
         Ok(Peers { socket, addresses, own_position })
     }
 
-    /// Sends updates on nodes to all peers.
+    /// Sends updates about nodes to all peers.
     pub fn send_updates(&self, context: &mut Context, tags: &NodeTags, updates: &[(NodeId, Update)]) {
         for message in tags.write(updates, context.limits.max_datagram_bytes) {
             match self.socket.send_to(&message, self.addresses.all_peers) {
                 Ok(_) => context.counters.datagrams_sent += 1,
-                // Datagrams may be lost anywhere; one that the system does not take is lost here.
+                // Datagrams may be lost; one that the operating system rejects is not sent again.
                 Err(_) => context.counters.datagrams_dropped += 1,
             }
         }
     }
 
-    /// Sends what membership has to send.
+    /// Sends the pending datagrams of membership, and reports a changed number of quota sharers to the engine.
     pub fn send_membership(&self, context: &mut Context) {
         let Some(membership) = context.membership.as_mut() else { return };
         while let Some((to, bytes)) = membership.next_datagram(context.now, &context.log) {
@@ -48,32 +48,33 @@
                 Err(_) => membership.counters.fleet_datagrams_dropped += 1,
             }
         }
-        if let Some(routers) = membership.changed_sharers(context.now, &context.log) {
+        if let Some(routers) = membership.take_quota_sharers_change(context.now, &context.log) {
             context.engine.set_sharing_routers(context.now, routers);
         }
     }
 
-    /// Takes another list of routers; the ids of peers follow it.
+    /// Replaces the list of routers, whose positions are the ids of the peers.
     pub fn change_addresses(&mut self, addresses: PeerAddresses, own_position: usize) {
         (self.addresses, self.own_position) = (addresses, own_position);
     }
 
-    /// Reads the datagrams that have come.
+    /// Reads the received datagrams.
     pub fn receive(&self, context: &mut Context, tags: &NodeTags) {
         let mut message = vec![0; context.limits.max_datagram_bytes + 1];
-        // Guards the rest of the turn against a flood.
+        // The limit keeps a flood of datagrams from blocking the rest of the iteration.
         for _ in 0..context.limits.max_datagrams_per_turn {
             match self.socket.recv_from(&mut message) {
-                Ok((length, from)) => self.take_datagram(context, tags, from, &message[..length]),
+                Ok((length, from)) => self.handle_datagram(context, tags, from, &message[..length]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // An earlier datagram could not be delivered, as ICMP reports; the next may be.
+                // An ICMP message reported that an earlier datagram could not be delivered; sending and receiving go
+                // on.
                 Err(_) => {}
             }
         }
     }
 
-    fn take_datagram(&self, context: &mut Context, tags: &NodeTags, from: SocketAddr, message: &[u8]) {
+    fn handle_datagram(&self, context: &mut Context, tags: &NodeTags, from: SocketAddr, message: &[u8]) {
         if message.starts_with(&[DATAGRAM_PREFIX])
             && let Some(membership) = &mut context.membership
         {
--- a/crates/fernknot-router/src/tcp_connection.rs
+++ b/crates/fernknot-router/src/tcp_connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: its socket, its registration with the event loop, and a buffer for each direction.
+//! TCP connection: its socket, its registration with the event loop, and a buffer for each direction.
 
 use crate::events::{ReadyEvents, Source};
 use calloop::generic::Generic;
@@ -9,37 +9,37 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Least space for a read.
-const READ_BYTES: usize = 2048;
+/// Minimum free space of the input buffer for a read, in bytes.
+const MIN_READ_SPACE_BYTES: usize = 2048;
 
-/// The event loop, as far as sockets are registered with it.
+/// Handle of the event loop, with which sockets are registered.
 pub type EventLoopHandle = LoopHandle<'static, ReadyEvents>;
 
-/// A TCP connection that is registered with the event loop, and removed from it when dropped.
+/// TCP connection that is registered with the event loop and removed from it when dropped.
 pub struct TcpConnection {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
     event_loop: EventLoopHandle,
-    /// Bytes that have been read.
+    /// Input that has been read and not yet consumed.
     pub input: Buffer,
-    /// Bytes to be written.
+    /// Output that is not yet written.
     pub output: Buffer,
-    /// Bytes may be waiting; the event loop reports only new ones.
+    /// Whether the socket may have unread bytes. The event loop is edge-triggered: it reports only new bytes.
     pub is_readable: bool,
-    /// The other side will send nothing further.
-    pub has_ended: bool,
+    /// Whether the peer has closed its sending side.
+    pub read_closed: bool,
 }
 
-/// What reading brought.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Everything that there is.
+    /// All available bytes were read.
     Drained,
-    /// As much as one turn may read; there is more.
+    /// The read stopped at its limit; there may be more bytes.
     MoreAvailable,
 }
 
-/// Registers a socket with the event loop, which then reports its owner as ready.
+/// Registers a socket with the event loop, which then reports its readiness under `source`.
 pub fn watch<F: std::os::fd::AsFd + 'static>(
     event_loop: &EventLoopHandle,
     fd: F,
@@ -54,7 +54,7 @@
 }
 
 impl TcpConnection {
-    /// Takes over a stream.
+    /// Registers an accepted or connecting stream.
     pub fn new(event_loop: &EventLoopHandle, stream: TcpStream, source: Source) -> Result<TcpConnection> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -67,11 +67,11 @@
             input: Buffer::default(),
             output: Buffer::default(),
             is_readable: true,
-            has_ended: false,
+            read_closed: false,
         })
     }
 
-    /// Begins to connect; the event loop reports when that is done.
+    /// Starts a connection; the event loop reports when it is established or has failed.
     pub fn connect(
         event_loop: &EventLoopHandle,
         address: SocketAddr,
@@ -89,8 +89,9 @@
         TcpConnection::new(event_loop, socket.into(), source)
     }
 
-    /// Whether the connection is up, or still being set up; an error if it failed.
-    pub fn connected(&self) -> Result<bool> {
+    /// Returns whether the connection is established (true) or still being established (false), or the error with which
+    /// it failed.
+    pub fn check_connected(&self) -> Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
         }
@@ -101,14 +102,14 @@
         }
     }
 
-    /// Reads what is there, up to `max_bytes` in the buffer.
+    /// Reads the available bytes until the buffer holds `max_bytes`.
     pub fn fill(&mut self, max_bytes: usize) -> Result<ReadOutcome> {
-        while self.is_readable && !self.has_ended {
+        while self.is_readable && !self.read_closed {
             if self.input.len() >= max_bytes {
                 return Ok(ReadOutcome::MoreAvailable);
             }
-            match (&*self.stream).read(self.input.space(READ_BYTES)) {
-                Ok(0) => self.has_ended = true,
+            match (&*self.stream).read(self.input.space(MIN_READ_SPACE_BYTES)) {
+                Ok(0) => self.read_closed = true,
                 Ok(count) => self.input.filled(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.is_readable = false,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -118,7 +119,7 @@
         Ok(ReadOutcome::Drained)
     }
 
-    /// Writes what the socket takes, and returns how many bytes that was.
+    /// Writes as much output as the socket accepts, and returns the number of bytes written.
     pub fn flush(&mut self) -> Result<usize> {
         let mut written = 0;
         while !self.output.is_empty() {
@@ -136,9 +137,9 @@
         Ok(written)
     }
 
-    /// Ends the sending direction. What is in flight still arrives.
-    pub fn finish(&self) {
-        // The other side may be gone already, which has the same effect.
+    /// Shuts down the sending direction. Output in flight still arrives.
+    pub fn shut_down_writing(&self) {
+        // This fails if the peer has already closed the connection, which has the same effect.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
--- a/examples/stand-in/src/lib.rs
+++ b/examples/stand-in/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what a query router meets: data nodes and discovery, on free loopback ports. One
-//! thread a connection; they end with the process.
+//! Stand-ins for the services that a query router uses: data nodes and discovery, on loopback ports. They use one
+//! thread per connection and run until the process ends.
 
 mod discovery;
 mod node;
@@ -9,12 +9,12 @@
 
 use fernknot_router_config::{Limits, Precedence, RouterConfig};
 
-/// The configuration that newcomers and tests start from.
+/// The example configuration, which tests start from.
 pub const CONFIG: &str = include_str!("../../config.json");
 
-/// The limits of that configuration.
+/// Returns the limits of the example configuration.
 pub fn limits() -> Limits {
     RouterConfig::parse(CONFIG, Precedence::Environment, |_| None)
-        .expect("the example configuration is sound")
+        .expect("the example configuration is valid")
         .limits
 }
--- a/examples/stand-in/src/main.rs
+++ b/examples/stand-in/src/main.rs
@@ -3,14 +3,14 @@
 use fernknot_stand_in::{DataNode, Discovery, NodeBehaviour};
 use std::time::Duration;
 
-/// Two nodes at each of the example's two places.
-const PLACES: [u32; 4] = [0, 0, 1, 1];
+/// Place of each node: two nodes at each of the example's two places.
+const NODE_PLACES: [u32; 4] = [0, 0, 1, 1];
 
 fn main() -> std::io::Result<()> {
     let discovery = Discovery::start("127.0.0.1:8500")?;
     println!("discovery at {}", discovery.address);
     let mut nodes = Vec::new();
-    for (index, place) in PLACES.into_iter().enumerate() {
+    for (index, place) in NODE_PLACES.into_iter().enumerate() {
         let node = DataNode::start(NodeBehaviour::Delayed(Duration::from_millis(20)))?;
         println!("data node s-{index} at {}, place {place}", node.address);
         discovery.put(&format!("s-{index}"), node.address, place, "up");
