--- a/crates/fernknot-router/src/attempts.rs
+++ b/crates/fernknot-router/src/attempts.rs
@@ -87,7 +87,7 @@
         let Some(id) = self.connection_by_attempt.get(&attempt).copied() else { return false };
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         let was_sent =
-            connection.remove_pending(&part_id).is_some_and(|pending| pending.state != WriteState::Queued);
+            connection.take_pending(&part_id).is_some_and(|pending| pending.state != WriteState::Queued);
         if !was_sent {
             return false;
         }
--- a/crates/fernknot-router/src/client_requests.rs
+++ b/crates/fernknot-router/src/client_requests.rs
@@ -124,7 +124,8 @@
             }
             Verdict::Rejected { retry_after } => {
                 context.counters.dismissed += 1;
-                let retry_after_s = retry_after.map(|wait| wait.as_millis() / MILLIS_PER_SECOND);
+                let retry_after_s =
+                    retry_after.map(|retry_after| retry_after.as_millis() / MILLIS_PER_SECOND);
                 self.respond(context, id, 503, retry_after_s, b"dismissed");
             }
             Verdict::Failed => {
--- a/crates/fernknot-router/src/node_connection.rs
+++ b/crates/fernknot-router/src/node_connection.rs
@@ -91,7 +91,7 @@
     }
 
     /// Removes and returns the pending attempt for a part.
-    pub fn remove_pending(&mut self, part_id: &str) -> Option<PendingAttempt> {
+    pub fn take_pending(&mut self, part_id: &str) -> Option<PendingAttempt> {
         let attempt = self.pending.remove(part_id)?;
         if let Some(left) = self.attempts_by_call.get_mut(&attempt.call) {
             *left -= 1;
--- a/crates/fernknot-router/src/node_reader.rs
+++ b/crates/fernknot-router/src/node_reader.rs
@@ -89,9 +89,7 @@
             context.counters.answers_late += u64::from(late_answer.is_some());
             return late_answer.is_some();
         }
-        let Some(attempt) = connection.remove_pending(part_id).map(|attempt| attempt.id) else {
-            return false;
-        };
+        let Some(attempt) = connection.take_pending(part_id).map(|attempt| attempt.id) else { return false };
         match (status, String::from_utf8(value)) {
             (CallStatus::Success, Ok(value)) => {
                 self.connection_by_attempt.remove(&attempt);
--- a/crates/fernknot-router/tests/common/mod.rs
+++ b/crates/fernknot-router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The real binary against stand-ins on free loopback ports.
+//! Helpers that run the router binary against stand-ins on free loopback ports.
 #![allow(dead_code)]
 
 use fernknot_stand_in::{CONFIG, DataNode, Discovery, NodeBehaviour};
@@ -10,25 +10,28 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-pub static NUMBER: AtomicU32 = AtomicU32::new(0);
+/// Number for the next unique file name or request id.
+pub static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// Waits for a condition, for as long as a busy machine may need.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits for a condition; `expected` describes it in the message of the panic after a time-out.
+pub fn wait_until(expected: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < Duration::from_secs(30), "never came: {what}");
+    while !condition() {
+        assert!(start.elapsed() < Duration::from_secs(30), "timed out waiting for: {expected}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
+/// Returns a loopback address whose port is free.
 pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).unwrap()
 }
 
-/// A running router, killed when dropped.
+/// Running router process, killed when dropped.
 pub struct Router {
     pub child: Child,
     pub address: SocketAddr,
+    /// Path of the configuration file.
     pub config: std::path::PathBuf,
 }
 
@@ -42,7 +45,7 @@
 
 impl Router {
     pub fn spawn(config: &Value, address: SocketAddr, discovery: SocketAddr) -> Router {
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("fernknot-{}-{number}.json", std::process::id()));
         std::fs::write(&path, config.to_string()).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_fernknot-router"))
@@ -55,16 +58,16 @@
         Router { child, address, config: path }
     }
 
-    /// Starts one that is up; another port is tried where one is taken meanwhile.
+    /// Starts a router and waits until it is ready. Tries another port if the chosen one is in use.
     pub fn start(config: &Value, discovery: SocketAddr) -> Router {
         loop {
             let mut router = Router::spawn(config, free_address(), discovery);
-            let mut ended = false;
-            until("a router that is up", || {
-                ended = router.child.try_wait().unwrap().is_some();
-                ended || router.try_get("/up").is_some_and(|answer| answer.starts_with("HTTP/1.1 200"))
+            let mut has_exited = false;
+            wait_until("the router is ready", || {
+                has_exited = router.child.try_wait().unwrap().is_some();
+                has_exited || router.try_get("/up").is_some_and(|answer| answer.starts_with("HTTP/1.1 200"))
             });
-            if !ended {
+            if !has_exited {
                 return router;
             }
         }
@@ -74,6 +77,7 @@
         TcpStream::connect(self.address).unwrap()
     }
 
+    /// Returns the response to a GET request; `None` if the connection fails.
     pub fn try_get(&self, path: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         write!(stream, "GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n").ok()?;
@@ -88,8 +92,8 @@
         line.unwrap_or_else(|| panic!("no counter {name}: {text}")).parse().unwrap()
     }
 
-    /// One multiget on a connection of its own.
-    pub fn ask(&self, use_case: &str, shards: &[u32], deadline: &str) -> String {
+    /// Sends a multiget on a new connection and returns the response.
+    pub fn multiget(&self, use_case: &str, shards: &[u32], deadline: &str) -> String {
         let mut stream = self.connect();
         stream.write_all(request(use_case, shards, deadline, "Connection: close\r\n").as_bytes()).unwrap();
         let mut answer = String::new();
@@ -102,8 +106,9 @@
     }
 }
 
+/// Returns the text of a request for a multiget with a new id.
 pub fn request(use_case: &str, shards: &[u32], deadline: &str, headers: &str) -> String {
-    let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let part = 1.0 / shards.len() as f64;
     let buckets: Vec<Value> = shards.iter().map(|shard| json!({"bucket": shard, "part": part})).collect();
     let body = json!({"buckets": buckets, "body": "te\"xt\n\u{e9}"}).to_string();
@@ -118,7 +123,7 @@
     serde_json::from_str(CONFIG).unwrap()
 }
 
-/// A router, and nodes at places 0, 1, 0, 1 in turn, listed as up.
+/// Starts a router and nodes with these behaviours, which are listed as up at places 0, 1, 0, 1 and so on.
 pub fn deployment(behaviours: &[NodeBehaviour]) -> (Router, Vec<DataNode>, Discovery) {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let start = |(index, behaviour): (usize, &NodeBehaviour)| {
@@ -130,11 +135,17 @@
     (Router::start(&config(), discovery.address), nodes, discovery)
 }
 
-pub fn read_answer(stream: &mut TcpStream) -> String {
+/// Reads one response to a multiget from a connection.
+pub fn read_response(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
     let mut byte = [0];
     while !answer.ends_with(b"]}") {
-        assert_eq!(stream.read(&mut byte).unwrap(), 1, "cut off: {}", String::from_utf8_lossy(&answer));
+        assert_eq!(
+            stream.read(&mut byte).unwrap(),
+            1,
+            "connection closed after: {}",
+            String::from_utf8_lossy(&answer)
+        );
         answer.push(byte[0]);
     }
     String::from_utf8(answer).unwrap()
