--- a/crates/fernknot-net/src/signals.rs
+++ b/crates/fernknot-net/src/signals.rs
@@ -22,12 +22,12 @@
         Ok(Signals { terminate, hang_up })
     }
 
-    /// Returns whether SIGTERM, which tells the process to stop, was received since the last call.
+    /// Returns whether SIGTERM was received since the last call, and the process has to stop.
     pub fn take_stop_request(&self) -> bool {
         self.terminate.swap(false, Ordering::Relaxed)
     }
 
-    /// Returns whether SIGHUP, which tells that the settings file has changed, was received since the last call.
+    /// Returns whether SIGHUP was received since the last call, and the settings file has to be read again.
     pub fn take_reload_request(&self) -> bool {
         self.hang_up.swap(false, Ordering::Relaxed)
     }
--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -54,7 +54,7 @@
     /// Maximum size of a datagram, in bytes.
     pub max_datagram_bytes: usize,
     /// Maximum number of datagrams read in one iteration of the event loop.
-    pub max_datagrams_per_turn: usize,
+    pub max_datagrams_per_iteration: usize,
     /// Maximum number of cancelled parts that a connection remembers to tell a late answer from an unknown one.
     pub max_remembered_cancellations: usize,
     /// Maximum size of all sketches of blocks, in bytes.
@@ -128,7 +128,7 @@
             idle_buffer_bytes: 4 * KIB,
             read_ahead_bytes: READ_AHEAD_BYTES,
             max_datagram_bytes: 256,
-            max_datagrams_per_turn: 4096,
+            max_datagrams_per_iteration: 4096,
             max_remembered_cancellations: 1024,
             // Unused where no use case has two phases.
             max_sketch_bytes: (memory_mb * BYTES_PER_MB * SKETCH_MEMORY_SHARE) as usize,
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -62,7 +62,7 @@
     pub fn receive(&self, context: &mut Context, tags: &NodeTags) {
         let mut message = vec![0; context.limits.max_datagram_bytes + 1];
         // The limit keeps a flood of datagrams from blocking the rest of the iteration.
-        for _ in 0..context.limits.max_datagrams_per_turn {
+        for _ in 0..context.limits.max_datagrams_per_iteration {
             match self.socket.recv_from(&mut message) {
                 Ok((length, from)) => self.handle_datagram(context, tags, from, &message[..length]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
