--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -269,7 +269,7 @@
             nodes.assign_calls(context);
             nodes.flush_nodes(context);
             clients.flush_clients(context);
-            if !context.engine.has_input() && nodes.unassigned.is_empty() {
+            if !context.engine.has_input() && nodes.unassigned_attempts.is_empty() {
                 break;
             }
         }
--- a/crates/fernknot-router/src/attempts.rs
+++ b/crates/fernknot-router/src/attempts.rs
@@ -11,12 +11,12 @@
 impl Nodes {
     /// Queues an attempt to be sent in this iteration.
     pub fn queue_attempt(&mut self, attempt: AttemptId, node: NodeId) {
-        self.unassigned.entry(node).or_default().push(attempt);
+        self.unassigned_attempts.entry(node).or_default().push(attempt);
     }
 
     /// Assigns the attempts of this iteration to connections, grouped into calls of the maximum size.
     pub fn assign_calls(&mut self, context: &mut Context) {
-        for (node, attempts) in std::mem::take(&mut self.unassigned) {
+        for (node, attempts) in std::mem::take(&mut self.unassigned_attempts) {
             for call in attempts.chunks(context.settings.max_parts_per_call) {
                 let table = &context.engine.table;
                 let is_in_flight =
@@ -47,11 +47,11 @@
         connection.attempts_by_call.insert(number, call.len());
         for (attempt, part_id) in call.iter().zip(part_ids) {
             let pending = PendingAttempt { id: *attempt, call: number, state: WriteState::Queued };
-            connection.pending.insert(part_id, pending);
+            connection.pending_attempts.insert(part_id, pending);
             self.connection_by_attempt.insert(*attempt, id);
         }
         connection.queued_frames.push_back(OutgoingFrame::Call(call));
-        self.unflushed.push(id);
+        self.unflushed_connections.push(id);
     }
 
     /// Returns the oldest connection to a node that accepts a call, with a preference for established connections.
@@ -91,12 +91,12 @@
         if !was_sent {
             return false;
         }
-        connection.cancelled.push_back(part_id.clone());
-        if connection.cancelled.len() > context.limits.max_remembered_cancellations {
-            connection.cancelled.pop_front();
+        connection.cancelled_part_ids.push_back(part_id.clone());
+        if connection.cancelled_part_ids.len() > context.limits.max_remembered_cancellations {
+            connection.cancelled_part_ids.pop_front();
         }
         connection.queued_frames.push_back(OutgoingFrame::Cancel(part_id));
-        self.unflushed.push(id);
+        self.unflushed_connections.push(id);
         true
     }
 
--- a/crates/fernknot-router/src/client_io.rs
+++ b/crates/fernknot-router/src/client_io.rs
@@ -28,14 +28,14 @@
 
     /// Continues reads that the last iteration stopped at its limit.
     pub fn read_more_clients(&mut self, context: &mut Context) {
-        for id in std::mem::take(&mut self.readable) {
+        for id in std::mem::take(&mut self.readable_connections) {
             self.read_client(context, id);
         }
     }
 
     /// Writes the output buffers filled in this iteration.
     pub fn flush_clients(&mut self, context: &mut Context) {
-        for id in std::mem::take(&mut self.unflushed) {
+        for id in std::mem::take(&mut self.unflushed_connections) {
             self.advance(context, id);
         }
     }
@@ -58,7 +58,7 @@
             Ok(ReadOutcome::MoreAvailable)
                 if matches!(client.state, ClientState::Reading | ClientState::Closing) =>
             {
-                self.readable.push(id);
+                self.readable_connections.push(id);
             }
             Ok(_) => {}
         }
@@ -154,7 +154,7 @@
         if client.keeps_connection {
             client.state = ClientState::Reading;
             if client.tcp.is_readable && !client.tcp.read_closed {
-                self.readable.push(id);
+                self.readable_connections.push(id);
             }
         } else {
             self.shut_down_client(context, id);
--- a/crates/fernknot-router/src/client_requests.rs
+++ b/crates/fernknot-router/src/client_requests.rs
@@ -107,7 +107,7 @@
         head.write(&mut client.tcp.output, body);
         client.state = ClientState::Writing;
         client.last_progress = context.now;
-        self.unflushed.push(id);
+        self.unflushed_connections.push(id);
     }
 
     /// Sends the final answer to a pending multiget.
--- a/crates/fernknot-router/src/clients.rs
+++ b/crates/fernknot-router/src/clients.rs
@@ -25,9 +25,9 @@
     /// Whether accepting is paused because the maximum number of connections is open.
     is_accept_paused: bool,
     /// Connections whose sockets have unread bytes.
-    pub readable: Vec<ClientId>,
+    pub readable_connections: Vec<ClientId>,
     /// Connections with output to write in this iteration.
-    pub unflushed: Vec<ClientId>,
+    pub unflushed_connections: Vec<ClientId>,
 }
 
 impl Clients {
@@ -42,14 +42,14 @@
             by_id: HashMap::new(),
             next_id: 0,
             is_accept_paused: false,
-            readable: Vec::new(),
-            unflushed: Vec::new(),
+            readable_connections: Vec::new(),
+            unflushed_connections: Vec::new(),
         })
     }
 
     /// Returns whether a connection has unread bytes.
     pub fn has_readable(&self) -> bool {
-        !self.readable.is_empty()
+        !self.readable_connections.is_empty()
     }
 
     /// Closes the listener. Open connections stay.
@@ -161,7 +161,7 @@
         context.cancel_timer(client.timer_at, Timer::Client(id));
         client.timer_at = context.now + context.limits.close_timeout;
         context.set_timer(client.timer_at, Timer::Client(id));
-        self.readable.push(id);
+        self.readable_connections.push(id);
     }
 
     /// Returns whether a stopping router no longer keeps a connection. Connections end one by one over a period, so
--- a/crates/fernknot-router/src/node_connection.rs
+++ b/crates/fernknot-router/src/node_connection.rs
@@ -58,13 +58,13 @@
     /// Frames that are in the output buffer.
     pub outbox: Outbox<OutgoingFrame>,
     /// Attempts with a pending answer, by the ids of their parts.
-    pub pending: HashMap<String, PendingAttempt>,
+    pub pending_attempts: HashMap<String, PendingAttempt>,
     /// Number of attempts with a pending answer, by call.
     pub attempts_by_call: HashMap<u64, usize>,
     /// Number of the next call.
     pub next_call: u64,
     /// Ids of cancelled parts, whose answers may still arrive.
-    pub cancelled: VecDeque<String>,
+    pub cancelled_part_ids: VecDeque<String>,
     /// Time at which a frame was last encoded, or an answer last received.
     pub last_used: Nanos,
     /// Time at which bytes were last received.
@@ -78,21 +78,22 @@
 impl NodeConnection {
     /// Returns whether no answer is pending and no output is waiting to be written.
     pub fn is_idle(&self) -> bool {
-        self.pending.is_empty() && self.queued_frames.is_empty() && self.tcp.output.is_empty()
+        self.pending_attempts.is_empty() && self.queued_frames.is_empty() && self.tcp.output.is_empty()
     }
 
     /// Returns whether a call with these parts can be sent on this connection. Answers contain only the part's id, not
     /// the attempt, so two attempts for the same part never share a connection.
     pub fn accepts_call(&self, part_ids: &[&str], max_calls: usize) -> bool {
         let is_new = |id: &&str| {
-            !self.pending.contains_key(*id) && !self.cancelled.iter().any(|cancelled| cancelled == id)
+            !self.pending_attempts.contains_key(*id)
+                && !self.cancelled_part_ids.iter().any(|cancelled| cancelled == id)
         };
         !self.is_retired && self.attempts_by_call.len() < max_calls && part_ids.iter().all(is_new)
     }
 
     /// Removes and returns the pending attempt for a part.
     pub fn take_pending(&mut self, part_id: &str) -> Option<PendingAttempt> {
-        let attempt = self.pending.remove(part_id)?;
+        let attempt = self.pending_attempts.remove(part_id)?;
         if let Some(left) = self.attempts_by_call.get_mut(&attempt.call) {
             *left -= 1;
             if *left == 0 {
--- a/crates/fernknot-router/src/node_connections.rs
+++ b/crates/fernknot-router/src/node_connections.rs
@@ -54,10 +54,10 @@
             is_retired: false,
             queued_frames: VecDeque::new(),
             outbox: Outbox::default(),
-            pending: HashMap::new(),
+            pending_attempts: HashMap::new(),
             attempts_by_call: HashMap::new(),
             next_call: 0,
-            cancelled: VecDeque::new(),
+            cancelled_part_ids: VecDeque::new(),
             last_used: context.now,
             last_received: context.now,
             idle_timer_at,
@@ -87,7 +87,7 @@
             }
         }
         connection.tcp.is_readable |= readiness.readable || readiness.error;
-        self.unflushed.push(id);
+        self.unflushed_connections.push(id);
         self.read_node(context, id);
     }
 
@@ -119,13 +119,13 @@
     /// `written`.
     fn connection_lost(&mut self, context: &mut Context, id: NodeConnectionId, written: Outcome) {
         let Some(connection) = self.close_connection(context, id) else { return };
-        let mut pending: Vec<PendingAttempt> = connection.pending.into_values().collect();
+        let mut pending: Vec<PendingAttempt> = connection.pending_attempts.into_values().collect();
         pending.sort_by_key(|attempt| attempt.id);
         for PendingAttempt { id, state, .. } in pending {
             // No byte of this attempt was sent on the established connection, which the node may have closed while it
             // was idle: the attempt is sent to the same node on another connection.
             if state == WriteState::Queued && connection.is_connected {
-                self.unassigned.entry(connection.node).or_default().push(id);
+                self.unassigned_attempts.entry(connection.node).or_default().push(id);
                 continue;
             }
             let outcome = if state == WriteState::Written { written } else { Outcome::Unreachable };
@@ -179,7 +179,8 @@
     pub fn renew_connections(&mut self, context: &mut Context, node: NodeId) {
         for id in &self.records[node.0 as usize].connections {
             let Some(connection) = self.connections.get_mut(id) else { continue };
-            let written = connection.pending.values().filter(|attempt| attempt.state == WriteState::Written);
+            let written =
+                connection.pending_attempts.values().filter(|attempt| attempt.state == WriteState::Written);
             let first_sent = written
                 .filter_map(|attempt| {
                     let table = &context.engine.table;
--- a/crates/fernknot-router/src/node_reader.rs
+++ b/crates/fernknot-router/src/node_reader.rs
@@ -11,7 +11,7 @@
 impl Nodes {
     /// Continues reads that the last iteration stopped at its limit.
     pub fn read_more_nodes(&mut self, context: &mut Context) {
-        for id in std::mem::take(&mut self.readable) {
+        for id in std::mem::take(&mut self.readable_connections) {
             self.read_node(context, id);
         }
     }
@@ -31,7 +31,7 @@
             return;
         }
         match outcome {
-            Ok(ReadOutcome::MoreAvailable) => self.readable.push(id),
+            Ok(ReadOutcome::MoreAvailable) => self.readable_connections.push(id),
             Ok(ReadOutcome::Drained) if !read_closed => self.close_if_retired(context, id),
             _ => self.connection_failed(context, id),
         }
@@ -83,9 +83,10 @@
     ) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         connection.last_used = context.now;
-        if connection.pending.get(part_id).is_none_or(|attempt| attempt.state == WriteState::Queued) {
-            let late_answer = connection.cancelled.iter().position(|cancelled| cancelled == part_id);
-            late_answer.map(|index| connection.cancelled.remove(index));
+        if connection.pending_attempts.get(part_id).is_none_or(|attempt| attempt.state == WriteState::Queued)
+        {
+            let late_answer = connection.cancelled_part_ids.iter().position(|cancelled| cancelled == part_id);
+            late_answer.map(|index| connection.cancelled_part_ids.remove(index));
             context.counters.answers_late += u64::from(late_answer.is_some());
             return late_answer.is_some();
         }
@@ -109,7 +110,10 @@
     fn watch_incomplete_frame(&mut self, context: &mut Context, id: NodeConnectionId, has_read_frame: bool) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let has_incomplete_frame = !connection.tcp.input.is_empty();
-        if has_incomplete_frame && connection.pending.is_empty() && connection.cancelled.is_empty() {
+        if has_incomplete_frame
+            && connection.pending_attempts.is_empty()
+            && connection.cancelled_part_ids.is_empty()
+        {
             return self.protocol_error(context, id, "unexpected bytes while no answer is pending");
         }
         if let Some(deadline) = connection.deadline.take_if(|_| has_read_frame || !has_incomplete_frame) {
--- a/crates/fernknot-router/src/node_writer.rs
+++ b/crates/fernknot-router/src/node_writer.rs
@@ -13,7 +13,7 @@
 impl Nodes {
     /// Writes the frames queued in this iteration.
     pub fn flush_nodes(&mut self, context: &mut Context) {
-        for id in std::mem::take(&mut self.unflushed) {
+        for id in std::mem::take(&mut self.unflushed_connections) {
             self.flush_node(context, id);
         }
     }
@@ -77,11 +77,11 @@
 
 /// Updates the state of the attempts after `count` bytes were written.
 fn record_written(context: &Context, connection: &mut NodeConnection, count: usize) {
-    let NodeConnection { outbox, pending, .. } = connection;
+    let NodeConnection { outbox, pending_attempts, .. } = connection;
     outbox.record_written(count, |frame, is_complete| {
         let OutgoingFrame::Call(attempts) = frame else { return };
         for part in attempts.iter().filter_map(|attempt| context.engine.table.part(attempt.part)) {
-            if let Some(attempt) = pending.get_mut(&part.id) {
+            if let Some(attempt) = pending_attempts.get_mut(&part.id) {
                 attempt.state = if is_complete { WriteState::Written } else { WriteState::Started };
             }
         }
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -37,21 +37,21 @@
     /// Id of the next connection.
     pub next_connection: u64,
     /// Attempts that are not yet assigned to a connection, by node.
-    pub unassigned: BTreeMap<NodeId, Vec<AttemptId>>,
+    pub unassigned_attempts: BTreeMap<NodeId, Vec<AttemptId>>,
     /// Connection to which each pending attempt is assigned.
     pub connection_by_attempt: HashMap<AttemptId, NodeConnectionId>,
     /// Tags of the nodes in messages between routers; `None` if routers may not send messages to each other.
     pub tags: Option<NodeTags>,
     /// Connections whose sockets have unread bytes.
-    pub readable: Vec<NodeConnectionId>,
+    pub readable_connections: Vec<NodeConnectionId>,
     /// Connections with frames to write in this iteration.
-    pub unflushed: Vec<NodeConnectionId>,
+    pub unflushed_connections: Vec<NodeConnectionId>,
 }
 
 impl Nodes {
     /// Returns whether a connection has unread bytes.
     pub fn has_readable(&self) -> bool {
-        !self.readable.is_empty()
+        !self.readable_connections.is_empty()
     }
 
     /// Returns the record of a known node.
@@ -169,7 +169,8 @@
         }
         for connection_id in record.connections.clone() {
             let Some(connection) = self.connections.get(&connection_id) else { continue };
-            let unsent = connection.pending.values().filter(|attempt| attempt.state == WriteState::Queued);
+            let unsent =
+                connection.pending_attempts.values().filter(|attempt| attempt.state == WriteState::Queued);
             for attempt in unsent.map(|attempt| attempt.id).collect::<Vec<_>>() {
                 self.abandon(context, attempt, Outcome::NeverSent);
             }
--- a/crates/fernknot-router/tests/common/mod.rs
+++ b/crates/fernknot-router/tests/common/mod.rs
@@ -17,7 +17,7 @@
 pub fn wait_until(expected: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < Duration::from_secs(30), "timed out waiting for: {expected}");
+        assert!(start.elapsed() < Duration::from_secs(30), "not met in time: {expected}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
