--- a/crates/fernknot-protocol/src/multiget/request.rs
+++ b/crates/fernknot-protocol/src/multiget/request.rs
@@ -136,7 +136,7 @@
     let match_shards: BTreeSet<ShardId> = match_parts.iter().map(|part| part.shard).collect();
     // A block that is not asked for matches can only be named by other blocks. If these name only themselves, nothing
     // could decide whether to fetch it.
-    if !phases.names_others && fetch_parts.iter().any(|part| !match_shards.contains(&part.shard)) {
+    if !phases.may_name_other_blocks && fetch_parts.iter().any(|part| !match_shards.contains(&part.shard)) {
         return Err(RequestError::UnreachableBlock);
     }
     check_terms(&body.first.terms, limits)?;
