--- a/crates/fernknot-http-api/src/connection.rs
+++ b/crates/fernknot-http-api/src/connection.rs
@@ -1,30 +1,30 @@
-//! The server's side of one HTTP/1.1 connection: one request after the other, and their replies.
+//! Server side of one HTTP/1.1 connection: reads requests one at a time and writes their replies.
 
 use crate::reply::Reply;
 use crate::settings::HttpServerSettings;
 use fernknot_protocol::buffer::Buffer;
 use fernknot_protocol::http::{CONTINUE, Request, RequestReader, ResponseHead};
 
-/// What the bytes that were received amount to.
+/// Result of reading a request from the received bytes.
 #[derive(Debug)]
 pub enum ReadOutcome {
-    /// No complete request, or the one before is not answered yet.
+    /// There is no complete request, or the previous one has not been answered.
     Incomplete,
-    /// A complete request, which is pending until its reply is written.
+    /// Complete request, which is pending until its reply is written.
     Request(Request),
-    /// Bytes that are no request, or one that is too large. The reply is written, and the connection is to be closed.
+    /// The request is malformed or too large. The reply is written, and the connection has to be closed.
     Rejected,
 }
 
-/// A bug that tests seed to prove that a checker finds it.
+/// Bug that tests seed to show that a checker detects it.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
-    /// A reply goes to whichever call is pending on its connection.
+    /// A reply is written to whichever call is pending on its connection.
     ReplyIgnoresCallNumber,
 }
 
-/// One connection. It reads a request only once the one before is answered.
+/// HTTP/1.1 server connection. It reads a request only after the previous one has been answered.
 #[derive(Debug, Default)]
 pub struct HttpServerConnection {
     reader: RequestReader,
@@ -33,33 +33,34 @@
     seeded_bug: Option<SeededBug>,
 }
 
-/// What the head of a pending request says about its reply.
+/// Properties of the reply to a pending request, from the request's head.
 #[derive(Clone, Copy, Debug)]
 struct PendingReply {
-    /// The connection stays open after the reply.
+    /// Whether the connection stays open after the reply.
     keep_alive: bool,
-    /// The caller speaks HTTP/1.0.
+    /// Whether the caller uses HTTP/1.0.
     is_http_1_0: bool,
 }
 
 impl HttpServerConnection {
-    /// A connection with a bug, for the tests of checkers.
+    /// Creates a connection with a bug, for the tests of checkers.
     #[doc(hidden)]
     pub fn with_seeded_bug(bug: SeededBug) -> HttpServerConnection {
         HttpServerConnection { seeded_bug: Some(bug), ..HttpServerConnection::default() }
     }
 
-    /// The number on this connection of the last call, from 1; 0 before the first one.
+    /// Number of the last call on this connection, counted from 1; 0 before the first call.
     pub fn last_call(&self) -> u64 {
         self.call_count
     }
 
-    /// Whether a request waits for its reply.
+    /// Whether a request is waiting for its reply.
     pub fn has_pending_call(&self) -> bool {
         self.pending_reply.is_some()
     }
 
-    /// The next request, once it is complete. What the caller has to be told at once is written to `output`.
+    /// Reads the next request, once it is complete. An immediate response (`100 Continue` or an error) is written to
+    /// `output`.
     pub fn read_request(
         &mut self,
         input: &mut Buffer,
@@ -91,10 +92,10 @@
         }
     }
 
-    /// Writes the reply to the call of this number, if that one is pending; `is_last` closes the connection. Returns
-    /// whether the connection stays open.
+    /// Writes the reply to the call with this number, if that call is pending; with `is_last` the connection closes after
+    /// it. Returns whether the connection stays open.
     ///
-    /// Guards against a reply to a call that was answered otherwise meanwhile, while another call is pending.
+    /// A late reply to a call that was already answered is ignored, so that it does not go to the next pending call.
     pub fn write_reply(&mut self, output: &mut Buffer, call: u64, reply: &Reply, is_last: bool) -> bool {
         if call != self.call_count && self.seeded_bug != Some(SeededBug::ReplyIgnoresCallNumber) {
             return true;
--- a/crates/fernknot-http-api/src/dispatcher.rs
+++ b/crates/fernknot-http-api/src/dispatcher.rs
@@ -1,21 +1,21 @@
-//! Finds the endpoint of a request and has its handler answer it.
+//! Dispatch of requests to the handlers of their endpoints.
 
 use crate::endpoint::{Endpoint, MatchedRequest};
 use crate::reply::Reply;
 use fernknot_protocol::http::Request;
 
-/// Answers the calls of one endpoint. `S` identifies a call whose answer comes later.
+/// Handler of the calls of one endpoint. `S` identifies a call that is answered later.
 pub trait Handler<C: Endpoint, S> {
-    /// The answer, or `None` when it is sent later; `pending` then says which call it belongs to.
+    /// Returns the answer, or `None` if it is sent later; `pending` then identifies the call.
     fn handle(&mut self, call: C, pending: S) -> Option<C::Answer>;
 }
 
-/// What became of a request.
+/// Outcome of dispatching a request.
 #[derive(Debug)]
 pub enum DispatchOutcome {
-    /// The reply is known.
+    /// Reply that can be sent now.
     Ready(Reply),
-    /// The reply is sent later, to the call that the request was dispatched with.
+    /// The reply is sent later, to the call identified by the `pending` argument of the dispatch.
     Pending,
 }
 
@@ -27,7 +27,7 @@
     handle: HandleFn<H, S>,
 }
 
-/// All endpoints that `H` handles.
+/// Endpoints that `H` handles.
 pub struct Dispatcher<H, S> {
     routes: Vec<Route<H, S>>,
 }
@@ -39,7 +39,7 @@
 }
 
 impl<H, S> Dispatcher<H, S> {
-    /// Adds an endpoint. Where several match a request, the one added first gets it.
+    /// Adds an endpoint. If several match a request, the one added first handles it.
     pub fn with_endpoint<C: Endpoint>(mut self) -> Dispatcher<H, S>
     where
         H: Handler<C, S>,
@@ -48,8 +48,8 @@
         self
     }
 
-    /// Has the endpoint that a request matches handle it. The reply is 404 for a path that no endpoint has, and 405 for
-    /// a method that no endpoint of the path has.
+    /// Passes a request to the handler of the matching endpoint. The reply is 404 if no endpoint has the path, and 405 if
+    /// no endpoint with the path has the method.
     pub fn dispatch(&self, handler: &mut H, request: &Request, pending: S) -> DispatchOutcome {
         let path = request.path();
         let mut path_exists = false;
@@ -79,7 +79,7 @@
     }
 }
 
-/// The segment that stands for the pattern's `*`, if the path matches the pattern.
+/// Returns the path segment matched by the pattern's `*`, or an empty one without `*`; `None` if the path does not match.
 fn match_path<'a>(pattern: &str, path: &'a str) -> Option<&'a str> {
     let Some((before, after)) = pattern.split_once('*') else { return (pattern == path).then_some("") };
     let segment = path.strip_prefix(before)?.strip_suffix(after)?;
--- a/crates/fernknot-http-api/src/endpoint.rs
+++ b/crates/fernknot-http-api/src/endpoint.rs
@@ -1,29 +1,29 @@
-//! A kind of call: the requests that it is read from, and the type that answers it.
+//! Endpoints: a type of call, the requests it is parsed from, and the type of its answer.
 
 use crate::reply::Reply;
 use fernknot_protocol::http::Request;
 
-/// A request whose path matches the pattern of an endpoint.
+/// Request whose path matches the pattern of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct MatchedRequest<'a> {
-    /// The request, complete with its body.
+    /// Complete request with its body.
     pub request: &'a Request,
-    /// The segment of the path that stands for the pattern's `*`; empty where the pattern has none.
+    /// Path segment matched by the pattern's `*`; empty if the pattern has none.
     pub segment: &'a str,
 }
 
-/// A call as a value, paired with the type of its answer.
+/// Type of a call, paired with the type of its answer.
 pub trait Endpoint: Sized {
-    /// What answers the call.
+    /// Type of the answer.
     type Answer: Into<Reply>;
-    /// The method of its requests, in capitals.
+    /// HTTP method of the requests, in capitals.
     const METHOD: &'static str;
-    /// The pattern of its paths, in which one `*` may stand for any single segment that is not empty.
+    /// Pattern of the paths, in which one `*` may match any single non-empty segment.
     const PATH: &'static str;
 
-    /// Reads the call from a request that the method and the pattern match.
+    /// Parses the call from a request that matches the method and the pattern.
     ///
     /// # Errors
-    /// The reply to a request that is no valid call; it lists every fault, in words for the caller.
+    /// Returns the reply to an invalid request, with a list of all its errors for the caller.
     fn parse(matched: MatchedRequest<'_>) -> Result<Self, Reply>;
 }
--- a/crates/fernknot-http-api/src/lib.rs
+++ b/crates/fernknot-http-api/src/lib.rs
@@ -1,11 +1,12 @@
 //! Typed calls over HTTP/1.1 and JSON, for servers without sockets.
 //!
-//! A call and its answer are a pair of types ([`Endpoint`]); the server says how each pair is handled ([`Handler`]),
-//! and a [`Dispatcher`] finds the endpoint of a request, parses the call and has it handled. An
-//! [`HttpServerConnection`] reads requests from the bytes of one connection and writes the replies in their order.
+//! A call and its answer are a pair of types ([`Endpoint`]). The server implements a [`Handler`] for each pair, and a
+//! [`Dispatcher`] finds the endpoint of a request, parses the call and passes it to the handler. An
+//! [`HttpServerConnection`] reads requests from the bytes of one connection and writes the replies in the order of the
+//! requests.
 //!
-//! The package owns the format of replies and the order of calls on a connection. The controller serves nodes and
-//! operators with it, and the simulator reads the controller's replies through it.
+//! The package owns the format of replies and the order of calls on a connection. The controller uses it to serve nodes
+//! and operators, and the simulator uses it to read the controller's replies.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-http-api/src/reply.rs
+++ b/crates/fernknot-http-api/src/reply.rs
@@ -1,36 +1,36 @@
-//! What a call is answered with.
+//! Replies to calls.
 
 use std::borrow::Cow;
 use std::sync::Arc;
 
 const CONTENT_TYPE_JSON: &str = "application/json";
 
-/// An HTTP response as endpoints give it.
+/// HTTP response of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// The HTTP status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The value of `Content-Type`.
+    /// Value of the `Content-Type` header.
     pub content_type: &'static str,
-    /// The body.
+    /// Response body.
     pub body: Body,
-    /// The value of `Retry-After`, in seconds.
+    /// Value of the `Retry-After` header in seconds; `None` omits the header.
     pub retry_after_s: Option<f64>,
 }
 
-/// The bytes of a body. They may be shared, so that a large body is not copied for each caller.
+/// Bytes of a body, which may be shared so that a large body is not copied for each caller.
 #[derive(Clone, Debug)]
 pub enum Body {
-    /// Bytes of the program.
+    /// Bytes with static lifetime.
     Static(&'static [u8]),
-    /// Bytes of this body alone.
+    /// Bytes owned by this body.
     Owned(Vec<u8>),
-    /// Bytes that several bodies share.
+    /// Bytes shared by several bodies.
     Shared(Arc<[u8]>),
 }
 
 impl Body {
-    /// The bytes, whoever owns them.
+    /// Returns the bytes of the body.
     pub fn bytes(&self) -> &[u8] {
         match self {
             Body::Static(bytes) => bytes,
@@ -47,41 +47,41 @@
 }
 
 impl Reply {
-    /// 200 with an empty JSON object.
+    /// Creates a reply with status 200 and an empty JSON object.
     pub fn ok() -> Reply {
         Reply::json(Body::Static(b"{}"))
     }
 
-    /// 200 with this JSON.
+    /// Creates a reply with status 200 and this JSON body.
     pub fn json(body: Body) -> Reply {
         Reply { status: 200, content_type: CONTENT_TYPE_JSON, body, retry_after_s: None }
     }
 
-    /// An error with its reason, as `{"error": reason}`.
+    /// Creates an error reply with the body `{"error": reason}`.
     pub fn error(status: u16, reason: &str) -> Reply {
         let body = format!("{{\"error\":\"{}\"}}", escape_json(reason));
         Reply { status, ..Reply::json(Body::Owned(body.into_bytes())) }
     }
 
-    /// The same reply with a `Retry-After` of so many seconds.
+    /// Sets the `Retry-After` header, in seconds.
     pub fn with_retry_after(self, seconds: f64) -> Reply {
         Reply { retry_after_s: Some(seconds), ..self }
     }
 }
 
-/// A text as it stands between the quotes of a JSON string. Control characters other than a line feed become spaces.
+/// Escapes a text for use in a JSON string. Control characters other than a line feed become spaces.
 fn escape_json(text: &str) -> Cow<'_, str> {
-    if !text.contains(|letter: char| letter.is_control() || letter == '"' || letter == '\\') {
+    if !text.contains(|character: char| character.is_control() || character == '"' || character == '\\') {
         return Cow::Borrowed(text);
     }
     let mut escaped = String::with_capacity(text.len() + 8);
-    for letter in text.chars() {
-        match letter {
+    for character in text.chars() {
+        match character {
             '"' => escaped.push_str("\\\""),
             '\\' => escaped.push_str("\\\\"),
             '\n' => escaped.push_str("\\n"),
-            letter if letter.is_control() => escaped.push(' '),
-            letter => escaped.push(letter),
+            character if character.is_control() => escaped.push(' '),
+            character => escaped.push(character),
         }
     }
     Cow::Owned(escaped)
--- a/crates/fernknot-http-api/src/settings.rs
+++ b/crates/fernknot-http-api/src/settings.rs
@@ -1,20 +1,20 @@
-//! What bounds the requests of callers.
+//! Limits on the requests of callers.
 
 use fernknot::interface::Nanos;
 use fernknot_router_config::{ConfigError, Limits, SocketSettings};
 
-/// Bounds of the requests that a server accepts.
+/// Limits on the requests that a server accepts.
 #[derive(Clone, Debug)]
 pub struct HttpServerSettings {
     pub(crate) limits: Limits,
 }
 
 impl HttpServerSettings {
-    /// Settings of a process with so many connections and `memory_mb` megabytes of memory, which accepts bodies of
-    /// `max_body_bytes`.
+    /// Creates the settings of a process with `max_connections` connections and `memory_mb` megabytes of memory, which
+    /// accepts request bodies of up to `max_body_bytes`.
     ///
     /// # Errors
-    /// There are fewer connections, or less memory, than a server needs.
+    /// Returns an error if a server needs more connections or memory.
     pub fn new(
         max_connections: usize,
         memory_mb: f64,
@@ -26,7 +26,8 @@
     }
 }
 
-/// What times and counts of the limits are made of. Readers of requests use only the sizes, which do not depend on it.
+/// Placeholder for the inputs of the time and count limits. Request readers use only the size limits, which do not
+/// depend on these settings.
 fn unused_socket_settings() -> SocketSettings {
     SocketSettings {
         use_cases: Vec::new(),
--- a/crates/fernknot-http-api/tests/callers.rs
+++ b/crates/fernknot-http-api/tests/callers.rs
@@ -1,20 +1,21 @@
-//! Callers on many connections from one seed each: pipelined calls in pieces, replies that come later, twice or never,
-//! callers that have gone, and connections that are reused. `FERNKNOT_SEEDS` sets how many seeds are played.
+//! Simulated callers on many connections, one run per seed: pipelined calls that arrive in pieces, replies that are
+//! delayed, duplicated or never sent, disconnected callers and reused connections. `FERNKNOT_SEEDS` sets the number of
+//! seeds.
 
 use fernknot_http_api::{HttpServerConnection, HttpServerSettings, ReadOutcome, Reply, SeededBug};
 use fernknot_protocol::buffer::Buffer;
 use std::collections::{BTreeMap, VecDeque};
 
-const SEEDS: u64 = 500;
-/// Seeds within which the seeded bug must be found.
-const WITHIN: u64 = 20;
-const STEPS: usize = 1500;
+const DEFAULT_SEED_COUNT: u64 = 500;
+/// Number of seeds within which the seeded bug must be detected.
+const MAX_SEEDS_TO_DETECTION: u64 = 20;
+const STEPS_PER_SEED: usize = 1500;
 
-/// SplitMix64, so that a seed replays its run.
+/// SplitMix64 generator, so that a seed reproduces its run.
 struct Rng(u64);
 
 impl Rng {
-    fn under(&mut self, bound: usize) -> usize {
+    fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ mixed >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -27,13 +28,14 @@
     server: HttpServerConnection,
     input: Buffer,
     output: Buffer,
-    /// Bytes that its caller has still to send, and the calls that wait for their replies.
-    to_send: VecDeque<u8>,
+    /// Bytes that the caller has yet to send.
+    unsent: VecDeque<u8>,
+    /// Names of the calls that are waiting for their replies.
     pending: VecDeque<String>,
     closing: bool,
 }
 
-/// A reply that the server has still to write.
+/// Reply that the server has yet to write.
 struct DelayedReply {
     connection: u64,
     call: u64,
@@ -43,9 +45,10 @@
 #[derive(Default)]
 struct Report {
     faults: Vec<String>,
-    /// Replies that callers received, and those to calls that had one or whose callers were gone.
+    /// Number of replies that callers received.
     received: usize,
-    unclaimed: usize,
+    /// Number of replies that were dropped: the call was already answered or its caller had disconnected.
+    dropped: usize,
 }
 
 struct Callers {
@@ -58,7 +61,7 @@
     report: Report,
 }
 
-fn reply(status: u16, name: &str) -> Reply {
+fn named_reply(status: u16, name: &str) -> Reply {
     Reply::error(status, name)
 }
 
@@ -72,34 +75,34 @@
             server,
             input,
             output,
-            to_send: VecDeque::new(),
+            unsent: VecDeque::new(),
             pending: VecDeque::new(),
             closing: false,
         };
         self.connections.insert(self.next_id, connection);
     }
 
-    /// A caller makes a call, behind those that are pending.
+    /// Sends a call on a connection, after the pending ones.
     fn send_call(&mut self, id: u64) {
         self.next_id += 1;
         let name = format!("call-{}", self.next_id);
-        let body = "b".repeat(self.rng.under(30));
+        let body = "b".repeat(self.rng.below(30));
         let Some(connection) =
             self.connections.get_mut(&id).filter(|connection| connection.pending.len() < 5)
         else {
             return;
         };
         connection
-            .to_send
+            .unsent
             .extend(format!("POST /{name} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).bytes());
         connection.pending.push_back(name);
     }
 
-    /// Some bytes of a connection arrive.
+    /// Delivers some of a connection's bytes to the server.
     fn transfer(&mut self, id: u64) {
-        let count = 1 + self.rng.under(120);
+        let count = 1 + self.rng.below(120);
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let bytes: Vec<u8> = connection.to_send.drain(..count.min(connection.to_send.len())).collect();
+        let bytes: Vec<u8> = connection.unsent.drain(..count.min(connection.unsent.len())).collect();
         connection.input.push(&bytes);
         self.read(id);
     }
@@ -112,15 +115,15 @@
             return;
         };
         let (name, call) = (request.target[1..].to_string(), connection.server.last_call());
-        match self.rng.under(10) {
-            0..4 => self.reply_to(DelayedReply { connection: id, call, reply: reply(200, &name) }),
-            4..7 => self.delayed.push(DelayedReply { connection: id, call, reply: reply(200, &name) }),
-            // The call has timed out, and its result comes all the same.
+        match self.rng.below(10) {
+            0..4 => self.reply_to(DelayedReply { connection: id, call, reply: named_reply(200, &name) }),
+            4..7 => self.delayed.push(DelayedReply { connection: id, call, reply: named_reply(200, &name) }),
+            // The call has timed out, and its result arrives later.
             7..9 => {
-                self.delayed.push(DelayedReply { connection: id, call, reply: reply(503, &name) });
-                self.delayed.push(DelayedReply { connection: id, call, reply: reply(200, &name) });
+                self.delayed.push(DelayedReply { connection: id, call, reply: named_reply(503, &name) });
+                self.delayed.push(DelayedReply { connection: id, call, reply: named_reply(200, &name) });
             }
-            _ => self.delayed.push(DelayedReply { connection: id, call, reply: reply(412, &name) }),
+            _ => self.delayed.push(DelayedReply { connection: id, call, reply: named_reply(412, &name) }),
         }
     }
 
@@ -128,10 +131,10 @@
         let Some(connection) =
             self.connections.get_mut(&delayed.connection).filter(|connection| !connection.closing)
         else {
-            self.report.unclaimed += 1;
+            self.report.dropped += 1;
             return;
         };
-        let is_last = self.rng.under(60) == 0;
+        let is_last = self.rng.below(60) == 0;
         let stays_open =
             connection.server.write_reply(&mut connection.output, delayed.call, &delayed.reply, is_last);
         connection.closing = !stays_open;
@@ -141,14 +144,14 @@
         }
     }
 
-    /// A caller reads one reply for each call, its own, in the order of the calls.
+    /// Checks that the caller receives exactly one reply for each call, its own, in the order of the calls.
     fn receive(&mut self, id: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let text = String::from_utf8_lossy(connection.output.data()).into_owned();
         connection.output.consume(text.len());
         let replies: Vec<&str> = text.split("HTTP/1.1 ").filter(|reply| !reply.is_empty()).collect();
         if replies.is_empty() {
-            self.report.unclaimed += 1;
+            self.report.dropped += 1;
         }
         for reply in replies {
             self.report.received += 1;
@@ -162,17 +165,17 @@
         }
     }
 
-    fn play(&mut self) {
-        for _ in 0..STEPS {
+    fn run(&mut self) {
+        for _ in 0..STEPS_PER_SEED {
             let connections: Vec<u64> = self.connections.keys().copied().collect();
-            let id = connections.get(self.rng.under(connections.len())).copied().unwrap_or_default();
-            match self.rng.under(100) {
+            let id = connections.get(self.rng.below(connections.len())).copied().unwrap_or_default();
+            match self.rng.below(100) {
                 0..5 if connections.len() < 8 => self.open(),
                 0..7 => _ = self.connections.remove(&id),
                 7..35 => self.send_call(id),
                 35..75 => self.transfer(id),
                 _ if !self.delayed.is_empty() => {
-                    let delayed = self.delayed.remove(self.rng.under(self.delayed.len()));
+                    let delayed = self.delayed.remove(self.rng.below(self.delayed.len()));
                     self.reply_to(delayed);
                 }
                 _ => {}
@@ -181,8 +184,8 @@
     }
 }
 
-fn play(seed: u64, bug: Option<SeededBug>) -> Report {
-    let settings = HttpServerSettings::new(100, 64.0, 1000).expect("enough of all");
+fn run_seed(seed: u64, bug: Option<SeededBug>) -> Report {
+    let settings = HttpServerSettings::new(100, 64.0, 1000).expect("valid settings");
     let (connections, delayed) = (BTreeMap::new(), Vec::new());
     let mut callers = Callers {
         rng: Rng(seed),
@@ -193,27 +196,28 @@
         delayed,
         report: Report::default(),
     };
-    callers.play();
+    callers.run();
     callers.report
 }
 
 #[test]
-fn given_any_seed_when_answers_come_late_or_twice_then_each_caller_gets_its_own_once() {
-    let seeds = std::env::var("FERNKNOT_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
-    let (mut received, mut unclaimed) = (0, 0);
+fn given_any_seed_when_replies_are_delayed_or_duplicated_then_each_caller_receives_its_own_once() {
+    let seeds =
+        std::env::var("FERNKNOT_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEED_COUNT);
+    let (mut received, mut dropped) = (0, 0);
     for seed in 0..seeds {
-        let report = play(seed, None);
+        let report = run_seed(seed, None);
         assert!(report.faults.is_empty(), "seed {seed}: {:?}", report.faults);
-        (received, unclaimed) = (received + report.received, unclaimed + report.unclaimed);
+        (received, dropped) = (received + report.received, dropped + report.dropped);
     }
-    println!("{received} replies, {unclaimed} unclaimed");
-    assert!(received > 0 && unclaimed > 0, "a run in which nothing happens shows nothing");
+    println!("{received} replies received, {dropped} dropped");
+    assert!(received > 0 && dropped > 0, "the runs must include received and dropped replies");
 }
 
 #[test]
-fn given_a_server_that_ignores_call_numbers_when_seeds_are_played_then_that_is_found() {
-    let found =
-        (0..WITHIN).find(|seed| !play(*seed, Some(SeededBug::ReplyIgnoresCallNumber)).faults.is_empty());
-    println!("found first by {found:?}");
-    assert!(found.is_some());
+fn given_a_server_that_ignores_call_numbers_when_seeds_are_run_then_the_bug_is_detected() {
+    let detecting_seed = (0..MAX_SEEDS_TO_DETECTION)
+        .find(|seed| !run_seed(*seed, Some(SeededBug::ReplyIgnoresCallNumber)).faults.is_empty());
+    println!("detected first by seed {detecting_seed:?}");
+    assert!(detecting_seed.is_some());
 }
--- a/crates/fernknot-http-api/tests/endpoints.rs
+++ b/crates/fernknot-http-api/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints behind a dispatcher, and the requests of one connection.
+//! Dispatch of requests to endpoints, and the order of requests on one connection.
 
 use assert_matches::assert_matches;
 use fernknot_http_api::{
@@ -47,7 +47,7 @@
 }
 
 fn settings() -> HttpServerSettings {
-    HttpServerSettings::new(100, 64.0, 1000).expect("enough of all")
+    HttpServerSettings::new(100, 64.0, 1000).expect("valid settings")
 }
 
 fn input(text: &str) -> Buffer {
@@ -65,14 +65,14 @@
     (server, outcome)
 }
 
-#[test_case("POST", "/people/ann/greet", "hi", 418; "of the pair")]
-#[test_case("POST", "/people/ann/greet?loud=1", "hi", 418; "with a query")]
-#[test_case("POST", "/people/ann/greet", "", 400; "that cannot be read")]
-#[test_case("GET", "/people/ann/greet", "hi", 405; "by another method")]
+#[test_case("POST", "/people/ann/greet", "hi", 418; "with the method and path of the endpoint")]
+#[test_case("POST", "/people/ann/greet?loud=1", "hi", 418; "with a query string")]
+#[test_case("POST", "/people/ann/greet", "", 400; "that cannot be parsed")]
+#[test_case("GET", "/people/ann/greet", "hi", 405; "with another method")]
 #[test_case("POST", "/people//greet", "hi", 404; "without a name")]
 #[test_case("POST", "/people/ann/bob/greet", "hi", 404; "with two names")]
 #[test_case("POST", "/people/greet", "hi", 404; "that is too short for the pattern")]
-fn given_a_dispatcher_when_a_request_comes_then_its_endpoint_answers_it(
+fn given_a_dispatcher_when_a_request_arrives_then_its_endpoint_or_an_error_answers_it(
     method: &str,
     path: &str,
     body: &str,
@@ -82,25 +82,29 @@
 }
 
 #[test]
-fn given_a_handler_that_needs_time_when_a_request_comes_then_its_call_stays_pending() {
+fn given_a_handler_that_answers_later_when_a_request_arrives_then_its_call_stays_pending() {
     let (server, outcome) = dispatch("POST", "/people/shy/greet", "hi");
     assert_matches!(outcome, DispatchOutcome::Pending);
     assert_eq!(server.pending, [5]);
 }
 
 #[test]
-fn given_two_requests_at_once_when_the_first_waits_then_the_second_is_read_after_its_answer() {
+fn given_two_pipelined_requests_when_the_first_is_pending_then_the_second_is_read_after_its_reply() {
     let mut input = input("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n");
     let (mut connection, mut output) = (HttpServerConnection::default(), Buffer::default());
     assert_matches!(connection.read_request(&mut input, &mut output, &settings()), ReadOutcome::Request(request) if request.target == "/a");
     assert_matches!(connection.read_request(&mut input, &mut output, &settings()), ReadOutcome::Incomplete);
     assert!(connection.write_reply(&mut output, 1, &Reply::ok(), false), "the connection stays open");
     assert_matches!(connection.read_request(&mut input, &mut output, &settings()), ReadOutcome::Request(request) if request.target == "/b");
-    assert!(!connection.write_reply(&mut output, 2, &Reply::ok(), false), "the caller wanted it closed");
+    assert!(
+        !connection.write_reply(&mut output, 2, &Reply::ok(), false),
+        "the caller requested the connection to be closed"
+    );
 }
 
 #[test]
-fn given_a_body_over_the_bound_when_it_is_announced_then_it_is_refused_before_it_comes() {
+fn given_a_content_length_over_the_limit_when_the_head_is_read_then_the_request_is_rejected_before_its_body()
+{
     let mut input = input("POST /a HTTP/1.1\r\nContent-Length: 1001\r\n\r\n");
     let mut output = Buffer::default();
     assert_matches!(
--- a/crates/fernknot-rpc/src/lib.rs
+++ b/crates/fernknot-rpc/src/lib.rs
@@ -1,11 +1,11 @@
-//! Messages between the system's own processes, and how they are framed.
+//! Messages between the system's own processes, and their framing.
 //!
-//! A message is encoded with `bitcode` behind its length. A connection carries one type of message each way; bytes
-//! that can't be decoded end the connection, as there is no telling where the next message begins. The package owns
-//! the message types, their limits and the datagrams of peer sampling; it has no socket and no clock. The hosts of
-//! `fernknot-controller` and `fernknot-gateway` call it, and so do the operator's tools and the simulator.
+//! Each message is encoded with `bitcode` and preceded by its length. A connection carries one message type in each
+//! direction. Bytes that cannot be decoded end the connection, because the start of the next message is then unknown.
+//! The package owns the message types, their limits and the datagrams of peer sampling; it has no socket and no clock.
+//! It is used by the hosts of `fernknot-controller` and `fernknot-gateway`, the operator's tools and the simulator.
 //!
-//! `bitcode` has no names: the order of variants and fields, and their types, are the format.
+//! `bitcode` encodes no names: the wire format is defined by the order and the types of variants and fields.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-rpc/src/messages.rs
+++ b/crates/fernknot-rpc/src/messages.rs
@@ -1,5 +1,5 @@
-//! What the system's own processes send to each other. Who opens a connection sends [`GatewayToController`] messages
-//! and receives [`ControllerToGateway`] ones.
+//! Messages between the system's own processes. The process that opens a connection sends [`GatewayToController`]
+//! messages and receives [`ControllerToGateway`] messages.
 
 use bitcode::{Decode, Encode};
 use fernknot_ownership::{Assignment, GatewayRecord};
@@ -7,167 +7,167 @@
 use fernknot_schema::RoutingConfig;
 use std::net::SocketAddrV4;
 
-/// Records or identifiers in one message of a list.
+/// Maximum number of records or identifiers in one message that carries a list.
 pub const MAX_ITEMS_PER_MESSAGE: usize = 4096;
-/// Controllers named in one heartbeat or one list of known controllers.
+/// Maximum number of controllers in one heartbeat or one list of known controllers.
 pub const MAX_ADVERTISED_CONTROLLERS: usize = 16;
 
-/// Which nodes a subscriber wants to be sent. Configurations, assignments and heartbeats come with either.
+/// Nodes whose records a subscriber requests. Configurations, assignments and heartbeats are sent in either case.
 ///
-/// The subscriber works out for which services it is a relay; the publisher only filters by what is named here. Sent
-/// again over the same connection, it replaces what was sent before, and the publisher then sends a snapshot.
+/// The subscriber determines for which services it is a relay; the publisher only filters by the services named here. A
+/// later subscription on the same connection replaces the earlier one, and the publisher then sends a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Subscription {
-    /// The nodes of all services.
+    /// Nodes of all services.
     All,
-    /// The nodes of these services, by name.
+    /// Nodes of these services, by name.
     Services(Vec<String>),
 }
 
-/// Sent by the process that opened a connection to an internal port.
+/// Message from the process that opened the connection to an internal port.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum GatewayToController {
-    /// A gateway subscribes to updates.
+    /// Subscribes a gateway to updates.
     Subscribe {
-        /// The gateway.
+        /// Record of the subscribing gateway.
         gateway: GatewayRecord,
-        /// Whether it is ready to serve queries.
+        /// Whether the gateway is ready to serve queries.
         ready: bool,
-        /// Which nodes it wants to be sent.
+        /// Nodes whose records it requests.
         subscription: Subscription,
-        /// The revision of the configuration that it has; 0 for none.
+        /// Revision of the gateway's configuration; 0 for none.
         revision: u64,
     },
-    /// The subscriber lives; sent at intervals.
+    /// Periodic sign of liveness from a subscriber.
     Heartbeat {
-        /// Whether it is ready to serve queries.
+        /// Whether the gateway is ready to serve queries.
         ready: bool,
     },
-    /// Sent with a heartbeat by a relay: the live gateways that are subscribed to it, and to no controller. For a
-    /// controller, each counts as if it had sent a heartbeat itself.
+    /// Live gateways that are subscribed to a relay and to no controller; the relay sends them with its heartbeat. The
+    /// controller treats each as if it had sent a heartbeat itself.
     RelayedHeartbeats(Vec<GatewayRecord>),
-    /// The subscriber is shutting down as planned.
+    /// Notice of the subscriber's graceful shutdown.
     ShuttingDown,
-    /// A message between controllers.
+    /// Message between controllers.
     Peer(ControllerMessage),
-    /// An operator asks for a report.
+    /// Operator's request for a report.
     Inspect(InspectionTopic),
-    /// An operator orders a view without controllers whose disks are gone for good.
+    /// Operator's order to form a view without controllers whose disks are permanently lost.
     ForceView {
-        /// Their addresses, as the report on views shows them.
+        /// Addresses of the lost controllers, as the report on views shows them.
         lost: Vec<SocketAddrV4>,
     },
 }
 
-/// From one controller to another, over a connection that the sender opened.
+/// Message from one controller to another, over a connection that the sender opened.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControllerMessage {
-    /// Who sends on this connection; the first message.
+    /// Identity of the sender; the first message on a connection.
     Identify {
-        /// The internal address at which the sender listens.
+        /// Internal address at which the sender listens.
         addr: SocketAddrV4,
-        /// Its failure domain.
+        /// Failure domain of the sender.
         zone: String,
     },
-    /// A message between consensus members.
+    /// Message between consensus members.
     Consensus(fernknot_consensus::Message),
-    /// Nodes that changed first at the sender, or that the receiver has asked for.
+    /// Nodes whose changes the sender received first, or that the receiver requested.
     NodeUpdates(Vec<NodeRecord>),
-    /// Hashes of the incarnations of nodes whose heartbeats came to the sender lately.
+    /// Hashes of the incarnations of nodes whose heartbeats the sender received recently.
     RecentIncarnations(Vec<u64>),
-    /// The sender does not know these incarnations; the receiver is to send their records.
+    /// Request for the records of incarnations that the sender does not know.
     RequestNodes(Vec<u64>),
-    /// Gateways whose heartbeats came to the sender lately.
+    /// Gateways whose heartbeats the sender received recently.
     LiveGateways(Vec<GatewayRecord>),
-    /// A gateway has shut down as planned.
+    /// Notice of a gateway's graceful shutdown.
     GatewayShutDown {
-        /// The incarnation of the gateway.
+        /// Incarnation of the gateway.
         incarnation: u64,
     },
-    /// The assignment of singleton roles that the leader made.
+    /// Assignment of singleton roles, made by the leader.
     Assignment(Assignment),
-    /// An operator's change of the configuration, forwarded to the leader.
+    /// Operator's change of the configuration, forwarded to the leader.
     ForwardChange {
-        /// The incarnation of the controller that was called.
+        /// Incarnation of the controller that received the operator's call.
         incarnation: u64,
-        /// Its number for the change; the outcome names both.
+        /// Number that this controller assigned to the change; the outcome repeats both.
         call: u64,
-        /// The epoch on which the change builds.
+        /// Epoch of the configuration that the change is based on.
         base_epoch: u64,
-        /// The configuration as the operator sent it.
+        /// Configuration as the operator sent it.
         body: Vec<u8>,
     },
-    /// The outcome of a forwarded change.
+    /// Outcome of a forwarded change.
     ChangeOutcome {
-        /// The incarnation of the controller that was called.
+        /// Incarnation of the controller that received the operator's call.
         incarnation: u64,
-        /// Its number for the change.
+        /// Number that this controller assigned to the change.
         call: u64,
-        /// The HTTP status for the operator.
+        /// HTTP status for the operator.
         status: u16,
-        /// The reason for the operator, for any status but 200.
+        /// Reason for the operator, for every status other than 200.
         reason: String,
     },
     /// Internal addresses of other controllers that the sender knows.
     KnownControllers(Vec<SocketAddrV4>),
 }
 
-/// Where a controller is reached, as heartbeats name it.
+/// Address and failure domain of a controller, as sent in heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ControllerEndpoint {
-    /// Its internal address.
+    /// Internal address of the controller.
     pub addr: SocketAddrV4,
-    /// Its failure domain.
+    /// Failure domain of the controller.
     pub zone: String,
 }
 
-/// From a controller or a relay to a subscriber.
+/// Message from a controller or a relay to a subscriber.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControllerToGateway {
-    /// A configuration that is in force.
+    /// Configuration that is in force.
     Config {
-        /// Its position among all that were ever in force.
+        /// Position of the configuration among all that were ever in force.
         revision: u64,
-        /// The configuration.
+        /// Configuration for routing.
         config: RoutingConfig,
     },
-    /// Nodes that have changed, or all of them in a snapshot.
+    /// Records of changed nodes, or of all nodes in a snapshot.
     NodeUpdates(Vec<NodeRecord>),
-    /// All that the sender knows has been sent.
+    /// End of a snapshot.
     SnapshotComplete,
-    /// Sent at intervals: how far the sender is.
+    /// Periodic message with the sender's newest versions.
     Heartbeat {
-        /// The incarnation of the sender.
+        /// Incarnation of the sender.
         sender: u64,
-        /// The revision of the configuration that it has.
+        /// Revision of the sender's configuration.
         revision: u64,
-        /// Whether it hears a majority of its view.
+        /// Whether the sender is in contact with a majority of its view.
         holds_lease: bool,
-        /// The number of gateways that passed the heartbeat on; 0 from a controller.
+        /// Number of gateways that forwarded the heartbeat; 0 from a controller.
         hops: u8,
-        /// The fencing token of the newest assignment that it knows.
+        /// Fencing token of the newest assignment known to the sender.
         fencing_token: u64,
         /// Controllers to which the subscriber may connect.
         controllers: Vec<ControllerEndpoint>,
     },
-    /// The assignment of singleton roles in force.
+    /// Assignment of singleton roles that is in force.
     Assignment(Assignment),
-    /// The report that an operator asked for, as text for a person.
+    /// Report requested by an operator, as human-readable text.
     InspectionReport(String),
-    /// The outcome of an order to force a view: its number, or the reason for the rejection.
+    /// Outcome of [`GatewayToController::ForceView`]: the number of the view, or the reason for the rejection.
     ForceViewResult(Result<u64, String>),
 }
 
-/// What an operator may ask of a running process.
+/// Report that an operator can request from a running process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum InspectionTopic {
-    /// The nodes that it knows.
+    /// Nodes known to the process.
     Nodes,
-    /// The view of the controllers.
+    /// View of the controllers.
     Views,
-    /// The relays.
+    /// Relays that distribute updates.
     Relays,
-    /// The assignment of singleton roles.
+    /// Assignment of singleton roles.
     Ownership,
     /// Counters and gauges, as JSON.
     Counters,
--- a/crates/fernknot-rpc/tests/common/samples.rs
+++ b/crates/fernknot-rpc/tests/common/samples.rs
@@ -1,5 +1,5 @@
-//! Values for the recorded encodings. No two fields of one type have the same value, so that fields that change
-//! places are noticed.
+//! Sample values for the recorded encodings. No two fields of one type have the same value, so that swapped fields are
+//! detected.
 
 use fernknot_ownership::{Assignment, FencingToken, GatewayRecord, IncarnationId};
 use fernknot_peer_sampling::{PeerDescriptor, Role};
@@ -19,7 +19,7 @@
     }
 }
 
-/// A node in each state, with its other parts from the state's place.
+/// Returns one node in each state; its other fields are derived from the state's position.
 pub fn nodes() -> Vec<NodeRecord> {
     let states = [NodeState::Ready, NodeState::Draining, NodeState::Lost, NodeState::Gone];
     states.into_iter().zip(1..).map(|(state, number)| node(number, state)).collect()
@@ -38,7 +38,7 @@
     }
 }
 
-pub fn cut() -> Assignment {
+pub fn assignment() -> Assignment {
     Assignment {
         fencing_token: FencingToken::new(21, 22),
         gateways: vec![gateway(23), gateway(24)],
@@ -46,7 +46,7 @@
     }
 }
 
-/// Another descriptor for each role.
+/// Returns one descriptor for each role.
 pub fn descriptors() -> Vec<PeerDescriptor> {
     let gateway = PeerDescriptor {
         addr: addr(31),
@@ -65,8 +65,8 @@
     vec![gateway, controller]
 }
 
-/// A configuration with every kind of route.
-pub fn plan() -> RoutingConfig {
+/// Returns a configuration with every kind of route.
+pub fn routing_config() -> RoutingConfig {
     RoutingConfig {
         epoch: 41,
         routes: vec![route_to_one_service(), route_to_weighted_services(), route_to_shards()],
--- a/crates/fernknot-rpc/tests/wire_format.rs
+++ b/crates/fernknot-rpc/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! Messages between processes are encoded as in earlier releases, so that both can run side by side.
+//! Messages between processes are encoded as in earlier releases, so that processes of both releases can communicate.
 
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
@@ -12,13 +12,13 @@
     ShuffleDatagram, Subscription, read_message, write_message,
 };
 use fixtures::Fixtures;
-use samples::{addr, cut, descriptors, gateway, nodes, plan};
+use samples::{addr, assignment, descriptors, gateway, nodes, routing_config};
 
-/// Bounds a message that is read back here.
-const LARGEST_MESSAGE: usize = 1024;
+/// Limit on the length of a message that is read back.
+const MAX_MESSAGE_BYTES: usize = 1024;
 
-/// The name under which a message to a controller or gateway is recorded. A new variant has to be named here, and
-/// given a value below; so with the functions that follow.
+/// Returns the name under which a message to a controller or gateway is recorded. A new variant needs a name here, and a
+/// sample value below; the same holds for the functions that follow.
 fn recorded_name_of_gateway_message(message: &GatewayToController) -> &'static str {
     match message {
         GatewayToController::Subscribe { subscription: Subscription::All, .. } => "subscribe-to-all",
@@ -74,7 +74,7 @@
     }
 }
 
-fn to_a_teller() -> Vec<GatewayToController> {
+fn gateway_messages() -> Vec<GatewayToController> {
     vec![
         GatewayToController::Subscribe {
             gateway: gateway(1),
@@ -101,7 +101,7 @@
     ]
 }
 
-fn between_controllers() -> Vec<ControllerMessage> {
+fn controller_messages() -> Vec<ControllerMessage> {
     vec![
         ControllerMessage::Identify { addr: addr(7), zone: "zone-7".into() },
         ControllerMessage::Consensus(Message::Commit { view: ViewNumber(201), revision: Revision(202) }),
@@ -110,7 +110,7 @@
         ControllerMessage::RequestNodes(vec![205, 206]),
         ControllerMessage::LiveGateways(vec![gateway(8), gateway(9)]),
         ControllerMessage::GatewayShutDown { incarnation: 207 },
-        ControllerMessage::Assignment(cut()),
+        ControllerMessage::Assignment(assignment()),
         ControllerMessage::ForwardChange {
             incarnation: 208,
             call: 209,
@@ -127,11 +127,11 @@
     ]
 }
 
-fn to_a_listener() -> Vec<ControllerToGateway> {
+fn subscriber_messages() -> Vec<ControllerToGateway> {
     let controllers =
         [12, 13].map(|number| ControllerEndpoint { addr: addr(number), zone: format!("zone-{number}") });
     vec![
-        ControllerToGateway::Config { revision: 301, config: plan() },
+        ControllerToGateway::Config { revision: 301, config: routing_config() },
         ControllerToGateway::NodeUpdates(nodes()),
         ControllerToGateway::SnapshotComplete,
         ControllerToGateway::Heartbeat {
@@ -142,7 +142,7 @@
             fencing_token: 304,
             controllers: controllers.to_vec(),
         },
-        ControllerToGateway::Assignment(cut()),
+        ControllerToGateway::Assignment(assignment()),
         ControllerToGateway::InspectionReport("what is held here".into()),
         ControllerToGateway::ForceViewResult(Ok(305)),
         ControllerToGateway::ForceViewResult(Err("a majority is heard".into())),
@@ -152,11 +152,11 @@
 #[test]
 fn given_recorded_messages_when_encoded_and_decoded_then_bytes_and_values_are_the_same() {
     let mut fixtures = Fixtures::open("wire_format.hex");
-    let peers = between_controllers().into_iter().map(GatewayToController::Peer);
-    for message in to_a_teller().into_iter().chain(peers) {
+    let peers = controller_messages().into_iter().map(GatewayToController::Peer);
+    for message in gateway_messages().into_iter().chain(peers) {
         fixtures.check(recorded_name_of_gateway_message(&message), &message);
     }
-    for message in to_a_listener() {
+    for message in subscriber_messages() {
         fixtures.check(recorded_name_of_subscriber_message(&message), &message);
     }
     fixtures.finish();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn given_a_recorded_stream_when_messages_are_framed_then_its_bytes_are_the_same_and_are_read_back() {
+fn given_a_recorded_stream_when_messages_are_framed_and_read_back_then_bytes_and_messages_are_the_same() {
     let mut fixtures = Fixtures::open("frame_format.hex");
     let messages = [
         GatewayToController::ShuttingDown,
@@ -185,8 +185,8 @@
     let mut stream = Buffer::default();
     stream.push(&recorded);
     for message in messages {
-        assert_eq!(read_message(&mut stream, LARGEST_MESSAGE), Ok(Some(message)));
+        assert_eq!(read_message(&mut stream, MAX_MESSAGE_BYTES), Ok(Some(message)));
     }
-    assert_eq!(read_message::<GatewayToController>(&mut stream, LARGEST_MESSAGE), Ok(None));
+    assert_eq!(read_message::<GatewayToController>(&mut stream, MAX_MESSAGE_BYTES), Ok(None));
     fixtures.finish();
 }
--- a/crates/fernknot-storage/src/directory.rs
+++ b/crates/fernknot-storage/src/directory.rs
@@ -1,5 +1,5 @@
-//! The manager's actions on files. Each generation is a directory with a number for its name, with a `fjall` store and,
-//! once it is sealed, the file `sealed`.
+//! Executes the generation manager's actions on files. Each generation is a directory named by its number. It contains
+//! a `fjall` store and, once the generation is sealed, the file `sealed`.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -10,41 +10,42 @@
 use crate::generation::{Action, Generation, ListedGeneration, Outcome, Values};
 use crate::store::Store;
 
-/// The file that makes a generation count.
+/// File that marks a generation as complete, if it has the contents of [`seal_contents`].
 const SEAL_FILE: &str = "sealed";
-/// Directories in a generation are nested two deep; anything deeper is not ours to remove.
+/// Maximum depth of nested directories that are removed. A generation nests them two deep; anything deeper is not part
+/// of a store.
 const MAX_REMOVE_DEPTH: usize = 4;
 
-/// An open store and its number.
+/// An open store and its generation.
 #[derive(Debug)]
 struct OpenGeneration {
     generation: Generation,
     store: Store,
 }
 
-/// The directory of generations, and the stores that are open.
+/// Directory of generations, and the stores that are open.
 #[derive(Debug)]
 pub struct StoreDirectory {
     path: PathBuf,
-    /// The sealed store that is written to.
+    /// Sealed store that receives the writes.
     open: Option<OpenGeneration>,
-    /// Built and not sealed yet.
+    /// Store that was built and is not sealed yet.
     built: Option<OpenGeneration>,
 }
 
 impl StoreDirectory {
-    /// The directory at this path; it is created with the first listing.
+    /// Creates a handle for the directory at this path; the first listing creates the directory itself.
     #[must_use]
     pub fn new(path: PathBuf) -> StoreDirectory {
         StoreDirectory { path, open: None, built: None }
     }
 
-    /// Executes an action. Blocks for as long as the disk does.
+    /// Executes an action. Blocks until the disk operations have finished.
     ///
     /// # Errors
     ///
-    /// The operation that failed. A store in which a write failed is closed for good, and so is one in which `fjall`
-    /// panicked.
+    /// Returns the operation that failed; a panic of `fjall` counts as a failure. After a failed write or seal the open
+    /// store is closed and never used again.
     pub fn execute(&mut self, action: Action) -> Result<Outcome, StorageError> {
         let operation = match action {
             Action::List | Action::Read(_) => Operation::Read,
@@ -54,9 +55,9 @@
             Action::Remove(_) => Operation::Remove,
         };
         let writes_to_open = matches!(action, Action::Write(..) | Action::Seal(_));
-        // `fjall` panics on what it considers impossible; here that is one more failed operation.
+        // `fjall` panics on states that it considers impossible; a panic is handled as a failed operation.
         let result = catch_unwind(AssertUnwindSafe(|| self.attempt(action)))
-            .unwrap_or_else(|_| Err(StorageError::new(operation, "the store panicked")));
+            .unwrap_or_else(|_| Err(StorageError::new(operation, "the storage engine panicked")));
         if result.is_err() {
             self.built = None;
             if writes_to_open {
@@ -84,18 +85,18 @@
     }
 
     fn list_generations(&self) -> Result<Vec<ListedGeneration>, StorageError> {
-        let at = StorageError::at(Operation::Open);
-        if !self.path.try_exists().map_err(&at)? {
-            fs::create_dir_all(&self.path).map_err(&at)?;
-            // If the directory's own name is lost, so is all that was synced in it.
+        let wrap_error = StorageError::wrap(Operation::Open);
+        if !self.path.try_exists().map_err(&wrap_error)? {
+            fs::create_dir_all(&self.path).map_err(&wrap_error)?;
+            // Without the directory's own entry in its parent, everything synced in it would be lost.
             if let Some(parent) = self.path.parent() {
-                sync_directory(parent).map_err(&at)?;
+                sync_directory(parent).map_err(&wrap_error)?;
             }
         }
         let mut generations = Vec::new();
-        for entry in fs::read_dir(&self.path).map_err(&at)? {
-            let name = entry.map_err(&at)?.file_name();
-            // What has no number for its name is not ours.
+        for entry in fs::read_dir(&self.path).map_err(&wrap_error)? {
+            let name = entry.map_err(&wrap_error)?.file_name();
+            // Entries whose names are not numbers were not created here.
             let number: Option<u64> = name.to_str().and_then(|name| name.parse().ok());
             if let Some(generation) = number.map(Generation) {
                 generations.push(ListedGeneration { generation, sealed: self.is_sealed(generation)? });
@@ -106,12 +107,12 @@
 
     fn is_sealed(&self, generation: Generation) -> Result<bool, StorageError> {
         match fs::read(self.generation_path(generation).join(SEAL_FILE)) {
-            // A torn seal counts as none: nothing is reported as stored before it is synced.
+            // A torn seal counts as missing: no write is acknowledged before the seal is synced.
             Ok(bytes) => Ok(bytes == seal_contents(generation)),
             Err(error) if matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::NotADirectory) => {
                 Ok(false)
             }
-            // Taking an unreadable seal for none would lose what it seals.
+            // Treating an unreadable seal as missing would discard the generation's values.
             Err(error) => Err(StorageError::new(Operation::Read, error)),
         }
     }
@@ -122,7 +123,7 @@
         let store = Store::create(&path)?;
         store.write(entries(values))?;
         drop(store);
-        // Reopening it shows that it opens, and truncates its preallocated journal.
+        // Reopening verifies that the store can be opened, and truncates its preallocated journal.
         let store = Store::open(&path)?;
         let contents = store.values()?;
         self.built = Some(OpenGeneration { generation, store });
@@ -139,36 +140,36 @@
     }
 
     fn remove_generation(&mut self, generation: Generation) -> Result<Outcome, StorageError> {
-        let at = StorageError::at(Operation::Remove);
-        remove_directory(&self.generation_path(generation), MAX_REMOVE_DEPTH).map_err(&at)?;
-        sync_directory(&self.path).map_err(&at)?;
+        let wrap_error = StorageError::wrap(Operation::Remove);
+        remove_directory(&self.generation_path(generation), MAX_REMOVE_DEPTH).map_err(&wrap_error)?;
+        sync_directory(&self.path).map_err(&wrap_error)?;
         Ok(Outcome::Done)
     }
 
     fn seal_generation(&mut self, generation: Generation) -> Result<Outcome, StorageError> {
-        let at = StorageError::at(Operation::Seal);
+        let wrap_error = StorageError::wrap(Operation::Seal);
         let Some(built) = self.built.take().filter(|built| built.generation == generation) else {
             return Err(StorageError::new(Operation::Seal, "this generation was not built"));
         };
         let path = self.generation_path(generation);
-        // The directories first: once the seal is there, everything that it vouches for must be.
-        sync_directory(&path).map_err(&at)?;
-        sync_directory(&self.path).map_err(&at)?;
-        let mut file = File::create(path.join(SEAL_FILE)).map_err(&at)?;
-        file.write_all(&seal_contents(generation)).map_err(&at)?;
-        file.sync_all().map_err(&at)?;
-        sync_directory(&path).map_err(&at)?;
+        // The directories are synced first: a seal that survives a power loss implies a complete store.
+        sync_directory(&path).map_err(&wrap_error)?;
+        sync_directory(&self.path).map_err(&wrap_error)?;
+        let mut file = File::create(path.join(SEAL_FILE)).map_err(&wrap_error)?;
+        file.write_all(&seal_contents(generation)).map_err(&wrap_error)?;
+        file.sync_all().map_err(&wrap_error)?;
+        sync_directory(&path).map_err(&wrap_error)?;
         self.open = Some(built);
         Ok(Outcome::Done)
     }
 }
 
-/// The values as keys and bytes.
+/// Returns the values as pairs of key and bytes.
 fn entries(values: &Values) -> impl Iterator<Item = (&str, &[u8])> {
     values.iter().map(|(key, value)| (key.as_str(), &**value))
 }
 
-/// What a complete seal file consists of; stored on disk.
+/// Contents of a complete seal file; stored on disk.
 fn seal_contents(generation: Generation) -> Vec<u8> {
     format!("fernknot cistern, generation {}\n", generation.0).into_bytes()
 }
@@ -177,7 +178,8 @@
     File::open(path)?.sync_all()
 }
 
-/// Removes a directory, its seal first: what is left after a loss of power must not look complete.
+/// Removes a directory, its seal first, so that a generation partly removed before a power loss is not taken for a
+/// complete one.
 fn remove_directory(path: &Path, depth: usize) -> io::Result<()> {
     let ignore_missing = |result: io::Result<()>| match result {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
--- a/crates/fernknot-storage/src/error.rs
+++ b/crates/fernknot-storage/src/error.rs
@@ -1,8 +1,8 @@
-//! What fails on a disk, and in which operation.
+//! Storage errors, and the operations that fail with them.
 
 use std::fmt;
 
-/// The operation that failed.
+/// Kind of a storage operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
     /// Opening or creating a store, or listing the directory.
@@ -13,7 +13,7 @@
     Sync,
     /// Reading a store or a seal.
     Read,
-    /// Making a new generation the one that counts.
+    /// Marking a new generation as the one in use.
     Seal,
     /// Deleting an obsolete generation.
     Remove,
@@ -32,24 +32,24 @@
     }
 }
 
-/// An operation that failed. Nothing is known of a write that ended so: it may be there or not.
+/// Failure of a storage operation. After a failed write the value may or may not be stored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("disk: {operation}: {reason}")]
 pub struct StorageError {
-    /// What was attempted.
+    /// Operation that failed.
     pub operation: Operation,
-    /// The message of the error that caused it.
+    /// Message of the underlying error.
     pub reason: String,
 }
 
 impl StorageError {
-    /// An error of this operation.
+    /// Creates an error of this operation.
     pub fn new(operation: Operation, reason: impl fmt::Display) -> StorageError {
         StorageError { operation, reason: reason.to_string() }
     }
 
-    /// Turns any error of an operation into this one.
-    pub(crate) fn at<E: fmt::Display>(operation: Operation) -> impl Fn(E) -> StorageError {
+    /// Returns a function that converts the cause of a failed operation into a [`StorageError`].
+    pub(crate) fn wrap<E: fmt::Display>(operation: Operation) -> impl Fn(E) -> StorageError {
         move |reason| StorageError::new(operation, reason)
     }
 }
--- a/crates/fernknot-storage/src/generation.rs
+++ b/crates/fernknot-storage/src/generation.rs
@@ -1,28 +1,29 @@
-//! Generations of the store, and what is to be done with them.
+//! Generations of the store, the actions on them and their results.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::error::StorageError;
 
-/// Newest value by key.
+/// Newest value of each key.
 pub type Values = BTreeMap<String, Arc<[u8]>>;
 
-/// One store in the directory. A higher one replaces the lower ones once it is sealed; no number is given twice.
+/// Number of a store in the directory. Once sealed, a store replaces all stores with lower numbers; no number is used
+/// twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Generation(pub u64);
 
-/// What the host is to do next.
+/// Action that the host has to execute next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use = "the host has to execute it and report its result"]
 pub enum Action {
-    /// List the generations that there are.
+    /// List the generations in the directory.
     List,
     /// Read the values of a sealed generation, without keeping it open.
     Read(Generation),
-    /// Make a new store of these values, sync it, close it, open it and read its values.
+    /// Create a store with these values, sync and close it, then reopen it and read its values back.
     Build(Generation, Values),
-    /// Mark the store just built as sealed and sync the directories. It is the open one from here on.
+    /// Mark the store that was just built as sealed and sync the directories. It is the open store from then on.
     Seal(Generation),
     /// Add the values to the open store and sync it.
     Write(Generation, Values),
@@ -30,32 +31,32 @@
     Remove(Generation),
 }
 
-/// A generation in the directory.
+/// Generation found in the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedGeneration {
-    /// Its number.
+    /// Number of the generation.
     pub generation: Generation,
     /// Whether its seal is complete.
     pub sealed: bool,
 }
 
-/// The result of an action that succeeded.
+/// Result of a successful action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The generations in the directory.
     Listed(Vec<ListedGeneration>),
     /// The values of a store.
     Contents(Values),
-    /// The action has no other result.
+    /// Success without a further result.
     Done,
 }
 
-/// A write that has ended.
+/// Write that has completed, with or without an error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedWrite {
-    /// The id that it was submitted with.
+    /// Id that the write was submitted with.
     pub write_id: u64,
-    /// `Ok`: the value, or a newer one that was submitted under the same key, is written and synced. After an error it
-    /// may be there or not.
+    /// `Ok`: the value, or a newer one that was submitted under the same key, is written and synced. After an error the
+    /// value may or may not be stored.
     pub result: Result<(), StorageError>,
 }
--- a/crates/fernknot-storage/src/generation_manager.rs
+++ b/crates/fernknot-storage/src/generation_manager.rs
@@ -1,10 +1,11 @@
-//! The decisions about a directory of generations, without I/O: the host polls actions with
+//! State machine of a directory of generations, without I/O: the host polls actions with
 //! [`GenerationManager::poll_action`], executes them one at a time and reports the result of each.
 //!
-//! Each generation is a store of its own with one journal. Only a store that this process built, synced, closed, opened
-//! and read back is written to. After any failed write its handle is never used again, because a failed sync may have
-//! dropped what a later read still shows: the next generation is built from what is known to be stored, and until it is
-//! sealed writes are rejected. A journal that has grown ends the same way, which keeps the directory small.
+//! Each generation is a separate store with one journal. A store receives writes only if this process built, synced,
+//! closed, reopened and read it back. After a failed write the store's handle is never used again, because a failed sync
+//! may have dropped data that a later read still returns: the next generation is built from the values known to be
+//! stored, and writes are rejected until it is sealed. A journal over its size limit also causes the next generation to
+//! be built, which bounds the size of the directory.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -15,22 +16,22 @@
 use crate::generation::{Action, CompletedWrite, Generation, ListedGeneration, Outcome, Values};
 use crate::limits::{Limits, MAX_KEY_BYTES, entry_bytes, total_bytes};
 
-/// One sync covers at most this part of the bytes that may be stored.
+/// One sync covers at most [`Limits::max_live_bytes`] divided by this number, or a single larger write.
 const SYNC_GROUP_DIVISOR: u64 = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nothing is known of the directory.
+    /// The directory has not been listed.
     Unlisted,
-    /// The newest sealed generation, not read yet.
+    /// The newest sealed generation is known and has not been read.
     Unread(Generation),
-    /// What is stored is known, but no open store is trusted.
+    /// The stored values are known, but no open store is trusted.
     Closed,
-    /// Open and trusted.
+    /// The store of this generation is open and trusted.
     Healthy(Generation),
 }
 
-/// The action that the host executes.
+/// Action that the host is executing.
 #[derive(Clone, Debug)]
 enum InFlight {
     List,
@@ -54,27 +55,27 @@
     limits: Limits,
     phase: Phase,
     in_flight: Option<InFlight>,
-    /// Built and read back, not sealed.
+    /// Generation that was built and read back, and is not sealed.
     built: Option<Generation>,
-    /// The highest number that was ever listed or given.
+    /// Highest generation number that was ever listed or assigned.
     highest_generation: u64,
-    /// To be removed once something newer is sealed.
+    /// Generations to be removed once a newer one is sealed.
     obsolete: BTreeSet<Generation>,
-    /// What is known to be stored, once the directory was read.
+    /// Values known to be stored; `None` before the directory was read.
     stored: Option<Values>,
-    /// Bytes in the journal of the open store.
+    /// Upper bound of the bytes in the journal of the open store.
     journal_bytes: u64,
     queue: VecDeque<PendingWrite>,
     completed: Vec<CompletedWrite>,
-    /// Why writes are rejected.
+    /// Error with which writes are rejected, if they are.
     fault: Option<StorageError>,
     backoff: Nanos,
-    /// No action but writes to a healthy store before this.
+    /// Earliest time of the next action other than a write to a healthy store or a seal.
     retry_at: Nanos,
 }
 
 impl GenerationManager {
-    /// Nothing is known of the directory yet.
+    /// Creates the manager of a directory that has not been listed.
     #[must_use]
     pub fn new(limits: Limits) -> GenerationManager {
         GenerationManager {
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Takes a value to be stored. Its result comes with [`GenerationManager::take_completed`]; while writes are
-    /// rejected that is at once. The host bounds how many are pending.
+    /// Queues a value to be stored. [`GenerationManager::take_completed`] returns its result, which is immediate while
+    /// writes are rejected. The host bounds the number of pending writes.
     pub fn submit(&mut self, write_id: u64, key: String, value: Vec<u8>) {
         if let Some(fault) = &self.fault {
             self.completed.push(CompletedWrite { write_id, result: Err(fault.clone()) });
@@ -104,44 +105,44 @@
         self.queue.push_back(PendingWrite { write_id, key, value: value.into() });
     }
 
-    /// Whether there is an open store that is trusted.
+    /// Returns whether a trusted store is open.
     #[must_use]
     pub fn is_healthy(&self) -> bool {
         matches!(self.phase, Phase::Healthy(_))
     }
 
-    /// What is known to be stored; `None` before the directory was read.
+    /// Returns the values known to be stored; `None` before the directory was read.
     #[must_use]
     pub fn stored(&self) -> Option<&Values> {
         self.stored.as_ref()
     }
 
-    /// Why writes are rejected at this moment.
+    /// Returns the error with which writes are rejected at present.
     #[must_use]
     pub fn fault(&self) -> Option<&StorageError> {
         self.fault.as_ref()
     }
 
-    /// The writes that have ended since the last call.
+    /// Takes the writes that have completed since the last call.
     #[must_use = "each result is given once"]
     pub fn take_completed(&mut self) -> Vec<CompletedWrite> {
         std::mem::take(&mut self.completed)
     }
 
-    /// When to poll again if there is no action now.
+    /// Time of the next poll if there is no action now; `None` if only a submission or a completed action can cause one.
     #[must_use]
     pub fn wake_at(&self) -> Option<Nanos> {
         let has_work = !self.is_healthy() || self.journal_exceeds_limit() || !self.obsolete.is_empty();
         (self.in_flight.is_none() && has_work).then_some(self.retry_at)
     }
 
-    /// The next action, one at a time.
+    /// Returns the next action; `None` while another one is in flight.
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         if self.in_flight.is_some() {
             return None;
         }
         let may_retry = now >= self.retry_at;
-        // Nothing comes between the building of a store and its seal: it must hold all there is.
+        // No write may come between building a store and sealing it: the sealed store must contain all stored values.
         if let Some(built) = self.built.take() {
             return self.start_action(InFlight::Seal(built), Action::Seal(built));
         }
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Takes the result of the action in flight. An outcome of another kind than the action's counts as a failure.
+    /// Handles the result of the action in flight. An outcome that does not match the action counts as a failure.
     pub fn complete_action(&mut self, result: Result<Outcome, StorageError>, now: Nanos) {
         let Some(in_flight) = self.in_flight.take() else { return };
         match (in_flight, result) {
@@ -180,7 +181,7 @@
                 self.obsolete.remove(&generation);
             }
             (in_flight, Ok(_)) => {
-                let error = StorageError::new(Operation::Read, "an answer to another order");
+                let error = StorageError::new(Operation::Read, "the outcome does not match the action");
                 self.handle_failure(in_flight, error, now);
             }
             (in_flight, Err(error)) => self.handle_failure(in_flight, error, now),
@@ -198,7 +199,7 @@
         }
         self.phase = match newest {
             Some(newest) => Phase::Unread(newest),
-            // Without a seal nothing was ever reported as stored here.
+            // Without a sealed generation no write was ever acknowledged.
             None => {
                 self.stored = Some(Values::new());
                 Phase::Closed
@@ -216,7 +217,7 @@
         if self.stored.as_ref() == Some(values) {
             self.built = Some(generation);
         } else {
-            let reason = "a store that was just built holds something else";
+            let reason = "a new store does not contain the values written to it";
             self.handle_failed_build(generation, StorageError::new(Operation::Read, reason), now);
         }
     }
@@ -242,15 +243,15 @@
     fn handle_failure(&mut self, in_flight: InFlight, error: StorageError, now: Nanos) {
         match in_flight {
             InFlight::List | InFlight::Read(_) => {
-                // What is there may have changed: it is listed again.
+                // The directory may have changed, so it is listed again.
                 self.phase = Phase::Unlisted;
                 self.obsolete.clear();
                 self.reject_pending(error, now);
             }
             InFlight::Build(generation) => self.handle_failed_build(generation, error, now),
             InFlight::Seal(generation) => {
-                // It may be sealed or not: were the one before it written to, a start could find the
-                // newer seal and miss those writes. So neither is.
+                // The new store may or may not be sealed. If the previous store received more writes, a restart
+                // could find the newer seal and miss them, so neither store is written to.
                 self.obsolete.insert(generation);
                 self.close_store();
                 self.reject_pending(error, now);
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Nothing points at a store without a seal, so a healthy one beside it stays so.
+    /// Handles a failed build. A store without a seal is never read, so a healthy store stays in use.
     fn handle_failed_build(&mut self, generation: Generation, error: StorageError, now: Nanos) {
         self.obsolete.insert(generation);
         match self.is_healthy() {
@@ -280,7 +281,7 @@
         self.phase = Phase::Closed;
     }
 
-    /// Rejects all pending writes with the error, and those that come until a store is healthy again.
+    /// Rejects all pending writes with the error, and new ones until a store is healthy again.
     fn reject_pending(&mut self, error: StorageError, now: Nanos) {
         let pending = std::mem::take(&mut self.queue);
         self.fail_writes(pending, &error);
@@ -315,7 +316,7 @@
         self.journal_bytes > self.limits.max_journal_bytes
     }
 
-    /// The next writes that one sync covers; of several values for a key only the newest is written.
+    /// Starts the writes that the next sync covers; of several values for a key only the newest is written.
     fn start_write(&mut self, generation: Generation) -> Option<Action> {
         let mut group: Vec<PendingWrite> = Vec::new();
         let mut newest = Values::new();
@@ -339,7 +340,7 @@
         self.start_action(InFlight::Write { group, bytes }, Action::Write(generation, newest))
     }
 
-    /// Rejects what would not fit, before any of it is written.
+    /// Rejects a write that exceeds a limit, before any of it is written.
     fn check_limits(&self, write: &PendingWrite, newest: &Values) -> Result<(), StorageError> {
         let reject = |reason: &str| Err(StorageError::new(Operation::Insert, reason));
         if write.key.is_empty() || write.key.len() > MAX_KEY_BYTES {
@@ -351,9 +352,9 @@
         if remaining_bytes + total_bytes(newest) + entry_bytes(&write.key, &write.value)
             > self.limits.max_live_bytes
         {
-            return reject("more than may be kept at once");
+            return reject("the stored values would exceed their size limit");
         }
-        // A generation that cannot be replaced must not grow without end.
+        // Bounds the journal of a generation that could not be replaced.
         if self.journal_bytes > 2 * self.limits.max_journal_bytes {
             return reject("the journal is full and could not be replaced");
         }
--- a/crates/fernknot-storage/src/journal.rs
+++ b/crates/fernknot-storage/src/journal.rs
@@ -1,10 +1,10 @@
-//! The end of a journal after a loss of power. Of what was written after the last sync each part may be there, missing or
-//! torn; `fjall` repairs an end that is truncated, but takes one with a hole in it for damage and does not open again. So
-//! the journal is truncated here before it is opened: every batch that was synced has its checksum right, and what
-//! follows the last such batch was never reported as stored.
+//! Repair of a journal after a power loss. Each part of the data written after the last sync may be present, missing or
+//! torn. `fjall` repairs a truncated end, but treats a hole as corruption and refuses to open the store. The journal is
+//! therefore truncated here before it is opened: every synced batch has a valid checksum, and data after the last such
+//! batch was never acknowledged.
 //!
-//! A batch is a start (tag 1, count, number), items (tag 2, two bytes, keyspace, lengths of key, value and stored value,
-//! key, stored value), and an end (tag 3, xxh3 of the items, four fixed bytes).
+//! A batch consists of a start (tag 1, number of items, batch number), items (tag 2, two bytes, keyspace, lengths of key,
+//! value and stored value, key, stored value) and an end (tag 3, xxh3 hash of the items, four fixed bytes).
 
 use std::fs::{File, OpenOptions};
 use std::hash::Hasher;
@@ -17,7 +17,7 @@
 const BATCH_ITEM: u8 = 2;
 const BATCH_END: u8 = 3;
 const BATCH_TRAILER: [u8; 4] = *b"FJL\x03";
-/// An item without its key and value.
+/// Size of an item without its key and value.
 const ITEM_HEADER_BYTES: usize = 21;
 const READ_BUFFER_BYTES: usize = 1 << 16;
 const HASH_CHUNK_BYTES: usize = 4096;
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// The file could not be read, truncated or synced.
+/// Returns the I/O error if the file cannot be read, truncated or synced.
 pub(crate) fn repair(path: &Path) -> io::Result<u64> {
     let file = OpenOptions::new().read(true).write(true).open(path)?;
     let length = file.metadata()?.len();
@@ -38,7 +38,7 @@
     Ok(complete)
 }
 
-/// How many bytes from the start form complete batches.
+/// Number of bytes from the start that form complete batches.
 fn complete_length(file: &File, length: u64) -> io::Result<u64> {
     let mut reader =
         JournalReader { input: BufReader::with_capacity(READ_BUFFER_BYTES, file), remaining_bytes: length };
@@ -54,14 +54,14 @@
     }
 }
 
-/// Reads a journal, and not beyond its end.
+/// Reader of a journal that stops at its length.
 struct JournalReader<R> {
     input: R,
     remaining_bytes: u64,
 }
 
 impl<R: Read> JournalReader<R> {
-    /// Reads one batch; false where there is no complete one.
+    /// Reads one batch. Returns false if there is no complete one.
     fn read_batch(&mut self) -> io::Result<bool> {
         let Some([BATCH_START]) = self.read_bytes()? else { return Ok(false) };
         let Some(count) = self.read_bytes()?.map(u32::from_le_bytes) else { return Ok(false) };
@@ -73,14 +73,14 @@
             }
         }
         let Some([BATCH_END]) = self.read_bytes()? else { return Ok(false) };
-        let Some(sum) = self.read_bytes()?.map(u64::from_le_bytes) else { return Ok(false) };
-        Ok(self.read_bytes()? == Some(BATCH_TRAILER) && sum == hash.finish())
+        let Some(checksum) = self.read_bytes()?.map(u64::from_le_bytes) else { return Ok(false) };
+        Ok(self.read_bytes()? == Some(BATCH_TRAILER) && checksum == hash.finish())
     }
 
-    /// Reads one item and hashes it; false where it is not complete.
+    /// Reads and hashes one item. Returns false if it is not complete.
     fn read_item(&mut self, hash: &mut Xxh3) -> io::Result<bool> {
         let Some(header) = self.read_bytes::<ITEM_HEADER_BYTES>()? else { return Ok(false) };
-        // Values are stored as they are, so both their lengths are the same.
+        // Values are stored uncompressed, so the lengths of the value and the stored value are the same.
         let [BATCH_ITEM, _, 0, _, _, _, _, _, _, _, _, k0, k1, v0, v1, v2, v3, s0, s1, s2, s3] = header
         else {
             return Ok(false);
@@ -89,7 +89,7 @@
         let value_length = u32::from_le_bytes([v0, v1, v2, v3]);
         let stored_length = u32::from_le_bytes([s0, s1, s2, s3]);
         let body_length = u64::from(key_length) + u64::from(stored_length);
-        // A torn length must not be taken for one and reserve as much memory.
+        // A length damaged by a torn write must not be used.
         if value_length != stored_length || body_length > self.remaining_bytes {
             return Ok(false);
         }
@@ -98,7 +98,7 @@
         Ok(true)
     }
 
-    /// Reads so many bytes; `None` where fewer are left.
+    /// Reads `N` bytes; returns `None` if fewer are left.
     fn read_bytes<const N: usize>(&mut self) -> io::Result<Option<[u8; N]>> {
         if self.remaining_bytes < N as u64 {
             return Ok(None);
--- a/crates/fernknot-storage/src/lib.rs
+++ b/crates/fernknot-storage/src/lib.rs
@@ -1,13 +1,13 @@
-//! Durable storage of a process: a few values by key. It owns a directory and one thread that writes and syncs, so that
-//! a disk that hangs never delays the caller's loop; what is reported as stored outlives a loss of power.
-//! `fernknot-controller` is its user. The order of syncs and what may fail are described in docs/storage.md.
+//! Durable storage of a process: a small set of values by key. The crate owns a directory and one thread that writes and
+//! syncs, so that a hanging disk never delays the caller's event loop. Acknowledged writes survive a power loss.
+//! `fernknot-controller` uses it. docs/storage.md describes the order of syncs and the possible failures.
 //!
 //! | Module | Responsibility |
 //! |---|---|
-//! | `storage` | the thread, its bounded queue and its waker |
-//! | `generation_manager` | decides what is written, what is trusted and when a store is rebuilt; no I/O |
+//! | `storage` | the storage thread, its bounded queue and its waker |
+//! | `generation_manager` | decides which values are written, which store is trusted and when a store is rebuilt; no I/O |
 //! | `directory`, `store` | execute the manager's actions on files, over `fjall` |
-//! | `journal` | truncates what a loss of power left of a write at the end of a journal |
+//! | `journal` | truncates an incomplete write at the end of a journal after a power loss |
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-storage/src/storage.rs
+++ b/crates/fernknot-storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the directory, its bounded queue and its waker.
+//! The storage thread that owns the directory, its bounded queue and its waker.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::path::PathBuf;
@@ -15,28 +15,28 @@
 use crate::limits::Limits;
 
 const THREAD_NAME: &str = "storage";
-/// The thread sleeps for so long at least before it retries.
-const MIN_RETRY_PAUSE: Duration = Duration::from_millis(1);
+/// Shortest sleep of the thread before a retry.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// How much a storage may take up.
+/// Limits on the memory and disk space of a [`Storage`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// How many writes may be pending at once, those included that have ended and were not taken.
+    /// Maximum number of writes that are pending, or completed but not yet taken.
     pub max_pending_writes: usize,
-    /// The size of the disk; limits on what is stored are ratios of it.
+    /// Size of the disk in bytes; the limits on stored data are shares of it.
     pub disk_bytes: u64,
 }
 
-/// Too many writes are pending: the disk is behind. Nothing of the write was taken.
+/// Rejection of a write because too many are pending. Nothing of the write was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no slot is free: the disk is behind")]
+#[error("the queue of pending writes is full")]
 pub struct QueueFull;
 
-/// Called on the storage's thread.
+/// Callback that the storage thread calls when its published state has changed.
 pub type Waker = Box<dyn Fn() + Send>;
 
-/// What is on disk, and the thread that owns it. Dropping it asks the thread to end and does not wait: a disk that hangs
-/// must not delay the end of the process.
+/// Handle of the stored values and the thread that owns them. Dropping it requests the thread's end without waiting for
+/// it, so that a hanging disk does not delay the end of the process.
 #[derive(Debug)]
 pub struct Storage {
     shared: Arc<Shared>,
@@ -47,13 +47,13 @@
 #[derive(Debug, Default)]
 struct Shared {
     state: Mutex<SharedState>,
-    /// Something was submitted, or a shutdown was requested.
+    /// Notified when a write is submitted or a shutdown is requested.
     work_available: Condvar,
-    /// The directory was read, or could not be.
+    /// Notified when reading the directory has succeeded or failed.
     load_finished: Condvar,
 }
 
-/// A write on its way to the thread. `sequence` orders all writes of a storage.
+/// Write that the thread has not accepted yet. `sequence` orders all writes of a storage.
 #[derive(Debug)]
 struct SubmittedWrite {
     sequence: u64,
@@ -70,11 +70,11 @@
 #[derive(Debug, Default)]
 struct SharedState {
     queue: VecDeque<SubmittedWrite>,
-    /// By sequence.
+    /// Writes without a result, by sequence.
     pending: BTreeMap<u64, PendingWrite>,
     next_sequence: u64,
     completed: Vec<CompletedWrite>,
-    /// Whether the directory was read, once that was tried.
+    /// Result of the last attempt to read the directory; `None` before the first one has finished.
     loaded: Option<Result<(), StorageError>>,
     stored: Values,
     healthy: bool,
@@ -82,20 +82,20 @@
 }
 
 impl Shared {
-    /// No code that can panic runs under this lock, so a poisoned one is as good as any.
+    /// Locks the state. No code that can panic runs under this lock, so a poisoned lock is used like any other.
     fn lock(&self) -> MutexGuard<'_, SharedState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Storage {
-    /// Starts the thread, which opens the directory. `waker` is called on that thread whenever a write has ended and
+    /// Starts the thread, which opens the directory. `waker` is called on that thread whenever a write has completed and
     /// whenever [`Storage::loaded`] or [`Storage::is_healthy`] changes.
     ///
     /// # Errors
     ///
-    /// The thread could not be started. A directory that does not open is no error here: the thread keeps trying, and
-    /// until then writes are rejected.
+    /// Returns an error if the thread cannot be started. A directory that cannot be opened is no error here: the thread
+    /// keeps retrying, and rejects writes until it succeeds.
     pub fn open(
         directory: PathBuf,
         capacity: Capacity,
@@ -112,17 +112,17 @@
         let thread = std::thread::Builder::new()
             .name(THREAD_NAME.into())
             .spawn(move || worker.run())
-            .map_err(StorageError::at(Operation::Open))?;
+            .map_err(StorageError::wrap(Operation::Open))?;
         let max_pending_writes = capacity.max_pending_writes;
         Ok(Storage { shared, max_pending_writes, thread: Some(thread) })
     }
 
-    /// The value last stored under a key. Blocks until the directory was read or could not be; meant for the start,
-    /// before the event loop.
+    /// Returns the value last stored under a key. Blocks until the first attempt to read the directory has finished;
+    /// to be called at the start of the process, before the event loop.
     ///
     /// # Errors
     ///
-    /// The directory could not be opened or read yet: nothing is known of what is there.
+    /// Returns an error if the directory could not be opened or read yet; the stored values are then unknown.
     pub fn load(&self, key: &str) -> Result<Option<Vec<u8>>, StorageError> {
         let mut state = self.shared.lock();
         loop {
@@ -137,18 +137,18 @@
         }
     }
 
-    /// Whether [`Storage::load`] has an answer, and which; never blocks. An error may turn into `Ok` later, when the
-    /// directory opens after all.
+    /// Returns the result of reading the directory, or `None` before the first attempt has finished; never blocks. An
+    /// error becomes `Ok` when a later attempt succeeds.
     #[must_use]
     pub fn loaded(&self) -> Option<Result<(), StorageError>> {
         self.shared.lock().loaded.clone()
     }
 
-    /// Submits a value to be stored under a key. Its result comes by [`Storage::take_completed`], with the same id.
+    /// Submits a value to be stored under a key. [`Storage::take_completed`] returns the result under the same id.
     ///
     /// # Errors
     ///
-    /// Too many writes are pending.
+    /// Returns [`QueueFull`] if too many writes are pending.
     pub fn submit(&self, write_id: u64, key: impl Into<String>, value: Vec<u8>) -> Result<(), QueueFull> {
         let mut state = self.shared.lock();
         if state.pending.len() + state.completed.len() >= self.max_pending_writes {
@@ -163,13 +163,13 @@
         Ok(())
     }
 
-    /// The writes that have ended since the last call.
+    /// Takes the writes that have completed since the last call.
     #[must_use = "each result is given once"]
     pub fn take_completed(&self) -> Vec<CompletedWrite> {
         std::mem::take(&mut self.shared.lock().completed)
     }
 
-    /// How long the oldest write that has not ended has been pending.
+    /// Returns the age of the oldest pending write.
     #[must_use]
     pub fn oldest_pending_age(&self, now: Instant) -> Option<Duration> {
         let state = self.shared.lock();
@@ -177,23 +177,23 @@
         Some(now.saturating_duration_since(oldest.submitted_at))
     }
 
-    /// How many writes have not ended.
+    /// Returns the number of pending writes.
     #[must_use]
     pub fn pending_writes(&self) -> usize {
         self.shared.lock().pending.len()
     }
 
-    /// Whether there is an open store that is trusted. While there is none, writes are rejected.
+    /// Returns whether a trusted store is open. Writes are rejected while there is none.
     #[must_use]
     pub fn is_healthy(&self) -> bool {
         self.shared.lock().healthy
     }
 
-    /// Ends the thread once all that was submitted has ended, and waits for that.
+    /// Waits until all submitted writes have completed and the thread has ended.
     pub fn close(mut self) {
         self.request_shutdown();
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has ended, too.
+            // An error means that the thread panicked, so it has ended as well.
             let _ = thread.join();
         }
     }
@@ -210,7 +210,7 @@
     }
 }
 
-/// What runs on the thread.
+/// State of the storage thread.
 struct Worker {
     shared: Arc<Shared>,
     manager: GenerationManager,
@@ -224,11 +224,11 @@
         Nanos(u64::try_from(self.started_at.elapsed().as_nanos()).unwrap_or(u64::MAX))
     }
 
-    /// Works until a shutdown is requested and nothing is pending.
+    /// Executes actions until a shutdown is requested and no write is pending.
     fn run(&mut self) {
         loop {
             self.execute_actions();
-            // Rejections come without an action.
+            // Rejections are published even if no action was executed.
             self.publish();
             if !self.wait_for_work() {
                 return;
@@ -240,7 +240,7 @@
         while let Some(action) = self.manager.poll_action(self.now()) {
             let result = self.directory.execute(action);
             if let Err(error) = &result {
-                log::warn!("{error}");
+                log::warn!("{error}; the storage retries after a backoff delay");
             }
             self.manager.complete_action(result, self.now());
             self.publish();
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Waits until something is submitted or the manager wants to be polled; false: the thread is to end.
+    /// Waits until a write is submitted or the manager has to be polled. Returns false if the thread has to end.
     fn wait_for_work(&mut self) -> bool {
         let mut state = self.shared.lock();
         if state.queue.is_empty() {
@@ -258,8 +258,8 @@
             let work_available = &self.shared.work_available;
             state = match self.manager.wake_at() {
                 Some(at) => {
-                    let pause = Duration::from_nanos((at - self.now()).0).max(MIN_RETRY_PAUSE);
-                    let waited = work_available.wait_timeout(state, pause);
+                    let delay = Duration::from_nanos((at - self.now()).0).max(MIN_RETRY_DELAY);
+                    let waited = work_available.wait_timeout(state, delay);
                     waited.unwrap_or_else(PoisonError::into_inner).0
                 }
                 None => work_available.wait(state).unwrap_or_else(PoisonError::into_inner),
@@ -269,7 +269,7 @@
         true
     }
 
-    /// Makes what the manager knows visible, and wakes the host where that changed something.
+    /// Publishes the manager's state to the host, and wakes the host if it changed.
     fn publish(&mut self) {
         let completed = self.manager.take_completed();
         let mut state = self.shared.lock();
@@ -287,10 +287,10 @@
         }
     }
 
-    /// Makes the stored values, or why they can't be read, visible; says whether that changed something.
+    /// Publishes the stored values, or the error of reading them. Returns whether the result changed.
     fn publish_loaded(&self, state: &mut SharedState) -> bool {
         if let Some(stored) = self.manager.stored() {
-            // The values are shared, so this copies a few pointers.
+            // The values are reference-counted, so this copies only pointers and keys.
             state.stored.clone_from(stored);
         }
         let loaded = match (self.manager.stored(), self.manager.fault()) {
--- a/crates/fernknot-storage/src/store.rs
+++ b/crates/fernknot-storage/src/store.rs
@@ -9,12 +9,12 @@
 use crate::generation::Values;
 use crate::journal;
 
-/// The name of the one keyspace; stored on disk.
-const KEYSPACE: &str = "kept";
-/// A file that every complete store has; without it `fjall` would take the directory for a new one.
+/// Name of the only keyspace; stored on disk.
+const KEYSPACE_NAME: &str = "kept";
+/// File that every complete store has; without it `fjall` would create a new store in the directory.
 const VERSION_FILE: &str = "version";
 const CACHE_BYTES: u64 = 1 << 20;
-/// The fewest that `fjall` accepts.
+/// Smallest value that `fjall` accepts.
 const MAX_CACHED_FILES: usize = 10;
 
 /// An open store.
@@ -33,52 +33,60 @@
 impl Store {
     /// Creates a store in a new directory.
     pub fn create(path: &Path) -> Result<Store, StorageError> {
-        let at = StorageError::at(Operation::Open);
-        fs::create_dir_all(path).map_err(StorageError::at(Operation::Open))?;
+        let wrap_error = StorageError::wrap(Operation::Open);
+        fs::create_dir_all(path).map_err(StorageError::wrap(Operation::Open))?;
         let database = Store::database(path)?;
         let options = || KeyspaceCreateOptions::default().manual_journal_persist(true);
-        let keyspace = database.keyspace(KEYSPACE, options).map_err(&at)?;
+        let keyspace = database.keyspace(KEYSPACE_NAME, options).map_err(&wrap_error)?;
         Ok(Store { keyspace, database })
     }
 
-    /// Opens a store that exists, after repairing its journal.
+    /// Opens an existing store after repairing its journal.
     pub fn open(path: &Path) -> Result<Store, StorageError> {
-        let at = StorageError::at(Operation::Open);
-        let at_io = StorageError::at(Operation::Open);
-        if !path.join(VERSION_FILE).try_exists().map_err(&at_io)? {
-            return Err(StorageError::new(Operation::Open, "the store is not whole"));
+        let wrap_error = StorageError::wrap(Operation::Open);
+        let wrap_io_error = StorageError::wrap(Operation::Open);
+        if !path.join(VERSION_FILE).try_exists().map_err(&wrap_io_error)? {
+            return Err(StorageError::new(
+                Operation::Open,
+                "the store is incomplete: its version file is missing",
+            ));
         }
-        for entry in fs::read_dir(path).map_err(&at_io)? {
-            let file = entry.map_err(&at_io)?.path();
+        for entry in fs::read_dir(path).map_err(&wrap_io_error)? {
+            let file = entry.map_err(&wrap_io_error)?.path();
             if file.extension().is_some_and(|extension| extension == "jnl") {
-                journal::repair(&file).map_err(&at_io)?;
+                journal::repair(&file).map_err(&wrap_io_error)?;
             }
         }
         let database = Store::database(path)?;
-        if !database.keyspace_exists(KEYSPACE) {
-            return Err(StorageError::new(Operation::Open, "the store lacks its keyspace"));
+        if !database.keyspace_exists(KEYSPACE_NAME) {
+            return Err(StorageError::new(
+                Operation::Open,
+                "the store is incomplete: its keyspace is missing",
+            ));
         }
-        let keyspace = database.keyspace(KEYSPACE, KeyspaceCreateOptions::default).map_err(&at)?;
+        let keyspace =
+            database.keyspace(KEYSPACE_NAME, KeyspaceCreateOptions::default).map_err(&wrap_error)?;
         Ok(Store { keyspace, database })
     }
 
     fn database(path: &Path) -> Result<Database, StorageError> {
-        // One worker thread, which has nothing to do: a generation ends before its values leave memory.
+        // `fjall` needs a worker thread, which stays idle: a generation is replaced before its values would be
+        // flushed from memory.
         Database::builder(path)
             .worker_threads(1)
             .cache_size(CACHE_BYTES)
             .max_cached_files(Some(MAX_CACHED_FILES))
             .manual_journal_persist(true)
             .open()
-            .map_err(StorageError::at(Operation::Open))
+            .map_err(StorageError::wrap(Operation::Open))
     }
 
     /// Reads all values.
     pub fn values(&self) -> Result<Values, StorageError> {
         let mut values = Values::new();
         for guard in self.keyspace.iter() {
-            let (key, value) = guard.into_inner().map_err(StorageError::at(Operation::Read))?;
-            let key = String::from_utf8(key.to_vec()).map_err(StorageError::at(Operation::Read))?;
+            let (key, value) = guard.into_inner().map_err(StorageError::wrap(Operation::Read))?;
+            let key = String::from_utf8(key.to_vec()).map_err(StorageError::wrap(Operation::Read))?;
             values.insert(key, value.to_vec().into());
         }
         Ok(values)
@@ -87,8 +95,8 @@
     /// Adds values and syncs them.
     pub fn write<'a>(&self, entries: impl Iterator<Item = (&'a str, &'a [u8])>) -> Result<(), StorageError> {
         for (key, value) in entries {
-            self.keyspace.insert(key, value).map_err(StorageError::at(Operation::Insert))?;
+            self.keyspace.insert(key, value).map_err(StorageError::wrap(Operation::Insert))?;
         }
-        self.database.persist(PersistMode::SyncAll).map_err(StorageError::at(Operation::Sync))
+        self.database.persist(PersistMode::SyncAll).map_err(StorageError::wrap(Operation::Sync))
     }
 }
--- a/crates/fernknot-storage/tests/common/mod.rs
+++ b/crates/fernknot-storage/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts of a generation manager that need no thread and no clock, and a disk that loses what was not synced.
+//! Hosts of a generation manager without thread or clock, and a simulated disk that loses unsynced data.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,7 @@
 
 pub const SMALL_DISK: u64 = 64 << 20;
 
-/// Real files, each action executed as soon as it is polled.
+/// Host on real files that executes each action as soon as it is polled.
 pub struct FileHost {
     pub manager: GenerationManager,
     pub directory: StoreDirectory,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Files below a directory with the given ending.
+/// Returns the files below a directory whose paths have the given ending.
 pub fn files(dir: &Path, ending: &str) -> Vec<std::path::PathBuf> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(dir).unwrap() {
@@ -74,7 +74,7 @@
     found
 }
 
-/// Seeded random numbers (splitmix64), so that a case can be repeated.
+/// Random numbers (splitmix64) from a seed, so that a case can be repeated.
 pub struct Random(pub u64);
 
 impl Random {
@@ -87,13 +87,13 @@
     }
 }
 
-/// Whether something outlives a loss of power.
+/// Durability of simulated data across a power loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Durability {
     Durable,
-    /// The next sync makes it so.
+    /// Durable after the next successful sync.
     NextSync,
-    /// A sync failed over it: it is still read, and no later sync reaches it.
+    /// A sync of it failed: reads still return it, but no later sync makes it durable.
     Never,
 }
 
@@ -109,25 +109,25 @@
     entries: Vec<Entry>,
     name: Durability,
     seal: Option<Durability>,
-    /// Removed, but the directory was not synced since: any part of it may be back.
+    /// The store was removed, but the directory was not synced since: a power loss may bring back any part of it.
     removed: bool,
 }
 
-/// What stops a step.
+/// Reason for which a step does not complete.
 pub enum Failure {
     PowerLoss,
     Operation(StorageError),
 }
 
-/// A disk made of small steps, each of which may fail or be the last before a loss of power.
+/// Simulated disk whose actions consist of small steps; each step may fail, and power may be lost after each.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
     stores: BTreeMap<u64, Store>,
-    /// Steps until the power is lost.
+    /// Number of steps until the power is lost.
     pub steps_until_power_loss: Option<u64>,
-    /// One step in so many fails; 0 for none.
+    /// Average number of steps per failed step; 0 for no failures.
     pub failure_interval: u64,
-    /// Stores that a write failed in, or that a seal failed over.
+    /// Stores in which a write failed, or that existed when a seal failed.
     pub failed_stores: BTreeSet<u64>,
 }
 
@@ -155,15 +155,15 @@
         Ok(store.entries.iter().map(|entry| (entry.key.clone(), entry.value.clone())).collect())
     }
 
-    fn add(&mut self, at: u64, values: Values, random: &mut Random) -> Result<(), Failure> {
+    fn add(&mut self, generation: u64, values: Values, random: &mut Random) -> Result<(), Failure> {
         for (key, value) in values {
-            // A step comes before and after the write: it may fail with the bytes there or not.
+            // With a step before and after the insertion, a failed write may or may not have stored its bytes.
             self.take_step(random, Operation::Insert)?;
-            self.store(at).entries.push(Entry { key, value, durability: Durability::NextSync });
+            self.store(generation).entries.push(Entry { key, value, durability: Durability::NextSync });
             self.take_step(random, Operation::Insert)?;
         }
         let result = self.take_step(random, Operation::Sync);
-        for Entry { durability, .. } in &mut self.store(at).entries {
+        for Entry { durability, .. } in &mut self.store(generation).entries {
             match (&result, *durability) {
                 (Ok(()), Durability::NextSync) => *durability = Durability::Durable,
                 (Err(Failure::Operation(_)), Durability::NextSync) => *durability = Durability::Never,
@@ -177,81 +177,81 @@
         match action {
             Action::List => {
                 self.take_step(random, Operation::Open)?;
-                let listed = |(at, store): (&u64, &Store)| ListedGeneration {
-                    generation: Generation(*at),
+                let listed = |(generation, store): (&u64, &Store)| ListedGeneration {
+                    generation: Generation(*generation),
                     sealed: store.seal.is_some(),
                 };
                 Ok(Outcome::Listed(self.stores.iter().map(listed).collect()))
             }
-            Action::Read(Generation(at)) => {
+            Action::Read(Generation(generation)) => {
                 self.take_step(random, Operation::Read)?;
-                self.contents(at).map(Outcome::Contents).map_err(Failure::Operation)
+                self.contents(generation).map(Outcome::Contents).map_err(Failure::Operation)
             }
-            Action::Build(Generation(at), values) => {
-                assert!(!self.stores.contains_key(&at), "no number is given twice");
+            Action::Build(Generation(generation), values) => {
+                assert!(!self.stores.contains_key(&generation), "no generation number is used twice");
                 self.take_step(random, Operation::Open)?;
                 let store = Store { entries: vec![], name: Durability::NextSync, seal: None, removed: false };
-                self.stores.insert(at, store);
-                self.add(at, values, random)?;
-                self.contents(at).map(Outcome::Contents).map_err(Failure::Operation)
+                self.stores.insert(generation, store);
+                self.add(generation, values, random)?;
+                self.contents(generation).map(Outcome::Contents).map_err(Failure::Operation)
             }
-            Action::Seal(Generation(at)) => {
-                let result = self.seal(at, random);
+            Action::Seal(Generation(generation)) => {
+                let result = self.seal(generation, random);
                 if result.is_err() {
                     self.failed_stores.extend(self.stores.keys());
                 }
                 result.map(|()| Outcome::Done)
             }
-            Action::Write(Generation(at), values) => {
+            Action::Write(Generation(generation), values) => {
                 assert!(
-                    !self.failed_stores.contains(&at),
+                    !self.failed_stores.contains(&generation),
                     "a store in which a write failed is written to again"
                 );
-                let result = self.add(at, values, random);
+                let result = self.add(generation, values, random);
                 if result.is_err() {
-                    self.failed_stores.insert(at);
+                    self.failed_stores.insert(generation);
                 }
                 result.map(|()| Outcome::Done)
             }
-            Action::Remove(Generation(at)) => {
+            Action::Remove(Generation(generation)) => {
                 self.take_step(random, Operation::Remove)?;
-                self.stores.get_mut(&at).into_iter().for_each(|store| store.removed = true);
+                self.stores.get_mut(&generation).into_iter().for_each(|store| store.removed = true);
                 self.take_step(random, Operation::Remove)?;
-                self.stores.remove(&at);
+                self.stores.remove(&generation);
                 Ok(Outcome::Done)
             }
         }
     }
 
-    fn seal(&mut self, at: u64, random: &mut Random) -> Result<(), Failure> {
+    fn seal(&mut self, generation: u64, random: &mut Random) -> Result<(), Failure> {
         self.take_step(random, Operation::Seal)?;
-        self.store(at).name = Durability::Durable;
+        self.store(generation).name = Durability::Durable;
         self.take_step(random, Operation::Seal)?;
-        self.store(at).seal = Some(Durability::NextSync);
+        self.store(generation).seal = Some(Durability::NextSync);
         let result = self.take_step(random, Operation::Seal);
         let seal = match &result {
             Ok(()) => Durability::Durable,
             Err(Failure::PowerLoss) => Durability::NextSync,
             Err(Failure::Operation(_)) => Durability::Never,
         };
-        self.store(at).seal = Some(seal);
+        self.store(generation).seal = Some(seal);
         result
     }
 
-    /// The power is lost: what was not durable is there, or not, at random; `lose_all_unsynced` leaves none of it.
+    /// Simulates a power loss: data that is not durable survives at random, or not at all with `lose_all_unsynced`.
     pub fn lose_power(&mut self, random: &mut Random, lose_all_unsynced: bool) {
         let mut survives = |durability: Durability| {
             durability == Durability::Durable || (!lose_all_unsynced && random.below(2) == 0)
         };
         self.stores.retain(|_, store| survives(store.name));
         for store in self.stores.values_mut() {
-            // A journal ends at its first hole, whatever was synced behind it.
+            // A journal ends at its first hole, even if later entries were synced.
             let complete = store.entries.iter().take_while(|entry| survives(entry.durability)).count();
             store.entries.truncate(complete);
             store.entries.iter_mut().for_each(|entry| entry.durability = Durability::Durable);
             store.seal = store.seal.filter(|durability| survives(*durability)).map(|_| Durability::Durable);
             if store.removed {
-                // Its seal may be back without what it sealed.
+                // The seal may survive without the sealed entries.
                 store.entries.clear();
             }
         }
--- a/crates/fernknot-storage/tests/generation_manager.rs
+++ b/crates/fernknot-storage/tests/generation_manager.rs
@@ -1,4 +1,4 @@
-//! The generation manager on a simulated disk: faults and losses of power at any step.
+//! The generation manager on a simulated disk with faults and power losses at any step.
 
 mod common;
 
@@ -24,23 +24,27 @@
     }
 }
 
-/// What was submitted and what was reported, for one key.
+/// Submitted and acknowledged values of one key.
 #[derive(Clone, Default)]
 struct History {
-    /// In the order of submission; a value is its number.
+    /// Write ids in the order of submission; each value contains its write id.
     submitted: Vec<u64>,
-    stored: Option<u64>,
+    acknowledged: Option<u64>,
 }
 
-fn number(value: &[u8]) -> u64 {
+fn write_id_of(value: &[u8]) -> u64 {
     u64::from_le_bytes(value[..8].try_into().unwrap())
 }
 
-/// What is read is the value last reported as stored or one that was submitted later.
-fn check(stored: &Values, histories: &BTreeMap<&str, History>) {
+/// Checks that each value read is the last acknowledged one or one that was submitted later.
+fn check_stored_values(stored: &Values, histories: &BTreeMap<&str, History>) {
     for (key, history) in histories {
-        let read = stored.get(*key).map(|value| number(value));
-        assert!(read >= history.stored, "{key}: {read:?} was read, {:?} was stored", history.stored);
+        let read = stored.get(*key).map(|value| write_id_of(value));
+        assert!(
+            read >= history.acknowledged,
+            "{key}: {read:?} was read, {:?} was acknowledged",
+            history.acknowledged
+        );
         assert!(
             read.is_none_or(|read| history.submitted.contains(&read)),
             "{key}: {read:?} was never submitted"
@@ -57,7 +61,7 @@
 }
 
 impl Process<'_> {
-    /// Executes actions until none is left; false when the power is lost.
+    /// Executes actions until none is left. Returns false if the power is lost.
     fn run_actions(&mut self) -> bool {
         while let Some(action) = self.manager.poll_action(self.now) {
             let result = match self.disk.execute(action, self.random) {
@@ -75,10 +79,10 @@
         for CompletedWrite { write_id, result } in self.manager.take_completed() {
             if result.is_ok() {
                 let history = self.histories.get_mut(KEYS[(write_id % 3) as usize]).unwrap();
-                history.stored = history.stored.max(Some(write_id));
+                history.acknowledged = history.acknowledged.max(Some(write_id));
             }
         }
-        // The power could be lost at this very moment, and take all that was not synced.
+        // Also checks a copy of the disk that loses power now, with all unsynced data.
         let mut copy = self.disk.clone();
         copy.lose_power(&mut Random(0), true);
         let (mut manager, mut random) = (GenerationManager::new(limits()), Random(0));
@@ -89,16 +93,16 @@
                 copy.execute(action, &mut random).map_err(|_| StorageError::new(Operation::Read, "lost"));
             manager.complete_action(result, Nanos(0));
         }
-        check(manager.stored().unwrap(), self.histories);
+        check_stored_values(manager.stored().unwrap(), self.histories);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
-    /// Given any faults and the power lost at any step of any action, over several processes: what was
-    /// reported as stored is there, and nothing that was never submitted.
+    /// Over several processes with faults and power losses at any step: every acknowledged value is read back, and no
+    /// value that was never submitted.
     #[test]
-    fn given_faults_and_power_lost_at_any_step_then_nothing_stored_is_lost(
+    fn given_faults_and_power_losses_at_any_step_when_restarted_then_no_acknowledged_value_is_lost(
         seed: u64, failure_interval in prop::sample::select(vec![0u64, 3, 8, 30]), processes in 1usize..5, min_steps in 0u64..80,
     ) {
         let (mut disk, mut random) = (SimulatedDisk::default(), Random(seed));
@@ -128,22 +132,22 @@
             let lose_all_unsynced = process.random.below(2) == 0;
             process.disk.lose_power(process.random, lose_all_unsynced);
         }
-        // With the disk healthy again a start succeeds and takes writes.
+        // Once the disk is healthy, a restart succeeds and accepts writes.
         disk.failure_interval = 0;
         let mut process = Process {
             manager: GenerationManager::new(limits()), now: Nanos(0), disk: &mut disk, random: &mut random, histories: &mut histories,
         };
         prop_assert!(process.run_actions());
-        check(process.manager.stored().unwrap(), process.histories);
+        check_stored_values(process.manager.stored().unwrap(), process.histories);
         write_id += 3 - write_id % 3;
         process.histories.get_mut(KEYS[0]).unwrap().submitted.push(write_id);
         process.manager.submit(write_id, KEYS[0].into(), write_id.to_le_bytes().into());
         prop_assert!(process.run_actions());
-        prop_assert_eq!(process.histories[KEYS[0]].stored, Some(write_id));
+        prop_assert_eq!(process.histories[KEYS[0]].acknowledged, Some(write_id));
     }
 }
 
-/// A manager that was given an empty directory and has a healthy store.
+/// Returns a manager with a healthy store in a directory that was empty.
 fn healthy_manager() -> GenerationManager {
     let mut manager = GenerationManager::new(limits());
     assert_eq!(manager.poll_action(Nanos(0)), Some(Action::List));
@@ -157,30 +161,30 @@
 }
 
 #[test]
-fn given_a_full_disk_when_writes_fail_then_they_are_rejected_until_there_is_room() {
+fn given_a_full_disk_when_writes_fail_then_they_are_rejected_until_there_is_space() {
     let mut manager = healthy_manager();
-    let full = StorageError::new(Operation::Insert, "no room");
+    let disk_full = StorageError::new(Operation::Insert, "no space");
     manager.submit(1, "plan".into(), vec![1]);
     assert!(matches!(manager.poll_action(Nanos(0)), Some(Action::Write(Generation(1), _))));
     manager.submit(2, "plan".into(), vec![2]);
-    manager.complete_action(Err(full.clone()), Nanos(0));
-    // The one that failed, the one behind it, and one that comes while nothing is trusted.
+    manager.complete_action(Err(disk_full.clone()), Nanos(0));
+    // The failed write, the one queued behind it, and one submitted while no store is trusted.
     manager.submit(3, "plan".into(), vec![3]);
     let completed = manager.take_completed();
-    let rejected = |write_id| CompletedWrite { write_id, result: Err(full.clone()) };
+    let rejected = |write_id| CompletedWrite { write_id, result: Err(disk_full.clone()) };
     assert_eq!(completed, [1, 2, 3].map(rejected));
 
-    let mut pauses = Vec::new();
+    let mut delays = Vec::new();
     let mut now = Nanos(0);
-    for at in 2..12 {
-        assert_eq!(manager.poll_action(now), None, "it backs off after a failure");
-        let woken = manager.wake_at().unwrap();
-        pauses.push((woken - now).as_millis());
-        now = woken;
-        assert_eq!(manager.poll_action(now), Some(Action::Build(Generation(at), Values::new())));
-        manager.complete_action(Err(StorageError::new(Operation::Open, "no room")), now);
+    for generation in 2..12 {
+        assert_eq!(manager.poll_action(now), None, "the manager backs off after a failure");
+        let wake_at = manager.wake_at().unwrap();
+        delays.push((wake_at - now).as_millis());
+        now = wake_at;
+        assert_eq!(manager.poll_action(now), Some(Action::Build(Generation(generation), Values::new())));
+        manager.complete_action(Err(StorageError::new(Operation::Open, "no space")), now);
     }
-    assert!(pauses.is_sorted() && pauses[0] == 20.0 && pauses[9] == 1000.0, "{pauses:?}");
+    assert!(delays.is_sorted() && delays[0] == 20.0 && delays[9] == 1000.0, "{delays:?}");
 
     now = manager.wake_at().unwrap();
     assert!(matches!(manager.poll_action(now), Some(Action::Build(..))));
@@ -194,14 +198,18 @@
 }
 
 #[test]
-fn given_a_disk_that_hangs_when_more_is_submitted_then_it_waits_for_one_sync() {
+fn given_a_hanging_disk_when_writes_are_submitted_then_the_next_sync_covers_them_all() {
     let mut manager = healthy_manager();
     manager.submit(1, "plan".into(), vec![1]);
     assert!(matches!(manager.poll_action(Nanos(0)), Some(Action::Write(..))));
     for write_id in 2..6 {
         manager.submit(write_id, "plan".into(), vec![write_id as u8]);
     }
-    assert_eq!(manager.poll_action(Nanos(u64::MAX / 2)), None, "one action at a time, however long it takes");
+    assert_eq!(
+        manager.poll_action(Nanos(u64::MAX / 2)),
+        None,
+        "only one action is in flight, however long it takes"
+    );
     manager.complete_action(Ok(Outcome::Done), Nanos(u64::MAX / 2));
     let newest = Values::from([("plan".to_string(), [5u8][..].into())]);
     assert_eq!(manager.poll_action(Nanos(u64::MAX / 2)), Some(Action::Write(Generation(1), newest)));
@@ -210,7 +218,7 @@
 }
 
 #[test]
-fn given_a_store_with_other_values_than_it_was_built_with_then_it_is_not_trusted() {
+fn given_a_new_store_that_returns_other_values_than_were_written_when_built_then_it_is_not_trusted() {
     let mut manager = GenerationManager::new(limits());
     assert_eq!(manager.poll_action(Nanos(0)), Some(Action::List));
     let listed = |number, sealed| ListedGeneration { generation: Generation(number), sealed };
@@ -225,7 +233,7 @@
 }
 
 #[test]
-fn given_writes_beyond_the_limits_when_submitted_then_only_those_are_rejected() {
+fn given_writes_over_the_limits_when_submitted_then_only_they_are_rejected() {
     let mut manager = healthy_manager();
     manager.submit(1, "plan".into(), vec![0; 2000]);
     manager.submit(2, String::new(), vec![0]);
