--- a/crates/fernknot-distribution/src/action.rs
+++ b/crates/fernknot-distribution/src/action.rs
@@ -1,34 +1,34 @@
-//! What the host of a state machine is to do.
+//! Actions that the host of the state machine has to execute.
 
 use crate::source::{SourceHeartbeat, SourceKind};
 use crate::topic::Topic;
 use std::net::SocketAddrV4;
 
-/// What the host is to do.
+/// Action that the host has to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Connect to this process unless connected, and subscribe to these topics there and to no others. Given again
-    /// when the topics change.
+    /// Connect to a source unless connected, and replace the subscription there by these topics. Issued again when the
+    /// topics change.
     Subscribe {
-        /// The address of the source.
+        /// Address of the source.
         addr: SocketAddrV4,
-        /// What the source is.
+        /// Kind of the source.
         kind: SourceKind,
-        /// All topics of the subscription.
+        /// All topics of the subscription, sorted.
         topics: Vec<Topic>,
     },
-    /// Close the connection to this process.
+    /// Close the connection to a source.
     Unsubscribe {
-        /// The address of the source.
+        /// Address of the source.
         addr: SocketAddrV4,
-        /// What the source is.
+        /// Kind of the source.
         kind: SourceKind,
     },
-    /// Pass a heartbeat on to these subscribers.
+    /// Forward a heartbeat to subscribers.
     ForwardHeartbeat {
-        /// The addresses of the subscribers.
+        /// Addresses of the subscribers.
         to: Vec<SocketAddrV4>,
-        /// The heartbeat, with this gateway's hop counted.
+        /// Heartbeat to send; its hops include this gateway.
         heartbeat: SourceHeartbeat,
     },
 }
--- a/crates/fernknot-distribution/src/controller_selection.rs
+++ b/crates/fernknot-distribution/src/controller_selection.rs
@@ -1,4 +1,4 @@
-//! Which controller a gateway subscribes to, and how it moves to another.
+//! Selection of the controller that a gateway subscribes to.
 
 use crate::backoff::Backoff;
 use crate::source::Source;
@@ -7,16 +7,16 @@
 use fernknot::interface::Nanos;
 use std::net::SocketAddrV4;
 
-/// The address of a controller.
+/// Address and zone of a controller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ControllerEndpoint {
-    /// Where other processes of the system reach it.
+    /// Address at which other processes of the system reach the controller.
     pub addr: SocketAddrV4,
-    /// The zone (failure domain) of its machine; empty where it is unknown.
+    /// Zone (failure domain) of its machine; empty if unknown.
     pub zone: String,
 }
 
-/// The controller in use and the one being tried, if topics have to come from a controller.
+/// The controller in use and the candidate being tried, if any topic has to come from a controller.
 #[derive(Clone, Debug)]
 pub(crate) struct ControllerSelection {
     own_zone: String,
@@ -26,7 +26,7 @@
 }
 
 impl ControllerSelection {
-    /// Knows no controller yet.
+    /// Creates a selection without known controllers.
     pub fn new(own_zone: &str) -> ControllerSelection {
         ControllerSelection {
             own_zone: own_zone.to_string(),
@@ -47,30 +47,29 @@
         differ
     }
 
-    /// The controller in use.
+    /// Address of the controller in use.
     pub fn current(&self) -> Option<SocketAddrV4> {
         self.current
     }
 
-    /// The controllers to be subscribed to.
-    pub fn chosen(&self) -> impl Iterator<Item = SocketAddrV4> {
+    /// Addresses of the controllers to subscribe to.
+    pub fn selected(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.current.into_iter().chain(self.candidate)
     }
 
-    /// The connection to a controller is lost.
+    /// Stops using a controller whose connection is lost.
     pub fn remove(&mut self, addr: SocketAddrV4) {
         self.current = self.current.filter(|current| *current != addr);
         self.candidate = self.candidate.filter(|candidate| *candidate != addr);
     }
 
-    /// No topic has to come from a controller.
+    /// Stops using any controller, because no topic has to come from one.
     pub fn clear(&mut self) {
         self.current = None;
         self.candidate = None;
     }
 
-    /// Judges the candidate and the controller in use by their heartbeats, and picks a new candidate where one is
-    /// needed.
+    /// Evaluates the candidate and the controller in use by their heartbeats, and picks a new candidate if needed.
     pub fn update(
         &mut self,
         now: Nanos,
@@ -78,12 +77,12 @@
         backoff: &mut Backoff,
         timing: &Timing,
     ) {
-        self.judge_candidate(now, subscriptions, backoff, timing);
-        self.drop_silent_current(now, subscriptions, backoff, timing);
+        self.evaluate_candidate(now, subscriptions, backoff, timing);
+        self.drop_unresponsive_current(now, subscriptions, backoff, timing);
         self.pick_candidate(now, subscriptions, backoff, timing);
     }
 
-    fn judge_candidate(
+    fn evaluate_candidate(
         &mut self,
         now: Nanos,
         subscriptions: &Subscriptions,
@@ -98,7 +97,7 @@
         if candidate.is_fresh(now, timing.stale_after) {
             self.current = self.candidate.take();
         } else if candidate.has_responded && !current_responds {
-            // It has no lease, but it is the only one that responds: better than none while the search goes on.
+            // The candidate has no lease, but is the only controller that responds: use it while the search continues.
             backoff.record_failure(now, addr);
             self.current = self.candidate.take();
         } else if candidate.has_responded || now - candidate.subscribed_at >= timeout {
@@ -107,7 +106,7 @@
         }
     }
 
-    fn drop_silent_current(
+    fn drop_unresponsive_current(
         &mut self,
         now: Nanos,
         subscriptions: &Subscriptions,
@@ -115,9 +114,9 @@
         timing: &Timing,
     ) {
         let Some(addr) = self.current else { return };
-        let is_silent = subscription_to(subscriptions, Some(addr))
+        let is_unresponsive = subscription_to(subscriptions, Some(addr))
             .is_none_or(|current| now - current.last_message_at > timing.source_timeout);
-        if is_silent {
+        if is_unresponsive {
             backoff.record_failure(now, addr);
             self.current = None;
         }
@@ -139,11 +138,11 @@
         }
         let others = self.controllers.iter().filter(|controller| Some(controller.addr) != self.current);
         let available = others.filter(|controller| backoff.may_retry(now, controller.addr));
-        // Away from a healthy controller only to one of the own zone, unless it is no longer a known one.
-        let is_any_better = !is_healthy || current_zone.is_none();
-        let better = available.filter(|controller| is_any_better || controller.zone == self.own_zone);
-        let nearest =
-            better.min_by_key(|controller| (controller.zone != self.own_zone, backoff.rank(controller.addr)));
+        // A healthy and known controller is replaced only by one of this gateway's own zone.
+        let accepts_any_zone = !is_healthy || current_zone.is_none();
+        let eligible = available.filter(|controller| accepts_any_zone || controller.zone == self.own_zone);
+        let nearest = eligible
+            .min_by_key(|controller| (controller.zone != self.own_zone, backoff.rank(controller.addr)));
         self.candidate = nearest.map(|controller| controller.addr);
     }
 
--- a/crates/fernknot-distribution/src/lib.rs
+++ b/crates/fernknot-distribution/src/lib.rs
@@ -1,12 +1,12 @@
 //! Distribution of updates to the gateways, without I/O or clock.
 //!
-//! This crate owns the decision which process a gateway takes each topic's updates from, and which subscribers it
-//! passes them on to. In every zone one gateway is the relay of a topic group (its owner by `fernknot-ownership`): it
-//! subscribes to a controller, and the others of the zone subscribe to it, so that each update crosses into a zone
-//! once. Gateways without a healthy relay subscribe to a controller themselves.
+//! This crate decides from which process a gateway receives the updates of each topic, and to which subscribers it
+//! forwards them. In every zone one gateway is the relay of a topic group (its owner by `fernknot-ownership`): it
+//! subscribes to a controller, and the other gateways of the zone subscribe to it, so that each update crosses into a
+//! zone once. Gateways without a healthy relay subscribe to a controller themselves.
 //!
-//! One [`Relays`] is the state machine of one gateway. Its host (`fernknot-gateway`) reports what came and which
-//! connections were lost, and carries out the [`Action`]s. `docs/distribution.md` compares the alternatives.
+//! One [`Relays`] is the state machine of one gateway. Its host (`fernknot-gateway`) reports received messages and lost
+//! connections, and executes the [`Action`]s. `docs/distribution.md` compares the alternatives.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-distribution/src/relays.rs
+++ b/crates/fernknot-distribution/src/relays.rs
@@ -1,4 +1,4 @@
-//! The state machine of one gateway: where each topic's updates come from, and to whom they are passed on.
+//! State machine of one gateway: the source of each topic's updates, and the subscribers they are forwarded to.
 
 use crate::action::Action;
 use crate::backoff::Backoff;
@@ -18,11 +18,11 @@
 /// Limits of [`Relays`].
 #[derive(Clone, Copy, Debug)]
 pub struct RelaysLimits {
-    /// Topics of this gateway, and of one subscriber.
+    /// Maximum number of topics of this gateway, and of one subscriber.
     pub max_topics: usize,
-    /// Subscribers at once.
+    /// Maximum number of subscribers.
     pub max_subscribers: usize,
-    /// Controllers known at once.
+    /// Maximum number of known controllers.
     pub max_controllers: usize,
 }
 
@@ -32,12 +32,12 @@
     }
 }
 
-/// The topics to subscribe to at each source.
+/// Topics to subscribe to at each source.
 type DesiredSubscriptions = BTreeMap<Source, BTreeSet<Topic>>;
 
-/// Where one gateway takes each topic's updates from, and to whom it passes them on.
+/// Sources and subscribers of one gateway, for each topic of updates.
 ///
-/// The host passes in what came and which connections were lost, and pulls [`Action`]s until there are none.
+/// The host reports received messages and lost connections, and polls [`Action`]s until there are none.
 #[derive(Clone, Debug)]
 pub struct Relays {
     limits: RelaysLimits,
@@ -55,10 +55,10 @@
 }
 
 impl Relays {
-    /// Knows the topic of the configuration, and no source yet.
+    /// Creates the state of a gateway with [`Topic::Configuration`] as its only topic, and without sources.
     ///
-    /// `apply_deadline` is the time in which an update has to be in force after it was acknowledged (`apply_ms` of the
-    /// settings); `seed` makes this process's random choices repeatable.
+    /// `apply_deadline` is the time within which an acknowledged update has to be in force (`apply_ms` of the settings);
+    /// `seed` makes this process's random choices repeatable.
     pub fn new(
         incarnation: IncarnationId,
         zone: &str,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// The incarnation of this gateway.
+    /// Incarnation of this gateway.
     pub fn incarnation(&self) -> IncarnationId {
         self.upstreams.incarnation()
     }
 
-    /// The time between two heartbeats that a gateway expects of its sources, for a deadline as in [`Self::new`].
+    /// Time between two heartbeats of a source, for the `apply_deadline` of [`Self::new`].
     pub fn heartbeat_interval(apply_deadline: Nanos) -> Nanos {
         Timing::new(apply_deadline).heartbeat_interval
     }
@@ -106,7 +106,7 @@
         self.needs_update |= self.controllers.set_controllers(controllers);
     }
 
-    /// Applies an assignment; one that is not newer changes nothing.
+    /// Applies an assignment if it is newer than the current one.
     pub fn apply_assignment(&mut self, now: Nanos, assignment: &Assignment) {
         let handover_until = now + self.timing.handover_timeout;
         if self.upstreams.apply(assignment, self.controllers.current(), handover_until) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A heartbeat came from a source.
+    /// Records a heartbeat from a source.
     pub fn record_heartbeat(
         &mut self,
         now: Nanos,
@@ -126,7 +126,7 @@
         let source = Source { kind, addr: from };
         let Some(subscription) = self.subscriptions.get_mut(&source) else { return };
         let stale_after = self.timing.stale_after;
-        let heartbeat = heartbeat.without_lease_of_a_circle();
+        let heartbeat = heartbeat.without_lease_if_looping();
         let was_fresh = subscription.is_fresh(now, stale_after);
         subscription.record_heartbeat(now, &heartbeat, stale_after);
         let freshness_differs = was_fresh != subscription.is_fresh(now, stale_after);
@@ -134,19 +134,19 @@
         self.needs_update |= freshness_differs || is_unleased_controller;
         if heartbeat.has_lease {
             self.backoff.record_success(from);
-            self.subscribers.heartbeat_came(source);
+            self.subscribers.record_leased_heartbeat(source);
         }
         self.record_newest(source, heartbeat);
     }
 
-    /// Another message than a heartbeat came from a source: the source is alive, which says nothing of a lease.
+    /// Records a message other than a heartbeat from a source. It shows that the source is alive, not that it has a lease.
     pub fn record_message(&mut self, now: Nanos, from: SocketAddrV4, kind: SourceKind) {
         if let Some(subscription) = self.subscriptions.get_mut(&Source { kind, addr: from }) {
             subscription.last_message_at = subscription.last_message_at.max(now);
         }
     }
 
-    /// The connection to a source was lost, or could not be made.
+    /// Handles the loss of a connection to a source, or a failed attempt to connect.
     pub fn source_lost(&mut self, now: Nanos, addr: SocketAddrV4, kind: SourceKind) {
         if self.subscriptions.remove(&Source { kind, addr }).is_none() {
             return;
@@ -159,29 +159,30 @@
         self.needs_update = true;
     }
 
-    /// Another gateway subscribes to these topics here and to no others; with none, it unsubscribes. Returns false
-    /// where there is no room for it.
+    /// Replaces another gateway's subscription by these topics; an empty list unsubscribes it. Returns false if there are
+    /// too many subscribers.
     pub fn subscribe(&mut self, from: SocketAddrV4, topics: impl IntoIterator<Item = Topic>) -> bool {
         let topics = topics.into_iter().take(self.limits.max_topics).collect();
         self.subscribers.subscribe(from, topics)
     }
 
-    /// This process was stalled: missing messages prove nothing about the sources.
+    /// Treats all sources as alive now, after a stall of this process in which messages may have gone unread.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.subscriptions.values_mut().for_each(|subscription| subscription.reset_liveness(now));
     }
 
-    /// The subscribers that a topic's updates are to be passed on to.
+    /// Addresses of the subscribers to which a topic's updates have to be forwarded.
     pub fn subscribers_of(&self, topic: &Topic) -> impl Iterator<Item = SocketAddrV4> {
         self.subscribers.of_topic(topic)
     }
 
-    /// The newest revision, registry version and fencing token that any source announced.
+    /// Newest revision and fencing token that any source announced, and the newest registry version of the controller in
+    /// use.
     pub fn newest_seen(&self) -> SourceHeartbeat {
         self.newest_seen
     }
 
-    /// The time since a source of the topic last sent a heartbeat with a lease. `None` if no present source ever did.
+    /// Time since a source of the topic last sent a heartbeat with a lease; `None` if no current source ever did.
     pub fn time_since_lease(&self, now: Nanos, topic: &Topic) -> Option<Nanos> {
         let leased = self.subscriptions.values().filter(|subscription| {
             subscription.topics.contains(topic) && subscription.leased_since.is_some()
@@ -189,7 +190,7 @@
         leased.map(|subscription| now - subscription.last_leased_at).min()
     }
 
-    /// The controller this gateway subscribes to, if it needs one.
+    /// Address of the controller that this gateway subscribes to, if it needs one.
     pub fn controller(&self) -> Option<SocketAddrV4> {
         self.controllers.current()
     }
@@ -199,12 +200,12 @@
         self.upstreams.is_relay(topic)
     }
 
-    /// The relay of a topic in this zone by the newest assignment.
+    /// Relay of a topic in this zone by the newest assignment.
     pub fn relay_for(&self, topic: &Topic) -> Option<&GatewayRecord> {
         self.upstreams.relay_for(topic)
     }
 
-    /// The next action, until there is none.
+    /// Returns the next action; the host polls until there is none.
     #[must_use]
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         if self.actions.is_empty() && (self.needs_update || now >= self.next_update_at) {
@@ -219,7 +220,7 @@
         self.actions.pop_front()
     }
 
-    /// When an action may be due without further input.
+    /// Time at which an action may be due without further input.
     pub fn wakes_at(&self) -> Nanos {
         self.subscribers.wakes_at().map_or(self.next_update_at, |at| at.min(self.next_update_at))
     }
@@ -249,13 +250,13 @@
         let stale_after = self.timing.stale_after;
         self.upstreams.expire_previous_sources(now, controller, &self.subscriptions, stale_after);
         let desired = self.desired_subscriptions(&topics);
-        self.unsubscribe_all_but(&desired);
+        self.unsubscribe_undesired(&desired);
         self.subscribe_to(now, desired);
     }
 
     fn desired_subscriptions(&self, topics_from_controller: &BTreeSet<Topic>) -> DesiredSubscriptions {
         let mut desired = DesiredSubscriptions::new();
-        for addr in self.controllers.chosen() {
+        for addr in self.controllers.selected() {
             desired.insert(Source::controller(addr), topics_from_controller.clone());
         }
         for (source, topic) in self.upstreams.sources() {
@@ -264,7 +265,7 @@
         desired
     }
 
-    fn unsubscribe_all_but(&mut self, desired: &DesiredSubscriptions) {
+    fn unsubscribe_undesired(&mut self, desired: &DesiredSubscriptions) {
         let actions = &mut self.actions;
         self.subscriptions.retain(|source, _| {
             let is_desired = desired.contains_key(source);
@@ -280,7 +281,7 @@
             match self.subscriptions.get_mut(&source) {
                 Some(subscription) if subscription.topics == topics => continue,
                 Some(subscription) => subscription.topics.clone_from(&topics),
-                // A lost relay is retried after its backoff; a controller was chosen after its own.
+                // A lost relay is retried after its backoff; the selection of a controller has already respected its backoff.
                 None if source.kind == SourceKind::Relay && !self.backoff.may_retry(now, source.addr) => {
                     continue;
                 }
--- a/crates/fernknot-distribution/src/source.rs
+++ b/crates/fernknot-distribution/src/source.rs
@@ -1,61 +1,61 @@
-//! The processes that a gateway takes updates from, and their heartbeats.
+//! Processes from which a gateway receives updates, and their heartbeats.
 
 use fernknot_ownership::FencingToken;
 use std::net::SocketAddrV4;
 
-/// More hops than the deepest tree of relays has.
+/// Maximum number of hops of a heartbeat with a lease; no relay tree is deeper.
 pub(crate) const MAX_HOPS: u8 = 6;
 
-/// The kind of process that updates come from.
+/// Kind of process that sends updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SourceKind {
-    /// A controller.
+    /// Process of the control plane.
     Controller,
-    /// A gateway of the same zone that passes updates on.
+    /// Gateway of the same zone that forwards updates.
     Relay,
 }
 
-/// A process that updates come from.
+/// Process that sends updates to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Source {
-    /// What the process is.
+    /// Kind of the process.
     pub kind: SourceKind,
-    /// Where it is reached.
+    /// Address of the process.
     pub addr: SocketAddrV4,
 }
 
 impl Source {
-    /// A controller.
+    /// Creates the source for a controller.
     pub fn controller(addr: SocketAddrV4) -> Source {
         Source { kind: SourceKind::Controller, addr }
     }
 
-    /// A gateway of the same zone.
+    /// Creates the source for a relay.
     pub fn relay(addr: SocketAddrV4) -> Source {
         Source { kind: SourceKind::Relay, addr }
     }
 }
 
-/// What a source sends at short intervals, also when there are no updates.
+/// Periodic message of a source, sent also when there are no updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceHeartbeat {
-    /// The newest revision of the configuration that the source knows.
+    /// Newest revision of the configuration known to the source.
     pub revision: u64,
-    /// The version of its node registry; compared only among heartbeats of one controller.
+    /// Version of its node registry; comparable only between heartbeats of one controller.
     pub registry_version: u64,
-    /// The fencing token of the newest assignment that it knows.
+    /// Fencing token of the newest assignment known to the source.
     pub fencing_token: FencingToken,
-    /// The controller is in contact with a majority: what it sends is current. A relay says so only while its
-    /// controller does.
+    /// Whether the controller is in contact with a majority, so that its updates are current. A relay sets it only while
+    /// its own sources do.
     pub has_lease: bool,
-    /// How many relays passed it on since the controller. Two gateways with different assignments may pass a heartbeat
-    /// to each other in a circle; after a few hops it carries no lease any more.
+    /// Number of relays that forwarded it since the controller. Two gateways with different assignments may forward a
+    /// heartbeat to each other in a loop; the limit on hops removes its lease.
     pub hops: u8,
 }
 
 impl SourceHeartbeat {
-    /// The heartbeat without its lease where it took more hops than any tree of relays has.
-    pub(crate) fn without_lease_of_a_circle(self) -> SourceHeartbeat {
+    /// Removes the lease if the heartbeat took more hops than the deepest relay tree has.
+    pub(crate) fn without_lease_if_looping(self) -> SourceHeartbeat {
         SourceHeartbeat { has_lease: self.has_lease && self.hops <= MAX_HOPS, ..self }
     }
 }
--- a/crates/fernknot-distribution/src/subscribers.rs
+++ b/crates/fernknot-distribution/src/subscribers.rs
@@ -1,4 +1,4 @@
-//! The gateways that subscribe to this one, and the heartbeats passed on to them.
+//! Gateways that subscribe to this one, and the heartbeats forwarded to them.
 
 use crate::action::Action;
 use crate::source::{Source, SourceHeartbeat};
@@ -8,58 +8,59 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// A source counts as fresh here for this many heartbeat intervals, less than elsewhere: what is passed on is old
-/// already when it arrives.
+/// Number of heartbeat intervals for which a source counts as fresh here. It is shorter than elsewhere, because a
+/// forwarded heartbeat is already old when it arrives.
 const FRESH_INTERVALS: f64 = 1.5;
-/// Least time between two heartbeats with a lease to one subscriber, in heartbeat intervals.
+/// Minimum time between two heartbeats with a lease to one subscriber, in heartbeat intervals.
 const MIN_LEASED_INTERVALS: f64 = 0.5;
-/// Least time before a heartbeat without a lease to one subscriber, in heartbeat intervals.
+/// Minimum time between the last heartbeat to a subscriber and one without a lease, in heartbeat intervals.
 const MIN_UNLEASED_INTERVALS: f64 = 1.0;
 
 #[derive(Clone, Debug)]
 struct Subscriber {
     topics: BTreeSet<Topic>,
-    /// When a heartbeat was last passed on to it.
+    /// Time of the last heartbeat forwarded to it.
     forwarded_at: Option<Nanos>,
 }
 
 impl Subscriber {
-    fn was_served_within(&self, now: Nanos, span: Nanos) -> bool {
-        self.forwarded_at.is_some_and(|at| now - at < span)
+    fn was_forwarded_to_within(&self, now: Nanos, period: Nanos) -> bool {
+        self.forwarded_at.is_some_and(|at| now - at < period)
     }
 }
 
-/// What comes from fresh sources.
+/// Topics that come from fresh sources.
 #[derive(Default)]
 struct FreshTopics<'a> {
     topics: BTreeSet<&'a Topic>,
-    /// Those among them whose source sent a heartbeat that was not passed on yet.
+    /// Topics among them whose source sent a heartbeat that has not been forwarded.
     to_forward: BTreeSet<&'a Topic>,
-    hops: u8,
+    /// Largest number of hops from a controller to any fresh source.
+    max_hops: u8,
 }
 
-/// The subscribers of one gateway.
+/// Subscribers of one gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscribers {
     max_subscribers: usize,
     by_addr: BTreeMap<SocketAddrV4, Subscriber>,
-    /// Sources whose heartbeat with a lease was not passed on yet.
-    not_yet_forwarded: BTreeSet<Source>,
+    /// Sources with a heartbeat with a lease that has not been forwarded.
+    unforwarded_sources: BTreeSet<Source>,
     next_forward_at: Nanos,
 }
 
 impl Subscribers {
-    /// Without subscribers yet.
+    /// Creates an empty set of subscribers.
     pub fn new(max_subscribers: usize) -> Subscribers {
         Subscribers {
             max_subscribers,
             by_addr: BTreeMap::new(),
-            not_yet_forwarded: BTreeSet::new(),
+            unforwarded_sources: BTreeSet::new(),
             next_forward_at: Nanos(0),
         }
     }
 
-    /// Sets the topics of a subscriber; one without topics is removed. Returns false where there is no room for it.
+    /// Sets the topics of a subscriber; one without topics is removed. Returns false if there are too many subscribers.
     pub fn subscribe(&mut self, from: SocketAddrV4, topics: BTreeSet<Topic>) -> bool {
         if topics.is_empty() {
             self.by_addr.remove(&from);
@@ -72,29 +73,29 @@
         has_room
     }
 
-    /// The subscribers of a topic.
+    /// Addresses of the subscribers of a topic.
     pub fn of_topic(&self, topic: &Topic) -> impl Iterator<Item = SocketAddrV4> {
         let subscribed = self.by_addr.iter().filter(|(_, subscriber)| subscriber.topics.contains(topic));
         subscribed.map(|(addr, _)| *addr)
     }
 
-    /// A heartbeat with a lease came from a source, and is to be passed on.
-    pub fn heartbeat_came(&mut self, source: Source) {
-        self.not_yet_forwarded.insert(source);
+    /// Records a heartbeat with a lease from a source, which then has to be forwarded.
+    pub fn record_leased_heartbeat(&mut self, source: Source) {
+        self.unforwarded_sources.insert(source);
     }
 
-    /// Whether [`Self::forward_heartbeats`] has something to do.
+    /// Whether [`Self::forward_heartbeats`] has to be called.
     pub fn is_forward_due(&self, now: Nanos) -> bool {
-        !self.not_yet_forwarded.is_empty() || now >= self.next_forward_at
+        !self.unforwarded_sources.is_empty() || now >= self.next_forward_at
     }
 
-    /// When heartbeats are due without further input. `None` without subscribers.
+    /// Time at which heartbeats are due without further input; `None` without subscribers.
     pub fn wakes_at(&self) -> Option<Nanos> {
         (!self.by_addr.is_empty()).then_some(self.next_forward_at)
     }
 
-    /// Passes new heartbeats with a lease on at once, to the subscribers all of whose topics come from fresh sources.
-    /// The others get one without a lease at intervals: it says that this gateway itself is alive.
+    /// Returns the heartbeats to forward. Subscribers all of whose topics come from fresh sources receive a new heartbeat
+    /// with a lease at once; the others receive one without a lease at intervals, as a sign that this gateway is alive.
     pub fn forward_heartbeats(
         &mut self,
         now: Nanos,
@@ -102,7 +103,7 @@
         newest_seen: SourceHeartbeat,
         subscriptions: &Subscriptions,
     ) -> Vec<Action> {
-        let new_sources = std::mem::take(&mut self.not_yet_forwarded);
+        let new_sources = std::mem::take(&mut self.unforwarded_sources);
         let is_interval_over = now >= self.next_forward_at;
         if is_interval_over {
             self.next_forward_at = now + heartbeat_interval;
@@ -111,19 +112,19 @@
         let fresh = fresh_topics(now, fresh_for, subscriptions, &new_sources);
         let (mut leased, mut unleased) = (Vec::new(), Vec::new());
         for (addr, subscriber) in &mut self.by_addr {
-            let is_complete = subscriber.topics.iter().all(|topic| fresh.topics.contains(topic));
-            let (recipients, is_due, min_intervals) = if is_complete {
+            let all_topics_fresh = subscriber.topics.iter().all(|topic| fresh.topics.contains(topic));
+            let (recipients, is_due, min_intervals) = if all_topics_fresh {
                 let has_new = subscriber.topics.iter().any(|topic| fresh.to_forward.contains(topic));
                 (&mut leased, has_new, MIN_LEASED_INTERVALS)
             } else {
                 (&mut unleased, is_interval_over, MIN_UNLEASED_INTERVALS)
             };
-            if is_due && !subscriber.was_served_within(now, heartbeat_interval.times(min_intervals)) {
+            if is_due && !subscriber.was_forwarded_to_within(now, heartbeat_interval.times(min_intervals)) {
                 recipients.push(*addr);
                 subscriber.forwarded_at = Some(now);
             }
         }
-        let heartbeat = SourceHeartbeat { hops: fresh.hops.saturating_add(1), ..newest_seen };
+        let heartbeat = SourceHeartbeat { hops: fresh.max_hops.saturating_add(1), ..newest_seen };
         let forward = |to: Vec<SocketAddrV4>, has_lease| {
             let heartbeat = SourceHeartbeat { has_lease, ..heartbeat };
             (!to.is_empty()).then_some(Action::ForwardHeartbeat { to, heartbeat })
@@ -144,7 +145,7 @@
             continue;
         }
         fresh.topics.extend(&subscription.topics);
-        fresh.hops = subscription.hops.max(fresh.hops);
+        fresh.max_hops = subscription.hops.max(fresh.max_hops);
         if new_sources.contains(source) {
             fresh.to_forward.extend(&subscription.topics);
         }
--- a/crates/fernknot-distribution/src/subscription.rs
+++ b/crates/fernknot-distribution/src/subscription.rs
@@ -1,34 +1,34 @@
-//! A subscription to one source, and what its heartbeats say of the source.
+//! Subscription to one source, and the liveness of that source.
 
 use crate::source::{Source, SourceHeartbeat};
 use crate::topic::Topic;
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The subscriptions of a gateway.
+/// Subscriptions of a gateway.
 pub(crate) type Subscriptions = BTreeMap<Source, Subscription>;
 
-/// A subscription to one source.
+/// Subscription to one source.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscription {
     /// All topics of the subscription.
     pub topics: BTreeSet<Topic>,
-    /// When the subscription was made.
+    /// Time of subscribing, or of the last [`Self::reset_liveness`].
     pub subscribed_at: Nanos,
-    /// When the last message came; at first, the time of subscribing.
+    /// Time of the last message; initially the time of subscribing.
     pub last_message_at: Nanos,
-    /// When the last heartbeat with a lease came; at first, the time of subscribing.
+    /// Time of the last heartbeat with a lease; initially the time of subscribing.
     pub last_leased_at: Nanos,
-    /// Since when heartbeats have come with a lease and without a gap.
+    /// Start of the current series of heartbeats with a lease and without a gap.
     pub leased_since: Option<Nanos>,
-    /// A heartbeat has come at all.
+    /// Whether any heartbeat has arrived.
     pub has_responded: bool,
-    /// The hops of the last heartbeat with a lease.
+    /// Number of hops of the last heartbeat with a lease.
     pub hops: u8,
 }
 
 impl Subscription {
-    /// A subscription made now.
+    /// Creates a subscription at time `now`.
     pub fn new(now: Nanos, topics: BTreeSet<Topic>) -> Subscription {
         Subscription {
             topics,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A heartbeat came from the source.
+    /// Records a heartbeat from the source.
     pub fn record_heartbeat(&mut self, now: Nanos, heartbeat: &SourceHeartbeat, stale_after: Nanos) {
         self.last_message_at = now;
         self.has_responded = true;
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Treats the source as heard of now.
+    /// Treats the source as alive now.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.subscribed_at = now;
         self.last_message_at = now;
         self.last_leased_at = now;
     }
 
-    /// The last heartbeat with a lease is at most this old.
+    /// Whether the last heartbeat with a lease is at most this old.
     pub fn is_fresh(&self, now: Nanos, stale_after: Nanos) -> bool {
         self.leased_since.is_some() && now - self.last_leased_at <= stale_after
     }
--- a/crates/fernknot-distribution/src/timing.rs
+++ b/crates/fernknot-distribution/src/timing.rs
@@ -1,33 +1,34 @@
-//! Intervals and time-outs, all of them shares of the time in which an update has to be in force.
+//! Intervals and time-outs, as shares of the time within which an update has to be in force.
 
 use fernknot::interface::Nanos;
 
-/// Time between two heartbeats of a source.
+/// Time between two heartbeats of a source, as a share of the deadline.
 const HEARTBEAT_INTERVAL_SHARE: f64 = 1.0 / 15.0;
-/// A source whose last heartbeat with a lease is older is stale.
+/// Age of the last heartbeat with a lease above which a source is stale, as a share of the deadline.
 const STALE_AFTER_SHARE: f64 = 1.0 / 6.0;
-/// How long a relay that sends heartbeats without a lease may take to find another controller. With the subscriptions
-/// that follow, a failed relay costs its zone less than a third.
+/// Time for a relay that sends heartbeats without a lease to find another controller, as a share of the deadline.
+/// Including the subscriptions that follow, a failed relay delays its zone by less than a third of the deadline.
 const SOURCE_TIMEOUT_SHARE: f64 = 1.0 / 4.0;
-/// How long an earlier relay serves on after a new assignment, for those who receive that later.
+/// Time for which an earlier relay continues after a new assignment, as a share of the deadline; for gateways that
+/// receive the assignment later.
 const HANDOVER_TIMEOUT_SHARE: f64 = 1.0 / 3.0;
 
-/// The intervals and time-outs of one gateway.
+/// Intervals and time-outs of one gateway.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timing {
     /// Time between two heartbeats of a source.
     pub heartbeat_interval: Nanos,
-    /// A source is stale this long after its last heartbeat with a lease.
+    /// Age of the last heartbeat with a lease above which a source is stale.
     pub stale_after: Nanos,
-    /// A relay is given up this long after its last heartbeat with a lease, although it sends others; a controller
-    /// this long after its last message.
+    /// Time-out after the last heartbeat with a lease for a relay that still sends heartbeats without one, and after the
+    /// last message for a controller.
     pub source_timeout: Nanos,
-    /// How long a source serves on after an assignment names another.
+    /// Time for which a source remains in use after an assignment names another one.
     pub handover_timeout: Nanos,
 }
 
 impl Timing {
-    /// `apply_deadline` is the time in which an update has to be in force.
+    /// Derives the timing from `apply_deadline`, the time within which an update has to be in force.
     pub fn new(apply_deadline: Nanos) -> Timing {
         Timing {
             heartbeat_interval: apply_deadline.times(HEARTBEAT_INTERVAL_SHARE),
--- a/crates/fernknot-distribution/src/topic.rs
+++ b/crates/fernknot-distribution/src/topic.rs
@@ -3,27 +3,27 @@
 use fernknot_ownership::key_hash;
 use std::sync::Arc;
 
-/// Gateways of a zone for each topic group, that is, for each relay.
+/// Number of gateways of a zone per topic group, that is, per relay.
 const GATEWAYS_PER_TOPIC_GROUP: usize = 16;
-/// Topic groups of a zone at most.
+/// Maximum number of topic groups of a zone.
 const MAX_TOPIC_GROUPS: usize = 8;
 
-/// What an update is about.
+/// Subject of an update.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Topic {
-    /// The routing configuration, and the assignments of keys.
+    /// Routing configuration and assignments of keys.
     Configuration,
-    /// The nodes of a service.
+    /// Nodes of a service.
     Service(Arc<str>),
 }
 
 impl Topic {
-    /// The topic of a service's nodes.
+    /// Creates the topic of a service's nodes.
     pub fn service(name: &str) -> Topic {
         Topic::Service(name.into())
     }
 
-    /// The index of the group that the topic belongs to, among this many.
+    /// Index of the topic's group among `groups` groups.
     pub(crate) fn group(&self, groups: usize) -> usize {
         match self {
             Topic::Configuration => 0,
@@ -32,14 +32,14 @@
     }
 }
 
-/// How many topic groups a zone of this many gateways has. A relay for each topic would cost every gateway a heartbeat
-/// for each; so topics share relays, and larger zones have more of them.
+/// Number of topic groups of a zone with this many gateways. A relay for each topic would cost every gateway one
+/// heartbeat per topic; therefore topics share relays, and larger zones have more relays.
 pub(crate) fn group_count(gateways: usize) -> usize {
     gateways.div_ceil(GATEWAYS_PER_TOPIC_GROUP).clamp(1, MAX_TOPIC_GROUPS)
 }
 
-/// The ownership key of a topic group: its owner in a zone is the group's relay there. Builds that run side by side
-/// have to agree on its spelling.
+/// Ownership key of a topic group; the key's owner in a zone is the group's relay there. Releases that run side by side
+/// have to use the same text.
 pub(crate) fn group_key(group: usize) -> String {
     format!("home {group}")
 }
--- a/crates/fernknot-distribution/src/topic_upstreams.rs
+++ b/crates/fernknot-distribution/src/topic_upstreams.rs
@@ -1,4 +1,4 @@
-//! Which gateway each topic comes from by the newest assignment, and which source it came from before.
+//! Upstream gateway of each topic by the newest assignment, and the topic's previous source.
 
 use crate::relay_health::RelayHealth;
 use crate::source::Source;
@@ -9,36 +9,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// A gateway passes a topic group's updates on to this many at most; in larger zones these pass them on in turn.
+/// Maximum number of gateways to which one gateway forwards a topic group's updates; in larger zones these forward them
+/// in turn.
 const MAX_DOWNSTREAMS: usize = 12;
 
-/// Where a topic came from before an assignment.
+/// Source of a topic before the newest assignment, and the time until which it is kept.
 #[derive(Clone, Copy, Debug)]
 struct PreviousSource {
     source: Source,
     until: Nanos,
 }
 
-/// The upstream of each topic, and the handovers after a new assignment.
+/// Upstream of each topic, and the handovers after a new assignment.
 #[derive(Clone, Debug)]
 pub(crate) struct TopicUpstreams {
     incarnation: IncarnationId,
     zone: String,
-    /// The part of the newest assignment that concerns the zone.
+    /// Part of the newest assignment that concerns the zone.
     assignment: Assignment,
-    /// For each topic group the upstream of its topics; see `by_topic`.
+    /// Upstream of the topics of each topic group; see `by_topic`.
     by_group: Vec<Option<SocketAddrV4>>,
-    /// For each topic its relay, or a gateway that passes the relay's updates on. `None` where this gateway is the
+    /// Upstream of each topic: its relay, or a gateway that forwards the relay's updates. `None` if this gateway is the
     /// relay, or no gateway of the zone is live.
     by_topic: BTreeMap<Topic, Option<SocketAddrV4>>,
-    /// Topics of which this gateway was the relay by the assignment before, and until when it serves on.
+    /// Topics of which this gateway was the relay by the previous assignment, with the end of its service.
     handover_until: BTreeMap<Topic, Nanos>,
-    /// The sources before the assignment; kept until the new ones are fresh, or for a bounded time.
+    /// Sources before the assignment; kept until the new ones are fresh, or for a bounded time.
     previous_sources: BTreeMap<Topic, PreviousSource>,
 }
 
 impl TopicUpstreams {
-    /// Knows the topic of the configuration, and no assignment yet.
+    /// Creates the state with [`Topic::Configuration`] as the only topic, and without an assignment.
     pub fn new(incarnation: IncarnationId, zone: &str) -> TopicUpstreams {
         TopicUpstreams {
             incarnation,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The incarnation of this gateway.
+    /// Incarnation of this gateway.
     pub fn incarnation(&self) -> IncarnationId {
         self.incarnation
     }
@@ -71,8 +72,8 @@
         true
     }
 
-    /// Applies an assignment. Returns false for one that is not newer, which changes nothing. Topics that move are
-    /// served from their earlier source until `handover_until`.
+    /// Applies an assignment. Returns false, without a change, if it is not newer. Topics whose upstream changes keep
+    /// their previous source until `handover_until`.
     pub fn apply(
         &mut self,
         assignment: &Assignment,
@@ -98,7 +99,7 @@
                     self.handover_until.insert(topic.clone(), handover_until);
                     None
                 }
-                // No assignment listed this gateway before: nobody relies on it, but its own updates must go on.
+                // No earlier assignment listed this gateway: no other gateway depends on it, but it still needs updates.
                 None => current_controller.map(Source::controller),
             };
             if let Some(source) = previous {
@@ -109,13 +110,13 @@
         true
     }
 
-    /// Ends the handovers whose time is over.
+    /// Ends the handovers whose time has elapsed.
     pub fn expire_handovers(&mut self, now: Nanos) {
         self.handover_until.retain(|_, until| now < *until);
     }
 
-    /// Forgets the previous sources whose time is over, whose connection is lost, or whose topic's new source is
-    /// fresh.
+    /// Forgets the previous sources whose time has elapsed, whose connection is lost, or whose topic has a new source
+    /// that is fresh.
     pub fn expire_previous_sources(
         &mut self,
         now: Nanos,
@@ -136,20 +137,20 @@
         });
     }
 
-    /// The gateways that topics come from.
+    /// Addresses of the gateways that are upstreams of any topic.
     pub fn relays(&self) -> BTreeSet<SocketAddrV4> {
         self.by_topic.values().flatten().copied().collect()
     }
 
-    /// The topics to be taken from a gateway, with the gateway; topics with a previous source come with that as well.
+    /// Pairs of an upstream gateway and one of its topics, and of a previous source and its topic.
     pub fn sources(&self) -> impl Iterator<Item = (Source, &Topic)> {
         let relays =
             self.by_topic.iter().filter_map(|(topic, relay)| Some((Source::relay((*relay)?), topic)));
         relays.chain(self.previous_sources.iter().map(|(topic, previous)| (previous.source, topic)))
     }
 
-    /// The topics to be taken from a controller: this gateway is their relay or was it until recently, or their relay
-    /// is stale.
+    /// Topics to subscribe to at a controller: this gateway is their relay or was it until recently, or their relay is
+    /// stale.
     pub fn topics_from_controller(&self, health: &RelayHealth) -> BTreeSet<Topic> {
         let topics = self.by_topic.iter().filter(|(topic, relay)| {
             relay.is_none_or(|relay| health.is_stale(relay)) || self.handover_until.contains_key(topic)
@@ -162,7 +163,7 @@
         self.by_topic.get(topic) == Some(&None) && self.is_listed()
     }
 
-    /// The relay of a topic in this zone.
+    /// Relay of a topic in this zone.
     pub fn relay_for(&self, topic: &Topic) -> Option<&GatewayRecord> {
         self.assignment.owner(Some(&self.zone), &group_key(topic.group(self.by_group.len())))
     }
@@ -176,14 +177,14 @@
         (0..groups).map(|group| self.upstream_of_group(group)).collect()
     }
 
-    /// The gateways of the zone form a tree in the order of the group's key: the relay at the root, and below each at
-    /// most [`MAX_DOWNSTREAMS`].
+    /// Upstream of this gateway for a topic group. The gateways of the zone, in the rendezvous order of the group's key,
+    /// form a tree with the relay at the root and at most [`MAX_DOWNSTREAMS`] children of each gateway.
     fn upstream_of_group(&self, group: usize) -> Option<SocketAddrV4> {
         let ranked = self.assignment.owners_ranked(Some(&self.zone), &group_key(group));
         match ranked.iter().position(|gateway| gateway.incarnation == self.incarnation) {
             Some(0) => None,
             Some(rank) => Some(ranked[(rank - 1) / MAX_DOWNSTREAMS].addr),
-            // The assignment does not list this gateway yet: it subscribes to the relay meanwhile.
+            // The assignment does not list this gateway yet, so it subscribes to the relay.
             None => ranked.first().map(|gateway| gateway.addr),
         }
     }
--- a/crates/fernknot-distribution/tests/common/mod.rs
+++ b/crates/fernknot-distribution/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixture: a few zones of gateways and controllers in memory, on a clock of 10 ms steps.
+//! Fixture: gateways and controllers of a few zones in memory, with a clock that advances in steps of 10 ms.
 #![allow(dead_code, reason = "each test file uses some of the fixtures")]
 
 use fernknot::interface::Nanos;
@@ -53,26 +53,27 @@
     pub zone: &'static str,
     pub has_lease: bool,
     pub hung: bool,
-    /// It accepts no connections, and those it had are lost.
+    /// Whether it has crashed: it accepts no connections, and its earlier ones are lost.
     pub crashed: bool,
 }
 
 pub struct SimulatedGateway {
     pub relays: Relays,
-    /// The newest version of each topic that came.
+    /// Newest received version of each topic.
     pub received: BTreeMap<Topic, u64>,
     pub hung: bool,
     pub crashed: bool,
     pub subscriptions: BTreeMap<(SourceKind, SocketAddrV4), BTreeSet<Topic>>,
 }
 
-/// A topic's state is a version number; messages arrive in the step in which they are sent.
+/// Simulated system in which a topic's state is a version number, and messages arrive in the step in which they are
+/// sent.
 pub struct Cluster {
     pub ms: u64,
     pub gateways: BTreeMap<u64, SimulatedGateway>,
     pub controllers: BTreeMap<SocketAddrV4, SimulatedController>,
     pub versions: BTreeMap<Topic, u64>,
-    /// Messages about a change that went from one zone to another.
+    /// Number of messages about the last change that went from one zone to another.
     pub zone_crossings: usize,
     pub subscribe_actions: usize,
 }
@@ -129,13 +130,13 @@
             .for_each(|gateway| gateway.relays.apply_assignment(now, assignment));
     }
 
-    /// The relay of a topic in a zone.
+    /// Returns the relay of a topic in a zone.
     pub fn relay(&self, zone_name: &str, topic: &Topic) -> u64 {
-        let mut here = self
+        let mut gateways_of_zone = self
             .gateways
             .iter()
             .filter(|(incarnation, gateway)| zone(**incarnation) == zone_name && !gateway.hung);
-        here.next().unwrap().1.relays.relay_for(topic).unwrap().incarnation.0
+        gateways_of_zone.next().unwrap().1.relays.relay_for(topic).unwrap().incarnation.0
     }
 
     pub fn change(&mut self, topic: &Topic) {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Runs on until all live gateways have all updates; returns the milliseconds that elapsed, or `None` after ten
+    /// Runs until all live gateways have received all updates. Returns the elapsed milliseconds, or `None` after ten
     /// seconds.
     pub fn milliseconds_to_reach_all(&mut self) -> Option<u64> {
         let start = self.ms;
@@ -179,7 +180,7 @@
             }
             for incarnation in self.gateways.keys().copied().collect::<Vec<_>>() {
                 while let Some(action) = self.poll_action(now, incarnation) {
-                    self.perform(now, incarnation, action);
+                    self.execute(now, incarnation, action);
                 }
             }
         }
@@ -214,17 +215,17 @@
     }
 
     fn subscribers(&self, kind: SourceKind, addr: SocketAddrV4, topic: &Topic) -> Vec<u64> {
-        let takes = |gateway: &SimulatedGateway| {
+        let is_subscribed = |gateway: &SimulatedGateway| {
             gateway.subscriptions.get(&(kind, addr)).is_some_and(|topics| topics.contains(topic))
         };
         self.gateways
             .iter()
-            .filter(|(_, gateway)| takes(gateway))
+            .filter(|(_, gateway)| is_subscribed(gateway))
             .map(|(incarnation, _)| *incarnation)
             .collect()
     }
 
-    /// An update reaches a gateway, which passes it on.
+    /// Delivers an update to a gateway, which forwards it to its subscribers.
     fn deliver(&mut self, incarnation: u64, topic: &Topic, version: u64) {
         let Some(gateway) = self.gateways.get_mut(&incarnation) else { return };
         if gateway.crashed
@@ -235,21 +236,21 @@
         }
         gateway.received.insert(topic.clone(), version);
         let to: Vec<SocketAddrV4> = gateway.relays.subscribers_of(topic).collect();
-        let on: Vec<u64> = self
+        let recipients: Vec<u64> = self
             .gateways
             .keys()
             .copied()
             .filter(|incarnation| to.contains(&gateway_addr(*incarnation)))
             .collect();
-        on.into_iter().for_each(|other| self.deliver(other, topic, version));
+        recipients.into_iter().for_each(|other| self.deliver(other, topic, version));
     }
 
-    fn perform(&mut self, now: Nanos, incarnation: u64, action: Action) {
+    fn execute(&mut self, now: Nanos, incarnation: u64, action: Action) {
         match action {
             Action::Subscribe { addr, kind, topics } => {
                 self.subscribe_actions += 1;
                 match self.connect(incarnation, addr, kind, &topics) {
-                    Some(received) => self.subscribed(incarnation, addr, kind, &topics, received),
+                    Some(received) => self.complete_subscription(incarnation, addr, kind, &topics, received),
                     None => self.lose_source(now, incarnation, addr, kind),
                 }
             }
@@ -270,7 +271,7 @@
         }
     }
 
-    /// The versions that a source sends to a new subscriber; `None` if it has crashed.
+    /// Returns the versions that a source sends to a new subscriber; `None` if the source has crashed.
     fn connect(
         &mut self,
         incarnation: u64,
@@ -281,8 +282,8 @@
         match kind {
             SourceKind::Controller => {
                 let controller = self.controllers.get(&addr).filter(|controller| !controller.crashed)?;
-                let answers = !controller.hung && controller.has_lease;
-                Some(if answers { self.versions.clone() } else { BTreeMap::new() })
+                let responds = !controller.hung && controller.has_lease;
+                Some(if responds { self.versions.clone() } else { BTreeMap::new() })
             }
             SourceKind::Relay => {
                 let relay = self.gateway_at(addr).filter(|relay| !relay.crashed)?;
@@ -292,7 +293,7 @@
         }
     }
 
-    fn subscribed(
+    fn complete_subscription(
         &mut self,
         incarnation: u64,
         addr: SocketAddrV4,
@@ -319,7 +320,7 @@
         gateway.relays.source_lost(now, addr, kind);
     }
 
-    /// All connections to an address are lost at once.
+    /// Loses all connections to an address at once.
     pub fn reset(&mut self, addr: SocketAddrV4) {
         let now = millis(self.ms);
         for incarnation in self.gateways.keys().copied().collect::<Vec<_>>() {
--- a/crates/fernknot-distribution/tests/source_selection.rs
+++ b/crates/fernknot-distribution/tests/source_selection.rs
@@ -1,4 +1,4 @@
-//! A gateway subscribes to the relay of its zone, and to a controller only where no relay is healthy.
+//! A gateway subscribes to the relay of its zone, and to a controller only if no relay is healthy.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn given_a_stale_relay_when_it_is_fresh_again_or_another_is_assigned_then_the_controllers_are_unsubscribed_from()
+fn given_a_stale_relay_when_it_is_fresh_again_or_another_is_assigned_then_gateways_unsubscribe_from_controllers()
  {
     let mut cluster = Cluster::new(0..24);
     let relay = cluster.relay("north", &Topic::Configuration);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn given_zones_of_one_gateway_then_each_subscribes_to_the_controller_of_its_zone_and_to_no_other() {
+fn given_zones_of_one_gateway_then_each_gateway_subscribes_only_to_the_controller_of_its_zone() {
     let cluster = Cluster::new(0..3);
     for (incarnation, gateway) in &cluster.gateways {
         let subscriptions: Vec<_> = gateway.subscriptions.keys().copied().collect();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn given_a_controller_whose_machine_is_down_when_a_gateway_starts_there_then_another_is_tried_before_it_is_stale()
+fn given_a_controller_whose_machine_is_down_when_a_gateway_starts_in_its_zone_then_another_is_tried_before_it_is_stale()
  {
     let mut cluster = Cluster::new(0..3);
     let nearest = controller_addr((0..3).position(|number| ZONES[number] == zone(6)).unwrap() as u8);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn given_a_gateway_that_was_stalled_when_it_resumes_then_it_does_not_take_its_sources_for_stale() {
+fn given_a_gateway_that_was_stalled_when_it_resumes_then_it_does_not_treat_its_sources_as_stale() {
     let mut cluster = Cluster::new(0..12);
     let relay = cluster.relay("north", &service());
     let stalled = (0..12).find(|incarnation| zone(*incarnation) == "north" && *incarnation != relay).unwrap();
@@ -82,10 +82,10 @@
     }
 }
 
-/// Two gateways with different assignments may each take the other for the relay: a heartbeat must not run between
-/// them for ever, as if a controller with a lease were behind it.
+/// Two gateways with different assignments may each treat the other as the relay. A heartbeat that loops between them
+/// must not keep its lease, because no controller confirms it.
 #[test]
-fn given_a_heartbeat_that_runs_in_a_circle_when_forwarded_again_and_again_then_it_soon_carries_no_lease() {
+fn given_two_gateways_that_forward_to_each_other_when_a_heartbeat_loops_then_it_soon_loses_its_lease() {
     let mut pair = [0, 3].map(|incarnation| {
         Relays::new(IncarnationId(incarnation), zone(incarnation), APPLY_DEADLINE, RelaysLimits::default(), 1)
     });
--- a/crates/fernknot-distribution/tests/updates_reach_all.rs
+++ b/crates/fernknot-distribution/tests/updates_reach_all.rs
@@ -1,4 +1,4 @@
-//! An update crosses into each zone once, and reaches all live gateways in time whatever fails.
+//! An update crosses into each zone once, and reaches all live gateways in time despite any fault.
 
 mod common;
 
@@ -14,7 +14,8 @@
 }
 
 #[test]
-fn given_no_faults_when_a_topic_changes_then_it_crosses_into_each_zone_once_at_most_and_all_receive_it() {
+fn given_no_faults_when_a_topic_changes_then_it_crosses_into_each_zone_at_most_once_and_all_gateways_receive_it()
+ {
     let mut cluster = Cluster::new(0..12);
     assert_eq!(cluster.milliseconds_to_reach_all(), Some(0));
     let before = cluster.subscribe_actions;
@@ -24,7 +25,7 @@
         assert_eq!(cluster.zone_crossings, 0, "each zone has a controller of its own");
     }
     cluster.run(20_000);
-    assert_eq!(cluster.subscribe_actions, before, "nothing is subscribed to anew without faults");
+    assert_eq!(cluster.subscribe_actions, before, "without faults no subscription is made again");
     cluster.controllers.get_mut(&controller_addr(1)).unwrap().crashed = true;
     cluster.reset(controller_addr(1));
     cluster.run(3_000);
@@ -36,13 +37,13 @@
 
 #[derive(Clone, Copy)]
 enum InjectedFault {
-    /// The relay accepts connections and sends nothing more.
+    /// The relay accepts connections but sends no messages.
     RelayHangs,
     RelayCrashes,
-    /// A gateway that passes the relay's updates on to others of a large zone.
+    /// Hang of a gateway that forwards the relay's updates in a large zone.
     IntermediateHangs,
     IntermediateCrashes,
-    /// The relay's controller is partitioned from the others, and goes on sending.
+    /// The relay's controller is partitioned from the others, and continues to send.
     ControllerWithoutLease,
     ControllerHangs,
     ControllerCrashes,
@@ -55,7 +56,7 @@
 #[test_case(InjectedFault::ControllerWithoutLease)]
 #[test_case(InjectedFault::ControllerHangs)]
 #[test_case(InjectedFault::ControllerCrashes)]
-fn given_a_fault_when_a_topic_changes_then_all_receive_it_within_a_third_of_the_deadline(
+fn given_a_fault_when_a_topic_changes_then_all_gateways_receive_it_within_a_third_of_the_deadline(
     fault: InjectedFault,
 ) {
     let mut cluster = Cluster::new(0..90);
@@ -94,8 +95,7 @@
 }
 
 #[test]
-fn given_no_controller_with_a_lease_when_one_has_it_again_then_updates_reach_all_soon_and_attempts_were_few()
-{
+fn given_no_controller_with_a_lease_when_one_regains_it_then_updates_reach_all_gateways_after_few_attempts() {
     let mut cluster = Cluster::new(0..24);
     cluster.controllers.values_mut().for_each(|controller| controller.has_lease = false);
     cluster.run(2_000);
@@ -111,10 +111,10 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
-    /// Any run of hangs, crashes, partitioned controllers and assignments: once there is one controller with a lease and
-    /// an assignment of the live gateways, all updates reach them soon, and each subscribes to every topic.
+    /// After any sequence of hangs, crashes, partitioned controllers and assignments: once one controller has a lease and
+    /// the live gateways are assigned, all updates reach them in time, and each subscribes to every topic.
     #[test]
-    fn whatever_happened_when_faults_end_then_all_updates_reach_all(
+    fn given_any_sequence_of_faults_when_they_end_then_all_updates_reach_all_gateways(
         events in prop::collection::vec((0..7u8, 0..12u64, 1..60u64), 1..25),
     ) {
         let mut cluster = Cluster::new(0..12);
--- a/crates/fernknot-ownership/src/assigner.rs
+++ b/crates/fernknot-ownership/src/assigner.rs
@@ -1,60 +1,65 @@
-//! A controller's view of the live gateways, and the assignments that the leader makes from it.
+//! A controller's knowledge of the live gateways, and the assignments that the leader makes from it.
 
 use crate::assignment::{Assignment, GatewayRecord};
 use crate::gateway_liveness::GatewayLiveness;
 use crate::identifiers::{FencingToken, IncarnationId};
 use fernknot::interface::Nanos;
 
-/// A gateway without a heartbeat for this many heartbeat intervals is not live.
+/// Number of heartbeat intervals without a heartbeat after which a gateway is not live.
 const HEARTBEATS_UNTIL_LOST: f64 = 3.5;
-/// Heartbeat intervals to wait for further changes, so that many gateways that start at once make one assignment.
+/// Time to wait for further changes, in heartbeat intervals, so that many gateways that start at once cause only one
+/// assignment.
 const HEARTBEATS_TO_BATCH_CHANGES: f64 = 0.25;
-/// Least time between two assignments, in heartbeat intervals.
+/// Minimum time between two assignments, in heartbeat intervals.
 const MIN_HEARTBEATS_BETWEEN_ASSIGNMENTS: f64 = 0.5;
-/// Heartbeat intervals that a controller listens for after a start or a stall before it makes an assignment.
+/// Time for which a controller collects heartbeats after a start or a stall before it makes an assignment, in heartbeat
+/// intervals.
 const HEARTBEATS_BEFORE_FIRST_ASSIGNMENT: f64 = 2.0;
-/// Least [`confirmation_timeout`], in heartbeat intervals.
+/// Minimum [`confirmation_timeout`], in heartbeat intervals.
 const MIN_HEARTBEATS_TO_CONFIRM: f64 = 5.0;
 
 /// Limits and time-outs of an [`Assigner`].
 #[derive(Clone, Copy, Debug)]
 pub struct AssignerSettings {
-    /// Gateways known at once.
+    /// Maximum number of known gateways.
     pub max_gateways: usize,
-    /// How long a gateway without heartbeats, or after its shutdown, counts in [`Assignment::presumed_alive`]; see
+    /// Time for which a gateway counts in [`Assignment::presumed_alive`] after its last heartbeat or its shutdown; see
     /// [`presumed_alive_timeout`].
     pub presumed_alive_timeout: Nanos,
 }
 
-/// How long a gateway uses its budget share after its assignment was last confirmed as the newest: the time after
-/// which all processes are in contact again (`contact`), five heartbeat intervals at least.
+/// Time for which a gateway uses its budget share after its assignment was last confirmed as the newest: the time
+/// `contact` after which all processes are in contact again, but at least five heartbeat intervals.
 pub fn confirmation_timeout(contact: Nanos, heartbeat_interval: Nanos) -> Nanos {
     contact.max(heartbeat_interval.times(MIN_HEARTBEATS_TO_CONFIRM))
 }
 
-/// How long a gateway without heartbeats is presumed alive: until it uses no budget share any more and what it spent
-/// has left the budget's window.
+/// Time for which a gateway without heartbeats is presumed alive: until it no longer uses its budget share and its
+/// spending has left the budget window.
 pub fn presumed_alive_timeout(contact: Nanos, budget_window: Nanos, heartbeat_interval: Nanos) -> Nanos {
     confirmation_timeout(contact, heartbeat_interval) + budget_window
 }
 
-/// A lower bound on the number of gateways presumed alive, from an assignment made elsewhere.
+/// Lower bound on the number of gateways presumed alive, from an assignment that another controller made.
 #[derive(Clone, Copy, Debug)]
 struct PresumedAliveFloor {
     count: u32,
     until: Nanos,
 }
 
-/// When changes of the live gateways were seen and acted on.
+/// Times that limit the rate of assignments.
 #[derive(Clone, Debug, Default)]
 struct AssignmentPacing {
+    /// Start of collecting heartbeats.
     listening_since: Option<Nanos>,
+    /// Time since which the gateways have differed from the newest assignment.
     changed_since: Option<Nanos>,
+    /// Time of the last assignment.
     assigned_at: Option<Nanos>,
 }
 
 impl AssignmentPacing {
-    /// Whether a change seen by now is to be acted on now.
+    /// Whether an assignment is due now for a change of the live gateways.
     fn is_due(&mut self, now: Nanos, heartbeat_interval: Nanos) -> bool {
         let listening_since = *self.listening_since.get_or_insert(now);
         let changed_since = *self.changed_since.get_or_insert(now);
@@ -65,10 +70,10 @@
     }
 }
 
-/// One controller's knowledge of live gateways; the leader's instance makes the assignments.
+/// State of one controller for the assignment of keys; only the leader's instance makes assignments.
 ///
-/// Every controller keeps one up to date, so that a new leader can go on from it. Time is an argument and never goes
-/// back: an earlier `now` than the latest one counts as that.
+/// Every controller keeps it up to date, so that a new leader can continue from it. Time is an argument and never goes
+/// back: a `now` before the latest one is treated as the latest one.
 #[derive(Clone, Debug)]
 pub struct Assigner {
     heartbeat_interval: Nanos,
@@ -80,7 +85,7 @@
 }
 
 impl Assigner {
-    /// Knows no gateway yet. `heartbeat_interval` is the time between two heartbeats of a gateway.
+    /// Creates an assigner without gateways. `heartbeat_interval` is the time between two heartbeats of a gateway.
     pub fn new(heartbeat_interval: Nanos, settings: AssignerSettings) -> Assigner {
         let heartbeat_interval = Nanos(heartbeat_interval.0.max(1));
         let retention = settings.presumed_alive_timeout.max(heartbeat_interval.times(HEARTBEATS_UNTIL_LOST));
@@ -94,8 +99,8 @@
         }
     }
 
-    /// A gateway's heartbeat came to this controller. Returns false where there is no room for the gateway or it has
-    /// shut down.
+    /// Records a heartbeat that this controller received from a gateway. Returns false if there are too many gateways or
+    /// it has shut down.
     pub fn record_heartbeat(&mut self, now: Nanos, gateway: GatewayRecord) -> bool {
         self.liveness.advance_clock(now);
         let incarnation = gateway.incarnation;
@@ -104,7 +109,7 @@
         is_known
     }
 
-    /// Another controller reported gateways whose heartbeats it receives.
+    /// Records gateways that another controller reported as live.
     pub fn merge_reported(&mut self, now: Nanos, gateways: &[GatewayRecord]) {
         for gateway in gateways {
             self.liveness.advance_clock(now);
@@ -112,8 +117,8 @@
         }
     }
 
-    /// Another controller receives heartbeats of these gateways. Returns those that are unknown here, whose records
-    /// are to be requested from it.
+    /// Records that another controller receives heartbeats of these gateways. Returns the ones that are unknown here;
+    /// their records have to be requested from that controller.
     #[must_use]
     pub fn record_peer_heartbeats(
         &mut self,
@@ -124,42 +129,44 @@
         self.liveness.record_peer_heartbeats(incarnations)
     }
 
-    /// Takes the gateways whose heartbeats came here since the last call, to be reported to the other controllers.
+    /// Takes the gateways whose heartbeats this controller received since the last call, to report them to the other
+    /// controllers.
     #[must_use]
     pub fn take_unreported(&mut self, now: Nanos) -> Vec<IncarnationId> {
         self.liveness.advance_clock(now);
         self.liveness.take_unreported()
     }
 
-    /// The records of these gateways, as far as they are known.
+    /// Returns the records of the known gateways among these.
     pub fn records_of(&self, incarnations: &[IncarnationId]) -> Vec<GatewayRecord> {
         self.liveness.records_of(incarnations)
     }
 
-    /// A gateway shuts down as planned; other controllers report that too.
+    /// Records a gateway's graceful shutdown, announced by itself or reported by another controller.
     pub fn record_shutdown(&mut self, now: Nanos, incarnation: IncarnationId) {
         self.liveness.advance_clock(now);
         self.liveness.record_shutdown(incarnation);
     }
 
-    /// This process was stalled or partitioned: missing heartbeats prove nothing. Every gateway counts as heard of now.
+    /// Treats every known gateway as alive now, after a stall or partition of this process in which heartbeats may have
+    /// been missed.
     pub fn reset_liveness(&mut self, now: Nanos) {
         let now = self.liveness.advance_clock(now);
         self.liveness.reset();
         self.pacing.listening_since = Some(now);
     }
 
-    /// How many gateways may be alive, or were so recently that what they spent still counts against a budget: the
-    /// live ones, those lost within the retention, and those that shut down within it.
+    /// Number of gateways that may be alive, or whose spending still counts against a budget: the live ones, and those
+    /// lost or shut down within the retention time.
     pub fn presumed_alive(&mut self, now: Nanos) -> usize {
         self.liveness.advance_clock(now);
         let floor = self.presumed_alive_floor;
         let at_least = if now < floor.until { floor.count as usize } else { 0 };
-        self.liveness.remembered().max(at_least)
+        self.liveness.remembered_count().max(at_least)
     }
 
-    /// Takes over an assignment that another controller made, or this one before a restart: fencing tokens go on
-    /// from it, and its gateways count as live until they are found silent.
+    /// Adopts an assignment made by another controller, or by this one before a restart: later fencing tokens continue
+    /// from it, and its gateways count as live until their heartbeats time out.
     pub fn learn_assignment(&mut self, now: Nanos, assignment: &Assignment) {
         let now = self.liveness.advance_clock(now);
         if assignment.fencing_token <= self.latest.fencing_token {
@@ -175,13 +182,13 @@
         }
     }
 
-    /// The newest assignment known here.
+    /// Newest assignment known to this controller.
     pub fn latest(&self) -> &Assignment {
         &self.latest
     }
 
-    /// Makes a new assignment where one is due: this controller leads the view, and the live gateways differ from the
-    /// newest assignment, or that one is of an earlier view.
+    /// Makes a new assignment if one is due: this controller leads the view, and either the gateways differ from the
+    /// newest assignment or that assignment is of an earlier view.
     #[must_use]
     pub fn reassign(&mut self, now: Nanos, view: u32, is_leader: bool) -> Option<Assignment> {
         let time = self.liveness.advance_clock(now);
@@ -214,7 +221,7 @@
         self.latest.fencing_token.view() == view && self.latest.fencing_token != FencingToken::default()
     }
 
-    /// `None` once all numbers of the view are used.
+    /// Next fencing token of the view; `None` once all numbers of the view are used.
     fn next_fencing_token(&self, view: u32) -> Option<FencingToken> {
         let count =
             if self.is_of_view(view) { self.latest.fencing_token.count().checked_add(1)? } else { 1 };
--- a/crates/fernknot-ownership/src/assignment.rs
+++ b/crates/fernknot-ownership/src/assignment.rs
@@ -1,4 +1,4 @@
-//! Which gateways are live, and which of them owns a key.
+//! Assignments: the live gateways, and the owner of each key among them.
 
 use crate::hashing::{key_hash, splitmix64};
 use crate::identifiers::{FencingToken, IncarnationId};
@@ -7,34 +7,34 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// A live gateway.
+/// Record of a live gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct GatewayRecord {
-    /// The incarnation that is live; a restarted gateway has another.
+    /// Incarnation of the gateway; a restart changes it.
     pub incarnation: IncarnationId,
-    /// Where other processes of the system reach it.
+    /// Address at which other processes of the system reach it.
     pub addr: SocketAddrV4,
-    /// The zone (failure domain) of its machine.
+    /// Zone (failure domain) of its machine.
     pub zone: String,
 }
 
-/// The live gateways under one fencing token.
+/// Live gateways under one fencing token.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Assignment {
-    /// Orders this assignment among all others.
+    /// Token that orders this assignment among all others.
     pub fencing_token: FencingToken,
-    /// The live gateways, sorted by incarnation.
+    /// Live gateways, sorted by incarnation.
     pub gateways: Vec<GatewayRecord>,
-    /// How many gateways of all zones may be alive, those lost recently included. A budget is divided by this number.
+    /// Number of gateways of all zones that may be alive, including recently lost ones. Budgets are divided by this number.
     pub presumed_alive: u32,
 }
 
-/// The difference between two assignments; for a large fleet much smaller than the newer one.
+/// Difference between two assignments; for many gateways much smaller than the newer assignment.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AssignmentChange {
-    /// The assignment that the change applies to.
+    /// Token of the assignment that the change applies to.
     pub from: FencingToken,
-    /// The assignment that results.
+    /// Token of the resulting assignment.
     pub to: FencingToken,
     /// Gateways that are no longer live.
     pub removed: Vec<IncarnationId>,
@@ -45,21 +45,21 @@
 }
 
 impl Assignment {
-    /// Sorts the gateways by incarnation and drops duplicates, which every other method relies on. To be called on
-    /// an assignment that came from another process.
+    /// Sorts the gateways by incarnation and removes duplicates, as every other method requires. To be called on an
+    /// assignment received from another process.
     #[must_use]
     pub fn sorted(mut self) -> Assignment {
         sort_by_incarnation(&mut self.gateways);
         self
     }
 
-    /// The owner of a key among the gateways of a zone, or of all zones. `None` if no gateway is live there.
+    /// Owner of a key among the gateways of a zone, or of all zones; `None` if no gateway is live there.
     pub fn owner(&self, zone: Option<&str>, key: &str) -> Option<&GatewayRecord> {
         let key_hash = key_hash(key);
         self.candidates(zone).max_by_key(|gateway| rendezvous_score(key_hash, gateway))
     }
 
-    /// The gateways of a zone, or of all zones, in their rendezvous order for a key: its owner first.
+    /// Gateways of a zone, or of all zones, in the rendezvous order of a key; the owner comes first.
     pub fn owners_ranked(&self, zone: Option<&str>, key: &str) -> Vec<&GatewayRecord> {
         let key_hash = key_hash(key);
         let mut ranked: Vec<&GatewayRecord> = self.candidates(zone).collect();
@@ -67,7 +67,7 @@
         ranked
     }
 
-    /// The change that leads from an older assignment to this one.
+    /// Returns the change from an older assignment to this one.
     pub fn change_since(&self, old: &Assignment) -> AssignmentChange {
         let removed = old.gateways.iter().filter(|gateway| !self.contains(gateway));
         let added = self.gateways.iter().filter(|gateway| !old.contains(gateway));
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The newer assignment to which a change leads from this one. `None` if the change starts from another one.
+    /// Applies a change to this assignment; `None` if the change applies to another one.
     pub fn with_change(&self, change: &AssignmentChange) -> Option<Assignment> {
         if change.from != self.fencing_token || change.to <= change.from {
             return None;
@@ -92,13 +92,13 @@
         Some(Assignment { fencing_token: change.to, gateways, presumed_alive: change.presumed_alive })
     }
 
-    /// The part of the assignment that a zone needs for its own keys.
+    /// Returns the part of the assignment with the gateways of a zone.
     pub fn for_zone(&self, zone: &str) -> Assignment {
         let gateways = self.candidates(Some(zone)).cloned().collect();
         Assignment { fencing_token: self.fencing_token, gateways, presumed_alive: self.presumed_alive }
     }
 
-    /// The record of a gateway by its incarnation.
+    /// Record of a gateway by its incarnation.
     pub fn gateway(&self, incarnation: IncarnationId) -> Option<&GatewayRecord> {
         let found = self.gateways.binary_search_by_key(&incarnation, |gateway| gateway.incarnation);
         found.ok().map(|index| &self.gateways[index])
@@ -113,7 +113,7 @@
     }
 }
 
-/// The gateway with the highest score owns the key; the incarnation breaks ties.
+/// Rendezvous score of a gateway for a key: the highest one owns the key, and the incarnation breaks ties.
 fn rendezvous_score(key_hash: u64, gateway: &GatewayRecord) -> (u64, IncarnationId) {
     let incarnation = gateway.incarnation;
     (splitmix64(key_hash ^ splitmix64(incarnation.0)), incarnation)
--- a/crates/fernknot-ownership/src/budget_share.rs
+++ b/crates/fernknot-ownership/src/budget_share.rs
@@ -1,29 +1,29 @@
-//! Whether a gateway may use its share of a budget that all gateways spend together.
+//! One gateway's right to its share of a budget that all gateways spend together.
 
 use crate::assignment::Assignment;
 use crate::identifiers::{FencingToken, IncarnationId};
 use fernknot::interface::Nanos;
 
-/// One gateway's right to a share of a budget.
+/// State that decides whether a gateway may use its share of a budget.
 ///
-/// The sum of all shares stays within the budget over any window, not only at any moment: a gateway waits until all
-/// others count it and until what they spent under larger shares has left the window.
+/// The spending of all gateways stays within the budget over any window, not only at any moment: a gateway waits until
+/// all others count it, and until their spending under larger shares has left the window.
 #[derive(Clone, Debug)]
 pub(crate) struct BudgetShare {
     incarnation: IncarnationId,
     confirmation_timeout: Nanos,
     budget_window: Nanos,
-    /// Since when every confirmed assignment has listed this gateway.
+    /// Time since which every confirmed assignment has listed this gateway.
     listed_since: Option<Nanos>,
-    /// When the newest assignment was last confirmed as such.
+    /// Time of the last confirmation that the assignment in force is the newest one.
     confirmed_at: Option<Nanos>,
-    /// The first assignment ever made listed this gateway: nobody had a share before it.
+    /// Whether the first assignment ever made listed this gateway, so that no gateway had a share before.
     in_first_assignment: bool,
     shutting_down: bool,
 }
 
 impl BudgetShare {
-    /// No share is usable yet; see [`crate::OwnedKeysSettings`] for the times.
+    /// Creates the state of a gateway that may not use a share yet; see [`crate::OwnedKeysSettings`] for the times.
     pub fn new(incarnation: IncarnationId, confirmation_timeout: Nanos, budget_window: Nanos) -> BudgetShare {
         BudgetShare {
             incarnation,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The assignment in force is confirmed as the newest one.
+    /// Records that the assignment in force is confirmed as the newest one.
     pub fn confirm(&mut self, now: Nanos, assignment: &Assignment) {
         let has_gap = self.confirmed_at.is_none_or(|at| now - at > self.confirmation_timeout);
         let is_listed = assignment.gateway(self.incarnation).is_some();
@@ -51,7 +51,7 @@
         self.confirmed_at = Some(self.confirmed_at.map_or(now, |at| at.max(now)));
     }
 
-    /// Gives up the share for good.
+    /// Gives up the share permanently.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
     }
--- a/crates/fernknot-ownership/src/gateway_liveness.rs
+++ b/crates/fernknot-ownership/src/gateway_liveness.rs
@@ -1,4 +1,4 @@
-//! Which gateways a controller knows of, and when each was last heard of.
+//! Gateways known to a controller, and the time of each one's last heartbeat.
 
 use crate::assignment::GatewayRecord;
 use crate::identifiers::IncarnationId;
@@ -8,26 +8,26 @@
 #[derive(Clone, Debug)]
 struct KnownGateway {
     record: GatewayRecord,
-    /// When its last heartbeat came, to this controller or to another one.
+    /// Time of its last heartbeat to this controller or to another one.
     last_heartbeat_at: Nanos,
-    /// A heartbeat came to this controller since the other controllers were last notified.
+    /// Whether this controller received a heartbeat since it last notified the other controllers.
     unreported: bool,
 }
 
-/// The gateways known to one controller, by their heartbeats here and at the other controllers.
+/// Gateways known to one controller, from heartbeats that it or other controllers received.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewayLiveness {
     max_gateways: usize,
-    /// How long a gateway is remembered after its last heartbeat, or after its shutdown.
+    /// Time for which a gateway is remembered after its last heartbeat or its shutdown.
     retention: Nanos,
     gateways: BTreeMap<IncarnationId, KnownGateway>,
-    /// Gateways that shut down as planned, and when: a heartbeat in flight does not bring them back.
+    /// Gateways that shut down gracefully, with the time; a heartbeat in flight must not make them live again.
     shut_down: BTreeMap<IncarnationId, Nanos>,
     now: Nanos,
 }
 
 impl GatewayLiveness {
-    /// Knows no gateway yet.
+    /// Creates a state without gateways.
     pub fn new(max_gateways: usize, retention: Nanos) -> GatewayLiveness {
         GatewayLiveness {
             max_gateways,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Moves the clock forward and forgets the gateways whose retention has ended. Returns the time in force, which
-    /// never goes back.
+    /// Advances the clock and forgets the gateways whose retention has ended. Returns the current time, which never goes
+    /// back.
     pub fn advance_clock(&mut self, now: Nanos) -> Nanos {
         if now > self.now {
             self.now = now;
@@ -50,14 +50,14 @@
         self.now
     }
 
-    /// Takes in what is known of a gateway as of now. Returns false where it has shut down or there is no room.
+    /// Adds or updates a gateway, with a heartbeat as of now. Returns false if it has shut down or there are too many.
     pub fn merge(&mut self, record: GatewayRecord) -> bool {
         let incarnation = record.incarnation;
         if self.shut_down.contains_key(&incarnation) {
             return false;
         }
         if !self.gateways.contains_key(&incarnation) {
-            // A new incarnation at this address: the older one can't be alive, and uses no share of a budget.
+            // A new incarnation at this address shows that the older one has ended and uses no budget share.
             self.gateways.retain(|_, known| known.record.addr != record.addr);
             if self.gateways.len() >= self.max_gateways {
                 return false;
@@ -69,14 +69,14 @@
         true
     }
 
-    /// Marks a gateway's heartbeat as one that the other controllers are to be notified of.
+    /// Marks a gateway's heartbeat for notification of the other controllers.
     pub fn mark_unreported(&mut self, incarnation: IncarnationId) {
         if let Some(known) = self.gateways.get_mut(&incarnation) {
             known.unreported = true;
         }
     }
 
-    /// Takes the incarnations whose heartbeats came here since the last call.
+    /// Takes the incarnations whose heartbeats this controller received since the last call.
     pub fn take_unreported(&mut self) -> Vec<IncarnationId> {
         let mut taken = Vec::new();
         for (incarnation, known) in &mut self.gateways {
@@ -87,7 +87,7 @@
         taken
     }
 
-    /// Another controller received heartbeats of these gateways now. Returns those that are unknown here.
+    /// Records heartbeats of these gateways at another controller as of now. Returns the unknown ones.
     pub fn record_peer_heartbeats(&mut self, incarnations: &[IncarnationId]) -> Vec<IncarnationId> {
         let mut unknown = Vec::new();
         for incarnation in incarnations {
@@ -100,7 +100,7 @@
         unknown
     }
 
-    /// A gateway shuts down as planned.
+    /// Records a gateway's graceful shutdown.
     pub fn record_shutdown(&mut self, incarnation: IncarnationId) {
         self.gateways.remove(&incarnation);
         if self.shut_down.len() < self.max_gateways {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Treats every known gateway as heard of now.
+    /// Treats every known gateway as alive now.
     pub fn reset(&mut self) {
         for known in self.gateways.values_mut() {
             known.last_heartbeat_at = self.now;
@@ -120,20 +120,20 @@
         self.gateways.contains_key(&incarnation)
     }
 
-    /// The known gateways among these.
+    /// Returns the records of the known gateways among these.
     pub fn records_of(&self, incarnations: &[IncarnationId]) -> Vec<GatewayRecord> {
         let known = incarnations.iter().filter_map(|incarnation| self.gateways.get(incarnation));
         known.map(|known| known.record.clone()).collect()
     }
 
-    /// The gateways whose last heartbeat is at most this long ago, sorted by incarnation.
+    /// Returns the gateways whose last heartbeat is at most `timeout` old, sorted by incarnation.
     pub fn live_within(&self, timeout: Nanos) -> Vec<GatewayRecord> {
         let live = self.gateways.values().filter(|known| self.now - known.last_heartbeat_at <= timeout);
         live.map(|known| known.record.clone()).collect()
     }
 
-    /// How many gateways are remembered, those that shut down included.
-    pub fn remembered(&self) -> usize {
+    /// Number of remembered gateways, including those that shut down.
+    pub fn remembered_count(&self) -> usize {
         self.gateways.len() + self.shut_down.len()
     }
 }
--- a/crates/fernknot-ownership/src/hashing.rs
+++ b/crates/fernknot-ownership/src/hashing.rs
@@ -1,4 +1,4 @@
-//! Hash functions whose results are the same in every process and on every machine.
+//! Hash functions with the same results in every process and on every machine.
 
 use fnv::FnvHasher;
 use std::hash::Hasher;
--- a/crates/fernknot-ownership/src/identifiers.rs
+++ b/crates/fernknot-ownership/src/identifiers.rs
@@ -2,11 +2,11 @@
 
 use bitcode::{Decode, Encode};
 
-/// Identifies one incarnation of a gateway process; a restarted process has a new one.
+/// Identifier of one incarnation of a gateway process; a restart changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct IncarnationId(pub u64);
 
-/// Orders assignments; whatever carries a token below the newest one is rejected.
+/// Token that orders assignments; messages with a token below the newest one are rejected.
 ///
 /// The upper 32 bits are the consensus view, the lower 32 bits the number of the assignment within that view. Both
 /// are counted from 1; the default token 0 precedes every assignment.
@@ -14,17 +14,17 @@
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// The token of the assignment with this number within a view; below every token of a later view.
+    /// Creates the token of the assignment with this number within a view; it is below every token of a later view.
     pub fn new(view: u32, count: u32) -> FencingToken {
         FencingToken((view as u64) << 32 | count as u64)
     }
 
-    /// The view in which the assignment was made.
+    /// View in which the assignment was made.
     pub fn view(self) -> u32 {
         (self.0 >> 32) as u32
     }
 
-    /// The number of the assignment within its view.
+    /// Number of the assignment within its view.
     pub fn count(self) -> u32 {
         self.0 as u32
     }
--- a/crates/fernknot-ownership/src/key_handover.rs
+++ b/crates/fernknot-ownership/src/key_handover.rs
@@ -1,20 +1,21 @@
-//! How keys change hands between gateways: the new owner notifies the previous one, which serves on until then.
+//! Handover of keys between gateways: the previous owner serves a key until the new owner notifies it, or a time-out
+//! elapses.
 
 use crate::assignment::{Assignment, GatewayRecord};
 use crate::identifiers::{FencingToken, IncarnationId};
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How this gateway stands to a key.
+/// Ownership of a key from the perspective of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnershipState<'a> {
     /// This gateway owns the key.
     Owned,
     /// Another gateway owns it by the newest assignment; this one serves it until the handover ends.
     HandingOver {
-        /// The new owner.
+        /// Record of the new owner.
         to: &'a GatewayRecord,
-        /// When this gateway stops serving the key at the latest.
+        /// Latest time at which this gateway stops serving the key.
         until: Nanos,
     },
     /// Another gateway owns and serves it.
@@ -23,32 +24,32 @@
     Unowned,
 }
 
-/// What the host is to do.
+/// Action that the host has to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start to serve a key. A previous owner serves it until it is notified ([`Action::NotifyPreviousOwner`]).
+    /// Start serving a key. A previous owner serves it until it is notified ([`Action::NotifyPreviousOwner`]).
     Acquire {
-        /// The key.
+        /// Key to acquire.
         key: String,
-        /// The token of the assignment that gives it to this gateway.
+        /// Token of the assignment that gives the key to this gateway.
         fencing_token: FencingToken,
-        /// The owner by the assignment before, if that was another gateway.
+        /// Owner by the previous assignment, if that was another gateway.
         previous_owner: Option<GatewayRecord>,
     },
     /// Notify the previous owner that this gateway serves the key now.
     NotifyPreviousOwner {
-        /// The previous owner.
+        /// Gateway to notify.
         to: GatewayRecord,
-        /// The key.
+        /// Key that this gateway now serves.
         key: String,
-        /// The token of the newest assignment.
+        /// Token of the newest assignment.
         fencing_token: FencingToken,
     },
-    /// Stop to serve a key.
+    /// Stop serving a key.
     Release {
-        /// The key.
+        /// Key to release.
         key: String,
-        /// The token of the newest assignment.
+        /// Token of the newest assignment.
         fencing_token: FencingToken,
     },
 }
@@ -66,7 +67,7 @@
     handover_until: Option<Nanos>,
 }
 
-/// The keys that one gateway watches, and what it has to do about each by the newest assignment.
+/// Keys that one gateway watches, and the actions that the newest assignment requires for each.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyHandover {
     incarnation: IncarnationId,
@@ -76,14 +77,15 @@
     keys: BTreeMap<String, KeyState>,
     /// Keys for which an action may be due.
     pending_keys: BTreeSet<String>,
-    /// Acquired keys that are no longer watched.
+    /// Acquired keys that are no longer watched and have to be released.
     unwatched_keys: VecDeque<String>,
-    /// When the next handover ends at the latest.
+    /// Latest time at which the next handover ends.
     handover_check_at: Option<Nanos>,
 }
 
 impl KeyHandover {
-    /// Watches no key yet. With a zone, every key has an owner in each zone; without, one in all zones together.
+    /// Creates a state without watched keys. With a zone, every key has one owner in each zone; without, one in the whole
+    /// system.
     pub fn new(
         incarnation: IncarnationId,
         zone: Option<String>,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Moves every watched key to its owner by a newer assignment.
+    /// Updates the owner of every watched key to a newer assignment.
     pub fn apply(&mut self, now: Nanos, old: &Assignment, new: &Assignment) {
         let handover_until = now + self.handover_timeout;
         for (key, state) in &mut self.keys {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Sets the watched keys; acquired ones that are not among them are released.
+    /// Sets the watched keys; acquired keys that are not among them are released.
     pub fn watch_keys<'a>(&mut self, assignment: &Assignment, keys: impl IntoIterator<Item = &'a str>) {
         let mut before = std::mem::take(&mut self.keys);
         for key in keys {
@@ -132,7 +134,7 @@
         self.unwatched_keys.extend(unwatched.map(|(key, _)| key));
     }
 
-    /// How this gateway stands to a key, watched or not.
+    /// Returns the ownership state of any key, whether watched or not.
     pub fn ownership_state<'a>(
         &self,
         now: Nanos,
@@ -152,7 +154,7 @@
         }
     }
 
-    /// The new owner of a key serves it now.
+    /// Ends the handover of a key, because its new owner now serves it.
     pub fn handover_acknowledged(&mut self, by: IncarnationId, key: &str) {
         if let Some(state) = self.keys.get_mut(key)
             && state.owner == Some(by)
@@ -162,7 +164,7 @@
         }
     }
 
-    /// The host serves a key now.
+    /// Records that the host now serves a key, so that the previous owner is notified.
     pub fn key_acquired(&mut self, key: &str) {
         if let Some(state) = self.keys.get_mut(key)
             && state.owner == Some(self.incarnation)
@@ -172,10 +174,10 @@
         }
     }
 
-    /// The next action, until there is none.
+    /// Returns the next action; the host polls until there is none.
     pub fn poll_action(&mut self, now: Nanos, fencing_token: FencingToken) -> Option<Action> {
         if let Some(key) = self.unwatched_keys.pop_front() {
-            // Where it is watched again by now, it is acquired anew after this.
+            // If the key is watched again by now, it is acquired again after this release.
             return Some(Action::Release { key, fencing_token });
         }
         while let Some(key) = self.pending_keys.pop_first() {
@@ -209,7 +211,7 @@
         None
     }
 
-    /// Releases a key of another owner, unless its handover goes on.
+    /// Releases a key of another owner, unless its handover is still in progress.
     fn poll_release(&mut self, now: Nanos, key: String, fencing_token: FencingToken) -> Option<Action> {
         let state = self.keys.get_mut(&key).filter(|state| state.acquired)?;
         if let Some(until) = state.handover_until.filter(|until| now < *until) {
@@ -221,7 +223,7 @@
         Some(Action::Release { key, fencing_token })
     }
 
-    /// When an action may be due without further input.
+    /// Time at which an action may be due without further input.
     pub fn wakes_at(&self) -> Option<Nanos> {
         self.handover_check_at
     }
@@ -236,14 +238,14 @@
         handover_until: Nanos,
     ) {
         let is_own = owner == Some(this_gateway);
-        // A previous owner that shuts down is in no new assignment, yet it serves on: it is notified all the same.
+        // A previous owner that shuts down is not in the new assignment, but still serves the key and has to be notified.
         let previous = self.owner.filter(|previous| *previous != this_gateway && is_own);
         self.previous_owner = previous.and_then(|previous| old.gateway(previous)).cloned();
-        // Never released in between: there is nothing to wait for.
+        // This gateway never released the key, so it can notify the previous owner immediately.
         self.notify_previous_owner = self.acquired && self.previous_owner.is_some();
         let was_serving = self.owner == Some(this_gateway) && self.acquired || self.handover_until.is_some();
-        let hands_over = was_serving && owner.is_some() && !is_own;
-        self.handover_until = hands_over.then(|| self.handover_until.unwrap_or(handover_until));
+        let starts_handover = was_serving && owner.is_some() && !is_own;
+        self.handover_until = starts_handover.then(|| self.handover_until.unwrap_or(handover_until));
         self.owner = owner;
     }
 }
--- a/crates/fernknot-ownership/src/lib.rs
+++ b/crates/fernknot-ownership/src/lib.rs
@@ -1,11 +1,11 @@
 //! Ownership of keys by live gateways, without I/O or clock.
 //!
-//! This crate owns the rule that gives every key (a singleton role) exactly one owner. An [`Assignment`] lists the
-//! live gateways, and rendezvous hashing picks the owner of a key among them, so that a gateway which joins or leaves
-//! moves only its own keys. Assignments are ordered by a [`FencingToken`] that also rises across consensus views.
+//! This crate defines the owner of every key (a singleton role). An [`Assignment`] lists the live gateways, and
+//! rendezvous hashing selects the owner of a key among them, so that a gateway that joins or leaves moves only its own
+//! keys. Assignments are ordered by a [`FencingToken`] that also increases across consensus views.
 //!
 //! The leader among the controllers makes assignments with an [`Assigner`]. Each gateway applies them to its
-//! [`OwnedKeys`], which hands keys over and says whether the gateway may use its share of a budget. The relays of
+//! [`OwnedKeys`], which hands keys over and determines whether the gateway may use its share of a budget. The relays of
 //! `fernknot-distribution` are the owners of topic groups. `docs/distribution.md` compares the alternatives.
 
 #![deny(missing_docs)]
--- a/crates/fernknot-ownership/src/owned_keys.rs
+++ b/crates/fernknot-ownership/src/owned_keys.rs
@@ -1,4 +1,4 @@
-//! A gateway's side of ownership: the assignment in force, the keys that follow from it, and its budget share.
+//! Ownership state of one gateway: the assignment in force, the keys it owns by that assignment, and its budget share.
 
 use crate::assignment::Assignment;
 use crate::budget_share::BudgetShare;
@@ -9,31 +9,31 @@
 /// Limits and time-outs of [`OwnedKeys`].
 #[derive(Clone, Copy, Debug)]
 pub struct OwnedKeysSettings {
-    /// Keys watched at once.
+    /// Maximum number of watched keys.
     pub max_keys: usize,
-    /// How long the previous owner of a key serves on at most until the new owner's notification comes.
+    /// Maximum time for which the previous owner of a key serves it while waiting for the new owner's notification.
     pub handover_timeout: Nanos,
-    /// A gateway whose assignment was not confirmed for this long uses no budget share: gateways that joined
-    /// meanwhile are not in its count. See [`crate::confirmation_timeout`].
+    /// Time since the last confirmation of its assignment after which a gateway uses no budget share, because its count
+    /// may lack gateways that joined since. See [`crate::confirmation_timeout`].
     pub confirmation_timeout: Nanos,
-    /// The window over which a budget counts what was spent.
+    /// Time window over which the spending of a budget is counted.
     pub budget_window: Nanos,
 }
 
 /// The result of applying an assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It was newer and is in force now.
+    /// The assignment was newer and is now in force.
     Applied,
-    /// It was in force already.
+    /// The assignment was already in force.
     Unchanged,
-    /// Its fencing token is older; it was rejected.
+    /// The assignment was rejected because its fencing token is older.
     Stale,
 }
 
-/// What one gateway owns by the newest assignment, among the keys that it watches.
+/// Watched keys of one gateway and their ownership by the newest assignment.
 ///
-/// The host passes assignments, confirmations and messages of other gateways in and pulls [`Action`]s until there are
+/// The host passes in assignments, confirmations and messages of other gateways, and polls [`Action`]s until there are
 /// none.
 #[derive(Clone, Debug)]
 pub struct OwnedKeys {
@@ -44,7 +44,8 @@
 }
 
 impl OwnedKeys {
-    /// Owns nothing yet. With a zone, every key has an owner in each zone; without, one in all zones together.
+    /// Creates the state of a gateway that owns no key. With a zone, every key has one owner in each zone; without, one in
+    /// the whole system.
     pub fn new(incarnation: IncarnationId, zone: Option<String>, settings: OwnedKeysSettings) -> OwnedKeys {
         let OwnedKeysSettings { max_keys, handover_timeout, confirmation_timeout, budget_window } = settings;
         OwnedKeys {
@@ -55,17 +56,17 @@
         }
     }
 
-    /// The incarnation of this gateway.
+    /// Incarnation of this gateway.
     pub fn incarnation(&self) -> IncarnationId {
         self.incarnation
     }
 
-    /// The assignment in force.
+    /// Assignment in force.
     pub fn assignment(&self) -> &Assignment {
         &self.assignment
     }
 
-    /// Applies an assignment that came from a controller or through a relay.
+    /// Applies an assignment received from a controller or a relay.
     pub fn apply(&mut self, now: Nanos, assignment: Assignment) -> ApplyOutcome {
         if assignment.fencing_token < self.assignment.fencing_token {
             return ApplyOutcome::Stale;
@@ -79,25 +80,25 @@
         ApplyOutcome::Applied
     }
 
-    /// A process with a valid lease says that this is the newest fencing token.
+    /// Records a confirmation, by a process with a valid lease, that this is the newest fencing token.
     pub fn confirm(&mut self, now: Nanos, fencing_token: FencingToken) {
         if fencing_token == self.assignment.fencing_token && fencing_token != FencingToken::default() {
             self.budget_share.confirm(now, &self.assignment);
         }
     }
 
-    /// Whether a message under this fencing token may be acted on: it is not older than the assignment in force.
+    /// Whether a message with this fencing token is accepted: the token is not older than that of the assignment in force.
     pub fn accepts(&self, fencing_token: FencingToken) -> bool {
         fencing_token >= self.assignment.fencing_token
     }
 
-    /// Begins a graceful shutdown: no budget share is used from here on.
+    /// Begins a graceful shutdown, after which no budget share is used.
     pub fn begin_shutdown(&mut self) {
         self.budget_share.begin_shutdown();
     }
 
-    /// The number of gateways that share a budget. `None` while this gateway may use no share: it is not yet listed
-    /// for long enough, its assignment was not confirmed for too long, or it shuts down.
+    /// Number of gateways that share a budget. `None` while this gateway may not use a share: it has not been listed for
+    /// long enough, the last confirmation of its assignment is too old, or it is shutting down.
     pub fn budget_sharers(&self, now: Nanos) -> Option<u32> {
         self.budget_share.is_usable(now).then_some(self.assignment.presumed_alive.max(1))
     }
@@ -107,35 +108,35 @@
         self.handover.watch_keys(&self.assignment, keys);
     }
 
-    /// How this gateway stands to a key, watched or not.
+    /// Returns the ownership state of any key, whether watched or not.
     pub fn ownership_state(&self, now: Nanos, key: &str) -> OwnershipState<'_> {
         self.handover.ownership_state(now, &self.assignment, key)
     }
 
-    /// Whether this gateway serves a key now: it owns it, or hands it over and the new owner does not serve it yet.
+    /// Whether this gateway serves a key now: it owns the key, or is handing it over to an owner that does not serve it yet.
     pub fn serves(&self, now: Nanos, key: &str) -> bool {
         matches!(self.ownership_state(now, key), OwnershipState::Owned | OwnershipState::HandingOver { .. })
     }
 
-    /// The new owner of a key notified this gateway that it serves the key. Rejected under an older fencing token.
+    /// Handles the notification that the new owner of a key serves it; ignored if its fencing token is too old.
     pub fn handover_acknowledged(&mut self, by: IncarnationId, key: &str, fencing_token: FencingToken) {
         if self.accepts(fencing_token) {
             self.handover.handover_acknowledged(by, key);
         }
     }
 
-    /// The host has carried out [`Action::Acquire`]: the previous owner may stop.
+    /// Records that the host has executed [`Action::Acquire`], so that the previous owner may stop.
     pub fn key_acquired(&mut self, key: &str) {
         self.handover.key_acquired(key);
     }
 
-    /// The next action, until there is none.
+    /// Returns the next action; the host polls until there is none.
     #[must_use]
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         self.handover.poll_action(now, self.assignment.fencing_token)
     }
 
-    /// When an action may be due without further input.
+    /// Time at which an action may be due without further input.
     pub fn wakes_at(&self) -> Option<Nanos> {
         self.handover.wakes_at()
     }
--- a/crates/fernknot-ownership/tests/assigner.rs
+++ b/crates/fernknot-ownership/tests/assigner.rs
@@ -7,7 +7,7 @@
 use fernknot_ownership::{Assignment, IncarnationId};
 
 #[test]
-fn given_many_gateways_that_start_at_once_when_the_leader_assigns_then_one_assignment_lists_all() {
+fn given_many_gateways_that_start_at_once_when_the_leader_assigns_then_one_assignment_lists_them_all() {
     let mut assigner = assigner();
     let mut assignments = Vec::new();
     for tenth in 0..40 {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn given_a_silent_gateway_when_heartbeats_are_missed_then_it_owns_nothing_but_is_still_presumed_alive() {
+fn given_a_gateway_without_heartbeats_when_it_times_out_then_it_owns_no_key_but_is_still_presumed_alive() {
     let mut assigner = assigner();
     let mut assignments: Vec<Assignment> = Vec::new();
     for half in 0..60 {
@@ -43,7 +43,8 @@
 }
 
 #[test]
-fn given_a_new_leader_when_it_restarted_empty_then_it_listens_first_and_its_fencing_token_is_higher() {
+fn given_a_new_leader_without_gateways_when_it_assigns_then_it_waits_for_heartbeats_and_its_token_is_higher()
+{
     let mut old = assigner();
     (0..5).for_each(|incarnation| assert!(old.record_heartbeat(at(0.0), gateway(incarnation))));
     let _ = old.reassign(at(0.0), 3, true);
@@ -54,13 +55,17 @@
     assert_eq!(new.reassign(at(3.0), 4, true), None);
     let after = new.reassign(at(5.1), 4, true).unwrap();
     assert!(after.fencing_token > before.fencing_token);
-    assert_eq!((after.gateways.len(), after.presumed_alive), (4, 5), "never fewer than counted recently");
-    assert!(!new.record_heartbeat(at(5.2), gateway(4)), "a heartbeat in flight does not undo a shutdown");
-    assert_eq!(new.reassign(at(9.0), 3, true), None, "the view has moved on");
+    assert_eq!(
+        (after.gateways.len(), after.presumed_alive),
+        (4, 5),
+        "the count does not fall below that of the recent assignment"
+    );
+    assert!(!new.record_heartbeat(at(5.2), gateway(4)), "a heartbeat in flight does not revert a shutdown");
+    assert_eq!(new.reassign(at(9.0), 3, true), None, "the view is older than that of the newest assignment");
 }
 
 #[test]
-fn given_a_controller_that_was_stalled_when_it_resumes_then_it_takes_no_gateway_for_lost() {
+fn given_a_controller_that_was_stalled_when_it_resumes_then_it_treats_no_gateway_as_lost() {
     let mut assigner = assigner();
     (0..5).for_each(|incarnation| assert!(assigner.record_heartbeat(at(0.0), gateway(incarnation))));
     let _ = assigner.reassign(at(0.0), 1, true);
--- a/crates/fernknot-ownership/tests/assignment.rs
+++ b/crates/fernknot-ownership/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Each key has one owner among the live gateways, and only the keys of a gateway that leaves or joins move.
+//! Each key has one owner among the live gateways, and a gateway that leaves or joins moves only its own keys.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn given_many_keys_when_assigned_to_the_live_gateways_then_each_owns_about_its_share() {
+fn given_many_keys_when_assigned_to_the_live_gateways_then_each_owns_a_similar_number() {
     let assignment = assignment(1, 1, 0..9);
     let mut counts = [0; 9];
     for number in 0..9_000 {
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn given_fencing_tokens_of_two_views_then_every_one_of_the_later_view_is_above() {
+fn given_fencing_tokens_of_two_views_when_compared_then_every_token_of_the_later_view_is_higher() {
     assert!(FencingToken::new(2, 1) > FencingToken::new(1, u32::MAX));
     assert_eq!((FencingToken::new(7, 9).view(), FencingToken::new(7, 9).count()), (7, 9));
 }
 
 proptest! {
     #[test]
-    fn whichever_gateway_leaves_or_joins_only_its_own_keys_move(
+    fn given_any_gateway_when_it_leaves_or_joins_then_only_its_own_keys_move(
         incarnations in prop::collection::btree_set(0..500u64, 2..40),
         which in any::<prop::sample::Index>(),
     ) {
@@ -41,7 +41,7 @@
     }
 
     #[test]
-    fn whatever_the_two_assignments_the_change_between_them_leads_from_one_to_the_other(
+    fn given_any_two_assignments_when_their_change_is_applied_to_the_older_then_the_newer_results(
         old in prop::collection::btree_set(0..60u64, 0..40),
         new in prop::collection::btree_set(0..60u64, 0..40),
         bytes in prop::collection::vec(any::<u8>(), 0..100),
--- a/crates/fernknot-ownership/tests/budget_share.rs
+++ b/crates/fernknot-ownership/tests/budget_share.rs
@@ -1,4 +1,4 @@
-//! The gateways together never share, nor spend in any window, more than the whole budget.
+//! The sum of the gateways' shares, and their spending in any window, never exceed the budget.
 
 mod common;
 
@@ -8,11 +8,11 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Gateways start, crash, shut down, are partitioned in either direction and come back; the leader restarts. Each
-    /// spends all that it may at once: neither the shares at any moment nor what was spent in any window exceeds
+    /// Gateways start, crash, shut down, are partitioned in either direction and reconnect, and the leader restarts. Each
+    /// gateway spends its entire share at once. Neither the shares at any moment nor the spending in any window exceed
     /// the budget.
     #[test]
-    fn whatever_happens_no_more_than_the_budget_is_shared_or_spent(
+    fn given_any_sequence_of_faults_then_shares_and_spending_stay_within_the_budget(
         events in prop::collection::vec((0..8usize, 0..6u8), 40..160),
     ) {
         #[derive(Clone, Copy, PartialEq)]
@@ -66,7 +66,7 @@
                     spent.push((now, incarnation, (share - own).max(0.0)));
                 }
                 let sum: f64 = spent.iter().map(|(.., amount)| amount).sum();
-                prop_assert!(sum <= 1.0 + 1e-9, "{sum} was spent in the window up to {now:?}");
+                prop_assert!(sum <= 1.0 + 1e-9, "spending of {sum} in the window up to {now:?}");
             }
         }
     }
--- a/crates/fernknot-ownership/tests/common/mod.rs
+++ b/crates/fernknot-ownership/tests/common/mod.rs
@@ -10,10 +10,10 @@
 
 pub const HEARTBEAT_INTERVAL: Nanos = Nanos(1_000_000_000);
 
-/// The span over which a budget counts what was spent.
+/// Time window over which the spending of a budget is counted.
 pub const BUDGET_WINDOW: Nanos = Nanos(10_000_000_000);
 
-/// A time in heartbeat intervals.
+/// Converts a time in heartbeat intervals.
 pub fn at(heartbeats: f64) -> Nanos {
     HEARTBEAT_INTERVAL.times(heartbeats)
 }
--- a/crates/fernknot-ownership/tests/key_handover.rs
+++ b/crates/fernknot-ownership/tests/key_handover.rs
@@ -1,4 +1,4 @@
-//! A key that moves is served by its previous owner until the new one serves it, or for a bounded time.
+//! A key that moves is served by its previous owner until the new owner serves it, or until a time-out.
 
 mod common;
 
@@ -10,7 +10,7 @@
     std::iter::from_fn(|| owned_keys.poll_action(at(heartbeats))).collect()
 }
 
-/// A key that the assignment gives to this incarnation.
+/// Returns a key that the assignment gives to this incarnation.
 fn key_of(assignment: &Assignment, incarnation: u64) -> String {
     let keys = (0..10_000).map(|number| format!("service-{number}"));
     let mut keys = keys.filter(|key| {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn given_a_moved_key_when_the_new_owner_serves_it_then_the_previous_one_stops_and_not_before() {
+fn given_a_moved_key_when_the_new_owner_serves_it_then_the_previous_one_stops_but_not_before() {
     let (first, second) = (assignment(1, 1, [1]), assignment(1, 2, [1, 2]));
     let key = key_of(&second, 2);
     let (mut old, mut new) = (owned_keys(1), owned_keys(2));
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn given_a_moved_key_when_the_new_owner_stays_silent_then_the_previous_one_stops_after_the_handover_timeout()
-{
+fn given_a_moved_key_when_the_new_owner_does_not_respond_then_the_previous_one_stops_after_the_handover_timeout()
+ {
     let second = assignment(1, 2, [1, 2]);
     let key = key_of(&second, 2);
     let mut old = owned_keys(1);
@@ -79,7 +79,8 @@
 }
 
 #[test]
-fn given_a_key_that_comes_back_before_its_release_then_the_other_owner_is_notified_at_once() {
+fn given_a_key_that_is_reassigned_to_its_previous_owner_before_its_release_then_the_other_owner_is_notified_at_once()
+ {
     let second = assignment(1, 2, [1, 2]);
     let key = key_of(&second, 2);
     let mut old = owned_keys(1);
--- a/crates/fernknot-peer-sampling/src/known_controllers.rs
+++ b/crates/fernknot-peer-sampling/src/known_controllers.rs
@@ -1,28 +1,28 @@
-//! The controllers that are kept besides the partial view.
+//! Known controllers, which are kept in addition to the partial view.
 
 use crate::peer_descriptor::{PeerDescriptor, Role};
 use std::net::SocketAddrV4;
 
-/// A process's known controllers; no two have the same address.
+/// Controllers known to a process; their addresses are unique.
 pub(crate) struct KnownControllers {
     capacity: usize,
-    /// Older entries are dropped as long as a younger one is known.
+    /// Age from which entries are dropped, as long as a younger one is known.
     expiry_age_ms: u32,
     entries: Vec<PeerDescriptor>,
 }
 
 impl KnownControllers {
-    /// Knows no controller yet.
+    /// Creates an empty list.
     pub fn new(capacity: usize, expiry_age_ms: u32) -> KnownControllers {
         KnownControllers { capacity, expiry_age_ms, entries: Vec::new() }
     }
 
-    /// All known controllers.
+    /// Iterates over all known controllers.
     pub fn iter(&self) -> impl Iterator<Item = &PeerDescriptor> {
         self.entries.iter()
     }
 
-    /// All known controllers.
+    /// Iterates mutably over all known controllers.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut PeerDescriptor> {
         self.entries.iter_mut()
     }
@@ -37,12 +37,12 @@
         self.entries.iter().any(|entry| entry.addr == addr)
     }
 
-    /// The controllers young enough to be sent to others.
+    /// Iterates over the controllers that are young enough to be sent to others.
     pub fn young(&self) -> impl Iterator<Item = &PeerDescriptor> {
         self.entries.iter().filter(|entry| entry.age_ms < self.max_young_age_ms())
     }
 
-    /// Takes an entry in if it is a controller.
+    /// Adds or updates an entry if it is a controller.
     pub fn merge(&mut self, entry: &PeerDescriptor) {
         if entry.role != Role::Controller {
             return;
@@ -57,19 +57,19 @@
         }
     }
 
-    /// A controller was reached.
+    /// Resets the age of a controller that was reached.
     pub fn reset_age(&mut self, addr: SocketAddrV4) {
         self.entries.iter_mut().filter(|entry| entry.addr == addr).for_each(|entry| entry.age_ms = 0);
     }
 
-    /// A controller could not be reached.
+    /// Increases the age of a controller that could not be reached.
     pub fn add_age(&mut self, addr: SocketAddrV4, age_ms: u32) {
         for entry in self.entries.iter_mut().filter(|entry| entry.addr == addr) {
             entry.age_ms = entry.age_ms.saturating_add(age_ms);
         }
     }
 
-    /// Drops expired entries, unless all are: an old entry is better than none.
+    /// Drops expired entries, unless all are expired: an old entry is better than none.
     pub fn drop_expired(&mut self) {
         let expiry_age_ms = self.expiry_age_ms;
         if self.entries.iter().any(|entry| entry.age_ms < expiry_age_ms) {
@@ -77,19 +77,20 @@
         }
     }
 
-    /// Removes the oldest entry, but a young one that is the last of its zone only after all others.
+    /// Removes the oldest entry. A young entry that is the only one of its zone is removed only if all entries are like that.
     fn evict(&mut self) {
-        let count = |zone: &str| self.entries.iter().filter(|entry| entry.zone == zone).count();
+        let count_in_zone = |zone: &str| self.entries.iter().filter(|entry| entry.zone == zone).count();
         let indexed = self.entries.iter().enumerate();
-        let worst = indexed.max_by_key(|(_, entry)| {
-            let is_expendable = entry.age_ms >= self.max_young_age_ms() || count(&entry.zone) > 1;
+        let evicted = indexed.max_by_key(|(_, entry)| {
+            let is_expendable = entry.age_ms >= self.max_young_age_ms() || count_in_zone(&entry.zone) > 1;
             (is_expendable, entry.age_ms)
         });
-        if let Some(index) = worst.map(|(index, _)| index) {
+        if let Some(index) = evicted.map(|(index, _)| index) {
             self.entries.swap_remove(index);
         }
     }
 
+    /// Age from which an entry is no longer sent to others.
     fn max_young_age_ms(&self) -> u32 {
         self.expiry_age_ms / 2
     }
--- a/crates/fernknot-peer-sampling/src/lib.rs
+++ b/crates/fernknot-peer-sampling/src/lib.rs
@@ -1,11 +1,11 @@
 //! Peer sampling among the processes of the system, without I/O or clock.
 //!
-//! This crate owns a process's partial view: a bounded list of other processes, some of which it exchanges with one
-//! peer a period (after Cyclon: the oldest entry is the peer chosen, and what is sent is replaced by what comes back).
-//! Controllers are kept besides and with preference, so that a live one is found also when all seeds are gone.
+//! This crate maintains a process's partial view: a bounded list of other processes, a sample of which it exchanges with
+//! one peer per period (as in Cyclon: the peer is the oldest entry, and sent entries are replaced by received ones).
+//! Controllers are kept in a separate list, so that a live one can be found even if all seeds have ended.
 //!
-//! One [`PeerSampler`] is the state machine of one process. `fernknot-rpc` carries its shuffles as datagrams, on behalf
-//! of controllers and gateways. `docs/distribution.md` compares the alternatives.
+//! One [`PeerSampler`] is the state machine of one process. `fernknot-rpc` encodes its shuffles as datagrams for
+//! controllers and gateways. `docs/distribution.md` compares the alternatives.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-peer-sampling/src/peer_sampler.rs
+++ b/crates/fernknot-peer-sampling/src/peer_sampler.rs
@@ -1,4 +1,4 @@
-//! The state machine of one process: whom it knows, and with whom it shuffles next.
+//! State machine of one process: the processes it knows, and the peer of its next shuffle.
 
 use crate::known_controllers::KnownControllers;
 use crate::partial_view::PartialView;
@@ -11,38 +11,40 @@
 use std::net::SocketAddrV4;
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
-/// An entry of this age, in periods, is dropped.
+/// Age at which an entry expires, in periods.
 const EXPIRY_PERIODS: u32 = 40;
-/// A shuffle without a reply, or a failed connection, adds this many periods to a controller's age.
+/// Periods added to a controller's age after a shuffle without a reply or a failed connection.
 const FAILURE_AGING_PERIODS: u32 = 10;
-/// Controllers sent with each shuffle at most.
+/// Maximum number of controllers sent with each shuffle.
 const CONTROLLERS_PER_SHUFFLE: usize = 3;
-/// How often the peer is the oldest of the own zone instead of the oldest of all: traffic between zones is expensive.
+/// Probability that the peer is the oldest entry of this process's zone instead of all zones; reduces the expensive
+/// traffic between zones.
 const OWN_ZONE_PROBABILITY: f64 = 0.5;
-/// How often the peer is a seed or a controller, so that partitions that lost each other meet again.
+/// Probability that the peer is a seed or a controller, so that separated groups of processes find each other again.
 const SEED_PROBABILITY: f64 = 1.0 / 16.0;
-/// A gap between two calls of the host counts as this many periods at most: a process that stalled does not forget all.
+/// Maximum number of periods by which one call ages the entries, so that they do not all expire after a stall of this
+/// process.
 const MAX_GAP_PERIODS: f64 = 2.0;
-/// The first shuffle comes within this share of a period, so that processes that start at once don't all shuffle at
-/// once.
+/// Maximum delay of the first shuffle, as a share of a period. The delay is random, so that processes that start at the
+/// same time do not shuffle at the same time.
 const MAX_FIRST_DELAY: f64 = 0.5;
-/// Least time between two shuffles, as a share of a period.
+/// Minimum time between two shuffles, as a share of a period.
 const MIN_INTERVAL: f64 = 0.9;
-/// Random part of the time between two shuffles, as a share of a period.
+/// Maximum random addition to the time between two shuffles, as a share of a period.
 const INTERVAL_JITTER: f64 = 0.2;
-/// Longest name of a zone that is accepted.
+/// Maximum length of a zone's name, in bytes; descriptors with longer names are ignored.
 const MAX_ZONE_NAME_BYTES: usize = 100;
 
-/// Sizes of what a process remembers and sends.
+/// Limits on the entries that a process remembers and sends.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerSamplerSettings {
-    /// Entries of the partial view.
+    /// Maximum number of entries in the partial view.
     pub view_size: usize,
-    /// Entries of the view that are sent with a shuffle.
+    /// Maximum number of entries of the view that are sent with a shuffle.
     pub sample_size: usize,
-    /// Controllers kept besides the view.
+    /// Maximum number of controllers kept in addition to the view.
     pub max_controllers: usize,
-    /// Seeds remembered, the newest first.
+    /// Maximum number of seeds; the newest are kept.
     pub max_seeds: usize,
 }
 
@@ -52,28 +54,28 @@
     }
 }
 
-/// What the host is to do.
+/// Action that the host has to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a sample to a peer; its reply goes to [`PeerSampler::handle_shuffle_reply`].
+    /// Send a sample to a peer, and pass its reply to [`PeerSampler::handle_shuffle_reply`].
     Shuffle {
-        /// The peer's address.
+        /// Address of the peer.
         to: SocketAddrV4,
-        /// The descriptors to send.
+        /// Descriptors to send.
         sample: Vec<PeerDescriptor>,
     },
 }
 
-/// A shuffle whose reply is awaited.
+/// Shuffle that is waiting for its reply.
 struct PendingShuffle {
     to: SocketAddrV4,
     sent: Vec<SocketAddrV4>,
 }
 
-/// Which other processes one process knows.
+/// Other processes known to one process.
 ///
-/// The host passes in shuffles, replies and what it learned of addresses otherwise, and pulls [`Action`]s until there
-/// are none. Descriptors age with the time of the calls.
+/// The host passes in shuffles, replies and the results of other calls to known addresses, and polls [`Action`]s until
+/// there are none. Descriptors age with the time of the calls.
 pub struct PeerSampler {
     own_descriptor: PeerDescriptor,
     period: Nanos,
@@ -88,7 +90,8 @@
 }
 
 impl PeerSampler {
-    /// Knows its seeds only. The first shuffle is due within half a period of the first [`Self::poll_action`].
+    /// Creates a sampler that knows only its seeds. The first shuffle is due within half a period of the first
+    /// [`Self::poll_action`].
     ///
     /// `period` is the time between two shuffles; `seed` makes this process's random choices repeatable.
     pub fn new(
@@ -116,12 +119,12 @@
         sampler
     }
 
-    /// Takes over the seeds of new settings. Earlier ones are remembered as long as there is room.
+    /// Adds the seeds of new settings. Earlier ones are kept as long as there is room.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.seeds.set(seeds);
     }
 
-    /// All known processes, the youngest description first.
+    /// Returns all known processes, the youngest description first.
     pub fn known_processes(&self) -> Vec<&PeerDescriptor> {
         let others = self.view.iter().filter(|entry| !self.controllers.contains(entry.addr));
         let mut all: Vec<&PeerDescriptor> = self.controllers.iter().chain(others).collect();
@@ -129,21 +132,22 @@
         all
     }
 
-    /// The known processes of a role, in a zone or in all, the youngest description first.
+    /// Returns the known processes of a role in a zone, or in all zones, the youngest description first.
     pub fn peers(&self, role: Role, zone: Option<&str>) -> Vec<&PeerDescriptor> {
         let mut peers = self.known_processes();
         peers.retain(|entry| entry.role == role && zone.is_none_or(|zone| entry.zone == zone));
         peers
     }
 
-    /// Addresses where a controller may answer, the likeliest first: the known controllers, then the seeds.
+    /// Returns the addresses at which a controller may respond, the likeliest first: the known controllers, then the
+    /// seeds.
     pub fn controller_candidates(&self) -> Vec<SocketAddrV4> {
         let known = self.peers(Role::Controller, None).into_iter().map(|entry| entry.addr);
         let seeds = self.seeds.addrs().iter().copied().filter(|seed| !self.controllers.contains(*seed));
         known.chain(seeds).collect()
     }
 
-    /// Another process shuffles with this one. Returns the sample to send back.
+    /// Handles a shuffle from another process. Returns the sample to send back.
     #[must_use]
     pub fn handle_shuffle(
         &mut self,
@@ -157,12 +161,12 @@
         reply
     }
 
-    /// The reply to a shuffle came.
+    /// Handles the reply to a shuffle.
     pub fn handle_shuffle_reply(&mut self, now: Nanos, from: SocketAddrV4, sample: &[PeerDescriptor]) {
         self.advance_clock(now);
         let Some(pending) = self.pending_shuffle.take_if(|pending| pending.to == from) else { return };
-        // The peer was just removed from the view: it comes back only where there is room, else the well-known would
-        // become more so.
+        // The peer was removed from the view for this shuffle. It is added again only if there is room, so that
+        // processes known by many do not become known by even more.
         let has_room = self.view.is_half_empty();
         let others: Vec<PeerDescriptor> =
             sample.iter().filter(|entry| has_room || entry.addr != from).cloned().collect();
@@ -170,19 +174,19 @@
         sample.iter().filter(|entry| entry.addr == from).for_each(|entry| self.merge_controller(entry));
     }
 
-    /// A process could not be reached, for whatever call.
+    /// Records that a process could not be reached by any kind of call.
     pub fn record_failure(&mut self, addr: SocketAddrV4) {
         self.view.remove(addr);
         self.controllers.add_age(addr, periods_as_age_ms(self.period, FAILURE_AGING_PERIODS));
         self.drop_expired();
     }
 
-    /// A process answered a call of another kind.
+    /// Records that a process answered a call other than a shuffle.
     pub fn record_contact(&mut self, addr: SocketAddrV4) {
         self.controllers.reset_age(addr);
     }
 
-    /// The next action, until there is none.
+    /// Returns the next action; the host polls until there is none.
     #[must_use]
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         self.advance_clock(now);
@@ -199,7 +203,7 @@
         self.begin_shuffle()
     }
 
-    /// When an action may be due without further input; `None` before the first [`Self::poll_action`].
+    /// Time at which an action may be due without further input; `None` before the first [`Self::poll_action`].
     pub fn wakes_at(&self) -> Option<Nanos> {
         self.next_shuffle_at
     }
@@ -220,7 +224,7 @@
     fn advance_clock(&mut self, now: Nanos) {
         let before = *self.now.get_or_insert(now);
         let elapsed_ms = (now - before).0 / NANOS_PER_MILLISECOND;
-        // A rest below a millisecond counts with the next call.
+        // The remainder below a millisecond is counted by the next call.
         self.now = Some(before + Nanos(elapsed_ms * NANOS_PER_MILLISECOND));
         let max_gap_ms = (self.period.times(MAX_GAP_PERIODS).0 / NANOS_PER_MILLISECOND).max(1);
         let age_ms = elapsed_ms.min(max_gap_ms).min(u32::MAX as u64) as u32;
@@ -229,7 +233,8 @@
         }
     }
 
-    /// A new seed, now and then a random seed or controller, else the oldest entry of the view.
+    /// Chooses the next peer: a seed not contacted yet, occasionally a random seed or controller, otherwise the oldest
+    /// entry of the view.
     fn choose_peer(&mut self) -> Option<SocketAddrV4> {
         if let Some(seed) = self.seeds.take_not_contacted() {
             return Some(seed);
@@ -247,7 +252,7 @@
         oldest.or(self.controllers.iter().next()).map(|entry| entry.addr)
     }
 
-    /// This process, a few entries of the view and a few controllers.
+    /// Returns a sample: this process, random entries of the view and random controllers.
     fn draw_sample(&mut self, to: SocketAddrV4) -> Vec<PeerDescriptor> {
         let mut sample = vec![self.own_descriptor.clone()];
         let mut others: Vec<PeerDescriptor> =
@@ -265,7 +270,7 @@
         sample
     }
 
-    /// Takes a sample in. What was sent to the peer is replaced first.
+    /// Merges a received sample. The entries that were sent to the peer are replaced first.
     fn merge(&mut self, sample: &[PeerDescriptor], mut sent: Vec<SocketAddrV4>) {
         let max_entries = 1 + self.sample_size + CONTROLLERS_PER_SHUFFLE;
         let expiry_age_ms = self.expiry_age_ms();
@@ -301,7 +306,7 @@
     sample.iter().map(|entry| entry.addr).collect()
 }
 
-/// The length of this many periods as an age; at least 1.
+/// Converts a number of periods to an age in milliseconds, at least 1.
 fn periods_as_age_ms(period: Nanos, count: u32) -> u32 {
     let period_ms = period.0 / NANOS_PER_MILLISECOND;
     period_ms.saturating_mul(count as u64).clamp(1, u32::MAX as u64) as u32
--- a/crates/fernknot-peer-sampling/src/seeds.rs
+++ b/crates/fernknot-peer-sampling/src/seeds.rs
@@ -1,28 +1,28 @@
-//! The addresses that the settings name as seeds.
+//! Seed addresses from the settings.
 
 use std::net::SocketAddrV4;
 
-/// Seeds, the newest first.
+/// Bounded list of seeds, the newest first.
 pub(crate) struct Seeds {
     capacity: usize,
     own_addr: SocketAddrV4,
     addrs: Vec<SocketAddrV4>,
-    /// Seeds not contacted yet since they were first named.
+    /// Seeds that have not been contacted since they were added.
     not_contacted: Vec<SocketAddrV4>,
 }
 
 impl Seeds {
-    /// Knows no seed yet.
+    /// Creates an empty list.
     pub fn new(capacity: usize, own_addr: SocketAddrV4) -> Seeds {
         Seeds { capacity, own_addr, addrs: Vec::new(), not_contacted: Vec::new() }
     }
 
-    /// All seeds, the newest first.
+    /// Returns all seeds, the newest first.
     pub fn addrs(&self) -> &[SocketAddrV4] {
         &self.addrs
     }
 
-    /// Takes new seeds in. Earlier ones are remembered as long as there is room.
+    /// Adds new seeds. Earlier ones are kept as long as there is room.
     pub fn set(&mut self, seeds: &[SocketAddrV4]) {
         let earlier = std::mem::take(&mut self.addrs);
         self.not_contacted.truncate(self.capacity);
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes a seed that was not contacted yet.
+    /// Takes a seed that has not been contacted.
     pub fn take_not_contacted(&mut self) -> Option<SocketAddrV4> {
         self.not_contacted.pop()
     }
--- a/crates/fernknot-peer-sampling/tests/common/mod.rs
+++ b/crates/fernknot-peer-sampling/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixture: some hundred processes in memory; a shuffle takes no time, and ended processes don't reply.
+//! Fixture: processes in memory, with instantaneous shuffles; ended processes do not reply.
 
 use fernknot::interface::Nanos;
 use fernknot_peer_sampling::{Action, PeerDescriptor, PeerSampler, PeerSamplerSettings, Role};
@@ -19,7 +19,7 @@
 }
 
 impl Cluster {
-    /// Controllers have the first numbers.
+    /// Starts the processes with consecutive numbers, controllers first.
     pub fn new(controllers: u32, gateways: u32, seeds: &[u32]) -> Cluster {
         let mut cluster = Cluster { now: Nanos(0), live: BTreeMap::new(), largest_message_bytes: 0 };
         for number in 0..controllers + gateways {
@@ -45,8 +45,8 @@
                 while let Some(Action::Shuffle { to, sample }) =
                     self.live.get_mut(&number).unwrap().poll_action(self.now)
                 {
-                    let other = u32::from(*to.ip()) - 0x0a00_0000;
-                    let Some(peer) = self.live.get_mut(&other) else { continue };
+                    let peer_number = u32::from(*to.ip()) - 0x0a00_0000;
+                    let Some(peer) = self.live.get_mut(&peer_number) else { continue };
                     let reply = peer.handle_shuffle(self.now, addr(number), &sample);
                     self.largest_message_bytes = self
                         .largest_message_bytes
--- a/crates/fernknot-peer-sampling/tests/partial_views.rs
+++ b/crates/fernknot-peer-sampling/tests/partial_views.rs
@@ -1,4 +1,4 @@
-//! Processes keep knowing each other while others start and end.
+//! Processes stay connected in the overlay while others start and end.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn given_300_processes_when_all_seeds_end_then_every_process_keeps_finding_a_live_controller() {
+fn given_300_processes_when_all_seeds_end_then_every_process_knows_a_live_controller() {
     let mut cluster = Cluster::new(6, 294, &[0, 1, 2]);
     cluster.run(15);
     (0..3).for_each(|seed| drop(cluster.live.remove(&seed)));
@@ -34,7 +34,8 @@
 }
 
 #[test]
-fn given_300_processes_when_they_shuffle_for_long_then_none_is_known_by_too_many_and_messages_stay_small() {
+fn given_300_processes_when_they_shuffle_for_60_periods_then_all_are_known_by_similar_numbers_and_messages_stay_small()
+ {
     let mut cluster = Cluster::new(3, 297, &[0, 1, 2]);
     cluster.run(60);
     let mut known_by = BTreeMap::<_, usize>::new();
@@ -43,17 +44,17 @@
             *known_by.entry(entry.addr).or_default() += 1;
         }
     }
-    let (least, most) = (known_by.values().min().unwrap(), known_by.values().max().unwrap());
+    let (fewest, most) = (known_by.values().min().unwrap(), known_by.values().max().unwrap());
     assert!(
-        known_by.len() >= 295 && *least >= 5 && *most <= 45,
-        "{} known, {least} to {most}",
+        known_by.len() >= 295 && *fewest >= 5 && *most <= 45,
+        "{} known, {fewest} to {most}",
         known_by.len()
     );
     assert!(cluster.largest_message_bytes <= 300, "{} bytes", cluster.largest_message_bytes);
 }
 
 #[test]
-fn given_controllers_replaced_one_by_one_when_new_ones_know_one_of_the_earlier_then_all_are_found() {
+fn given_controllers_replaced_one_by_one_when_new_ones_know_an_earlier_one_then_all_are_found() {
     let mut cluster = Cluster::new(3, 87, &[0, 1, 2]);
     cluster.run(15);
     for step in 0..6 {
@@ -72,25 +73,25 @@
 }
 
 #[test]
-fn given_two_partitions_that_lost_each_other_when_their_seeds_are_reached_again_then_they_merge() {
+fn given_two_separate_groups_when_one_process_learns_a_seed_of_the_other_group_then_they_merge() {
     let mut cluster = Cluster::new(0, 0, &[]);
     for number in 0..60 {
         let role = if number % 30 == 0 { Role::Controller } else { Role::Gateway };
         cluster.start(number, role, &[number / 30 * 30]);
     }
     cluster.run(20);
-    let other = |sampler: &PeerSampler| {
+    let known_of_other_group = |sampler: &PeerSampler| {
         sampler.known_processes().iter().filter(|entry| entry.addr >= addr(30)).count()
     };
-    assert!((0..30).all(|number| other(&cluster.live[&number]) == 0));
+    assert!((0..30).all(|number| known_of_other_group(&cluster.live[&number]) == 0));
     cluster.live.get_mut(&5).unwrap().set_seeds(&[addr(30)]);
     cluster.run(60);
-    assert!((0..30).all(|number| other(&cluster.live[&number]) > 3));
+    assert!((0..30).all(|number| known_of_other_group(&cluster.live[&number]) > 3));
 }
 
 proptest! {
     #[test]
-    fn whatever_is_received_the_view_stays_bounded_and_holds_no_address_twice_nor_its_own(
+    fn given_any_samples_when_received_then_known_processes_stay_bounded_and_unique_and_exclude_the_own_one(
         received in prop::collection::vec(
             (0..40u32, any::<bool>(), 0..4usize, 0..9u64, any::<u32>(), any::<bool>()), 0..200,
         ),
@@ -99,7 +100,7 @@
         let own_descriptor = PeerDescriptor { addr: addr(0), role: Role::Controller, zone: "north".into(), incarnation: 1, age_ms: 0 };
         let settings = PeerSamplerSettings::default();
         let mut sampler = PeerSampler::new(own_descriptor, &[addr(1)], PERIOD, settings, 7);
-        for (at, chunk) in received.chunks(9).enumerate() {
+        for (period, chunk) in received.chunks(9).enumerate() {
             let sample: Vec<PeerDescriptor> = chunk.iter().map(|&(number, controller, zone, incarnation, age, _)| PeerDescriptor {
                 addr: addr(number),
                 role: if controller { Role::Controller } else { Role::Gateway },
@@ -107,7 +108,7 @@
                 incarnation,
                 age_ms: age,
             }).collect();
-            let (from, now) = (sample[0].addr, PERIOD.times(at as f64));
+            let (from, now) = (sample[0].addr, PERIOD.times(period as f64));
             if chunk[0].5 { sampler.handle_shuffle_reply(now, from, &sample) } else { let _ = sampler.handle_shuffle(now, from, &sample); }
             if chunk[0].1 { sampler.record_failure(from) } else { sampler.record_contact(from) }
             while sampler.poll_action(now).is_some() {}
