--- a/crates/fernknot-controller/src/controller/publication.rs
+++ b/crates/fernknot-controller/src/controller/publication.rs
@@ -74,7 +74,7 @@
         let text = format!(
             "assignment {}.{} is active with {} gateways, {} presumed alive",
             token.view(),
-            token.count(),
+            token.number(),
             assignment.gateways.len(),
             assignment.presumed_alive
         );
--- a/crates/fernknot-controller/src/reports.rs
+++ b/crates/fernknot-controller/src/reports.rs
@@ -20,7 +20,7 @@
 pub fn assignment(assignment: &Assignment) -> String {
     let token = assignment.fencing_token;
     let presumed_alive = assignment.presumed_alive;
-    let mut report = format!("cut {}.{}, {presumed_alive} may be alive\n", token.view(), token.count());
+    let mut report = format!("cut {}.{}, {presumed_alive} may be alive\n", token.view(), token.number());
     for gateway in &assignment.gateways {
         report += &format!("{:016x} {} {}\n", gateway.incarnation.0, gateway.addr, gateway.zone);
     }
--- a/crates/fernknot-gateway/src/updates/ownership.rs
+++ b/crates/fernknot-gateway/src/updates/ownership.rs
@@ -54,7 +54,7 @@
     /// The assignment, for a person to read.
     pub(super) fn describe(&self) -> String {
         let token = self.fencing_token();
-        let mut text = format!("assignment {}.{}\n", token.view(), token.count());
+        let mut text = format!("assignment {}.{}\n", token.view(), token.number());
         for gateway in &self.assignment.gateways {
             let GatewayRecord { addr, zone, incarnation } = gateway;
             // Writing to a string does not fail.
--- a/crates/fernknot-ownership/src/assigner.rs
+++ b/crates/fernknot-ownership/src/assigner.rs
@@ -223,8 +223,8 @@
 
     /// Next fencing token of the view; `None` once all numbers of the view are used.
     fn next_fencing_token(&self, view: u32) -> Option<FencingToken> {
-        let count =
-            if self.is_of_view(view) { self.latest.fencing_token.count().checked_add(1)? } else { 1 };
-        Some(FencingToken::new(view, count))
+        let number =
+            if self.is_of_view(view) { self.latest.fencing_token.number().checked_add(1)? } else { 1 };
+        Some(FencingToken::new(view, number))
     }
 }
--- a/crates/fernknot-ownership/src/identifiers.rs
+++ b/crates/fernknot-ownership/src/identifiers.rs
@@ -15,8 +15,8 @@
 
 impl FencingToken {
     /// Creates the token of the assignment with this number within a view; it is below every token of a later view.
-    pub fn new(view: u32, count: u32) -> FencingToken {
-        FencingToken((view as u64) << 32 | count as u64)
+    pub fn new(view: u32, number: u32) -> FencingToken {
+        FencingToken((view as u64) << 32 | number as u64)
     }
 
     /// View in which the assignment was made.
@@ -25,7 +25,7 @@
     }
 
     /// Number of the assignment within its view.
-    pub fn count(self) -> u32 {
+    pub fn number(self) -> u32 {
         self.0 as u32
     }
 }
--- a/crates/fernknot-ownership/tests/assigner.rs
+++ b/crates/fernknot-ownership/tests/assigner.rs
@@ -36,7 +36,7 @@
     let observed: Vec<_> = assignments
         .iter()
         .map(|assignment| {
-            (assignment.fencing_token.count(), assignment.gateways.len(), assignment.presumed_alive)
+            (assignment.fencing_token.number(), assignment.gateways.len(), assignment.presumed_alive)
         })
         .collect();
     assert_eq!(observed, [(1, 2, 2), (2, 1, 2), (3, 1, 1)]);
--- a/crates/fernknot-ownership/tests/assignment.rs
+++ b/crates/fernknot-ownership/tests/assignment.rs
@@ -21,7 +21,7 @@
 #[test]
 fn given_fencing_tokens_of_two_views_when_compared_then_every_token_of_the_later_view_is_higher() {
     assert!(FencingToken::new(2, 1) > FencingToken::new(1, u32::MAX));
-    assert_eq!((FencingToken::new(7, 9).view(), FencingToken::new(7, 9).count()), (7, 9));
+    assert_eq!((FencingToken::new(7, 9).view(), FencingToken::new(7, 9).number()), (7, 9));
 }
 
 proptest! {
--- a/crates/fernknot-ownership/tests/common/mod.rs
+++ b/crates/fernknot-ownership/tests/common/mod.rs
@@ -27,10 +27,10 @@
     }
 }
 
-pub fn assignment(view: u32, count: u32, incarnations: impl IntoIterator<Item = u64>) -> Assignment {
+pub fn assignment(view: u32, number: u32, incarnations: impl IntoIterator<Item = u64>) -> Assignment {
     let gateways: Vec<GatewayRecord> = incarnations.into_iter().map(gateway).collect();
     Assignment {
-        fencing_token: FencingToken::new(view, count),
+        fencing_token: FencingToken::new(view, number),
         presumed_alive: gateways.len() as u32,
         gateways,
     }
