--- a/crates/fernknot-distribution/src/backoff.rs
+++ b/crates/fernknot-distribution/src/backoff.rs
@@ -10,7 +10,7 @@
 /// Maximum number of addresses that are remembered.
 const MAX_ADDRESSES: usize = 256;
 /// Smallest random factor on a delay; the largest is 1 more.
-const MIN_JITTER: f64 = 0.5;
+const MIN_JITTER_FACTOR: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug)]
 struct FailedAddress {
@@ -36,7 +36,7 @@
     /// Records a failed attempt: each one doubles the delay before the next attempt at this address, up to a limit.
     pub fn record_failure(&mut self, now: Nanos, addr: SocketAddrV4) {
         self.total_failures += 1;
-        let jitter = MIN_JITTER + self.random_fraction(self.total_failures);
+        let jitter = MIN_JITTER_FACTOR + self.random_fraction(self.total_failures);
         let failures = self.failures(addr);
         let delay = self.base_delay.times(delay_factor(failures) * jitter);
         self.make_room(now, addr);
--- a/crates/fernknot-distribution/src/relay_health.rs
+++ b/crates/fernknot-distribution/src/relay_health.rs
@@ -10,7 +10,7 @@
 
 /// Largest random extension of a time-out, as a share of [`Timing::stale_after`]; spreads the load on the controllers
 /// when a relay fails.
-const MAX_TIMEOUT_JITTER: f64 = 0.25;
+const MAX_TIMEOUT_JITTER_SHARE: f64 = 0.25;
 
 /// Set of stale relays.
 #[derive(Clone, Debug, Default)]
@@ -46,8 +46,9 @@
     ) {
         for relay in relays {
             let Some(subscription) = subscriptions.get(&Source::relay(*relay)) else { continue };
-            let jitter =
-                timing.stale_after.times(MAX_TIMEOUT_JITTER * backoff.random_fraction(relay.port() as u64));
+            let jitter = timing
+                .stale_after
+                .times(MAX_TIMEOUT_JITTER_SHARE * backoff.random_fraction(relay.port() as u64));
             if self.is_stale(*relay) {
                 if has_stable_lease(now, subscription, timing) {
                     self.stale.remove(relay);
--- a/crates/fernknot-distribution/tests/common/mod.rs
+++ b/crates/fernknot-distribution/tests/common/mod.rs
@@ -29,7 +29,7 @@
     ZONES[incarnation as usize % 3]
 }
 
-pub fn assignment(count: u32, incarnations: impl IntoIterator<Item = u64>) -> Assignment {
+pub fn assignment(number: u32, incarnations: impl IntoIterator<Item = u64>) -> Assignment {
     let gateway = |incarnation| GatewayRecord {
         incarnation: IncarnationId(incarnation),
         addr: gateway_addr(incarnation),
@@ -37,7 +37,7 @@
     };
     let live: Vec<GatewayRecord> = incarnations.into_iter().map(gateway).collect();
     Assignment {
-        fencing_token: FencingToken::new(1, count),
+        fencing_token: FencingToken::new(1, number),
         presumed_alive: live.len() as u32,
         gateways: live,
     }
--- a/crates/fernknot-distribution/tests/updates_reach_all.rs
+++ b/crates/fernknot-distribution/tests/updates_reach_all.rs
@@ -118,7 +118,7 @@
         events in prop::collection::vec((0..7u8, 0..12u64, 1..60u64), 1..25),
     ) {
         let mut cluster = Cluster::new(0..12);
-        let mut count = 1;
+        let mut assignment_number = 1;
         for (event, index, tens) in events {
             let controller = controller_addr(index as u8 % 3);
             match event {
@@ -135,9 +135,9 @@
                     cluster.reset(controller);
                 }
                 5 => {
-                    count += 1;
+                    assignment_number += 1;
                     let live = (0..12).filter(|incarnation| !cluster.gateways[incarnation].crashed && !cluster.gateways[incarnation].hung);
-                    let assignment = assignment(count, live.collect::<Vec<_>>());
+                    let assignment = assignment(assignment_number, live.collect::<Vec<_>>());
                     cluster.apply_assignment(&assignment);
                 }
                 _ => cluster.change(&topics()[index as usize]),
@@ -149,7 +149,7 @@
             gateway.hung = false;
         }
         let live: Vec<u64> = cluster.gateways.iter().filter(|(_, gateway)| !gateway.crashed).map(|(incarnation, _)| *incarnation).collect();
-        cluster.apply_assignment(&assignment(count + 1, live));
+        cluster.apply_assignment(&assignment(assignment_number + 1, live));
         cluster.run(9_000);
         for topic in topics() {
             cluster.change(&topic);
--- a/crates/fernknot-http-api/src/dispatcher.rs
+++ b/crates/fernknot-http-api/src/dispatcher.rs
@@ -6,8 +6,8 @@
 
 /// Handler of the calls of one endpoint. `S` identifies a call that is answered later.
 pub trait Handler<C: Endpoint, S> {
-    /// Returns the answer, or `None` if it is sent later; `pending` then identifies the call.
-    fn handle(&mut self, call: C, pending: S) -> Option<C::Answer>;
+    /// Returns the answer, or `None` if it is sent later; `pending_call` then identifies the call.
+    fn handle(&mut self, call: C, pending_call: S) -> Option<C::Answer>;
 }
 
 /// Outcome of dispatching a request.
@@ -15,7 +15,7 @@
 pub enum DispatchOutcome {
     /// Reply that can be sent now.
     Ready(Reply),
-    /// The reply is sent later, to the call identified by the `pending` argument of the dispatch.
+    /// The reply is sent later, to the call identified by the `pending_call` argument of the dispatch.
     Pending,
 }
 
@@ -50,14 +50,14 @@
 
     /// Passes a request to the handler of the matching endpoint. The reply is 404 if no endpoint has the path, and 405 if
     /// no endpoint with the path has the method.
-    pub fn dispatch(&self, handler: &mut H, request: &Request, pending: S) -> DispatchOutcome {
+    pub fn dispatch(&self, handler: &mut H, request: &Request, pending_call: S) -> DispatchOutcome {
         let path = request.path();
         let mut path_exists = false;
         for route in &self.routes {
             let Some(segment) = match_path(route.path, path) else { continue };
             path_exists = true;
             if route.method == request.method {
-                return (route.handle)(handler, MatchedRequest { request, segment }, pending);
+                return (route.handle)(handler, MatchedRequest { request, segment }, pending_call);
             }
         }
         DispatchOutcome::Ready(match path_exists {
@@ -70,9 +70,9 @@
 fn parse_and_handle<C: Endpoint, H: Handler<C, S>, S>(
     handler: &mut H,
     matched: MatchedRequest<'_>,
-    pending: S,
+    pending_call: S,
 ) -> DispatchOutcome {
-    match C::parse(matched).map(|call| handler.handle(call, pending)) {
+    match C::parse(matched).map(|call| handler.handle(call, pending_call)) {
         Ok(Some(answer)) => DispatchOutcome::Ready(answer.into()),
         Ok(None) => DispatchOutcome::Pending,
         Err(rejection) => DispatchOutcome::Ready(rejection),
--- a/crates/fernknot-http-api/tests/callers.rs
+++ b/crates/fernknot-http-api/tests/callers.rs
@@ -31,7 +31,7 @@
     /// Bytes that the caller has yet to send.
     unsent: VecDeque<u8>,
     /// Names of the calls that are waiting for their replies.
-    pending: VecDeque<String>,
+    pending_calls: VecDeque<String>,
     closing: bool,
 }
 
@@ -76,7 +76,7 @@
             input,
             output,
             unsent: VecDeque::new(),
-            pending: VecDeque::new(),
+            pending_calls: VecDeque::new(),
             closing: false,
         };
         self.connections.insert(self.next_id, connection);
@@ -88,14 +88,14 @@
         let name = format!("call-{}", self.next_id);
         let body = "b".repeat(self.rng.below(30));
         let Some(connection) =
-            self.connections.get_mut(&id).filter(|connection| connection.pending.len() < 5)
+            self.connections.get_mut(&id).filter(|connection| connection.pending_calls.len() < 5)
         else {
             return;
         };
         connection
             .unsent
             .extend(format!("POST /{name} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).bytes());
-        connection.pending.push_back(name);
+        connection.pending_calls.push_back(name);
     }
 
     /// Delivers some of a connection's bytes to the server.
@@ -155,7 +155,7 @@
         }
         for reply in replies {
             self.report.received += 1;
-            match connection.pending.pop_front() {
+            match connection.pending_calls.pop_front() {
                 Some(name) if reply.contains(&format!("\"{name}\"")) => {}
                 other => self.report.faults.push(format!("{other:?} received {reply:?}")),
             }
--- a/crates/fernknot-peer-sampling/src/peer_sampler.rs
+++ b/crates/fernknot-peer-sampling/src/peer_sampler.rs
@@ -27,11 +27,11 @@
 const MAX_GAP_PERIODS: f64 = 2.0;
 /// Maximum delay of the first shuffle, as a share of a period. The delay is random, so that processes that start at the
 /// same time do not shuffle at the same time.
-const MAX_FIRST_DELAY: f64 = 0.5;
+const MAX_FIRST_DELAY_PERIODS: f64 = 0.5;
 /// Minimum time between two shuffles, as a share of a period.
-const MIN_INTERVAL: f64 = 0.9;
+const MIN_INTERVAL_PERIODS: f64 = 0.9;
 /// Maximum random addition to the time between two shuffles, as a share of a period.
-const INTERVAL_JITTER: f64 = 0.2;
+const INTERVAL_JITTER_PERIODS: f64 = 0.2;
 /// Maximum length of a zone's name, in bytes; descriptors with longer names are ignored.
 const MAX_ZONE_NAME_BYTES: usize = 100;
 
@@ -190,9 +190,10 @@
     #[must_use]
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         self.advance_clock(now);
-        let interval = self.period.times(MIN_INTERVAL + INTERVAL_JITTER * self.rng.random::<f64>());
+        let interval =
+            self.period.times(MIN_INTERVAL_PERIODS + INTERVAL_JITTER_PERIODS * self.rng.random::<f64>());
         let Some(due) = self.next_shuffle_at else {
-            let delay = self.period.times(MAX_FIRST_DELAY * self.rng.random::<f64>());
+            let delay = self.period.times(MAX_FIRST_DELAY_PERIODS * self.rng.random::<f64>());
             self.next_shuffle_at = Some(now + delay);
             return None;
         };
--- a/crates/fernknot-storage/src/generation_manager.rs
+++ b/crates/fernknot-storage/src/generation_manager.rs
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Queues a value to be stored. [`GenerationManager::take_completed`] returns its result, which is immediate while
-    /// writes are rejected. The host bounds the number of pending writes.
+    /// Queues a value to be stored. [`GenerationManager::take_completed`] returns its result, at once while writes are
+    /// rejected. The host bounds the number of pending writes.
     pub fn submit(&mut self, write_id: u64, key: String, value: Vec<u8>) {
         if let Some(fault) = &self.fault {
             self.completed.push(CompletedWrite { write_id, result: Err(fault.clone()) });
--- a/crates/fernknot-storage/tests/common/mod.rs
+++ b/crates/fernknot-storage/tests/common/mod.rs
@@ -11,7 +11,7 @@
     StoreDirectory, Values,
 };
 
-pub const SMALL_DISK: u64 = 64 << 20;
+pub const SMALL_DISK_BYTES: u64 = 64 << 20;
 
 /// Host on real files that executes each action as soon as it is polled.
 pub struct FileHost {
@@ -22,7 +22,7 @@
 
 impl FileHost {
     pub fn start(dir: &Path) -> FileHost {
-        let manager = GenerationManager::new(Limits::of_disk(SMALL_DISK));
+        let manager = GenerationManager::new(Limits::of_disk(SMALL_DISK_BYTES));
         let mut host = FileHost { manager, directory: StoreDirectory::new(dir.into()), now: Nanos(0) };
         host.run_actions();
         host
@@ -107,7 +107,8 @@
 #[derive(Clone, Debug)]
 struct Store {
     entries: Vec<Entry>,
-    name: Durability,
+    /// Durability of the store's entry in the directory.
+    directory_entry: Durability,
     seal: Option<Durability>,
     /// The store was removed, but the directory was not synced since: a power loss may bring back any part of it.
     removed: bool,
@@ -190,7 +191,12 @@
             Action::Build(Generation(generation), values) => {
                 assert!(!self.stores.contains_key(&generation), "no generation number is used twice");
                 self.take_step(random, Operation::Open)?;
-                let store = Store { entries: vec![], name: Durability::NextSync, seal: None, removed: false };
+                let store = Store {
+                    entries: vec![],
+                    directory_entry: Durability::NextSync,
+                    seal: None,
+                    removed: false,
+                };
                 self.stores.insert(generation, store);
                 self.add(generation, values, random)?;
                 self.contents(generation).map(Outcome::Contents).map_err(Failure::Operation)
@@ -225,7 +231,7 @@
 
     fn seal(&mut self, generation: u64, random: &mut Random) -> Result<(), Failure> {
         self.take_step(random, Operation::Seal)?;
-        self.store(generation).name = Durability::Durable;
+        self.store(generation).directory_entry = Durability::Durable;
         self.take_step(random, Operation::Seal)?;
         self.store(generation).seal = Some(Durability::NextSync);
         let result = self.take_step(random, Operation::Seal);
@@ -243,7 +249,7 @@
         let mut survives = |durability: Durability| {
             durability == Durability::Durable || (!lose_all_unsynced && random.below(2) == 0)
         };
-        self.stores.retain(|_, store| survives(store.name));
+        self.stores.retain(|_, store| survives(store.directory_entry));
         for store in self.stores.values_mut() {
             // A journal ends at its first hole, even if later entries were synced.
             let complete = store.entries.iter().take_while(|entry| survives(entry.durability)).count();
--- a/crates/fernknot-storage/tests/store_directory.rs
+++ b/crates/fernknot-storage/tests/store_directory.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-use common::{FileHost, SMALL_DISK, copy_directory, files};
+use common::{FileHost, SMALL_DISK_BYTES, copy_directory, files};
 use fernknot_storage::{Capacity, CompletedWrite, QueueFull, Storage};
 use tempfile::TempDir;
 use test_case::test_case;
@@ -142,15 +142,15 @@
         max_allocated_bytes = max_allocated_bytes.max(allocated_bytes(dir.path()));
     }
     assert!(
-        max_allocated_bytes < SMALL_DISK / 5,
+        max_allocated_bytes < SMALL_DISK_BYTES / 5,
         "{max_allocated_bytes} bytes allocated at most, of {} written",
         300 * (100 << 10)
     );
     let total_length: u64 = files(dir.path(), "").iter().map(|file| fs::metadata(file).unwrap().len()).sum();
-    assert!(total_length < SMALL_DISK / 5, "no file stays preallocated: {total_length}");
+    assert!(total_length < SMALL_DISK_BYTES / 5, "no file stays preallocated: {total_length}");
 }
 
-const CAPACITY: Capacity = Capacity { max_pending_writes: 2, disk_bytes: SMALL_DISK };
+const CAPACITY: Capacity = Capacity { max_pending_writes: 2, disk_bytes: SMALL_DISK_BYTES };
 
 #[test]
 fn given_a_storage_when_closed_and_reopened_then_its_values_are_read() {
