--- a/crates/fernknot-distribution/src/backoff.rs
+++ b/crates/fernknot-distribution/src/backoff.rs
@@ -49,9 +49,9 @@
         self.by_addr.remove(&addr);
     }
 
-    /// Time to wait for the first response of a process: `initial_timeout` at first, doubled after each failure up to the
-    /// base delay. A short initial time-out avoids a long wait at the start while the process's machine is down: the lost
-    /// first packet would be retransmitted only after a second.
+    /// Time to wait for the first response of a process: `initial_timeout` at first, doubled after each failure up to
+    /// the base delay. A short initial time-out avoids a long wait at the start while the process's machine is down:
+    /// the lost first packet would be retransmitted only after a second.
     pub fn response_timeout(&self, addr: SocketAddrV4, initial_timeout: Nanos) -> Nanos {
         initial_timeout.times(delay_factor(self.failures(addr))).min(self.base_delay)
     }
--- a/crates/fernknot-distribution/src/relays.rs
+++ b/crates/fernknot-distribution/src/relays.rs
@@ -57,8 +57,8 @@
 impl Relays {
     /// Creates the state of a gateway with [`Topic::Configuration`] as its only topic, and without sources.
     ///
-    /// `apply_deadline` is the time within which an acknowledged update has to be in force (`apply_ms` of the settings);
-    /// `seed` makes this process's random choices repeatable.
+    /// `apply_deadline` is the time within which an acknowledged update has to be in force (`apply_ms` of the
+    /// settings); `seed` makes this process's random choices repeatable.
     pub fn new(
         incarnation: IncarnationId,
         zone: &str,
@@ -139,7 +139,8 @@
         self.record_newest(source, heartbeat);
     }
 
-    /// Records a message other than a heartbeat from a source. It shows that the source is alive, not that it has a lease.
+    /// Records a message other than a heartbeat from a source. It shows that the source is alive, not that it has a
+    /// lease.
     pub fn record_message(&mut self, now: Nanos, from: SocketAddrV4, kind: SourceKind) {
         if let Some(subscription) = self.subscriptions.get_mut(&Source { kind, addr: from }) {
             subscription.last_message_at = subscription.last_message_at.max(now);
@@ -159,8 +160,8 @@
         self.needs_update = true;
     }
 
-    /// Replaces another gateway's subscription by these topics; an empty list unsubscribes it. Returns false if there are
-    /// too many subscribers.
+    /// Replaces another gateway's subscription by these topics; an empty list unsubscribes it. Returns false if there
+    /// are too many subscribers.
     pub fn subscribe(&mut self, from: SocketAddrV4, topics: impl IntoIterator<Item = Topic>) -> bool {
         let topics = topics.into_iter().take(self.limits.max_topics).collect();
         self.subscribers.subscribe(from, topics)
@@ -176,8 +177,8 @@
         self.subscribers.of_topic(topic)
     }
 
-    /// Newest revision and fencing token that any source announced, and the newest registry version of the controller in
-    /// use.
+    /// Newest revision and fencing token that any source announced, and the newest registry version of the controller
+    /// in use.
     pub fn newest_seen(&self) -> SourceHeartbeat {
         self.newest_seen
     }
@@ -281,7 +282,8 @@
             match self.subscriptions.get_mut(&source) {
                 Some(subscription) if subscription.topics == topics => continue,
                 Some(subscription) => subscription.topics.clone_from(&topics),
-                // A lost relay is retried after its backoff; the selection of a controller has already respected its backoff.
+                // A lost relay is retried after its backoff; the selection of a controller has already respected its
+                // backoff.
                 None if source.kind == SourceKind::Relay && !self.backoff.may_retry(now, source.addr) => {
                     continue;
                 }
--- a/crates/fernknot-distribution/src/source.rs
+++ b/crates/fernknot-distribution/src/source.rs
@@ -45,8 +45,8 @@
     pub registry_version: u64,
     /// Fencing token of the newest assignment known to the source.
     pub fencing_token: FencingToken,
-    /// Whether the controller is in contact with a majority, so that its updates are current. A relay sets it only while
-    /// its own sources do.
+    /// Whether the controller is in contact with a majority, so that its updates are current. A relay sets it only
+    /// while its own sources do.
     pub has_lease: bool,
     /// Number of relays that forwarded it since the controller. Two gateways with different assignments may forward a
     /// heartbeat to each other in a loop; the limit on hops removes its lease.
--- a/crates/fernknot-distribution/src/subscribers.rs
+++ b/crates/fernknot-distribution/src/subscribers.rs
@@ -94,8 +94,9 @@
         (!self.by_addr.is_empty()).then_some(self.next_forward_at)
     }
 
-    /// Returns the heartbeats to forward. Subscribers all of whose topics come from fresh sources receive a new heartbeat
-    /// with a lease at once; the others receive one without a lease at intervals, as a sign that this gateway is alive.
+    /// Returns the heartbeats to forward. Subscribers all of whose topics come from fresh sources receive a new
+    /// heartbeat with a lease at once; the others receive one without a lease at intervals, as a sign that this gateway
+    /// is alive.
     pub fn forward_heartbeats(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-distribution/src/timing.rs
+++ b/crates/fernknot-distribution/src/timing.rs
@@ -20,8 +20,8 @@
     pub heartbeat_interval: Nanos,
     /// Age of the last heartbeat with a lease above which a source is stale.
     pub stale_after: Nanos,
-    /// Time-out after the last heartbeat with a lease for a relay that still sends heartbeats without one, and after the
-    /// last message for a controller.
+    /// Time-out after the last heartbeat with a lease for a relay that still sends heartbeats without one, and after
+    /// the last message for a controller.
     pub source_timeout: Nanos,
     /// Time for which a source remains in use after an assignment names another one.
     pub handover_timeout: Nanos,
--- a/crates/fernknot-distribution/src/topic_upstreams.rs
+++ b/crates/fernknot-distribution/src/topic_upstreams.rs
@@ -99,7 +99,8 @@
                     self.handover_until.insert(topic.clone(), handover_until);
                     None
                 }
-                // No earlier assignment listed this gateway: no other gateway depends on it, but it still needs updates.
+                // No earlier assignment listed this gateway: no other gateway depends on it, but it still needs
+                // updates.
                 None => current_controller.map(Source::controller),
             };
             if let Some(source) = previous {
@@ -177,8 +178,8 @@
         (0..groups).map(|group| self.upstream_of_group(group)).collect()
     }
 
-    /// Upstream of this gateway for a topic group. The gateways of the zone, in the rendezvous order of the group's key,
-    /// form a tree with the relay at the root and at most [`MAX_DOWNSTREAMS`] children of each gateway.
+    /// Upstream of this gateway for a topic group. The gateways of the zone, in the rendezvous order of the group's
+    /// key, form a tree with the relay at the root and at most [`MAX_DOWNSTREAMS`] children of each gateway.
     fn upstream_of_group(&self, group: usize) -> Option<SocketAddrV4> {
         let ranked = self.assignment.owners_ranked(Some(&self.zone), &group_key(group));
         match ranked.iter().position(|gateway| gateway.incarnation == self.incarnation) {
--- a/crates/fernknot-distribution/tests/updates_reach_all.rs
+++ b/crates/fernknot-distribution/tests/updates_reach_all.rs
@@ -37,13 +37,13 @@
 
 #[derive(Clone, Copy)]
 enum InjectedFault {
-    /// The relay accepts connections but sends no messages.
+    /// Relay that accepts connections but sends no messages.
     RelayHangs,
     RelayCrashes,
     /// Hang of a gateway that forwards the relay's updates in a large zone.
     IntermediateHangs,
     IntermediateCrashes,
-    /// The relay's controller is partitioned from the others, and continues to send.
+    /// Controller of the relay that is partitioned from the others and continues to send.
     ControllerWithoutLease,
     ControllerHangs,
     ControllerCrashes,
@@ -111,8 +111,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
-    /// After any sequence of hangs, crashes, partitioned controllers and assignments: once one controller has a lease and
-    /// the live gateways are assigned, all updates reach them in time, and each subscribes to every topic.
+    /// After any sequence of hangs, crashes, partitioned controllers and assignments: once one controller has a lease
+    /// and the live gateways are assigned, all updates reach them in time, and each subscribes to every topic.
     #[test]
     fn given_any_sequence_of_faults_when_they_end_then_all_updates_reach_all_gateways(
         events in prop::collection::vec((0..7u8, 0..12u64, 1..60u64), 1..25),
--- a/crates/fernknot-http-api/src/connection.rs
+++ b/crates/fernknot-http-api/src/connection.rs
@@ -8,11 +8,11 @@
 /// Result of reading a request from the received bytes.
 #[derive(Debug)]
 pub enum ReadOutcome {
-    /// There is no complete request, or the previous one has not been answered.
+    /// No request yet: the next one is incomplete, or the previous one has not been answered.
     Incomplete,
     /// Complete request, which is pending until its reply is written.
     Request(Request),
-    /// The request is malformed or too large. The reply is written, and the connection has to be closed.
+    /// Malformed or too large request. The reply is written, and the connection has to be closed.
     Rejected,
 }
 
@@ -20,7 +20,7 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
-    /// A reply is written to whichever call is pending on its connection.
+    /// Writes a reply to whichever call is pending on its connection.
     ReplyIgnoresCallNumber,
 }
 
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Writes the reply to the call with this number, if that call is pending; with `is_last` the connection closes after
-    /// it. Returns whether the connection stays open.
+    /// Writes the reply to the call with this number, if that call is pending; with `is_last` the connection closes
+    /// after it. Returns whether the connection stays open.
     ///
     /// A late reply to a call that was already answered is ignored, so that it does not go to the next pending call.
     pub fn write_reply(&mut self, output: &mut Buffer, call: u64, reply: &Reply, is_last: bool) -> bool {
--- a/crates/fernknot-http-api/src/dispatcher.rs
+++ b/crates/fernknot-http-api/src/dispatcher.rs
@@ -15,7 +15,7 @@
 pub enum DispatchOutcome {
     /// Reply that can be sent now.
     Ready(Reply),
-    /// The reply is sent later, to the call identified by the `pending_call` argument of the dispatch.
+    /// No reply yet; it is sent later, to the call identified by the `pending_call` argument of the dispatch.
     Pending,
 }
 
@@ -48,8 +48,8 @@
         self
     }
 
-    /// Passes a request to the handler of the matching endpoint. The reply is 404 if no endpoint has the path, and 405 if
-    /// no endpoint with the path has the method.
+    /// Passes a request to the handler of the matching endpoint. The reply is 404 if no endpoint has the path, and 405
+    /// if no endpoint with the path has the method.
     pub fn dispatch(&self, handler: &mut H, request: &Request, pending_call: S) -> DispatchOutcome {
         let path = request.path();
         let mut path_exists = false;
@@ -79,7 +79,8 @@
     }
 }
 
-/// Returns the path segment matched by the pattern's `*`, or an empty one without `*`; `None` if the path does not match.
+/// Returns the path segment matched by the pattern's `*`, or an empty one without `*`; `None` if the path does not
+/// match.
 fn match_path<'a>(pattern: &str, path: &'a str) -> Option<&'a str> {
     let Some((before, after)) = pattern.split_once('*') else { return (pattern == path).then_some("") };
     let segment = path.strip_prefix(before)?.strip_suffix(after)?;
--- a/crates/fernknot-ownership/src/assigner.rs
+++ b/crates/fernknot-ownership/src/assigner.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Records a heartbeat that this controller received from a gateway. Returns false if there are too many gateways or
-    /// it has shut down.
+    /// Records a heartbeat that this controller received from a gateway. Returns false if there are too many gateways
+    /// or it has shut down.
     pub fn record_heartbeat(&mut self, now: Nanos, gateway: GatewayRecord) -> bool {
         self.liveness.advance_clock(now);
         let incarnation = gateway.incarnation;
--- a/crates/fernknot-ownership/src/assignment.rs
+++ b/crates/fernknot-ownership/src/assignment.rs
@@ -25,7 +25,8 @@
     pub fencing_token: FencingToken,
     /// Live gateways, sorted by incarnation.
     pub gateways: Vec<GatewayRecord>,
-    /// Number of gateways of all zones that may be alive, including recently lost ones. Budgets are divided by this number.
+    /// Number of gateways of all zones that may be alive, including recently lost ones. Budgets are divided by this
+    /// number.
     pub presumed_alive: u32,
 }
 
--- a/crates/fernknot-ownership/src/gateway_liveness.rs
+++ b/crates/fernknot-ownership/src/gateway_liveness.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Advances the clock and forgets the gateways whose retention has ended. Returns the current time, which never goes
-    /// back.
+    /// Advances the clock and forgets the gateways whose retention has ended. Returns the current time, which never
+    /// goes back.
     pub fn advance_clock(&mut self, now: Nanos) -> Nanos {
         if now > self.now {
             self.now = now;
--- a/crates/fernknot-ownership/src/key_handover.rs
+++ b/crates/fernknot-ownership/src/key_handover.rs
@@ -9,18 +9,18 @@
 /// Ownership of a key from the perspective of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnershipState<'a> {
-    /// This gateway owns the key.
+    /// Key that this gateway owns.
     Owned,
-    /// Another gateway owns it by the newest assignment; this one serves it until the handover ends.
+    /// Key that another gateway owns by the newest assignment, and that this one serves until the handover ends.
     HandingOver {
         /// Record of the new owner.
         to: &'a GatewayRecord,
         /// Latest time at which this gateway stops serving the key.
         until: Nanos,
     },
-    /// Another gateway owns and serves it.
+    /// Key that another gateway owns and serves.
     OwnedByOther(&'a GatewayRecord),
-    /// No gateway of the zone is known to be live.
+    /// Key without an owner, because no gateway of the zone is known to be live.
     Unowned,
 }
 
@@ -57,13 +57,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct KeyState {
     owner: Option<IncarnationId>,
-    /// [`Action::Acquire`] was given and [`Action::Release`] was not yet.
+    /// Whether [`Action::Acquire`] was issued without a later [`Action::Release`].
     acquired: bool,
-    /// The owner by the assignment before; serves until notified.
+    /// Owner by the previous assignment, which serves the key until it is notified.
     previous_owner: Option<GatewayRecord>,
-    /// The host serves the key: the previous owner is to be notified.
+    /// Whether the previous owner has to be notified, because the host serves the key.
     notify_previous_owner: bool,
-    /// Until when this gateway serves the key for its new owner.
+    /// End of the time for which this gateway serves the key for its new owner.
     handover_until: Option<Nanos>,
 }
 
@@ -84,8 +84,8 @@
 }
 
 impl KeyHandover {
-    /// Creates a state without watched keys. With a zone, every key has one owner in each zone; without, one in the whole
-    /// system.
+    /// Creates a state without watched keys. With a zone, every key has one owner in each zone; without, one in the
+    /// whole system.
     pub fn new(
         incarnation: IncarnationId,
         zone: Option<String>,
@@ -238,7 +238,8 @@
         handover_until: Nanos,
     ) {
         let is_own = owner == Some(this_gateway);
-        // A previous owner that shuts down is not in the new assignment, but still serves the key and has to be notified.
+        // A previous owner that shuts down is not in the new assignment, but still serves the key and has to be
+        // notified.
         let previous = self.owner.filter(|previous| *previous != this_gateway && is_own);
         self.previous_owner = previous.and_then(|previous| old.gateway(previous)).cloned();
         // This gateway never released the key, so it can notify the previous owner immediately.
--- a/crates/fernknot-ownership/src/owned_keys.rs
+++ b/crates/fernknot-ownership/src/owned_keys.rs
@@ -20,14 +20,14 @@
     pub budget_window: Nanos,
 }
 
-/// The result of applying an assignment.
+/// Result of applying an assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// The assignment was newer and is now in force.
+    /// Newer assignment, which is now in force.
     Applied,
-    /// The assignment was already in force.
+    /// Assignment that was already in force.
     Unchanged,
-    /// The assignment was rejected because its fencing token is older.
+    /// Assignment that was rejected because its fencing token is older.
     Stale,
 }
 
@@ -44,8 +44,8 @@
 }
 
 impl OwnedKeys {
-    /// Creates the state of a gateway that owns no key. With a zone, every key has one owner in each zone; without, one in
-    /// the whole system.
+    /// Creates the state of a gateway that owns no key. With a zone, every key has one owner in each zone; without, one
+    /// in the whole system.
     pub fn new(incarnation: IncarnationId, zone: Option<String>, settings: OwnedKeysSettings) -> OwnedKeys {
         let OwnedKeysSettings { max_keys, handover_timeout, confirmation_timeout, budget_window } = settings;
         OwnedKeys {
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Whether a message with this fencing token is accepted: the token is not older than that of the assignment in force.
+    /// Whether a message with this fencing token is accepted: the token is not older than that of the assignment in
+    /// force.
     pub fn accepts(&self, fencing_token: FencingToken) -> bool {
         fencing_token >= self.assignment.fencing_token
     }
@@ -97,8 +98,8 @@
         self.budget_share.begin_shutdown();
     }
 
-    /// Number of gateways that share a budget. `None` while this gateway may not use a share: it has not been listed for
-    /// long enough, the last confirmation of its assignment is too old, or it is shutting down.
+    /// Number of gateways that share a budget. `None` while this gateway may not use a share: it has not been listed
+    /// for long enough, the last confirmation of its assignment is too old, or it is shutting down.
     pub fn budget_sharers(&self, now: Nanos) -> Option<u32> {
         self.budget_share.is_usable(now).then_some(self.assignment.presumed_alive.max(1))
     }
@@ -113,7 +114,8 @@
         self.handover.ownership_state(now, &self.assignment, key)
     }
 
-    /// Whether this gateway serves a key now: it owns the key, or is handing it over to an owner that does not serve it yet.
+    /// Whether this gateway serves a key now: it owns the key, or is handing it over to an owner that does not serve it
+    /// yet.
     pub fn serves(&self, now: Nanos, key: &str) -> bool {
         matches!(self.ownership_state(now, key), OwnershipState::Owned | OwnershipState::HandingOver { .. })
     }
--- a/crates/fernknot-ownership/tests/budget_share.rs
+++ b/crates/fernknot-ownership/tests/budget_share.rs
@@ -8,9 +8,9 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Gateways start, crash, shut down, are partitioned in either direction and reconnect, and the leader restarts. Each
-    /// gateway spends its entire share at once. Neither the shares at any moment nor the spending in any window exceed
-    /// the budget.
+    /// Gateways start, crash, shut down, are partitioned in either direction and reconnect, and the leader restarts.
+    /// Each gateway spends its entire share at once. Neither the shares at any moment nor the spending in any window
+    /// exceed the budget.
     #[test]
     fn given_any_sequence_of_faults_then_shares_and_spending_stay_within_the_budget(
         events in prop::collection::vec((0..8usize, 0..6u8), 40..160),
--- a/crates/fernknot-peer-sampling/src/known_controllers.rs
+++ b/crates/fernknot-peer-sampling/src/known_controllers.rs
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Removes the oldest entry. A young entry that is the only one of its zone is removed only if all entries are like that.
+    /// Removes the oldest entry. A young entry that is the only one of its zone is removed only if all entries are like
+    /// that.
     fn evict(&mut self) {
         let count_in_zone = |zone: &str| self.entries.iter().filter(|entry| entry.zone == zone).count();
         let indexed = self.entries.iter().enumerate();
--- a/crates/fernknot-peer-sampling/src/lib.rs
+++ b/crates/fernknot-peer-sampling/src/lib.rs
@@ -1,8 +1,8 @@
 //! Peer sampling among the processes of the system, without I/O or clock.
 //!
-//! This crate maintains a process's partial view: a bounded list of other processes, a sample of which it exchanges with
-//! one peer per period (as in Cyclon: the peer is the oldest entry, and sent entries are replaced by received ones).
-//! Controllers are kept in a separate list, so that a live one can be found even if all seeds have ended.
+//! This crate maintains a process's partial view: a bounded list of other processes, a sample of which it exchanges
+//! with one peer per period (as in Cyclon: the peer is the oldest entry, and sent entries are replaced by received
+//! ones). Controllers are kept in a separate list, so that a live one can be found even if all seeds have ended.
 //!
 //! One [`PeerSampler`] is the state machine of one process. `fernknot-rpc` encodes its shuffles as datagrams for
 //! controllers and gateways. `docs/distribution.md` compares the alternatives.
--- a/crates/fernknot-peer-sampling/src/partial_view.rs
+++ b/crates/fernknot-peer-sampling/src/partial_view.rs
@@ -54,8 +54,8 @@
         candidates.max_by_key(|entry| entry.age_ms)
     }
 
-    /// Adds or updates an entry. In a full view it replaces an entry that was sent to the peer (`sent`, the last first),
-    /// or one of a zone with more entries.
+    /// Adds or updates an entry. In a full view it replaces an entry that was sent to the peer (`sent`, the last
+    /// first), or one of a zone with more entries.
     pub fn merge(&mut self, entry: &PeerDescriptor, sent: &mut Vec<SocketAddrV4>) {
         if let Some(known) = self.entries.iter_mut().find(|known| known.addr == entry.addr) {
             known.merge_younger(entry);
--- a/crates/fernknot-rpc/src/framing.rs
+++ b/crates/fernknot-rpc/src/framing.rs
@@ -10,7 +10,7 @@
 /// Error of decoding received bytes. The connection has to be closed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The length prefix exceeds the limit for this sender.
+    /// Length prefix over the limit for this sender.
     #[error("message of {length} bytes exceeds the limit of {max} bytes")]
     TooLong {
         /// Value of the length prefix, in bytes.
@@ -18,7 +18,7 @@
         /// Limit in bytes.
         max: usize,
     },
-    /// The bytes do not decode to a message of the expected type.
+    /// Bytes that cannot be decoded to a message of the expected type.
     #[error("message of {length} bytes cannot be decoded")]
     Malformed {
         /// Value of the length prefix, in bytes.
--- a/crates/fernknot-rpc/src/shuffle.rs
+++ b/crates/fernknot-rpc/src/shuffle.rs
@@ -17,8 +17,8 @@
     pub sample: Vec<PeerDescriptor>,
 }
 
-/// Peer sampler with its wire encoding. The host sends the datagrams returned here and passes in the received ones; no
-/// call blocks.
+/// Peer sampler with its wire encoding. The host sends the returned datagrams and passes in the received ones; no call
+/// blocks.
 pub struct ShuffleProtocol {
     sampler: PeerSampler,
 }
@@ -36,8 +36,8 @@
         self.sampler.set_seeds(seeds);
     }
 
-    /// Handles a received datagram. Returns the reply if the datagram requests one; a datagram that cannot be decoded is
-    /// ignored.
+    /// Handles a received datagram. Returns the reply if the datagram requests one; a datagram that cannot be decoded
+    /// is ignored.
     pub fn handle_datagram(&mut self, now: Nanos, from: SocketAddrV4, bytes: &[u8]) -> Option<Vec<u8>> {
         let datagram: ShuffleDatagram = bitcode::decode(bytes).ok()?;
         if datagram.sample.len() > MAX_DESCRIPTORS {
--- a/crates/fernknot-rpc/tests/wire_format.rs
+++ b/crates/fernknot-rpc/tests/wire_format.rs
@@ -17,8 +17,8 @@
 /// Limit on the length of a message that is read back.
 const MAX_MESSAGE_BYTES: usize = 1024;
 
-/// Returns the name under which a message to a controller or gateway is recorded. A new variant needs a name here, and a
-/// sample value below; the same holds for the functions that follow.
+/// Returns the name under which a message to a controller or gateway is recorded. A new variant needs a name here, and
+/// a sample value below; the same holds for the functions that follow.
 fn recorded_name_of_gateway_message(message: &GatewayToController) -> &'static str {
     match message {
         GatewayToController::Subscribe { subscription: Subscription::All, .. } => "subscribe-to-all",
--- a/crates/fernknot-storage/src/directory.rs
+++ b/crates/fernknot-storage/src/directory.rs
@@ -16,7 +16,7 @@
 /// of a store.
 const MAX_REMOVE_DEPTH: usize = 4;
 
-/// An open store and its generation.
+/// Open store and its generation.
 #[derive(Debug)]
 struct OpenGeneration {
     generation: Generation,
@@ -96,7 +96,7 @@
         let mut generations = Vec::new();
         for entry in fs::read_dir(&self.path).map_err(&wrap_error)? {
             let name = entry.map_err(&wrap_error)?.file_name();
-            // Entries whose names are not numbers were not created here.
+            // Entries whose names are not numbers are not generations.
             let number: Option<u64> = name.to_str().and_then(|name| name.parse().ok());
             if let Some(generation) = number.map(Generation) {
                 generations.push(ListedGeneration { generation, sealed: self.is_sealed(generation)? });
--- a/crates/fernknot-storage/src/generation.rs
+++ b/crates/fernknot-storage/src/generation.rs
@@ -43,9 +43,9 @@
 /// Result of a successful action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The generations in the directory.
+    /// Generations in the directory.
     Listed(Vec<ListedGeneration>),
-    /// The values of a store.
+    /// Values of a store.
     Contents(Values),
     /// Success without a further result.
     Done,
--- a/crates/fernknot-storage/src/generation_manager.rs
+++ b/crates/fernknot-storage/src/generation_manager.rs
@@ -2,8 +2,8 @@
 //! [`GenerationManager::poll_action`], executes them one at a time and reports the result of each.
 //!
 //! Each generation is a separate store with one journal. A store receives writes only if this process built, synced,
-//! closed, reopened and read it back. After a failed write the store's handle is never used again, because a failed sync
-//! may have dropped data that a later read still returns: the next generation is built from the values known to be
+//! closed, reopened and read it back. After a failed write the store's handle is never used again, because a failed
+//! sync may have dropped data that a later read still returns: the next generation is built from the values known to be
 //! stored, and writes are rejected until it is sealed. A journal over its size limit also causes the next generation to
 //! be built, which bounds the size of the directory.
 
@@ -21,13 +21,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The directory has not been listed.
+    /// Initial phase: the directory has not been listed.
     Unlisted,
-    /// The newest sealed generation is known and has not been read.
+    /// Newest sealed generation, which has not been read.
     Unread(Generation),
-    /// The stored values are known, but no open store is trusted.
+    /// No open store is trusted, but the stored values are known.
     Closed,
-    /// The store of this generation is open and trusted.
+    /// Generation whose store is open and trusted.
     Healthy(Generation),
 }
 
@@ -129,7 +129,8 @@
         std::mem::take(&mut self.completed)
     }
 
-    /// Time of the next poll if there is no action now; `None` if only a submission or a completed action can cause one.
+    /// Time of the next poll if there is no action now; `None` if only a submission or a completed action can cause
+    /// one.
     #[must_use]
     pub fn wake_at(&self) -> Option<Nanos> {
         let has_work = !self.is_healthy() || self.journal_exceeds_limit() || !self.obsolete.is_empty();
--- a/crates/fernknot-storage/src/journal.rs
+++ b/crates/fernknot-storage/src/journal.rs
@@ -3,8 +3,8 @@
 //! therefore truncated here before it is opened: every synced batch has a valid checksum, and data after the last such
 //! batch was never acknowledged.
 //!
-//! A batch consists of a start (tag 1, number of items, batch number), items (tag 2, two bytes, keyspace, lengths of key,
-//! value and stored value, key, stored value) and an end (tag 3, xxh3 hash of the items, four fixed bytes).
+//! A batch consists of a start (tag 1, number of items, batch number), items (tag 2, two bytes, keyspace, lengths of
+//! key, value and stored value, key, stored value) and an end (tag 3, xxh3 hash of the items, four fixed bytes).
 
 use std::fs::{File, OpenOptions};
 use std::hash::Hasher;
--- a/crates/fernknot-storage/src/lib.rs
+++ b/crates/fernknot-storage/src/lib.rs
@@ -1,11 +1,11 @@
-//! Durable storage of a process: a small set of values by key. The crate owns a directory and one thread that writes and
-//! syncs, so that a hanging disk never delays the caller's event loop. Acknowledged writes survive a power loss.
+//! Durable storage of a process: a small set of values by key. The crate owns a directory and one thread that writes
+//! and syncs, so that a hanging disk never delays the caller's event loop. Acknowledged writes survive a power loss.
 //! `fernknot-controller` uses it. docs/storage.md describes the order of syncs and the possible failures.
 //!
 //! | Module | Responsibility |
 //! |---|---|
 //! | `storage` | the storage thread, its bounded queue and its waker |
-//! | `generation_manager` | decides which values are written, which store is trusted and when a store is rebuilt; no I/O |
+//! | `generation_manager` | decides what is written, which store is trusted and when it is rebuilt; no I/O |
 //! | `directory`, `store` | execute the manager's actions on files, over `fjall` |
 //! | `journal` | truncates an incomplete write at the end of a journal after a power loss |
 
--- a/crates/fernknot-storage/src/limits.rs
+++ b/crates/fernknot-storage/src/limits.rs
@@ -29,8 +29,8 @@
     /// Returns the limits for a disk of this size.
     #[must_use]
     pub fn of_disk(disk_bytes: u64) -> Limits {
-        // A store under construction preallocates 64 MB for its journal, so that on a small disk the previous generation
-        // may use only half of the space: a journal at its limit, and as many bytes again for the values.
+        // A store under construction preallocates 64 MB for its journal, so that on a small disk the previous
+        // generation may use only half of the space: a journal at its limit, and as many bytes again for the values.
         let journal_bytes = (disk_bytes / 16).clamp(4 * MIB, MAX_JOURNAL_BYTES / 2);
         Limits {
             max_live_bytes: journal_bytes / 2,
--- a/crates/fernknot-storage/src/storage.rs
+++ b/crates/fernknot-storage/src/storage.rs
@@ -89,8 +89,8 @@
 }
 
 impl Storage {
-    /// Starts the thread, which opens the directory. `waker` is called on that thread whenever a write has completed and
-    /// whenever [`Storage::loaded`] or [`Storage::is_healthy`] changes.
+    /// Starts the thread, which opens the directory. `waker` is called on that thread whenever a write has completed
+    /// and whenever [`Storage::loaded`] or [`Storage::is_healthy`] changes.
     ///
     /// # Errors
     ///
--- a/crates/fernknot-storage/src/store.rs
+++ b/crates/fernknot-storage/src/store.rs
@@ -17,7 +17,7 @@
 /// Smallest value that `fjall` accepts.
 const MAX_CACHED_FILES: usize = 10;
 
-/// An open store.
+/// Open `fjall` store of a generation.
 pub(crate) struct Store {
     // Dropped in this order: the database waits for its threads and then releases the lock.
     keyspace: Keyspace,
--- a/crates/fernknot-storage/tests/common/mod.rs
+++ b/crates/fernknot-storage/tests/common/mod.rs
@@ -93,7 +93,7 @@
     Durable,
     /// Durable after the next successful sync.
     NextSync,
-    /// A sync of it failed: reads still return it, but no later sync makes it durable.
+    /// Not made durable by any later sync, because a sync of it failed; reads still return it.
     Never,
 }
 
@@ -110,7 +110,8 @@
     /// Durability of the store's entry in the directory.
     directory_entry: Durability,
     seal: Option<Durability>,
-    /// The store was removed, but the directory was not synced since: a power loss may bring back any part of it.
+    /// Whether it was removed without a sync of the directory since, so that a power loss may bring back any part of
+    /// it.
     removed: bool,
 }
 
