--- a/crates/fernknot-ownership/tests/key_handover.rs
+++ b/crates/fernknot-ownership/tests/key_handover.rs
@@ -61,8 +61,7 @@
 }
 
 #[test]
-fn given_a_moved_key_when_the_new_owner_does_not_respond_then_the_previous_one_stops_after_the_handover_timeout()
- {
+fn given_a_moved_key_when_the_new_owner_does_not_respond_then_the_previous_one_stops_after_a_timeout() {
     let second = assignment(1, 2, [1, 2]);
     let key = key_of(&second, 2);
     let mut old = owned_keys(1);
@@ -79,8 +78,7 @@
 }
 
 #[test]
-fn given_a_key_that_is_reassigned_to_its_previous_owner_before_its_release_then_the_other_owner_is_notified_at_once()
- {
+fn given_an_unreleased_key_when_it_is_assigned_back_then_the_other_owner_is_notified_at_once() {
     let second = assignment(1, 2, [1, 2]);
     let key = key_of(&second, 2);
     let mut old = owned_keys(1);
--- a/crates/fernknot-peer-sampling/src/peer_sampler.rs
+++ b/crates/fernknot-peer-sampling/src/peer_sampler.rs
@@ -221,7 +221,7 @@
         Some(Action::Shuffle { to, sample })
     }
 
-    /// Ages all entries by the whole milliseconds since the last call.
+    /// Ages all entries by the full milliseconds since the last call, up to [`MAX_GAP_PERIODS`].
     fn advance_clock(&mut self, now: Nanos) {
         let before = *self.now.get_or_insert(now);
         let elapsed_ms = (now - before).0 / NANOS_PER_MILLISECOND;
--- a/crates/fernknot-peer-sampling/tests/partial_views.rs
+++ b/crates/fernknot-peer-sampling/tests/partial_views.rs
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn given_300_processes_when_they_shuffle_for_60_periods_then_all_are_known_by_similar_numbers_and_messages_stay_small()
- {
+fn given_300_processes_when_they_shuffle_for_60_periods_then_each_is_known_by_a_few_and_messages_stay_small()
+{
     let mut cluster = Cluster::new(3, 297, &[0, 1, 2]);
     cluster.run(60);
     let mut known_by = BTreeMap::<_, usize>::new();
--- a/crates/fernknot-storage/src/storage.rs
+++ b/crates/fernknot-storage/src/storage.rs
@@ -169,7 +169,7 @@
         std::mem::take(&mut self.shared.lock().completed)
     }
 
-    /// Returns the age of the oldest pending write.
+    /// Returns the age of the oldest pending write; `None` if no write is pending.
     #[must_use]
     pub fn oldest_pending_age(&self, now: Instant) -> Option<Duration> {
         let state = self.shared.lock();
