--- a/crates/fernknot-http-api/src/dispatcher.rs
+++ b/crates/fernknot-http-api/src/dispatcher.rs
@@ -1,21 +1,21 @@
-//! Finds the endpoint of a request and has its handler answer it.
+//! Dispatch of requests to the handlers of their endpoints.
 
 use crate::endpoint::{Endpoint, MatchedRequest};
 use crate::reply::Reply;
 use fernknot_protocol::http::Request;
 
-/// Answers the calls of one endpoint. `S` identifies a call whose answer comes later.
+/// Handler of the calls of one endpoint. `S` identifies a call that is answered later.
 pub trait Handler<C: Endpoint, S> {
-    /// The answer, or `None` when it is sent later; `pending` then says which call it belongs to.
-    fn handle(&mut self, call: C, pending: S) -> Option<C::Answer>;
+    /// Returns the answer, or `None` if it is sent later; `pending_call` then identifies the call.
+    fn handle(&mut self, call: C, pending_call: S) -> Option<C::Answer>;
 }
 
-/// What became of a request.
+/// Outcome of dispatching a request.
 #[derive(Debug)]
 pub enum DispatchOutcome {
-    /// The reply is known.
+    /// Reply that can be sent now.
     Ready(Reply),
-    /// The reply is sent later, to the call that the request was dispatched with.
+    /// No reply yet; it is sent later, to the call identified by the `pending_call` argument of the dispatch.
     Pending,
 }
 
@@ -27,7 +27,7 @@
     handle: HandleFn<H, S>,
 }
 
-/// All endpoints that `H` handles.
+/// Endpoints that `H` handles.
 pub struct Dispatcher<H, S> {
     routes: Vec<Route<H, S>>,
 }
@@ -39,7 +39,7 @@
 }
 
 impl<H, S> Dispatcher<H, S> {
-    /// Adds an endpoint. Where several match a request, the one added first gets it.
+    /// Adds an endpoint. If several match a request, the one added first handles it.
     pub fn with_endpoint<C: Endpoint>(mut self) -> Dispatcher<H, S>
     where
         H: Handler<C, S>,
@@ -48,16 +48,16 @@
         self
     }
 
-    /// Has the endpoint that a request matches handle it. The reply is 404 for a path that no endpoint has, and 405 for
-    /// a method that no endpoint of the path has.
-    pub fn dispatch(&self, handler: &mut H, request: &Request, pending: S) -> DispatchOutcome {
+    /// Passes a request to the handler of the matching endpoint. The reply is 404 if no endpoint has the path, and 405
+    /// if no endpoint with the path has the method.
+    pub fn dispatch(&self, handler: &mut H, request: &Request, pending_call: S) -> DispatchOutcome {
         let path = request.path();
         let mut path_exists = false;
         for route in &self.routes {
             let Some(segment) = match_path(route.path, path) else { continue };
             path_exists = true;
             if route.method == request.method {
-                return (route.handle)(handler, MatchedRequest { request, segment }, pending);
+                return (route.handle)(handler, MatchedRequest { request, segment }, pending_call);
             }
         }
         DispatchOutcome::Ready(match path_exists {
@@ -70,16 +70,17 @@
 fn parse_and_handle<C: Endpoint, H: Handler<C, S>, S>(
     handler: &mut H,
     matched: MatchedRequest<'_>,
-    pending: S,
+    pending_call: S,
 ) -> DispatchOutcome {
-    match C::parse(matched).map(|call| handler.handle(call, pending)) {
+    match C::parse(matched).map(|call| handler.handle(call, pending_call)) {
         Ok(Some(answer)) => DispatchOutcome::Ready(answer.into()),
         Ok(None) => DispatchOutcome::Pending,
         Err(rejection) => DispatchOutcome::Ready(rejection),
     }
 }
 
-/// The segment that stands for the pattern's `*`, if the path matches the pattern.
+/// Returns the path segment matched by the pattern's `*`, or an empty one without `*`; `None` if the path does not
+/// match.
 fn match_path<'a>(pattern: &str, path: &'a str) -> Option<&'a str> {
     let Some((before, after)) = pattern.split_once('*') else { return (pattern == path).then_some("") };
     let segment = path.strip_prefix(before)?.strip_suffix(after)?;
--- a/crates/fernknot-ownership/tests/common/mod.rs
+++ b/crates/fernknot-ownership/tests/common/mod.rs
@@ -10,10 +10,10 @@
 
 pub const HEARTBEAT_INTERVAL: Nanos = Nanos(1_000_000_000);
 
-/// The span over which a budget counts what was spent.
+/// Time window over which the spending of a budget is counted.
 pub const BUDGET_WINDOW: Nanos = Nanos(10_000_000_000);
 
-/// A time in heartbeat intervals.
+/// Converts a time in heartbeat intervals.
 pub fn at(heartbeats: f64) -> Nanos {
     HEARTBEAT_INTERVAL.times(heartbeats)
 }
@@ -27,10 +27,10 @@
     }
 }
 
-pub fn assignment(view: u32, count: u32, incarnations: impl IntoIterator<Item = u64>) -> Assignment {
+pub fn assignment(view: u32, number: u32, incarnations: impl IntoIterator<Item = u64>) -> Assignment {
     let gateways: Vec<GatewayRecord> = incarnations.into_iter().map(gateway).collect();
     Assignment {
-        fencing_token: FencingToken::new(view, count),
+        fencing_token: FencingToken::new(view, number),
         presumed_alive: gateways.len() as u32,
         gateways,
     }
