--- a/crates/fernknot-simulator/src/checks/history.rs
+++ b/crates/fernknot-simulator/src/checks/history.rs
@@ -1,4 +1,4 @@
-//! Reports of broken rules, and the rules that can be judged only once the run is over.
+//! Reports of violations, and the checks of the control plane's history at the end of a run.
 
 use crate::checks::rule::{BrokenRule, Rule, Violation};
 
@@ -9,9 +9,9 @@
 use std::collections::BTreeSet;
 
 impl Simulation {
-    /// Notes that a rule is broken.
+    /// Records a violation.
     pub(crate) fn report(&mut self, rule: Rule, text: String) {
-        // Where more is lost than may be, all may stand still; what is said must be true all the same.
+        // Beyond the fault budget the system may be unavailable, but safety must hold.
         if self.settings.exceeds_fault_budget && !rule.is_safety() {
             return;
         }
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Judges the history of the control plane.
+    /// Checks the history of the control plane.
     pub(crate) fn check_history(&mut self) {
         self.check_rejected_changes();
         self.check_unknown_versions();
--- a/crates/fernknot-simulator/src/checks/mod.rs
+++ b/crates/fernknot-simulator/src/checks/mod.rs
@@ -1,4 +1,4 @@
-//! What was observed, and the rules that it is held against. Nothing here reads the state of what it judges.
+//! Observations and the rules checked against them. The checkers do not read the state of the system under test.
 
 pub(crate) mod history;
 pub(crate) mod observations;
--- a/crates/fernknot-simulator/src/checks/requests.rs
+++ b/crates/fernknot-simulator/src/checks/requests.rs
@@ -1,5 +1,5 @@
-//! The rules of requests, by what was observed on the simulated wire: who sent what, what nodes got and ran, and what
-//! clients got back.
+//! Checks of the rules for requests, based on the messages on the simulated wire: requests of clients, arrivals and
+//! executions at nodes, and responses to clients.
 
 use crate::checks::retry_budget::{Retry, check_retry_budget};
 use crate::checks::rule::{BrokenRule, Rule};
@@ -8,41 +8,41 @@
 use fernknot::interface::Nanos;
 use std::collections::BTreeMap;
 
-/// What may happen to a request, as it is counted.
+/// Counted event in the processing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestEvent {
-    /// It has arrived at a node.
+    /// The request arrived at a node.
     Arrival,
-    /// A node ran it, and broke the connection before the whole response was sent.
+    /// A node executed the request and reset the connection before sending the complete response.
     BrokenOff,
-    /// A node sent a second response.
+    /// A node sent the response a second time.
     DuplicateResponse,
-    /// A node has begun to run it.
+    /// A node began to execute the request.
     Execution,
-    /// A node ran it, and answered 503.
+    /// A node executed the request and responded with 503.
     FailedAfterExecution,
-    /// It was meant for another incarnation of the node.
+    /// The request arrived at another incarnation of its target node.
     Misdirected,
-    /// Its gateway had no route for it.
+    /// The gateway had no route for the request.
     NoRoute,
-    /// The client got a status that promises that it has not run.
+    /// The client received a status which guarantees that the request was not executed.
     Rejection,
-    /// A node rejected it.
+    /// A node rejected the request with 503 and `Not-Executed`.
     RejectedByNode,
-    /// A client sent it.
+    /// A client sent the request.
     Request,
-    /// It has arrived at a node once more.
+    /// The request arrived at a node again.
     Retry,
-    /// The client got a successful response.
+    /// The client received a successful response.
     Success,
-    /// The client got a status that promises nothing.
+    /// The client received a failure that does not tell whether the request was executed.
     UnclearFailure,
-    /// It showed which version is in force.
+    /// The request was executed on a route that identifies the configuration version in force.
     VersionSeen,
 }
 
 impl RequestEvent {
-    /// The name in what is printed.
+    /// Returns the name in printed summaries.
     pub fn name(self) -> &'static str {
         match self {
             RequestEvent::Arrival => "arrivals",
@@ -63,40 +63,40 @@
     }
 }
 
-/// A request, and what became of it.
+/// A request with its arrivals, executions and rejection.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     pub sent: SentRequest,
     arrivals: u64,
     executions: u64,
-    /// The status by which a gateway promised that it has not run.
+    /// Status by which a gateway guaranteed that the request was not executed.
     rejected_with: Option<u16>,
 }
 
-/// A node's response to a request.
+/// Response of a node to a request.
 #[derive(Debug)]
 struct NodeResponse {
     attempt_id: String,
     body: Vec<u8>,
 }
 
-/// A version that a request saw in force.
+/// Observation of a version in force by a request.
 #[derive(Clone, Copy, Debug)]
-struct VersionSighting {
+struct VersionObservation {
     epoch: u64,
     seen_at: Nanos,
 }
 
-/// All that was observed of requests.
+/// Observations of requests.
 #[derive(Debug, Default)]
 pub(crate) struct RequestChecker {
     pub requests: Vec<RequestRecord>,
     by_attempt: BTreeMap<String, usize>,
-    /// Responses of nodes, by their seals.
+    /// Responses of nodes by their `Answer-Seal`.
     responses: BTreeMap<String, NodeResponse>,
     retries: Vec<Retry>,
-    /// Versions seen through one incarnation of a gateway, each newer than those before.
-    versions_seen: BTreeMap<(usize, u64), Vec<VersionSighting>>,
+    /// Versions observed through each gateway incarnation, in ascending order.
+    versions_seen: BTreeMap<(usize, u64), Vec<VersionObservation>>,
     pub counts: BTreeMap<RequestEvent, u64>,
 }
 
@@ -105,7 +105,7 @@
         *self.counts.entry(event).or_default() += 1;
     }
 
-    /// A client sends a request; its number comes back.
+    /// Records a request that a client sends, and returns its index.
     pub fn record_request(&mut self, sent: SentRequest) -> usize {
         self.count(RequestEvent::Request);
         let index = self.requests.len();
@@ -118,7 +118,7 @@
         self.by_attempt.get(message.header("Attempt-Id")?).copied()
     }
 
-    /// A node has read a request.
+    /// Records the arrival of a request at a node.
     pub fn record_arrival(&mut self, now: Nanos, message: &Message) -> Option<BrokenRule> {
         self.count(RequestEvent::Arrival);
         let Some(index) = self.find_request(message) else {
@@ -133,7 +133,7 @@
         None
     }
 
-    /// A node begins to run a request.
+    /// Records that a node begins to execute a request.
     pub fn record_execution(&mut self, message: &Message) -> Option<BrokenRule> {
         self.count(RequestEvent::Execution);
         let index = self.find_request(message)?;
@@ -150,13 +150,14 @@
         runs_twice.then(|| BrokenRule::new(Rule::Twice, text))
     }
 
-    /// A node responds to a request that it ran.
+    /// Records the response of a node to a request that it executed.
     pub fn record_response(&mut self, seal: String, attempt_id: &str, body: Vec<u8>) {
         self.responses.insert(seal, NodeResponse { attempt_id: attempt_id.to_string(), body });
     }
 
-    /// A request saw a version in force through a gateway's incarnation: none that was sent `slack` after a newer one
-    /// was seen there may show an older one.
+    /// Records the version by which a request was routed, and reports a revert: a request that was sent more than
+    /// `slack` after a newer version was observed through the same gateway incarnation must not be routed by an older
+    /// one.
     pub fn record_version(
         &mut self,
         now: Nanos,
@@ -167,18 +168,19 @@
         let sent = &self.requests[index].sent;
         let (gateway, sent_at) = (sent.gateway, sent.sent_at);
         let seen = self.versions_seen.entry((gateway, sent.incarnation)).or_default();
-        let is_too_late =
-            |sighting: &&VersionSighting| sighting.epoch > epoch && sent_at > sighting.seen_at + slack;
-        let newer = seen.iter().find(is_too_late).map(|sighting| sighting.epoch);
-        if seen.last().is_none_or(|sighting| epoch > sighting.epoch) {
-            seen.push(VersionSighting { epoch, seen_at: now });
+        let is_reverted = |observation: &&VersionObservation| {
+            observation.epoch > epoch && sent_at > observation.seen_at + slack
+        };
+        let newer = seen.iter().find(is_reverted).map(|observation| observation.epoch);
+        if seen.last().is_none_or(|observation| epoch > observation.epoch) {
+            seen.push(VersionObservation { epoch, seen_at: now });
         }
         let newer = newer?;
         let text = format!("gateway {gateway} goes back from version {newer} to {epoch}");
         Some(BrokenRule::new(Rule::Config, text))
     }
 
-    /// A client gets a whole response in the place of the one to this request.
+    /// Checks a complete response that a client receives for this request.
     pub fn check_response(&mut self, index: usize, message: &Message) -> Option<BrokenRule> {
         let attempt_id = self.requests[index].sent.attempt_id.clone();
         let other_id = message.header("Attempt-Id").filter(|id| *id != attempt_id);
@@ -190,8 +192,8 @@
             200..300 => {
                 self.count(RequestEvent::Success);
                 let text = || format!("{attempt_id} got what was answered to another, or less");
-                let is_whole = self.is_response_to(message, &attempt_id);
-                (!is_whole).then(|| BrokenRule::new(Rule::Mixed, text()))
+                let is_complete = self.is_response_to(message, &attempt_id);
+                (!is_complete).then(|| BrokenRule::new(Rule::Mixed, text()))
             }
             status @ (408 | 421 | 429 | 503) => {
                 self.count(RequestEvent::Rejection);
@@ -213,14 +215,14 @@
         }
     }
 
-    /// Whether this is the whole response of a node to this attempt.
+    /// Returns whether this is the complete response of a node to this attempt.
     fn is_response_to(&self, message: &Message, attempt_id: &str) -> bool {
         let response = message.header("Answer-Seal").and_then(|seal| self.responses.get(seal));
         response.is_some_and(|response| response.attempt_id == attempt_id && response.body == message.body)
     }
 
-    /// The rules that can be judged only once all has been observed.
-    pub fn check_totals(&self) -> Vec<BrokenRule> {
+    /// Checks the rules that can be judged only at the end of the run.
+    pub fn check_complete_run(&self) -> Vec<BrokenRule> {
         let mut broken: Vec<BrokenRule> = self.requests.iter().filter_map(check_rejection).collect();
         let sent: Vec<&SentRequest> = self.requests.iter().map(|record| &record.sent).collect();
         broken.extend(check_retry_budget(&sent, &self.retries));
@@ -228,7 +230,7 @@
     }
 }
 
-/// A mutating request that was rejected with a promise must not have run.
+/// Checks that a mutating request was not executed although its rejection guaranteed that.
 fn check_rejection(record: &RequestRecord) -> Option<BrokenRule> {
     let status = record.rejected_with?;
     if record.sent.kind != RequestKind::Mutating || record.executions == 0 {
--- a/crates/fernknot-simulator/src/checks/retry_budget.rs
+++ b/crates/fernknot-simulator/src/checks/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Whether retries stayed within the budget, all gateways together.
+//! Check of the retry budget over all gateways.
 
 use crate::checks::rule::{BrokenRule, Rule};
 use crate::checks::sent_request::SentRequest;
@@ -6,93 +6,95 @@
 use fernknot::interface::Nanos;
 use std::collections::BTreeSet;
 
-/// A request that has arrived at a node once more.
+/// Repeated arrival of a request at a node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Retry {
     pub arrived_at: Nanos,
     pub gateway: usize,
 }
 
-/// Moments in order, to be counted by windows.
-struct Moments(Vec<Nanos>);
+/// Sorted timestamps, which can be counted by window.
+struct Timestamps(Vec<Nanos>);
 
-impl Moments {
-    fn new(moments: impl Iterator<Item = Nanos>) -> Moments {
-        let mut moments: Vec<Nanos> = moments.collect();
-        moments.sort_unstable();
-        Moments(moments)
+impl Timestamps {
+    fn new(timestamps: impl Iterator<Item = Nanos>) -> Timestamps {
+        let mut timestamps: Vec<Nanos> = timestamps.collect();
+        timestamps.sort_unstable();
+        Timestamps(timestamps)
     }
 
-    /// How many are in the window that begins here, both of its ends among it.
-    fn count_in_window(&self, begin: Nanos) -> usize {
-        let end = begin + RETRY_WINDOW;
-        self.0.partition_point(|at| *at <= end) - self.0.partition_point(|at| *at < begin)
+    /// Number of timestamps in the window that starts at `start`, including both ends.
+    fn count_in_window(&self, start: Nanos) -> usize {
+        let end = start + RETRY_WINDOW;
+        self.0.partition_point(|at| *at <= end) - self.0.partition_point(|at| *at < start)
     }
 
-    /// How many are in the window that begins here, in that half a window before, and in the one before.
-    fn count_around_window(&self, begin: Nanos) -> [usize; 3] {
+    /// Number of timestamps in the windows that start at `start`, half a window earlier and one window earlier.
+    fn count_around_window(&self, start: Nanos) -> [usize; 3] {
         [0.0, 0.5, 1.0].map(|windows_back| {
             let back = RETRY_WINDOW.times(windows_back);
-            // What would begin before the start of the clock ends as much earlier.
-            if back <= begin { self.count_in_window(begin - back) } else { self.count_until(begin, back) }
+            // A window that would start before time 0 is truncated.
+            if back <= start { self.count_in_window(start - back) } else { self.count_until(start, back) }
         })
     }
 
-    /// How many are in a window that begins so long before `begin` that this is before the start of the clock.
-    fn count_until(&self, begin: Nanos, back: Nanos) -> usize {
-        let end = begin + RETRY_WINDOW - back;
+    /// Number of timestamps from time 0 to the end of the window that would start `back` before `start`.
+    fn count_until(&self, start: Nanos, back: Nanos) -> usize {
+        let end = start + RETRY_WINDOW - back;
         self.0.partition_point(|at| *at <= end)
     }
 }
 
-/// In every window: the requests are those of it, of the one before, or of that half a window before, whichever are
-/// most. What a window holds changes only where it begins or ends at a retry or a request, or half a window from one.
+/// Checks every window. Its number of requests is the maximum over the window itself, the one that starts half a window
+/// earlier and the previous one. Counts change only where a window starts or ends at a retry or a request, or half a
+/// window from one, so that only those windows are checked.
 pub(super) fn check_retry_budget(requests: &[&SentRequest], retries: &[Retry]) -> Option<BrokenRule> {
-    let sent = Moments::new(requests.iter().map(|request| request.sent_at));
-    let arrived = Moments::new(retries.iter().map(|retry| retry.arrived_at));
-    let moments = sent.0.iter().chain(&arrived.0);
-    let begins: BTreeSet<Nanos> = moments.flat_map(|at| begins_of_windows_at(*at)).collect();
-    let begin = begins.into_iter().find(|begin| exceeds_budget(&sent, &arrived, *begin))?;
-    Some(describe_window(requests, retries, begin))
+    let sent = Timestamps::new(requests.iter().map(|request| request.sent_at));
+    let arrived = Timestamps::new(retries.iter().map(|retry| retry.arrived_at));
+    let timestamps = sent.0.iter().chain(&arrived.0);
+    let starts: BTreeSet<Nanos> = timestamps.flat_map(|at| window_starts_around(*at)).collect();
+    let start = starts.into_iter().find(|start| exceeds_budget(&sent, &arrived, *start))?;
+    Some(describe_window(requests, retries, start))
 }
 
-/// The beginnings of windows at which something of this moment is counted for the first or the last time, and those
-/// right after them.
-fn begins_of_windows_at(moment: Nanos) -> [Nanos; 10] {
+/// Returns the window starts at which the count of an event at this time changes, and those one nanosecond later.
+fn window_starts_around(time: Nanos) -> [Nanos; 10] {
     let half = RETRY_WINDOW.times(0.5);
-    let edges = [moment - RETRY_WINDOW, moment - half, moment, moment + half, moment + RETRY_WINDOW];
-    let after = edges.map(|edge| edge + Nanos(1));
-    std::array::from_fn(|index| if index < edges.len() { edges[index] } else { after[index - edges.len()] })
+    let boundaries = [time - RETRY_WINDOW, time - half, time, time + half, time + RETRY_WINDOW];
+    let after_boundaries = boundaries.map(|boundary| boundary + Nanos(1));
+    std::array::from_fn(|index| {
+        if index < boundaries.len() { boundaries[index] } else { after_boundaries[index - boundaries.len()] }
+    })
 }
 
 fn allowed_retries(requests: [usize; 3]) -> f64 {
-    let most = requests.into_iter().max().unwrap_or_default();
-    RETRY_RATIO * most as f64 + RETRY_SLACK
+    let max_requests = requests.into_iter().max().unwrap_or_default();
+    RETRY_RATIO * max_requests as f64 + RETRY_SLACK
 }
 
-fn exceeds_budget(sent: &Moments, arrived: &Moments, begin: Nanos) -> bool {
-    arrived.count_in_window(begin) as f64 > allowed_retries(sent.count_around_window(begin))
+fn exceeds_budget(sent: &Timestamps, arrived: &Timestamps, start: Nanos) -> bool {
+    arrived.count_in_window(start) as f64 > allowed_retries(sent.count_around_window(start))
 }
 
-fn describe_window(requests: &[&SentRequest], retries: &[Retry], begin: Nanos) -> BrokenRule {
-    let of_gateway = |gateway: usize| {
-        let its_retries = retries.iter().filter(|retry| retry.gateway == gateway);
-        let its_requests = requests.iter().filter(|request| request.gateway == gateway);
-        let arrived = Moments::new(its_retries.map(|retry| retry.arrived_at));
-        let sent = Moments::new(its_requests.map(|request| request.sent_at));
-        (arrived.count_in_window(begin), sent.count_around_window(begin))
+fn describe_window(requests: &[&SentRequest], retries: &[Retry], start: Nanos) -> BrokenRule {
+    let counts_of_gateway = |gateway: usize| {
+        let gateway_retries = retries.iter().filter(|retry| retry.gateway == gateway);
+        let gateway_requests = requests.iter().filter(|request| request.gateway == gateway);
+        let arrived = Timestamps::new(gateway_retries.map(|retry| retry.arrived_at));
+        let sent = Timestamps::new(gateway_requests.map(|request| request.sent_at));
+        (arrived.count_in_window(start), sent.count_around_window(start))
     };
     let gateways: BTreeSet<usize> = requests.iter().map(|request| request.gateway).collect();
     let by_gateway: Vec<String> = gateways
         .into_iter()
-        .map(|gateway| (gateway, of_gateway(gateway)))
+        .map(|gateway| (gateway, counts_of_gateway(gateway)))
         .map(|(gateway, (retries, requests))| format!("{retries} by gateway {gateway} for {requests:?}"))
         .collect();
-    let retry_count = Moments::new(retries.iter().map(|retry| retry.arrived_at)).count_in_window(begin);
-    let sent = Moments::new(requests.iter().map(|request| request.sent_at));
-    let allowed = allowed_retries(sent.count_around_window(begin));
-    let (begin_ms, by_gateway) = (begin.as_millis(), by_gateway.join(", "));
+    let retry_count = Timestamps::new(retries.iter().map(|retry| retry.arrived_at)).count_in_window(start);
+    let sent = Timestamps::new(requests.iter().map(|request| request.sent_at));
+    let allowed = allowed_retries(sent.count_around_window(start));
+    let (start_ms, by_gateway) = (start.as_millis(), by_gateway.join(", "));
     let text =
-        format!("{retry_count} retries from {begin_ms:.0} ms on, {allowed:.1} are allowed: {by_gateway}");
+        format!("{retry_count} retries from {start_ms:.0} ms on, {allowed:.1} are allowed: {by_gateway}");
     BrokenRule::new(Rule::Budget, text)
 }
--- a/crates/fernknot-simulator/src/checks/rule.rs
+++ b/crates/fernknot-simulator/src/checks/rule.rs
@@ -1,43 +1,43 @@
-//! The rules that the checkers judge, and their violations.
+//! Rules that the checkers verify, and their violations.
 
 use fernknot::interface::Nanos;
 use std::fmt;
 
-/// A rule; `docs/simulator.md` says what each of them asks.
+/// A rule that every run must keep. `docs/simulator.md` defines the rules in detail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Changes and drains have a clear response in time, once the system is calm.
+    /// Changes and drains receive a definitive response within the deadline while the core is undisturbed.
     Acks,
-    /// Subscribers in touch hold an acknowledged version in time, and all hold the newest in the end.
+    /// Subscribers in contact have an acknowledged version within the deadline, and all have the newest at the end.
     Apply,
-    /// Retries stay within the budget.
+    /// Retries stay within the retry budget.
     Budget,
-    /// What is acknowledged stays, what is rejected is never in force, and nobody goes back.
+    /// Acknowledged changes persist, rejected ones are never in force, and no process reverts to an older version.
     Config,
-    /// No route of every version is denied.
+    /// Requests on a route that every version contains are not answered with an unexpected status.
     Denied,
-    /// Nobody in touch takes a node for ready, or sends to it, too long after its drain.
+    /// No process in contact considers a node ready, or sends requests to it, after the drain cutoff.
     Drain,
-    /// The operators' history is that of one register.
+    /// The operators' history is linearizable as that of one register.
     Linearizable,
-    /// In the end every controller hands out the newest acknowledged version.
+    /// At the end every controller returns the newest acknowledged version.
     Lost,
-    /// A client gets the whole response to its own request.
+    /// A client receives the complete response to its own request.
     Mixed,
-    /// A request that was rejected with a promise doesn't run.
+    /// A mutating request is not executed if its rejection guarantees that.
     Refused,
     /// A gateway accepts its settings.
     Settings,
-    /// A mutating request runs once.
+    /// A mutating request is executed at most once.
     Twice,
-    /// A node gets what a client sent, as it was sent.
+    /// A node receives only requests that clients sent, unchanged.
     Unasked,
-    /// The search for an order of the history was given up: nothing is known.
+    /// The linearizability search exceeded its step limit without a verdict.
     Undecided,
 }
 
 impl Rule {
-    /// The name in what is printed.
+    /// Returns the name in printed output.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Acks => "ACKS",
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether it holds however much is lost.
+    /// Returns whether the rule must hold even beyond the fault budget.
     pub(crate) fn is_safety(self) -> bool {
         matches!(self, Rule::Config | Rule::Linearizable | Rule::Undecided)
     }
@@ -69,18 +69,18 @@
     }
 }
 
-/// A rule that was broken in a run.
+/// Violation of a rule in a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// Violated rule.
     pub rule: Rule,
-    /// When it was noticed, in simulated time.
+    /// Simulated time at which the violation was detected.
     pub at: Nanos,
-    /// What broke it.
+    /// Description of the violation.
     pub text: String,
 }
 
-/// A rule that a checker without a clock has found broken, and by what.
+/// Violation found by a checker that does not know the current time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct BrokenRule {
     pub rule: Rule,
--- a/crates/fernknot-simulator/src/checks/sent_request.rs
+++ b/crates/fernknot-simulator/src/checks/sent_request.rs
@@ -1,13 +1,13 @@
-//! Requests as clients send them.
+//! Requests of clients to gateways.
 
 use fernknot::interface::Nanos;
 
-/// What a request may do.
+/// Kind of a request, which determines its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
     Mutating,
     Idempotent,
-    /// On the route that only the version with this body has.
+    /// Request on the route that only the version with this body contains.
     Probe(u64),
 }
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// A request as a client sends it.
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub(crate) struct SentRequest {
     pub attempt_id: String,
@@ -25,9 +25,9 @@
     pub target: String,
     pub body: Vec<u8>,
     pub sent_at: Nanos,
-    /// The gateway that gets it, with its incarnation at that time.
+    /// Gateway that receives the request, with its incarnation at that time.
     pub gateway: usize,
     pub incarnation: u64,
-    /// The gateway was in touch as it was sent.
-    pub is_gateway_in_touch: bool,
+    /// Whether the gateway was in contact when the request was sent.
+    pub is_gateway_in_contact: bool,
 }
--- a/crates/fernknot-simulator/src/control_clients/configs.rs
+++ b/crates/fernknot-simulator/src/control_clients/configs.rs
@@ -1,11 +1,11 @@
-//! Configurations as operators write and read them.
+//! Routing configurations that operators send, and their versions.
 
 use crate::linearizability::Version;
 
-/// Routes that every version has, in runs with gateways.
+/// Routes that every version contains in runs with gateways.
 const TRAFFIC_ROUTES: &str = r#",{"name":"m","authority":"a.example","path_prefix":"/m/","traffic_class":"mutating","deadline_ms":1200,"target_ms":120,"rank":0,"backend":"books","tries":2},{"name":"i","authority":"a.example","path_prefix":"/i/","traffic_class":"idempotent","deadline_ms":1200,"target_ms":120,"rank":1,"backend":"books","tries":3}"#;
 
-/// A valid configuration; the path of its first route distinguishes it from others with the same epoch.
+/// Encodes a valid configuration. The path of its first route distinguishes it from others with the same epoch.
 pub(super) fn raw_config(version: Version, has_traffic_routes: bool) -> String {
     let Version { epoch, body } = version;
     let more_routes = if has_traffic_routes { TRAFFIC_ROUTES } else { "" };
@@ -14,7 +14,7 @@
     )
 }
 
-/// Which configuration this is; none where no operator wrote it.
+/// Returns the version of a configuration; `None` if no operator sent it.
 pub(super) fn version_of(config: &[u8]) -> Option<Version> {
     let config: serde_json::Value = serde_json::from_slice(config).ok()?;
     let path = config.pointer("/routes/0/path_prefix")?.as_str()?;
--- a/crates/fernknot-simulator/src/control_clients/events.rs
+++ b/crates/fernknot-simulator/src/control_clients/events.rs
@@ -1,4 +1,4 @@
-//! The events of operators and nodes, and the look at what must not last.
+//! Events of operators and nodes, and the periodic check of acknowledgement deadlines.
 
 use crate::checks::rule::Rule;
 use crate::control_clients::state::{ControlClientEvent, Purpose};
@@ -7,7 +7,7 @@
 use crate::time::millis;
 use fernknot::interface::Nanos;
 
-/// How often requests without a response are looked at.
+/// Interval between checks of requests without a response.
 const CHECK_INTERVAL: Nanos = millis(100);
 
 impl Simulation {
@@ -42,13 +42,14 @@
         }
     }
 
-    /// Changes and drains have a clear response in time, once the system is calm.
+    /// Reports a change or drain without a definitive response within the acknowledgement deadline. Time counts only
+    /// while the core is stable, no link is partitioned and no fault drops responses.
     fn check_acknowledgements(&mut self) {
-        let is_calm =
+        let is_undisturbed =
             self.is_core_stable() && !self.network.has_partitions() && self.faults.response_losses == 0;
-        let calm_since = self.control_clients.calm_since.filter(|_| is_calm);
-        self.control_clients.calm_since = calm_since.or(is_calm.then_some(self.now));
-        let Some(since) = self.control_clients.calm_since else { return };
+        let undisturbed_since = self.control_clients.undisturbed_since.filter(|_| is_undisturbed);
+        self.control_clients.undisturbed_since = undisturbed_since.or(is_undisturbed.then_some(self.now));
+        let Some(since) = self.control_clients.undisturbed_since else { return };
         let deadline = self.settings.bounds.ack_deadline;
         let must_be_acknowledged =
             |purpose: Purpose| matches!(purpose, Purpose::Replace(_) | Purpose::Drain(_));
@@ -58,9 +59,9 @@
             .values()
             .filter(|request| must_be_acknowledged(request.purpose))
             .map(|request| (request.purpose, request.started_at.max(since)))
-            .find(|(_, waits_since)| self.now - *waits_since > deadline);
-        if let Some((purpose, waits_since)) = late {
-            let since_ms = waits_since.as_millis();
+            .find(|(_, waiting_since)| self.now - *waiting_since > deadline);
+        if let Some((purpose, waiting_since)) = late {
+            let since_ms = waiting_since.as_millis();
             self.report(
                 Rule::Acks,
                 format!("{purpose:?} has no clear response, calm since {since_ms:.0} ms"),
--- a/crates/fernknot-simulator/src/control_clients/nodes.rs
+++ b/crates/fernknot-simulator/src/control_clients/nodes.rs
@@ -1,14 +1,14 @@
-//! Nodes as the control plane sees them: they send heartbeats, drain, deregister, crash and come again under another id.
+//! Nodes as clients of the control plane: they send heartbeats, drain, deregister, crash and return with another id.
 
 use crate::control_clients::state::{ControlClientEvent, Node, NodePhase, Purpose, node_id};
 use crate::simulation::Simulation;
 use crate::time::{NEVER, millis};
 
-/// What a node does in a turn.
-enum NodeCall {
-    /// It ends without telling anybody.
+/// Action of a node in one turn.
+enum NodeAction {
+    /// Ends without notifying a controller.
     Crash,
-    /// A heartbeat with this state, which is also what the request is for.
+    /// Sends a heartbeat with this state.
     Heartbeat {
         state: &'static str,
         purpose: Purpose,
@@ -20,50 +20,50 @@
     pub(super) fn node_turn(&mut self, index: usize) {
         let next_incarnation = self.next_sequence();
         let crashes = self.rng.below(8) == 0;
-        let ready_for = self.rng.between(millis(3000), millis(9000));
+        let ready_duration = self.rng.between(millis(3000), millis(9000));
         let now = self.now;
         let node = &mut self.control_clients.nodes[index];
         node.call_sequence += 1;
-        if node.phase == NodePhase::Out {
+        if node.phase == NodePhase::Stopped {
             *node = Node {
                 incarnation: next_incarnation,
                 call_sequence: 1,
                 phase: NodePhase::Ready,
-                phase_ends_at: now + ready_for,
+                phase_ends_at: now + ready_duration,
             };
         }
-        match self.next_node_call(index, crashes) {
-            NodeCall::Crash => {}
-            NodeCall::Deregister => self.send_deregistration(index),
-            NodeCall::Heartbeat { state, purpose } => self.send_heartbeat(index, state, purpose),
+        match self.next_node_action(index, crashes) {
+            NodeAction::Crash => {}
+            NodeAction::Deregister => self.send_deregistration(index),
+            NodeAction::Heartbeat { state, purpose } => self.send_heartbeat(index, state, purpose),
         }
         let interval = self.settings.bounds.heartbeat_interval;
         self.schedule_client(interval, ControlClientEvent::NodeTurn(index));
     }
 
-    fn next_node_call(&mut self, index: usize, crashes: bool) -> NodeCall {
+    fn next_node_action(&mut self, index: usize, crashes: bool) -> NodeAction {
         let node = &mut self.control_clients.nodes[index];
         let has_phase_ended = node.phase_ends_at < self.now;
-        let heartbeat = |state| NodeCall::Heartbeat { state, purpose: Purpose::Heartbeat(index) };
+        let heartbeat = |state| NodeAction::Heartbeat { state, purpose: Purpose::Heartbeat(index) };
         match node.phase {
             NodePhase::Ready if has_phase_ended && crashes => {
-                node.phase = NodePhase::Out;
+                node.phase = NodePhase::Stopped;
                 if self.settings.gateways > 0 {
                     self.stop_node(index);
-                    return NodeCall::Crash;
+                    return NodeAction::Crash;
                 }
                 heartbeat("ready")
             }
             NodePhase::Ready if has_phase_ended => {
                 node.phase = NodePhase::Draining;
-                NodeCall::Heartbeat { state: "draining", purpose: Purpose::Drain(index) }
+                NodeAction::Heartbeat { state: "draining", purpose: Purpose::Drain(index) }
             }
             NodePhase::Leaving if has_phase_ended => {
                 node.phase_ends_at = NEVER;
-                NodeCall::Deregister
+                NodeAction::Deregister
             }
             NodePhase::Draining | NodePhase::Leaving => heartbeat("draining"),
-            NodePhase::Ready | NodePhase::Out => heartbeat("ready"),
+            NodePhase::Ready | NodePhase::Stopped => heartbeat("ready"),
         }
     }
 
@@ -74,11 +74,11 @@
     }
 
     fn send_heartbeat(&mut self, index: usize, state: &str, purpose: Purpose) {
-        // A heartbeat without a response by the time of the next is forgotten.
+        // The next heartbeat replaces one that is still without a response.
         self.control_clients.requests.retain(|_, request| request.purpose != Purpose::Heartbeat(index));
         let node = &self.control_clients.nodes[index];
         let (incarnation, sequence) = (node.incarnation, node.call_sequence);
-        // With gateways a node keeps its address through all incarnations.
+        // With gateways a node keeps its address across incarnations.
         let octet = if self.settings.gateways > 0 { 1 } else { incarnation % 250 + 1 };
         let body = format!(
             r#"{{"backend":"books","address":"10.9.{index}.{octet}:80","zone":"zone-{index}","epoch":"v1","capacity":3,
--- a/crates/fernknot-simulator/src/control_clients/operators.rs
+++ b/crates/fernknot-simulator/src/control_clients/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: they read the configuration and change it.
+//! Operators, which read and change the configuration.
 
 use crate::checks::observations::ChangeRecord;
 use crate::control_clients::configs::raw_config;
@@ -8,22 +8,22 @@
 use crate::time::millis;
 use fernknot::interface::Nanos;
 
-/// Changes that operators have under way at one time.
+/// Maximum number of concurrent changes of all operators.
 const MAX_CHANGES_IN_FLIGHT: usize = 8;
-/// Reads of one run.
+/// Number of reads in a run after which floods stop.
 const MAX_READS: usize = 300;
-/// An operator that gives a change up does so after this.
-const CHANGE_PATIENCE: Nanos = millis(2000);
-/// A read of a flood is given up after this.
-const FLOOD_READ_PATIENCE: Nanos = millis(1500);
+/// Time after which an operator abandons a change, if it abandons it at all.
+const CHANGE_ABANDON_TIMEOUT: Nanos = millis(2000);
+/// Time after which a read of a flood is abandoned.
+const FLOOD_READ_TIMEOUT: Nanos = millis(1500);
 
 impl Simulation {
     pub(super) fn operator_turn(&mut self, index: usize) {
-        if self.control_clients.is_closing {
+        if self.control_clients.in_final_phase {
             return;
         }
         let operator = &mut self.control_clients.operators[index];
-        let delay = match operator.is_hurrying {
+        let delay = match operator.in_change_storm {
             true => operator.rng.between(millis(20), millis(120)),
             false => operator.rng.between(millis(150), millis(1500)),
         };
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends an acknowledged change again: the last one, or any.
+    /// Resends an acknowledged change: the last one, or with `any` a random one.
     fn resend_change(&mut self, any: bool) {
         let acknowledged = self.changes_where(ChangeRecord::is_committed);
         let last = acknowledged.last().copied().filter(|_| !any);
@@ -52,12 +52,12 @@
         }
     }
 
-    fn changes_where(&self, holds: impl Fn(&ChangeRecord) -> bool) -> Vec<usize> {
+    fn changes_where(&self, predicate: impl Fn(&ChangeRecord) -> bool) -> Vec<usize> {
         let changes = &self.observations.changes;
-        (0..changes.len()).filter(|index| holds(&changes[*index])).collect()
+        (0..changes.len()).filter(|index| predicate(&changes[*index])).collect()
     }
 
-    /// Changes that were given up without a clear response are sent again.
+    /// Resends abandoned changes that have no definitive response.
     pub(crate) fn resume_changes(&mut self) {
         let pending = self.control_clients.pending_changes();
         for change in self.changes_where(|change| change.completion.is_none()) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A new change of this operator, on top of the version with the number `base`.
+    /// Sends a new change of this operator, which replaces the version with the epoch `base`.
     pub(crate) fn submit_change(&mut self, operator: usize, base: u64, epoch: u64) {
         let changes = self.observations.changes.len();
         let pending = self.control_clients.pending_changes().len();
@@ -79,9 +79,9 @@
         let change = ChangeRecord { base, version, invoked_at, completion: None, operator };
         self.observations.changes.push(change);
         self.send_change(Purpose::Replace(changes));
-        let give_up_at = self.now + CHANGE_PATIENCE;
+        let give_up_at = self.now + CHANGE_ABANDON_TIMEOUT;
         if self.rng.one_in(12)
-            && !self.control_clients.is_closing
+            && !self.control_clients.in_final_phase
             && let Some(request) = self.control_clients.last_request()
         {
             request.give_up_at = Some(give_up_at);
@@ -92,7 +92,7 @@
         let (Purpose::Replace(change) | Purpose::Resend(change)) = purpose else { return };
         let ChangeRecord { base, version, .. } = self.observations.changes[change];
         let mut body = raw_config(version, self.settings.gateways > 0);
-        // The same by its value: operators format as they like.
+        // The same JSON value in another formatting, which must count as the same change.
         if matches!(purpose, Purpose::Resend(_)) && self.rng.one_in(2) {
             body = body.replace(',', " ,\n  ");
         }
@@ -100,20 +100,20 @@
         self.begin_request(purpose, &head, &body, None);
     }
 
-    /// Reads the newest configuration, for an operator or for the checkers.
+    /// Sends a read of the newest configuration, for an operator or for the checkers.
     pub(crate) fn send_read(&mut self, operator: Option<usize>, only_machine: Option<usize>) {
         let head = "GET /-/config/read HTTP/1.1\r\nHost: x\r\n";
         self.begin_request(Purpose::Read { operator }, head, "", only_machine);
     }
 
-    /// Operators act without a pause, while it lasts.
-    pub(crate) fn set_hurry(&mut self, is_hurrying: bool) {
+    /// Begins or ends a change storm, in which operators pause only briefly between operations.
+    pub(crate) fn set_change_storm(&mut self, in_change_storm: bool) {
         for operator in &mut self.control_clients.operators {
-            operator.is_hurrying = is_hurrying;
+            operator.in_change_storm = in_change_storm;
         }
     }
 
-    /// Eight changes at once on one version, by two operators who choose from two numbers.
+    /// Sends as many concurrent changes as are allowed, all based on one version, by two operators with two epochs.
     pub(crate) fn submit_concurrent_changes(&mut self) {
         let base = self.control_clients.newest_known_epoch();
         for change in 0..MAX_CHANGES_IN_FLIGHT {
@@ -121,10 +121,10 @@
         }
     }
 
-    /// Reads at one machine, and changes anywhere, without a pause for so long.
+    /// Sends a read to one machine and at times a change to any machine, and repeats this for the duration `remaining`.
     pub(crate) fn flood_machine(&mut self, machine: usize, remaining: Nanos) {
         self.send_read(None, Some(machine));
-        let give_up_at = self.now + FLOOD_READ_PATIENCE;
+        let give_up_at = self.now + FLOOD_READ_TIMEOUT;
         if let Some(request) = self.control_clients.last_request() {
             request.give_up_at = Some(give_up_at);
         }
@@ -139,8 +139,8 @@
             _ => {}
         }
         let pause = self.rng.between(millis(10), millis(60));
-        let may_go_on = self.observations.reads.len() < MAX_READS && !self.control_clients.is_closing;
-        if remaining > pause && may_go_on {
+        let may_continue = self.observations.reads.len() < MAX_READS && !self.control_clients.in_final_phase;
+        if remaining > pause && may_continue {
             let remaining = remaining - pause;
             self.schedule_client(pause, ControlClientEvent::Flood { machine, remaining });
         }
--- a/crates/fernknot-simulator/src/control_clients/outcomes.rs
+++ b/crates/fernknot-simulator/src/control_clients/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a clear response means for the client that asked, and for the checkers.
+//! Handling of definitive responses: updates of the client's state, and observations for the checkers.
 
 use crate::checks::observations::DrainRecord;
 use crate::checks::rule::Rule;
@@ -28,7 +28,7 @@
             Purpose::Heartbeat(_) => {}
             Purpose::Drain(node) => self.drain_completed(node, attempt, response),
             Purpose::Deregister(node) => {
-                self.control_clients.nodes[node].phase = NodePhase::Out;
+                self.control_clients.nodes[node].phase = NodePhase::Stopped;
                 self.stop_node(node);
             }
         }
@@ -87,9 +87,9 @@
             completion: Some(Completion { at: completed_at, result: OperationResult::Value(found) }),
         });
         if let Some(version) = found {
-            self.observations.record_sighting(version, completed_at);
+            self.observations.record_observed_version(version, completed_at);
         }
-        if request.only_machine.is_some() && self.control_clients.is_closing {
+        if request.only_machine.is_some() && self.control_clients.in_final_phase {
             self.observations.final_reads.insert(machine, found);
         }
         if let Some(operator) = operator.and_then(|index| self.control_clients.operators.get_mut(index)) {
@@ -99,7 +99,7 @@
 
     fn drain_completed(&mut self, index: usize, attempt: &Attempt, response: &ControlResponse) {
         let incarnation = self.control_clients.nodes[index].incarnation;
-        // Also where the machine that acknowledges it is out of touch.
+        // An acknowledgement counts even if the machine that sends it is not in contact.
         if response.is_success() {
             self.observations.drain_count += 1;
             self.observations.drains.push(DrainRecord {
--- a/crates/fernknot-simulator/src/control_clients/requests.rs
+++ b/crates/fernknot-simulator/src/control_clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the control plane: attempts, retries and time-outs.
+//! Requests to the control plane: their attempts, retries and time-outs.
 
 use crate::control_clients::state::{Attempt, ControlClientEvent, ControlRequest, ControlResponse, Purpose};
 use crate::controllers::machine::Input;
@@ -10,20 +10,20 @@
 use fernknot::interface::Nanos;
 use fernknot_http_api::Reply;
 
-/// An attempt without a response ends after this.
+/// Time after which an attempt without a response fails.
 const ATTEMPT_TIMEOUT: Nanos = millis(1000);
 const INITIAL_BACKOFF: Nanos = millis(50);
 const MAX_BACKOFF: Nanos = millis(1000);
 const BACKOFF_FACTOR: f64 = 1.6;
-/// Rejections that may not be final end a request when they come so often.
+/// Number of rejections, also of those that are not definitive, after which a request ends.
 const MAX_REJECTIONS: usize = 3;
-/// Characters of a response in the log.
+/// Maximum length of a response's body in the log, in characters.
 const MAX_EXCERPT_CHARS: usize = 90;
-/// Zone of the clients of the control plane, and the number that delays are sampled for.
-const CLIENT: usize = 0;
+/// Zone of the control plane's clients, from which their network delays are sampled.
+const CLIENT_ZONE: usize = 0;
 
 impl Simulation {
-    /// Begins a request; `only_machine` is the only one that is asked, if it is one.
+    /// Begins a request. All attempts go to `only_machine`, if one is given.
     pub(super) fn begin_request(
         &mut self,
         purpose: Purpose,
@@ -47,7 +47,7 @@
         self.send_attempt(id);
     }
 
-    /// Sends a request to an advertised controller, another one than the last.
+    /// Sends a request to an advertised controller other than the one of the last attempt, if there is another.
     pub(super) fn send_attempt(&mut self, request_id: u64) {
         let Some(request) = self.control_clients.requests.get(&request_id) else { return };
         let (purpose, last) = (request.purpose, request.last_machine);
@@ -59,13 +59,13 @@
         let attempt = Attempt { request_id, machine, incarnation: 0, invoked_at: id, is_answered: false };
         self.control_clients.attempts.insert(id, attempt);
         self.trace(|| format!("call {id}: {purpose:?} to {machine}"));
-        // The connection is opened first, which takes a round trip.
-        let round_trip = self.sample_delay(CLIENT, machine) + self.sample_delay(machine, CLIENT);
-        let delay = round_trip + self.sample_delay(CLIENT, machine);
+        // Opening the connection takes a round trip.
+        let round_trip = self.sample_delay(CLIENT_ZONE, machine) + self.sample_delay(machine, CLIENT_ZONE);
+        let delay = round_trip + self.sample_delay(CLIENT_ZONE, machine);
         self.schedule_client(delay, ControlClientEvent::AttemptArrives(id));
         self.schedule_client(ATTEMPT_TIMEOUT, ControlClientEvent::AttemptTimeout(id));
         if matches!(purpose, Purpose::Replace(_)) {
-            self.fire_trigger(Trigger::Sent);
+            self.fire_trigger(Trigger::ChangeSent);
         }
     }
 
@@ -94,7 +94,7 @@
         self.schedule_client(delay, ControlClientEvent::AttemptEnded { attempt, response });
     }
 
-    /// A controller has answered an attempt.
+    /// Sends a controller's response to the client of an attempt.
     pub(crate) fn respond(&mut self, machine: usize, attempt_id: u64, reply: &Reply) {
         let attempt_id = self.attempt_to_answer(machine, attempt_id);
         let attempts = &mut self.control_clients.attempts;
@@ -105,16 +105,16 @@
         let Some(request) = self.control_clients.requests.get(&attempt.request_id) else { return };
         let purpose = request.purpose;
         let response = ControlResponse { status: reply.status, body: reply.body.bytes().to_vec() };
-        let response = self.with_seeded_bug(machine, purpose, response);
+        let response = self.apply_seeded_bug(machine, purpose, response);
         let status = response.status;
         self.trace(|| format!("call {attempt_id}: {machine} answers {status} {}", excerpt(&response.body)));
         if matches!(purpose, Purpose::Replace(_) | Purpose::Resend(_)) && status == 200 {
             self.faults.last_acknowledger = Some(machine);
-            self.fire_trigger(Trigger::Acknowledged);
+            self.fire_trigger(Trigger::ChangeAcknowledged);
         }
-        let delay = self.sample_delay(machine, CLIENT);
+        let delay = self.sample_delay(machine, CLIENT_ZONE);
         if self.machines[machine].loses_responses && !self.rng.one_in(3) {
-            // The connection ends with it, or nothing comes at all.
+            // The connection ends without a response, or the client receives nothing at all.
             if self.rng.one_in(2) {
                 self.end_attempt(delay, attempt_id, None);
             }
@@ -123,21 +123,22 @@
         self.end_attempt(delay, attempt_id, Some(response));
     }
 
-    /// The attempt that gets a response: with a seeded bug another one that waits at this machine, if there is one.
+    /// Returns the attempt that receives a response: `id`, or with the seeded bug `SwapsResponses` another pending
+    /// attempt at this machine, if there is one.
     fn attempt_to_answer(&self, machine: usize, id: u64) -> u64 {
         if !self.settings.has_bug(SeededBug::SwapsResponses) {
             return id;
         }
-        let waits_here = |attempt: &Attempt| {
+        let is_pending_here = |attempt: &Attempt| {
             attempt.machine == machine && attempt.incarnation != 0 && !attempt.is_answered
         };
         let mut attempts = self.control_clients.attempts.iter();
-        let other = attempts.find(|(other, attempt)| **other != id && waits_here(attempt));
+        let other = attempts.find(|(other, attempt)| **other != id && is_pending_here(attempt));
         other.map_or(id, |(other, _)| *other)
     }
 
-    /// A response, distorted by the seeded bug, if that distorts responses.
-    fn with_seeded_bug(
+    /// Modifies a response if the seeded bug requires it.
+    fn apply_seeded_bug(
         &mut self,
         machine: usize,
         purpose: Purpose,
@@ -158,7 +159,7 @@
         response
     }
 
-    /// What was read at this machine before; at times it is replaced by what is read now.
+    /// Returns the body of an earlier read at this machine, and at times replaces it with the current one.
     fn stale_body(&mut self, machine: usize, body: Vec<u8>) -> Vec<u8> {
         let stale = self.observations.stale_responses.entry(machine).or_insert_with(|| body.clone()).clone();
         if self.rng.one_in(4) {
@@ -167,8 +168,8 @@
         stale
     }
 
-    /// A process has ended, or its connections were reset: attempts there get no response. Clients learn of it unless
-    /// the machine has lost power.
+    /// Ends the pending attempts at a process that has ended or whose connections were reset. Clients are notified
+    /// unless the machine has lost power.
     pub(crate) fn drop_control_calls(&mut self, machine: usize, incarnation: u64, loses_power: bool) {
         let mut dropped = Vec::new();
         for (id, attempt) in &mut self.control_clients.attempts {
@@ -191,9 +192,9 @@
         let Some(attempt) = self.control_clients.attempts.get(&id) else { return };
         let (machine, incarnation) = (attempt.machine, attempt.incarnation);
         self.attempt_ended(id, None);
-        // The process learns that its caller has gone.
+        // The process is notified that the client has closed its connection.
         if incarnation != 0 && self.machines[machine].incarnation == incarnation {
-            let delay = self.sample_delay(CLIENT, machine);
+            let delay = self.sample_delay(CLIENT_ZONE, machine);
             self.schedule_input(delay, machine, incarnation, Input::CallCancelled(id));
         }
     }
@@ -204,7 +205,7 @@
         let Some(request) = self.control_clients.requests.get_mut(&request_id) else { return };
         if let Some(response) = response {
             request.rejections += usize::from(is_rejection(response.status));
-            if is_clear(response.status) || request.rejections >= MAX_REJECTIONS {
+            if is_definitive(response.status) || request.rejections >= MAX_REJECTIONS {
                 return self.request_completed(request_id, &attempt, &response);
             }
         }
@@ -219,13 +220,13 @@
     }
 }
 
-/// Whether a status rejects the request, though perhaps not for good.
+/// Returns whether a status rejects the request, definitively or not.
 fn is_rejection(status: u16) -> bool {
     matches!(status, 400..500) && !matches!(status, 408 | 429)
 }
 
-/// Whether a status ends the request.
-fn is_clear(status: u16) -> bool {
+/// Returns whether a status is a definitive response, which ends the request.
+fn is_definitive(status: u16) -> bool {
     matches!(status, 200..300 | 400 | 404 | 409 | 412 | 413 | 422)
 }
 
--- a/crates/fernknot-simulator/src/control_clients/state.rs
+++ b/crates/fernknot-simulator/src/control_clients/state.rs
@@ -1,4 +1,4 @@
-//! What operators and nodes have under way.
+//! State of operators and nodes, and their pending requests.
 
 use crate::rng::Rng;
 use crate::settings::Settings;
@@ -6,16 +6,16 @@
 use fernknot_http_api::Request;
 use std::collections::BTreeMap;
 
-const OPERATORS: u64 = 2;
+const OPERATOR_COUNT: u64 = 2;
 
-/// What a request is for.
+/// Purpose of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// A change of the configuration, by its number, until it has a clear response.
+    /// Change of the configuration, by its index, retried until it has a definitive response.
     Replace(usize),
-    /// An acknowledged change once more.
+    /// Repetition of an acknowledged change, by its index.
     Resend(usize),
-    /// The newest configuration, for an operator or for the checkers.
+    /// Read of the newest configuration, for an operator or for the checkers.
     Read {
         operator: Option<usize>,
     },
@@ -24,41 +24,41 @@
     Deregister(usize),
 }
 
-/// One request with all its attempts.
+/// A request, which may need several attempts.
 pub(crate) struct ControlRequest {
     pub purpose: Purpose,
     pub request: Request,
-    /// The only machine that is asked, if it is one.
+    /// Machine to which all attempts go; `None` if any controller may be called.
     pub only_machine: Option<usize>,
     pub started_at: Nanos,
-    /// How long the next attempt waits after a failure.
+    /// Delay of the next attempt after a failure.
     pub backoff: Nanos,
-    /// Rejections that may not be final.
+    /// Number of attempts that were rejected.
     pub rejections: usize,
     pub last_machine: Option<usize>,
-    /// The operator gives the request up then.
+    /// Time after which a failed attempt is not retried.
     pub give_up_at: Option<Nanos>,
 }
 
-/// One attempt of a request at one machine.
+/// An attempt of a request at one machine.
 pub(crate) struct Attempt {
     pub request_id: u64,
     pub machine: usize,
-    /// The incarnation of the process that has it; 0 before it arrives.
+    /// Incarnation of the process that received the attempt; 0 before it arrives.
     pub incarnation: u64,
-    /// Its place in the one sequence of all events.
+    /// Sequence number of the attempt among all events.
     pub invoked_at: u64,
     pub is_answered: bool,
 }
 
 impl Attempt {
-    /// Whether this incarnation has the attempt and has not answered it.
+    /// Returns whether this incarnation has received the attempt and has not answered it.
     pub fn is_pending_at(&self, machine: usize, incarnation: u64) -> bool {
         self.machine == machine && self.incarnation == incarnation && !self.is_answered
     }
 }
 
-/// A response as a client reads it.
+/// Response of a controller as read by a client.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlResponse {
     pub status: u16,
@@ -67,14 +67,14 @@
 
 pub(crate) struct Operator {
     pub rng: Rng,
-    /// The newest version by its own calls; 0 for none.
+    /// Newest epoch known from the operator's own calls; 0 for none.
     pub newest_epoch: u64,
-    /// It reads before it does anything else.
+    /// Whether the operator's next operation is a read.
     pub reads_next: bool,
-    pub is_hurrying: bool,
+    pub in_change_storm: bool,
 }
 
-/// A node, as the control plane knows it.
+/// State of a node as a client of the control plane.
 pub(crate) struct Node {
     pub incarnation: u64,
     pub call_sequence: u64,
@@ -86,16 +86,16 @@
 pub(crate) enum NodePhase {
     Ready,
     Draining,
-    /// Its drain has been acknowledged; it deregisters soon.
+    /// The drain has been acknowledged; the node deregisters when the phase ends.
     Leaving,
-    Out,
+    Stopped,
 }
 
-/// What operators and nodes do next.
+/// Scheduled event of operators and nodes.
 #[derive(Clone, Debug)]
 pub(crate) enum ControlClientEvent {
     AttemptArrives(u64),
-    /// A response, or none as the connection ended.
+    /// Ends an attempt with a response, or without one if the connection ended.
     AttemptEnded {
         attempt: u64,
         response: Option<ControlResponse>,
@@ -107,42 +107,42 @@
     OperatorTurn(usize),
     NodeTurn(usize),
     CheckDeadlines,
-    /// One of many reads at a machine, for so long.
+    /// Continues a flood of requests at a machine for the duration `remaining`.
     Flood {
         machine: usize,
         remaining: Nanos,
     },
 }
 
-/// All operators and nodes, and their requests.
+/// Operators and nodes with their requests.
 pub(crate) struct ControlClients {
     pub requests: BTreeMap<u64, ControlRequest>,
     pub attempts: BTreeMap<u64, Attempt>,
     pub operators: Vec<Operator>,
     pub nodes: Vec<Node>,
-    /// Since when nothing has disturbed the system.
-    pub calm_since: Option<Nanos>,
-    /// Operators begin nothing more of their own accord.
-    pub is_closing: bool,
+    /// Start of the current period without disturbances, for the acknowledgement deadline.
+    pub undisturbed_since: Option<Nanos>,
+    /// Whether the run is in its final phase, in which operators start no operations of their own and no fault begins.
+    pub in_final_phase: bool,
 }
 
-/// The id of a node's incarnation.
+/// Returns the id of a node's incarnation.
 pub(crate) fn node_id(incarnation: u64) -> String {
     format!("i-{incarnation}")
 }
 
 impl ControlClients {
     pub fn new(settings: &Settings) -> ControlClients {
-        let operators = (0..OPERATORS).map(|operator| Operator {
+        let operators = (0..OPERATOR_COUNT).map(|operator| Operator {
             rng: Rng::new(settings.seed ^ (0x0be0 + operator) << 40),
             newest_epoch: 0,
             reads_next: false,
-            is_hurrying: false,
+            in_change_storm: false,
         });
         let nodes = (0..settings.nodes).map(|_| Node {
             incarnation: 0,
             call_sequence: 0,
-            phase: NodePhase::Out,
+            phase: NodePhase::Stopped,
             phase_ends_at: Nanos(0),
         });
         ControlClients {
@@ -150,24 +150,24 @@
             attempts: BTreeMap::new(),
             operators: operators.collect(),
             nodes: nodes.collect(),
-            calm_since: None,
-            is_closing: false,
+            undisturbed_since: None,
+            in_final_phase: false,
         }
     }
 
-    /// What the attempt with this number asks, while it is under way.
+    /// Returns the request of a pending attempt.
     pub fn request_of(&self, attempt: u64) -> Option<&Request> {
         let attempt = self.attempts.get(&attempt)?;
         Some(&self.requests.get(&attempt.request_id)?.request)
     }
 
-    /// The id of the incarnation that a node has now, if it has one that serves.
+    /// Returns the id of a node's current incarnation; `None` if the node is stopped.
     pub fn node_incarnation(&self, node: usize) -> Option<String> {
-        let node = self.nodes.get(node).filter(|node| node.phase != NodePhase::Out)?;
+        let node = self.nodes.get(node).filter(|node| node.phase != NodePhase::Stopped)?;
         Some(node_id(node.incarnation))
     }
 
-    /// Changes that have no clear response yet.
+    /// Returns the indices of changes with a pending request.
     pub fn pending_changes(&self) -> Vec<usize> {
         let changes = self.requests.values().filter_map(|request| match request.purpose {
             Purpose::Replace(change) => Some(change),
@@ -176,12 +176,12 @@
         changes.collect()
     }
 
-    /// The newest version that any operator knows of; 0 for none.
+    /// Returns the newest epoch known to any operator; 0 for none.
     pub fn newest_known_epoch(&self) -> u64 {
         self.operators.iter().map(|operator| operator.newest_epoch).max().unwrap_or(0)
     }
 
-    /// The request that was begun last, of those under way.
+    /// Returns the pending request that was begun last.
     pub fn last_request(&mut self) -> Option<&mut ControlRequest> {
         self.requests.values_mut().last()
     }
--- a/crates/fernknot-simulator/src/controllers/actions.rs
+++ b/crates/fernknot-simulator/src/controllers/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what a controller asks its host for.
+//! Executes the actions that a controller requests from its host.
 
 use crate::simulation::Simulation;
 use crate::topology::machine_index;
@@ -6,8 +6,8 @@
 use fernknot_http_api::Reply;
 use fernknot_rpc::ControllerToGateway;
 
-/// The call by which the log asks a controller what it knows.
-pub(super) const TIMELINE_CALL: PendingCall = PendingCall { connection: u64::MAX, call: u64::MAX };
+/// Identifies the simulator's own calls that read a controller's counters for the log.
+pub(super) const COUNTERS_CALL: PendingCall = PendingCall { connection: u64::MAX, call: u64::MAX };
 
 impl Simulation {
     pub(super) fn execute(&mut self, index: usize, action: Action) {
@@ -24,7 +24,7 @@
     }
 
     fn route_reply(&mut self, index: usize, call: PendingCall, reply: &Reply) {
-        if call == TIMELINE_CALL {
+        if call == COUNTERS_CALL {
             self.record_counters(index, reply);
         } else {
             self.respond(index, call.call, reply);
--- a/crates/fernknot-simulator/src/controllers/disk.rs
+++ b/crates/fernknot-simulator/src/controllers/disk.rs
@@ -1,4 +1,4 @@
-//! Disks: writes that take their time, hang or fail, and what is left after a crash.
+//! Simulated disks: write latency, hanging and failing writes, and the data that survives a crash.
 
 use crate::controllers::machine::{Input, PendingWrite, WriteBehavior};
 use crate::event::Event;
@@ -8,11 +8,11 @@
 use fernknot::interface::Nanos;
 use fernknot_consensus::{PersistentState, WriteId};
 
-/// Earlier states that a disk keeps for a seeded bug.
+/// Number of earlier states that a disk keeps for the seeded bug `StaleDisk`.
 const MAX_OLDER_STATES: usize = 4;
-/// How often a full disk is tried again.
+/// Interval between attempts to reopen a full disk.
 const REOPEN_INTERVAL: Nanos = millis(200);
-/// With the seeded bug a write takes so much longer than the disk reports.
+/// Time between the acknowledgement of a write and its completion with the seeded bug `DiskAcksEarly`.
 const EARLY_ACK_LEAD: Nanos = millis(400);
 
 impl Simulation {
@@ -53,7 +53,7 @@
         self.schedule(REOPEN_INTERVAL, Event::DiskReopen { machine: index, incarnation });
     }
 
-    /// The disk has stored it, also where the process is frozen.
+    /// Stores the state of a write. A frozen process does not prevent this; it receives the acknowledgement later.
     pub(crate) fn complete_write(
         &mut self,
         index: usize,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Opens a disk that was full, once it has room.
+    /// Reopens a disk that was full, or retries later while it has no space or the process is frozen.
     pub(crate) fn reopen_disk(&mut self, index: usize, incarnation: u64) {
         let now = self.now;
         let machine = &mut self.machines[index];
@@ -99,7 +99,8 @@
         }
     }
 
-    /// The process ends: some writes under way reach the disk whole, though nobody was notified.
+    /// Ends the pending writes of a process that ends. With `are_kept` they reach the disk completely, although they
+    /// were never acknowledged.
     pub(super) fn end_pending_writes(&mut self, index: usize, are_kept: bool) {
         let acks_early = self.settings.has_bug(SeededBug::DiskAcksEarly);
         let disk = &mut self.machines[index].disk;
--- a/crates/fernknot-simulator/src/controllers/inputs.rs
+++ b/crates/fernknot-simulator/src/controllers/inputs.rs
@@ -1,4 +1,4 @@
-//! Hands inputs to a controller.
+//! Delivery of inputs to controllers, and the controllers' timers.
 
 use crate::controllers::machine::Input;
 use crate::event::Event;
@@ -9,7 +9,7 @@
 use fernknot::interface::Nanos;
 use fernknot_controller::PendingCall;
 
-/// Connections of callers at one process: each is used again by others.
+/// Number of callers' connections at one process. Calls of different callers reuse them.
 const CALLER_CONNECTIONS: u64 = 8;
 
 fn pending_call(call: u64) -> PendingCall {
@@ -21,7 +21,7 @@
         self.schedule(delay, Event::Input { machine, incarnation, input });
     }
 
-    /// Hands over an input, which waits while the process is frozen, and carries out what follows from it.
+    /// Delivers an input and executes the resulting actions; queues the input while the process is frozen.
     pub(crate) fn deliver(&mut self, index: usize, input: Input) {
         let machine = &mut self.machines[index];
         if machine.is_frozen {
@@ -33,12 +33,12 @@
         }
         match input {
             Input::DiskLoaded => self.load_disk(index),
-            other => self.hand_over(index, other),
+            other => self.handle_input(index, other),
         }
         self.run_actions(index);
     }
 
-    fn hand_over(&mut self, index: usize, input: Input) {
+    fn handle_input(&mut self, index: usize, input: Input) {
         let machine = &mut self.machines[index];
         let now = machine.local_time(self.now);
         let Some(controller) = &mut machine.controller else { return };
@@ -90,7 +90,7 @@
         self.trace(|| format!("{index} has read its disk, {}", if is_empty { "empty" } else { "not empty" }));
     }
 
-    /// Carries out what the controller asks for, until there is nothing, and notes when its next timer is due.
+    /// Executes the controller's actions until none is left, then stores the time of its next timer.
     pub(crate) fn run_actions(&mut self, index: usize) {
         loop {
             let machine = &mut self.machines[index];
@@ -100,7 +100,7 @@
             }
             let Some(controller) = &mut machine.controller else { return };
             let Some(action) = controller.poll_action(local_time) else {
-                let timeout = machine.clock.time_of(controller.next_timeout());
+                let timeout = machine.clock.simulated_time(controller.next_timeout());
                 machine.wake_at = timeout.max(self.now + micros(1));
                 return;
             };
--- a/crates/fernknot-simulator/src/controllers/machine.rs
+++ b/crates/fernknot-simulator/src/controllers/machine.rs
@@ -1,4 +1,4 @@
-//! One machine of the core: its disk, and the process that runs on it.
+//! State of a controller machine: its disk and the process that runs on it.
 
 use crate::time::{NEVER, ProcessClock, millis};
 use fernknot::interface::Nanos;
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
-/// How a disk takes writes.
+/// Response of a disk to writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteBehavior {
     Normal,
@@ -19,14 +19,14 @@
     Slow,
 }
 
-/// What reaches a controller.
+/// Input of a controller.
 #[derive(Clone, Debug)]
 pub(crate) enum Input {
     PeerMessage {
         from: SocketAddrV4,
         message: ControllerMessage,
     },
-    /// With the connection: the controller may have given that one up meanwhile.
+    /// Carries the connection's id, since the controller may have aborted that connection in the meantime.
     PeerConnected {
         peer: SocketAddrV4,
         connection: u64,
@@ -39,7 +39,7 @@
         write: WriteId,
         succeeded: bool,
     },
-    /// The disk counts as failing if this write is still pending.
+    /// Marks the disk as unhealthy if this write is still pending.
     WriteTimeout(WriteId),
     Call(u64),
     CallCancelled(u64),
@@ -54,17 +54,17 @@
 pub(crate) struct PendingWrite {
     pub id: WriteId,
     pub state: PersistentState,
-    /// None where it waits for the end of a fault.
+    /// Completion time; `None` while the write waits for the end of a fault.
     pub due_at: Option<Nanos>,
 }
 
-/// What the clock of a controller's process shows as it starts.
-pub(crate) const CLOCK_AT_START: Nanos = millis(1);
+/// Reading of a controller's clock when its process starts.
+pub(crate) const INITIAL_CLOCK_READING: Nanos = millis(1);
 
-/// What lies on a disk, and how it takes writes.
+/// Contents of a disk, its pending writes and its current fault.
 pub(crate) struct Disk {
     pub state: Option<PersistentState>,
-    /// Earlier states, for a seeded bug.
+    /// Earlier states, for the seeded bug `StaleDisk`.
     pub older_states: VecDeque<PersistentState>,
     pub known_peers: Vec<SocketAddrV4>,
     pub write_behavior: WriteBehavior,
@@ -88,13 +88,13 @@
         self.pending_writes.iter().any(|pending| pending.id == write)
     }
 
-    /// Open, and nothing waits to be written.
+    /// Returns whether the disk is open and has no pending writes.
     pub fn is_idle(&self) -> bool {
         self.is_open && self.pending_writes.is_empty()
     }
 }
 
-/// What a controller last said it knows.
+/// Part of a controller's counters that the log shows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct KnownState {
     pub view: u64,
@@ -103,33 +103,33 @@
     pub has_lease: bool,
 }
 
-/// One machine of the core.
+/// A machine that runs a controller.
 pub(crate) struct Machine {
     pub controller: Option<Controller>,
-    /// The incarnation of the process that runs here, or ran last; 0 before the first.
+    /// Incarnation of the current or most recent process; 0 before the first start.
     pub incarnation: u64,
-    /// The clock of its process, which stands at 1 ms as the process starts.
+    /// Clock of the process, which reads [`INITIAL_CLOCK_READING`] when the process starts.
     pub clock: ProcessClock,
-    /// When the controller's next timer is due.
+    /// Simulated time of the controller's next timer.
     pub wake_at: Nanos,
     pub is_powered: bool,
     pub is_frozen: bool,
-    /// The machine was replaced by another one.
+    /// Whether another machine has replaced this one.
     pub is_removed: bool,
-    /// Inputs that wait while the process is frozen.
+    /// Inputs queued while the process is frozen.
     pub inbox: VecDeque<Input>,
     pub disk: Disk,
-    /// When a process that was asked to stop is killed.
+    /// Time at which a process that is shutting down is killed.
     pub stop_deadline: Nanos,
     pub has_slow_link: bool,
     pub loses_responses: bool,
-    /// Faults that make the machine count as lost.
+    /// Number of active faults by which the machine counts as lost.
     pub active_faults: usize,
-    /// It counts as lost until then, though its faults have ended.
+    /// Time until which the machine counts as lost after its faults have ended.
     pub unavailable_until: Nanos,
-    /// Its disk was lost, and what was on it may not have been replaced yet.
+    /// Whether the disk was lost and its data may not have been replicated to the machine again.
     pub lost_disk: bool,
-    /// The last moment of anything that puts it out of touch.
+    /// Time of the last event that interrupts the machine's contact with the other processes.
     pub disturbed_at: Nanos,
     pub known_state: KnownState,
 }
@@ -139,7 +139,7 @@
         Machine {
             controller: None,
             incarnation: 0,
-            clock: ProcessClock::new(now, CLOCK_AT_START, 1.0),
+            clock: ProcessClock::new(now, INITIAL_CLOCK_READING, 1.0),
             wake_at: NEVER,
             is_powered: true,
             is_frozen: false,
@@ -157,27 +157,27 @@
         }
     }
 
-    /// Whether the process runs and is not frozen.
+    /// Returns whether the process runs and is not frozen.
     pub fn is_running(&self) -> bool {
         self.controller.is_some() && !self.is_frozen
     }
 
-    /// Whether there is a process, frozen or not.
+    /// Returns whether there is a process, frozen or not.
     pub fn is_up(&self) -> bool {
         self.controller.is_some()
     }
 
-    /// Whether this incarnation is up.
+    /// Returns whether the current process is this incarnation.
     pub fn runs_incarnation(&self, incarnation: u64) -> bool {
         self.incarnation == incarnation && self.is_up()
     }
 
-    /// Whether packets can reach it.
+    /// Returns whether packets can reach the machine.
     pub fn is_reachable(&self) -> bool {
         self.is_powered && !self.is_removed
     }
 
-    /// What the clock of its process shows.
+    /// Converts simulated time to the reading of the process's clock.
     pub fn local_time(&self, now: Nanos) -> Nanos {
         self.clock.read(now)
     }
--- a/crates/fernknot-simulator/src/controllers/mod.rs
+++ b/crates/fernknot-simulator/src/controllers/mod.rs
@@ -1,4 +1,4 @@
-//! Machines with a disk, and the production controllers that run on them.
+//! Simulated machines with disks, and the production controllers that run on them.
 
 mod actions;
 mod disk;
--- a/crates/fernknot-simulator/src/controllers/process.rs
+++ b/crates/fernknot-simulator/src/controllers/process.rs
@@ -1,6 +1,6 @@
-//! The life cycle of a controller's process: start, end, freeze and graceful shutdown.
+//! Life cycle of a controller process: start, end, freeze and graceful shutdown.
 
-use crate::controllers::machine::{CLOCK_AT_START, Input};
+use crate::controllers::machine::{INITIAL_CLOCK_READING, Input};
 use crate::event::Event;
 use crate::faults::schedule::Trigger;
 use crate::rng::splitmix64;
@@ -11,15 +11,15 @@
 use fernknot::interface::Nanos;
 use fernknot_controller::{Controller, ControllerSettings};
 
-/// A controller that was asked to stop ends within this, a quarter of `grace_s`, or is killed.
+/// Time that a controller has for a graceful shutdown, a quarter of `grace_s`, before it is killed.
 const SHUTDOWN_GRACE: Nanos = millis(1500);
-/// How often a process that was asked to stop is asked whether it may end.
+/// Interval at which a process that is shutting down is polled for completion.
 const SHUTDOWN_POLL_INTERVAL: Nanos = millis(20);
-/// The window of the gateways' retry budget, as the controllers' settings have it.
+/// Window of the gateways' retry budget in the controllers' settings.
 const BUDGET_WINDOW: Nanos = millis(10_000);
 
 impl Simulation {
-    /// Starts a process with whatever is on its disk.
+    /// Starts a controller process with the current contents of its disk, unless one runs or the machine was removed.
     pub(crate) fn start_controller(&mut self, index: usize, bootstrap: bool) {
         if self.machines[index].is_up() || self.machines[index].is_removed {
             return;
@@ -28,7 +28,8 @@
         let controller = self.build_controller(index, incarnation, bootstrap);
         let machine = &mut self.machines[index];
         machine.incarnation = incarnation;
-        machine.clock = ProcessClock::new(self.now, CLOCK_AT_START, self.settings.clock_rate(incarnation));
+        machine.clock =
+            ProcessClock::new(self.now, INITIAL_CLOCK_READING, self.settings.clock_rate(incarnation));
         machine.is_frozen = false;
         machine.is_powered = true;
         machine.inbox.clear();
@@ -52,7 +53,7 @@
             zone: zone_name(index),
             seeds: self.discovery.seeds.iter().map(|seed| controller_addr(*seed)).collect(),
             bootstrap,
-            tolerated_losses: self.settings.losses,
+            tolerated_losses: self.settings.tolerated_losses,
             heartbeat_interval: bounds.heartbeat_interval,
             apply_deadline: bounds.apply_deadline,
             contact_timeout: bounds.contact_timeout,
@@ -66,7 +67,7 @@
         Controller::with_seeded_bug(settings, millis(1), bug)
     }
 
-    /// The process ends; with `loses_power` the machine goes dark too.
+    /// Ends the controller process; with `loses_power` the machine becomes unreachable too.
     pub(crate) fn end_controller(&mut self, index: usize, loses_power: bool) {
         let keeps_writes = self.rng.one_in(2);
         let machine = &mut self.machines[index];
@@ -90,7 +91,7 @@
         self.drop_gateway_connections(index, incarnation, loses_power);
     }
 
-    /// Freezes a process, or lets it go on with what has reached it meanwhile.
+    /// Freezes a process, or resumes it and delivers the inputs that were queued meanwhile.
     pub(crate) fn set_frozen(&mut self, index: usize, is_frozen: bool) {
         let now = self.now;
         let machine = &mut self.machines[index];
@@ -109,7 +110,7 @@
     fn resume_controller(&mut self, index: usize) {
         self.faults.last_returned = Some(index);
         self.fire_trigger(Trigger::MachineReturned);
-        // What its own clock had due may come before what waits at its sockets, or after.
+        // Overdue timers may run before the queued inputs, or after them.
         if self.rng.one_in(2) {
             self.run_actions(index);
         }
@@ -119,7 +120,7 @@
         self.run_actions(index);
     }
 
-    /// SIGTERM.
+    /// Begins a graceful shutdown, as SIGTERM does.
     pub(crate) fn stop_controller(&mut self, index: usize) {
         let now = self.now;
         self.network.core_disturbed_at = now;
@@ -147,17 +148,17 @@
         }
     }
 
-    /// The lists of clients name all machines that there are.
+    /// Sets the clients' lists to all present machines.
     pub(crate) fn update_advertised(&mut self) {
         self.discovery.advertised = self.present_machines();
     }
 
-    /// Machines that were not replaced, whether they run or not.
+    /// Machines that were not replaced, running or not.
     pub(crate) fn present_machines(&self) -> Vec<usize> {
         (0..self.machines.len()).filter(|index| !self.machines[*index].is_removed).collect()
     }
 
-    /// Machines whose process runs and is not frozen.
+    /// Machines with a running process that is not frozen.
     pub(crate) fn running_machines(&self) -> Vec<usize> {
         (0..self.machines.len()).filter(|index| self.machines[*index].is_running()).collect()
     }
--- a/crates/fernknot-simulator/src/controllers/timeline.rs
+++ b/crates/fernknot-simulator/src/controllers/timeline.rs
@@ -1,6 +1,6 @@
-//! What controllers log, and for the log of a run, who knows what.
+//! Controllers' log lines, and the state known to each controller, for the log of a run.
 
-use crate::controllers::actions::TIMELINE_CALL;
+use crate::controllers::actions::COUNTERS_CALL;
 use crate::controllers::machine::{KnownState, Machine};
 use crate::faults::schedule::Trigger;
 use crate::http_request::parse_request;
@@ -10,7 +10,7 @@
 use fernknot_http_api::Reply;
 
 impl Simulation {
-    /// A controller logs a sentence, as it does whenever its view changes.
+    /// Records a log line of a controller. Controllers log each view change, so this also tracks the newest view.
     pub(super) fn observe_log(&mut self, index: usize, text: &str) {
         self.trace(|| format!("{index}: {text}"));
         self.observe_view(index);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Faults that aim at the leader go by the newest view that any controller is in.
+    /// Tracks the leader of the newest view that any controller has entered: the target of `Target::Leader` faults.
     fn observe_view(&mut self, index: usize) {
         let view = self.machines[index].controller.as_ref().and_then(Controller::active_view);
         let Some(view) = view.filter(|view| view.number.0 > self.faults.newest_view) else { return };
@@ -29,13 +29,13 @@
         self.fire_trigger(Trigger::LeaderChange);
     }
 
-    /// Asks what it knows now, as any operator may.
+    /// Requests the controller's counters through the operators' interface.
     fn request_counters(&mut self, index: usize) {
         let machine = &mut self.machines[index];
         let local_time = machine.local_time(self.now);
         let request = parse_request("GET /-/counters HTTP/1.1\r\n", "");
         if let (Some(controller), Some(request)) = (&mut machine.controller, request) {
-            controller.handle_call(local_time, TIMELINE_CALL, &request);
+            controller.handle_call(local_time, COUNTERS_CALL, &request);
         }
     }
 
@@ -49,13 +49,13 @@
             has_lease: counter("lease") == 1,
         };
         if std::mem::replace(&mut self.machines[index].known_state, known) != known {
-            let all: Vec<String> = self.machines.iter().map(describe_knowledge).collect();
+            let all: Vec<String> = self.machines.iter().map(format_known_state).collect();
             self.trace(|| format!("  who knows what (view/revision/epoch/lease): {}", all.join("  ")));
         }
     }
 }
 
-fn describe_knowledge(machine: &Machine) -> String {
+fn format_known_state(machine: &Machine) -> String {
     if !machine.is_up() {
         return "down".into();
     }
--- a/crates/fernknot-simulator/src/dispatch.rs
+++ b/crates/fernknot-simulator/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands each event to the part that it is for.
+//! Dispatch of events to the components.
 
 use crate::event::Event;
 use crate::simulation::Simulation;
--- a/crates/fernknot-simulator/src/event.rs
+++ b/crates/fernknot-simulator/src/event.rs
@@ -1,4 +1,4 @@
-//! What is scheduled to happen.
+//! Events of the simulation.
 
 use crate::control_clients::state::ControlClientEvent;
 use crate::controllers::machine::Input;
@@ -9,7 +9,7 @@
 use fernknot_consensus::{PersistentState, WriteId};
 use fernknot_rpc::ControllerMessage;
 
-/// An event that is due at some moment.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     /// An input for one incarnation of the controller on a machine.
@@ -18,34 +18,34 @@
     PeerMessage { connection: u64, message: ControllerMessage },
     /// The first packet of a connection between controllers arrives.
     PeerSyn { connection: u64 },
-    /// Messages that a partition has stalled go on, if it has ended.
+    /// Delivers the messages that a partition has stalled, if the partition has ended.
     FlushStalled { connection: u64 },
-    /// A connection between controllers ends, if nothing has been acknowledged for too long.
+    /// Ends a connection between controllers if this stall still lasts, as acknowledgements are overdue.
     PeerTimeout { connection: u64, stall: Stall },
     /// A write reaches the disk.
     WriteDone { machine: usize, incarnation: u64, write: WriteId, state: PersistentState },
-    /// A full disk may have room.
+    /// Tries to reopen a full disk.
     DiskReopen { machine: usize, incarnation: u64 },
     /// A machine starts for the first time.
     FirstStart(usize),
-    /// The controller of a machine starts again, unless it runs.
+    /// Starts the controller of a machine, unless it runs.
     StartMachine(usize),
-    /// Whether a controller that was asked to stop may end.
+    /// Ends a controller that is shutting down if it may exit or its time is over.
     CheckStopped { machine: usize, incarnation: u64 },
-    /// The lists of clients follow the machines that there are.
+    /// Updates the clients' lists to the present machines.
     UpdateAdvertised,
-    /// A fault of the schedule is due: it happens, or waits for its trigger.
+    /// Injects a fault that is due, or arms it until its trigger.
     FaultDue(usize),
-    /// A fault of the schedule happens.
+    /// Injects a fault, unless it was injected before.
     InjectFault(usize),
-    /// A fault of the schedule ends, on the machine where it happened.
+    /// Ends a fault on the machine where it was injected.
     EndFault { fault: usize, machine: usize },
-    /// For operators and nodes.
+    /// Event of operators and nodes.
     ControlClient(ControlClientEvent),
-    /// For subscribers.
+    /// Event of subscribers.
     Subscriber(SubscriberEvent),
-    /// For gateways and their connections.
+    /// Event of gateways and their connections.
     Gateway(GatewayEvent),
-    /// For clients and the requests at nodes.
+    /// Event of clients and of the requests at nodes.
     Traffic(TrafficEvent),
 }
--- a/crates/fernknot-simulator/src/faults/injection.rs
+++ b/crates/fernknot-simulator/src/faults/injection.rs
@@ -1,4 +1,4 @@
-//! What each fault does, and how it ends.
+//! Beginning and end of each kind of fault.
 
 use crate::controllers::machine::WriteBehavior;
 use crate::event::Event;
@@ -9,9 +9,9 @@
 use crate::topology::{FIRST_SUBSCRIBER, MAX_MACHINES};
 use fernknot::interface::Nanos;
 
-/// So long after SIGTERM a process that has not ended by itself is started again all the same.
+/// Delay of the start after a graceful restart's fault has ended.
 const RESTART_DELAY: Nanos = millis(1600);
-/// So long after the end of all faults every machine is started, unless it runs.
+/// Delay after the end of all faults at which every machine without a process is started.
 const FINAL_START_DELAY: Nanos = millis(1700);
 
 impl Simulation {
@@ -49,12 +49,12 @@
             FaultKind::ReplaceMachine => self.replace_machine(machine),
             FaultKind::GracefulRestart => self.stop_controller(machine),
             FaultKind::ConcurrentChanges => self.submit_concurrent_changes(),
-            FaultKind::ChangeStorm => self.set_hurry(true),
+            FaultKind::ChangeStorm => self.set_change_storm(true),
             FaultKind::ReadFlood => self.flood_machine(machine, duration),
         }
     }
 
-    /// A fault ends, unless it has already.
+    /// Ends a fault, unless it has already ended.
     pub(crate) fn end_fault(&mut self, fault: usize, machine: usize) {
         let kind = self.faults.schedule[fault].kind;
         if !self.faults.ended.insert(fault) {
@@ -63,7 +63,7 @@
         self.trace(|| format!("fault {fault} is over: {kind:?} on {machine}"));
         let returning = match kind {
             FaultKind::AllMachines { .. } => self.present_machines(),
-            // The machine that came in its place.
+            // The replacement, which was added last.
             FaultKind::ReplaceMachine => vec![self.machines.len() - 1],
             _ => vec![machine],
         };
@@ -93,11 +93,11 @@
                 self.set_write_behavior(machine, WriteBehavior::Normal);
             }
             FaultKind::DiskSlow => {
-                self.end_slowness();
+                self.end_slow_fault();
                 self.set_write_behavior(machine, WriteBehavior::Normal);
             }
             FaultKind::LinkSlow => {
-                self.end_slowness();
+                self.end_slow_fault();
                 self.machines[machine].has_slow_link = false;
             }
             FaultKind::LoseResponses => {
@@ -109,11 +109,11 @@
                 self.machines[machine].unavailable_until =
                     self.now + RESTART_DELAY + self.settings.bounds.catch_up_time;
             }
-            FaultKind::ChangeStorm => self.set_hurry(false),
+            FaultKind::ChangeStorm => self.set_change_storm(false),
         }
     }
 
-    /// These machines count as lost until they have caught up.
+    /// Removes one active fault from these machines and counts them as lost until their catch-up time is over.
     fn begin_catch_up(&mut self, machines: Vec<usize>) {
         let until = self.now + self.settings.bounds.catch_up_time;
         for index in machines {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// All processes end; the fault counts for all machines, as it does for its target already.
+    /// Ends all processes. Counts the fault as active on every machine; the target is counted by the caller.
     fn end_all_controllers(&mut self, target: usize, loses_power: bool, is_wiped: bool) {
         for index in 0..self.machines.len() {
             if index != target && !self.machines[index].is_removed {
@@ -145,12 +145,12 @@
         }
     }
 
-    fn end_slowness(&mut self) {
+    fn end_slow_fault(&mut self) {
         self.network.slow_faults -= 1;
         self.network.core_disturbed_at = self.now;
     }
 
-    /// Machines lose responses as long as any fault asks for it.
+    /// Makes all machines lose responses while any fault requires it.
     fn set_response_loss(&mut self) {
         let loses_responses = self.faults.response_losses > 0;
         for machine in &mut self.machines {
@@ -164,15 +164,15 @@
             self.fire_trigger(Trigger::MachineReturned);
         }
         let subscribers = if subscribers { self.subscribers.count() } else { 0 };
-        // Also from machines that come while it lasts.
+        // Includes the indices of machines that may be added during the fault.
         let machines = (0..MAX_MACHINES).filter(|other| *other != machine);
         for other in machines.chain(FIRST_SUBSCRIBER..FIRST_SUBSCRIBER + subscribers) {
             self.partition_link(machine, other, direction, begins);
         }
     }
 
-    /// Begins or ends a partition between the machines whose bit is set in `half` and the others, machines that come while
-    /// it lasts among them.
+    /// Begins or ends a partition between the machines whose bit is set in `half` and the others. It includes machines
+    /// that may be added during the fault.
     fn split_core(&mut self, half: u64, begins: bool) {
         if begins {
             self.forget_repaired_disks();
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Another machine comes in place of this one, at another address, which the lists of clients know a while later.
+    /// Replaces a machine by a new one with another address, which is added to the clients' lists with a delay.
     fn replace_machine(&mut self, old: usize) {
         if self.machines.len() >= MAX_MACHINES {
             return;
@@ -222,14 +222,14 @@
         self.schedule(self.settings.bounds.seed_lag, Event::UpdateAdvertised);
     }
 
-    /// The seeds name the new machine in place of the old one, at any place, and are filled up with others.
+    /// Replaces the old machine by the new one, at a random index of the seeds, and fills the seeds up with others.
     fn replace_seed(&mut self, old: usize, new: usize) {
         let known: Vec<usize> =
             self.present_machines().into_iter().filter(|machine| *machine != new).collect();
         let seeds = &mut self.discovery.seeds;
         seeds.retain(|seed| *seed != old);
-        let place = self.rng.below(seeds.len() + 1);
-        seeds.insert(place, new);
+        let insert_index = self.rng.below(seeds.len() + 1);
+        seeds.insert(insert_index, new);
         for machine in known {
             if seeds.len() < FOUNDING_MEMBERS && !seeds.contains(&machine) {
                 seeds.push(machine);
@@ -237,10 +237,10 @@
         }
     }
 
-    /// All faults end now, and none begins any more.
+    /// Ends all faults and disables further ones.
     pub(crate) fn end_all_faults(&mut self) {
         self.trace(|| "all faults end".into());
-        self.faults.is_healing = true;
+        self.faults.injection_ended = true;
         self.faults.armed.clear();
         for (fault, machine) in self.faults.active() {
             self.end_fault(fault, machine);
--- a/crates/fernknot-simulator/src/faults/mod.rs
+++ b/crates/fernknot-simulator/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Faults of the core: a schedule drawn from the seed, and their injection.
+//! Faults of the controllers' machines: a schedule drawn from the seed, and its injection.
 
 mod injection;
 pub mod schedule;
--- a/crates/fernknot-simulator/src/faults/schedule.rs
+++ b/crates/fernknot-simulator/src/faults/schedule.rs
@@ -1,49 +1,49 @@
-//! What may happen to machines, and a schedule of it, drawn from the seed before the run begins.
+//! Kinds of faults, and the fault schedule, which is drawn from the seed before the run begins.
 
 use crate::rng::Rng;
 use crate::time::millis;
 use fernknot::interface::Nanos;
 
-/// A fault that is over so soon is not noticed by all.
-const SHORT_FAULT: Nanos = millis(300);
+/// Maximum duration of a short fault, which some processes do not detect.
+const MAX_SHORT_FAULT_DURATION: Nanos = millis(300);
 
-/// How long the core is split, and the longest pause until the next split.
-const MIN_SPLIT: Nanos = millis(500);
-const MAX_SPLIT: Nanos = millis(9000);
+/// Range of the duration of a core split, and the longest pause until the next one.
+const MIN_SPLIT_DURATION: Nanos = millis(500);
+const MAX_SPLIT_DURATION: Nanos = millis(9000);
 const MAX_SPLIT_PAUSE: Nanos = millis(10_000);
 
-/// When a fault that is due happens.
+/// Condition on which a fault that is due is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trigger {
-    /// At its time.
+    /// None: the fault is injected when it is due.
     Immediate,
-    /// Right after the next acknowledgement of a change.
-    Acknowledged,
-    /// Right after the next attempt of a change is sent.
-    Sent,
-    /// As a controller enters its next view.
+    /// The next acknowledgement of a change.
+    ChangeAcknowledged,
+    /// The next attempt of a change.
+    ChangeSent,
+    /// A controller's entry into a newer view.
     LeaderChange,
-    /// As a machine returns.
+    /// The return of a machine after a start, a freeze or a partition.
     MachineReturned,
-    /// As a machine is partitioned.
+    /// The beginning of a partition.
     Partitioned,
 }
 
-/// The machine to which a fault happens.
+/// Machine on which a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// The leader of the newest view that anybody entered.
+    /// Leader of the newest view that any controller has entered.
     Leader,
-    /// The one that acknowledged a change last.
+    /// Machine that acknowledged a change last.
     LastAcknowledger,
-    /// One of those that run, by its place among them.
-    Any(usize),
+    /// Running machine at this index modulo the number of running machines.
+    Running(usize),
 }
 
-/// The direction in which nothing passes.
+/// Blocked direction of a partitioned link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Neither to the machine nor from it.
+    /// To and from the machine.
     Both,
     /// To the machine.
     Inbound,
@@ -51,82 +51,82 @@
     Outbound,
 }
 
-/// What happens.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The process ends at once; writes under way may be kept or lost.
+    /// The process ends at once; pending writes may be kept or lost.
     Kill,
-    /// The machine is without power for a while.
+    /// The machine loses power until the fault ends.
     PowerLoss,
     /// All processes end at once.
     AllMachines {
         /// The machines lose power too.
         power: bool,
-        /// The disk of the target is emptied.
+        /// The disk of the target is wiped.
         wiped: bool,
     },
-    /// The machine comes back with an empty disk.
+    /// The process ends, and the machine returns with an empty disk.
     WipeDisk,
-    /// The machine is partitioned from the other controllers. Operators and nodes reach it all the same.
+    /// The machine is partitioned from the other controllers, but not from operators and nodes.
     Isolate {
-        /// In which direction.
+        /// Blocked direction.
         direction: Direction,
-        /// From the subscribers too.
+        /// The machine is partitioned from the subscribers too.
         subscribers: bool,
     },
     /// The machine is partitioned from one other controller.
     PartitionPair {
-        /// In which direction.
+        /// Blocked direction.
         direction: Direction,
     },
-    /// The core is partitioned into two halves, whatever may be lost besides. Everybody else reaches both.
+    /// The core is partitioned into two halves, in addition to the losses of the budget. Clients reach both halves.
     SplitCore {
-        /// Machines whose bit is set are in one half, the others in the other.
+        /// Bit mask of the machines in the first half.
         half: u64,
     },
-    /// All connections of the machine end.
+    /// All connections of the machine are reset.
     ResetConnections,
-    /// The process stands still.
+    /// The process is suspended.
     Freeze,
     /// Writes fail.
     DiskFull,
-    /// Writes don't end.
+    /// Writes hang.
     DiskHang,
     /// Writes take a hundred times as long.
     DiskSlow,
-    /// Everything that the machine sends and receives takes longer.
+    /// The machine's network delays increase.
     LinkSlow,
-    /// Responses to clients are lost on their way, from all machines.
+    /// Most responses of all machines to their clients are lost.
     LoseResponses,
-    /// The machine goes for good; another comes at another address, with an empty disk.
+    /// The machine is replaced permanently by a new one with another address and an empty disk.
     ReplaceMachine,
-    /// SIGTERM, and a start.
+    /// The process receives SIGTERM and is started again.
     GracefulRestart,
-    /// Eight changes at once, on one version.
+    /// Eight concurrent changes based on one version.
     ConcurrentChanges,
-    /// Changes and resends without a pause.
+    /// Changes and resends in quick succession.
     ChangeStorm,
-    /// Reads, changes and resends at one machine, again and again.
+    /// Reads at one machine in quick succession, with some changes and resends.
     ReadFlood,
 }
 
-/// One fault of a schedule.
+/// A fault of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// When it is due.
+    /// Simulated time at which the fault is due.
     pub due_at: Nanos,
-    /// What it waits for then.
+    /// Condition that the fault waits for once it is due.
     pub trigger: Trigger,
-    /// To which machine it happens.
+    /// Machine on which the fault is injected.
     pub target: Target,
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// How long it lasts.
+    /// Time from the injection to the end of the fault.
     pub duration: Nanos,
 }
 
 impl FaultKind {
-    /// Whether a disk is lost by it.
+    /// Returns whether the fault loses a disk.
     pub(crate) fn loses_disk(self) -> bool {
         matches!(
             self,
@@ -134,7 +134,7 @@
         )
     }
 
-    /// Whether a machine counts as lost by it.
+    /// Returns whether a machine counts as lost during the fault.
     pub(crate) fn counts_as_loss(self) -> bool {
         !matches!(
             self,
@@ -148,7 +148,7 @@
     }
 }
 
-/// Faults between two moments.
+/// Draws the faults that are due from `from` until before `to`.
 pub(crate) fn draw_fault_schedule(rng: &Rng, from: Nanos, to: Nanos) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut due_at = from;
@@ -156,8 +156,9 @@
         let trigger = draw_trigger(rng);
         let target = draw_target(rng);
         let (kind, max_duration) = draw_kind(rng);
-        // A third are short: who comes back soon meets responses to its earlier incarnation.
-        let max_duration = if rng.one_in(3) { max_duration.min(SHORT_FAULT) } else { max_duration };
+        // A third are short, so that a restarted machine receives responses to its previous incarnation.
+        let max_duration =
+            if rng.one_in(3) { max_duration.min(MAX_SHORT_FAULT_DURATION) } else { max_duration };
         let duration = rng.between(millis(5), max_duration);
         faults.push(Fault { due_at, trigger, target, kind, duration });
         due_at = due_at + rng.between(millis(100), millis(3500));
@@ -165,14 +166,14 @@
     faults
 }
 
-/// Partitions of the core into halves between two moments, to be added to the faults of [`draw_fault_schedule`].
+/// Draws the core splits that are due from `from` until before `to`, in addition to [`draw_fault_schedule`].
 pub(crate) fn draw_core_splits(rng: &Rng, from: Nanos, to: Nanos) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut due_at = from + rng.between(Nanos(0), MAX_SPLIT_PAUSE);
     while due_at < to {
         let trigger = draw_trigger(rng);
         let kind = FaultKind::SplitCore { half: rng.next_u64() };
-        let duration = rng.between(MIN_SPLIT, MAX_SPLIT);
+        let duration = rng.between(MIN_SPLIT_DURATION, MAX_SPLIT_DURATION);
         faults.push(Fault { due_at, trigger, target: Target::Leader, kind, duration });
         due_at = due_at + duration + rng.between(Nanos(0), MAX_SPLIT_PAUSE);
     }
@@ -182,8 +183,8 @@
 fn draw_trigger(rng: &Rng) -> Trigger {
     match rng.below(12) {
         0..4 => Trigger::Immediate,
-        4..6 => Trigger::Acknowledged,
-        6 => Trigger::Sent,
+        4..6 => Trigger::ChangeAcknowledged,
+        6 => Trigger::ChangeSent,
         7..9 => Trigger::LeaderChange,
         9..11 => Trigger::MachineReturned,
         _ => Trigger::Partitioned,
@@ -194,7 +195,7 @@
     match rng.below(6) {
         0..3 => Target::Leader,
         3 => Target::LastAcknowledger,
-        _ => Target::Any(rng.below(16)),
+        _ => Target::Running(rng.below(16)),
     }
 }
 
@@ -203,7 +204,7 @@
     rng.choose(&directions).unwrap_or(Direction::Both)
 }
 
-/// A kind of fault, and the longest that it lasts.
+/// Draws a kind of fault, and returns it with its maximum duration.
 fn draw_kind(rng: &Rng) -> (FaultKind, Nanos) {
     let direction = draw_direction(rng);
     let (kind, max_duration_ms) = match rng.below(26) {
--- a/crates/fernknot-simulator/src/faults/state.rs
+++ b/crates/fernknot-simulator/src/faults/state.rs
@@ -1,34 +1,34 @@
-//! Which faults have happened and ended, and at whom the next may aim.
+//! Progress of the fault schedule, and the targets of the next faults.
 
 use crate::faults::schedule::{Fault, Trigger};
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The schedule of a run and how far it has come. Faults go by their number in the schedule.
+/// Fault schedule of a run and its progress. Faults are identified by their index in the schedule.
 pub(crate) struct FaultState {
     pub schedule: Vec<Fault>,
-    /// Faults that wait for their trigger.
+    /// Due faults that wait for their trigger.
     pub armed: BTreeSet<usize>,
-    /// Faults that happened, or would have if the budget had allowed it.
+    /// Faults that were injected, or skipped because they would exceed the budget.
     pub injected: BTreeSet<usize>,
-    /// The machine to which each fault happened.
+    /// Machine on which each fault was injected.
     pub machines: BTreeMap<usize, usize>,
     pub ended: BTreeSet<usize>,
-    /// All faults have been ended, and none begins any more.
-    pub is_healing: bool,
-    /// Faults by which responses are lost.
+    /// Whether all faults have been ended and no further ones are injected.
+    pub injection_ended: bool,
+    /// Number of active faults that lose responses.
     pub response_losses: usize,
-    /// Faults that split the core.
+    /// Number of active faults that split the core.
     pub core_splits: usize,
-    /// When the core was last split.
+    /// Time at which the last split of the core ended.
     pub split_until: Nanos,
-    /// Service may rest until then, as more was lost than the budget allows.
-    pub rests_until: Nanos,
-    /// The leader of the newest view that any controller was in.
+    /// Time until which service may be unavailable, because more was lost than the budget allows.
+    pub outage_allowed_until: Nanos,
+    /// Leader of the newest view that any controller has entered.
     pub leader: Option<usize>,
     pub newest_view: u64,
     pub last_acknowledger: Option<usize>,
-    /// The machine that came back last, after a start, a freeze or a partition.
+    /// Machine that returned last, after a start, a freeze or a partition.
     pub last_returned: Option<usize>,
 }
 
@@ -40,11 +40,11 @@
             injected: BTreeSet::new(),
             machines: BTreeMap::new(),
             ended: BTreeSet::new(),
-            is_healing: false,
+            injection_ended: false,
             response_losses: 0,
             core_splits: 0,
             split_until: Nanos(0),
-            rests_until: Nanos(0),
+            outage_allowed_until: Nanos(0),
             leader: None,
             newest_view: 0,
             last_acknowledger: None,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// The first armed fault that waits for this.
+    /// Returns the first armed fault with this trigger.
     pub fn waiting_for(&self, trigger: Trigger) -> Option<usize> {
         self.armed.iter().copied().find(|fault| self.schedule[*fault].trigger == trigger)
     }
 
-    /// Faults that have happened and not ended, with their machines.
+    /// Returns the faults that were injected and have not ended, with their machines.
     pub fn active(&self) -> Vec<(usize, usize)> {
         let active = self.injected.difference(&self.ended);
         active.filter_map(|fault| Some((*fault, *self.machines.get(fault)?))).collect()
--- a/crates/fernknot-simulator/src/faults/triggers.rs
+++ b/crates/fernknot-simulator/src/faults/triggers.rs
@@ -1,4 +1,4 @@
-//! When faults happen, and to whom.
+//! Triggers, targets and the loss budget of faults.
 
 use crate::event::Event;
 use crate::faults::schedule::{Fault, FaultKind, Target, Trigger};
@@ -6,12 +6,12 @@
 use crate::time::millis;
 use fernknot::interface::Nanos;
 
-/// A fault that waits for its trigger happens without it after this.
+/// Time after which a due fault is injected without its trigger.
 const TRIGGER_TIMEOUT: Nanos = millis(5000);
 
 impl Simulation {
     pub(crate) fn fault_due(&mut self, fault: usize) {
-        if self.control_clients.is_closing || self.faults.is_healing {
+        if self.control_clients.in_final_phase || self.faults.injection_ended {
             return;
         }
         if self.faults.schedule[fault].trigger == Trigger::Immediate {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Something has happened that a fault may wait for.
+    /// Schedules the injection of the first armed fault that waits for this trigger.
     pub(crate) fn fire_trigger(&mut self, trigger: Trigger) {
         if let Some(fault) = self.faults.waiting_for(trigger) {
             self.faults.armed.remove(&fault);
@@ -31,11 +31,11 @@
         }
     }
 
-    /// A fault happens, unless more would be lost than the budget allows.
+    /// Injects a fault, unless more machines would be lost than the budget allows.
     pub(crate) fn inject_fault(&mut self, fault: usize) {
         let Fault { target, kind, duration, .. } = self.faults.schedule[fault];
         self.faults.armed.remove(&fault);
-        if self.faults.is_healing || !self.faults.injected.insert(fault) {
+        if self.faults.injection_ended || !self.faults.injected.insert(fault) {
             return;
         }
         let Some(machine) = self.resolve_target(target) else { return };
@@ -71,7 +71,7 @@
         let wanted = match target {
             Target::Leader => self.faults.leader,
             Target::LastAcknowledger => self.faults.last_acknowledger,
-            Target::Any(place) => running.get(place % running.len().max(1)).copied(),
+            Target::Running(index) => running.get(index % running.len().max(1)).copied(),
         };
         wanted.filter(|machine| running.contains(machine)).or(running.first().copied())
     }
@@ -79,15 +79,16 @@
     fn exceeds_budget(&self, kind: FaultKind, machine: usize) -> bool {
         let lost = self.lost_machines();
         let others = lost.iter().filter(|other| **other != machine).count();
-        let hits_all = matches!(kind, FaultKind::AllMachines { .. });
-        let is_too_much = others >= self.settings.losses
-            || (hits_all && !lost.is_empty())
-            || (kind.loses_disk() && self.unrepaired_disks_besides(machine) >= self.settings.losses);
-        is_too_much && !self.settings.exceeds_fault_budget
+        let affects_all = matches!(kind, FaultKind::AllMachines { .. });
+        let is_over_budget = others >= self.settings.tolerated_losses
+            || (affects_all && !lost.is_empty())
+            || (kind.loses_disk()
+                && self.unrepaired_disks_besides(machine) >= self.settings.tolerated_losses);
+        is_over_budget && !self.settings.exceeds_fault_budget
     }
 
-    /// Other machines whose disk was lost and may not have been replaced yet. Only a core that is split can take longer
-    /// for that than the machine counts as lost.
+    /// Number of other machines with a lost disk whose data may not have been replicated to them again. Only a split
+    /// core can need more time for that than the machine counts as lost; without splits this is 0.
     fn unrepaired_disks_besides(&self, machine: usize) -> usize {
         let is_unrepaired = |other: &usize| *other != machine && self.machines[*other].lost_disk;
         let present = self.present_machines();
@@ -98,17 +99,17 @@
         }
     }
 
-    /// Disks that were lost are replaced once nothing is lost, and the core not split, for as long as that takes.
+    /// Stops counting lost disks once no machine counts as lost and the core has not been split for the catch-up time.
     pub(super) fn forget_repaired_disks(&mut self) {
-        let is_whole = self.faults.core_splits == 0 && self.lost_machines().is_empty();
-        if is_whole && self.now >= self.faults.split_until + self.settings.bounds.catch_up_time {
+        let is_intact = self.faults.core_splits == 0 && self.lost_machines().is_empty();
+        if is_intact && self.now >= self.faults.split_until + self.settings.bounds.catch_up_time {
             self.machines.iter_mut().for_each(|machine| machine.lost_disk = false);
         }
     }
 
-    /// Service may rest while the core is split or more is lost at one time than the budget allows, as may follow from a
-    /// split, and until the time for recovery after that is over.
-    pub(crate) fn update_service_rest(&mut self) {
+    /// Allows unavailability until the recovery time after the last moment at which the core was split or more machines
+    /// were lost than the budget allows, which may follow from a split.
+    pub(crate) fn extend_allowed_outage(&mut self) {
         self.forget_repaired_disks();
         if !self.settings.splits_core {
             return;
@@ -116,12 +117,12 @@
         let lost = self.lost_machines();
         let is_lost = |index: &usize| self.machines[*index].lost_disk || lost.contains(index);
         let lost_count = self.present_machines().iter().filter(|index| is_lost(index)).count();
-        if self.faults.core_splits > 0 || lost_count > self.settings.losses {
-            self.faults.rests_until = self.now + self.settings.bounds.recovery_time;
+        if self.faults.core_splits > 0 || lost_count > self.settings.tolerated_losses {
+            self.faults.outage_allowed_until = self.now + self.settings.bounds.recovery_time;
         }
     }
 
-    /// Machines that count as lost: by a fault, or as they still catch up after one.
+    /// Returns the machines that count as lost, by an active fault or while they catch up after one.
     fn lost_machines(&self) -> Vec<usize> {
         let is_lost = |index: &usize| {
             let machine = &self.machines[*index];
--- a/crates/fernknot-simulator/src/gateways/arrivals.rs
+++ b/crates/fernknot-simulator/src/gateways/arrivals.rs
@@ -1,4 +1,4 @@
-//! What arrives at the ends of connections: bytes, and their end.
+//! Arrival of bytes and of connection ends at the endpoints of connections.
 
 use crate::checks::rule::Rule;
 use crate::controllers::machine::Input;
@@ -10,7 +10,7 @@
 use fernknot_rpc::{GatewayToController, read_message};
 use std::io::ErrorKind;
 
-/// The longest message of a gateway to a controller.
+/// Maximum length of a message from a gateway to a controller, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 impl Simulation {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Hands a controller all complete messages that have arrived over a connection.
+    /// Delivers all complete messages that have arrived on a connection to a controller.
     fn deliver_gateway_messages(&mut self, id: u64, machine: usize, incarnation: u64) {
         let from = SubscriberId(id);
         while let Some(connection) = self.gateways.connections.get_mut(&id) {
@@ -62,7 +62,7 @@
             return;
         }
         let endpoint = end.endpoint;
-        // A gateway that sees an end in order still has to close.
+        // After an orderly close by the peer, a gateway still has to close its own side.
         let is_half_closed = !is_reset && matches!(endpoint, Endpoint::Gateway { .. });
         end.is_closed = !is_half_closed;
         if connection.is_closed() {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A gateway's connection was reset or refused.
+    /// Notifies a gateway of a connection that was reset or refused.
     fn gateway_connection_lost(&mut self, index: usize, connection: ConnectionId) {
         let process = &mut self.gateways.processes[index];
         process.links.remove(&connection);
--- a/crates/fernknot-simulator/src/gateways/connections.rs
+++ b/crates/fernknot-simulator/src/gateways/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of bytes: opened, used and closed by their ends.
+//! Byte-stream connections: opening, sending and closing.
 
 use crate::gateways::state::{ByteConnection, Endpoint, GatewayEvent, GatewayLink, Side};
 use crate::network::peers::SYN_RETRANSMISSION_DELAY;
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 
 impl Simulation {
-    /// Begins a connection from this end.
+    /// Begins to open a connection from an endpoint to an address.
     pub(super) fn open_connection(&mut self, from: Endpoint, to: SocketAddrV4) -> u64 {
         let (machines, gateways) = (self.machines.len(), self.gateways.processes.len());
         let to = match listener_at(to, machines, gateways, self.settings.nodes) {
@@ -28,7 +28,7 @@
         id
     }
 
-    /// Begins a connection from a client to a gateway's front.
+    /// Begins to open a connection from a client to a gateway.
     pub(crate) fn connect_client(&mut self, client: usize, gateway: usize) -> u64 {
         self.open_connection(Endpoint::Client(client), gateway_addr(gateway))
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The endpoint that takes a connection; none where it is refused.
+    /// Returns the endpoint that accepts a connection; `None` if the connection is refused.
     fn accept_connection(&mut self, id: u64, from: Endpoint, to: Endpoint) -> Option<Endpoint> {
         match to {
             Endpoint::Controller { machine, .. } => {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// One end sends bytes, which arrive in order and at times in two pieces.
+    /// Sends bytes from one side. They arrive in order, at times in two pieces.
     pub(crate) fn send_bytes(&mut self, id: u64, from: Side, mut bytes: Vec<u8>) {
         let Some(connection) = self.gateways.connections.get(&id) else { return };
         if connection.is_broken || connection.end(from).is_closed {
@@ -151,7 +151,7 @@
         self.schedule_gateway(delay, GatewayEvent::Bytes { connection, to, bytes });
     }
 
-    /// One end closes the connection; the other sees that after all that was sent before.
+    /// Closes one side of a connection. The other side is notified after all bytes that were sent before.
     pub(crate) fn close_connection(&mut self, id: u64, from: Side, is_reset: bool) {
         let Some(connection) = self.gateways.connections.get_mut(&id) else { return };
         connection.end_mut(from).is_closed = true;
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Both ends see a reset after so long, and nothing passes meanwhile.
+    /// Breaks a connection: nothing is delivered any more, and both sides see a reset after the delay `after`.
     pub(super) fn break_connection(&mut self, id: u64, after: Nanos) {
         let Some(connection) = self.gateways.connections.get_mut(&id) else { return };
         connection.is_broken = true;
--- a/crates/fernknot-simulator/src/gateways/control_links.rs
+++ b/crates/fernknot-simulator/src/gateways/control_links.rs
@@ -1,4 +1,4 @@
-//! Gateways' connections to controllers: notifications, and what ends the connections.
+//! Gateways' connections to controllers: notifications, and loss of the connections.
 
 use crate::gateways::state::{Endpoint, Side};
 use crate::settings::SeededBug;
@@ -9,7 +9,7 @@
 use fernknot_rpc::{ControllerToGateway, write_message};
 
 impl Simulation {
-    /// A controller sends something to a gateway that is subscribed to it.
+    /// Sends a message of a controller to a subscribed gateway.
     pub(crate) fn notify_gateway(&mut self, to: SubscriberId, message: &ControllerToGateway) {
         let mut output = Buffer::default();
         write_message(&mut output, message);
@@ -17,15 +17,15 @@
             && let ControllerToGateway::Config { revision, config } = message
             && let Some(older) = self.gateways.previous_config.replace(config.clone())
         {
-            // The configuration before this one comes again, as if it were the newest.
+            // Sends the previous configuration again with the next revision.
             let replayed = ControllerToGateway::Config { revision: revision + 1, config: older };
             write_message(&mut output, &replayed);
         }
         self.send_bytes(to.0, Side::Acceptor, output.data().to_vec());
     }
 
-    /// A controller's process has ended, or its connections were reset. Gateways learn of it later, if the machine has
-    /// lost power.
+    /// Breaks the gateways' connections to a controller whose process has ended or whose connections were reset.
+    /// Gateways detect a power loss only after a time-out.
     pub(crate) fn drop_gateway_connections(&mut self, machine: usize, incarnation: u64, loses_power: bool) {
         let after = if loses_power { self.settings.bounds.suspect_timeout() } else { millis(5) };
         let is_reset = self.machines[machine].is_up();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Connections of gateways don't survive a partition.
+    /// Breaks the connections of gateways across a partitioned link.
     pub(crate) fn partition_gateways(&mut self, from: usize, to: usize) {
         let after = self.settings.bounds.suspect_timeout();
         let is_affected =
--- a/crates/fernknot-simulator/src/gateways/faults.rs
+++ b/crates/fernknot-simulator/src/gateways/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of gateways and nodes, drawn as the run goes on.
+//! Faults of gateways and nodes, drawn during the run.
 
 use crate::gateways::state::GatewayEvent;
 use crate::simulation::Simulation;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// SIGTERM.
+    /// Begins a graceful shutdown, as SIGTERM does.
     fn stop_gateway(&mut self, index: usize) {
         let process = &mut self.gateways.processes[index];
         let local_time = process.clock.read(self.now);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// All connections of a gateway are reset.
+    /// Resets all connections of a gateway.
     fn reset_gateway(&mut self, index: usize) {
         self.trace(|| format!("gateway {index}: its connections are reset"));
         let links: Vec<u64> =
--- a/crates/fernknot-simulator/src/gateways/mod.rs
+++ b/crates/fernknot-simulator/src/gateways/mod.rs
@@ -1,5 +1,5 @@
-//! In runs of the whole system: the production gateways, and the connections that carry their bytes to controllers, to
-//! each other, to nodes and from clients.
+//! Production gateways in runs of the whole system, and their byte-stream connections to controllers, other gateways,
+//! nodes and clients.
 
 mod arrivals;
 mod connections;
--- a/crates/fernknot-simulator/src/gateways/processes.rs
+++ b/crates/fernknot-simulator/src/gateways/processes.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a gateway's process, and its turns.
+//! Life cycle of a gateway process, and the turns of its event loop.
 
 use crate::checks::rule::Rule;
 use crate::event::Event;
@@ -17,10 +17,10 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// A gateway takes a turn at least so often.
+/// Maximum interval between the turns of a gateway's event loop.
 const MAX_TURN_INTERVAL: Nanos = millis(250);
 
-/// Why a gateway does not start.
+/// Error that prevents the start of a gateway.
 #[derive(Debug, Error)]
 enum GatewayStartError {
     #[error("it can't read its settings: {0:?}")]
@@ -93,7 +93,7 @@
         })
     }
 
-    /// The process ends, and its connections with it; another incarnation starts later.
+    /// Ends the process with all its connections, and schedules the start of another incarnation.
     pub(super) fn end_gateway(&mut self, index: usize) {
         let process = &mut self.gateways.processes[index];
         process.gateway = None;
@@ -111,8 +111,9 @@
         self.schedule_gateway(delay, GatewayEvent::Start(index));
     }
 
-    /// The side that closes as the process of a gateway ends. Where a gateway is connected to itself, at the address of an
-    /// earlier incarnation, that is the opener for both ends: recorded schedules depend on it.
+    /// Returns the side that closes when the process of a gateway ends. For a connection of a gateway to itself,
+    /// which was opened to the address of an earlier incarnation, this is the opener for both ends: recorded
+    /// schedules depend on it.
     fn closing_side(&self, index: usize, link: GatewayLink) -> Side {
         let connection = self.gateways.connections.get(&link.connection);
         match connection.map(|connection| connection.opener.endpoint) {
@@ -144,7 +145,7 @@
             gateway.set_seeds(&seeds);
         }
         let has_shut_down = gateway.poll_shutdown(local_time, &mut process.ports);
-        let delay = process.clock.span_of(gateway.next_wakeup() - local_time);
+        let delay = process.clock.simulated_span(gateway.next_wakeup() - local_time);
         self.flush_gateway(index);
         if has_shut_down {
             return self.end_gateway(index);
@@ -152,7 +153,7 @@
         self.schedule_turn(index, delay.max(micros(1)).min(MAX_TURN_INTERVAL));
     }
 
-    /// Carries out what the gateway did to its connections, and sends what it wrote.
+    /// Executes the gateway's pending network operations and sends its output.
     pub(super) fn flush_gateway(&mut self, index: usize) {
         for action in std::mem::take(&mut self.gateways.processes[index].ports.actions) {
             match action {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Something has happened to a connection: the gateway learns of it in its next turn, at times a little later.
+    /// Queues a network event for the gateway's next turn, which may be delayed a little.
     pub(super) fn push_gateway_event(&mut self, index: usize, event: NetworkEvent) {
         self.gateways.processes[index].inbox.push(event);
         let delay = match self.rng.below(10) {
@@ -206,8 +207,8 @@
         self.schedule_turn(index, delay);
     }
 
-    /// Whether a gateway is in touch, by the users' definition.
-    pub(crate) fn is_gateway_in_touch(&self, index: usize) -> bool {
-        self.is_in_touch(FIRST_GATEWAY + index, self.gateways.processes[index].disturbed_at)
+    /// Returns whether a gateway is in contact, as defined by [`Simulation::is_in_contact`].
+    pub(crate) fn is_gateway_in_contact(&self, index: usize) -> bool {
+        self.is_in_contact(FIRST_GATEWAY + index, self.gateways.processes[index].disturbed_at)
     }
 }
--- a/crates/fernknot-simulator/src/gateways/settings.rs
+++ b/crates/fernknot-simulator/src/gateways/settings.rs
@@ -1,16 +1,16 @@
-//! The settings file of a simulated gateway.
+//! Settings file of a simulated gateway.
 
 use crate::settings::{RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW, SeededBug, Settings};
 use crate::topology::{GATEWAY_PEER_PORT, controller_addr, gateway_addr, zone_name};
 use fernknot_schema::{ProcessSettings, ValidationError};
 
-/// By how much the seeded bug makes the retry budget too large.
+/// Factor by which the seeded bug `UnlimitedRetries` enlarges the retry budget.
 const UNLIMITED_RETRIES_FACTOR: f64 = 100.0;
 
-/// The settings of the gateway with this number, as it reads them at its start.
+/// Builds the settings that a gateway reads at its start.
 ///
 /// # Errors
-/// All that makes them invalid.
+/// Returns all validation errors if the settings are invalid.
 pub(super) fn process_settings(
     gateway: usize,
     seeds: &[usize],
--- a/crates/fernknot-simulator/src/gateways/state.rs
+++ b/crates/fernknot-simulator/src/gateways/state.rs
@@ -1,4 +1,4 @@
-//! Gateways' processes, and connections of bytes.
+//! State of gateway processes and of byte-stream connections.
 
 use crate::ports::SimulatedPorts;
 use crate::settings::Settings;
@@ -10,7 +10,7 @@
 use fernknot_schema::RoutingConfig;
 use std::collections::BTreeMap;
 
-/// Who is at one end of a connection.
+/// Process at one end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Endpoint {
     Gateway {
@@ -24,12 +24,13 @@
     },
     Node(usize),
     Client(usize),
-    /// Nobody listens at the address.
+    /// No process listens at the address.
     Unreachable,
 }
 
 impl Endpoint {
-    /// Where partitions find it; there are none at nodes and clients.
+    /// Returns the position by which partitions identify the endpoint; `None` for nodes and clients, whose links are
+    /// never partitioned.
     pub fn position(self) -> Option<usize> {
         match self {
             Endpoint::Gateway { index, .. } => Some(FIRST_GATEWAY + index),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The number by which delays are sampled for it.
+    /// Returns the index of the zone, for network delays.
     pub fn zone(self) -> usize {
         match self {
             Endpoint::Gateway { index, .. }
@@ -50,10 +51,10 @@
     }
 }
 
-/// One of the two ends of a connection.
+/// Side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Side {
-    /// The end that opened it.
+    /// The side that opened the connection.
     Opener,
     Acceptor,
 }
@@ -67,22 +68,22 @@
     }
 }
 
-/// One end of a connection.
+/// State of one side of a connection.
 pub(crate) struct ConnectionEnd {
     pub endpoint: Endpoint,
-    /// When what was sent last arrives here.
+    /// Arrival time of the last bytes sent to this side.
     pub last_arrival: Nanos,
-    /// It has closed the connection, or seen its end.
+    /// Whether this side has closed the connection or seen its end.
     pub is_closed: bool,
 }
 
-/// One connection: in order, and a reset or a partition loses what is on its way.
+/// A byte-stream connection. It delivers in order; a reset or a partition loses the bytes in flight.
 pub(crate) struct ByteConnection {
     pub opener: ConnectionEnd,
     pub acceptor: ConnectionEnd,
-    /// Nothing passes any more.
+    /// Whether the connection has stopped delivering.
     pub is_broken: bool,
-    /// Bytes that a controller has received and not read.
+    /// Received bytes that the controller has not read.
     pub received: Buffer,
 }
 
@@ -115,14 +116,14 @@
         self.opener.is_closed && self.acceptor.is_closed
     }
 
-    /// Whether it links these two positions, in either direction.
+    /// Returns whether the connection links two positions, in either direction.
     pub fn links(&self, from: usize, to: usize) -> bool {
         let ends = (self.opener.endpoint.position(), self.acceptor.endpoint.position());
         ends == (Some(from), Some(to)) || ends == (Some(to), Some(from))
     }
 }
 
-/// What happens to gateways and their connections next.
+/// Scheduled event of gateways and their connections.
 #[derive(Clone, Debug)]
 pub(crate) enum GatewayEvent {
     Start(usize),
@@ -130,16 +131,16 @@
         gateway: usize,
         incarnation: u64,
     },
-    /// The first packet of a connection arrives.
+    /// The SYN packet of a connection arrives.
     Syn(u64),
-    /// The opener learns that its connection is open.
+    /// The opener is notified that its connection is open.
     Opened(u64),
     Bytes {
         connection: u64,
         to: Side,
         bytes: Vec<u8>,
     },
-    /// The end of a connection reaches one end of it.
+    /// The close or reset of a connection arrives at one side.
     EndArrives {
         connection: u64,
         to: Side,
@@ -152,29 +153,29 @@
     InjectFault,
 }
 
-/// A gateway's end of a connection.
+/// A gateway's side of a connection.
 #[derive(Clone, Copy)]
 pub(crate) struct GatewayLink {
     pub connection: u64,
     pub side: Side,
 }
 
-/// One gateway's process.
+/// Process of a gateway.
 pub(crate) struct GatewayProcess {
     pub gateway: Option<Gateway>,
-    /// The incarnation of the process that runs, or ran last; 0 before the first.
+    /// Incarnation of the current or most recent process; 0 before the first start.
     pub incarnation: u64,
     pub clock: ProcessClock,
-    /// No client can connect.
+    /// Whether connections of clients are refused.
     pub refuses_clients: bool,
     pub is_frozen: bool,
     pub ports: SimulatedPorts,
     pub listeners: ListenerIds,
-    /// Events for its next turn.
+    /// Network events for the next turn.
     pub inbox: Vec<NetworkEvent>,
     pub turn_at: Option<Nanos>,
     pub links: BTreeMap<ConnectionId, GatewayLink>,
-    /// The last moment of anything that puts it out of touch.
+    /// Time of the last event that interrupts the gateway's contact with the controllers.
     pub disturbed_at: Nanos,
 }
 
@@ -198,11 +199,11 @@
     }
 }
 
-/// All gateways, and all connections of bytes.
+/// Gateways and all byte-stream connections.
 pub(crate) struct Gateways {
     pub processes: Vec<GatewayProcess>,
     pub connections: BTreeMap<u64, ByteConnection>,
-    /// The configuration that was sent last, for a seeded bug.
+    /// Configuration that was sent last, for the seeded bug `ReplaysOldConfig`.
     pub previous_config: Option<RoutingConfig>,
 }
 
@@ -219,9 +220,9 @@
         }
     }
 
-    /// Connections of which this holds, in the order in which they were opened.
-    pub fn connections_where(&self, holds: impl Fn(&ByteConnection) -> bool) -> Vec<u64> {
-        let matching = self.connections.iter().filter(|(_, connection)| holds(connection));
+    /// Returns the matching connections in the order in which they were opened.
+    pub fn connections_where(&self, predicate: impl Fn(&ByteConnection) -> bool) -> Vec<u64> {
+        let matching = self.connections.iter().filter(|(_, connection)| predicate(connection));
         matching.map(|(id, _)| *id).collect()
     }
 }
--- a/crates/fernknot-simulator/src/linearizability.rs
+++ b/crates/fernknot-simulator/src/linearizability.rs
@@ -1,5 +1,6 @@
-//! Whether the operators' history is that of one register, which is replaced only by who names its newest version, and
-//! read. Stateright's tester searches for an order of the calls; this module cuts the history so that it can.
+//! Linearizability check of the operators' history against a register with reads and compare-and-swap on its newest
+//! version. Stateright's tester searches for an order of the calls; this module splits the history into segments that
+//! are short enough for the search.
 
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 use std::sync::Arc;
@@ -8,54 +9,54 @@
 /// A version of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
-    /// Its number, as operators give it.
+    /// Epoch chosen by the operator.
     pub epoch: u64,
-    /// Which of the configurations with that number.
+    /// Distinguishes configurations with the same epoch.
     pub body: u64,
 }
 
-/// What an operator asks for.
+/// Operation of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// To replace the version with the number `base`, 0 for none.
+    /// Replaces the version with the epoch `base`; 0 if there is no version yet.
     Replace {
-        /// The number of the version that is replaced.
+        /// Epoch of the replaced version.
         base: u64,
-        /// The version in its place.
+        /// New version.
         new: Version,
     },
-    /// To read the newest version.
+    /// Reads the newest version.
     Read,
 }
 
-/// What an operator gets.
+/// Result of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OperationResult {
     /// The change is in force.
     Committed,
-    /// 412, or 400 for a number that is not above the base.
+    /// The change was rejected: 412, or 400 for an epoch that is not above the base.
     Rejected,
-    /// The newest version; none where there is no version yet.
+    /// The newest version; `None` if there is no version yet.
     Value(Option<Version>),
 }
 
-/// The end of a call.
+/// Completion of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Its place in the one sequence of all events.
+    /// Sequence number among all events.
     pub at: u64,
-    /// What the operator got.
+    /// Result that the operator received.
     pub result: OperationResult,
 }
 
-/// One call of an operator.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// What it asks for.
+    /// Requested operation.
     pub operation: Operation,
-    /// The place of its beginning in the one sequence of all events.
+    /// Sequence number of the beginning among all events.
     pub invoked_at: u64,
-    /// Its end; none where it had no clear response.
+    /// Completion; `None` if there was no definitive response.
     pub completion: Option<Completion>,
 }
 
@@ -64,25 +65,25 @@
         self.completion.is_some_and(|completion| completion.result == result)
     }
 
-    fn replaces(&self, epoch: u64) -> bool {
+    fn replaces_epoch(&self, epoch: u64) -> bool {
         matches!(self.operation, Operation::Replace { base, .. } if base == epoch)
     }
 }
 
-/// Steps after which a search is given up.
+/// Number of steps after which a search is aborted.
 const MAX_SEARCH_STEPS: u64 = 400_000;
 
-/// The specification of the register, with what keeps the search short.
+/// Specification of the register, with the state that limits the search.
 #[derive(Clone, Debug)]
 struct Register {
     newest: Option<Version>,
-    /// The place of the last call that changed nothing, if none has changed anything since.
-    last_unchanging: Option<usize>,
+    /// Index of the last non-mutating call since the last committed change.
+    last_non_mutating: Option<usize>,
     steps: Arc<AtomicU64>,
 }
 
 impl SequentialSpec for Register {
-    /// With the call's place among all, by when it began.
+    /// Index of the call in the order of beginnings, and its operation.
     type Op = (usize, Operation);
     type Ret = OperationResult;
 
@@ -94,14 +95,14 @@
                 if base != epoch || new.epoch <= epoch {
                     return OperationResult::Rejected;
                 }
-                (self.newest, self.last_unchanging) = (Some(new), None);
+                (self.newest, self.last_non_mutating) = (Some(new), None);
                 OperationResult::Committed
             }
         }
     }
 
-    /// Calls that change nothing may trade places: of all their orders only that by their beginnings is tried. It
-    /// breaks no order in time, as a call that ended before another began also began before it.
+    /// Prunes the search: non-mutating calls commute, so that only their order by beginnings is tried. This order
+    /// respects real time, as a call that ended before another began also began before it.
     fn is_valid_step(&mut self, operation: &(usize, Operation), result: &OperationResult) -> bool {
         if self.steps.fetch_add(1, Ordering::Relaxed) > MAX_SEARCH_STEPS {
             return false;
@@ -112,40 +113,40 @@
         if *result == OperationResult::Committed {
             return true;
         }
-        let place = operation.0;
-        let is_sorted = self.last_unchanging.is_none_or(|last| last < place);
-        self.last_unchanging = Some(place);
+        let position = operation.0;
+        let is_sorted = self.last_non_mutating.is_none_or(|last| last < position);
+        self.last_non_mutating = Some(position);
         is_sorted
     }
 }
 
-/// The result of the search.
+/// Result of the check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// There is an order that explains all results.
+    /// An order of the calls explains all results.
     Linearizable,
-    /// There is none.
+    /// No order explains all results.
     NotLinearizable {
-        /// The version before these calls; none where there was none yet.
+        /// Version before these calls; `None` if there was none yet.
         initial: Option<Version>,
-        /// The calls that no order explains.
+        /// Calls that no order explains.
         calls: Vec<Call>,
     },
-    /// The search was given up.
+    /// The search exceeded its step limit.
     Undecided {
-        /// The calls of which nothing is known.
+        /// Calls without a verdict.
         calls: Vec<Call>,
     },
 }
 
-/// Whether one order of the calls, each at a moment between its ends, explains all results. The history is cut where no
-/// call is in flight: there the version is known, as it is the last of those committed. A call without an end is never
-/// cut off: it stays in flight to the end of the history.
+/// Checks whether an order of the calls, each taking effect between its beginning and its completion, explains all
+/// results. The history is split where no call is in flight: the version at that point is the last committed one. A
+/// call without a completion stays in flight until the end of the history.
 ///
-/// A call that changes nothing and that fits at one of its moments in every order of the others is left out first:
-/// whether the others have an order doesn't depend on it. Without that, eight changes at once overlap too much.
+/// Non-mutating calls that are valid in every order of the other calls are removed first, as they do not affect whether
+/// the others have an order. Otherwise the search over eight concurrent changes would take too many steps.
 pub fn check_linearizability(calls: &[Call]) -> Verdict {
-    let mut calls: Vec<Call> = calls.iter().filter(|call| !always_fits(call, calls)).cloned().collect();
+    let mut calls: Vec<Call> = calls.iter().filter(|call| !is_always_valid(call, calls)).cloned().collect();
     calls.sort_by_key(|call| call.invoked_at);
     let mut initial = None;
     let mut rest = &calls[..];
@@ -155,14 +156,14 @@
             Verdict::Linearizable => {}
             other => return other,
         }
-        // Committed ones rise in number, each on top of the one before.
+        // Committed versions have ascending epochs, as each replaces the previous one.
         initial = segment.iter().filter_map(committed_version).max().or(initial);
         rest = others;
     }
     Verdict::Linearizable
 }
 
-/// How many calls go by until none is in flight.
+/// Number of leading calls after which no call is in flight.
 fn segment_length(calls: &[Call]) -> usize {
     let mut last_end = 0;
     for (index, call) in calls.iter().enumerate() {
@@ -181,16 +182,16 @@
     }
 }
 
-/// Whether a call that changed nothing fits at one of its own moments, whatever the order of the others.
-fn always_fits(call: &Call, all: &[Call]) -> bool {
+/// Returns whether a non-mutating call is valid at some point of its duration in every order of the other calls.
+fn is_always_valid(call: &Call, all: &[Call]) -> bool {
     let Some(Completion { at: end, result }) = call.completion else { return false };
     match (call.operation, result) {
-        // At its end: what came on top of its base was committed before.
+        // Valid at its end: another change that replaced its base was committed before.
         (Operation::Replace { base, .. }, OperationResult::Rejected) => {
-            let mut others = all.iter().filter(|other| other.replaces(base));
+            let mut others = all.iter().filter(|other| other.replaces_epoch(base));
             others.any(|other| committed_at(other).is_some_and(|committed_at| committed_at < end))
         }
-        // At a moment after the version's own end and before anything on top of it could begin.
+        // Valid after the commit of the version and before the beginning of any change that replaces it.
         (Operation::Read, OperationResult::Value(found)) => {
             let since = match found {
                 None => Some(0),
@@ -201,7 +202,7 @@
             let epoch = found.map_or(0, |version| version.epoch);
             let successors = all
                 .iter()
-                .filter(|other| other.replaces(epoch) && !other.has_result(OperationResult::Rejected));
+                .filter(|other| other.replaces_epoch(epoch) && !other.has_result(OperationResult::Rejected));
             let until = successors.map(|other| other.invoked_at).min().unwrap_or(u64::MAX).min(end);
             since.is_some_and(|since| since.max(call.invoked_at) < until)
         }
@@ -214,7 +215,8 @@
     (completion.result == OperationResult::Committed).then_some(completion.at)
 }
 
-/// Calls without an end need not have happened: where the others have an order by themselves, that is one.
+/// Checks one segment. Calls without a completion need not have taken effect: an order of the others alone suffices.
+/// Otherwise the search is repeated with all calls.
 fn check_segment(initial: Option<Version>, segment: &[Call]) -> Verdict {
     let ended: Vec<Call> = segment.iter().filter(|call| call.completion.is_some()).cloned().collect();
     match search_order(initial, &ended) {
@@ -225,10 +227,11 @@
 
 fn search_order(initial: Option<Version>, segment: &[Call]) -> Verdict {
     let steps = Arc::new(AtomicU64::new(0));
-    let register = Register { newest: initial, last_unchanging: None, steps: steps.clone() };
+    let register = Register { newest: initial, last_non_mutating: None, steps: steps.clone() };
     let mut tester = LinearizabilityTester::new(register);
     for (_, index, result) in events_in_order(segment) {
-        // Each call is a thread of its own: order in time binds threads too, and a thread has one call in flight.
+        // Each call is a thread of its own, since a thread of the tester has only one call in flight. The tester
+        // respects real-time order between threads too.
         let is_accepted = match result {
             None => tester.on_invoke(index, (index, segment[index].operation)).is_ok(),
             Some(result) => tester.on_return(index, result).is_ok(),
@@ -246,7 +249,8 @@
     }
 }
 
-/// Beginnings and ends in their order: when, of which call, and at an end the result.
+/// Returns the beginnings and completions of all calls in order: sequence number, index of the call, and the result
+/// of a completion.
 fn events_in_order(segment: &[Call]) -> Vec<(u64, usize, Option<OperationResult>)> {
     let mut events = Vec::new();
     for (index, call) in segment.iter().enumerate() {
--- a/crates/fernknot-simulator/src/network/connectivity.rs
+++ b/crates/fernknot-simulator/src/network/connectivity.rs
@@ -1,17 +1,17 @@
-//! Partitions, resets, and who is in touch by the users' definition.
+//! Network delays, partitions, connection resets, and the definition of processes in contact.
 
 use crate::simulation::Simulation;
 use crate::time::millis;
 use crate::topology::FIRST_SUBSCRIBER;
 use fernknot::interface::Nanos;
 
-/// What a slow link adds to each delay.
+/// Additional delay of a slow link.
 const SLOW_LINK_DELAY: Nanos = millis(200);
-/// A delay is drawn from the base delay up to this share more.
+/// Maximum random increase of a delay, as a share of its base.
 const DELAY_JITTER: f64 = 0.3;
 
 impl Simulation {
-    /// A delay from one process to another.
+    /// Samples a network delay from one process to another.
     pub(crate) fn sample_delay(&self, from: usize, to: usize) -> Nanos {
         let base = self.network.zone_delay(from, to);
         let is_slow = |index: &usize| self.machines.get(*index).is_some_and(|machine| machine.has_slow_link);
@@ -19,7 +19,7 @@
         base + self.rng.between(Nanos(0), base.times(DELAY_JITTER))
     }
 
-    /// Begins or ends a partition of the link from one position to another, in this direction.
+    /// Begins or ends a partition of the link from one position to another. The opposite direction is not affected.
     pub(crate) fn set_partition(&mut self, from: usize, to: usize, begins: bool) {
         if begins {
             self.network.add_partition(from, to);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// All connections of a machine end at once; what was on its way is lost.
+    /// Resets all connections of a machine. Messages in flight are lost.
     pub(crate) fn reset_connections(&mut self, index: usize) {
         self.network.core_disturbed_at = self.now;
         self.mark_disturbed(index);
@@ -58,7 +58,7 @@
         self.gateways.mark_disturbed(position, self.now);
     }
 
-    /// Machines that run and reach more than half of the core.
+    /// Returns the running machines that can reach a majority of the core.
     pub(crate) fn majority_members(&self) -> Vec<usize> {
         let core = self.present_machines().len();
         let running = self.running_machines();
@@ -70,19 +70,21 @@
         running.iter().copied().filter(reaches_majority).collect()
     }
 
-    /// Whether nothing has disturbed the core for a while, and a majority of it runs.
+    /// Returns whether the core has been undisturbed for the contact time-out and a majority of it is connected.
     pub(crate) fn is_core_stable(&self) -> bool {
-        if self.now < self.faults.rests_until {
+        if self.now < self.faults.outage_allowed_until {
             return false;
         }
-        let is_calm = self.now - self.network.core_disturbed_at >= self.settings.bounds.contact_timeout;
-        is_calm && self.network.slow_faults == 0 && !self.majority_members().is_empty()
+        let is_undisturbed =
+            self.now - self.network.core_disturbed_at >= self.settings.bounds.contact_timeout;
+        is_undisturbed && self.network.slow_faults == 0 && !self.majority_members().is_empty()
     }
 
-    /// Whether the process at a position is in touch, if something disturbed it last at `disturbed_at`.
-    pub(crate) fn is_in_touch(&self, position: usize, disturbed_at: Nanos) -> bool {
-        let is_calm = self.now - disturbed_at >= self.settings.bounds.contact_timeout;
+    /// Returns whether the process at a position is in contact: undisturbed for the contact time-out, with links to all
+    /// members of the majority, while the core is stable. `disturbed_at` is the time of the process's last disturbance.
+    pub(crate) fn is_in_contact(&self, position: usize, disturbed_at: Nanos) -> bool {
+        let is_undisturbed = self.now - disturbed_at >= self.settings.bounds.contact_timeout;
         let is_linked = |index: &usize| *index == position || self.network.is_linked(*index, position);
-        is_calm && self.is_core_stable() && self.majority_members().iter().all(is_linked)
+        is_undisturbed && self.is_core_stable() && self.majority_members().iter().all(is_linked)
     }
 }
--- a/crates/fernknot-simulator/src/network/mod.rs
+++ b/crates/fernknot-simulator/src/network/mod.rs
@@ -1,4 +1,4 @@
-//! Links: delays, connections between controllers, partitions, and who is in touch with whom.
+//! Network links: delays, connections between controllers, partitions, and connectivity.
 
 mod connectivity;
 pub(crate) mod peers;
--- a/crates/fernknot-simulator/src/network/peers.rs
+++ b/crates/fernknot-simulator/src/network/peers.rs
@@ -1,4 +1,4 @@
-//! Connections between controllers: in order, and held back by partitions until the sender gives them up.
+//! Connections between controllers. They deliver in order; a partition stalls them until the sender times out.
 
 use crate::controllers::machine::Input;
 use crate::event::Event;
@@ -11,7 +11,7 @@
 use fernknot_rpc::ControllerMessage;
 use std::collections::VecDeque;
 
-/// A first packet that was lost is sent again after this.
+/// Time after which a lost SYN packet is retransmitted.
 pub(crate) const SYN_RETRANSMISSION_DELAY: Nanos = Nanos(1_000_000_000);
 
 impl Simulation {
@@ -73,7 +73,7 @@
         self.schedule_input(Nanos(0), from, from_incarnation, input);
     }
 
-    /// Ends a connection; its sender learns of that after `delay`.
+    /// Ends a connection and notifies its sender after `delay`.
     fn disconnect_peer(&mut self, id: u64, delay: Nanos) {
         let Some(connection) = self.network.connections.get(&id) else { return };
         let (from, incarnation, to) = (connection.from, connection.from_incarnation, connection.to);
@@ -117,7 +117,7 @@
         });
     }
 
-    /// What was held back goes on, if nothing holds it back any more.
+    /// Delivers the stalled messages of a connection, if the link is up again.
     pub(crate) fn flush_stalled(&mut self, id: u64) {
         let Some(connection) = self.network.connections.get_mut(&id) else { return };
         let (from, to, to_incarnation) = (connection.from, connection.to, connection.to_incarnation);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A sender whose messages were not acknowledged for too long gives the connection up.
+    /// Ends a connection whose messages were not acknowledged in time, if the stall still lasts.
     pub(crate) fn time_out_peer_connection(&mut self, id: u64, stall: Stall) {
         let Some(connection) = self.network.connections.get(&id) else { return };
         let has_ended = match stall {
@@ -144,8 +144,8 @@
         }
     }
 
-    /// The process of a machine has ended: what it sent is on its way, what comes is lost. The others learn of it at
-    /// once, if the machine can still send.
+    /// Handles the end of a machine's process: its messages in flight are still delivered, messages to it are lost.
+    /// Peers are notified after a network delay if the machine can still send, otherwise they time out.
     pub(crate) fn end_peer_connections(&mut self, index: usize, loses_power: bool) {
         self.network.sender_ended(index);
         for id in self.network.connections_where(|connection| connection.to == index) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// All connections between a machine and its peers end at once.
+    /// Ends all connections between a machine and its peers.
     pub(crate) fn reset_peer_connections(&mut self, index: usize) {
         let has_end = |connection: &PeerConnection| connection.from == index || connection.to == index;
         for id in self.network.connections_where(has_end) {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// A partition begins or ends on the link from one position to another, in one direction.
+    /// Applies the beginning or end of a one-way partition to the connections on that link.
     pub(crate) fn partition_peer_connections(&mut self, from: usize, to: usize, begins: bool) {
         let is_affected =
             |connection: &PeerConnection| connection.is_between(from, to) || connection.is_between(to, from);
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Messages against the direction of the partition arrive, but their acknowledgements don't.
+    /// Schedules the time-out of a connection against the direction of a partition: its messages arrive, but their
+    /// acknowledgements do not.
     fn expect_no_acknowledgement(&mut self, id: u64, from: usize, to: usize) {
         self.network.next_stall();
         let connection = &self.network.connections[&id];
--- a/crates/fernknot-simulator/src/network/state.rs
+++ b/crates/fernknot-simulator/src/network/state.rs
@@ -1,4 +1,4 @@
-//! Delays between zones, connections between controllers, and which links are partitioned.
+//! Delays between zones, connections between controllers, and partitioned links.
 
 use crate::rng::Rng;
 use crate::time::{micros, millis};
@@ -7,54 +7,54 @@
 use fernknot_rpc::ControllerMessage;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Why a connection between controllers may end: for how long nothing has been acknowledged on it.
+/// Reason for the time-out of a connection between controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stall {
-    /// Nothing will ever be acknowledged.
+    /// Acknowledgements can never arrive.
     Permanent,
-    /// Messages have waited since the stall with this number.
+    /// Messages have been stalled since the stall with this number began.
     Since(u64),
 }
 
-/// A connection from one controller to another, on which only the first sends.
+/// One-way connection from one controller to another.
 pub(crate) struct PeerConnection {
     pub from: usize,
     pub from_incarnation: u64,
     pub to: usize,
     pub to_incarnation: u64,
     pub is_open: bool,
-    /// When the last message that was sent arrives.
+    /// Arrival time of the last message that was sent.
     pub last_arrival: Nanos,
-    /// Messages that a partition holds back.
+    /// Messages delayed by a partition.
     pub stalled: VecDeque<ControllerMessage>,
-    /// The number of the stall that holds them back.
+    /// Number of the stall that delays them.
     pub stall: u64,
 }
 
 impl PeerConnection {
-    /// Whether it runs from `from` to `to`.
+    /// Returns whether the connection leads from `from` to `to`.
     pub fn is_between(&self, from: usize, to: usize) -> bool {
         (self.from, self.to) == (from, to)
     }
 }
 
-/// The network of the controllers, and what disturbs it.
+/// Network between the controllers, with its partitions and delays.
 pub(crate) struct PeerNetwork {
     pub connections: BTreeMap<u64, PeerConnection>,
     outgoing: BTreeMap<(usize, usize), u64>,
-    /// How many faults partition the link from one position to another, where any does.
+    /// Number of faults that partition each link, by the positions of its sender and receiver.
     partitions: BTreeMap<(usize, usize), usize>,
     last_stall: u64,
-    /// Base delays between zones, row by row.
+    /// Base delays between zones, in row-major order.
     zone_delays: [Nanos; ZONES * ZONES],
-    /// The last event that disturbs the core.
+    /// Time of the last disturbance of the core.
     pub core_disturbed_at: Nanos,
-    /// Faults that slow a disk or a link down.
+    /// Number of active faults that slow down a disk or a link.
     pub slow_faults: usize,
 }
 
 impl PeerNetwork {
-    /// A network without partitions, with delays drawn from `rng`.
+    /// Creates a network without partitions, with delays drawn from `rng`.
     pub fn new(rng: &Rng, now: Nanos) -> PeerNetwork {
         let mut zone_delays = [Nanos(0); ZONES * ZONES];
         for zone in 0..ZONES {
@@ -76,23 +76,23 @@
         }
     }
 
-    /// The base delay between the zones of two processes.
+    /// Returns the base delay between the zones of two processes.
     pub fn zone_delay(&self, from: usize, to: usize) -> Nanos {
         self.zone_delays[(from % ZONES) * ZONES + to % ZONES]
     }
 
-    /// The connection that a machine has opened, or is opening, to another.
+    /// Returns the connection that a machine has opened, or is opening, to another.
     pub fn outgoing(&self, from: usize, to: usize) -> Option<u64> {
         self.outgoing.get(&(from, to)).copied()
     }
 
-    /// Adds a connection in place of the one between the same machines.
+    /// Adds a connection, which becomes the outgoing one between its machines.
     pub fn insert(&mut self, id: u64, connection: PeerConnection) {
         self.outgoing.insert((connection.from, connection.to), id);
         self.connections.insert(id, connection);
     }
 
-    /// The sender gives a connection up, whatever state it is in.
+    /// Removes the outgoing connection between two machines in any state, without notifying the sender.
     pub fn abort(&mut self, from: usize, to: usize) {
         if let Some(id) = self.outgoing.remove(&(from, to)) {
             self.connections.remove(&id);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The sender's process has ended: only what is on its way still arrives.
+    /// Handles the end of a sender's process: only open connections without stalled messages still deliver.
     pub fn sender_ended(&mut self, from: usize) {
         self.connections.retain(|_, connection| {
             connection.from != from || (connection.is_open && connection.stalled.is_empty())
@@ -116,29 +116,29 @@
         self.outgoing.retain(|(sender, _), _| *sender != from);
     }
 
-    /// Connections of which this holds, in the order in which they were opened.
-    pub fn connections_where(&self, holds: impl Fn(&PeerConnection) -> bool) -> Vec<u64> {
-        let matching = self.connections.iter().filter(|(_, connection)| holds(connection));
+    /// Returns the matching connections in the order in which they were opened.
+    pub fn connections_where(&self, predicate: impl Fn(&PeerConnection) -> bool) -> Vec<u64> {
+        let matching = self.connections.iter().filter(|(_, connection)| predicate(connection));
         matching.map(|(id, _)| *id).collect()
     }
 
-    /// A number for the next stall.
+    /// Returns the number of a new stall.
     pub fn next_stall(&mut self) -> u64 {
         self.last_stall += 1;
         self.last_stall
     }
 
-    /// Whether nothing goes from one position to another.
+    /// Returns whether the link from one position to another is partitioned.
     pub fn is_partitioned(&self, from: usize, to: usize) -> bool {
         self.partitions.contains_key(&(from, to))
     }
 
-    /// Whether both ways are open.
+    /// Returns whether neither direction between two positions is partitioned.
     pub fn is_linked(&self, first: usize, second: usize) -> bool {
         !self.is_partitioned(first, second) && !self.is_partitioned(second, first)
     }
 
-    /// Whether any link is partitioned.
+    /// Returns whether any link is partitioned.
     pub fn has_partitions(&self) -> bool {
         !self.partitions.is_empty()
     }
--- a/crates/fernknot-simulator/src/ports.rs
+++ b/crates/fernknot-simulator/src/ports.rs
@@ -1,56 +1,56 @@
-//! A network without sockets, for a gateway in simulated time.
+//! In-memory implementation of [`Network`] for a gateway in simulated time.
 
 use fernknot_net::{Buffer, ConnectionId, NetError, Network};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
 use std::net::SocketAddrV4;
 
-/// The gateway's end of one connection.
+/// Gateway's end of one connection.
 pub struct SimulatedConnection {
-    /// The other end has accepted it.
+    /// Whether the other end has accepted the connection.
     pub is_open: bool,
-    /// It closes once the output has been sent.
+    /// Whether the connection closes once the output has been sent.
     pub is_closing: bool,
-    /// Bytes that have arrived and that the gateway has not read.
+    /// Received bytes that the gateway has not read.
     pub input: Buffer,
-    /// Bytes that the gateway has written and that have not been sent.
+    /// Bytes that the gateway has written and the simulation has not sent.
     pub output: Buffer,
 }
 
-/// What the gateway did, for the simulation to carry out.
+/// Network operation of the gateway, for the simulation to execute.
 pub enum PortAction {
-    /// It opens a connection to an address.
+    /// Opens a connection to an address.
     Connect(ConnectionId, SocketAddrV4),
-    /// It closes a connection.
+    /// Closes a connection.
     Close(ConnectionId),
-    /// It accepts no more connections.
+    /// Stops accepting connections.
     StopListening,
 }
 
-/// What a gateway has in place of sockets.
+/// Connections of a simulated gateway, in place of sockets.
 #[derive(Default)]
 pub struct SimulatedPorts {
     last_id: u64,
     /// Connections that are open or opening.
     pub connections: BTreeMap<ConnectionId, SimulatedConnection>,
-    /// Connections on which the gateway may have written something.
+    /// Connections to which the gateway may have written since the last flush.
     pub pending_output: BTreeSet<ConnectionId>,
-    /// What the gateway did since this was emptied last.
+    /// Network operations that the simulation has not executed yet.
     pub actions: Vec<PortAction>,
-    /// Unread input of connections that were reset.
+    /// Unread input of reset connections.
     pub unread_after_reset: BTreeMap<ConnectionId, Buffer>,
-    /// No connection can be opened.
+    /// Whether opening a connection fails with [`ErrorKind::QuotaExceeded`].
     pub is_full: bool,
 }
 
 impl SimulatedPorts {
-    /// An id that no connection or listener has had.
+    /// Returns an id that no connection or listener has used.
     pub fn new_id(&mut self) -> ConnectionId {
         self.last_id += 1;
         ConnectionId(self.last_id)
     }
 
-    /// Adds a connection that is open, or still opening.
+    /// Adds a connection that is open or still opening.
     pub fn add_connection(&mut self, id: ConnectionId, is_open: bool) {
         let connection = SimulatedConnection {
             is_open,
@@ -61,7 +61,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// The process ends: nothing is left of its connections.
+    /// Discards all connections and pending operations when the process ends.
     pub(crate) fn clear(&mut self) {
         self.connections.clear();
         self.unread_after_reset.clear();
--- a/crates/fernknot-simulator/src/run.rs
+++ b/crates/fernknot-simulator/src/run.rs
@@ -1,4 +1,4 @@
-//! One run from its seed to the verdicts of the checkers.
+//! A complete run, from its seed to the verdicts of the checkers.
 
 use crate::checks::requests::RequestEvent;
 use crate::checks::rule::{Rule, Violation};
@@ -11,33 +11,33 @@
 use fernknot::interface::Nanos;
 use std::collections::BTreeMap;
 
-/// No fault happens before this: the system is founded first.
+/// Earliest time of a fault, which leaves the system time to form its first view.
 const FIRST_FAULT_AT: Nanos = millis(2500);
-/// What the fault schedule's seed differs in from that of everything else.
+/// Derives the fault schedule's seed, so that it differs from the seed of other draws.
 const SCHEDULE_SEED: u64 = 0x7200_b1e5;
-/// The same for partitions of the core into halves.
+/// Derives the seed of the core splits.
 const SPLIT_SEED: u64 = 0x5b11_7c0e;
 
-/// The result of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Broken rules, the first few of each.
+    /// First violations of each rule.
     pub violations: Vec<Violation>,
-    /// Changes that operators sent.
+    /// Number of changes that operators sent.
     pub changes: usize,
-    /// Reads that had a clear response.
+    /// Number of reads with a definitive response.
     pub reads: usize,
-    /// Drains that a machine in touch acknowledged.
+    /// Number of acknowledged drains.
     pub drains: usize,
-    /// Faults that happened.
+    /// Number of faults that were injected, or skipped because they would exceed the budget.
     pub faults: usize,
-    /// What happened to requests, and how often.
+    /// Number of events of each kind in the processing of requests.
     pub counts: BTreeMap<RequestEvent, u64>,
-    /// The log, where one was asked for.
+    /// Log lines; empty unless `Settings::trace` is set.
     pub log: Vec<String>,
 }
 
-/// The faults that belong to the seed of these settings.
+/// Returns the fault schedule drawn from the seed of these settings.
 pub fn fault_schedule(settings: &Settings) -> Vec<Fault> {
     let rng = Rng::new(settings.seed ^ SCHEDULE_SEED);
     let mut faults = draw_fault_schedule(&rng, FIRST_FAULT_AT, settings.fault_period);
@@ -48,17 +48,17 @@
     faults
 }
 
-/// Runs with the faults of the seed.
+/// Runs a simulation with the fault schedule of its seed.
 pub fn simulate(settings: &Settings) -> Outcome {
     simulate_with_faults(settings, fault_schedule(settings))
 }
 
-/// Runs with these faults.
+/// Runs a simulation with these faults.
 pub fn simulate_with_faults(settings: &Settings, faults: Vec<Fault>) -> Outcome {
     let mut simulation = Simulation::new(settings.clone(), faults);
-    simulation.run_faults();
+    simulation.run_fault_period();
     simulation.complete_changes();
-    simulation.read_everywhere();
+    simulation.check_final_versions();
     simulation.check_requests();
     simulation.check_history();
     Outcome {
@@ -73,22 +73,22 @@
 }
 
 impl Simulation {
-    /// Faults, then their end, and then calm for as long as the rules ask.
-    fn run_faults(&mut self) {
+    /// Runs the fault period, ends all faults, and runs until all processes should be in contact again.
+    fn run_fault_period(&mut self) {
         let fault_period = self.settings.fault_period;
         self.run_until(fault_period);
         self.end_all_faults();
         self.run_until(fault_period + millis(2000) + self.settings.bounds.contact_timeout);
     }
 
-    /// Every change gets a clear response, and the system commits one more.
+    /// Runs until every change should have a definitive response, then checks that one more change is committed.
     fn complete_changes(&mut self) {
         let ack_deadline = self.settings.bounds.ack_deadline;
-        self.control_clients.is_closing = true;
+        self.control_clients.in_final_phase = true;
         self.resume_changes();
         self.run_until(self.now + ack_deadline + millis(2000));
         self.settings.max_changes += 1;
-        // Whoever has one change in force takes the next.
+        // The operator needs the newest epoch as the base of its next change.
         self.send_read(Some(0), None);
         self.run_until(self.now + millis(2500));
         let newest = self.control_clients.newest_known_epoch();
@@ -99,8 +99,8 @@
         }
     }
 
-    /// In the end every controller hands out the newest acknowledged version, and every subscriber holds it.
-    fn read_everywhere(&mut self) {
+    /// Checks that every running controller returns the newest acknowledged version and every subscriber has it.
+    fn check_final_versions(&mut self) {
         let running = self.running_machines();
         for machine in &running {
             self.send_read(None, Some(*machine));
@@ -130,7 +130,8 @@
     }
 }
 
-/// Drops faults one at a time while the same rule still breaks, and returns those that are left.
+/// Removes faults one at a time while the same rule is still violated, and returns the remaining ones with their
+/// outcome.
 pub fn shrink(settings: &Settings) -> (Vec<Fault>, Outcome) {
     let mut faults = fault_schedule(settings);
     let mut outcome = simulate_with_faults(settings, faults.clone());
--- a/crates/fernknot-simulator/src/settings.rs
+++ b/crates/fernknot-simulator/src/settings.rs
@@ -1,48 +1,48 @@
-//! What a run consists of: its seed, its size, the promised bounds, and a bug that may be seeded.
+//! Settings of a run: its seed, its size, the guaranteed time bounds, and an optional seeded bug.
 
 use crate::rng::splitmix64;
 use crate::time::millis;
 use fernknot::interface::Nanos;
 
-/// Machines that the settings of a system name at its first start.
+/// Maximum number of controllers' machines that are listed as seeds at the first start.
 pub const FOUNDING_MEMBERS: usize = 3;
-/// Retries that the budget allows, as a share of the requests of a window.
+/// Retries that the retry budget allows, as a share of the requests in a window.
 pub const RETRY_RATIO: f64 = 0.2;
-/// Retries that the budget allows in each window whatever the number of requests.
+/// Number of retries that the retry budget allows in each window regardless of the number of requests.
 pub const RETRY_SLACK: f64 = 10.0;
-/// The window of the retry budget.
+/// Window of the retry budget.
 pub const RETRY_WINDOW: Nanos = millis(10_000);
 
-/// Clients of a run for each of its gateways.
+/// Number of clients per gateway.
 const CLIENTS_PER_GATEWAY: usize = 2;
-/// How much faster or slower than the simulated clock that of a process runs at most: far more than real ones.
+/// Maximum relative difference between the rate of a process's clock and the simulated one; far above real drift.
 const MAX_CLOCK_DRIFT: f64 = 0.005;
-/// Makes the draw of a clock's rate differ from other draws by the same numbers.
+/// Rotation of the incarnation in the seed of a clock's rate, so that other draws from both numbers differ.
 const CLOCK_SEED_ROTATION: u32 = 16;
 
-/// The times that the system promises, as the deployment files give them.
+/// Time bounds that the system guarantees, as in the deployment files.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// How often a node sends a heartbeat.
+    /// Interval between the heartbeats of a node.
     pub heartbeat_interval: Nanos,
-    /// Within this an acknowledged version is in force at every gateway in touch.
+    /// Time after its acknowledgement within which a version must be in force at every gateway in contact.
     pub apply_deadline: Nanos,
-    /// A process is in touch once nothing has disturbed it for so long.
+    /// Time without disturbances after which a process is in contact.
     pub contact_timeout: Nanos,
-    /// Within this a change or a drain has a clear answer while the core is stable.
+    /// Time within which a change or a drain must have a definitive response while the core is stable.
     pub ack_deadline: Nanos,
-    /// Within this an acknowledged drain is known to every gateway in touch.
+    /// Time after its acknowledgement within which a drain must be known to every gateway in contact.
     pub drain_cutoff: Nanos,
-    /// A machine counts as lost for so long after its fault has ended.
+    /// Time for which a machine still counts as lost after its fault has ended.
     pub catch_up_time: Nanos,
-    /// Client lists name a new machine so long after it has come.
+    /// Delay until clients' lists contain a new machine.
     pub seed_lag: Nanos,
-    /// Service may rest for so long after all machines are back, where more was lost than the budget allows.
+    /// Time for which service may be unavailable after all machines are back, if more were lost than the budget allows.
     pub recovery_time: Nanos,
 }
 
 impl Bounds {
-    /// After this a connection without acknowledgements is given up, as the host asks its sockets to.
+    /// Returns the time after which a connection without acknowledgements ends, as configured on the host's sockets.
     pub fn suspect_timeout(&self) -> Nanos {
         self.contact_timeout.times(0.25)
     }
@@ -71,15 +71,15 @@
     DiskAcksEarly,
     /// A process starts with an older copy of its disk.
     StaleDisk,
-    /// 503 to a change becomes 200.
+    /// The response 503 to a change becomes 200.
     AcknowledgesUnclear,
-    /// A read is answered with what was read there before.
+    /// A read returns the result of an earlier read at the same machine.
     StaleReads,
-    /// An acknowledged change is rejected when it is sent again.
+    /// An acknowledged change is rejected when it is resent.
     RejectsRepeats,
-    /// Controllers don't forward updates of nodes to each other.
+    /// Controllers do not forward node updates to each other.
     WithholdsNodeUpdates,
-    /// A response goes to another client that waits.
+    /// A response goes to another waiting client.
     SwapsResponses,
     /// Subscribers receive an older configuration as if it were the newest.
     ReplaysOldConfig,
@@ -91,50 +91,50 @@
     Controller(fernknot_controller::SeededBug),
 }
 
-/// The settings of one run.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// From which everything random is derived.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Controllers at the start.
+    /// Number of controllers at the start.
     pub members: usize,
-    /// Machines that may be lost at one time.
-    pub losses: usize,
-    /// Stand-ins for the gateways' control side.
+    /// Number of machines that may be lost at one time.
+    pub tolerated_losses: usize,
+    /// Number of subscribers, which model the gateways' control connections.
     pub subscribers: usize,
-    /// Production gateways, in place of subscribers.
+    /// Number of production gateways, which replace the subscribers.
     pub gateways: usize,
-    /// Clients of the gateways.
+    /// Number of clients of the gateways.
     pub clients: usize,
-    /// Nodes of the one service.
+    /// Number of nodes of the single backend.
     pub nodes: usize,
-    /// Changes of the configuration in the whole run.
+    /// Maximum number of configuration changes in the run.
     pub max_changes: usize,
-    /// Faults are injected for so long.
+    /// Time at which the injection of faults ends.
     pub fault_period: Nanos,
-    /// More machines may be lost at one time than `losses`.
+    /// Whether more machines than `tolerated_losses` may be lost at one time.
     pub exceeds_fault_budget: bool,
-    /// The core is partitioned into two halves now and then, whatever is lost besides.
+    /// Whether the core is also partitioned into two halves at times, in addition to the losses of the budget.
     pub splits_core: bool,
-    /// The clocks of processes run at different rates.
+    /// Whether the clocks of processes run at different rates.
     pub uneven_clocks: bool,
     /// Whether a log is written.
     pub trace: bool,
-    /// The promised times.
+    /// Guaranteed time bounds.
     pub bounds: Bounds,
-    /// A bug that the checkers are to find.
+    /// Bug that the checkers must find.
     #[doc(hidden)]
     pub seeded_bug: Option<SeededBug>,
 }
 
 impl Settings {
-    /// A run of so many controllers, of which as many may be lost as leave a majority; two at most, as three seeds
-    /// found the first view and a change lies on one disk more than may be lost.
+    /// Creates settings for `members` controllers. As many may be lost as leave a majority, but at most two: three
+    /// seeds form the first view, and a change is stored on one disk more than may be lost.
     pub fn new(seed: u64, members: usize) -> Settings {
         Settings {
             seed,
             members,
-            losses: (members.saturating_sub(1) / 2).min(FOUNDING_MEMBERS - 1),
+            tolerated_losses: (members.saturating_sub(1) / 2).min(FOUNDING_MEMBERS - 1),
             subscribers: 3,
             gateways: 0,
             clients: 0,
@@ -150,18 +150,18 @@
         }
     }
 
-    /// A run of the whole system: production gateways among clients and nodes that answer.
+    /// Creates settings for the whole system: production gateways with clients and responding nodes.
     pub fn whole_system(seed: u64, members: usize) -> Settings {
         let settings = Settings::new(seed, members);
         Settings { subscribers: 0, nodes: 4, ..settings }.with_gateways(2)
     }
 
-    /// The same with so many gateways, and clients in proportion.
+    /// Sets the number of gateways, and the number of clients in proportion.
     pub fn with_gateways(self, gateways: usize) -> Settings {
         Settings { gateways, clients: CLIENTS_PER_GATEWAY * gateways, ..self }
     }
 
-    /// The rate of a process's clock beside the simulated one.
+    /// Returns the rate of a process's clock relative to the simulated one.
     pub(crate) fn clock_rate(&self, incarnation: u64) -> f64 {
         if !self.uneven_clocks {
             return 1.0;
@@ -171,7 +171,7 @@
         1.0 + MAX_CLOCK_DRIFT * (2.0 * share - 1.0)
     }
 
-    /// Whether this bug is seeded.
+    /// Returns whether this bug is seeded.
     pub(crate) fn has_bug(&self, bug: SeededBug) -> bool {
         self.seeded_bug == Some(bug)
     }
--- a/crates/fernknot-simulator/src/simulation.rs
+++ b/crates/fernknot-simulator/src/simulation.rs
@@ -1,7 +1,7 @@
-//! The state of a run, one struct a concern, and the clock that drives it.
+//! State of a run, one struct per component, and the event loop with its simulated clock.
 //!
-//! What the parts do stands in modules above this one, each with an `impl Simulation` of its own. They reach each other
-//! through the simulation alone, so that none of them imports another.
+//! The components implement their behavior in modules of their own, each with an `impl Simulation`. They call each
+//! other through the simulation only, so that no component imports another.
 
 use crate::checks::observations::Observations;
 use crate::control_clients::state::ControlClients;
@@ -19,21 +19,21 @@
 use fernknot::interface::Nanos;
 use std::collections::BTreeMap;
 
-/// The machines that processes and clients know of.
+/// Machines that processes and clients are configured to contact.
 pub(crate) struct Discovery {
-    /// Machines that stand as seeds in the settings of the next start.
+    /// Machines listed as seeds in the settings of processes that start from now on.
     pub seeds: Vec<usize>,
-    /// Machines on the lists of clients, which lag behind.
+    /// Machines on the clients' lists, which are updated with a delay.
     pub advertised: Vec<usize>,
 }
 
-/// One run.
+/// A run: its clock, its pending events and the state of all components.
 pub(crate) struct Simulation {
-    /// The simulated clock.
+    /// Current simulated time.
     pub now: Nanos,
     pub settings: Settings,
     pub rng: Rng,
-    /// The last number given to an event, a process or a call.
+    /// Last number assigned to an event, a process or a call.
     last_sequence: u64,
     events: BTreeMap<(Nanos, u64), Event>,
     pub machines: Vec<Machine>,
@@ -45,12 +45,12 @@
     pub traffic: Traffic,
     pub faults: FaultState,
     pub observations: Observations,
-    /// Lines of the log, where one is written.
+    /// Log lines; empty unless `settings.trace` is set.
     pub log: Vec<String>,
 }
 
 impl Simulation {
-    /// A run with these faults, at its beginning.
+    /// Creates a run with these faults and schedules its first events.
     pub fn new(settings: Settings, faults: Vec<Fault>) -> Simulation {
         let rng = Rng::new(settings.seed);
         let mut simulation = Simulation {
@@ -96,13 +96,13 @@
         }
     }
 
-    /// A machine with an empty disk, which does not run yet; its number comes back.
+    /// Adds a machine with an empty disk and no running process, and returns its index.
     pub fn add_machine(&mut self) -> usize {
         self.machines.push(Machine::new(self.now));
         self.machines.len() - 1
     }
 
-    /// Writes a line to the log, where one is written.
+    /// Appends a line to the log if `settings.trace` is set.
     pub fn trace(&mut self, text: impl FnOnce() -> String) {
         if self.settings.trace {
             let text = text();
@@ -110,22 +110,22 @@
         }
     }
 
-    /// Lets an event happen after `delay`. Events of one moment happen in the order in which they were scheduled.
+    /// Schedules an event after `delay`. Events due at the same time occur in the order in which they were scheduled.
     pub fn schedule(&mut self, delay: Nanos, event: Event) {
         let sequence = self.next_sequence();
         self.events.insert((self.now + delay, sequence), event);
     }
 
-    /// The next number of the one sequence that orders all events, incarnations and calls of the run.
+    /// Returns the next number of the single sequence that orders all events, incarnations and calls of the run.
     pub fn next_sequence(&mut self) -> u64 {
         self.last_sequence += 1;
         self.last_sequence
     }
 
-    /// Runs until this moment.
+    /// Processes events and timers up to and including `until`.
     pub fn run_until(&mut self, until: Nanos) {
-        while let Some(moment) = self.next_moment().filter(|moment| *moment <= until) {
-            self.now = self.now.max(moment);
+        while let Some(time) = self.next_event_time().filter(|time| *time <= until) {
+            self.now = self.now.max(time);
             while let Some(event) = self.pop_due_event() {
                 self.dispatch(event);
             }
@@ -143,9 +143,9 @@
         Some(entry.remove())
     }
 
-    /// When the next event is due, or the next timer of a running controller.
-    fn next_moment(&self) -> Option<Nanos> {
-        let event = self.events.keys().next().map(|(moment, _)| *moment);
+    /// Time of the next event or of the next timer of a running controller, whichever is earlier.
+    fn next_event_time(&self) -> Option<Nanos> {
+        let event = self.events.keys().next().map(|(time, _)| *time);
         let timers =
             self.machines.iter().filter(|machine| machine.is_running()).map(|machine| machine.wake_at);
         timers.chain(event).min()
--- a/crates/fernknot-simulator/src/subscribers/checks.rs
+++ b/crates/fernknot-simulator/src/subscribers/checks.rs
@@ -1,4 +1,4 @@
-//! Drains and versions that subscribers in touch must know by now.
+//! Checks that subscribers in contact know acknowledged drains and versions in time.
 
 use crate::checks::rule::Rule;
 use crate::simulation::Simulation;
@@ -8,17 +8,19 @@
 use fernknot::interface::Nanos;
 use fernknot_registry::NodeState;
 
-/// Acknowledged drains are looked for so much longer than they must be known.
-const DRAIN_MEMORY: Nanos = millis(20_000);
+/// Time after the drain cutoff for which an acknowledged drain is still checked.
+const DRAIN_RECORD_RETENTION: Nanos = millis(20_000);
 
 impl Simulation {
     pub(crate) fn check_subscribers(&mut self) {
-        self.update_service_rest();
+        self.extend_allowed_outage();
         let (now, drain_cutoff) = (self.now, self.settings.bounds.drain_cutoff);
-        self.observations.drains.retain(|drain| now - drain.acknowledged_at < drain_cutoff + DRAIN_MEMORY);
+        self.observations
+            .drains
+            .retain(|drain| now - drain.acknowledged_at < drain_cutoff + DRAIN_RECORD_RETENTION);
         for index in 0..self.subscribers.count() {
             let subscriber = &self.subscribers.list[index];
-            if !self.is_in_touch(FIRST_SUBSCRIBER + index, subscriber.disturbed_at) {
+            if !self.is_in_contact(FIRST_SUBSCRIBER + index, subscriber.disturbed_at) {
                 continue;
             }
             let missed_drain = self.missed_drain(index, subscriber);
@@ -32,15 +34,14 @@
         }
     }
 
-    /// A node that the subscriber takes for ready, too long after its drain was acknowledged.
+    /// Describes a node that the subscriber still considers ready after the drain cutoff.
     fn missed_drain(&self, index: usize, subscriber: &Subscriber) -> Option<String> {
-        let takes_for_ready =
+        let is_considered_ready =
             |node: &str| subscriber.nodes.get(node).is_some_and(|record| record.state == NodeState::Ready);
         let drain_cutoff = self.settings.bounds.drain_cutoff;
-        let drain =
-            self.observations.drains.iter().find(|drain| {
-                takes_for_ready(&drain.node) && self.now - drain.acknowledged_at > drain_cutoff
-            })?;
+        let drain = self.observations.drains.iter().find(|drain| {
+            is_considered_ready(&drain.node) && self.now - drain.acknowledged_at > drain_cutoff
+        })?;
         let late_ms = (self.now - drain.acknowledged_at).as_millis();
         let (node, machine) = (&drain.node, drain.machine);
         Some(format!(
@@ -48,7 +49,7 @@
         ))
     }
 
-    /// The newest version that the subscriber doesn't hold, too long after it was acknowledged.
+    /// Describes the newest version that the subscriber lacks after the apply deadline.
     fn missed_version(&self, index: usize, subscriber: &Subscriber) -> Option<String> {
         let epoch = subscriber.version.map_or(0, |version| version.epoch);
         let apply_deadline = self.settings.bounds.apply_deadline;
--- a/crates/fernknot-simulator/src/subscribers/mod.rs
+++ b/crates/fernknot-simulator/src/subscribers/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the control side of gateways: each subscribes to one controller, goes to another one when that is silent
-//! or hears no majority, and holds the newest configuration and what it was notified of nodes.
+//! Models of the gateways' control connections. Each subscriber subscribes to one controller, switches to another one
+//! on a time-out or if the controller has no majority, and stores the newest configuration and the nodes' states.
 
 mod checks;
 pub(crate) mod state;
--- a/crates/fernknot-simulator/src/subscribers/state.rs
+++ b/crates/fernknot-simulator/src/subscribers/state.rs
@@ -1,4 +1,4 @@
-//! What a subscriber holds.
+//! State of subscribers.
 
 use crate::linearizability::Version;
 use crate::settings::Settings;
@@ -9,43 +9,43 @@
 use fernknot_schema::RoutingConfig;
 use std::collections::BTreeMap;
 
-/// One subscriber.
+/// A subscriber and its subscription.
 #[derive(Default)]
 pub(crate) struct Subscriber {
-    /// The id of its subscription; none while it has no controller.
+    /// Id of the current subscription; `None` while there is no controller.
     pub subscription: Option<u64>,
-    /// The controller's machine.
+    /// Machine of the current or last controller.
     pub controller: usize,
-    /// The controller's incarnation; 0 until the subscription has arrived there.
+    /// Incarnation of the controller; 0 until the subscription has arrived there.
     pub incarnation: u64,
-    /// Something was lost on the connection: it ends once that is noticed.
+    /// Whether messages on the connection are lost, until its loss is detected.
     pub is_broken: bool,
-    /// The controller has sent something.
+    /// Whether the controller has sent a message on this subscription.
     pub has_received: bool,
-    /// When the last message that was sent to it arrives.
+    /// Arrival time of the last message that was sent to the subscriber.
     pub last_arrival: Nanos,
     pub last_received: Nanos,
-    /// When the controller last said that it hears a majority.
+    /// Time of the last heartbeat by which the controller reported a majority lease.
     pub last_lease: Nanos,
     pub revision: u64,
     pub version: Option<Version>,
     pub nodes: BTreeMap<String, NodeRecord>,
-    /// The last moment of anything that puts it out of touch.
+    /// Time of the last event that interrupts the subscriber's contact with the controllers.
     pub disturbed_at: Nanos,
-    /// When each controller failed it last.
+    /// Time of the last failure of each controller.
     pub last_failures: BTreeMap<usize, Nanos>,
-    /// The configuration before, for a seeded bug.
+    /// Previous configuration, for the seeded bug `ReplaysOldConfig`.
     pub previous_config: Option<RoutingConfig>,
 }
 
 impl Subscriber {
-    /// Whether this is the subscription that it has now.
+    /// Returns whether this is the current subscription.
     pub fn has_subscription(&self, subscription: u64) -> bool {
         self.subscription == Some(subscription)
     }
 }
 
-/// What subscribers do next.
+/// Scheduled event of a subscriber.
 #[derive(Clone, Debug)]
 pub(crate) enum SubscriberEvent {
     /// The connection for a subscription is open.
@@ -67,7 +67,7 @@
     },
 }
 
-/// All subscribers.
+/// Subscribers of the run.
 pub(crate) struct Subscribers {
     pub list: Vec<Subscriber>,
 }
@@ -88,7 +88,7 @@
         self.list.len()
     }
 
-    /// The version that each of them holds.
+    /// Returns the version of each subscriber.
     pub fn versions(&self) -> Vec<Option<Version>> {
         self.list.iter().map(|subscriber| subscriber.version).collect()
     }
--- a/crates/fernknot-simulator/src/subscribers/subscriptions.rs
+++ b/crates/fernknot-simulator/src/subscribers/subscriptions.rs
@@ -1,4 +1,4 @@
-//! How a subscriber finds a controller, and leaves it.
+//! Subscriptions to controllers: selection, time-outs and loss of the connection.
 
 use crate::controllers::machine::Input;
 use crate::event::Event;
@@ -12,9 +12,9 @@
 use fernknot_rpc::{GatewayToController, Subscription};
 
 const CHECK_INTERVAL: Nanos = millis(100);
-/// A controller that is silent, or hears no majority, for so long is left.
+/// Time without a message, or without a majority lease, after which a subscriber leaves its controller.
 const CONTROLLER_TIMEOUT: Nanos = millis(1000);
-/// One that has not sent anything yet is left sooner.
+/// Time without a first message after which a subscriber leaves its controller.
 const FIRST_MESSAGE_TIMEOUT: Nanos = millis(300);
 
 impl Simulation {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Leaves a controller that is silent or hears no majority; informs any other that the subscriber is alive.
+    /// Leaves a controller on a time-out or without a majority, and otherwise sends it a heartbeat.
     fn check_controller(&mut self, index: usize) {
         let event = SubscriberEvent::CheckController { subscriber: index };
         self.schedule_subscriber(CHECK_INTERVAL, event);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Goes to one of the advertised controllers that failed it longest ago.
+    /// Subscribes to a random one of the advertised controllers whose last failure is the earliest.
     fn subscribe_elsewhere(&mut self, index: usize) {
         self.leave_controller(index);
         let failures = &self.subscribers.list[index].last_failures;
@@ -99,7 +99,7 @@
         self.schedule_subscriber(delay, SubscriberEvent::Connected { subscriber: index, subscription });
     }
 
-    /// The controller that it leaves, if it has one, learns of it.
+    /// Ends the current subscription, if any, and notifies its controller.
     fn leave_controller(&mut self, index: usize) {
         let subscriber = &self.subscribers.list[index];
         let (controller, incarnation) = (subscriber.controller, subscriber.incarnation);
@@ -148,8 +148,8 @@
         self.schedule_input(delay, controller, incarnation, Input::GatewayMessage { from, message });
     }
 
-    /// A controller's process has ended, or its connections were reset. Subscribers learn of it unless the machine has
-    /// lost power.
+    /// Breaks the subscriptions at a controller whose process has ended or whose connections were reset. Subscribers
+    /// are notified unless the machine has lost power.
     pub(crate) fn drop_subscribers(&mut self, controller: usize, incarnation: u64, loses_power: bool) {
         for index in 0..self.subscribers.count() {
             let is_up = self.machines[controller].is_up();
@@ -160,7 +160,7 @@
             let Some(subscription) = subscriber.subscription else { continue };
             subscriber.is_broken = true;
             if is_up {
-                // After a reset both ends learn of it, and it disturbs the subscriber's links too.
+                // A reset is visible to both ends, and it disturbs the subscriber too.
                 subscriber.disturbed_at = self.now;
                 self.deliver(controller, Input::SubscriberGone(SubscriberId(subscription)));
             }
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The connection of a subscriber doesn't survive a partition.
+    /// Breaks the connections of subscribers across a partitioned link.
     pub(crate) fn partition_subscribers(&mut self, from: usize, to: usize) {
         for (index, subscriber) in self.subscribers.list.iter_mut().enumerate() {
             let link = (FIRST_SUBSCRIBER + index, subscriber.controller);
--- a/crates/fernknot-simulator/src/subscribers/updates.rs
+++ b/crates/fernknot-simulator/src/subscribers/updates.rs
@@ -1,4 +1,4 @@
-//! What controllers send to subscribers, and what these make of it.
+//! Messages of controllers to subscribers, and their handling.
 
 use crate::checks::rule::Rule;
 use crate::linearizability::Version;
@@ -14,16 +14,16 @@
 use fernknot_schema::RoutingConfig;
 use std::collections::BTreeMap;
 
-/// With the seeded bug an older configuration comes again so long after the newest.
+/// Delay after which the seeded bug `ReplaysOldConfig` sends an older configuration again.
 const REPLAY_DELAY: Nanos = millis(100);
 
-/// Which of the operators' configurations this is; none where no operator wrote it.
+/// Returns the version of a configuration; `None` if no operator sent it.
 fn version_of(config: &RoutingConfig) -> Option<Version> {
     let path = &config.routes.first()?.path_prefix;
     Some(Version { epoch: config.epoch, body: path.trim_matches('/').parse().ok()? })
 }
 
-/// Takes over an update of a node as a gateway does: leaving is never taken back.
+/// Merges an update of a node as a gateway does: a draining or gone node never becomes ready again.
 fn apply_update(nodes: &mut BTreeMap<String, NodeRecord>, update: NodeRecord) {
     let Some(known) = nodes.get_mut(&update.id) else {
         nodes.insert(update.id.clone(), update);
@@ -39,7 +39,7 @@
 }
 
 impl Simulation {
-    /// A controller sends something to one of its subscribers.
+    /// Sends a message of a controller to one of its subscribers.
     pub(crate) fn notify_subscriber(
         &mut self,
         controller: usize,
@@ -77,7 +77,7 @@
         self.schedule_subscriber(delay, SubscriberEvent::Message { subscriber, subscription, message });
     }
 
-    /// The seeded bug: the configuration before this one comes again, as if it were the newest.
+    /// Implements the seeded bug: sends the previous configuration again with the next revision.
     fn replay_old_config(
         &mut self,
         index: usize,
@@ -119,10 +119,10 @@
         let before = subscriber.version.replace(version);
         subscriber.revision = revision;
         let seen_at = self.next_sequence();
-        self.observations.record_sighting(version, seen_at);
+        self.observations.record_observed_version(version, seen_at);
         self.trace(|| format!("subscriber {index} holds revision {revision}, {version:?}"));
-        let goes_back = |before: Version| before.epoch >= version.epoch && before != version;
-        if before.is_some_and(goes_back) {
+        let is_reverted = |before: Version| before.epoch >= version.epoch && before != version;
+        if before.is_some_and(is_reverted) {
             self.report(Rule::Config, format!("subscriber {index} goes back from {before:?} to {version:?}"));
         }
         let agreed = *self.observations.versions_by_revision.entry(revision).or_insert(version);
--- a/crates/fernknot-simulator/src/time.rs
+++ b/crates/fernknot-simulator/src/time.rs
@@ -1,48 +1,48 @@
-//! Spans of simulated time.
+//! Durations of simulated time, and the clocks of processes.
 
 use fernknot::interface::Nanos;
 
-/// A span that never ends, and a moment that never comes.
+/// Largest time: a duration that never ends, or a time that is never reached.
 pub const NEVER: Nanos = Nanos(u64::MAX);
 
-/// So many milliseconds.
+/// Returns a duration in milliseconds.
 pub const fn millis(count: u64) -> Nanos {
     Nanos(count * 1_000_000)
 }
 
-/// The clock of a process beside the simulated one.
+/// Clock of a process, which may run at another rate than simulated time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessClock {
     started_at: Nanos,
-    /// What it shows at its start.
+    /// Reading of the clock at `started_at`.
     offset: Nanos,
-    /// How fast it runs; 1 is as fast as the simulated clock.
+    /// Rate relative to simulated time.
     rate: f64,
 }
 
 impl ProcessClock {
-    /// A clock that shows `offset` now.
+    /// Creates a clock that reads `offset` at the simulated time `now`.
     pub fn new(now: Nanos, offset: Nanos, rate: f64) -> ProcessClock {
         ProcessClock { started_at: now, offset, rate }
     }
 
-    /// What it shows at this simulated time.
+    /// Returns the reading of the clock at a simulated time.
     pub fn read(self, now: Nanos) -> Nanos {
         (now - self.started_at).times(self.rate) + self.offset
     }
 
-    /// The simulated time at which it shows this.
-    pub fn time_of(self, local_time: Nanos) -> Nanos {
-        self.started_at + self.span_of(local_time - self.offset)
+    /// Returns the simulated time at which the clock reads `local_time`.
+    pub fn simulated_time(self, local_time: Nanos) -> Nanos {
+        self.started_at + self.simulated_span(local_time - self.offset)
     }
 
-    /// How long a span by this clock takes.
-    pub fn span_of(self, local_span: Nanos) -> Nanos {
+    /// Converts a duration measured by this clock to simulated time.
+    pub fn simulated_span(self, local_span: Nanos) -> Nanos {
         local_span.times(1.0 / self.rate)
     }
 }
 
-/// So many microseconds.
+/// Returns a duration in microseconds.
 pub const fn micros(count: u64) -> Nanos {
     Nanos(count * 1_000)
 }
