--- a/crates/fernknot-simulator/src/traffic/checks.rs
+++ b/crates/fernknot-simulator/src/traffic/checks.rs
@@ -1,4 +1,4 @@
-//! What requests show of drains and versions.
+//! Checks of drains and configuration versions by means of requests.
 
 use crate::checks::requests::RequestEvent;
 use crate::checks::rule::Rule;
@@ -10,25 +10,26 @@
 use crate::wire::Message;
 use fernknot::interface::Nanos;
 
-/// Requests that a gateway may still have under way when it has shown a newer version were sent within this.
+/// Time after a gateway was observed to use a newer version within which requests may still be sent that use an older
+/// one.
 const REVERT_SLACK: Nanos = millis(1000);
 
 impl Simulation {
-    /// Judges the requests of the whole run.
+    /// Checks the requests of the complete run.
     pub(crate) fn check_requests(&mut self) {
-        for broken in self.traffic.checker.check_totals() {
+        for broken in self.traffic.checker.check_complete_run() {
             self.report_broken_rule(Some(broken));
         }
     }
 
-    /// A gateway in touch has the route of the newest version, once it must serve that.
+    /// Reports a gateway in contact that has no route of the newest version after the apply deadline.
     pub(super) fn check_route(&mut self, request: usize, status: u16) {
         let sent = &self.traffic.checker.requests[request].sent;
-        let (RequestKind::Probe(body), 404, true) = (sent.kind, status, sent.is_gateway_in_touch) else {
+        let (RequestKind::Probe(body), 404, true) = (sent.kind, status, sent.is_gateway_in_contact) else {
             return;
         };
         let due = self.due_version(sent.sent_at).filter(|version| version.body == body);
-        // Another version, sent by now, may be in force.
+        // A newer version that was sent in the meantime may be in force already.
         let is_newest = |version: &Version| {
             self.observations.changes.iter().all(|change| change.version.epoch <= version.epoch)
         };
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The newest version that all in touch must serve for what is sent at this moment.
+    /// Returns the newest version that gateways in contact must apply to requests sent at this time.
     fn due_version(&self, sent_at: Nanos) -> Option<Version> {
         let apply_deadline = self.settings.bounds.apply_deadline;
         let acknowledged = self.observations.acknowledged.iter();
@@ -47,7 +48,7 @@
         due.map(|(version, _)| *version).max()
     }
 
-    /// A node whose drain was acknowledged gets nothing more from gateways in touch.
+    /// Reports a gateway in contact that sends a request to a node after the drain cutoff.
     pub(super) fn check_drain(&mut self, gateway: usize, incarnation: &str) {
         let drain_cutoff = self.settings.bounds.drain_cutoff;
         let late = self
@@ -55,13 +56,13 @@
             .drains
             .iter()
             .find(|drain| drain.node == incarnation && self.now - drain.acknowledged_at > drain_cutoff);
-        let Some(drain) = late.filter(|_| self.is_gateway_in_touch(gateway)) else { return };
+        let Some(drain) = late.filter(|_| self.is_gateway_in_contact(gateway)) else { return };
         let late_ms = (self.now - drain.acknowledged_at).as_millis();
         let text = format!("gateway {gateway} sends to {incarnation} {late_ms:.0} ms after its drain");
         self.report(Rule::Drain, text);
     }
 
-    /// An execution on a route that one version alone has shows that this version is in force.
+    /// Checks the version by which an executed request was routed, if its route exists in one version only.
     pub(super) fn check_version(&mut self, message: &Message) {
         let Some(request) = self.traffic.checker.find_request(message) else { return };
         let sent = self.traffic.checker.requests[request].sent.clone();
@@ -73,12 +74,12 @@
             self.report(Rule::Config, text);
         }
         let seen_at = self.next_sequence();
-        self.observations.record_sighting(version, seen_at);
+        self.observations.record_observed_version(version, seen_at);
         self.traffic.checker.count(RequestEvent::VersionSeen);
         let broken = self.traffic.checker.record_version(self.now, request, version.epoch, REVERT_SLACK);
         self.report_broken_rule(broken);
         let due = self.due_version(sent.sent_at).filter(|due| due.epoch > version.epoch);
-        if let Some(due) = due.filter(|_| sent.is_gateway_in_touch) {
+        if let Some(due) = due.filter(|_| sent.is_gateway_in_contact) {
             let position = FIRST_GATEWAY + gateway;
             self.report(Rule::Config, format!("{position} serves {version:?} although {due:?} is due"));
         }
--- a/crates/fernknot-simulator/src/traffic/clients.rs
+++ b/crates/fernknot-simulator/src/traffic/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: each sends one request at a time, over new and kept connections.
+//! Clients, which send one request at a time over new and reused connections.
 
 use crate::checks::rule::Rule;
 use crate::checks::sent_request::{RequestKind, SentRequest};
@@ -10,11 +10,11 @@
 use crate::wire;
 use fernknot::interface::Nanos;
 
-/// An attempt without a response ends after this.
+/// Time after which an attempt without a response fails.
 const ATTEMPT_TIMEOUT: Nanos = millis(1500);
-/// Attempts of one client for one request.
+/// Maximum number of attempts of a request.
 const MAX_ATTEMPTS: usize = 3;
-/// The deadline that clients ask for, in milliseconds.
+/// Deadline in the clients' requests, in milliseconds.
 const DEADLINE_MS: u64 = 1200;
 
 impl Simulation {
@@ -118,7 +118,7 @@
             sent_at: self.now,
             gateway,
             incarnation: self.gateways.processes[gateway].incarnation,
-            is_gateway_in_touch: self.is_gateway_in_touch(gateway),
+            is_gateway_in_contact: self.is_gateway_in_contact(gateway),
         };
         self.traffic.clients[index].sent_request = Some(self.traffic.checker.record_request(sent));
         self.send_bytes(connection, Side::Opener, bytes);
@@ -153,7 +153,7 @@
             500.. => self.client_attempt_failed(index, false),
             _ => {
                 self.traffic.clients[index].request = None;
-                self.client_rests(index);
+                self.schedule_next_client_turn(index);
             }
         }
     }
@@ -172,31 +172,31 @@
             return;
         }
         client.connection = None;
-        let waits = client.sent_request.take().is_some() || !client.is_connected;
-        if waits && client.request.is_some() {
+        let is_waiting = client.sent_request.take().is_some() || !client.is_connected;
+        if is_waiting && client.request.is_some() {
             self.client_attempt_failed(index, false);
         }
     }
 
-    /// An attempt has failed; `has_not_run` where the gateway promised that. A mutating request is sent again only if it
-    /// can't have run.
+    /// Handles a failed attempt; `has_not_run` if the gateway guaranteed that. A mutating request is resent only if it
+    /// can't have been executed.
     fn client_attempt_failed(&mut self, index: usize, has_not_run: bool) {
         let client = &self.traffic.clients[index];
         let may_have_run = !has_not_run && (client.sent_request.is_some() || client.is_connected);
         self.client_closes_connection(index);
         let client = &mut self.traffic.clients[index];
         client.request = next_attempt(client, may_have_run);
-        self.client_rests(index);
+        self.schedule_next_client_turn(index);
     }
 
-    fn client_rests(&mut self, index: usize) {
+    fn schedule_next_client_turn(&mut self, index: usize) {
         self.traffic.clients[index].attempt = None;
         let delay = self.rng.between(millis(20), millis(250));
         self.schedule_traffic(delay, TrafficEvent::ClientTurn(index));
     }
 }
 
-/// The request with one attempt less, if it may be sent again.
+/// Returns the request with one attempt less, if it may be sent again.
 fn next_attempt(client: &Client, may_have_run: bool) -> Option<ClientRequest> {
     let ClientRequest { kind, attempts_left } = client.request?;
     let may_repeat = !may_have_run || kind != RequestKind::Mutating;
--- a/crates/fernknot-simulator/src/traffic/mod.rs
+++ b/crates/fernknot-simulator/src/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! Clients that send requests to gateways, and nodes that reject them, answer them late, twice or never, or break off.
+//! Clients that send requests to gateways, and nodes that execute or reject them. Nodes may respond late, twice or
+//! never, or reset the connection during a response.
 
 mod checks;
 mod clients;
--- a/crates/fernknot-simulator/src/traffic/nodes.rs
+++ b/crates/fernknot-simulator/src/traffic/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes as gateways see them: they read requests, reject some, run others and respond.
+//! Request processing at nodes: they read requests, reject some, execute others and respond.
 
 use crate::checks::requests::RequestEvent;
 use crate::checks::rule::Rule;
@@ -9,8 +9,8 @@
 use crate::wire::{self, Message};
 use fernknot::interface::Nanos;
 
-/// A node that never responds does so after this, which is after the run.
-const HUNG_EXECUTION: Nanos = millis(60_000);
+/// Execution time of a request that never gets a response: longer than the run.
+const HUNG_EXECUTION_TIME: Nanos = millis(60_000);
 
 impl Simulation {
     pub(crate) fn node_is_up(&self, node: usize) -> bool {
@@ -21,13 +21,13 @@
         self.control_clients.node_incarnation(node).as_deref() == Some(incarnation)
     }
 
-    /// For some seconds nodes reject most requests.
+    /// Makes all nodes reject most requests for some seconds.
     pub(crate) fn overload_nodes(&mut self) {
         self.traffic.overloaded_until = self.now + self.rng.between(millis(2000), millis(8000));
         self.trace(|| "nodes are overloaded".into());
     }
 
-    /// A node's process ends; another incarnation may have its address later.
+    /// Resets the connections of a node whose process ends. Another incarnation may use its address later.
     pub(crate) fn stop_node(&mut self, node: usize) {
         let connections: Vec<u64> = self.traffic.node_connections.keys().copied().collect();
         for id in connections {
@@ -59,7 +59,7 @@
         self.node_serves_next(node, id);
     }
 
-    /// Takes the next request of a connection, unless it works on one.
+    /// Processes the next request of a connection, unless one is in progress.
     fn node_serves_next(&mut self, node: usize, id: u64) {
         let Some(connection) = self.traffic.node_connections.get_mut(&id) else { return };
         if connection.is_busy {
@@ -77,7 +77,7 @@
         });
         let broken = self.traffic.checker.record_arrival(self.now, &request);
         self.report_broken_rule(broken);
-        if let Some(rejection) = self.node_rejects(id, &incarnation, &request) {
+        if let Some(rejection) = self.node_rejection(id, &incarnation, &request) {
             return self.node_sends(node, id, rejection);
         }
         self.trace(|| format!("node {node} ({incarnation}) runs {}", request.start_line));
@@ -90,8 +90,8 @@
         self.schedule_traffic(duration, event);
     }
 
-    /// The response by which a node rejects a request that it has not run, if it does.
-    fn node_rejects(&mut self, id: u64, incarnation: &str, request: &Message) -> Option<Vec<u8>> {
+    /// Returns the response by which a node rejects a request without executing it, if it rejects the request.
+    fn node_rejection(&mut self, id: u64, incarnation: &str, request: &Message) -> Option<Vec<u8>> {
         let attempt_id = request.header("Attempt-Id").unwrap_or_default();
         if request.header("Target-Node") != Some(incarnation) {
             self.traffic.checker.count(RequestEvent::Misdirected);
@@ -113,21 +113,21 @@
     fn draw_execution_time(&self) -> Nanos {
         match self.rng.below(40) {
             0 => self.rng.between(millis(200), millis(2000)),
-            1 => HUNG_EXECUTION,
+            1 => HUNG_EXECUTION_TIME,
             _ => self.rng.between(millis(1), millis(30)),
         }
     }
 
-    /// A node has run a request: it responds, twice, with 503, or breaks off.
+    /// Responds to an executed request: normally, twice, with 503, or only partially.
     pub(super) fn node_responds(&mut self, node: usize, incarnation: &str, id: u64, request: &Message) {
         let attempt_id = request.header("Attempt-Id").unwrap_or_default();
         let seal = format!("{attempt_id}.{incarnation}.{}", self.rng.below(100_000));
-        let mut body: Vec<u8> = (0..self.rng.below(60)).map(|place| b'a' + (place % 20) as u8).collect();
+        let mut body: Vec<u8> = (0..self.rng.below(60)).map(|index| b'a' + (index % 20) as u8).collect();
         body.extend(attempt_id.bytes());
         let headers = [("Attempt-Id", attempt_id), ("Answer-Seal", &seal)];
         let bytes = wire::encode_response(200, &headers, &body);
         match self.rng.below(60) {
-            0 => return self.node_breaks_off(id, &bytes),
+            0 => return self.node_aborts_response(id, &bytes),
             1 => {
                 self.traffic.checker.count(RequestEvent::DuplicateResponse);
                 let delay = self.rng.between(millis(0), millis(200));
@@ -145,8 +145,8 @@
         self.node_sends(node, id, bytes);
     }
 
-    /// The connection breaks, with a part of the response or none.
-    fn node_breaks_off(&mut self, id: u64, bytes: &[u8]) {
+    /// Resets a connection after a part of the response, which may be empty.
+    fn node_aborts_response(&mut self, id: u64, bytes: &[u8]) {
         self.traffic.checker.count(RequestEvent::BrokenOff);
         let part = bytes[..self.rng.below(bytes.len())].to_vec();
         if !part.is_empty() {
--- a/crates/fernknot-simulator/src/traffic/state.rs
+++ b/crates/fernknot-simulator/src/traffic/state.rs
@@ -1,4 +1,4 @@
-//! Clients, and connections at nodes.
+//! State of clients and of connections at nodes.
 
 use crate::checks::requests::RequestChecker;
 use crate::checks::sent_request::RequestKind;
@@ -7,23 +7,23 @@
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What happens in the traffic next.
+/// Scheduled event of clients and nodes.
 #[derive(Clone, Debug)]
 pub(crate) enum TrafficEvent {
     ClientTurn(usize),
-    /// A client has waited too long, if it is still at this attempt.
+    /// Fails an attempt of a client, if it is still the current one.
     ClientTimeout {
         client: usize,
         attempt: u64,
     },
-    /// A node's incarnation has run a request.
+    /// Completes the execution of a request at a node.
     Executed {
         node: usize,
         incarnation: String,
         connection: u64,
         request: Box<Message>,
     },
-    /// A node's incarnation sends a response once more.
+    /// Sends a response a second time.
     DuplicateResponse {
         incarnation: String,
         node: usize,
@@ -32,44 +32,44 @@
     },
 }
 
-/// What a client wants, until it has it or gives up.
+/// Request of a client with its remaining attempts.
 #[derive(Clone, Copy)]
 pub(crate) struct ClientRequest {
     pub kind: RequestKind,
     pub attempts_left: usize,
 }
 
-/// One client, with at most one request at a time.
+/// A client with at most one request at a time.
 #[derive(Default)]
 pub(crate) struct Client {
     pub connection: Option<u64>,
     pub is_connected: bool,
-    /// Bytes that have arrived and make no whole response yet.
+    /// Received bytes of an incomplete response.
     pub input: Vec<u8>,
     pub request: Option<ClientRequest>,
-    /// The gateway of its connection.
+    /// Gateway of the connection.
     pub gateway: usize,
-    /// The number of the request that waits for a response, among all that were sent.
+    /// Index of the request that is waiting for a response, among all requests sent.
     pub sent_request: Option<usize>,
-    /// The attempt whose time-out counts; none where the client rests.
+    /// Current attempt; `None` while the client pauses between attempts.
     pub attempt: Option<u64>,
 }
 
-/// A connection at a node.
+/// A connection accepted by a node.
 #[derive(Default)]
 pub(crate) struct NodeConnection {
-    /// Bytes that have arrived and make no whole request yet.
+    /// Received bytes of an incomplete request.
     pub input: Vec<u8>,
     pub queue: VecDeque<Message>,
-    /// It works on a request.
+    /// Whether a request is in progress.
     pub is_busy: bool,
 }
 
-/// All clients and nodes, and the checker of their requests.
+/// Clients, the nodes' connections, and the checker of their requests.
 pub(crate) struct Traffic {
     pub clients: Vec<Client>,
     pub node_connections: BTreeMap<u64, NodeConnection>,
-    /// Until then nodes reject most requests.
+    /// Time until which nodes reject most requests.
     pub overloaded_until: Nanos,
     pub checker: RequestChecker,
 }
--- a/crates/fernknot-simulator/src/wire.rs
+++ b/crates/fernknot-simulator/src/wire.rs
@@ -1,74 +1,75 @@
-//! HTTP/1.1 as the simulation reads and writes it: a reader that shares no code with what it judges.
+//! HTTP/1.1 parser and encoder of the simulation, independent of the code under test.
 
 use thiserror::Error;
 
-/// Why bytes are no message.
+/// Parse error of an HTTP message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// The head is not text.
+    /// The head is not valid UTF-8.
     #[error("a head that is no text")]
     HeadNotText,
-    /// The start line is neither a request's nor a response's.
+    /// The first line is neither a request line nor a status line.
     #[error("bytes that begin no message: {0:?}")]
     BadStartLine(String),
     /// A header line has no colon.
     #[error("a line without a colon: {0:?}")]
     BadHeader(String),
-    /// The length of the body is no number.
+    /// The content length is not a number.
     #[error("a length of {0:?}")]
     BadLength(String),
-    /// A chunk begins without its size.
+    /// A chunk does not begin with its size.
     #[error("a chunk without a size")]
     BadChunkSize,
 }
 
-/// One whole message.
+/// A complete request or response.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The first line, without its end.
+    /// First line, without its line end.
     pub start_line: String,
     headers: Vec<(String, String)>,
-    /// The body, without the framing of chunks.
+    /// Body, without the chunked encoding.
     pub body: Vec<u8>,
-    /// How many bytes the message took.
+    /// Length of the encoded message, in bytes.
     pub length: usize,
 }
 
 impl Message {
-    /// The value of the first header with this name, whatever its case.
+    /// Returns the value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let header = self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name));
         header.map(|(_, value)| value.as_str())
     }
 
-    /// A part of the start line, from 0: a request's method and target, or a response's version and status.
+    /// Returns the part of the start line at `index`: 0 is a request's method or a response's version, 1 is a request's
+    /// target or a response's status. Empty if there is none.
     pub fn start_line_part(&self, index: usize) -> &str {
         self.start_line.split(' ').nth(index).unwrap_or_default()
     }
 
-    /// The status of a response; 0 where it has none.
+    /// Returns the status of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.start_line_part(1).parse().unwrap_or(0)
     }
 
-    /// Whether the connection ends after this message.
+    /// Returns whether the connection closes after this message.
     pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-/// The first message of these bytes, once it is whole. One without a length has no body.
+/// Parses the first message of `bytes`; `None` if it is incomplete. A message without a length has no body.
 ///
 /// # Errors
-/// Bytes that are no message.
+/// The bytes are not an HTTP message.
 pub fn parse_message(bytes: &[u8]) -> Result<Option<Message>, WireError> {
     parse(bytes, false)
 }
 
-/// The same for a response to a `HEAD`, which has no body whatever its head says.
+/// Parses a response to a `HEAD` request, which has no body whatever its headers say.
 ///
 /// # Errors
-/// Bytes that are no message.
+/// The bytes are not an HTTP message.
 pub fn parse_head_response(bytes: &[u8]) -> Result<Option<Message>, WireError> {
     parse(bytes, true)
 }
@@ -100,7 +101,7 @@
     Ok(Message { start_line, headers, body: Vec::new(), length: 0 })
 }
 
-/// The body of a message with this head, and how many bytes it took, once all of it is there.
+/// Parses the body of a message and returns it with its encoded length in bytes; `None` if it is incomplete.
 fn parse_body(message: &Message, rest: &[u8]) -> Result<Option<(Vec<u8>, usize)>, WireError> {
     if message.header("transfer-encoding").is_some() {
         return parse_chunks(rest);
@@ -128,7 +129,7 @@
     }
 }
 
-/// A body in chunks of at most so many bytes.
+/// Encodes a body in chunks of at most `max_chunk_bytes`.
 pub fn encode_chunked(body: &[u8], max_chunk_bytes: usize) -> Vec<u8> {
     let mut out = Vec::new();
     for chunk in body.chunks(max_chunk_bytes.max(1)) {
@@ -140,7 +141,7 @@
     out
 }
 
-/// A response with its length.
+/// Encodes a response with a `Content-Length`.
 pub fn encode_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = format!("HTTP/1.1 {status} Said\r\n").into_bytes();
     for (name, value) in headers {
