--- a/crates/fernknot-simulator/src/bin/fernknot-simulator/arguments.rs
+++ b/crates/fernknot-simulator/src/bin/fernknot-simulator/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use fernknot_simulator::settings::Settings;
 use lexopt::prelude::*;
@@ -9,29 +9,30 @@
 fernknot-simulator replay SEED [--members 3|5] [FAULTS] [--all-faults] [--system [--gateways N]]
 FAULTS: [--exceed-budget] [--split-core] [--uneven-clocks]
 
-run     ends with 1 where a rule broke, and names the seeds
-replay  prints the log and who knew what; without --all-faults, of the fewest faults that still break the rule
---exceed-budget  more is lost than the budget allows: only what must hold all the same is judged
---system         with the production gateways, among clients and nodes that answer
---gateways N     so many of them (2)
---split-core     the core is partitioned into two halves now and then, whatever is lost besides
---uneven-clocks  the clocks of processes run at different rates
+run     runs all seeds, prints those that violate a rule, and exits with 1 if there are any
+replay  prints the log of one seed, with the state known to each controller; without --all-faults, the schedule is
+        reduced to the faults that are needed to violate the rule
+--exceed-budget  loses more machines than the fault budget allows, and checks only the safety rules
+--system         runs production gateways with clients and responding nodes
+--gateways N     number of gateways (2)
+--split-core     partitions the controllers into two halves at times, in addition to the other losses
+--uneven-clocks  runs the clocks of processes at different rates
 
-play, --beyond and --whole are earlier names of run, --exceed-budget and --all-faults";
+play, --beyond and --whole are aliases of run, --exceed-budget and --all-faults";
 const DEFAULT_THREADS: usize = 4;
 const DEFAULT_MEMBERS: usize = 3;
 const MAX_GATEWAYS: usize = 16;
 
-/// What is to be done.
+/// Command to execute.
 #[derive(Clone, Copy)]
 pub enum Command {
-    /// Run all seeds of a range.
+    /// Runs all seeds of a range.
     Run,
-    /// Print the log of one seed.
+    /// Prints the log of one seed.
     Replay(u64),
 }
 
-/// The options of both commands.
+/// Command and options.
 pub struct Arguments {
     pub command: Command,
     pub seeds: Range<u64>,
@@ -46,8 +47,10 @@
 }
 
 impl Arguments {
+    /// Parses the command line.
+    ///
     /// # Errors
-    /// A word that is no argument, or a value out of bounds.
+    /// An argument is unknown, or a value is invalid or out of range.
     pub fn parse(mut parser: lexopt::Parser) -> Result<Arguments, lexopt::Error> {
         let mut arguments = Arguments {
             command: Command::Run,
@@ -61,7 +64,7 @@
             splits_core: false,
             uneven_clocks: false,
         };
-        let (mut verb, mut seed) = (String::new(), 0);
+        let (mut command_name, mut seed) = (String::new(), 0);
         while let Some(argument) = parser.next()? {
             match argument {
                 Long("seeds") => arguments.seeds = parse_range(&parser.value()?.string()?)?,
@@ -73,29 +76,29 @@
                 Long("gateways") => arguments.gateways = Some(parser.value()?.parse()?),
                 Long("split-core") => arguments.splits_core = true,
                 Long("uneven-clocks") => arguments.uneven_clocks = true,
-                Value(value) if verb.is_empty() => verb = value.string()?,
+                Value(value) if command_name.is_empty() => command_name = value.string()?,
                 Value(value) => seed = value.parse()?,
                 _ => return Err(argument.unexpected()),
             }
         }
-        arguments.command = match verb.as_str() {
+        arguments.command = match command_name.as_str() {
             "run" | "play" => Command::Run,
             "replay" => Command::Replay(seed),
-            _ => return Err("no command".into()),
+            _ => return Err("missing command: expected run or replay".into()),
         };
         if !(1..=9).contains(&arguments.members) || !(1..=64).contains(&arguments.threads) {
-            return Err("1 to 9 members, 1 to 64 threads".into());
+            return Err("--members must be 1 to 9, and --threads 1 to 64".into());
         }
         if !arguments.gateways.is_none_or(|gateways| (1..=MAX_GATEWAYS).contains(&gateways)) {
-            return Err("--gateways: 1 to 16".into());
+            return Err("--gateways must be 1 to 16".into());
         }
         if arguments.gateways.is_some() && !arguments.is_whole_system {
-            return Err("--gateways goes with --system".into());
+            return Err("--gateways requires --system".into());
         }
         Ok(arguments)
     }
 
-    /// The settings of the run with this seed.
+    /// Returns the settings of the run with this seed.
     pub fn settings(&self, seed: u64) -> Settings {
         let mut settings = if self.is_whole_system {
             Settings::whole_system(seed, self.members)
@@ -115,7 +118,7 @@
 }
 
 fn parse_range(text: &str) -> Result<Range<u64>, lexopt::Error> {
-    let (from, to) = text.split_once("..").ok_or("--seeds wants FROM..TO")?;
-    let parse = |number: &str| number.parse().map_err(|_| "--seeds: not a number");
+    let (from, to) = text.split_once("..").ok_or("--seeds: expected FROM..TO")?;
+    let parse = |number: &str| number.parse().map_err(|_| "--seeds: invalid number");
     Ok(parse(from)?..parse(to)?)
 }
--- a/crates/fernknot-simulator/src/bin/fernknot-simulator/batch.rs
+++ b/crates/fernknot-simulator/src/bin/fernknot-simulator/batch.rs
@@ -1,4 +1,4 @@
-//! Runs seeds side by side, and prints what came of them.
+//! Runs seeds in parallel and prints their violations and totals.
 
 use crate::arguments::Arguments;
 use fernknot_simulator::run::{Outcome, simulate};
@@ -9,10 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Violations, and seeds of each rule, that are printed.
+/// Maximum number of printed violations, and of printed seeds per rule.
 const MAX_PRINTED: usize = 40;
 
-/// What several runs gave.
+/// Accumulated results of several runs.
 #[derive(Default)]
 struct Totals {
     violations: Vec<(u64, Violation)>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The seeds at which each rule broke.
+    /// Returns the seeds at which each rule was violated.
     fn seeds_by_rule(&self) -> BTreeMap<Rule, BTreeSet<u64>> {
         let mut seeds_by_rule = BTreeMap::<Rule, BTreeSet<u64>>::new();
         for (seed, violation) in &self.violations {
@@ -78,11 +78,11 @@
     }
 }
 
-/// Runs all seeds, and prints what broke.
+/// Runs all seeds and prints the violations. Fails if there is any.
 pub fn run_seeds(arguments: &Arguments) -> ExitCode {
     let started_at = Instant::now();
     let next_seed = AtomicU64::new(arguments.seeds.start);
-    let run_some = || {
+    let run_remaining_seeds = || {
         let mut totals = Totals::default();
         loop {
             let seed = next_seed.fetch_add(1, Ordering::Relaxed);
@@ -93,11 +93,11 @@
         }
     };
     let mut totals = Totals::default();
-    let have_all_ended = thread::scope(|scope| {
-        let threads: Vec<_> = (0..arguments.threads).map(|_| scope.spawn(run_some)).collect();
+    let all_succeeded = thread::scope(|scope| {
+        let threads: Vec<_> = (0..arguments.threads).map(|_| scope.spawn(run_remaining_seeds)).collect();
         threads.into_iter().all(|thread| thread.join().map(|part| totals.merge(part)).is_ok())
     });
-    if !have_all_ended {
+    if !all_succeeded {
         eprintln!("a run panicked");
         return ExitCode::FAILURE;
     }
--- a/crates/fernknot-simulator/src/bin/fernknot-simulator/main.rs
+++ b/crates/fernknot-simulator/src/bin/fernknot-simulator/main.rs
@@ -1,5 +1,5 @@
-//! `fernknot-simulator run --seeds FROM..TO` runs seeds side by side and names those where a rule broke;
-//! `fernknot-simulator replay SEED` prints one with its log, shrunk to the faults that it needs.
+//! `fernknot-simulator run --seeds FROM..TO` runs seeds in parallel and prints those that violate a rule;
+//! `fernknot-simulator replay SEED` prints the log of one seed, reduced to the faults that the violation needs.
 
 mod arguments;
 mod batch;
@@ -8,7 +8,7 @@
 use fernknot_simulator::run::{fault_schedule, shrink, simulate_with_faults};
 use std::process::ExitCode;
 
-/// Prints the log of one seed.
+/// Prints the log of one seed and its violations.
 fn replay(arguments: &Arguments, seed: u64) -> ExitCode {
     let mut settings = arguments.settings(seed);
     let faults = if arguments.keeps_all_faults { fault_schedule(&settings) } else { shrink(&settings).0 };
