--- a/crates/fernknot-simulator/src/control_clients/requests.rs
+++ b/crates/fernknot-simulator/src/control_clients/requests.rs
@@ -15,7 +15,7 @@
 const INITIAL_BACKOFF: Nanos = millis(50);
 const MAX_BACKOFF: Nanos = millis(1000);
 const BACKOFF_FACTOR: f64 = 1.6;
-/// Number of rejections, also of those that are not definitive, after which a request ends.
+/// Number of rejected attempts after which a request ends even without a definitive status.
 const MAX_REJECTIONS: usize = 3;
 /// Maximum length of a response's body in the log, in characters.
 const MAX_EXCERPT_CHARS: usize = 90;
--- a/crates/fernknot-simulator/src/faults/injection.rs
+++ b/crates/fernknot-simulator/src/faults/injection.rs
@@ -9,7 +9,8 @@
 use crate::topology::{FIRST_SUBSCRIBER, MAX_MACHINES};
 use fernknot::interface::Nanos;
 
-/// Delay of the start after a graceful restart's fault has ended.
+/// Delay after the end of a graceful restart at which the machine is started again. Longer than the shutdown grace,
+/// so that the old process has ended or was killed.
 const RESTART_DELAY: Nanos = millis(1600);
 /// Delay after the end of all faults at which every machine without a process is started.
 const FINAL_START_DELAY: Nanos = millis(1700);
--- a/crates/fernknot-simulator/src/run.rs
+++ b/crates/fernknot-simulator/src/run.rs
@@ -13,9 +13,9 @@
 
 /// Earliest time of a fault, which leaves the system time to form its first view.
 const FIRST_FAULT_AT: Nanos = millis(2500);
-/// Derives the fault schedule's seed, so that it differs from the seed of other draws.
+/// Value XORed into the run's seed for the fault schedule, so that its draws differ from all others.
 const SCHEDULE_SEED: u64 = 0x7200_b1e5;
-/// Derives the seed of the core splits.
+/// Value XORed into the run's seed for the core splits.
 const SPLIT_SEED: u64 = 0x5b11_7c0e;
 
 /// Result of a run.
--- a/crates/fernknot-simulator/src/settings.rs
+++ b/crates/fernknot-simulator/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::time::millis;
 use fernknot::interface::Nanos;
 
-/// Maximum number of controllers' machines that are listed as seeds at the first start.
+/// Number of controllers' machines that are listed as seeds, if there are as many.
 pub const FOUNDING_MEMBERS: usize = 3;
 /// Retries that the retry budget allows, as a share of the requests in a window.
 pub const RETRY_RATIO: f64 = 0.2;
@@ -17,7 +17,8 @@
 const CLIENTS_PER_GATEWAY: usize = 2;
 /// Maximum relative difference between the rate of a process's clock and the simulated one; far above real drift.
 const MAX_CLOCK_DRIFT: f64 = 0.005;
-/// Rotation of the incarnation in the seed of a clock's rate, so that other draws from both numbers differ.
+/// Rotation of the incarnation in bits when a clock's rate is drawn, so that the rate is independent of other values
+/// derived from the seed and the incarnation.
 const CLOCK_SEED_ROTATION: u32 = 16;
 
 /// Time bounds that the system guarantees, as in the deployment files.
--- a/crates/fernknot-simulator/src/subscribers/state.rs
+++ b/crates/fernknot-simulator/src/subscribers/state.rs
@@ -18,7 +18,7 @@
     pub controller: usize,
     /// Incarnation of the controller; 0 until the subscription has arrived there.
     pub incarnation: u64,
-    /// Whether messages on the connection are lost, until its loss is detected.
+    /// Whether the connection no longer delivers messages. It ends once that is detected.
     pub is_broken: bool,
     /// Whether the controller has sent a message on this subscription.
     pub has_received: bool,
