--- a/crates/fernknot-membership/src/action.rs
+++ b/crates/fernknot-membership/src/action.rs
@@ -1,44 +1,44 @@
-//! What the host is to do, or to record.
+//! Actions that the protocol returns to its host.
 
 use crate::cause::Cause;
 use crate::identity::{Incarnation, RouterId};
 use crate::report::ReportedStatus;
 
-/// What the host is to do, or to record.
+/// Action for the host: a datagram to send, or an event to record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a datagram. It may get lost.
+    /// Sends a datagram, which the network may lose.
     Send {
-        /// The router to send it to.
+        /// Destination router.
         to: RouterId,
-        /// The datagram.
+        /// Encoded [`Message`](crate::Message).
         bytes: Vec<u8>,
     },
-    /// The status of a router has changed.
+    /// Reports a change of another router's status.
     StatusChanged {
-        /// The router whose status it is.
+        /// Router whose status changed.
         member: RouterId,
-        /// The status before.
+        /// Status before the change.
         from: ReportedStatus,
-        /// The status now.
+        /// Status after the change.
         to: ReportedStatus,
-        /// The incarnation that the new status is about.
+        /// Incarnation that the new status refers to.
         incarnation: Incarnation,
-        /// Why it changed.
+        /// Reporter and evidence of the change.
         cause: Cause,
     },
-    /// Another process uses the local router's name; the one that started later gives way.
+    /// Reports another process that uses the local router's name; the one that started later leaves.
     DuplicateName {
-        /// The router that uses the name as well.
+        /// Router that uses the same name.
         other: RouterId,
-        /// Whether the local router gives way: it announces that it leaves.
+        /// Whether the local router is the one that leaves.
         yields: bool,
     },
-    /// The local router refutes a suspicion or failure of itself by a higher incarnation.
+    /// Reports that the local router refuted a suspicion or failure of itself with a higher incarnation.
     Refuted {
-        /// The router that reported it.
+        /// Router that reported the suspicion or failure.
         accuser: RouterId,
-        /// The new incarnation.
+        /// Incarnation of the refutation.
         incarnation: Incarnation,
     },
 }
--- a/crates/fernknot-membership/src/cause.rs
+++ b/crates/fernknot-membership/src/cause.rs
@@ -1,21 +1,21 @@
-//! Why a router has the status that it has.
+//! Evidence for a router's status.
 
 use crate::identity::RouterId;
 use fernknot::interface::Nanos;
 use std::fmt;
 
-/// How a status became known to the local router.
+/// Source from which the local router learned a status.
 ///
-/// Its [`Display`](fmt::Display) form is the one of the operator's view (`docs/operating-router.md`).
+/// Its [`Display`](fmt::Display) form is part of the operator's view (`docs/operating-router.md`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvidenceSource {
-    /// The router is configured; nothing was heard of it yet.
+    /// Configuration alone: no message from or about the router has arrived.
     Configured,
-    /// The router itself.
+    /// Message from the router itself.
     Member,
-    /// The local router's own probe, or a suspicion that timed out here.
+    /// Probe by the local router, or a suspicion that timed out locally.
     LocalProbe,
-    /// An update that this router passed on.
+    /// Update forwarded by this router.
     Relayed(RouterId),
 }
 
@@ -30,13 +30,13 @@
     }
 }
 
-/// Who reported a status, when, and how it became known.
+/// Reporter, time and source of a status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cause {
-    /// The router that knows this status first hand.
+    /// Router with first-hand knowledge of the status.
     pub reporter: RouterId,
-    /// When the local router learned of it, by the host's clock.
-    pub at: Nanos,
-    /// How it became known.
+    /// Time at which the local router learned the status, by the host's clock.
+    pub learned_at: Nanos,
+    /// Source of the status.
     pub source: EvidenceSource,
 }
--- a/crates/fernknot-membership/src/identity.rs
+++ b/crates/fernknot-membership/src/identity.rs
@@ -1,20 +1,20 @@
-//! How a router and one run of it are identified.
+//! Identifiers of routers and of their incarnations.
 
 use serde::{Deserialize, Serialize};
 
-/// A router, by a hash of the address under which all lists name it.
+/// Router identifier: a hash of the address that the configured lists give the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouterId(#[serde(with = "postcard::fixint::le")] pub u32);
 
-/// SWIM's incarnation number of a router: it grows with each start and each refutation.
+/// SWIM's incarnation number of a router, raised by each start and each refutation.
 ///
-/// A start takes the wall clock's milliseconds, a refutation one more than the incarnation it refutes. Zero stands
-/// for a router that was never heard of.
+/// A start uses the wall clock in milliseconds, a refutation one more than the incarnation it refutes. Zero means that
+/// no message from or about the router has arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Of a router that was never heard of.
+    /// Placeholder for a router from which or about which no message has arrived.
     pub(crate) const UNKNOWN: Incarnation = Incarnation(0);
 
     pub(crate) fn next(self) -> Incarnation {
--- a/crates/fernknot-membership/src/lib.rs
+++ b/crates/fernknot-membership/src/lib.rs
@@ -1,15 +1,15 @@
-//! SWIM membership among query routers: which of them are live, as seen by one router.
+//! SWIM membership among query routers: one router's view of which routers are live.
 //!
 //! This crate owns one router's view of the other routers' liveness, the failure detector that keeps the view up to
-//! date, and the updates that spread it. It is a state machine without I/O and without a clock. The router
+//! date, and the updates that disseminate it. It is a state machine without I/O and without a clock. The router
 //! (`fernknot-router`) and the experiments in simulated time (`fernknot-experiments`) are its hosts: a host creates one
-//! [`MembershipProtocol`] per process start, reports each turn of its event loop
+//! [`MembershipProtocol`] per process start, reports each iteration of its event loop
 //! ([`wake`](MembershipProtocol::wake)), each datagram received ([`receive`](MembershipProtocol::receive)) and each
-//! changed list of routers ([`set_routers`](MembershipProtocol::set_routers)), and then pulls actions
-//! ([`poll_action`](MembershipProtocol::poll_action)) until there are none.
+//! changed list of routers ([`set_routers`](MembershipProtocol::set_routers)), and then polls for actions
+//! ([`poll_action`](MembershipProtocol::poll_action)) until none is left.
 //!
 //! The protocol is SWIM (Das, Gupta and Motivala, DSN 2002) with the local health awareness of Lifeguard (Dadgar,
-//! Phillips and Currey, 2017). What is kept and what differs, with reasons, is in `docs/membership.md`.
+//! Phillips and Currey, 2017). `docs/membership.md` lists the differences from both, with reasons.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-membership/src/link.rs
+++ b/crates/fernknot-membership/src/link.rs
@@ -1,22 +1,22 @@
-//! Whether datagrams pass between the local router and another one, apart from whether that one is live.
+//! Reachability by datagrams between the local router and another one, tracked separately from liveness.
 
 use std::fmt;
 
-/// The link between the local router and another one.
+/// Link between the local router and another one.
 ///
-/// Its [`Display`](fmt::Display) form is the one of the operator's view (`docs/operating-router.md`).
+/// Its [`Display`](fmt::Display) form is part of the operator's view (`docs/operating-router.md`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
-    /// No probe has ended yet.
+    /// Not yet known: no probe has ended.
     #[default]
     Unknown,
-    /// Datagrams pass both ways.
+    /// Datagrams arrive in both directions.
     Bidirectional,
-    /// The local router hears the other one, which does not hear it.
+    /// Datagrams of the other router arrive here; those of the local router do not arrive there.
     InboundOnly,
-    /// The other router hears the local one, which does not hear it.
+    /// Datagrams of the local router arrive there; those of the other router do not arrive here.
     OutboundOnly,
-    /// Neither hears the other, though third routers hear both.
+    /// Datagrams arrive in neither direction, though third routers receive from both.
     Disconnected,
 }
 
@@ -32,33 +32,33 @@
     }
 }
 
-/// Consecutive probes that must agree before a link's state gets worse, so that one lost datagram is not taken for a
-/// broken link.
+/// Number of consecutive probes that must agree before a link's state degrades, so that a single lost datagram does not
+/// mark a link as broken.
 const PROBES_TO_DEGRADE: u32 = 3;
 
-/// The state of one link, and the latest probes that disagree with it.
+/// State of one link, and the latest probe results that disagree with it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LinkTracker {
     state: LinkState,
     observed: LinkState,
-    consecutive: u32,
+    consecutive_observations: u32,
 }
 
 impl LinkTracker {
-    /// The link's state.
     pub fn state(&self) -> LinkState {
         self.state
     }
 
-    /// Takes what one probe shows of the link. A good one counts at once.
+    /// Records the link state shown by one probe. [`LinkState::Bidirectional`] takes effect at once.
     pub fn observe(&mut self, observed: LinkState) {
         if observed == LinkState::Bidirectional {
-            *self = LinkTracker { state: observed, observed, consecutive: 0 };
+            *self = LinkTracker { state: observed, observed, consecutive_observations: 0 };
             return;
         }
-        self.consecutive = if self.observed == observed { self.consecutive + 1 } else { 1 };
+        self.consecutive_observations =
+            if self.observed == observed { self.consecutive_observations + 1 } else { 1 };
         self.observed = observed;
-        if self.consecutive >= PROBES_TO_DEGRADE {
+        if self.consecutive_observations >= PROBES_TO_DEGRADE {
             self.state = observed;
         }
     }
--- a/crates/fernknot-membership/src/local_router.rs
+++ b/crates/fernknot-membership/src/local_router.rs
@@ -1,29 +1,27 @@
-//! What the local router claims of itself.
+//! State that the local router claims for itself.
 
 use crate::identity::{Incarnation, RouterId};
 use crate::message::Update;
 use crate::status::{Status, VersionedStatus};
 use fernknot::interface::Nanos;
 
-/// What the local router claims of itself.
+/// State that the local router claims for itself.
 pub(crate) struct LocalRouter {
-    /// Its id.
     pub id: RouterId,
-    /// A hash of its configured name, to detect another process with the same name.
+    /// Hash of the configured name, to detect another process with the same name.
     pub name_hash: u32,
-    /// When the process started, by the wall clock in milliseconds.
+    /// Start of the process, by the wall clock in milliseconds.
     pub started_ms: u64,
-    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// It announced that it leaves.
+    /// Whether the router has announced that it leaves.
     pub has_left: bool,
-    /// It left because another process of the same name started earlier.
+    /// Whether the router left because another process of the same name started earlier.
     pub has_yielded: bool,
     last_announced: Option<Nanos>,
 }
 
 impl LocalRouter {
-    /// A process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(id: RouterId, name_hash: u32, started_ms: u64) -> LocalRouter {
         LocalRouter {
             id,
@@ -36,7 +34,8 @@
         }
     }
 
-    /// Takes an incarnation past the reported one, if that one overrides what this router claims of itself.
+    /// Adopts an incarnation above the reported one if the report overrides the router's own claim; returns whether it
+    /// did.
     pub fn refute(&mut self, reported: VersionedStatus) -> bool {
         if self.has_left || reported <= VersionedStatus::alive(self.incarnation) {
             return false;
@@ -45,7 +44,7 @@
         true
     }
 
-    /// Takes a new incarnation, unless that was done less than `window` ago.
+    /// Adopts a new incarnation unless the last announcement was at most `window` ago; returns whether it did.
     pub fn announce(&mut self, now: Nanos, window: Nanos) -> bool {
         let earliest = now - window;
         if self.has_left || self.last_announced.is_some_and(|at| at >= earliest) {
@@ -56,13 +55,13 @@
         true
     }
 
-    /// Whether this process gives way to another one of the same name: the later start does, and at the same
-    /// millisecond the higher id.
+    /// Whether this process has to leave in favour of another one of the same name. The later start leaves; at the same
+    /// millisecond, the higher id.
     pub fn yields_to(&self, other: RouterId, other_started_ms: u64) -> bool {
         (self.started_ms, self.id) > (other_started_ms, other)
     }
 
-    /// The update that passes its own status on.
+    /// Update that disseminates the router's own status.
     pub fn update(&self) -> Update {
         let status = if self.has_left { Status::Left } else { Status::Alive };
         let state = VersionedStatus { incarnation: self.incarnation, status };
--- a/crates/fernknot-membership/src/member.rs
+++ b/crates/fernknot-membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What the local router knows of one other router.
+//! State that the local router keeps about one other router.
 
 use crate::cause::{Cause, EvidenceSource};
 use crate::identity::{Incarnation, RouterId};
@@ -7,32 +7,32 @@
 use crate::status::{Status, VersionedStatus};
 use fernknot::interface::Nanos;
 
-/// What the local router knows of one other router.
+/// State that the local router keeps about one other router.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The router.
+    /// Identifier of the router.
     pub id: RouterId,
-    /// Its status, and the incarnation that it is about.
+    /// Status, and the incarnation that it refers to.
     pub state: VersionedStatus,
-    /// Why it has this status.
+    /// Reporter and evidence of the status.
     pub cause: Cause,
-    /// How often it was confirmed as failed or came back from that.
+    /// Number of times that the router was confirmed as failed or returned after that.
     pub failure_changes: u32,
-    /// When a message of its own last arrived.
-    pub(crate) last_heard: Option<Nanos>,
-    /// When its process started, by its own clock in milliseconds.
+    /// Arrival of the last message sent by the router itself.
+    pub(crate) last_received: Option<Nanos>,
+    /// Start of the router's process, by its own wall clock in milliseconds.
     pub(crate) process_started_ms: u64,
-    /// When the first message of its present process arrived.
-    pub(crate) process_first_heard: Option<Nanos>,
-    /// The incarnation that it claims itself.
+    /// Arrival of the first message of the router's current process.
+    pub(crate) process_first_received: Option<Nanos>,
+    /// Incarnation that the router itself claims.
     pub(crate) claimed_incarnation: Incarnation,
     pub(crate) link: LinkTracker,
-    /// Who suspects it in this round.
+    /// Routers that suspect it in the current round.
     pub(crate) accusers: Vec<RouterId>,
-    /// When this round of suspicion became known here.
+    /// Time at which the current round of suspicion became known locally.
     pub(crate) suspected_at: Nanos,
     pub(crate) refutations: Refutations,
-    /// When a probe of it last failed.
+    /// Time of the last failed probe of it.
     pub(crate) last_failed_probe: Option<Nanos>,
 }
 
@@ -41,11 +41,11 @@
         Member {
             id,
             state: VersionedStatus::UNKNOWN,
-            cause: Cause { reporter: id, at: now, source: EvidenceSource::Configured },
+            cause: Cause { reporter: id, learned_at: now, source: EvidenceSource::Configured },
             failure_changes: 0,
-            last_heard: None,
+            last_received: None,
             process_started_ms: 0,
-            process_first_heard: None,
+            process_first_received: None,
             claimed_incarnation: Incarnation::UNKNOWN,
             link: LinkTracker::default(),
             accusers: Vec::new(),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// The link between it and the local router.
+    /// Link between the router and the local one.
     pub fn link(&self) -> LinkState {
         self.link.state()
     }
 
-    /// Whether it is suspected.
+    /// Whether the router is suspected, in any round.
     pub fn is_suspected(&self) -> bool {
         self.state.status.is_suspected()
     }
@@ -69,22 +69,22 @@
         self.state.status == Status::Failed
     }
 
-    /// Whether it has neither failed nor left, and so is worth a probe.
+    /// Whether the router has neither failed nor left, so that it is still probed.
     pub(crate) fn is_present(&self) -> bool {
         !matches!(self.state.status, Status::Failed | Status::Left)
     }
 
-    /// Whether no more is known of it than what it claims itself.
+    /// Whether the known state is exactly what the router itself claims.
     pub(crate) fn agrees_with_own_claim(&self) -> bool {
         self.state == VersionedStatus::alive(self.claimed_incarnation)
     }
 
     /// Whether the first message of its process arrived less than `window` ago.
     pub(crate) fn has_just_started(&self, now: Nanos, window: Nanos) -> bool {
-        self.process_first_heard.is_some_and(|at| now - at < window)
+        self.process_first_received.is_some_and(|at| now - at < window)
     }
 
-    /// The update that passes its status on. It names the latest accuser, so that in time all become known.
+    /// Update that disseminates the status. It names the latest accuser, so that all accusers become known over time.
     pub(crate) fn update(&self) -> Update {
         let reporter = match self.state.status {
             Status::Suspected { .. } => self.accusers.last().copied(),
@@ -95,8 +95,8 @@
     }
 }
 
-/// Suspicions that a router refuted in a row. Each doubles the time-out of the next, so that a status does not come
-/// and go where a refutation travels far.
+/// Consecutive suspicions that a router refuted. Each doubles the time-out of the next one, so that the status does not
+/// flap while refutations are slow to arrive.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refutations {
     count: u32,
@@ -104,12 +104,12 @@
 }
 
 impl Refutations {
-    /// Those in a row, unless the last was `window` ago or longer.
+    /// Number of consecutive refutations; 0 if the last one was `window` ago or longer.
     pub fn recent(&self, now: Nanos, window: Nanos) -> u32 {
         if now - self.last_at < window { self.count } else { 0 }
     }
 
-    /// Counts one more.
+    /// Counts one more refutation.
     pub fn add(&mut self, now: Nanos, window: Nanos) {
         *self = Refutations { count: self.recent(now, window) + 1, last_at: now };
     }
--- a/crates/fernknot-membership/src/member_table.rs
+++ b/crates/fernknot-membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! All other routers as the local one knows them, and how reported statuses change what is known.
+//! Table of all other routers, and the rules by which reported statuses change it.
 
 use crate::cause::{Cause, EvidenceSource};
 use crate::identity::RouterId;
@@ -10,51 +10,51 @@
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All other routers of the list, with counts that are asked for at each turn.
+/// All other routers of the list, with counts kept up to date because each event-loop iteration reads them.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<RouterId, Member>,
     suspected: BTreeSet<RouterId>,
-    live: usize,
-    failed: usize,
+    live_count: usize,
+    failed_count: usize,
 }
 
-/// What came of a reported status.
+/// Result of merging a reported status.
 pub(crate) enum MergeOutcome {
-    /// Nothing that others need to know.
+    /// No change that other routers need to learn.
     Unchanged,
     /// One more router suspects the member, which shortens the suspicion.
     AccuserAdded,
-    /// The member's state is another one.
+    /// The member's state changed.
     Changed(StateChange),
 }
 
-/// A change of one member's state.
+/// Change of one member's state.
 pub(crate) struct StateChange {
-    /// The member.
+    /// Member whose state changed.
     pub member: RouterId,
-    /// Its state before.
+    /// State before the change.
     pub before: VersionedStatus,
-    /// Its state now.
+    /// State after the change.
     pub after: VersionedStatus,
-    /// Members that counted as failed before the change.
+    /// Number of failed members before the change.
     pub failed_before: usize,
 }
 
 impl StateChange {
-    /// Whether operators see a change, too.
+    /// Whether the change is visible in the operator's view, which hides suspicion rounds.
     pub fn is_reported(&self) -> bool {
         ReportedStatus::from(self.before) != ReportedStatus::from(self.after)
     }
 
-    /// The first that was ever heard of the member is that it lives.
+    /// Whether this is the first message about the member, and it reports the member alive.
     pub fn is_first_start(&self) -> bool {
         !self.before.is_known() && self.after.status == Status::Alive
     }
 }
 
 impl MemberTable {
-    /// Takes the list of other routers. The ids of those that are no longer on it.
+    /// Replaces the list of other routers and returns the ids that are no longer on it.
     pub fn set_routers(&mut self, now: Nanos, listed: &BTreeSet<RouterId>) -> Vec<RouterId> {
         let removed: Vec<RouterId> = self.members.keys().filter(|id| !listed.contains(id)).copied().collect();
         for id in &removed {
@@ -64,17 +64,16 @@
         for id in listed {
             self.members.entry(*id).or_insert_with(|| Member::new(*id, now));
         }
-        self.live = self.iter().filter(|member| member.state.is_live()).count();
-        self.failed = self.iter().filter(|member| member.is_failed()).count();
+        self.live_count = self.iter().filter(|member| member.state.is_live()).count();
+        self.failed_count = self.iter().filter(|member| member.is_failed()).count();
         removed
     }
 
-    /// How many members there are.
+    /// Number of members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
@@ -84,51 +83,49 @@
         self.members.contains_key(&id)
     }
 
-    /// The member of this id.
     pub fn get(&self, id: RouterId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// The member of this id, to change it.
     pub fn get_mut(&mut self, id: RouterId) -> Option<&mut Member> {
         self.members.get_mut(&id)
     }
 
-    /// All members, in the order of their ids.
+    /// All members, in ascending order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// In the order of the ids, beginning after this one and wrapping round.
+    /// Ids in ascending order from `start`, wrapping around at the end.
     pub fn ids_from(&self, start: RouterId) -> Vec<RouterId> {
         let after = self.members.range(start..);
         let before = self.members.range(..start);
         after.chain(before).map(|(id, _)| *id).collect()
     }
 
-    /// The ids of members that count as running, ascending.
+    /// Ids of live members, ascending.
     pub fn live_ids(&self) -> Vec<RouterId> {
         self.iter().filter(|member| member.state.is_live()).map(|member| member.id).collect()
     }
 
-    /// The ids of members that count as failed, ascending.
+    /// Ids of failed members, ascending.
     pub fn failed_ids(&self) -> Vec<RouterId> {
         self.iter().filter(|member| member.is_failed()).map(|member| member.id).collect()
     }
 
-    /// The suspected members, in the order of their ids.
+    /// Suspected members, in ascending order of their ids.
     pub fn suspected(&self) -> impl Iterator<Item = &Member> {
         self.suspected.iter().filter_map(|id| self.members.get(id))
     }
 
-    /// Members that count as running.
-    pub fn live(&self) -> usize {
-        self.live
+    /// Number of live members.
+    pub fn live_count(&self) -> usize {
+        self.live_count
     }
 
-    /// Members that count as failed.
-    pub fn failed(&self) -> usize {
-        self.failed
+    /// Number of failed members.
+    pub fn failed_count(&self) -> usize {
+        self.failed_count
     }
 
     /// Whether the member has neither failed nor left.
@@ -136,7 +133,7 @@
         self.get(id).is_some_and(Member::is_present)
     }
 
-    /// Every suspicion begins anew.
+    /// Restarts the time-out of every suspicion.
     pub fn restart_suspicions(&mut self, now: Nanos) {
         for id in &self.suspected {
             if let Some(member) = self.members.get_mut(id) {
@@ -145,18 +142,18 @@
         }
     }
 
-    /// A message of the member itself arrived.
+    /// Records a message sent by the member itself.
     pub fn message_received(&mut self, now: Nanos, from: RouterId, message: &Message) {
         let Some(member) = self.members.get_mut(&from) else { return };
-        member.last_heard = Some(now);
+        member.last_received = Some(now);
         if member.process_started_ms != message.started_ms {
-            member.process_first_heard = Some(now);
+            member.process_first_received = Some(now);
         }
         member.process_started_ms = message.started_ms;
         member.claimed_incarnation = message.incarnation;
     }
 
-    /// Takes a reported status of a member, if it overrides what is known.
+    /// Merges a reported status of a member into the table if it overrides the known one.
     pub fn merge(
         &mut self,
         settings: &MembershipSettings,
@@ -167,20 +164,21 @@
     ) -> MergeOutcome {
         let Some(member) = self.members.get_mut(&id) else { return MergeOutcome::Unchanged };
         let before = member.state;
-        let is_hearsay = is_hearsay_failure(settings, member, reported, cause);
-        if is_hearsay && reported.incarnation == member.state.incarnation && member.is_suspected() {
+        let treat_as_suspicion = is_relayed_failure(settings, member, reported, cause);
+        if treat_as_suspicion && reported.incarnation == member.state.incarnation && member.is_suspected() {
             member.accusers.resize(MAX_ACCUSERS, cause.reporter);
             return MergeOutcome::Unchanged;
         }
         let reported =
-            if is_hearsay { reported.with_status(Status::Suspected { round: 0 }) } else { reported };
+            if treat_as_suspicion { reported.with_status(Status::Suspected { round: 0 }) } else { reported };
         if !member.state.merge(reported) {
             return add_accuser(settings, member, reported, cause.reporter);
         }
-        let accusers = if is_hearsay { MAX_ACCUSERS } else { 1 };
+        let accusers = if treat_as_suspicion { MAX_ACCUSERS } else { 1 };
         track_suspicion(&mut self.suspected, member, now, cause.reporter, accusers);
         count_refutation(settings, member, before, now);
-        let change = StateChange { member: id, before, after: member.state, failed_before: self.failed };
+        let change =
+            StateChange { member: id, before, after: member.state, failed_before: self.failed_count };
         if change.is_reported() {
             record_change(member, &change, cause);
             self.count_change(&change);
@@ -189,16 +187,17 @@
     }
 
     fn count_change(&mut self, change: &StateChange) {
-        let failed = |state: VersionedStatus| usize::from(state.status == Status::Failed);
-        self.live = self.live + usize::from(change.after.is_live()) - usize::from(change.before.is_live());
-        self.failed = self.failed + failed(change.after) - failed(change.before);
+        let failed_count = |state: VersionedStatus| usize::from(state.status == Status::Failed);
+        self.live_count =
+            self.live_count + usize::from(change.after.is_live()) - usize::from(change.before.is_live());
+        self.failed_count = self.failed_count + failed_count(change.after) - failed_count(change.before);
     }
 }
 
-/// Whether another router passes on that this live one failed. It is taken for a suspicion with all its accusers, as
-/// the member may have refuted it where the update comes from: after a partition heals, each side brings what it knew
-/// of the other.
-fn is_hearsay_failure(
+/// Whether another router forwards a failure of a live member. Such a report counts as a suspicion with the maximum of
+/// accusers, because the member may already have refuted it elsewhere: after a network partition heals, each side
+/// reports its old view of the other.
+fn is_relayed_failure(
     settings: &MembershipSettings,
     member: &Member,
     reported: VersionedStatus,
@@ -211,7 +210,7 @@
         && reported.incarnation >= member.state.incarnation
 }
 
-/// A report that changes no state may still name one more accuser, which shortens the suspicion.
+/// Adds the reporter of an already known suspicion to the accusers, which shortens the suspicion.
 fn add_accuser(
     settings: &MembershipSettings,
     member: &mut Member,
@@ -229,7 +228,7 @@
     MergeOutcome::AccuserAdded
 }
 
-/// Begins a suspicion or a round of it, or ends one.
+/// Starts a suspicion or a new round of it, or ends one.
 fn track_suspicion(
     suspected: &mut BTreeSet<RouterId>,
     member: &mut Member,
@@ -247,8 +246,8 @@
     }
 }
 
-/// Counts a suspicion or failure that was refuted. A new process is no refutation: the one before it may well have
-/// been dead.
+/// Counts a refuted suspicion or failure. A new process does not count as a refutation, because the previous process
+/// may really have failed.
 fn count_refutation(settings: &MembershipSettings, member: &mut Member, before: VersionedStatus, now: Nanos) {
     let was_accused = before.status.is_suspected() || before.status == Status::Failed;
     let is_refuted = was_accused && before.is_known() && member.state.status == Status::Alive;
--- a/crates/fernknot-membership/src/message.rs
+++ b/crates/fernknot-membership/src/message.rs
@@ -1,104 +1,104 @@
-//! Messages between routers as plain values, and their bytes by postcard.
+//! Messages between routers, and their encoding by postcard.
 //!
-//! postcard writes no names: the order of fields and variants is the format.
+//! postcard writes no names: the order of fields and variants defines the format.
 
 use crate::identity::{Incarnation, RouterId};
 use crate::status::{Status, VersionedStatus};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The version of the message format. Messages of another one are rejected.
+/// Version of the message format. Messages of any other version are rejected.
 pub const MESSAGE_VERSION: u8 = 1;
-/// The first byte of each datagram of this protocol. Datagrams about node load never begin with it: there it would be
-/// a count of entries, of which so many do not fit into a datagram.
+/// First byte of each datagram of this protocol. Load-report datagrams never begin with it: their first byte is a
+/// number of entries, and that many entries do not fit into a datagram.
 pub const DATAGRAM_PREFIX: u8 = 0xff;
 
-/// About the bytes of one update, to estimate how many do not fit.
+/// Approximate size of one update in bytes, to estimate how many updates do not fit.
 const BYTES_PER_UPDATE: usize = 16;
 
-/// A datagram from one router to another: one protocol message and the updates piggybacked on it.
+/// Datagram from one router to another: one protocol message and the updates piggybacked on it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// [`MESSAGE_VERSION`] of the sender.
     pub version: u8,
-    /// A hash of the sender's configured name.
+    /// Hash of the sender's configured name.
     #[serde(with = "postcard::fixint::le")]
     pub name_hash: u32,
-    /// When the sender's process started, by its own wall clock in milliseconds.
+    /// Start of the sender's process, by its own wall clock in milliseconds.
     pub started_ms: u64,
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The protocol message.
+    /// Protocol message.
     pub body: MessageBody,
-    /// Statuses passed on.
+    /// Piggybacked status updates.
     pub updates: Vec<Update>,
 }
 
-/// A protocol message of SWIM. A `number` is chosen by the router that probes and comes back with the acknowledgement.
+/// SWIM protocol message. The probing router chooses `number`, and acknowledgements return it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// A direct probe of the receiver.
+    /// Direct probe of the receiver.
     Ping {
-        /// The sender's number of the probe.
+        /// Probe number chosen by the sender.
         number: u32,
     },
-    /// The receiver's direct probe arrived.
+    /// Acknowledgement of the receiver's direct probe.
     Ack {
-        /// The receiver's number of the probe.
+        /// Probe number chosen by the receiver.
         number: u32,
     },
     /// SWIM's ping-req: asks the receiver to probe a third router.
     PingRequest {
-        /// The sender's number of the probe.
+        /// Probe number chosen by the sender.
         number: u32,
-        /// The router to probe.
+        /// Router to probe.
         target: RouterId,
     },
-    /// A probe of the receiver for another router.
+    /// Probe of the receiver on behalf of another router.
     IndirectPing {
-        /// The sender's number of the probe.
+        /// Probe number chosen by the sender.
         number: u32,
-        /// The router that asked for it.
+        /// Router that requested the probe.
         requester: RouterId,
     },
-    /// The receiver's indirect probe arrived.
+    /// Acknowledgement of the receiver's indirect probe.
     IndirectAck {
-        /// The receiver's number of the probe.
+        /// Probe number chosen by the receiver.
         number: u32,
-        /// The router that asked for the probe.
+        /// Router that requested the probe.
         requester: RouterId,
-        /// Whether the sender received anything from the requester lately.
+        /// Whether the sender recently received a message from the requester.
         hears_requester: bool,
     },
-    /// The probe that the receiver asked for was acknowledged.
+    /// Acknowledgement, forwarded by a relay, of the indirect probe that the receiver requested.
     RelayedAck {
-        /// The receiver's number of the probe.
+        /// Probe number chosen by the receiver.
         number: u32,
-        /// Whether the probed router received anything from the receiver lately.
+        /// Whether the probed router recently received a message from the receiver.
         hears_requester: bool,
     },
-    /// The ping-req arrived, whatever becomes of the probe: Lifeguard's nack, sent at once.
+    /// Acknowledgement of the ping-req itself, sent at once and independent of the probe's result: Lifeguard's nack.
     PingRequestAck {
-        /// The receiver's number of the probe.
+        /// Probe number chosen by the receiver.
         number: u32,
     },
-    /// Nothing but the updates.
+    /// Carrier of updates without a protocol message.
     Gossip,
 }
 
-/// The status of one router, passed on.
+/// Status of one router, as disseminated by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The router whose status it is.
+    /// Router whose status is reported.
     pub member: RouterId,
-    /// The status, and the incarnation that it is about.
+    /// Status, and the incarnation that it refers to.
     pub state: VersionedStatus,
-    /// The router that knows this first hand, where it is not the member itself.
+    /// Router with first-hand knowledge of the status, if other than the member itself.
     pub reporter: Option<RouterId>,
 }
 
 impl MessageBody {
-    /// Whether another router waits for it under a time-out.
+    /// Whether another router waits for the message with a time-out.
     pub(crate) fn is_acknowledgement(self) -> bool {
         match self {
             MessageBody::Ack { .. }
@@ -114,29 +114,29 @@
 }
 
 impl Update {
-    /// Whether only the member itself can claim that first.
+    /// Whether the status can originate only from the member itself.
     pub(crate) fn is_own_claim(&self) -> bool {
         matches!(self.state.status, Status::Alive | Status::Left)
     }
 }
 
-/// Why a datagram was rejected.
+/// Reason for rejecting a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectReason {
-    /// Its sender is not on the list of routers.
+    /// The sender is not on the list of routers.
     #[error("the sender is not a configured router")]
     UnknownSender,
-    /// It is of another version of the format.
-    #[error("the message is of another format version than {MESSAGE_VERSION}")]
+    /// The message has another format version.
+    #[error("the message has another format version than {MESSAGE_VERSION}")]
     UnsupportedVersion,
-    /// It is not a message.
-    #[error("the datagram is not a message")]
+    /// The bytes do not decode to a message.
+    #[error("the datagram is not a membership message")]
     Malformed,
 }
 
 impl Message {
-    /// The bytes, at most `max_bytes` where that can be: updates are dropped from the end until the rest fits. Also
-    /// how many updates were kept.
+    /// Encodes the message in at most `max_bytes` by dropping updates from the end. A message without updates may
+    /// exceed the limit. Also returns the number of updates kept.
     pub fn encode(&mut self, max_bytes: usize) -> (Vec<u8>, usize) {
         loop {
             // Serialising plain values into a vector cannot fail.
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The message of these bytes.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
--- a/crates/fernknot-membership/src/outbox.rs
+++ b/crates/fernknot-membership/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages that wait to be sent, and the rate limit on datagrams.
+//! Pending messages, and the rate limit on datagrams.
 
 use crate::identity::RouterId;
 use crate::message::MessageBody;
@@ -6,81 +6,82 @@
 use fernknot::state::TokenBucket;
 use std::collections::VecDeque;
 
-/// Messages that may wait; more are dropped, and their senders ask again.
-const MAX_WAITING: usize = 64;
-/// The part of the rate limit that may go at once.
+/// Maximum number of pending messages. Further ones are dropped; the routers that wait for them retry.
+const MAX_PENDING_MESSAGES: usize = 64;
+/// Share of the rate limit, from 0 to 1, that may be sent in a burst.
 const BURST_SHARE: f64 = 0.4;
-/// The least sustained rate, in datagrams a second.
-const MIN_RATE: f64 = 0.5;
+/// Minimum sustained rate, in datagrams per second.
+const MIN_DATAGRAMS_PER_S: f64 = 0.5;
 
-/// Messages that wait for the rate limit. Acknowledgements overtake requests, as their receivers wait for them.
+/// Messages that wait for the rate limit. Acknowledgements overtake requests, because their receivers wait with a
+/// time-out.
 pub(crate) struct Outbox {
-    waiting: VecDeque<(RouterId, MessageBody)>,
+    pending: VecDeque<(RouterId, MessageBody)>,
     rate_limit: RateLimit,
 }
 
 impl Outbox {
-    /// An empty outbox with this rate limit.
+    /// Creates an empty outbox with this rate limit.
     pub fn new(datagrams_per_s: f64, now: Nanos) -> Outbox {
-        Outbox { waiting: VecDeque::new(), rate_limit: RateLimit::new(datagrams_per_s, now) }
+        Outbox { pending: VecDeque::new(), rate_limit: RateLimit::new(datagrams_per_s, now) }
     }
 
-    /// Whether no message waits.
+    /// Whether no message is pending.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Lets a message wait, if there is room.
+    /// Queues a message; drops it if the queue is full.
     pub fn push(&mut self, to: RouterId, body: MessageBody) {
-        if self.waiting.len() < MAX_WAITING {
-            self.waiting.push_back((to, body));
+        if self.pending.len() < MAX_PENDING_MESSAGES {
+            self.pending.push_back((to, body));
         }
     }
 
-    /// The next message, acknowledgements first.
+    /// Removes the next message, acknowledgements first.
     pub fn pop(&mut self) -> Option<(RouterId, MessageBody)> {
-        let acknowledgement = self.waiting.iter().position(|(_, body)| body.is_acknowledgement());
-        self.waiting.remove(acknowledgement.unwrap_or(0))
+        let acknowledgement = self.pending.iter().position(|(_, body)| body.is_acknowledgement());
+        self.pending.remove(acknowledgement.unwrap_or(0))
     }
 
-    /// Whether a datagram may be sent now that leaves room for so many more.
-    pub fn may_send(&mut self, now: Nanos, spare: f64) -> bool {
-        self.rate_limit.allows(now, spare)
+    /// Whether the rate limit allows a datagram now with room for `reserve` more.
+    pub fn may_send(&mut self, now: Nanos, reserve: f64) -> bool {
+        self.rate_limit.allows(now, reserve)
     }
 
-    /// When a datagram may be sent that leaves room for so many more.
-    pub fn may_send_at(&self, spare: f64) -> Nanos {
-        self.rate_limit.allows_at(spare)
+    /// Time at which the rate limit allows a datagram with room for `reserve` more.
+    pub fn may_send_at(&self, reserve: f64) -> Nanos {
+        self.rate_limit.allows_at(reserve)
     }
 
-    /// Takes one datagram out of the rate limit.
+    /// Counts one sent datagram against the rate limit.
     pub fn count_sent(&mut self, now: Nanos) {
-        self.rate_limit.datagrams.draw(now);
+        self.rate_limit.bucket.draw(now);
     }
 }
 
-/// A token bucket whose burst and rate together stay within the stated number in any second.
+/// Token bucket whose burst and rate together stay within the configured number of datagrams in any second.
 struct RateLimit {
-    datagrams: TokenBucket,
+    bucket: TokenBucket,
     burst: f64,
 }
 
 impl RateLimit {
     fn new(datagrams_per_s: f64, now: Nanos) -> RateLimit {
         let burst = (datagrams_per_s * BURST_SHARE).max(1.0);
-        let rate = (datagrams_per_s - burst).max(MIN_RATE);
-        RateLimit { datagrams: TokenBucket::new(rate, burst, now), burst }
+        let rate = (datagrams_per_s - burst).max(MIN_DATAGRAMS_PER_S);
+        RateLimit { bucket: TokenBucket::new(rate, burst, now), burst }
     }
 
-    fn needed(&self, spare: f64) -> f64 {
-        1.0 + spare.min(self.burst - 1.0)
+    fn needed(&self, reserve: f64) -> f64 {
+        1.0 + reserve.min(self.burst - 1.0)
     }
 
-    fn allows(&mut self, now: Nanos, spare: f64) -> bool {
-        self.datagrams.left(now) >= self.needed(spare)
+    fn allows(&mut self, now: Nanos, reserve: f64) -> bool {
+        self.bucket.left(now) >= self.needed(reserve)
     }
 
-    fn allows_at(&self, spare: f64) -> Nanos {
-        self.datagrams.reaches(self.needed(spare))
+    fn allows_at(&self, reserve: f64) -> Nanos {
+        self.bucket.reaches(self.needed(reserve))
     }
 }
--- a/crates/fernknot-membership/src/probe.rs
+++ b/crates/fernknot-membership/src/probe.rs
@@ -1,39 +1,39 @@
-//! The probe in progress, and the probes that the local router relays for others.
+//! Probe in progress, and probes relayed for other routers.
 
 use crate::identity::RouterId;
 use fernknot::interface::Nanos;
 use std::collections::VecDeque;
 
-/// Relayed probes that are remembered; the oldest is dropped.
-const MAX_RELAYED: usize = 32;
+/// Maximum number of relayed probes to track; the oldest is dropped.
+const MAX_RELAYED_PROBES: usize = 32;
 
-/// A probe of one router: a direct ping first, then indirect pings through relays.
+/// Probe of one router: a direct ping first, then indirect pings through relays.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
-    /// The router that is probed.
+    /// Router that is probed.
     pub target: RouterId,
-    /// The number by which acknowledgements name the probe.
+    /// Number that identifies the probe in acknowledgements.
     pub number: u32,
-    /// When the first ping was sent.
+    /// Time at which the first ping was sent.
     pub sent_at: Nanos,
-    /// Routers asked to probe the target, at least 1; 0 before any was asked.
+    /// Number of routers asked to relay the probe; 0 before the indirect phase, then at least 1.
     pub relays_asked: usize,
-    /// Relays that acknowledged the request itself.
+    /// Number of relays that acknowledged the request itself.
     pub relays_responding: usize,
-    /// A relay reached the target; whether the target hears the local router.
+    /// Whether the target receives from the local router, once a relay has reached the target.
     pub relayed_ack: Option<bool>,
 }
 
-/// Probes: the one in progress, and those relayed for others.
+/// Probe in progress, and probes relayed for other routers.
 #[derive(Default)]
 pub(crate) struct Probes {
-    /// The local router's own probe, if one is in progress.
+    /// Own probe in progress.
     pub current: Option<Probe>,
     relayed: VecDeque<RelayedProbe>,
     last_number: u32,
 }
 
-/// A probe that another router asked for.
+/// Probe that another router requested.
 struct RelayedProbe {
     number: u32,
     requester: RouterId,
@@ -46,7 +46,7 @@
         self.last_number
     }
 
-    /// Starts a probe; its number.
+    /// Starts a probe and returns its number.
     pub fn start(&mut self, target: RouterId, now: Nanos) -> u32 {
         let number = self.next_number();
         self.current = Some(Probe {
@@ -60,27 +60,27 @@
         number
     }
 
-    /// The target acknowledged; whether that was the probe in progress, which is over then.
+    /// Ends the probe in progress if this acknowledgement matches it; returns whether it did.
     pub fn acknowledge(&mut self, from: RouterId, number: u32) -> bool {
         self.current.take_if(|probe| probe.target == from && probe.number == number).is_some()
     }
 
-    /// The probe in progress, if this is its number.
+    /// Probe in progress, if it has this number.
     pub fn current_mut(&mut self, number: u32) -> Option<&mut Probe> {
         self.current.as_mut().filter(|probe| probe.number == number)
     }
 
-    /// Remembers a probe for another router; the number of its own that it gets here.
+    /// Registers a probe on behalf of another router and returns the local number of the probe.
     pub fn add_relayed(&mut self, requester: RouterId, requester_number: u32) -> u32 {
         let number = self.next_number();
-        if self.relayed.len() >= MAX_RELAYED {
+        if self.relayed.len() >= MAX_RELAYED_PROBES {
             self.relayed.pop_front();
         }
         self.relayed.push_back(RelayedProbe { number, requester, requester_number });
         number
     }
 
-    /// A relayed probe was acknowledged: who asked for it, and by which number.
+    /// Ends the relayed probe of this number and returns its requester and the requester's number.
     pub fn take_relayed(&mut self, number: u32) -> Option<(RouterId, u32)> {
         let index = self.relayed.iter().position(|probe| probe.number == number)?;
         self.relayed.remove(index).map(|probe| (probe.requester, probe.requester_number))
--- a/crates/fernknot-membership/src/probe_targets.rs
+++ b/crates/fernknot-membership/src/probe_targets.rs
@@ -1,68 +1,67 @@
-//! Which router is probed next, and when.
+//! Selection of probe targets and of the times of probes.
 //!
-//! SWIM draws targets at random. Here all routers step along one ring of ids, at one pace given by the clock and each
-//! from its own position, so that each router is probed once a period by some other. A clock that is off only makes
-//! that uneven.
+//! SWIM draws targets at random. Here all routers step through one ring of ids, at one pace given by the clock and each from its own position, so that each router is probed once per period by some other. Clock skew only makes the
+//! probes less evenly distributed.
 
 use crate::identity::RouterId;
 use crate::member_table::MemberTable;
-use crate::settings::{MembershipSettings, PROBE_TURNS_PER_FAILED_PROBE};
+use crate::settings::{MembershipSettings, PROBES_PER_FAILED_MEMBER_PROBE};
 use fernknot::interface::Nanos;
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand_chacha::ChaCha8Rng;
 
-/// The order of probe targets and the times of probe turns.
+/// Order of probe targets and schedule of probes. A turn is the time of one probe.
 pub(crate) struct ProbeTargets {
-    /// All others, beginning after the local router's own position in the ring of ids.
+    /// All other routers, beginning after the local router's own position in the ring of ids.
     ring: Vec<RouterId>,
-    /// The part of a period by which the local router's turns are early.
+    /// Time by which the local router's turns precede the multiples of the probe period.
     phase: Nanos,
     next_turn: Nanos,
-    turns: u64,
-    /// To be probed before the ring's next.
-    urgent: Option<RouterId>,
+    turn_count: u64,
+    /// Router to probe before the ring's next one.
+    urgent_target: Option<RouterId>,
 }
 
 impl ProbeTargets {
-    /// No targets yet; the first turn is at this time.
+    /// Creates a schedule without targets whose first turn is at this time.
     pub fn new(settings: &MembershipSettings, first_turn: Nanos) -> ProbeTargets {
         let period = settings.probe_period.0;
         ProbeTargets {
             ring: Vec::new(),
             phase: Nanos(period - first_turn.0 % period.max(1)),
             next_turn: first_turn,
-            turns: 0,
-            urgent: None,
+            turn_count: 0,
+            urgent_target: None,
         }
     }
 
-    /// Takes the targets in the order of the ring.
+    /// Replaces the targets, given in ring order.
     pub fn set_ring(&mut self, ring: Vec<RouterId>) {
         self.ring = ring;
     }
 
-    /// The targets in the order of the ring.
+    /// Targets in ring order.
     pub fn ring(&self) -> &[RouterId] {
         &self.ring
     }
 
-    /// When the next probe is due.
+    /// Time of the next probe.
     pub fn next_turn(&self) -> Nanos {
         self.next_turn
     }
 
-    /// Skips to the first turn after `now`.
+    /// Schedules the first turn after `now`.
     pub fn schedule_next_turn(&mut self, settings: &MembershipSettings, now: Nanos) {
         let period = settings.probe_period.0.max(1);
         self.next_turn = Nanos(((now.0 + self.phase.0) / period + 1) * period - self.phase.0);
     }
 
-    /// Probes this router at the next turn.
-    pub fn set_urgent(&mut self, target: RouterId) {
-        self.urgent = Some(target);
+    /// Selects this router as the target of the next turn.
+    pub fn set_urgent_target(&mut self, target: RouterId) {
+        self.urgent_target = Some(target);
     }
 
-    /// The target of this turn: an urgent one, now and then a failed one, or the ring's next.
+    /// Picks the target of this turn: the urgent one, at times a failed one, otherwise the ring's next.
     pub fn pick(
         &mut self,
         settings: &MembershipSettings,
@@ -70,11 +69,11 @@
         members: &MemberTable,
         rng: &mut ChaCha8Rng,
     ) -> Option<RouterId> {
-        self.turns += 1;
-        if let Some(target) = self.urgent.take().filter(|id| members.is_present(*id)) {
+        self.turn_count += 1;
+        if let Some(target) = self.urgent_target.take().filter(|id| members.is_present(*id)) {
             return Some(target);
         }
-        if members.failed() > 0 && self.turns.is_multiple_of(PROBE_TURNS_PER_FAILED_PROBE) {
+        if members.failed_count() > 0 && self.turn_count.is_multiple_of(PROBES_PER_FAILED_MEMBER_PROBE) {
             return members.failed_ids().choose(rng).copied();
         }
         self.pick_from_ring(settings, now, members, rng)
@@ -94,7 +93,7 @@
         let steps = if settings.is_full() {
             (now.0 + self.phase.0) / settings.probe_period.0.max(1)
         } else {
-            self.turns
+            self.turn_count
         };
         let position = (steps % others) as usize;
         if !settings.is_full() && position == 0 {
@@ -104,7 +103,7 @@
         if members.is_present(target) {
             return Some(target);
         }
-        // The turn of one that is gone goes to any other.
+        // The turn of a router that has failed or left goes to a random present one.
         let present: Vec<RouterId> = self.ring.iter().copied().filter(|id| members.is_present(*id)).collect();
         present.choose(rng).copied()
     }
--- a/crates/fernknot-membership/src/prober.rs
+++ b/crates/fernknot-membership/src/prober.rs
@@ -1,4 +1,4 @@
-//! The failure detector: direct and indirect probes, and the conclusions from an unanswered one.
+//! Failure detector: direct and indirect probes, and the evaluation of unanswered ones.
 
 use crate::identity::RouterId;
 use crate::link::LinkState;
@@ -11,15 +11,15 @@
 use fernknot::interface::Nanos;
 use rand::seq::SliceRandom;
 
-/// A direct probe to send.
+/// Direct probe to send.
 pub(crate) struct DirectProbe {
-    /// The router to ping.
+    /// Router to ping.
     pub target: RouterId,
-    /// The number of the probe.
+    /// Probe number.
     pub number: u32,
 }
 
-/// Continues the probe in progress, or begins the next one if its turn has come.
+/// Continues the probe in progress, or begins the next one if it is due.
 pub(crate) fn advance(state: &mut ProtocolState, now: Nanos) -> Option<DirectProbe> {
     match state.probes.current.clone() {
         Some(probe) => {
@@ -30,35 +30,35 @@
     }
 }
 
-/// When [`advance`] has something to do; never, once the local router has left.
+/// Time of the next step of [`advance`]; never once the local router has left.
 pub(crate) fn next_step_at(state: &ProtocolState) -> Nanos {
     let may_send_at = state.outbox.may_send_at(0.0);
     match &state.probes.current {
         Some(probe) if probe.relays_asked == 0 => indirect_probe_at(state, probe).max(may_send_at),
-        Some(probe) => ends_at(state, probe),
+        Some(probe) => probe_deadline(state, probe),
         None if state.local.has_left => Nanos(u64::MAX),
         None => state.targets.next_turn().max(may_send_at),
     }
 }
 
-/// When a probe that was not acknowledged is retried through relays.
+/// Time at which an unacknowledged probe is retried through relays.
 fn indirect_probe_at(state: &ProtocolState, probe: &Probe) -> Nanos {
     probe.sent_at + state.health.lengthen(state.settings.direct_probe_timeout())
 }
 
-fn ends_at(state: &ProtocolState, probe: &Probe) -> Nanos {
+fn probe_deadline(state: &ProtocolState, probe: &Probe) -> Nanos {
     probe.sent_at + state.health.lengthen(state.settings.probe_period)
 }
 
 fn continue_probe(state: &mut ProtocolState, now: Nanos, probe: &Probe) {
     if probe.relays_asked == 0 && now >= indirect_probe_at(state, probe) {
-        // Only once the requests can be sent: they would otherwise wait while the time-out runs.
+        // Waits until the requests can be sent; pending ones would use up the probe's time-out.
         if state.outbox.may_send(now, 0.0) {
             probe_indirectly(state, probe);
         }
-    } else if now >= ends_at(state, probe) {
+    } else if now >= probe_deadline(state, probe) {
         state.probes.current = None;
-        conclude(state, now, probe);
+        evaluate_probe(state, now, probe);
     }
 }
 
@@ -72,11 +72,11 @@
     Some(DirectProbe { target, number })
 }
 
-/// Asks other routers to probe the target, and probes it once more directly, as one datagram may just have been lost.
+/// Asks other routers to probe the target, and probes it directly once more in case a single datagram was lost.
 fn probe_indirectly(state: &mut ProtocolState, probe: &Probe) {
     let relays = pick_relays(state, probe);
     if let Some(current) = &mut state.probes.current {
-        // At least one, so that the probe moves on where there is no relay.
+        // At least 1, so that the probe also reaches its next phase without relays.
         current.relays_asked = relays.len().max(1);
     }
     for relay in relays {
@@ -86,10 +86,11 @@
     state.outbox.push(probe.target, MessageBody::Ping { number: probe.number });
 }
 
-/// Live routers at random, those heard lately first: where many fail at once, others may be dead as well.
+/// Picks live routers at random, those with recent messages first: in a mass failure, other routers that still count as
+/// live may have failed as well.
 fn pick_relays(state: &mut ProtocolState, probe: &Probe) -> Vec<RouterId> {
     let earliest = probe.sent_at - state.settings.isolation_timeout();
-    let is_silent = |member: &Member| member.last_heard.is_none_or(|at| at < earliest);
+    let is_silent = |member: &Member| member.last_received.is_none_or(|at| at < earliest);
     let is_candidate = |member: &&Member| member.state.is_live() && member.id != probe.target;
     let candidates = state.members.iter().filter(is_candidate);
     let mut relays: Vec<(bool, RouterId)> = candidates.map(|member| (is_silent(member), member.id)).collect();
@@ -99,8 +100,8 @@
     relays.into_iter().map(|(_, id)| id).collect()
 }
 
-/// Draws the conclusion from a probe that was not acknowledged directly.
-fn conclude(state: &mut ProtocolState, now: Nanos, probe: &Probe) {
+/// Evaluates a probe that was not acknowledged directly.
+fn evaluate_probe(state: &mut ProtocolState, now: Nanos, probe: &Probe) {
     let Some(member) = state.members.get(probe.target) else { return };
     if let Some(link) = observed_link(state, now, probe, member) {
         if let Some(member) = state.members.get_mut(probe.target) {
@@ -109,44 +110,45 @@
         return;
     }
     let known = member.state;
-    // Where no relay responds, the fault is likelier here: the local router's datagrams may be lost while it still
-    // receives those of others.
+    // If no relay responds, the fault is probably local: the local router may still receive from others while its own
+    // datagrams are lost.
     let no_relay_responded = probe.relays_responding == 0 && probe.relays_asked > 1;
     if no_relay_responded {
         state.health.degrade();
     }
     let is_evidence =
-        !state.settings.is_full() || state.health.heard_since(probe.sent_at) && !no_relay_responded;
+        !state.settings.is_full() || state.health.received_since(probe.sent_at) && !no_relay_responded;
     let may_be_starting = !known.is_known() && state.health.has_just_started(&state.settings, now);
     let is_gone = matches!(known.status, Status::Failed | Status::Left);
     if !state.may_accuse(now) || !is_evidence || may_be_starting || is_gone {
         return;
     }
-    let is_second_failure = note_failed_probe(state, now, probe.target);
+    let is_second_failure = record_failed_probe(state, now, probe.target);
     if state.settings.is_full() && !is_second_failure && known.status == Status::Alive {
-        state.targets.set_urgent(probe.target);
+        state.targets.set_urgent_target(probe.target);
         return;
     }
     let suspected = known.with_status(Status::Suspected { round: known.status.suspicion_round() });
     state.learn(now, probe.target, suspected, state.local_cause(now));
 }
 
-/// What the probe shows of the link, where the target turns out to be running.
+/// Link state shown by the probe if the target turns out to be running.
 fn observed_link(state: &ProtocolState, now: Nanos, probe: &Probe, member: &Member) -> Option<LinkState> {
-    let heard_since = |since: Nanos| member.last_heard.is_some_and(|at| at >= since);
+    let received_since = |since: Nanos| member.last_received.is_some_and(|at| at >= since);
     match probe.relayed_ack {
         Some(true) => Some(LinkState::OutboundOnly),
         Some(false) => {
-            let heard_lately = member.last_heard.is_some_and(|at| at + state.settings.settling_time() >= now);
-            Some(if heard_lately { LinkState::InboundOnly } else { LinkState::Disconnected })
+            let received_recently =
+                member.last_received.is_some_and(|at| at + state.settings.settling_time() >= now);
+            Some(if received_recently { LinkState::InboundOnly } else { LinkState::Disconnected })
         }
-        None => (state.settings.is_full() && heard_since(probe.sent_at)).then_some(LinkState::InboundOnly),
+        None => (state.settings.is_full() && received_since(probe.sent_at)).then_some(LinkState::InboundOnly),
     }
 }
 
-/// Whether the probe of this router before failed lately, too. One failure alone is retried at once: a suspicion for
-/// each few lost datagrams would be more updates than many routers can pass on.
-fn note_failed_probe(state: &mut ProtocolState, now: Nanos, target: RouterId) -> bool {
+/// Records a failed probe and returns whether the previous one failed recently, too. A single failure is only retried:
+/// a suspicion for every few lost datagrams would produce more updates than a large fleet can disseminate.
+fn record_failed_probe(state: &mut ProtocolState, now: Nanos, target: RouterId) -> bool {
     let earliest = now - state.settings.second_failure_window();
     let member = state.members.get_mut(target);
     member.is_some_and(|member| member.last_failed_probe.replace(now) >= Some(earliest))
--- a/crates/fernknot-membership/src/protocol.rs
+++ b/crates/fernknot-membership/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The public face of the state machine: inputs from the host, actions for it, and questions about the view.
+//! Public API of the state machine: inputs from the host, actions for the host, and queries of the view.
 
 use crate::action::Action;
 use crate::identity::{Incarnation, RouterId};
@@ -21,15 +21,15 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Datagrams that gossip leaves to probes and acknowledgements within the rate limit.
-const GOSSIP_SPARE: f64 = 2.0;
+/// Number of datagrams within the rate limit that gossip leaves to probes and acknowledgements.
+const GOSSIP_RESERVE_DATAGRAMS: f64 = 2.0;
 
-/// Routers of the list, the local one among them.
+/// Number of live and of configured routers, including the local one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LiveCount {
-    /// Those that count as running.
+    /// Number of routers that are alive or only suspected.
     pub live: usize,
-    /// All of them.
+    /// Number of configured routers.
     pub total: usize,
 }
 
@@ -39,11 +39,11 @@
 }
 
 impl MembershipProtocol {
-    /// A router that has just started.
+    /// Creates the protocol of a router that has just started.
     ///
     /// `seed` and the local id determine all random choices. `name_hash` is a hash of the router's configured name,
     /// `started_ms` the wall clock at the start in milliseconds, and `routers` the list of all routers, in which the
-    /// local one is passed over. `now`, here and elsewhere, is the host's monotonic clock.
+    /// local one is ignored. `now`, here and elsewhere, is the host's monotonic clock.
     pub fn new(
         seed: u64,
         settings: MembershipSettings,
@@ -54,7 +54,7 @@
         now: Nanos,
     ) -> MembershipProtocol {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ u64::from(local.0));
-        // At random within the first period, so that routers that start together do not probe in step.
+        // Random within the first period, so that routers that start together do not probe in lockstep.
         let first_turn = now + settings.probe_period.times(rng.random());
         let state = ProtocolState {
             settings,
@@ -76,50 +76,50 @@
 
     // ---- Inputs ----------------------------------------------------------------------------
 
-    /// Takes the list of all routers, from a changed configuration. The local one is passed over.
+    /// Replaces the list of all routers after a configuration change. The local router is ignored.
     pub fn set_routers(&mut self, now: Nanos, routers: impl IntoIterator<Item = RouterId>) {
         let local = self.state.local.id;
         let others: BTreeSet<RouterId> = routers.into_iter().filter(|id| *id != local).collect();
         self.state.set_routers(now, &others);
     }
 
-    /// A turn of the host's event loop begins. After a stall, in which nothing could be received, the router suspects
-    /// nobody for what it missed, and listens first.
+    /// Begins an iteration of the host's event loop. After a stall, during which nothing could be received, the router
+    /// first receives for some time before it suspects anybody.
     pub fn wake(&mut self, now: Nanos) {
         let state = &mut self.state;
-        let late_by = state.health.begin_turn(now);
+        let late_by = state.health.begin_iteration(now);
         if !state.settings.is_full() || late_by < state.settings.stall_threshold() {
             return;
         }
         state.health.degrade();
         state.probes.current = None;
-        state.health.listen_until(now + state.settings.listening_time());
+        state.health.recover_from_stall_until(now + state.settings.stall_recovery_time());
         state.targets.schedule_next_turn(&state.settings, now);
         state.members.restart_suspicions(now);
     }
 
-    /// Takes a datagram of another router; `from` is `None` where its address is not on the list.
+    /// Processes a datagram; `from` is `None` if the sender's address is not on the list.
     ///
     /// # Errors
     ///
-    /// The datagram is rejected, and changes nothing, for any [`RejectReason`].
+    /// Returns the [`RejectReason`] of a rejected datagram, which has no effect on the state.
     pub fn receive(&mut self, now: Nanos, from: Option<RouterId>, bytes: &[u8]) -> Result<(), RejectReason> {
         receiver::receive(&mut self.state, now, from, bytes)
     }
 
-    /// The local router shuts down, and announces that.
+    /// Announces that the local router shuts down.
     pub fn leave(&mut self, now: Nanos) {
         self.state.leave(now);
     }
 
     // ---- Actions ---------------------------------------------------------------------------
 
-    /// When to call [`wake`](Self::wake) next, if nothing is received before.
+    /// Time of the next call of [`wake`](Self::wake) if no datagram arrives before.
     pub fn next_wakeup(&self) -> Nanos {
         let state = &self.state;
         let mut at = prober::next_step_at(state);
         if state.updates.has_fresh() {
-            at = at.min(state.next_gossip.max(state.outbox.may_send_at(GOSSIP_SPARE)));
+            at = at.min(state.next_gossip.max(state.outbox.may_send_at(GOSSIP_RESERVE_DATAGRAMS)));
         }
         if !state.outbox.is_empty() {
             at = at.min(state.outbox.may_send_at(0.0));
@@ -127,16 +127,16 @@
         if let Some(deadline) = state.next_suspicion_deadline() {
             at = at.min(deadline);
         }
-        at.max(state.health.last_turn() + Nanos(1))
+        at.max(state.health.last_iteration_at() + Nanos(1))
     }
 
-    /// The next action, until there is none.
+    /// Returns the next action, or `None` when nothing is left to do at `now`.
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         loop {
             if let Some(action) = self.state.actions.pop_front() {
                 return Some(action);
             }
-            if let Some(action) = self.send_waiting(now) {
+            if let Some(action) = self.send_pending(now) {
                 return Some(action);
             }
             if self.state.confirm_failures(now) {
@@ -146,35 +146,35 @@
                 let body = MessageBody::Ping { number: probe.number };
                 return Some(sender::send(&mut self.state, now, probe.target, body));
             }
-            if !self.state.actions.is_empty() || self.may_send_waiting(now) {
+            if !self.state.actions.is_empty() || self.may_send_pending(now) {
                 continue;
             }
             if let Some(action) = self.gossip(now) {
                 return Some(action);
             }
             let next_wakeup = self.next_wakeup();
-            self.state.health.expect_turn(next_wakeup);
+            self.state.health.expect_wakeup(next_wakeup);
             return None;
         }
     }
 
-    fn may_send_waiting(&mut self, now: Nanos) -> bool {
+    fn may_send_pending(&mut self, now: Nanos) -> bool {
         !self.state.outbox.is_empty() && self.state.outbox.may_send(now, 0.0)
     }
 
-    fn send_waiting(&mut self, now: Nanos) -> Option<Action> {
-        if !self.may_send_waiting(now) {
+    fn send_pending(&mut self, now: Nanos) -> Option<Action> {
+        if !self.may_send_pending(now) {
             return None;
         }
         let (to, body) = self.state.outbox.pop()?;
         Some(sender::send(&mut self.state, now, to, body))
     }
 
-    /// Fresh updates do not wait for a protocol message: once a period they go to a random live router.
+    /// Sends fresh updates without waiting for a protocol message: once per probe period, to a random live router.
     fn gossip(&mut self, now: Nanos) -> Option<Action> {
         let state = &mut self.state;
         let is_due = state.updates.has_fresh() && now >= state.next_gossip;
-        if !is_due || !state.outbox.may_send(now, GOSSIP_SPARE) {
+        if !is_due || !state.outbox.may_send(now, GOSSIP_RESERVE_DATAGRAMS) {
             return None;
         }
         state.next_gossip = now + state.settings.probe_period;
@@ -182,14 +182,14 @@
         Some(sender::send(state, now, to, MessageBody::Gossip))
     }
 
-    // ---- The view --------------------------------------------------------------------------
+    // ---- View ------------------------------------------------------------------------------
 
-    /// The local router.
+    /// Identifier of the local router.
     pub fn local_id(&self) -> RouterId {
         self.state.local.id
     }
 
-    /// The local router's incarnation.
+    /// Incarnation of the local router.
     pub fn incarnation(&self) -> Incarnation {
         self.state.local.incarnation
     }
@@ -204,12 +204,12 @@
         self.state.local.has_left
     }
 
-    /// Lifeguard's local health score, from 0 (good) to 8.
+    /// Lifeguard's local health score, from 0 (healthy) to 8.
     pub fn health_score(&self) -> u32 {
         self.state.health.score()
     }
 
-    /// All other routers, in the order of their ids.
+    /// All other routers, in ascending order of their ids.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.state.members.iter()
     }
@@ -219,37 +219,38 @@
         self.state.members.get(id)
     }
 
-    /// The view for operators: all other routers, in the order of their ids.
+    /// View for operators: all other routers, in ascending order of their ids.
     pub fn member_reports(&self, now: Nanos) -> Vec<MemberReport> {
         self.members().map(|member| MemberReport::new(member, now)).collect()
     }
 
-    /// How many routers count as running, the local one among them, and how many there are.
+    /// Number of live and of configured routers, including the local one.
     pub fn live_count(&self) -> LiveCount {
         LiveCount {
-            live: self.state.members.live() + usize::from(!self.state.local.has_left),
+            live: self.state.members.live_count() + usize::from(!self.state.local.has_left),
             total: self.state.router_count(),
         }
     }
 
-    /// Whether nobody was heard for longer than poor local health explains.
+    /// Whether no message has arrived for longer than poor local health explains.
     pub fn is_isolated(&self, now: Nanos) -> bool {
         self.state.is_isolated(now)
     }
 
-    /// Whether more than half of the configured routers run and are within reach.
+    /// Whether more than half of the configured routers are live and the local router is not isolated.
     pub fn has_majority(&self, now: Nanos) -> bool {
         let count = self.live_count();
         2 * count.live > count.total && !self.is_isolated(now)
     }
 
-    /// Whether the view is not yet reliable, after a start or a stall.
+    /// Whether the view is not yet reliable after a start or a stall.
     pub fn is_settling(&self, now: Nanos) -> bool {
-        self.state.health.has_just_started(&self.state.settings, now) || self.state.health.is_listening(now)
+        self.state.health.has_just_started(&self.state.settings, now)
+            || self.state.health.is_recovering_from_stall(now)
     }
 
-    /// Among how many routers to share limits that count for all of them together: the live ones. In a minority, or
-    /// with a view that is settling, all of them, so that the two sides of a partition do not take the full limit each.
+    /// Number of routers that share fleet-wide quotas: the live ones. Without a majority, or with a view that is still
+    /// settling, all configured ones, so that the two sides of a partition do not each use the full quota.
     pub fn quota_sharers(&self, now: Nanos) -> usize {
         let count = self.live_count();
         if self.is_settling(now) || !self.has_majority(now) { count.total } else { count.live.max(1) }
--- a/crates/fernknot-membership/src/receiver.rs
+++ b/crates/fernknot-membership/src/receiver.rs
@@ -1,4 +1,4 @@
-//! What a datagram of another router makes of the state: evidence of its sender, updates, and the protocol message.
+//! Processing of received datagrams: evidence about the sender, updates, and the protocol message.
 
 use crate::action::Action;
 use crate::cause::{Cause, EvidenceSource};
@@ -9,7 +9,7 @@
 use crate::status::{Status, VersionedStatus};
 use fernknot::interface::Nanos;
 
-/// Takes a datagram; `from` is `None` where its address is not on the list.
+/// Processes a datagram; `from` is `None` if the sender's address is not on the list.
 pub(crate) fn receive(
     state: &mut ProtocolState,
     now: Nanos,
@@ -30,7 +30,7 @@
     Ok(())
 }
 
-/// Another process may use the local router's name; one of the two gives way.
+/// Detects another process with the local router's name; the later of the two leaves.
 fn check_name(state: &mut ProtocolState, now: Nanos, from: RouterId, message: &Message) {
     if message.name_hash != state.local.name_hash || state.local.has_yielded {
         return;
@@ -43,14 +43,14 @@
     }
 }
 
-/// Whoever sends something is alive in the incarnation that it claims.
+/// Records that the sender is alive in the incarnation that it claims.
 fn learn_from_sender(state: &mut ProtocolState, now: Nanos, from: RouterId, message: &Message) {
-    let cause = Cause { reporter: from, at: now, source: EvidenceSource::Member };
+    let cause = Cause { reporter: from, learned_at: now, source: EvidenceSource::Member };
     state.learn(now, from, VersionedStatus::alive(message.incarnation), cause);
 }
 
-/// A message of a suspected router starts the next round of the suspicion, everywhere. So one that is heard but cannot
-/// hear is not taken for failed.
+/// Starts the next round of a suspicion, for all routers, when the suspected router sends a message. A router that can
+/// send but not receive is therefore not confirmed as failed.
 fn restart_suspicion(state: &mut ProtocolState, now: Nanos, from: RouterId) {
     let Some(member) = state.members.get(from) else { return };
     let Status::Suspected { round } = member.state.status else { return };
@@ -67,12 +67,12 @@
     }
     let is_from_member = update.is_own_claim() && update.member == from;
     let source = if is_from_member { EvidenceSource::Member } else { EvidenceSource::Relayed(from) };
-    let cause = Cause { reporter: update.reporter.unwrap_or(update.member), at: now, source };
+    let cause = Cause { reporter: update.reporter.unwrap_or(update.member), learned_at: now, source };
     state.learn(now, update.member, update.state, cause);
 }
 
-/// Takes a new incarnation where others report something else of the local router. The same report arriving again finds
-/// the incarnation past it already.
+/// Adopts a new incarnation if the report overrides the local router's own claim. Repetitions of the report have no
+/// further effect, as the incarnation is then higher.
 fn refute(state: &mut ProtocolState, reported: VersionedStatus, accuser: RouterId) {
     if !state.local.refute(reported) {
         return;
@@ -96,9 +96,9 @@
             forward_acknowledgement(state, number, hears_requester);
         }
         MessageBody::RelayedAck { number, hears_requester } => {
-            note_relayed_acknowledgement(state, number, hears_requester);
+            record_relayed_acknowledgement(state, number, hears_requester);
         }
-        MessageBody::PingRequestAck { number } => note_responding_relay(state, number),
+        MessageBody::PingRequestAck { number } => record_responding_relay(state, number),
         MessageBody::Gossip => answer_gossip(state, from),
     }
 }
@@ -128,9 +128,9 @@
     number: u32,
     requester: RouterId,
 ) {
-    let since = now - state.settings.recently_heard_window();
-    let last_heard = state.members.get(requester).and_then(|member| member.last_heard);
-    let hears_requester = last_heard.is_some_and(|at| at >= since);
+    let since = now - state.settings.recent_receipt_window();
+    let last_received = state.members.get(requester).and_then(|member| member.last_received);
+    let hears_requester = last_received.is_some_and(|at| at >= since);
     state.outbox.push(from, MessageBody::IndirectAck { number, requester, hears_requester });
 }
 
@@ -140,19 +140,20 @@
     }
 }
 
-fn note_relayed_acknowledgement(state: &mut ProtocolState, number: u32, hears_requester: bool) {
+fn record_relayed_acknowledgement(state: &mut ProtocolState, number: u32, hears_requester: bool) {
     if let Some(probe) = state.probes.current_mut(number) {
         probe.relayed_ack = Some(hears_requester || probe.relayed_ack == Some(true));
     }
 }
 
-fn note_responding_relay(state: &mut ProtocolState, number: u32) {
+fn record_responding_relay(state: &mut ProtocolState, number: u32) {
     if let Some(probe) = state.probes.current_mut(number) {
         probe.relays_responding += 1;
     }
 }
 
-/// A router that counts as failed can refute that only once it knows: the answer carries its status.
+/// Answers a router that counts as failed: it can refute that only once it learns of it, and every message to it
+/// carries its status.
 fn answer_gossip(state: &mut ProtocolState, from: RouterId) {
     if state.members.get(from).is_some_and(|member| member.is_failed()) {
         state.outbox.push(from, MessageBody::Gossip);
--- a/crates/fernknot-membership/src/report.rs
+++ b/crates/fernknot-membership/src/report.rs
@@ -1,4 +1,4 @@
-//! The view as operators see it.
+//! Membership view for operators.
 
 use crate::cause::Cause;
 use crate::identity::{Incarnation, RouterId};
@@ -8,21 +8,21 @@
 use fernknot::interface::Nanos;
 use std::fmt;
 
-/// A router's status as operators see it: no rounds, and routers never heard of apart.
+/// Router status in the operator's view: without suspicion rounds, and with a separate state for routers about which
+/// nothing is known.
 ///
-/// Its [`Display`](fmt::Display) form is the one of logs and of the operator's view
-/// (`docs/operating-router.md`).
+/// Its [`Display`](fmt::Display) form appears in logs and in the operator's view (`docs/operating-router.md`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedStatus {
-    /// Configured, and never heard of.
+    /// Configured, without any message from or about it so far.
     Unheard,
-    /// Live.
+    /// Live and not suspected.
     Alive,
     /// Suspected of having failed.
     Suspected,
     /// Confirmed as failed.
     Failed,
-    /// It announced its own shutdown.
+    /// Left after announcing its own shutdown.
     Left,
 }
 
@@ -50,22 +50,22 @@
     }
 }
 
-/// One other router as the local one sees it.
+/// One other router in the local router's view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberReport {
-    /// The router.
+    /// Identifier of the router.
     pub id: RouterId,
-    /// Its status.
+    /// Current status.
     pub status: ReportedStatus,
-    /// The incarnation that the status is about.
+    /// Incarnation that the status refers to.
     pub incarnation: Incarnation,
-    /// How long the status has been so, as known here.
+    /// Time since the local router learned the status.
     pub age: Nanos,
-    /// The link to it.
+    /// Link between the router and the local one.
     pub link: LinkState,
-    /// Why it has this status.
+    /// Reporter and evidence of the status.
     pub cause: Cause,
-    /// How often it was confirmed as failed or came back from that.
+    /// Number of times that the router was confirmed as failed or returned after that.
     pub failure_changes: u32,
 }
 
@@ -75,7 +75,7 @@
             id: member.id,
             status: member.state.into(),
             incarnation: member.state.incarnation,
-            age: now - member.cause.at,
+            age: now - member.cause.learned_at,
             link: member.link(),
             cause: member.cause,
             failure_changes: member.failure_changes,
--- a/crates/fernknot-membership/src/sender.rs
+++ b/crates/fernknot-membership/src/sender.rs
@@ -1,4 +1,4 @@
-//! Composes datagrams: a protocol message, and the updates piggybacked on it.
+//! Composition of datagrams: a protocol message and the updates piggybacked on it.
 
 use crate::action::Action;
 use crate::identity::RouterId;
@@ -8,10 +8,11 @@
 use fernknot::interface::Nanos;
 use rand::Rng;
 
-/// Updates put into one message before it is cut to the size of a datagram.
-const MAX_UPDATES: usize = 18;
+/// Number of updates, besides the mandatory ones, to which a message is filled before it is truncated to the size of a
+/// datagram.
+const MAX_UPDATES_PER_DATAGRAM: usize = 18;
 
-/// Composes a datagram and counts it, and the updates in it, as sent.
+/// Composes a datagram and counts it and its updates as sent.
 pub(crate) fn send(state: &mut ProtocolState, now: Nanos, to: RouterId, body: MessageBody) -> Action {
     state.outbox.count_sent(now);
     let mut updates = mandatory_updates(state, to);
@@ -32,18 +33,20 @@
     Action::Send { to, bytes }
 }
 
-/// The local router's own departure; and the receiver's status, which it alone can refute.
+/// Returns the local router's own departure, and the receiver's status if it differs from the receiver's own claim,
+/// because only the receiver can refute it.
 fn mandatory_updates(state: &ProtocolState, to: RouterId) -> Vec<Update> {
     let departure = state.local.has_left.then(|| state.local.update());
     let receiver = state.members.get(to);
-    let disputed = receiver.filter(|member| member.last_heard.is_some() && !member.agrees_with_own_claim());
+    let disputed =
+        receiver.filter(|member| member.last_received.is_some() && !member.agrees_with_own_claim());
     departure.into_iter().chain(disputed.map(Member::update)).collect()
 }
 
-/// The queue's next, without those that are in the message already.
+/// Returns the next routers of the queue, without those whose update is already in the message.
 fn queued_updates(state: &ProtocolState, to: RouterId) -> Vec<RouterId> {
     let is_departure = |id: RouterId| state.local.has_left && id == state.local.id;
-    let picked = state.updates.pick(MAX_UPDATES);
+    let picked = state.updates.pick(MAX_UPDATES_PER_DATAGRAM);
     picked.into_iter().filter(|id| *id != to && !is_departure(*id)).collect()
 }
 
@@ -51,7 +54,7 @@
     if id == state.local.id { Some(state.local.update()) } else { state.members.get(id).map(Member::update) }
 }
 
-/// A router that has just started knows nobody, and gets some live ones in each message.
+/// Adds random live members for a receiver that has just started and does not know the others yet.
 fn add_random_members(state: &mut ProtocolState, now: Nanos, to: RouterId, updates: &mut Vec<Update>) {
     let window = state.settings.settling_time();
     let is_new = state.members.get(to).is_some_and(|member| member.has_just_started(now, window));
@@ -59,14 +62,14 @@
         return;
     }
     let ring = state.targets.ring();
-    for _ in updates.len()..MAX_UPDATES.min(ring.len()) {
+    for _ in updates.len()..MAX_UPDATES_PER_DATAGRAM.min(ring.len()) {
         let id = ring[state.rng.random_range(0..ring.len())];
         let live = state.members.get(id).filter(|member| member.state.is_live() && id != to);
         updates.extend(live.map(Member::update));
     }
 }
 
-/// Counts the queued updates that fitted, and the departure, which is in every message.
+/// Counts the queued updates that fitted, and the departure, which is part of every message.
 fn mark_sent(state: &mut ProtocolState, queued: &[RouterId], fitted: usize) {
     let routers = state.router_count();
     for id in queued.iter().take(fitted) {
--- a/crates/fernknot-membership/src/state.rs
+++ b/crates/fernknot-membership/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of one router's membership protocol: one struct per concern, and the steps that several parts of the
+//! State of one router's membership protocol: one struct per concern, and the operations that several parts of the
 //! protocol share.
 
 use crate::action::Action;
@@ -21,39 +21,38 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, VecDeque};
 
-/// The state of one router's membership protocol.
+/// State of one router's membership protocol.
 pub(crate) struct ProtocolState {
-    /// What the host set.
     pub settings: MembershipSettings,
-    /// What the local router claims of itself.
+    /// State that the local router claims for itself.
     pub local: LocalRouter,
-    /// What is known of the others.
+    /// State of all other routers.
     pub members: MemberTable,
-    /// How far the local router may trust itself.
+    /// Reliability of the local failure detector.
     pub health: LocalHealth,
-    /// Whom to probe, and when.
+    /// Selection and schedule of probe targets.
     pub targets: ProbeTargets,
-    /// The probe in progress, and those relayed for others.
+    /// Probe in progress, and probes relayed for others.
     pub probes: Probes,
-    /// Which statuses are to be passed on.
+    /// Members whose status is disseminated.
     pub updates: UpdateQueue,
-    /// Messages that wait, and the rate limit.
+    /// Pending messages, and the rate limit.
     pub outbox: Outbox,
-    /// What the host is to do, or to record.
+    /// Actions not yet polled by the host.
     pub actions: VecDeque<Action>,
-    /// When the next datagram may be sent for the updates alone.
+    /// Earliest time of the next datagram that only carries updates.
     pub next_gossip: Nanos,
-    /// The source of all random choices.
+    /// Source of all random choices.
     pub rng: ChaCha8Rng,
 }
 
 impl ProtocolState {
-    /// The routers of the list, the local one among them.
+    /// Number of configured routers, including the local one.
     pub fn router_count(&self) -> usize {
         self.members.len() + 1
     }
 
-    /// Takes the list of all other routers.
+    /// Replaces the list of all other routers.
     pub fn set_routers(&mut self, now: Nanos, listed: &BTreeSet<RouterId>) {
         for id in self.members.set_routers(now, listed) {
             self.updates.remove(id);
@@ -61,12 +60,12 @@
         self.targets.set_ring(self.members.ids_from(self.local.id));
     }
 
-    /// A cause of which the local router is the origin.
+    /// Cause that names the local router's own observation.
     pub fn local_cause(&self, now: Nanos) -> Cause {
-        Cause { reporter: self.local.id, at: now, source: EvidenceSource::LocalProbe }
+        Cause { reporter: self.local.id, learned_at: now, source: EvidenceSource::LocalProbe }
     }
 
-    /// Takes a reported status of another router, if it overrides what is known.
+    /// Applies a reported status of another router if it overrides the known one.
     pub fn learn(&mut self, now: Nanos, member: RouterId, reported: VersionedStatus, cause: Cause) {
         match self.members.merge(&self.settings, now, member, reported, cause) {
             MergeOutcome::Unchanged => {}
@@ -75,9 +74,9 @@
         }
     }
 
-    /// Passes a change on, and reports it to the host.
+    /// Disseminates a change and reports it to the host.
     fn spread_change(&mut self, now: Nanos, change: &StateChange, cause: Cause) {
-        // Where many routers start together, each one's start would otherwise be passed on by all others.
+        // Low priority, because otherwise every router would forward the start of every other when many start together.
         if change.is_first_start() {
             self.updates.add_low_priority(change.member, self.router_count());
         } else {
@@ -101,19 +100,19 @@
         }
     }
 
-    /// Some of those that learn of a suspicion probe the member next, so that the suspicion finds more accusers.
+    /// Probes the suspected member next with a probability that makes a few routers do so, to find more accusers.
     fn confirm_suspicion(&mut self, member: RouterId) {
         if !self.settings.is_full() {
             return;
         }
         let probability = (2.0 * MAX_ACCUSERS as f64 / self.router_count() as f64).min(1.0);
         if self.rng.random_bool(probability) {
-            self.targets.set_urgent(member);
+            self.targets.set_urgent_target(member);
         }
     }
 
-    /// One of many failed members is back: a partition healed, and the other side takes the local router for failed as
-    /// well. A new incarnation refutes that before each of them reports it.
+    /// Announces a new incarnation when one of many failed members returns: a partition has healed, and the other side
+    /// counts the local router as failed, too. The announcement refutes that before each of them reports it.
     fn detect_healed_partition(&mut self, now: Nanos, change: &StateChange) {
         let was_partitioned = change.failed_before as f64 >= PARTITION_SHARE * self.router_count() as f64;
         if was_partitioned && self.local.announce(now, self.settings.settling_time()) {
@@ -121,7 +120,7 @@
         }
     }
 
-    /// The local router leaves, and tells some others at once.
+    /// Marks the local router as left and notifies a few other routers at once.
     pub fn leave(&mut self, now: Nanos) {
         if self.local.has_left {
             return;
@@ -138,17 +137,17 @@
         self.next_gossip = now;
     }
 
-    /// Whether nobody else is heard.
+    /// Whether no message of any other router arrives.
     pub fn is_isolated(&self, now: Nanos) -> bool {
-        !self.members.is_empty() && self.health.hears_nobody(&self.settings, now)
+        !self.members.is_empty() && self.health.receipt_timed_out(&self.settings, now)
     }
 
-    /// Whether the silence of others is evidence against them, rather than against the local router.
+    /// Whether missing messages are evidence against other routers rather than against the local one.
     pub fn may_accuse(&self, now: Nanos) -> bool {
-        !self.settings.is_full() || !self.health.is_listening(now) && !self.is_isolated(now)
+        !self.settings.is_full() || !self.health.is_recovering_from_stall(now) && !self.is_isolated(now)
     }
 
-    /// Suspicions that have timed out become failures. Whether there were any.
+    /// Confirms suspicions that have timed out as failures; returns whether there were any.
     pub fn confirm_failures(&mut self, now: Nanos) -> bool {
         let is_due = |id: &RouterId| {
             let member = self.members.get(*id);
@@ -168,7 +167,7 @@
         !due.is_empty() && may_accuse
     }
 
-    /// The earliest time at which a suspicion times out.
+    /// Earliest time at which a suspicion times out.
     pub fn next_suspicion_deadline(&self) -> Option<Nanos> {
         let deadline = |member| suspicion::deadline(&self.settings, &self.health, member);
         self.members.suspected().map(deadline).min()
--- a/crates/fernknot-membership/src/update_queue.rs
+++ b/crates/fernknot-membership/src/update_queue.rs
@@ -1,20 +1,20 @@
-//! Dissemination: which members' statuses are passed on, and how often each was.
+//! Dissemination: the members whose status is sent, and the number of sends of each.
 
 use crate::identity::RouterId;
 use std::collections::BTreeMap;
 
-/// An update is passed on so many times the binary logarithm of the number of routers: SWIM's lambda.
+/// Number of sends of an update, as a multiple of the binary logarithm of the number of routers: SWIM's lambda.
 const RETRANSMIT_FACTOR: f64 = 2.5;
-/// How often a low-priority update is passed on.
+/// Number of sends of a low-priority update.
 const LOW_PRIORITY_SENDS: u32 = 3;
-/// An update sent less often than this is worth a datagram of its own.
-const FRESH_SENDS: u32 = 2;
+/// Number of sends from which an update is only piggybacked and no longer justifies a datagram of its own.
+const FRESH_UPDATE_MAX_SENDS: u32 = 2;
 
 fn max_sends(routers: usize) -> u32 {
     (RETRANSMIT_FACTOR * (routers as f64 + 1.0).log2()).ceil() as u32
 }
 
-/// Members whose status is to be passed on, each with how often it was. The status itself is read from the member
+/// Members whose status is disseminated, with the number of sends of each. The status itself is read from the member
 /// table when a datagram is composed, so there is at most one entry per router.
 #[derive(Default)]
 pub(crate) struct UpdateQueue {
@@ -22,27 +22,26 @@
 }
 
 impl UpdateQueue {
-    /// Passes a member's status on, from now on.
+    /// Queues a member's status, or restarts its count of sends.
     pub fn add(&mut self, member: RouterId) {
         self.sends.insert(member, 0);
     }
 
-    /// What all routers learn by other means too is passed on only a few times, after everything else.
+    /// Queues a status that all routers learn by other means, too: it is sent only a few times, and after all others.
     pub fn add_low_priority(&mut self, member: RouterId, routers: usize) {
         self.sends.insert(member, max_sends(routers).saturating_sub(LOW_PRIORITY_SENDS));
     }
 
-    /// Forgets a member.
     pub fn remove(&mut self, member: RouterId) {
         self.sends.remove(&member);
     }
 
-    /// Whether some update is worth a datagram of its own.
+    /// Whether some update justifies a datagram of its own.
     pub fn has_fresh(&self) -> bool {
-        self.sends.values().any(|sends| *sends < FRESH_SENDS)
+        self.sends.values().any(|sends| *sends < FRESH_UPDATE_MAX_SENDS)
     }
 
-    /// At most `max` members, those sent least often first.
+    /// Returns at most `max` members, those with the fewest sends first.
     pub fn pick(&self, max: usize) -> Vec<RouterId> {
         let mut order: Vec<(u32, RouterId)> = self.sends.iter().map(|(id, sends)| (*sends, *id)).collect();
         if order.len() > max {
@@ -53,7 +52,7 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// A member's status was sent once; it is dropped after enough sends.
+    /// Counts one send of a member's status, and drops the member after enough sends.
     pub fn mark_sent(&mut self, member: RouterId, routers: usize) {
         let Some(sends) = self.sends.get_mut(&member) else { return };
         *sends += 1;
--- a/crates/fernknot-membership/tests/datagrams_stay_within_bounds.rs
+++ b/crates/fernknot-membership/tests/datagrams_stay_within_bounds.rs
@@ -1,19 +1,19 @@
-//! Datagrams that are received may hold anything; those that are sent stay within their bounds.
+//! Arbitrary received datagrams are safe, and sent datagrams stay within their bounds.
 
 mod common;
 
-use common::{PERIOD, SETTINGS, gossip, message, poll_actions, start_router};
+use common::{PROBE_PERIOD_NANOS, SETTINGS, gossip, message, poll_actions, start_router};
 use fernknot::interface::Nanos;
 use fernknot_membership::*;
 use proptest::prelude::*;
 
-const SECOND: u64 = 1_000_000_000;
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
-    /// Promise: no bytes make it panic, and a status never goes back to an older incarnation.
+    /// Received bytes cause no panic, and no member's incarnation decreases.
     #[test]
-    fn any_bytes_are_rejected_or_taken_without_harm(
+    fn arbitrary_bytes_cause_no_panic_and_no_older_incarnation(
         datagrams in prop::collection::vec((1u32..8, prop::collection::vec(any::<u8>(), 0..300)), 1..30),
     ) {
         let mut router = start_router(0, 6);
@@ -28,20 +28,20 @@
         }
     }
 
-    /// Promise: datagrams stay within their size and the stated number a second, whatever is received.
+    /// Datagrams stay within the maximum size and rate, whatever is received.
     #[test]
     fn datagrams_sent_stay_within_size_and_rate(
-        pings in prop::collection::vec((1u32..40, 0u64..3 * PERIOD), 0..200),
+        pings in prop::collection::vec((1u32..40, 0u64..3 * PROBE_PERIOD_NANOS), 0..200),
     ) {
         let settings = MembershipSettings { datagrams_per_s: 20.0, ..SETTINGS };
         let all = (0..40).map(RouterId);
         let mut router = MembershipProtocol::new(1, settings, RouterId(0), 1, 5, all, Nanos(0));
         let mut pings = pings;
         pings.sort_by_key(|(_, at)| *at);
-        let quiet_turns = (0..60).map(|turn| (0, 3 * PERIOD + turn * PERIOD / 4));
+        let idle_wakeups = (0..60).map(|index| (0, 3 * PROBE_PERIOD_NANOS + index * PROBE_PERIOD_NANOS / 4));
         let mut sent: Vec<u64> = Vec::new();
         let mut now = Nanos(0);
-        for (from, at) in pings.into_iter().chain(quiet_turns) {
+        for (from, at) in pings.into_iter().chain(idle_wakeups) {
             now = now.max(Nanos(at));
             router.wake(now);
             let ping = message(from, 9, MessageBody::Ping { number: 1 }, Vec::new());
@@ -54,8 +54,8 @@
             }
         }
         for first in &sent {
-            let within = sent.iter().filter(|at| (*first..*first + SECOND).contains(at)).count();
-            prop_assert!(within <= 20, "{within} in a second");
+            let within = sent.iter().filter(|at| (*first..*first + NANOS_PER_SECOND).contains(at)).count();
+            prop_assert!(within <= 20, "{within} datagrams in a second");
         }
     }
 }
--- a/crates/fernknot-membership/tests/identity_is_defended.rs
+++ b/crates/fernknot-membership/tests/local_identity.rs
@@ -1,4 +1,4 @@
-//! What a router does about reports of itself, about another process of its name, and about a changed list.
+//! Reactions of a router to reports about itself, to another process of its name, and to a changed list of routers.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 #[test_case(1, 1; "suspected by one")]
 #[test_case(3, 1; "suspected by three at once")]
-fn a_suspicion_is_refuted_once_however_often_it_is_reported(accusers: u32, refutations: usize) {
+fn a_repeatedly_reported_suspicion_is_refuted_once(accusers: u32, refutations: usize) {
     let mut router = start_router(0, 5);
     let incarnation = router.incarnation().0;
     for _ in 0..5 {
@@ -23,16 +23,17 @@
     assert_eq!((refuted, router.incarnation().0), (refutations, incarnation + 1));
 }
 
-/// Guards a restart whose clock stepped back: others know it by a higher incarnation than its own start.
+/// After a restart with a clock that stepped back, others know the router by an incarnation above its own.
 #[test]
-fn a_restart_with_a_clock_that_stepped_back_takes_a_higher_incarnation_than_is_known() {
+fn a_restart_after_a_clock_step_back_adopts_an_incarnation_above_the_known_one() {
     let mut router = start_router(0, 5);
     let known = update(0, 1_000_000, Status::Failed, 1);
     router.receive(Nanos(1), Some(RouterId(1)), &gossip(1, vec![known])).unwrap();
     assert_eq!(router.incarnation(), Incarnation(1_000_001));
 }
 
-/// Router 0 started at 5,000 ms; whether it reports the other process of its name, and whether it yields.
+/// Delivers a message of another process of the local router's name. Router 0 started at 5,000 ms. Returns whether it
+/// reports the duplicate name, and whether it yields.
 fn meet_process_of_same_name(started_ms: u64) -> (bool, bool) {
     let mut router = start_router(0, 3);
     let bytes = encode(100, started_ms, started_ms, MessageBody::Gossip, Vec::new());
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn of_two_processes_with_one_name_both_report_it_and_the_later_one_yields() {
+fn both_processes_report_a_duplicate_name_and_the_later_one_yields() {
     assert_eq!(meet_process_of_same_name(1), (true, true));
     assert_eq!(meet_process_of_same_name(1_000_000), (true, false));
 }
--- a/crates/fernknot-membership/tests/status_lattice_model.rs
+++ b/crates/fernknot-membership/tests/status_lattice_model.rs
@@ -1,5 +1,5 @@
-//! Statuses among three routers, checked over all orders of suspecting, timing out, sending, refuting, losing and
-//! stopping. The lattice is the production code; what is modelled is who sends what to whom, and when.
+//! Model of statuses among three routers, checked over all orders of suspecting, timing out, sending, refuting, losing
+//! and stopping. The lattice is the production code; modelled is the exchange of messages.
 
 use fernknot_membership::{Incarnation, Status, VersionedStatus};
 use stateright::{Checker, Model, Property};
@@ -7,22 +7,23 @@
 
 const ROUTERS: usize = 3;
 
-const NEVER_GOES_BACK: &str = "a status never goes back to an older incarnation";
-const NO_INVENTED_INCARNATION: &str = "nobody is known by an incarnation that it never had";
-const ALL_AGREE_IN_THE_END: &str = "in the end all agree that each running router is alive";
-const SOMEONE_FAILS: &str = "someone counts as failed";
+const INCARNATION_NEVER_DECREASES: &str = "the incarnation in a view never decreases";
+const ONLY_CLAIMED_INCARNATIONS: &str = "no view has an incarnation that the router never had";
+const VIEWS_CONVERGE: &str = "after all updates are delivered, all views agree that each router is alive";
+const SOME_ROUTER_FAILS: &str = "some router counts as failed";
 
-/// The highest incarnation, and updates in flight at once.
+/// Highest incarnation in the explored state space.
 const MAX_INCARNATION: u64 = 3;
+/// Maximum number of updates in flight at once.
 const MAX_IN_FLIGHT: usize = 3;
 
-/// Rules that are broken on purpose, to see that the checker finds it.
+/// Bugs seeded to show that the checker finds them.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SeededBug {
     None,
-    /// A refutation that does not grow.
+    /// Refutations reuse the reported incarnation.
     SameIncarnation,
-    /// The last update counts, whatever incarnation it is of.
+    /// Updates replace the known state, whatever their incarnation.
     LastUpdateWins,
 }
 
@@ -41,8 +42,8 @@
     views: [[VersionedStatus; ROUTERS]; ROUTERS],
     in_flight: BTreeSet<SentUpdate>,
     stopped: Option<usize>,
-    /// A view went back to an older incarnation.
-    went_back: bool,
+    /// Whether a view changed to an older incarnation.
+    went_to_older_incarnation: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -60,7 +61,7 @@
         to: usize,
         member: usize,
     },
-    /// Delivered and still in flight: updates may arrive twice.
+    /// Delivers an update that stays in flight, so that updates may arrive twice.
     Deliver(SentUpdate),
     Lose(SentUpdate),
     Stop(usize),
@@ -83,20 +84,21 @@
             SeededBug::LastUpdateWins => *view = state,
             _ => drop(view.merge(state)),
         }
-        world.went_back |= view.incarnation < before.incarnation;
+        world.went_to_older_incarnation |= view.incarnation < before.incarnation;
     }
 
     fn refute(&self, world: &mut World, member: usize, reported: VersionedStatus) {
         let claimed = alive(world.incarnations[member]);
         if reported > claimed && reported.incarnation.0 <= MAX_INCARNATION {
-            let growth = if self.0 == SeededBug::SameIncarnation { 0 } else { 1 };
-            let refuting = reported.incarnation.0 + growth;
-            world.incarnations[member] = refuting.max(world.incarnations[member]);
+            let increment = if self.0 == SeededBug::SameIncarnation { 0 } else { 1 };
+            let refuting_incarnation = reported.incarnation.0 + increment;
+            world.incarnations[member] = refuting_incarnation.max(world.incarnations[member]);
             world.views[member][member] = alive(world.incarnations[member]);
         }
     }
 
-    /// What comes of a world in which nothing more is lost and nobody suspects: all send to all until nothing changes.
+    /// Returns the state after all routers have sent their views to all others until nothing changes, without losses or
+    /// suspicions.
     fn settled(&self, world: &World) -> World {
         let mut world = World { stopped: None, in_flight: BTreeSet::new(), ..world.clone() };
         for _ in 0..16 {
@@ -128,13 +130,13 @@
             views,
             in_flight: BTreeSet::new(),
             stopped: None,
-            went_back: false,
+            went_to_older_incarnation: false,
         }]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let runs = |id: &usize| world.stopped != Some(*id);
-        for by in all().filter(runs) {
+        let is_running = |id: &usize| world.stopped != Some(*id);
+        for by in all().filter(is_running) {
             for member in all().filter(|member| *member != by) {
                 let view = world.views[by][member];
                 match view.status {
@@ -151,7 +153,7 @@
             }
         }
         for update in &world.in_flight {
-            if runs(&update.to) {
+            if is_running(&update.to) {
                 steps.push(Step::Deliver(update.clone()));
             }
             steps.push(Step::Lose(update.clone()));
@@ -182,46 +184,51 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_GOES_BACK, |_, world: &World| !world.went_back),
-            Property::always(NO_INVENTED_INCARNATION, |_, world: &World| {
+            Property::always(INCARNATION_NEVER_DECREASES, |_, world: &World| {
+                !world.went_to_older_incarnation
+            }),
+            Property::always(ONLY_CLAIMED_INCARNATIONS, |_, world: &World| {
                 all().all(|by| {
                     all().all(|member| world.views[by][member].incarnation.0 <= world.incarnations[member])
                 })
             }),
-            // Whatever was believed: once updates pass, all agree that each router is alive.
-            Property::always(ALL_AGREE_IN_THE_END, |model: &Self, world: &World| {
+            // From any view, all routers agree that each router is alive once updates are delivered.
+            Property::always(VIEWS_CONVERGE, |model: &Self, world: &World| {
                 let end = model.settled(world);
                 all().all(|by| all().all(|member| end.views[by][member] == alive(end.incarnations[member])))
             }),
-            Property::sometimes(SOMEONE_FAILS, |_, world: &World| {
+            Property::sometimes(SOME_ROUTER_FAILS, |_, world: &World| {
                 world.views.iter().flatten().any(|view| view.status == Status::Failed)
             }),
         ]
     }
 }
 
-/// How far the search goes in CI; `FERNKNOT_MODEL_STATES` lets it go further (`docs/membership.md`).
-const STATES: usize = 200_000;
+/// Number of states explored by default; `FERNKNOT_MODEL_STATES` overrides it (`docs/membership.md`).
+const DEFAULT_MAX_STATES: usize = 200_000;
 
 #[test]
-fn statuses_keep_their_promises_in_every_order() {
-    let max_states =
-        std::env::var("FERNKNOT_MODEL_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(STATES);
+fn status_properties_hold_in_every_order_of_events() {
+    let max_states = std::env::var("FERNKNOT_MODEL_STATES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(DEFAULT_MAX_STATES);
     let checker = StatusModel(SeededBug::None).checker().target_state_count(max_states).spawn_bfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
-    checker.assert_no_discovery(NEVER_GOES_BACK);
-    checker.assert_no_discovery(NO_INVENTED_INCARNATION);
-    checker.assert_no_discovery(ALL_AGREE_IN_THE_END);
-    checker.assert_any_discovery(SOMEONE_FAILS);
+    println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
+    checker.assert_no_discovery(INCARNATION_NEVER_DECREASES);
+    checker.assert_no_discovery(ONLY_CLAIMED_INCARNATIONS);
+    checker.assert_no_discovery(VIEWS_CONVERGE);
+    checker.assert_any_discovery(SOME_ROUTER_FAILS);
 }
 
 #[test]
 fn seeded_bugs_are_found() {
-    let find = |bug, promise| {
-        let checker = StatusModel(bug).checker().target_state_count(2 * STATES).spawn_dfs().join();
-        let path = checker.discovery(promise).unwrap_or_else(|| panic!("{promise} was not broken"));
-        println!("{promise}: {:?}", path.into_actions());
+    let find = |bug, property| {
+        let checker =
+            StatusModel(bug).checker().target_state_count(2 * DEFAULT_MAX_STATES).spawn_dfs().join();
+        let path = checker.discovery(property).unwrap_or_else(|| panic!("{property} was not violated"));
+        println!("{property}: {:?}", path.into_actions());
     };
-    find(SeededBug::SameIncarnation, ALL_AGREE_IN_THE_END);
-    find(SeededBug::LastUpdateWins, NEVER_GOES_BACK);
+    find(SeededBug::SameIncarnation, VIEWS_CONVERGE);
+    find(SeededBug::LastUpdateWins, INCARNATION_NEVER_DECREASES);
 }
--- a/crates/fernknot-membership/tests/views_converge.rs
+++ b/crates/fernknot-membership/tests/views_converge.rs
@@ -1,8 +1,8 @@
-//! The same updates end in the same view.
+//! The same updates lead to the same view.
 
 mod common;
 
-use common::{message, pass, start_router, update};
+use common::{advance_time, message, start_router, update};
 use fernknot::interface::Nanos;
 use fernknot_membership::*;
 use proptest::prelude::*;
@@ -25,12 +25,13 @@
     router.receive(Nanos(1), Some(RouterId(4)), &bytes).unwrap();
 }
 
-/// The view of the members 1 to 3 after all suspicions have timed out: a reported failure is a suspicion until then.
+/// Returns the view of members 1 to 3 after all suspicions have timed out, as a reported failure is only a suspicion
+/// until then.
 fn settled_view(router: &mut MembershipProtocol) -> Vec<(RouterId, Incarnation, bool, bool)> {
     let mut now = Nanos(0);
     for _ in 0..450 {
         let bytes = message(4, 1, MessageBody::Gossip, Vec::new());
-        now = pass(router, now, 1).0;
+        now = advance_time(router, now, 1).0;
         router.receive(now, Some(RouterId(4)), &bytes).unwrap();
     }
     let members = router.members().filter(|member| (1..4).contains(&member.id.0));
@@ -43,9 +44,9 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
-    /// Promise: the same updates, in any order and however often, end in the same view.
+    /// The same updates, in any order and repeated, must lead to the same view.
     #[test]
-    fn any_order_and_repetition_ends_in_the_same_view(
+    fn updates_in_any_order_and_repetition_converge_to_one_view(
         updates in prop::collection::vec((1u32..4, 1u64..4, status(), 1u32..4), 1..12),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..24),
     ) {
--- a/crates/fernknot-placement/benches/ranges.rs
+++ b/crates/fernknot-placement/benches/ranges.rs
@@ -1,5 +1,5 @@
-//! The map of ranges against a sorted list and a list of lists, at 1,000, 100,000 and 1,000,000 ranges: a look-up, a
-//! change of one range to other owners, a split with the merge that undoes it; bytes of each.
+//! Benchmark of the map's B-tree against a sorted list and a list of lists, at 1,000, 100,000 and 1,000,000 ranges: a
+//! look-up, a split with the merge that reverts it, and the bytes of each; and of the map itself.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use fernknot::interface::{Nanos, NodeId};
@@ -7,13 +7,14 @@
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
-/// Keys of one range.
-const WIDTH: u64 = 1 << 20;
-/// The list of lists: rows of one list at first, and at most.
-const LIST_ROWS: usize = 256;
+/// Number of keys in one range.
+const KEYS_PER_RANGE: u64 = 1 << 20;
+/// Initial number of rows in one list of [`ListOfLists`].
+const INITIAL_LIST_ROWS: usize = 256;
+/// Maximum number of rows in one list of [`ListOfLists`].
 const MAX_LIST_ROWS: usize = 512;
 
-/// What all structures keep of a range, so that they differ in their shape alone.
+/// Row that all structures store, so that they differ only in their shape.
 #[derive(Clone)]
 struct Row {
     last: u64,
@@ -23,7 +24,7 @@
 
 fn row(index: u64) -> (u64, Row) {
     let owners = vec![index as u32 % 60, (index as u32 + 1) % 60, (index as u32 + 2) % 60].into();
-    (index * WIDTH, Row { last: index * WIDTH + WIDTH - 1, epoch: 1, owners })
+    (index * KEYS_PER_RANGE, Row { last: index * KEYS_PER_RANGE + KEYS_PER_RANGE - 1, epoch: 1, owners })
 }
 
 trait Ranges: Clone {
@@ -87,7 +88,7 @@
             left.last = right.last;
         }
     }
-    /// Nodes of eleven, two thirds full, and a pointer for each child.
+    /// Estimate for nodes of eleven entries, two thirds full, and a pointer for each child.
     fn bytes(&self) -> usize {
         self.0.len() * size_of::<(u64, Row)>() * 3 / 2 + self.0.len() * 2
     }
@@ -106,7 +107,7 @@
 impl Ranges for ListOfLists {
     fn build(count: u64) -> ListOfLists {
         let rows: Vec<(u64, Row)> = (0..count).map(row).collect();
-        ListOfLists(rows.chunks(LIST_ROWS).map(|rows| (rows[0].0, rows.to_vec())).collect())
+        ListOfLists(rows.chunks(INITIAL_LIST_ROWS).map(|rows| (rows[0].0, rows.to_vec())).collect())
     }
     fn lookup(&self, key: u64) -> Option<&Row> {
         let (_, rows) = &self.0[self.list(key)?];
@@ -122,7 +123,7 @@
         right.epoch += 1;
         rows.insert(next, (at, right));
         if rows.len() > MAX_LIST_ROWS {
-            let right = rows.split_off(LIST_ROWS);
+            let right = rows.split_off(INITIAL_LIST_ROWS);
             self.0.insert(list + 1, (right[0].0, right));
         }
     }
@@ -147,7 +148,7 @@
     let mut key = 1u64;
     let mut next_key = move || {
         key = key.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (key >> 20) % (count * WIDTH)
+        (key >> 20) % (count * KEYS_PER_RANGE)
     };
     let mut group = criterion.benchmark_group(format!("{count} ranges"));
     group.bench_function(BenchmarkId::new("look-up", name), |bench| {
@@ -155,7 +156,7 @@
     });
     group.bench_function(BenchmarkId::new("split and merge", name), |bench| {
         bench.iter(|| {
-            let at = next_key() / WIDTH * WIDTH + WIDTH / 2;
+            let at = next_key() / KEYS_PER_RANGE * KEYS_PER_RANGE + KEYS_PER_RANGE / 2;
             ranges.split(at);
             ranges.merge(at);
         })
@@ -170,10 +171,10 @@
     }
 }
 
-/// The map itself, with epochs, stages and merges.
+/// Benchmarks the map itself, with epochs, stages and merges.
 fn map(criterion: &mut Criterion) {
     let change = |index: u64, epoch: u64| OwnershipChange {
-        range: KeyRange { first: index * WIDTH, last: index * WIDTH + WIDTH - 1 },
+        range: KeyRange { first: index * KEYS_PER_RANGE, last: index * KEYS_PER_RANGE + KEYS_PER_RANGE - 1 },
         epoch: Epoch(epoch),
         owners: Owners::new([NodeId(index as u32 % 60), NodeId((index as u32 + epoch as u32) % 60)]),
         migration: None,
--- a/crates/fernknot-placement/src/change.rs
+++ b/crates/fernknot-placement/src/change.rs
@@ -1,28 +1,28 @@
-//! Changes of ownership, as an endpoint list or an owner reports them.
+//! Changes of ownership, as reported by an endpoint list or by an owner.
 
 use crate::key_range::KeyRange;
 use crate::owners::Owners;
 use serde::{Deserialize, Serialize};
 
-/// The version of a range's ownership: each change has a higher one.
+/// Version of a range's ownership; each change has a higher one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
-/// How far a migration has come.
+/// Stage of a migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MigrationStage {
-    /// The targets copy; the old owners answer.
+    /// The targets copy the range; the old owners answer.
     Prepared,
-    /// Either side may answer: a node that no longer owns the range redirects.
+    /// Either side may answer; a node that no longer owns the range redirects.
     Moving,
-    /// The targets answer. A change of this stage names them as owners.
+    /// The targets answer. A change of this stage lists them as owners.
     Done,
-    /// The old owners stay. A change of this stage names them as owners.
+    /// The old owners continue to answer. A change of this stage lists them as owners.
     Aborted,
 }
 
 impl MigrationStage {
-    /// Within an epoch a migration only goes to a higher rank.
+    /// Order of the stages: within an epoch, a migration only moves to a higher rank.
     fn rank(self) -> u8 {
         match self {
             MigrationStage::Prepared => 1,
@@ -32,40 +32,40 @@
     }
 }
 
-/// A range's move to other owners.
+/// Move of a range to other owners.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Migration {
-    /// The nodes that take the range over.
+    /// Nodes that become the owners of the range.
     pub targets: Owners,
-    /// How far it has come.
+    /// Current stage.
     pub stage: MigrationStage,
 }
 
-/// The progress of a migration, 0 where there is none.
+/// Rank of a migration's stage; 0 without a migration.
 pub(crate) fn migration_rank(migration: Option<&Migration>) -> u8 {
     migration.map_or(0, |migration| migration.stage.rank())
 }
 
-/// One change of ownership.
+/// Change of a range's ownership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OwnershipChange {
-    /// The keys that it is about.
+    /// Keys whose ownership changes.
     pub range: KeyRange,
-    /// Its epoch.
+    /// Version of the ownership.
     pub epoch: Epoch,
-    /// The owners from this change on.
+    /// Owners after the change.
     pub owners: Owners,
-    /// The migration in progress, if any.
+    /// Migration in progress, if any.
     pub migration: Option<Migration>,
 }
 
-/// Who reported a change, in the order of precedence within an epoch.
+/// Reporter of a change, in ascending order of precedence within an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Source {
-    /// A snapshot kept over a restart: unconfirmed until a list or an owner reports the same or more.
+    /// Snapshot restored after a restart: unconfirmed until a list or an owner reports the same or a newer state.
     Snapshot,
-    /// The endpoint list.
+    /// Endpoint list.
     EndpointList,
-    /// A node that was asked: authoritative within an epoch.
+    /// Node that received a request for the range: authoritative within an epoch.
     Owner,
 }
--- a/crates/fernknot-placement/src/coverage.rs
+++ b/crates/fernknot-placement/src/coverage.rs
@@ -1,25 +1,25 @@
-//! Whether the parts of a query cover the keys asked for, each exactly once.
+//! Check that the parts of a query cover the requested keys, each exactly once.
 
 use crate::key_range::KeyRange;
 
-/// What parts cover of the keys asked for.
+/// Result of comparing the keys of a query's parts with the requested keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Coverage {
-    /// Every key, each exactly once.
+    /// Every requested key is covered exactly once.
     Exact,
-    /// The first keys that no part has.
+    /// First requested range that no part covers.
     Missing(KeyRange),
-    /// The first keys that two parts have, or that were not asked for.
+    /// First range that two parts cover or that was not requested.
     Excess(KeyRange),
 }
 
-/// Whether `parts` cover the keys asked for exactly once. The ranges in `asked` must not overlap.
-pub fn check_coverage(asked: &[KeyRange], parts: &[KeyRange]) -> Coverage {
-    let (mut asked, mut parts) = (asked.to_vec(), parts.to_vec());
-    asked.sort();
+/// Checks that `parts` cover the requested keys exactly once. The ranges in `requested` must not overlap.
+pub fn check_coverage(requested: &[KeyRange], parts: &[KeyRange]) -> Coverage {
+    let (mut requested, mut parts) = (requested.to_vec(), parts.to_vec());
+    requested.sort();
     parts.sort();
     let mut parts = parts.into_iter().peekable();
-    for range in asked {
+    for range in requested {
         let mut next_key = Some(range.first);
         while let Some(first) = next_key {
             match parts.peek().copied() {
--- a/crates/fernknot-placement/src/lib.rs
+++ b/crates/fernknot-placement/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which nodes own which range of block keys, by epoch, as far as one router knows.
+//! Map of block key ranges to the nodes that own them, by epoch, as known to one router.
 //!
-//! This crate owns a router's [`PlacementMap`], the [`PartRoute`] that one part of a query takes from owner to owner
-//! while ranges migrate, the check that parts cover the keys asked for exactly once ([`check_coverage`]), and the
-//! [`snapshot`] that keeps a map over a restart. It has no I/O and no clock. No program calls it yet:
-//! `docs/placement.md` says what is missing until the router in service does.
+//! This crate owns a router's [`PlacementMap`], the [`PartRoute`] of one part of a query from owner to owner while
+//! ranges migrate, the check that parts cover the requested keys exactly once ([`check_coverage`]), and the
+//! [`snapshot`] that preserves a map across a restart. It has no I/O and no clock. No program uses it yet;
+//! `docs/placement.md` lists what is missing for use in the router.
 //!
-//! A map may be stale, have gaps, and receive changes in any order. The owner is authoritative: a wrong map costs a hop,
-//! never a wrong answer.
+//! A map may be stale, have gaps, and receive changes in any order. The owner is authoritative: a wrong map costs a
+//! hop, never a wrong answer.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-placement/src/part_route.rs
+++ b/crates/fernknot-placement/src/part_route.rs
@@ -1,32 +1,33 @@
-//! The route of one part of a query from owner to owner: where it goes next, and when it ends.
+//! Route of one part of a query from owner to owner: its next hop and its end.
 
 use crate::change::{Epoch, OwnershipChange};
 use crate::key_range::KeyRange;
 use crate::placement_map::{PlacementMap, Segment};
 use fernknot::interface::NodeId;
 
-/// What is to become of a part.
+/// Next step for a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextHop {
-    /// It is forwarded; to more than one target where its keys have been split among owners.
+    /// Forward the part, to more than one target if its keys have been split among owners.
     Forward(Vec<ForwardTarget>),
-    /// Of some keys no owner is known, or only such as have redirected the part. It is rejected; nothing of it ran.
+    /// Reject the part: for some of its keys no owner is known that has not redirected the part already. No node
+    /// executed any of it.
     NoOwner,
-    /// It was redirected as often as allowed. It is rejected; nothing of it ran.
+    /// Reject the part: it was redirected more often than allowed. No node executed any of it.
     HopLimit,
 }
 
-/// Keys to ask for, and the nodes of which any may be asked.
+/// Keys to request, and the nodes that may be asked for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardTarget {
-    /// The keys.
+    /// Keys to request.
     pub range: KeyRange,
-    /// The nodes, at least one.
+    /// Candidate nodes, at least one; any of them may be asked.
     pub nodes: Vec<NodeId>,
 }
 
-/// The route of one part. A node that redirected keys is not asked for them again at that epoch, and the route ends
-/// after a stated number of hops, whatever nodes report.
+/// Route of one part. A node that redirected keys is not asked for them again at the same epoch, and the route ends
+/// after `max_hops` redirects, whatever nodes report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PartRoute {
     range: KeyRange,
@@ -35,7 +36,7 @@
     redirects: Vec<Redirect>,
 }
 
-/// A node does not own these keys, as of this epoch.
+/// Report that a node does not own these keys as of this epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Redirect {
     node: NodeId,
@@ -44,31 +45,38 @@
 }
 
 impl PartRoute {
-    /// A part for these keys that may be redirected so often.
+    /// Creates the route of a part that may be redirected up to `max_hops` times.
     pub fn new(range: KeyRange, max_hops: u32) -> PartRoute {
         PartRoute { range, hops: 0, max_hops, redirects: Vec::new() }
     }
 
-    /// The keys of the part.
+    /// Keys of the part.
     pub fn range(&self) -> KeyRange {
         self.range
     }
 
-    /// How often the part was redirected.
+    /// Number of redirects so far.
     pub fn hops(&self) -> u32 {
         self.hops
     }
 
-    /// Where the part goes first.
+    /// Returns the first step for the part.
     pub fn first_hop(&self, map: &PlacementMap) -> NextHop {
         self.next_hop(map)
     }
 
-    /// A node redirected the part and reported who owns what; `map` has these changes already. A redirect proves that
-    /// nothing of the part ran there. The node is asked again for what it still owns by its own report, and for the
-    /// rest only once a later epoch is known than the map and the report have now. So a node that redirects what it
-    /// owns, and two nodes that redirect to each other, do not keep the part going round.
-    pub fn redirected(&mut self, map: &PlacementMap, by: NodeId, changes: &[OwnershipChange]) -> NextHop {
+    /// Records that a node redirected the part, and returns the next step. `map` must already include the reported
+    /// changes. A redirect proves that the node executed nothing of the part.
+    ///
+    /// The node is asked again for the keys that it still owns by its own report. For the others it is asked only at an
+    /// epoch later than those now in the map and in the report. This avoids a redirect loop at a node that redirects
+    /// keys it owns, or between two nodes that redirect to each other.
+    pub fn record_redirect(
+        &mut self,
+        map: &PlacementMap,
+        by: NodeId,
+        changes: &[OwnershipChange],
+    ) -> NextHop {
         self.hops += 1;
         let reported_epoch = changes.iter().map(|change| change.epoch).max();
         for range in self.disowned_ranges(by, changes) {
@@ -82,8 +90,8 @@
         self.next_hop(map)
     }
 
-    /// The ranges that the node does not own by its own report. One that owns all of them, or reports none, had no
-    /// cause to redirect the part, and counts as owning nothing of it.
+    /// Returns the ranges that the node does not own by its own report. A node that reports owning all of them, or
+    /// reports none, had no reason to redirect and counts as owning nothing of the part.
     fn disowned_ranges(&self, by: NodeId, changes: &[OwnershipChange]) -> Vec<KeyRange> {
         let is_about_part = |change: &&OwnershipChange| change.range.intersection(&self.range).is_some();
         let (owned, disowned): (Vec<&OwnershipChange>, Vec<&OwnershipChange>) =
@@ -94,7 +102,7 @@
         disowned.into_iter().map(|change| change.range).collect()
     }
 
-    /// The route of some of its keys, split off; it has as many hops as this one.
+    /// Returns the route of a subrange, with the same number of redirects so far.
     pub fn split_off(&self, range: KeyRange) -> PartRoute {
         PartRoute { range, ..self.clone() }
     }
@@ -103,7 +111,7 @@
         let mut targets = Vec::new();
         for segment in map.segments(self.range) {
             let may_ask =
-                |node: &NodeId| !self.redirects.iter().any(|redirect| redirect.bars(*node, &segment));
+                |node: &NodeId| !self.redirects.iter().any(|redirect| redirect.excludes(*node, &segment));
             let nodes: Vec<NodeId> = segment.candidates.iter().filter(may_ask).collect();
             if nodes.is_empty() {
                 return NextHop::NoOwner;
@@ -115,8 +123,8 @@
 }
 
 impl Redirect {
-    /// Whether the node is not to be asked for the segment.
-    fn bars(&self, node: NodeId, segment: &Segment) -> bool {
+    /// Whether the redirect excludes the node from the candidates of the segment.
+    fn excludes(&self, node: NodeId, segment: &Segment) -> bool {
         self.node == node
             && self.range.intersection(&segment.range).is_some()
             && segment.epoch.is_none_or(|epoch| self.epoch >= epoch)
--- a/crates/fernknot-placement/src/placement_map.rs
+++ b/crates/fernknot-placement/src/placement_map.rs
@@ -1,4 +1,4 @@
-//! The map: ranges that do not overlap, each with what is known of it.
+//! Map of non-overlapping ranges to their ownership.
 
 use crate::change::{Epoch, OwnershipChange, Source};
 use crate::key_range::KeyRange;
@@ -7,14 +7,15 @@
 use fernknot::interface::Nanos;
 use std::collections::BTreeMap;
 
-/// Keys that are asked for together, and the nodes to ask.
+/// Keys with the same candidates, to be requested together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Segment {
-    /// The keys.
+    /// Keys of the segment.
     pub range: KeyRange,
-    /// The epoch of what is known of them; `None` where nothing is.
+    /// Epoch of the known ownership; `None` if it is unknown.
     pub epoch: Option<Epoch>,
-    /// The nodes to ask: the owners and, while a migration is moving, its targets.
+    /// Nodes to ask: the owners and, in [`MigrationStage::Moving`](crate::MigrationStage::Moving), the migration's
+    /// targets.
     pub candidates: Owners,
 }
 
@@ -24,16 +25,16 @@
     }
 }
 
-/// A router's view of which nodes own which keys.
+/// Router's view of which nodes own which keys.
 ///
-/// The ranges stand in a B-tree by their first key; `docs/placement.md` has the measurement against a sorted list and
-/// a two-level list.
+/// The ranges are in a B-tree by their first key; `docs/placement.md` compares it with a sorted list and a two-level
+/// list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlacementMap {
     ranges: BTreeMap<u64, StoredRange>,
 }
 
-/// A range by its last key; the first one is the key of the tree.
+/// Last key and state of a range; its first key is the key in the tree.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StoredRange {
     last: u64,
@@ -41,30 +42,30 @@
 }
 
 impl PlacementMap {
-    /// How many ranges are known.
+    /// Number of known ranges.
     pub fn len(&self) -> usize {
         self.ranges.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether no range is known.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// The known ranges, in the order of their keys.
+    /// Known ranges, in ascending order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (KeyRange, &RangeState)> {
         self.ranges
             .iter()
             .map(|(first, stored)| (KeyRange { first: *first, last: stored.last }, &stored.state))
     }
 
-    /// What is known of a key, and the range that this holds for.
+    /// Returns the range that contains a key, with its state.
     pub fn lookup(&self, key: u64) -> Option<(KeyRange, &RangeState)> {
         let (first, stored) = self.ranges.range(..=key).next_back()?;
         (key <= stored.last).then_some((KeyRange { first: *first, last: stored.last }, &stored.state))
     }
 
-    /// Takes a change, range by range, as far as it is newer than what is known.
+    /// Applies a change to those of its keys whose ownership is unknown or overridden by it.
     pub fn apply(&mut self, now: Nanos, change: &OwnershipChange, source: Source) -> ApplyOutcome {
         let range = change.range;
         self.split_at(range.first);
@@ -92,7 +93,7 @@
         outcome
     }
 
-    /// Takes what a node that was asked reports of who owns what, itself included.
+    /// Applies the ownership that a node reports when it redirects a part, including its own.
     pub fn apply_redirect(&mut self, now: Nanos, changes: &[OwnershipChange]) -> ApplyOutcome {
         let mut total = ApplyOutcome::default();
         for change in changes {
@@ -101,8 +102,8 @@
         total
     }
 
-    /// Which nodes to ask for the keys of a range, in the order of the keys. Keys of which nothing is known are a
-    /// segment, too.
+    /// Returns the candidates for the keys of a range, in the order of the keys. Keys of unknown ownership form
+    /// segments, too.
     pub fn segments(&self, range: KeyRange) -> Vec<Segment> {
         let mut segments = Vec::new();
         let mut next_key = Some(range.first);
@@ -124,8 +125,8 @@
         segments
     }
 
-    /// The time since the least recently reported part of the range was reported; `None` where nothing is known of
-    /// some key.
+    /// Time since the least recently reported part of the range was reported; `None` if the ownership of some key is
+    /// unknown.
     pub fn age(&self, now: Nanos, range: KeyRange) -> Option<Nanos> {
         let is_known = self.segments(range).iter().all(|segment| segment.epoch.is_some());
         let overlapping = self.overlapping(range);
@@ -134,7 +135,7 @@
         oldest.filter(|_| is_known).map(|last_reported| now - last_reported)
     }
 
-    /// The known ranges that share keys with this one, uncut.
+    /// Known ranges that share keys with this one, not clipped to it.
     fn overlapping(&self, range: KeyRange) -> Vec<KeyRange> {
         let before = self.lookup(range.first).map(|(known, _)| known.first);
         let from = before.unwrap_or(range.first);
@@ -146,7 +147,7 @@
         self.ranges.insert(first, StoredRange { last, state: state.clone() });
     }
 
-    /// Splits the range that has this key, so that one begins at it.
+    /// Splits the range that contains this key, so that a range begins at the key.
     fn split_at(&mut self, first: u64) {
         let Some((known, _)) = self.lookup(first).filter(|(known, _)| known.first < first) else { return };
         if let Some(left) = self.ranges.get_mut(&known.first) {
@@ -156,15 +157,16 @@
         }
     }
 
-    /// Merges neighbours in and around this range with equal states, so that changes do not split the map ever finer.
+    /// Merges adjacent ranges with equal states in and next to this range, so that changes do not fragment the map
+    /// without bound.
     fn merge_equal_neighbours(&mut self, range: KeyRange) {
         let before =
             range.first.checked_sub(1).and_then(|key| self.lookup(key)).map(|(known, _)| known.first);
         let from = before.unwrap_or(range.first);
-        let near = self.ranges.range(from..=range.last.saturating_add(1));
-        let firsts: Vec<u64> = near.map(|(first, _)| *first).collect();
+        let nearby = self.ranges.range(from..=range.last.saturating_add(1));
+        let first_keys: Vec<u64> = nearby.map(|(first, _)| *first).collect();
         let mut left = None;
-        for first in firsts {
+        for first in first_keys {
             match left.filter(|left| self.is_mergeable(*left, first)) {
                 Some(left) => self.merge(left, first),
                 None => left = Some(first),
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Whether two ranges touch and have equal states.
+    /// Whether two ranges are adjacent and have equal states.
     fn is_mergeable(&self, left: u64, right: u64) -> bool {
         match (self.ranges.get(&left), self.ranges.get(&right)) {
             (Some(one), Some(other)) => one.last.checked_add(1) == Some(right) && one.state == other.state,
--- a/crates/fernknot-placement/src/range_state.rs
+++ b/crates/fernknot-placement/src/range_state.rs
@@ -1,33 +1,33 @@
-//! What is known of one range, and how a change updates it.
+//! Ownership state of one range, and its update by changes.
 
 use crate::change::{Epoch, Migration, MigrationStage, OwnershipChange, Source, migration_rank};
 use crate::owners::Owners;
 use fernknot::interface::{Nanos, NodeId};
 use std::ops::AddAssign;
 
-/// What is known of a range.
+/// Ownership state of a range.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RangeState {
-    /// The epoch of its last change.
+    /// Epoch of the last change.
     pub epoch: Epoch,
-    /// Its owners.
+    /// Current owners.
     pub owners: Owners,
-    /// The migration in progress, if any.
+    /// Migration in progress, if any.
     pub migration: Option<Migration>,
-    /// Who reported it, the most authoritative one.
+    /// Most authoritative reporter of the state.
     pub source: Source,
-    /// When it was last reported, by any source, on the caller's clock.
+    /// Time of the last report by any source, on the caller's clock.
     pub last_reported: Nanos,
 }
 
-/// What became of a change.
+/// Effect of a change, in numbers of ranges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ApplyOutcome {
-    /// Ranges of the map that the change updated.
+    /// Number of ranges that the change updated.
     pub changed: usize,
-    /// Ranges of which a later epoch was known.
+    /// Number of ranges already known at a later epoch.
     pub stale: usize,
-    /// Ranges of which the same epoch was known with other owners or another migration.
+    /// Number of ranges known at the same epoch with other owners or another migration.
     pub conflicting: usize,
 }
 
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Takes a newer report: a later epoch overrides an earlier one; within an epoch an owner overrides a list, a list
-    /// a snapshot, and of one source a migration's later stage the earlier one. So reports may arrive late or out of
-    /// order.
+    /// Applies a report that overrides the known state: a later epoch overrides an earlier one; within an epoch, an
+    /// owner overrides a list and a list a snapshot; from the same source, a later migration stage overrides an earlier
+    /// one. Reports may therefore arrive late or out of order.
     pub(crate) fn update(&mut self, reported: &RangeState) -> ApplyOutcome {
         let mut outcome = ApplyOutcome::default();
         let is_same_epoch = reported.epoch == self.epoch;
@@ -81,7 +81,7 @@
         new > known || new == known && advances
     }
 
-    /// The nodes to ask: while a migration is moving, either side may own the range.
+    /// Nodes to ask: the owners and, in [`MigrationStage::Moving`], also the targets, as either side may own the range.
     pub fn candidates(&self) -> Owners {
         match &self.migration {
             Some(migration) if migration.stage == MigrationStage::Moving => {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether the node has just been given this range, so that its caches are cold for it.
+    /// Whether a migration gives or has just given the range to the node, so that the node's caches are cold for it.
     pub fn is_new_to(&self, node: NodeId) -> bool {
         self.migration.as_ref().is_some_and(|migration| {
             migration.stage != MigrationStage::Aborted && migration.targets.contains(node)
--- a/crates/fernknot-placement/src/snapshot.rs
+++ b/crates/fernknot-placement/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! A map as bytes, to be kept over a restart.
+//! Binary snapshot of a map, to preserve it across a restart.
 //!
-//! The format is a magic number, a version, the length of the rows, the rows by postcard, and a CRC-32 of all that;
-//! integers are little-endian. What is decoded is unconfirmed: owners and lists override it within an epoch.
+//! The format is a magic number, a version, the length of the rows, the rows in postcard, and a CRC-32 of all preceding
+//! bytes; integers are little-endian. A decoded map is unconfirmed: owners and lists override it within an epoch.
 
 use crate::change::{Epoch, Migration, OwnershipChange, Source};
 use crate::key_range::KeyRange;
@@ -13,13 +13,13 @@
 use thiserror::Error;
 
 const MAGIC: &[u8; 8] = b"fkplace\n";
-const VERSION: u32 = 1;
-/// Bytes of magic number, version and length, before the rows.
+const FORMAT_VERSION: u32 = 1;
+/// Bytes of magic number, version and length.
 const HEADER_BYTES: usize = 8 + 4 + 8;
 const CHECKSUM_BYTES: usize = 4;
-const MIN_BYTES: u64 = (HEADER_BYTES + CHECKSUM_BYTES) as u64;
+const MIN_SNAPSHOT_BYTES: u64 = (HEADER_BYTES + CHECKSUM_BYTES) as u64;
 
-/// One range. postcard writes no names: the order of the fields is the format.
+/// Stored range. postcard writes no names: the order of the fields defines the format.
 #[derive(Serialize, Deserialize)]
 struct Row {
     first: u64,
@@ -41,42 +41,42 @@
     }
 }
 
-/// Why a snapshot was rejected.
+/// Reason for rejecting a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
-    /// It does not begin with the magic number.
-    #[error("the file is no snapshot of a placement")]
+    /// The bytes do not begin with the magic number.
+    #[error("the file is not a placement snapshot")]
     NotASnapshot,
-    /// A later build wrote it.
-    #[error("version {0} is newer than {VERSION}")]
+    /// The format version is newer than this build supports.
+    #[error("snapshot format version {0} is newer than the supported version {FORMAT_VERSION}")]
     NewerVersion(u32),
-    /// Bytes are missing at its end.
-    #[error("cut off: {actual} bytes of {expected}")]
+    /// The snapshot ends too early.
+    #[error("the snapshot is truncated: {actual} of at least {expected} bytes")]
     Truncated {
-        /// The bytes that there are.
+        /// Length of the snapshot in bytes.
         actual: usize,
-        /// The bytes that there should be, at least.
+        /// Minimum length of the complete snapshot in bytes.
         expected: u64,
     },
-    /// Its checksum does not match, or bytes follow it.
-    #[error("the checksum does not match")]
+    /// The checksum does not match, or further bytes follow it.
+    #[error("the checksum of the snapshot does not match")]
     ChecksumMismatch,
-    /// The rows are not rows.
-    #[error("the rows cannot be read")]
+    /// The rows do not decode.
+    #[error("the rows of the snapshot do not decode")]
     MalformedRows,
-    /// This row's range is out of order, overlaps the one before, or ends before it begins.
-    #[error("row {0} overlaps or is out of order")]
+    /// The range of the row with this index is out of order, overlaps the previous one, or ends before it begins.
+    #[error("the range of row {0} is inverted, out of order or overlaps the previous one")]
     InvalidRange(usize),
 }
 
-/// The map as bytes.
+/// Encodes a map.
 pub fn encode(map: &PlacementMap) -> Vec<u8> {
     let rows: Vec<Row> = map.iter().map(Row::new).collect();
     // Serialising plain numbers into a vector cannot fail.
     let body = postcard::to_stdvec(&rows).unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len() + CHECKSUM_BYTES);
     bytes.extend_from_slice(MAGIC);
-    bytes.extend_from_slice(&VERSION.to_le_bytes());
+    bytes.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
     bytes.extend_from_slice(&(body.len() as u64).to_le_bytes());
     bytes.extend_from_slice(&body);
     let checksum = crc32fast::hash(&bytes);
@@ -84,11 +84,11 @@
     bytes
 }
 
-/// The map of a snapshot, as of `now`.
+/// Decodes a snapshot into a map whose ranges were last reported at `now`.
 ///
 /// # Errors
 ///
-/// Any [`SnapshotError`]: nothing of a rejected snapshot is used.
+/// Returns a [`SnapshotError`] if any part of the snapshot is invalid; nothing of it is used then.
 pub fn decode(bytes: &[u8], now: Nanos) -> Result<PlacementMap, SnapshotError> {
     let body = verified_body(bytes)?;
     let rows: Vec<Row> = postcard::from_bytes(body).map_err(|_| SnapshotError::MalformedRows)?;
@@ -106,12 +106,12 @@
     Ok(map)
 }
 
-/// The rows' bytes, once magic number, version, length and checksum are right.
+/// Returns the bytes of the rows after verifying magic number, version, length and checksum.
 fn verified_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let truncated = |expected: u64| SnapshotError::Truncated { actual: bytes.len(), expected };
     let Some((magic, rest)) = bytes.split_first_chunk::<8>() else {
         return Err(if MAGIC.starts_with(bytes) {
-            truncated(MIN_BYTES)
+            truncated(MIN_SNAPSHOT_BYTES)
         } else {
             SnapshotError::NotASnapshot
         });
@@ -119,15 +119,15 @@
     if magic != MAGIC {
         return Err(SnapshotError::NotASnapshot);
     }
-    let (version, rest) = rest.split_first_chunk::<4>().ok_or(truncated(MIN_BYTES))?;
+    let (version, rest) = rest.split_first_chunk::<4>().ok_or(truncated(MIN_SNAPSHOT_BYTES))?;
     let version = u32::from_le_bytes(*version);
-    // Nothing after the version is looked at: it may mean something else in a later one.
-    if version > VERSION {
+    // Later fields are not parsed, because a newer version may define them differently.
+    if version > FORMAT_VERSION {
         return Err(SnapshotError::NewerVersion(version));
     }
-    let (length, rest) = rest.split_first_chunk::<8>().ok_or(truncated(MIN_BYTES))?;
+    let (length, rest) = rest.split_first_chunk::<8>().ok_or(truncated(MIN_SNAPSHOT_BYTES))?;
     let length = u64::from_le_bytes(*length);
-    let expected = length.saturating_add(MIN_BYTES);
+    let expected = length.saturating_add(MIN_SNAPSHOT_BYTES);
     if (bytes.len() as u64) < expected {
         return Err(truncated(expected));
     }
--- a/crates/fernknot-placement/tests/common/mod.rs
+++ b/crates/fernknot-placement/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Short forms of ranges and changes, and random changes.
+//! Constructors of ranges and changes, and random changes.
 
 #![allow(dead_code, reason = "each test binary uses some of it")]
 
@@ -8,8 +8,8 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// Random changes are about the keys below this.
-pub const KEYS: u64 = 48;
+/// Upper bound (exclusive) of the keys in random changes.
+pub const KEY_COUNT: u64 = 48;
 
 pub fn range(first: u64, last: u64) -> KeyRange {
     KeyRange { first, last }
@@ -23,7 +23,7 @@
     OwnershipChange { range: range(first, last), epoch: Epoch(epoch), owners: nodes(owners), migration: None }
 }
 
-/// `change`, and the keys are on their way to `targets`.
+/// Adds a migration to `targets` to a change.
 pub fn migrating(change: OwnershipChange, targets: &[u32], stage: MigrationStage) -> OwnershipChange {
     OwnershipChange { migration: Some(Migration { targets: nodes(targets), stage }), ..change }
 }
@@ -39,11 +39,11 @@
 
 pub fn any_change() -> impl Strategy<Value = OwnershipChange> {
     let owners = prop::sample::subsequence(vec![1u32, 2, 3, 4], 0..3);
-    (0..KEYS, 0..KEYS, 0u64..40, owners)
+    (0..KEY_COUNT, 0..KEY_COUNT, 0u64..40, owners)
         .prop_map(|(one, other, epoch, owners)| change(one.min(other), one.max(other), epoch, &owners))
 }
 
-/// A map of an endpoint list's changes.
+/// Returns a map after changes from an endpoint list.
 pub fn map_of(changes: &[OwnershipChange]) -> PlacementMap {
     let mut map = PlacementMap::default();
     for change in changes {
@@ -52,8 +52,8 @@
     map
 }
 
-/// What the map has, key by key.
+/// Returns epoch and owners of each key.
 pub fn by_key(map: &PlacementMap) -> BTreeMap<u64, (Epoch, Owners)> {
-    let known = (0..KEYS).filter_map(|key| map.lookup(key).map(|(_, state)| (key, state)));
+    let known = (0..KEY_COUNT).filter_map(|key| map.lookup(key).map(|(_, state)| (key, state)));
     known.map(|(key, state)| (key, (state.epoch, state.owners.clone()))).collect()
 }
--- a/crates/fernknot-placement/tests/migration_model.rs
+++ b/crates/fernknot-placement/tests/migration_model.rs
@@ -1,6 +1,6 @@
-//! Migrations of ranges, checked over all orders of events: stores that give up and take over keys in either order,
-//! routers with maps of different age, messages lost, late and overtaken. Map and route are the production code; what
-//! is modelled is the stores, the wire and what a router does with them.
+//! Model of range migrations, checked over all orders of events: stores release and take over keys in either order,
+//! routers have maps of different ages, and messages are lost, delayed and reordered. Map and route are the production
+//! code; modelled are the stores, the network and the router's handling of queries.
 
 use fernknot::interface::{Nanos, NodeId};
 use fernknot_placement::{
@@ -13,26 +13,27 @@
 const KEYS: usize = 2;
 const MAX_HOPS: u32 = 3;
 
-const NEVER_RUNS_TWICE: &str = "an effect never runs twice";
-const COMPLETE_ONCE: &str = "complete only if every key was answered, and each once";
-const REJECTED_UNRUN: &str = "rejected only if nothing of it ran";
+const NEVER_EXECUTED_TWICE: &str = "no effect is executed twice";
+const COMPLETE_ONLY_IF_ANSWERED_ONCE: &str =
+    "a query is complete only if every key was answered exactly once";
+const REJECTED_ONLY_IF_NOT_EXECUTED: &str = "a query is rejected only if none of it was executed";
 const EVERY_QUERY_ENDS: &str = "every query ends";
 
-/// What a store knows of a key.
+/// Ownership of one key as known to a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum KeyOwnership {
     NeverOwned,
     Owned {
         epoch: u64,
     },
-    /// It gave the key to another store at this epoch.
+    /// Released to another store at this epoch.
     GivenUp {
         epoch: u64,
         owner: u32,
     },
 }
 
-/// A store's report on one key.
+/// Ownership of one key as reported by a store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct KeyReport {
     key: u64,
@@ -50,9 +51,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum QueryEnd {
     Complete,
-    /// Nothing of what is missing ran, for certain.
+    /// Rejected: no store executed any of the query.
     Rejected,
-    /// Something may have run.
+    /// Failed: some store may have executed a part.
     Failed,
 }
 
@@ -61,7 +62,7 @@
     route: PartRoute,
     in_flight: bool,
     answered: bool,
-    /// It goes on as others.
+    /// Replaced by parts for subranges.
     split: bool,
 }
 
@@ -71,7 +72,7 @@
     }
 }
 
-/// A router with one query for all keys.
+/// Router with one query for all keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Router {
     map: PlacementMap,
@@ -84,7 +85,7 @@
         self.parts.iter().filter(|part| part.answered).map(|part| part.route.range()).collect()
     }
 
-    /// Whether an answer or redirect of this part still counts.
+    /// Whether an answer or redirect of this part still has an effect.
     fn awaits(&self, part: usize) -> bool {
         self.end.is_none() && self.parts[part].in_flight
     }
@@ -103,25 +104,25 @@
 struct World {
     stores: Vec<[KeyOwnership; KEYS]>,
     migration: Option<Migration>,
-    /// The last migration that is complete, which the endpoint list may report.
+    /// Range, target and epoch of the last complete migration, which the endpoint list may report.
     completed: Option<(KeyRange, u32, u64)>,
     epoch: u64,
     migrations_left: u32,
     losses_left: u32,
-    /// Retries of what may have run: none, unless that bug is seeded.
+    /// Number of retries of parts that may have been executed; 0 unless that bug is seeded.
     retries_left: u32,
     routers: Vec<Router>,
-    wire: BTreeSet<Message>,
-    /// How often each key's effect ran for each router's query.
-    runs: Vec<[u8; KEYS]>,
+    messages_in_flight: BTreeSet<Message>,
+    /// Number of executions of each key's effect, by router.
+    executions: Vec<[u8; KEYS]>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     BeginMigration(KeyRange, u32),
-    /// The old owners give the keys up.
+    /// The old owners release the keys.
     Release,
-    /// The new owner takes the keys over.
+    /// The new owner takes over the keys.
     Start,
     ReportByList(usize),
     Deliver(Message),
@@ -129,23 +130,23 @@
     TimeOut(usize, usize),
 }
 
-/// Bugs that are seeded to see that the check finds them.
+/// Bugs seeded to show that the check finds them.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SeededBug {
     None,
-    /// What may have run is sent once more.
+    /// Parts that may have been executed are retried.
     RetryAfterTimeout,
-    /// A query whose part was split is complete with the first half.
+    /// A query counts as complete with the first answered part.
     CompleteTooEarly,
 }
 
-/// A small world of migrations.
+/// Model of migrations, with the bounds of its state space.
 struct MigrationModel {
     stores: u32,
     migrations: u32,
     losses: u32,
-    /// The owner of all keys by each router's map at first, or none.
-    believed_owners: Vec<Option<u32>>,
+    /// Owner of all keys in each router's initial map, if any.
+    initial_owners: Vec<Option<u32>>,
     bug: SeededBug,
 }
 
@@ -162,7 +163,7 @@
 }
 
 impl World {
-    /// Sends a part to the first of its owners, as several where its keys have been split.
+    /// Sends a part to the first of its candidates, as several parts if its keys have been split.
     fn forward(&mut self, router: usize, part: usize, hop: NextHop) {
         match hop {
             NextHop::NoOwner | NextHop::HopLimit => self.reject(router, part),
@@ -176,13 +177,13 @@
 
     fn request(&mut self, router: usize, part: usize, target: &ForwardTarget) {
         let (range, to) = (target.range, target.nodes[0].0);
-        self.wire.insert(Message::Request { router, part, range, to });
+        self.messages_in_flight.insert(Message::Request { router, part, range, to });
     }
 
     fn reject(&mut self, router: usize, part: usize) {
         let router = &mut self.routers[router];
         router.parts[part].in_flight = false;
-        // Other parts may be in flight and may have run.
+        // Other parts may be in flight and may have been executed.
         let may_have_run = router.parts.iter().any(|part| part.in_flight || part.answered);
         let end = if may_have_run { QueryEnd::Failed } else { QueryEnd::Rejected };
         router.end.get_or_insert(end);
@@ -199,14 +200,14 @@
         }
     }
 
-    /// A store runs a part if it owns all of its keys, and redirects it otherwise.
+    /// Executes a part at a store that owns all of its keys; otherwise the store redirects it.
     fn serve(&mut self, router: usize, part: usize, range: KeyRange, store: u32) {
         let keys = range.first..=range.last;
         let ownership = |key: u64| self.stores[store as usize][key as usize];
         let owns = |key: u64| matches!(ownership(key), KeyOwnership::Owned { .. });
         if keys.clone().all(owns) {
-            keys.for_each(|key| self.runs[router][key as usize] += 1);
-            self.wire.insert(Message::Answer { router, part });
+            keys.for_each(|key| self.executions[router][key as usize] += 1);
+            self.messages_in_flight.insert(Message::Answer { router, part });
             return;
         }
         let report = |key| match ownership(key) {
@@ -215,18 +216,20 @@
             KeyOwnership::GivenUp { epoch, owner } => KeyReport { key, epoch, owner: Some(owner) },
         };
         let reports = keys.map(report).collect();
-        self.wire.insert(Message::Redirect { router, part, by: store, reports });
+        self.messages_in_flight.insert(Message::Redirect { router, part, by: store, reports });
     }
 
     fn deliver(&mut self, message: Message, bug: SeededBug) {
         match message {
             Message::Request { router, part, range, to } => self.serve(router, part, range, to),
-            Message::Answer { router, part } => self.answered(router, part, bug),
-            Message::Redirect { router, part, by, reports } => self.redirected(router, part, by, &reports),
+            Message::Answer { router, part } => self.receive_answer(router, part, bug),
+            Message::Redirect { router, part, by, reports } => {
+                self.receive_redirect(router, part, by, &reports)
+            }
         }
     }
 
-    fn answered(&mut self, router: usize, part: usize, bug: SeededBug) {
+    fn receive_answer(&mut self, router: usize, part: usize, bug: SeededBug) {
         let router = &mut self.routers[router];
         if !router.awaits(part) {
             return;
@@ -238,17 +241,17 @@
         }
     }
 
-    fn redirected(&mut self, router: usize, part: usize, by: u32, reports: &[KeyReport]) {
+    fn receive_redirect(&mut self, router: usize, part: usize, by: u32, reports: &[KeyReport]) {
         let to_change = |report: &KeyReport| change(one_key(report.key), report.epoch, report.owner);
         let changes: Vec<OwnershipChange> = reports.iter().map(to_change).collect();
         let redirected = &mut self.routers[router];
-        // The map learns even from the redirect of a query that has ended.
+        // The map is also updated by redirects of a query that has ended.
         redirected.map.apply_redirect(Nanos(0), &changes);
         if !redirected.awaits(part) {
             return;
         }
         let map = redirected.map.clone();
-        let hop = redirected.parts[part].route.redirected(&map, NodeId(by), &changes);
+        let hop = redirected.parts[part].route.record_redirect(&map, NodeId(by), &changes);
         self.forward(router, part, hop);
     }
 
@@ -292,7 +295,7 @@
         }
     }
 
-    /// Nothing came in time: the part may have run, so a query with effects ends here.
+    /// Ends a query after a time-out: its part may have been executed, so it is not retried.
     fn time_out(&mut self, router: usize, part: usize) {
         if self.retries_left > 0 {
             self.retries_left -= 1;
@@ -326,9 +329,9 @@
             migrations_left: self.migrations,
             losses_left: self.losses,
             retries_left: u32::from(self.bug == SeededBug::RetryAfterTimeout),
-            routers: self.believed_owners.iter().map(router).collect(),
-            wire: BTreeSet::new(),
-            runs: vec![[0; KEYS]; self.believed_owners.len()],
+            routers: self.initial_owners.iter().map(router).collect(),
+            messages_in_flight: BTreeSet::new(),
+            executions: vec![[0; KEYS]; self.initial_owners.len()],
         }
     }
 
@@ -367,7 +370,7 @@
         if world.completed.is_some() {
             steps.extend((0..world.routers.len()).map(Step::ReportByList));
         }
-        for message in &world.wire {
+        for message in &world.messages_in_flight {
             steps.push(Step::Deliver(message.clone()));
             steps.extend((world.losses_left > 0).then(|| Step::Lose(message.clone())));
         }
@@ -390,11 +393,11 @@
                 world.routers[router].map.apply(Nanos(0), &reported, Source::EndpointList);
             }
             Step::Deliver(message) => {
-                world.wire.remove(&message);
+                world.messages_in_flight.remove(&message);
                 world.deliver(message, self.bug);
             }
             Step::Lose(message) => {
-                world.wire.remove(&message);
+                world.messages_in_flight.remove(&message);
                 world.losses_left -= 1;
             }
             Step::TimeOut(router, part) => world.time_out(router, part),
@@ -404,10 +407,10 @@
 
     fn properties(&self) -> Vec<Property<MigrationModel>> {
         vec![
-            Property::always(NEVER_RUNS_TWICE, |_, world: &World| {
-                world.runs.iter().flatten().all(|runs| *runs <= 1)
+            Property::always(NEVER_EXECUTED_TWICE, |_, world: &World| {
+                world.executions.iter().flatten().all(|executions| *executions <= 1)
             }),
-            Property::always(COMPLETE_ONCE, |_, world: &World| {
+            Property::always(COMPLETE_ONLY_IF_ANSWERED_ONCE, |_, world: &World| {
                 world.routers.iter().all(|router| {
                     match (router.end, check_coverage(&[all_keys()], &router.answered_ranges())) {
                         (_, Coverage::Excess(_)) => false,
@@ -416,11 +419,11 @@
                     }
                 })
             }),
-            Property::always(REJECTED_UNRUN, |_, world: &World| {
-                let queries = world.routers.iter().zip(&world.runs);
+            Property::always(REJECTED_ONLY_IF_NOT_EXECUTED, |_, world: &World| {
+                let queries = world.routers.iter().zip(&world.executions);
                 queries
                     .filter(|(router, _)| router.end == Some(QueryEnd::Rejected))
-                    .all(|(_, runs)| *runs == [0; KEYS])
+                    .all(|(_, executions)| *executions == [0; KEYS])
             }),
             Property::eventually(EVERY_QUERY_ENDS, |_, world: &World| {
                 world.routers.iter().all(|router| router.end.is_some())
@@ -438,50 +441,50 @@
     }
 }
 
-fn small_world() -> MigrationModel {
+fn two_store_model() -> MigrationModel {
     MigrationModel {
         stores: 2,
         migrations: 2,
         losses: 1,
-        believed_owners: vec![Some(0)],
+        initial_owners: vec![Some(0)],
         bug: SeededBug::None,
     }
 }
 
 #[test]
-fn no_order_of_migrations_and_losses_breaks_a_rule() {
-    let checker = small_world().checker().threads(2).spawn_bfs().join();
+fn no_order_of_migrations_and_losses_violates_a_property() {
+    let checker = two_store_model().checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.is_done() && checker.unique_state_count() > 1_000);
 }
 
 #[test]
-fn the_check_finds_a_retry_of_what_may_have_run() {
-    let model = MigrationModel { bug: SeededBug::RetryAfterTimeout, ..small_world() };
+fn the_check_finds_a_retry_of_a_part_that_may_have_run() {
+    let model = MigrationModel { bug: SeededBug::RetryAfterTimeout, ..two_store_model() };
     let checker = model.checker().threads(2).spawn_bfs().join();
-    let path = checker.discovery(NEVER_RUNS_TWICE).expect("the seeded bug is found");
+    let path = checker.discovery(NEVER_EXECUTED_TWICE).expect("the seeded bug is found");
     println!("{:?}", path.into_actions());
 }
 
 #[test]
-fn the_check_finds_a_query_that_counts_as_complete_too_early() {
-    let model = MigrationModel { bug: SeededBug::CompleteTooEarly, ..small_world() };
+fn the_check_finds_a_query_marked_complete_too_early() {
+    let model = MigrationModel { bug: SeededBug::CompleteTooEarly, ..two_store_model() };
     let checker = model.checker().threads(2).spawn_bfs().join();
-    let path = checker.discovery(COMPLETE_ONCE).expect("the seeded bug is found");
+    let path = checker.discovery(COMPLETE_ONLY_IF_ANSWERED_ONCE).expect("the seeded bug is found");
     println!("{:?}", path.into_actions());
 }
 
-/// By hand: `cargo test --release -p fernknot-placement --test migration_model -- --ignored --nocapture`.
+/// Run it with `cargo test --release -p fernknot-placement --test migration_model -- --ignored --nocapture`.
 #[test]
-#[ignore = "minutes and gigabytes: by hand"]
-fn no_rule_breaks_in_a_larger_world() {
-    let larger = MigrationModel { stores: 3, believed_owners: vec![Some(0), Some(1)], ..small_world() };
+#[ignore = "needs minutes and gigabytes"]
+fn no_property_is_violated_in_a_larger_model() {
+    let larger = MigrationModel { stores: 3, initial_owners: vec![Some(0), Some(1)], ..two_store_model() };
     let checker = larger.checker().threads(8).target_state_count(20_000_000).spawn_bfs().join();
-    println!("{} states, all of them: {}", checker.unique_state_count(), checker.is_done());
-    checker.assert_no_discovery(NEVER_RUNS_TWICE);
-    checker.assert_no_discovery(COMPLETE_ONCE);
-    checker.assert_no_discovery(REJECTED_UNRUN);
+    println!("{} states, search complete: {}", checker.unique_state_count(), checker.is_done());
+    checker.assert_no_discovery(NEVER_EXECUTED_TWICE);
+    checker.assert_no_discovery(COMPLETE_ONLY_IF_ANSWERED_ONCE);
+    checker.assert_no_discovery(REJECTED_ONLY_IF_NOT_EXECUTED);
     checker.assert_no_discovery(EVERY_QUERY_ENDS);
     assert!(checker.unique_state_count() >= 1_000_000);
 }
