--- a/crates/fernknot-membership/src/probe_targets.rs
+++ b/crates/fernknot-membership/src/probe_targets.rs
@@ -1,7 +1,8 @@
 //! Selection of probe targets and of the times of probes.
 //!
-//! SWIM draws targets at random. Here all routers step through one ring of ids, at one pace given by the clock and each from its own position, so that each router is probed once per period by some other. Clock skew only makes the
-//! probes less evenly distributed.
+//! SWIM draws targets at random. Here all routers step through one ring of ids, at one pace given by the clock and each
+//! from its own position, so that each router is probed once per period by some other. Clock skew only makes the probes
+//! less evenly distributed.
 
 use crate::identity::RouterId;
 use crate::member_table::MemberTable;
--- a/crates/fernknot-membership/src/report.rs
+++ b/crates/fernknot-membership/src/report.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedStatus {
     /// Configured, without any message from or about it so far.
-    Unheard,
+    Unknown,
     /// Live and not suspected.
     Alive,
     /// Suspected of having failed.
@@ -29,7 +29,7 @@
 impl From<VersionedStatus> for ReportedStatus {
     fn from(state: VersionedStatus) -> ReportedStatus {
         match state.status {
-            Status::Alive if !state.is_known() => ReportedStatus::Unheard,
+            Status::Alive if !state.is_known() => ReportedStatus::Unknown,
             Status::Alive => ReportedStatus::Alive,
             Status::Suspected { .. } => ReportedStatus::Suspected,
             Status::Failed => ReportedStatus::Failed,
@@ -41,7 +41,7 @@
 impl fmt::Display for ReportedStatus {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            ReportedStatus::Unheard => "unheard",
+            ReportedStatus::Unknown => "unheard",
             ReportedStatus::Alive => "alive",
             ReportedStatus::Suspected => "doubted",
             ReportedStatus::Failed => "lost",
--- a/crates/fernknot-membership/src/update_queue.rs
+++ b/crates/fernknot-membership/src/update_queue.rs
@@ -7,8 +7,8 @@
 const RETRANSMIT_FACTOR: f64 = 2.5;
 /// Number of sends of a low-priority update.
 const LOW_PRIORITY_SENDS: u32 = 3;
-/// Number of sends from which an update is only piggybacked and no longer justifies a datagram of its own.
-const FRESH_UPDATE_MAX_SENDS: u32 = 2;
+/// Number of sends of an update that justify a datagram of their own; later sends are only piggybacked.
+const DEDICATED_DATAGRAM_SENDS: u32 = 2;
 
 fn max_sends(routers: usize) -> u32 {
     (RETRANSMIT_FACTOR * (routers as f64 + 1.0).log2()).ceil() as u32
@@ -38,7 +38,7 @@
 
     /// Whether some update justifies a datagram of its own.
     pub fn has_fresh(&self) -> bool {
-        self.sends.values().any(|sends| *sends < FRESH_UPDATE_MAX_SENDS)
+        self.sends.values().any(|sends| *sends < DEDICATED_DATAGRAM_SENDS)
     }
 
     /// Returns at most `max` members, those with the fewest sends first.
