--- a/crates/fernknot-testbed/src/cluster/mod.rs
+++ b/crates/fernknot-testbed/src/cluster/mod.rs
@@ -64,9 +64,9 @@
 /// Polls until a condition is met. Returns the elapsed time.
 ///
 /// # Errors
-/// The condition is not met before the time-out; `description` describes it in the error.
+/// The condition is not met before the time-out; the error contains `condition`.
 pub fn wait_until(
-    description: &str,
+    condition: &str,
     timeout: Duration,
     mut is_met: impl FnMut() -> bool,
 ) -> Result<Duration, ClusterError> {
@@ -74,7 +74,7 @@
     while !is_met() {
         if started_at.elapsed() > timeout {
             return Err(ClusterError::TimedOut {
-                condition: description.into(),
+                condition: condition.into(),
                 seconds: timeout.as_secs_f64(),
             });
         }
--- a/crates/fernknot-testbed/src/cluster/role.rs
+++ b/crates/fernknot-testbed/src/cluster/role.rs
@@ -64,8 +64,8 @@
 /// The program is in neither directory.
 pub fn find_program(name: &'static str) -> Result<PathBuf, ClusterError> {
     let missing = |searcher| ClusterError::MissingProgram { name, searcher };
-    let own = std::env::current_exe().map_err(|error| missing(error.to_string()))?;
+    let current_program = std::env::current_exe().map_err(|error| missing(error.to_string()))?;
     let in_directory = |directory: &Path| Some(directory.join(name)).filter(|path| path.is_file());
-    let found = own.ancestors().skip(1).take(2).find_map(in_directory);
-    found.ok_or_else(|| missing(own.display().to_string()))
+    let found = current_program.ancestors().skip(1).take(2).find_map(in_directory);
+    found.ok_or_else(|| missing(current_program.display().to_string()))
 }
--- a/crates/fernknot-testbed/src/subscription.rs
+++ b/crates/fernknot-testbed/src/subscription.rs
@@ -48,9 +48,7 @@
     loop {
         let now = Instant::now();
         match counter.snapshot_completed_at {
-            Some(snapshot_completed_at) if now >= snapshot_completed_at + duration => {
-                return Ok(counter.finish(duration));
-            }
+            Some(completed_at) if now >= completed_at + duration => return Ok(counter.finish(duration)),
             None if now >= started_at + duration => {
                 return Err(stream.error(ErrorKind::TimedOut, "no complete snapshot received in time"));
             }
--- a/crates/fernknot-testbed/tests/system.rs
+++ b/crates/fernknot-testbed/tests/system.rs
@@ -103,12 +103,13 @@
 #[test]
 fn given_disks_of_an_earlier_release_when_controllers_start_then_the_configuration_is_read_and_changed() {
     build_missing_programs();
-    let disks = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fernknot-controller/tests/fixtures/disks");
-    let recorded = std::fs::read(disks.join("configuration.json")).unwrap();
+    let initial_disks =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../fernknot-controller/tests/fixtures/disks");
+    let recorded = std::fs::read(initial_disks.join("configuration.json")).unwrap();
     let settings = ClusterSettings {
         controllers: 4,
         seed: 14,
-        initial_disks: Some(disks),
+        initial_disks: Some(initial_disks),
         ..ClusterSettings::default()
     };
     let cluster = Cluster::start(settings).unwrap();
