--- a/crates/fernknot-cli/src/plan_capacity.rs
+++ b/crates/fernknot-cli/src/plan_capacity.rs
@@ -1,8 +1,8 @@
 //! `fernknot plan-capacity`: estimates the resource usage of each role from results of `fernknot measure`.
 //!
 //! The constants are slopes of `results/capacity/*.jsonl`, from release builds with 3 controllers on one machine of 8
-//! cores; `docs/CAPACITY.md` has the tables. Each is the steepest slope, so that estimates err on the high side. Larger
-//! sizes are extrapolated linearly.
+//! cores with other load; `docs/CAPACITY.md` has the tables. Each is the steepest measured slope, so that estimates err on
+//! the high side. Larger sizes are extrapolated linearly.
 
 use crate::arguments::Arguments;
 use crate::error::CliError;
