--- a/crates/fernknot-testbed/src/lib.rs
+++ b/crates/fernknot-testbed/src/lib.rs
@@ -8,7 +8,7 @@
 //! | [`subscription`] | a subscriber that counts the bytes it receives |
 //! | [`operator`] | an operator that replaces and reads the configuration |
 //! | [`config_draft`] | routing configurations of test clusters |
-//! | [`nodes`], [`execution_log`] | stand-in nodes, which send heartbeats, serve, drain and stop, and the log of their executions |
+//! | [`nodes`], [`execution_log`] | stand-in nodes, and the log of the requests that they executed |
 //! | [`load_balancer`], [`load`] | clients, and the choice of a ready gateway for each connection |
 //! | [`requests`], [`checker`] | requests with their outcomes, and their comparison with the nodes' executions |
 //! | [`cluster`] | processes of the real programs, their settings, start and stop |
