--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -1,7 +1,7 @@
-//! One engine, its stores and its clients in simulated time.
+//! Discrete-event simulation of one engine with its stores and clients.
 
 use crate::event_queue::EventQueue;
-use crate::stores::{Job, Store, StoreScript};
+use crate::stores::{Job, Store, StoreBehaviour};
 use fernknot::interface::{
     AttemptNumber, Health, ListKind, LoadReport, MultigetId, Nanos, NodeEntry, NodeId, Outcome, PartId,
     PlaceId, ShardId, SiteSettings,
@@ -14,15 +14,16 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Simulated time begins here: long after the start of any store.
-pub(crate) const START: Nanos = Nanos(1_000_000_000_000_000);
-/// The bytes that the engine may use for term filters.
+/// Start of the simulated clock, late enough that no store counts as recently started.
+pub(crate) const SIMULATION_START: Nanos = Nanos(1_000_000_000_000_000);
+/// Memory limit of the engine's term filters.
 const MAX_FILTER_BYTES: usize = 1 << 20;
-/// The time that a message takes, on average about, and the factors between which it is drawn.
-const NETWORK_MS: f64 = 0.3;
-const NETWORK_FACTORS: std::ops::Range<f64> = 0.7..1.6;
+/// One-way network delay before it is multiplied by a random factor.
+const NETWORK_DELAY_MS: f64 = 0.3;
+/// Range of the random factor, drawn for each message.
+const NETWORK_DELAY_FACTORS: std::ops::Range<f64> = 0.7..1.6;
 
-/// One attempt of a part at a node.
+/// An attempt of a part at a node.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     node: NodeId,
@@ -34,95 +35,95 @@
 enum Event {
     /// A client sends its query.
     Arrival { query: usize },
-    /// A part reaches its store.
+    /// A part arrives at its store.
     PartReceived(Attempt),
-    /// A cancellation reaches the store.
+    /// A cancellation arrives at the store.
     CancelReceived(Attempt),
-    /// A store is done with what it runs.
+    /// A store completes its running job.
     WorkDone(NodeId),
-    /// A store's answer reaches the router.
+    /// A store's answer, or its rejection of the part, arrives at the router.
     AnswerReceived { attempt: Attempt, accepted: bool },
-    /// A client's time-out.
+    /// A client's time-out expires.
     ClientTimeout { query: usize },
-    /// The engine asked to be woken.
+    /// The engine's next timer is due.
     Wake,
 }
 
-/// One query that a client will send.
+/// A query that a client will send.
 pub(crate) struct PlannedQuery {
-    /// When the client sends it.
-    pub at: Nanos,
-    /// The query as the engine gets it.
-    pub asked: MultigetRequest,
-    /// The blocks that truly match.
+    /// Time at which the client sends the query.
+    pub send_at: Nanos,
+    /// Request as submitted to the engine.
+    pub request: MultigetRequest,
+    /// Blocks that match the query.
     pub matches: Vec<ShardId>,
 }
 
-/// How one query ended.
+/// End of a query.
 #[derive(Clone, Debug)]
 pub(crate) struct QueryEnd {
-    /// The time from sending to the end.
-    pub took: Nanos,
-    /// `None` where the client's time-out came first.
+    /// Time from sending to the end.
+    pub duration: Nanos,
+    /// Final verdict; `None` if the client timed out before it.
     pub verdict: Option<Verdict>,
-    /// How far the query had come.
+    /// Stage that the query had reached.
     pub stage: Stage,
 }
 
-/// What happened to a query, and the attempts that were sent for it.
+/// Outcome of a query, and counts of the parts sent for it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct QueryRecord {
-    /// How it ended; `None` before that.
+    /// End of the query; `None` while it is in flight.
     pub end: Option<QueryEnd>,
-    /// Parts of the first phase that were sent.
+    /// Number of first-phase parts sent.
     pub first_phase_parts: u64,
-    /// Parts of the second phase that were sent.
+    /// Number of second-phase parts sent.
     pub second_phase_parts: u64,
-    /// Whether parts of the second phase were sent at all.
+    /// Whether any second-phase part was sent.
     pub second_phase_opened: bool,
-    /// Parts sent after the final answer: none, by the rules.
+    /// Number of parts sent after the final answer; any is a violation.
     pub parts_after_end: u64,
-    /// Final answers: one, by the rules.
+    /// Number of final answers; any other number than one is a violation, unless the client timed out.
     pub final_answers: u64,
 }
 
 impl QueryRecord {
-    /// Whether the client's time-out came before a final answer.
+    /// Whether the client timed out before a final answer.
     pub fn has_timed_out(&self) -> bool {
         self.end.as_ref().is_some_and(|end| end.verdict.is_none())
     }
 }
 
-/// What is simulated.
+/// Parameters of a simulation.
 pub(crate) struct SimulationConfig {
-    /// Determines all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The settings of the engine.
+    /// Settings of the engine.
     pub site: SiteSettings,
-    /// By use case.
+    /// Two-phase settings, by use case.
     pub phases: Vec<Option<TwoPhaseSettings>>,
-    /// Stores at each of the site's places.
+    /// Number of stores at each place of the site.
     pub stores_per_place: usize,
-    /// How stores behave.
-    pub script: StoreScript,
-    /// The queries of all clients.
+    /// Work, queues and degradations of the stores.
+    pub store_behaviour: StoreBehaviour,
+    /// Queries of all clients.
     pub queries: Vec<PlannedQuery>,
-    /// When the load ends.
+    /// Time at which the load ends.
     pub end: Nanos,
 }
 
-/// One engine, its stores and its clients.
+/// An engine, its stores and its clients in simulated time.
 pub(crate) struct EngineSimulation {
     engine: Engine,
     stores: Vec<Store>,
-    script: StoreScript,
+    store_behaviour: StoreBehaviour,
     queries: Vec<PlannedQuery>,
     records: Vec<QueryRecord>,
-    /// Which query a multiget is; kept to the end, to judge what comes late.
+    /// Query of each multiget; entries stay after the final answer, to attribute parts that are sent late.
     query_of: HashMap<MultigetId, usize>,
     multiget_of: Vec<Option<MultigetId>>,
     events: EventQueue<Event>,
-    /// Events to come other than wakes; the simulation ends with the last.
+    /// Number of scheduled events other than wakes; the simulation ends when none is left.
     pending_events: usize,
     now: Nanos,
     wake_at: Option<Nanos>,
@@ -130,16 +131,21 @@
 }
 
 impl EngineSimulation {
-    /// A simulation before its first event.
+    /// Creates a simulation with all queries scheduled.
     pub fn new(config: SimulationConfig) -> EngineSimulation {
-        let SimulationConfig { seed, site, phases, stores_per_place, script, queries, end } = config;
+        let SimulationConfig { seed, site, phases, stores_per_place, store_behaviour, queries, end } = config;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let places = site.places;
         let store_count = stores_per_place * places as usize;
-        let mut engine = Engine::new(seed, site, &phases, MAX_FILTER_BYTES, START);
+        let mut engine = Engine::new(seed, site, &phases, MAX_FILTER_BYTES, SIMULATION_START);
         let entries: Vec<NodeEntry> = (0..store_count).map(|index| node_entry(index, places)).collect();
         engine.apply_node_list(ListKind::Full, &entries);
-        let store = |_| Store::new(script.draw_spells(&mut rng, START, end), script.queue_limit);
+        let store = |_| {
+            Store::new(
+                store_behaviour.draw_degradations(&mut rng, SIMULATION_START, end),
+                store_behaviour.queue_limit,
+            )
+        };
         let stores = (0..store_count).map(store).collect();
         let mut simulation = EngineSimulation {
             engine,
@@ -149,34 +155,34 @@
             multiget_of: vec![None; queries.len()],
             events: EventQueue::new(),
             pending_events: 0,
-            now: START,
+            now: SIMULATION_START,
             wake_at: None,
             rng,
-            script,
+            store_behaviour,
             queries,
         };
         for query in 0..simulation.queries.len() {
-            simulation.schedule(simulation.queries[query].at, Event::Arrival { query });
+            simulation.schedule(simulation.queries[query].send_at, Event::Arrival { query });
         }
         simulation
     }
 
-    /// What happened to each query.
+    /// Outcome of each query, in the order of the queries.
     pub fn records(&self) -> &[QueryRecord] {
         &self.records
     }
 
-    /// Queries that the engine still has in flight.
+    /// Number of queries that the engine has in flight.
     pub fn in_flight(&self) -> usize {
         self.engine.table.len() + self.engine.two_phase_planner().in_flight()
     }
 
-    /// Runs to the end of all queries.
+    /// Runs until no event other than wakes is pending.
     pub fn run(&mut self) {
         self.poll_engine();
         while let Some((at, event)) = self.events.pop().filter(|_| self.pending_events > 0) {
             self.now = at;
-            self.handle(event);
+            self.handle_event(event);
             self.poll_engine();
         }
     }
@@ -186,24 +192,24 @@
         self.events.schedule(at, event);
     }
 
-    /// Schedules what is to happen after one message's way through the network.
+    /// Schedules an event after the random network delay of one message.
     fn schedule_after_hop(&mut self, event: Event) {
-        let hop = Nanos::from_millis(NETWORK_MS).times(self.rng.random_range(NETWORK_FACTORS));
+        let hop = Nanos::from_millis(NETWORK_DELAY_MS).times(self.rng.random_range(NETWORK_DELAY_FACTORS));
         self.schedule(self.now + hop, event);
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.pending_events -= usize::from(!matches!(event, Event::Wake));
         match event {
             Event::Wake => self.wake_at = None,
-            Event::Arrival { query } => self.arrive(query),
+            Event::Arrival { query } => self.submit_query(query),
             Event::ClientTimeout { query } => self.time_out_client(query),
             Event::PartReceived(attempt) => self.receive_part(attempt),
             Event::CancelReceived(attempt) => {
                 self.store(attempt.node).cancel(attempt.part, attempt.number);
             }
             Event::WorkDone(node) => self.complete_work(node),
-            Event::AnswerReceived { attempt, accepted } => self.answer_engine(attempt, accepted),
+            Event::AnswerReceived { attempt, accepted } => self.deliver_answer(attempt, accepted),
         }
     }
 
@@ -213,13 +219,13 @@
 
     // ---- Clients ---------------------------------------------------------------------------
 
-    fn arrive(&mut self, query: usize) {
-        let asked = self.queries[query].asked.clone();
-        let client_end = self.now + asked.timeout;
-        let multiget = self.engine.submit(self.now, RequesterId(query as u64), client_end, asked);
+    fn submit_query(&mut self, query: usize) {
+        let request = self.queries[query].request.clone();
+        let client_deadline = self.now + request.timeout;
+        let multiget = self.engine.submit(self.now, RequesterId(query as u64), client_deadline, request);
         self.query_of.insert(multiget, query);
         self.multiget_of[query] = Some(multiget);
-        self.schedule(client_end, Event::ClientTimeout { query });
+        self.schedule(client_deadline, Event::ClientTimeout { query });
     }
 
     fn time_out_client(&mut self, query: usize) {
@@ -230,8 +236,8 @@
         let ran = state.is_some_and(|state| state.has_second_phase_attempts());
         let is_opened = state.is_some_and(|state| state.is_second_phase_open());
         let stage = if is_opened { Stage::SecondPhase { ran } } else { Stage::FirstPhase };
-        let took = self.now - self.queries[query].at;
-        self.records[query].end = Some(QueryEnd { took, verdict: None, stage });
+        let duration = self.now - self.queries[query].send_at;
+        self.records[query].end = Some(QueryEnd { duration, verdict: None, stage });
         self.engine.client_gone(self.now, multiget);
     }
 
@@ -240,7 +246,7 @@
     fn receive_part(&mut self, attempt: Attempt) {
         let part = self.engine.table.part(attempt.part);
         let is_fetch = part.is_some_and(|part| part.phase != Phase::Match);
-        let work = self.script.draw_work(&mut self.rng, is_fetch);
+        let work = self.store_behaviour.draw_work(&mut self.rng, is_fetch);
         let job = Job { part: attempt.part, attempt: attempt.number, work };
         if self.store(attempt.node).enqueue(job) {
             self.start_work(attempt.node);
@@ -266,7 +272,7 @@
 
     // ---- The engine ------------------------------------------------------------------------
 
-    fn answer_engine(&mut self, attempt: Attempt, accepted: bool) {
+    fn deliver_answer(&mut self, attempt: Attempt, accepted: bool) {
         let Attempt { part, number, .. } = attempt;
         let report = LoadReport::default();
         if !accepted {
@@ -280,7 +286,7 @@
         self.engine.attempt_answered(self.now, part, number, value, report);
     }
 
-    /// A block's answer of the first phase: it names itself if it truly matches.
+    /// First-phase answer of a block: names the block itself if it matches the query.
     fn match_value(&self, multiget: MultigetId, shard: ShardId) -> String {
         let query = self.query_of.get(&multiget);
         let is_match = query.is_some_and(|query| self.queries[*query].matches.contains(&shard));
@@ -290,23 +296,25 @@
 
     fn poll_engine(&mut self) {
         loop {
-            while let Some(order) = self.engine.poll_action(self.now) {
-                self.act(order);
+            while let Some(action) = self.engine.poll_action(self.now) {
+                self.perform_action(action);
             }
             if !self.engine.has_input() {
                 break;
             }
         }
-        if let Some(due) = self.engine.next_due().filter(|due| self.wake_at.is_none_or(|set| *due < set)) {
+        if let Some(due) =
+            self.engine.next_due().filter(|due| self.wake_at.is_none_or(|wake_at| *due < wake_at))
+        {
             self.wake_at = Some(due);
             self.schedule(due.max(self.now), Event::Wake);
         }
     }
 
-    fn act(&mut self, order: Action) {
-        match order {
+    fn perform_action(&mut self, action: Action) {
+        match action {
             Action::Send { part, number, node } => self.send_part(Attempt { node, part, number }),
-            Action::Cancel { part, number, outcome } => self.abandon(part, number, outcome),
+            Action::Cancel { part, number, outcome } => self.cancel_attempt(part, number, outcome),
             Action::Answer { requester, verdict, stage } => self.record_answer(requester, verdict, stage),
             Action::SubscribeToNodeList | Action::RenewConnections { .. } | Action::NotifyPeers { .. } => {}
         }
@@ -325,7 +333,7 @@
         self.schedule_after_hop(Event::PartReceived(attempt));
     }
 
-    fn abandon(&mut self, part: PartId, number: AttemptNumber, outcome: Outcome) {
+    fn cancel_attempt(&mut self, part: PartId, number: AttemptNumber, outcome: Outcome) {
         let node = self.engine.table.attempt(part, number).map(|attempt| attempt.node);
         self.engine.attempt_ended(self.now, part, number, outcome, LoadReport::default());
         if let Some(node) = node {
@@ -333,12 +341,12 @@
         }
     }
 
-    fn record_answer(&mut self, asker: RequesterId, verdict: Verdict, stage: Stage) {
-        let query = asker.0 as usize;
-        let took = self.now - self.queries[query].at;
+    fn record_answer(&mut self, requester: RequesterId, verdict: Verdict, stage: Stage) {
+        let query = requester.0 as usize;
+        let duration = self.now - self.queries[query].send_at;
         let record = &mut self.records[query];
         record.final_answers += 1;
-        record.end.get_or_insert(QueryEnd { took, verdict: Some(verdict), stage });
+        record.end.get_or_insert(QueryEnd { duration, verdict: Some(verdict), stage });
     }
 }
 
--- a/crates/fernknot-experiments/src/event_queue.rs
+++ b/crates/fernknot-experiments/src/event_queue.rs
@@ -1,41 +1,41 @@
-//! Events in simulated time.
+//! Priority queue of events in simulated time.
 
 use fernknot::interface::Nanos;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Events in the order of their times, and of their scheduling at one time.
+/// Events ordered by time; events due at the same time keep the order in which they were scheduled.
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 struct Scheduled<E> {
     at: Nanos,
-    /// How many were scheduled before.
+    /// Position in the order of scheduling, which breaks ties.
     sequence: u64,
     event: E,
 }
 
 impl<E> EventQueue<E> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> EventQueue<E> {
-        EventQueue { heap: BinaryHeap::new(), scheduled: 0 }
+        EventQueue { heap: BinaryHeap::new(), scheduled_count: 0 }
     }
 
-    /// Schedules an event.
+    /// Adds an event that is due at `at`.
     pub fn schedule(&mut self, at: Nanos, event: E) {
-        self.scheduled += 1;
-        self.heap.push(Scheduled { at, sequence: self.scheduled, event });
+        self.scheduled_count += 1;
+        self.heap.push(Scheduled { at, sequence: self.scheduled_count, event });
     }
 
-    /// The next event, and its time.
+    /// Removes the earliest event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Nanos, E)> {
         self.heap.pop().map(|scheduled| (scheduled.at, scheduled.event))
     }
 }
 
-/// The one that is due first is the greatest, as the heap gives the greatest first.
+/// Reversed order: the event that is due first is the greatest, because `BinaryHeap` is a max-heap.
 impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Scheduled<E>) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
--- a/crates/fernknot-experiments/src/lib.rs
+++ b/crates/fernknot-experiments/src/lib.rs
@@ -1,9 +1,10 @@
 //! Experiments in simulated time on the code that the router runs.
 //!
-//! This crate owns two experiments: [`two_phase`] plays queries against one real engine (`fernknot-engine`) with
-//! scripted [`stores`], and [`membership`] plays many real membership protocols (`fernknot-membership`) on a network
-//! with faults. All of it runs in one process, from one seed, the same byte for byte each time. Its program
-//! (`fernknot-experiments NAME`) and its tests call it, and nothing else; results worth keeping stand in `results/`.
+//! The crate has two experiments: [`two_phase`] runs queries against one production engine (`fernknot-engine`) with
+//! simulated [`stores`], and [`membership`] runs many instances of the production membership protocol
+//! (`fernknot-membership`) on a network with faults. Each run takes place in one process and is deterministic: the same
+//! seed gives the same output, byte for byte. Only the program (`fernknot-experiments NAME`) and the tests use the
+//! crate; published results are in `results/`.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-experiments/src/main.rs
+++ b/crates/fernknot-experiments/src/main.rs
@@ -14,36 +14,36 @@
 
 #[derive(Args)]
 struct Runs {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, counted up from the first; each is a run of its own.
+    /// Number of consecutive seeds; each is a separate run.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
-    /// Simulated seconds of load.
+    /// Duration of the load, in simulated seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// One JSON object a line instead of a table.
+    /// Print one JSON object per line instead of a table.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// Queries in two phases: the split, the rejection and the pruning, each against its absence.
+    /// Two-phase queries: the complete planner against variants without the learned split, rejection or pruning.
     TwoPhase(Runs),
-    /// Membership among query routers: each scenario against plain SWIM and fixed heartbeats.
+    /// Membership of query routers: the protocol against plain SWIM and fixed heartbeats, in each fault scenario.
     #[command(name = "fleet", alias = "membership")]
     Membership {
         #[command(flatten)]
         runs: Runs,
-        /// How many routers there are.
+        /// Number of routers.
         #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(3..=3000))]
         routers: u32,
-        /// One scenario alone.
+        /// Run only this scenario.
         #[arg(long, value_parser = Scenario::NAMES)]
         scenario: Option<String>,
-        /// One variant alone.
+        /// Run only this variant.
         #[arg(long, value_parser = Variant::NAMES)]
         variant: Option<String>,
     },
--- a/crates/fernknot-experiments/src/membership.rs
+++ b/crates/fernknot-experiments/src/membership.rs
@@ -1,5 +1,5 @@
-//! Membership among query routers in simulated time: the protocol that the router runs, on a network that loses,
-//! blocks and delays datagrams, among processes that crash, stall and restart.
+//! Membership of query routers in simulated time: the production protocol on a network that loses, blocks and delays
+//! datagrams, with processes that crash, stall and restart.
 
 mod cold_budget;
 mod fault_plan;
@@ -21,28 +21,29 @@
 use simulation::MembershipSimulation;
 use std::ops::Range;
 
-/// With more routers than this, fixed heartbeats are not played: among thousands they are millions a second.
+/// Largest number of routers for which fixed heartbeats are simulated; their datagrams grow with its square.
 const MAX_FIXED_HEARTBEAT_ROUTERS: u32 = 300;
 
-/// Which runs to play beside the seeds.
+/// Selection of runs for each seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Selection {
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: u32,
-    /// One scenario alone.
+    /// Only scenario to run; all if `None`.
     pub scenario: Option<Scenario>,
-    /// One variant alone.
+    /// Only variant to run; all if `None`.
     pub variant: Option<Variant>,
 }
 
-/// Runs one variant under one scenario.
+/// Runs one variant in one scenario and returns its figures.
 pub fn run(variant: Variant, scenario: Scenario, routers: u32, seed: u64) -> Row {
     let mut simulation = MembershipSimulation::new(variant, scenario, routers, seed);
-    simulation.run(timing::END);
+    simulation.run(timing::RUN_END);
     simulation.row()
 }
 
-/// Runs all selected variants under all selected scenarios, on these seeds; runs go side by side.
+/// Runs the selected variants in the selected scenarios for each seed, in parallel; rows are ordered by scenario,
+/// variant and seed.
 pub fn run_all(seeds: Range<u64>, selection: Selection) -> Vec<Row> {
     let routers = selection.routers;
     let mut cases = Vec::new();
--- a/crates/fernknot-experiments/src/membership/cold_budget.rs
+++ b/crates/fernknot-experiments/src/membership/cold_budget.rs
@@ -1,51 +1,52 @@
-//! What routers take of a cold node's budget that all of them share: each takes a part, by what warm nodes answered to
-//! it lately and by how many routers it takes to be live. A router that takes too few for live takes too much.
+//! Shares of a cold node's load budget, which all routers divide among themselves without coordination. A router derives
+//! its share from its part of the warm nodes' recent answers and from the number of routers that it considers live. One
+//! that underestimates this number claims too much.
 
 use fernknot::interface::Nanos;
 
-/// What warm nodes answer to a router is measured in this interval, as the decision module does.
+/// Interval at which routers measure their part of the warm nodes' answers, as in the decision module.
 pub(super) const MEASURING_INTERVAL: Nanos = Nanos(2_000_000_000);
-/// The weight of a new measurement.
-const GAIN: f64 = 0.2;
+/// Weight of a new measurement in the moving average, from 0 to 1.
+const MEASUREMENT_WEIGHT: f64 = 0.2;
 
-/// One router's part of the budget.
+/// Share of the budget that one router claims.
 pub(super) struct BudgetShare {
     share: f64,
-    /// Among how many routers it was shared last.
-    sharers: f64,
+    /// Number of routers that last divided the budget.
+    live_routers: f64,
 }
 
 impl BudgetShare {
-    /// An equal part for each router.
+    /// Creates the share of one of `routers` that divide the budget equally.
     pub fn new(routers: u32) -> BudgetShare {
-        BudgetShare { share: 1.0 / f64::from(routers), sharers: f64::from(routers) }
+        BudgetShare { share: 1.0 / f64::from(routers), live_routers: f64::from(routers) }
     }
 
-    /// The part that this router takes, from 0 to 1.
+    /// Share that this router claims, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// A new process has measured nothing; `is_restart` if another ran before it.
+    /// Resets the share for a new process; a restarted one has no measurement and claims nothing until it has one.
     pub fn process_started(&mut self, routers: u32, is_restart: bool) {
         if is_restart {
             self.share = 0.0;
         }
-        self.sharers = f64::from(routers);
+        self.live_routers = f64::from(routers);
     }
 
-    /// With more routers than were measured among, each takes less at once.
-    pub fn set_sharers(&mut self, sharers: usize) {
-        let sharers = sharers as f64;
-        if sharers > self.sharers {
-            self.share *= self.sharers / sharers;
+    /// Sets the number of live routers. An increase lowers the share at once, before the next measurement.
+    pub fn set_live_routers(&mut self, live_routers: usize) {
+        let live_routers = live_routers as f64;
+        if live_routers > self.live_routers {
+            self.share *= self.live_routers / live_routers;
         }
-        self.sharers = sharers;
+        self.live_routers = live_routers;
     }
 
-    /// What warm nodes answered to this router, as a share of what they answered to all of those that run.
-    pub fn measure(&mut self, measured_share: f64) {
-        let gain = if self.share > 0.0 { GAIN } else { 1.0 };
-        self.share += (measured_share - self.share) * gain;
+    /// Adds a measurement: the share of the warm nodes' answers that went to this router, from 0 to 1.
+    pub fn add_measurement(&mut self, measured_share: f64) {
+        let weight = if self.share > 0.0 { MEASUREMENT_WEIGHT } else { 1.0 };
+        self.share += (measured_share - self.share) * weight;
     }
 }
--- a/crates/fernknot-experiments/src/membership/fault_plan.rs
+++ b/crates/fernknot-experiments/src/membership/fault_plan.rs
@@ -1,60 +1,62 @@
-//! A scenario as faults with their times.
+//! Timed faults of a scenario.
 
 use super::scenario::Scenario;
 use super::timing::{
-    CRASH_INTERVAL, FAULT_END, FAULT_START, PAUSE, RESTART_SPREAD, ROLL_END, ROLL_INTERVAL, ROLL_START,
+    CRASH_INTERVAL, FAULT_END, FAULT_START, PAUSE_DURATION, RESTART_SPREAD, ROLL_KILL_DELAY,
+    ROLL_RESTART_DELAY, ROLL_STEP_INTERVAL,
 };
 use fernknot::interface::Nanos;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
-/// Processes that crash, with many routers and with few.
-const CRASHES: u32 = 5;
-const CRASHES_OF_FEW: u32 = 1;
-const MANY_ROUTERS: u32 = 10;
-/// The share of broken links that are broken both ways.
-const BOTH_WAYS_SHARE: f64 = 0.1;
+/// Number of crashes among more than [`SMALL_FLEET_MAX_ROUTERS`] routers.
+const CRASHES_IN_LARGE_FLEET: u32 = 5;
+/// Number of crashes among at most [`SMALL_FLEET_MAX_ROUTERS`] routers.
+const CRASHES_IN_SMALL_FLEET: u32 = 1;
+const SMALL_FLEET_MAX_ROUTERS: u32 = 10;
+/// Share of one-way faults that also break the opposite direction.
+const BIDIRECTIONAL_SHARE: f64 = 0.1;
 
-/// Something that happens to a process or to the network.
+/// Fault of a process or of the network, or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// The process is gone at once.
+    /// The process is killed without notice.
     Kill(u32),
-    /// The process announces that it leaves.
+    /// The process announces its shutdown.
     Leave(u32),
-    /// A process starts.
+    /// The process starts.
     Start(u32),
-    /// The process stands still.
+    /// The process is suspended.
     Suspend(u32),
-    /// The process runs on.
+    /// The process resumes.
     Resume(u32),
-    /// The network's fault begins.
+    /// The scenario's network fault begins.
     NetworkFaultBegins,
-    /// The network's fault is over.
+    /// The scenario's network fault ends.
     NetworkFaultEnds,
 }
 
-/// Two routers in the order of sending.
+/// Directed link between two routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Link {
-    /// The sender.
+    /// Number of the sender.
     pub from: u32,
-    /// The receiver.
+    /// Number of the receiver.
     pub to: u32,
 }
 
-/// All faults of a run.
+/// Faults of a run.
 pub(super) struct FaultPlan {
-    /// Each fault with its time.
+    /// Faults with their times.
     pub faults: Vec<(Nanos, Fault)>,
-    /// From when on routers are expected to find together again, if ever.
+    /// Time from which failed routers are expected to rejoin; `None` if none does.
     pub recovers_at: Option<Nanos>,
-    /// Links that are broken while the network's fault lasts.
+    /// Links that are broken during the network fault.
     pub broken_links: BTreeSet<Link>,
 }
 
-/// A random sample of routers, in ascending order.
+/// Draws up to `count` distinct routers, in ascending order.
 pub(super) fn sample(rng: &mut ChaCha8Rng, count: u32, routers: u32) -> Vec<u32> {
     let (count, all) = ((count as usize).min(routers as usize), routers as usize);
     let mut sample: Vec<u32> =
@@ -64,7 +66,7 @@
 }
 
 impl FaultPlan {
-    /// The faults of a scenario, drawn at random where it has a choice.
+    /// Creates the faults of a scenario; their victims and some times are random.
     pub fn new(scenario: Scenario, routers: u32, rng: &mut ChaCha8Rng) -> FaultPlan {
         match scenario {
             Scenario::Crash => FaultPlan::crash(routers, rng),
@@ -83,7 +85,8 @@
     }
 
     fn crash(routers: u32, rng: &mut ChaCha8Rng) -> FaultPlan {
-        let crashes = if routers > MANY_ROUTERS { CRASHES } else { CRASHES_OF_FEW };
+        let crashes =
+            if routers > SMALL_FLEET_MAX_ROUTERS { CRASHES_IN_LARGE_FLEET } else { CRASHES_IN_SMALL_FLEET };
         let victims = sample(rng, crashes, routers).into_iter();
         let time = |index: usize| FAULT_START + Nanos(index as u64 * CRASH_INTERVAL.0);
         let faults = victims.enumerate().map(|(index, victim)| (time(index), Fault::Kill(victim)));
@@ -92,9 +95,10 @@
 
     fn pause(routers: u32, rng: &mut ChaCha8Rng) -> FaultPlan {
         let victims = sample(rng, tenth(routers), routers).into_iter();
-        let pause =
-            |victim| [(FAULT_START, Fault::Suspend(victim)), (FAULT_START + PAUSE, Fault::Resume(victim))];
-        FaultPlan::of_processes(victims.flat_map(pause).collect(), Some(FAULT_START + PAUSE))
+        let pause = |victim| {
+            [(FAULT_START, Fault::Suspend(victim)), (FAULT_START + PAUSE_DURATION, Fault::Resume(victim))]
+        };
+        FaultPlan::of_processes(victims.flat_map(pause).collect(), Some(FAULT_START + PAUSE_DURATION))
     }
 
     fn mass_failure(routers: u32, rng: &mut ChaCha8Rng) -> FaultPlan {
@@ -112,10 +116,10 @@
         let mut faults = Vec::new();
         for (index, router) in order.iter().enumerate() {
             let step = index as u64 / u64::from(tenth(routers));
-            let begin = FAULT_START + Nanos(step * ROLL_INTERVAL.0);
-            faults.push((begin, Fault::Leave(router as u32)));
-            faults.push((begin + ROLL_END, Fault::Kill(router as u32)));
-            faults.push((begin + ROLL_START, Fault::Start(router as u32)));
+            let step_start = FAULT_START + Nanos(step * ROLL_STEP_INTERVAL.0);
+            faults.push((step_start, Fault::Leave(router as u32)));
+            faults.push((step_start + ROLL_KILL_DELAY, Fault::Kill(router as u32)));
+            faults.push((step_start + ROLL_RESTART_DELAY, Fault::Start(router as u32)));
         }
         FaultPlan::of_processes(faults, Some(FAULT_END))
     }
@@ -130,13 +134,13 @@
     (routers / 10).max(1)
 }
 
-/// Each router is not heard by one other, and a tenth of these pairs not either way.
+/// Draws for each router one other that cannot receive from it; for some of these pairs, neither direction works.
 fn one_way_links(routers: u32, rng: &mut ChaCha8Rng) -> BTreeSet<Link> {
     let mut links = BTreeSet::new();
     for from in 0..routers {
         let to = (from + rng.random_range(1..routers)) % routers;
         links.insert(Link { from, to });
-        if rng.random_bool(BOTH_WAYS_SHARE) {
+        if rng.random_bool(BIDIRECTIONAL_SHARE) {
             links.insert(Link { from: to, to: from });
         }
     }
--- a/crates/fernknot-experiments/src/membership/figures.rs
+++ b/crates/fernknot-experiments/src/membership/figures.rs
@@ -1,61 +1,62 @@
-//! The figures of runs. The names of fields are the keys of the output.
+//! Figures of runs. Field names, or their `rename`, are the keys of the output.
 
 use crate::report::rounded;
 use fernknot::interface::Nanos;
 use serde::Serialize;
 
-/// One run.
+/// Figures of one run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// `fleet`.
+    /// Name of the experiment, `fleet`.
     pub experiment: &'static str,
-    /// The name of the variant.
+    /// Name of the variant.
     pub variant: &'static str,
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// The name of the scenario.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: u32,
-    /// Failures of a router that ran and could be heard by one that could be heard.
+    /// Number of times that a router declared another one failed although it ran and could reach the observer.
     #[serde(rename = "false_lost")]
     pub false_failures: u64,
-    /// From the end of a process until each live router takes it for failed, in the median; -1 where there was none.
+    /// Median time from the end of a process until a live router declares it failed; -1 if none did.
     pub detect_p50_ms: f64,
-    /// The same at the 99th percentile.
+    /// 99th percentile of that time; -1 if none did.
     pub detect_p99_ms: f64,
-    /// Pairs of a live router and a dead one that it did not take for failed in the end.
+    /// Number of pairs of a live router and a dead one that it shows as neither failed nor left at the end.
     pub undetected: u64,
-    /// From the fault's end until each router that counted as failed, and runs, counts as alive again.
+    /// 99th percentile of the time from the fault's end until an observer no longer shows a router as failed; -1 if none
+    /// recovered.
     pub rejoin_p99_ms: f64,
-    /// Pairs of running routers of which one took the other for failed or gone in the end.
+    /// Number of ordered pairs of running routers of which one shows the other as failed or left at the end.
     #[serde(rename = "unjoined")]
     pub not_rejoined: u64,
-    /// The most often that one router counted as failed or came back at another.
+    /// Maximum number of changes to or from failed of one router at one observer.
     #[serde(rename = "verdict_changes")]
     pub failure_changes: u32,
-    /// Datagrams that one router sent in a second, in the mean.
+    /// Mean number of datagrams sent per router and second.
     pub datagrams_per_s: f64,
-    /// Datagrams of the worst second of any router.
+    /// Maximum number of datagrams that any router sent in one second.
     #[serde(rename = "datagrams_most_per_s")]
     pub max_datagrams_per_s: u64,
-    /// Bytes that one router sent in a second, in the mean.
+    /// Mean number of bytes sent per router and second.
     pub bytes_per_s: f64,
-    /// By how much the parts of a cold node's budget that all routers take together exceeded the whole.
+    /// Maximum excess of the sum of all routers' shares of a cold node's budget over the budget, as a share of it.
     pub cold_overload_share: f64,
 }
 
-/// Times of which quantiles are shown.
+/// Durations for which quantiles are reported.
 #[derive(Default)]
 pub(super) struct Durations(Vec<u64>);
 
 impl Durations {
-    /// Adds one.
+    /// Adds a duration.
     pub fn add(&mut self, duration: Nanos) {
         self.0.push(duration.0);
     }
 
-    /// The time that this share does not exceed, in milliseconds; -1 where there is none.
+    /// Returns the quantile at `share`, from 0 to 1, in milliseconds; -1 if there are no durations.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let mut sorted = self.0.clone();
         sorted.sort_unstable();
--- a/crates/fernknot-experiments/src/membership/fixed_heartbeat.rs
+++ b/crates/fernknot-experiments/src/membership/fixed_heartbeat.rs
@@ -1,4 +1,4 @@
-//! The baseline: heartbeats to all with one time-out, the simplest that could work.
+//! Baseline protocol: heartbeats to all other routers, with a fixed time-out.
 
 use super::process_io::{Input, Output};
 use fernknot::interface::Nanos;
@@ -8,62 +8,62 @@
 const HEARTBEAT_TIMEOUT: Nanos = Nanos(3_000_000_000);
 const HEARTBEAT_BYTES: usize = 16;
 
-/// What one router knows of another.
+/// State of a peer, as seen by one router.
 struct Peer {
-    last_heard: Nanos,
+    last_received: Nanos,
     is_failed: bool,
     failure_changes: u32,
 }
 
-/// One router that sends heartbeats to all others.
+/// Router that sends heartbeats to all others.
 pub(super) struct FixedHeartbeat {
-    own: u32,
+    local: u32,
     routers: u32,
-    /// Those that were ever heard.
+    /// Routers from which a heartbeat was received.
     peers: BTreeMap<u32, Peer>,
     next_heartbeat: Nanos,
 }
 
 impl FixedHeartbeat {
-    /// A router that sends its first heartbeat at this time.
-    pub fn new(own: u32, routers: u32, first_heartbeat: Nanos) -> FixedHeartbeat {
-        FixedHeartbeat { own, routers, peers: BTreeMap::new(), next_heartbeat: first_heartbeat }
+    /// Creates a router that sends its first heartbeat at this time.
+    pub fn new(local: u32, routers: u32, first_heartbeat: Nanos) -> FixedHeartbeat {
+        FixedHeartbeat { local, routers, peers: BTreeMap::new(), next_heartbeat: first_heartbeat }
     }
 
-    /// When the next turn is due.
+    /// Time of the next heartbeat.
     pub fn next_wakeup(&self) -> Nanos {
         self.next_heartbeat
     }
 
-    /// Whether this router takes the other one for failed.
+    /// Whether the other router has timed out.
     pub fn is_failed(&self, router: u32) -> bool {
         self.peers.get(&router).is_some_and(|peer| peer.is_failed)
     }
 
-    /// The most often that one router counted as failed or came back.
+    /// Returns the maximum number of changes to or from failed over all peers.
     pub fn max_failure_changes(&self) -> u32 {
         self.peers.values().map(|peer| peer.failure_changes).max().unwrap_or(0)
     }
 
-    /// One turn of the event loop.
-    pub fn turn(&mut self, now: Nanos, inbox: impl IntoIterator<Item = Input>) -> Vec<Output> {
+    /// Runs one iteration of the event loop: receives the datagrams, checks time-outs and sends heartbeats that are due.
+    pub fn run_iteration(&mut self, now: Nanos, inbox: impl IntoIterator<Item = Input>) -> Vec<Output> {
         let mut outputs = Vec::new();
         for input in inbox {
             outputs.extend(self.receive(now, input.from));
         }
-        outputs.extend(self.time_out(now));
+        outputs.extend(self.check_timeouts(now));
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-            let others = (0..self.routers).filter(|to| *to != self.own);
+            let others = (0..self.routers).filter(|to| *to != self.local);
             outputs.extend(others.map(|to| Output::Send { to, bytes: vec![0; HEARTBEAT_BYTES] }));
         }
         outputs
     }
 
     fn receive(&mut self, now: Nanos, from: u32) -> Option<Output> {
-        let new = Peer { last_heard: now, is_failed: false, failure_changes: 0 };
+        let new = Peer { last_received: now, is_failed: false, failure_changes: 0 };
         let peer = self.peers.entry(from).or_insert(new);
-        peer.last_heard = now;
+        peer.last_received = now;
         if !std::mem::replace(&mut peer.is_failed, false) {
             return None;
         }
@@ -71,8 +71,8 @@
         Some(Output::FailureChanged { member: from, was_failed: true, is_failed: false })
     }
 
-    fn time_out(&mut self, now: Nanos) -> Vec<Output> {
-        let is_due = |peer: &Peer| peer.last_heard + HEARTBEAT_TIMEOUT <= now && !peer.is_failed;
+    fn check_timeouts(&mut self, now: Nanos) -> Vec<Output> {
+        let is_due = |peer: &Peer| peer.last_received + HEARTBEAT_TIMEOUT <= now && !peer.is_failed;
         let mut outputs = Vec::new();
         for (member, peer) in self.peers.iter_mut().filter(|(_, peer)| is_due(peer)) {
             peer.is_failed = true;
--- a/crates/fernknot-experiments/src/membership/host.rs
+++ b/crates/fernknot-experiments/src/membership/host.rs
@@ -1,4 +1,4 @@
-//! One router of the simulation: its process, its socket and what it sent.
+//! Simulated router: its process, its socket and its traffic.
 
 use super::cold_budget::BudgetShare;
 use super::fixed_heartbeat::FixedHeartbeat;
@@ -13,37 +13,37 @@
 const PROBE_PERIOD: Nanos = Nanos(400_000_000);
 const DATAGRAMS_PER_S: f64 = 16.0;
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// The socket of a suspended process keeps so many datagrams.
-const MAX_INBOX: usize = 256;
+/// Maximum number of datagrams in the socket buffer of a suspended process; further ones are dropped.
+const MAX_INBOX_DATAGRAMS: usize = 256;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
-/// The wall clock at the start of the simulation, in milliseconds.
+/// Wall-clock time at the start of the simulation, in milliseconds.
 const WALL_CLOCK_START_MS: u64 = 1_000_000;
-/// Spreads the seeds of runs.
+/// Multiplier that keeps the protocol seeds of different runs apart.
 const SEED_MULTIPLIER: u64 = 1_000_003;
 
-/// A router's process, by variant.
+/// Process of a router, by variant.
 pub(super) enum Process {
     Protocol(Box<MembershipProtocol>),
     FixedHeartbeat(FixedHeartbeat),
 }
 
-/// What a process is started with.
+/// Parameters of the start of a process.
 pub(super) struct ProcessStart {
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// The router's number.
+    /// Number of the router.
     pub router: u32,
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: u32,
-    /// How often this router was started before.
-    pub starts: u64,
-    /// The time of the start.
+    /// Number of earlier starts of this router.
+    pub start_count: u64,
+    /// Time of the start.
     pub now: Nanos,
 }
 
 impl Process {
-    /// The protocol of the router, or that with SWIM's parts alone.
+    /// Creates a process that runs a variant of the production protocol.
     pub fn protocol(variant: ProtocolVariant, start: &ProcessStart) -> Process {
         let settings = MembershipSettings {
             probe_period: PROBE_PERIOD,
@@ -52,15 +52,16 @@
             variant,
         };
         let started_ms = WALL_CLOCK_START_MS + start.now.0 / NANOS_PER_MILLISECOND;
-        let seed = start.seed.wrapping_mul(SEED_MULTIPLIER) ^ u64::from(start.router) << 20 ^ start.starts;
+        let seed =
+            start.seed.wrapping_mul(SEED_MULTIPLIER) ^ u64::from(start.router) << 20 ^ start.start_count;
         let all = (0..start.routers).map(RouterId);
         let (local, name_hash) = (RouterId(start.router), start.router);
         let protocol = MembershipProtocol::new(seed, settings, local, name_hash, started_ms, all, start.now);
         Process::Protocol(Box::new(protocol))
     }
 
-    /// Whether this process takes the router for failed or gone.
-    fn is_gone(&self, router: u32) -> bool {
+    /// Whether this process considers the router failed or left.
+    fn is_failed_or_left(&self, router: u32) -> bool {
         match self {
             Process::Protocol(protocol) => {
                 let status = protocol.member(RouterId(router)).map(|member| member.state.status);
@@ -86,24 +87,28 @@
         }
     }
 
-    fn turn(&mut self, now: Nanos, inbox: VecDeque<Input>) -> Vec<Output> {
+    fn run_iteration(&mut self, now: Nanos, inbox: VecDeque<Input>) -> Vec<Output> {
         match self {
-            Process::Protocol(protocol) => turn_protocol(protocol, now, inbox),
-            Process::FixedHeartbeat(heartbeat) => heartbeat.turn(now, inbox),
+            Process::Protocol(protocol) => run_protocol_iteration(protocol, now, inbox),
+            Process::FixedHeartbeat(heartbeat) => heartbeat.run_iteration(now, inbox),
         }
     }
 }
 
-fn turn_protocol(protocol: &mut MembershipProtocol, now: Nanos, inbox: VecDeque<Input>) -> Vec<Output> {
+fn run_protocol_iteration(
+    protocol: &mut MembershipProtocol,
+    now: Nanos,
+    inbox: VecDeque<Input>,
+) -> Vec<Output> {
     protocol.wake(now);
     for input in inbox {
-        // The router counts rejected datagrams; here they are of no interest.
+        // The production router counts rejected datagrams; no figure of the experiment needs them.
         let _ = protocol.receive(now, Some(RouterId(input.from)), &input.bytes);
     }
-    std::iter::from_fn(|| protocol.poll_action(now)).filter_map(output).collect()
+    std::iter::from_fn(|| protocol.poll_action(now)).filter_map(to_output).collect()
 }
 
-fn output(action: Action) -> Option<Output> {
+fn to_output(action: Action) -> Option<Output> {
     match action {
         Action::Send { to, bytes } => Some(Output::Send { to: to.0, bytes }),
         Action::StatusChanged { member, from, to, .. } => Some(Output::FailureChanged {
@@ -115,47 +120,48 @@
     }
 }
 
-/// What a host sent.
+/// Counts of the datagrams that a host sent.
 #[derive(Default)]
 pub(super) struct Traffic {
-    /// Datagrams in all.
+    /// Total number of datagrams.
     pub datagrams: u64,
-    /// Bytes in all.
+    /// Total number of bytes.
     pub bytes: u64,
-    /// Datagrams in the second that was the worst so far.
+    /// Maximum number of datagrams in one second.
     pub max_per_second: u64,
     current_second: u64,
-    in_current_second: u64,
+    datagrams_in_current_second: u64,
 }
 
 impl Traffic {
-    /// Counts a datagram.
+    /// Counts a datagram of this size.
     pub fn add(&mut self, now: Nanos, bytes: usize) {
         let second = now.0 / NANOS_PER_SECOND;
         self.datagrams += 1;
         self.bytes += bytes as u64;
-        self.in_current_second = if second == self.current_second { self.in_current_second + 1 } else { 1 };
+        self.datagrams_in_current_second =
+            if second == self.current_second { self.datagrams_in_current_second + 1 } else { 1 };
         self.current_second = second;
-        self.max_per_second = self.max_per_second.max(self.in_current_second);
+        self.max_per_second = self.max_per_second.max(self.datagrams_in_current_second);
     }
 }
 
-/// One router.
+/// Simulated router.
 pub(super) struct Host {
     process: Option<Process>,
     is_suspended: bool,
     inbox: VecDeque<Input>,
-    /// The wake-up that counts; earlier ones are passed over.
+    /// Time of the next wake-up; wake-up events with another time are stale and ignored.
     pub wake_at: Nanos,
-    /// What it sent.
+    /// Traffic that the router sent.
     pub traffic: Traffic,
-    /// Its part of a cold node's budget.
+    /// Share of a cold node's budget that the router claims.
     pub budget: BudgetShare,
-    starts: u64,
+    start_count: u64,
 }
 
 impl Host {
-    /// A router without a process.
+    /// Creates one of `routers` routers, without a process.
     pub fn new(routers: u32) -> Host {
         Host {
             process: None,
@@ -164,7 +170,7 @@
             wake_at: Nanos(0),
             traffic: Traffic::default(),
             budget: BudgetShare::new(routers),
-            starts: 0,
+            start_count: 0,
         }
     }
 
@@ -173,7 +179,7 @@
         self.process.is_some()
     }
 
-    /// Whether its process stands still.
+    /// Whether the process is suspended.
     pub fn is_suspended(&self) -> bool {
         self.is_suspended
     }
@@ -183,64 +189,64 @@
         self.has_process() && !self.is_suspended
     }
 
-    /// How often a process was started.
-    pub fn starts(&self) -> u64 {
-        self.starts
+    /// Number of processes started so far.
+    pub fn start_count(&self) -> u64 {
+        self.start_count
     }
 
-    /// Starts a process.
+    /// Starts a process; `routers` is the number of all routers.
     pub fn start(&mut self, process: Process, routers: u32) {
-        self.budget.process_started(routers, self.starts > 0);
-        self.starts += 1;
+        self.budget.process_started(routers, self.start_count > 0);
+        self.start_count += 1;
         self.process = Some(process);
     }
 
-    /// The process is gone at once, with what waits for it.
+    /// Kills the process without notice and discards its received datagrams.
     pub fn kill(&mut self) {
         self.process = None;
         self.inbox.clear();
     }
 
-    /// The process announces that it leaves.
+    /// Makes the process announce its shutdown; the baseline has no announcement.
     pub fn leave(&mut self, now: Nanos) {
         if let Some(Process::Protocol(protocol)) = &mut self.process {
             protocol.leave(now);
         }
     }
 
-    /// The process stands still, or runs on.
+    /// Suspends or resumes the process.
     pub fn set_suspended(&mut self, is_suspended: bool) {
         self.is_suspended = is_suspended;
     }
 
-    /// Keeps a datagram for the next turn, if there is room.
+    /// Buffers a datagram for the next iteration, or drops it if the buffer is full.
     pub fn deliver(&mut self, input: Input) {
-        if self.inbox.len() < MAX_INBOX {
+        if self.inbox.len() < MAX_INBOX_DATAGRAMS {
             self.inbox.push_back(input);
         }
     }
 
-    /// One turn of the process's event loop; `None` if no process is active.
-    pub fn turn(&mut self, now: Nanos) -> Option<Vec<Output>> {
+    /// Runs one iteration of the process's event loop; returns `None` if no process is active.
+    pub fn run_iteration(&mut self, now: Nanos) -> Option<Vec<Output>> {
         if self.is_suspended {
             return None;
         }
         let inbox = std::mem::take(&mut self.inbox);
         let process = self.process.as_mut()?;
-        let outputs = process.turn(now, inbox);
+        let outputs = process.run_iteration(now, inbox);
         if let Process::Protocol(protocol) = process {
-            self.budget.set_sharers(protocol.quota_sharers(now));
+            self.budget.set_live_routers(protocol.quota_sharers(now));
         }
         self.wake_at = process.next_wakeup();
         Some(outputs)
     }
 
-    /// Whether the process takes the router for failed or gone.
-    pub fn is_gone(&self, router: u32) -> bool {
-        self.process.as_ref().is_some_and(|process| process.is_gone(router))
+    /// Whether the process considers the router failed or left.
+    pub fn is_failed_or_left(&self, router: u32) -> bool {
+        self.process.as_ref().is_some_and(|process| process.is_failed_or_left(router))
     }
 
-    /// The most often that one router counted as failed or came back here.
+    /// Returns the maximum number of changes to or from failed of one router at this observer.
     pub fn max_failure_changes(&self) -> u32 {
         self.process.as_ref().map_or(0, Process::max_failure_changes)
     }
--- a/crates/fernknot-experiments/src/membership/network.rs
+++ b/crates/fernknot-experiments/src/membership/network.rs
@@ -1,4 +1,4 @@
-//! Which datagrams the network delivers.
+//! Simulated network: loss, blocked links and delays of datagrams.
 
 use super::fault_plan::Link;
 use super::scenario::Scenario;
@@ -7,10 +7,10 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
-/// The share of datagrams that is lost while losses last.
+/// Share of datagrams lost during the fault of the loss scenario, outside bursts.
 const LOSS_SHARE: f64 = 0.2;
-/// How long a datagram takes.
-const DELAYS: std::ops::Range<u64> = 200_000..2_000_000;
+/// Range of the one-way delay of a datagram, in nanoseconds.
+const DELAY_RANGE_NANOS: std::ops::Range<u64> = 200_000..2_000_000;
 
 /// The network and its faults.
 pub(super) struct Network {
@@ -18,18 +18,18 @@
     routers: u32,
     broken_links: BTreeSet<Link>,
     is_faulty: bool,
-    /// Until when all that a router sends is lost.
-    burst_until: Vec<Nanos>,
+    /// End of each router's loss burst, in which all datagrams that it sends are lost.
+    loss_burst_until: Vec<Nanos>,
 }
 
 impl Network {
-    /// A network without a fault yet.
+    /// Creates a network whose fault has not begun.
     pub fn new(scenario: Scenario, routers: u32, broken_links: BTreeSet<Link>) -> Network {
-        let burst_until = vec![Nanos(0); routers as usize];
-        Network { scenario, routers, broken_links, is_faulty: false, burst_until }
+        let loss_burst_until = vec![Nanos(0); routers as usize];
+        Network { scenario, routers, broken_links, is_faulty: false, loss_burst_until }
     }
 
-    /// Whether the scenario's fault lasts.
+    /// Whether the scenario's fault is active.
     pub fn is_faulty(&self) -> bool {
         self.is_faulty
     }
@@ -39,13 +39,13 @@
         self.is_faulty = is_faulty;
     }
 
-    /// All that this router sends until then is lost, while the fault lasts.
-    pub fn begin_burst(&mut self, router: u32, until: Nanos) {
-        self.burst_until[router as usize] = until;
+    /// Begins a burst in which all datagrams that this router sends are lost, until `until` or the end of the fault.
+    pub fn begin_loss_burst(&mut self, router: u32, until: Nanos) {
+        self.loss_burst_until[router as usize] = until;
     }
 
-    /// Whether links that are broken for good leave `receiver` within hearing of `sender`.
-    pub fn hears(&self, receiver: u32, sender: u32) -> bool {
+    /// Whether the link from `sender` to `receiver` is intact; random losses do not count as broken.
+    pub fn receives_from(&self, receiver: u32, sender: u32) -> bool {
         if !self.is_faulty {
             return true;
         }
@@ -58,19 +58,19 @@
         }
     }
 
-    /// Whether all routers hear of each other through third ones while the fault lasts, though not all directly.
-    pub fn is_heard_through_others(&self) -> bool {
+    /// Whether all routers can reach each other through other routers during the fault, though not all directly.
+    pub fn has_indirect_paths(&self) -> bool {
         matches!(self.scenario, Scenario::Ring | Scenario::OneWay)
     }
 
-    /// After what time a datagram is delivered; `None` if it is lost.
+    /// Draws the delay after which a datagram is delivered; `None` if it is lost.
     pub fn transmit(&self, rng: &mut ChaCha8Rng, now: Nanos, from: u32, to: u32) -> Option<Nanos> {
-        let passes = match self.scenario {
+        let is_delivered = match self.scenario {
             Scenario::Loss if self.is_faulty => {
-                self.burst_until[from as usize] <= now && !rng.random_bool(LOSS_SHARE)
+                self.loss_burst_until[from as usize] <= now && !rng.random_bool(LOSS_SHARE)
             }
-            _ => self.hears(to, from),
+            _ => self.receives_from(to, from),
         };
-        passes.then(|| Nanos(rng.random_range(DELAYS)))
+        is_delivered.then(|| Nanos(rng.random_range(DELAY_RANGE_NANOS)))
     }
 }
--- a/crates/fernknot-experiments/src/membership/process_io.rs
+++ b/crates/fernknot-experiments/src/membership/process_io.rs
@@ -1,20 +1,20 @@
-//! What passes between a process and its host.
+//! Inputs and outputs of a simulated process.
 
-/// A datagram that arrived.
+/// Received datagram.
 pub(super) struct Input {
-    /// The sender.
+    /// Number of the sender.
     pub from: u32,
-    /// The datagram.
+    /// Payload of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// What a process does in a turn.
+/// Output of one iteration of the event loop of a process.
 pub(super) enum Output {
     Send {
         to: u32,
         bytes: Vec<u8>,
     },
-    /// Whether another router counts as failed has changed, or its status has otherwise.
+    /// The status of another router changed; the flags tell whether it counted and counts as failed.
     FailureChanged {
         member: u32,
         was_failed: bool,
--- a/crates/fernknot-experiments/src/membership/scenario.rs
+++ b/crates/fernknot-experiments/src/membership/scenario.rs
@@ -1,23 +1,23 @@
-//! The scenarios that are played.
+//! Fault scenarios.
 
-/// What goes wrong in a run.
+/// Fault scenario of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Some processes are killed, one after the other.
+    /// Some processes are killed, one after another.
     Crash,
-    /// A tenth of the processes is suspended for two seconds.
+    /// A tenth of the processes are suspended for two seconds.
     Pause,
-    /// A fifth of all datagrams is lost, and all of a twentieth of the routers at any time.
+    /// A fifth of all datagrams are lost, and at any time all datagrams from a twentieth of the routers.
     Loss,
-    /// Each router is not heard by one other.
+    /// Each router has one other that cannot receive from it.
     OneWay,
-    /// Each router hears its left neighbour alone.
+    /// Each router receives only from its left neighbour in a ring.
     Ring,
-    /// Two fifths of the routers and the rest do not hear each other.
+    /// Two fifths of the routers are partitioned from the rest.
     Partition,
-    /// Seven in ten processes are killed at once, and start again.
+    /// Seven in ten processes are killed at once, and restart.
     MassFailure,
-    /// All processes leave and start again, a tenth of them at a time.
+    /// All processes shut down and restart, a tenth of them at a time.
     RollingRestart,
 }
 
@@ -33,10 +33,10 @@
         Scenario::MassFailure,
         Scenario::RollingRestart,
     ];
-    /// Their names.
+    /// Names of all scenarios, in the order of [`ALL`](Self::ALL).
     pub const NAMES: [&str; 8] = ["crash", "pause", "loss20", "one-way", "ring", "split", "herd", "roll"];
 
-    /// Its name on the command line and in the output.
+    /// Returns the name used on the command line and in the output.
     pub fn name(self) -> &'static str {
         match self {
             Scenario::Crash => Scenario::NAMES[0],
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The scenario of this name.
+    /// Returns the scenario with this name; `None` if there is none.
     pub fn from_name(name: &str) -> Option<Scenario> {
         Scenario::ALL.into_iter().find(|scenario| scenario.name() == name)
     }
--- a/crates/fernknot-experiments/src/membership/simulation.rs
+++ b/crates/fernknot-experiments/src/membership/simulation.rs
@@ -1,4 +1,4 @@
-//! All routers and the network between them, in simulated time.
+//! Discrete-event simulation of all routers and the network between them.
 
 use super::cold_budget::MEASURING_INTERVAL;
 use super::fault_plan::{Fault, FaultPlan, sample};
@@ -8,7 +8,7 @@
 use super::network::Network;
 use super::process_io::{Input, Output};
 use super::scenario::Scenario;
-use super::timing::{BURST, FAULT_START, START_SPREAD};
+use super::timing::{BURST_DURATION, FAULT_START, START_SPREAD};
 use super::variant::Variant;
 use crate::event_queue::EventQueue;
 use crate::report::rounded;
@@ -17,7 +17,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// One in so many routers is in a burst of losses at any time.
+/// Number of routers for each one that is in a loss burst.
 const ROUTERS_PER_BURST: u32 = 20;
 
 enum Event {
@@ -26,18 +26,18 @@
         to: u32,
         bytes: Vec<u8>,
     },
-    Turn(u32),
+    WakeUp(u32),
     Fault(Fault),
-    /// Some routers begin a burst of losses.
-    BurstBegins,
-    /// Routers measure their parts of the cold node's budget.
+    /// A random sample of routers begins a loss burst.
+    LossBurstBegins,
+    /// Routers measure their shares of the cold node's budget.
     BudgetMeasurement,
 }
 
-/// What is recorded for the figures.
+/// Observations for the figures.
 #[derive(Default)]
 struct Observations {
-    /// When processes that are dead ended.
+    /// Time of death of each router that is dead.
     died_at: BTreeMap<u32, Nanos>,
     detection_times: Durations,
     rejoin_times: Durations,
@@ -45,7 +45,7 @@
     max_cold_overload: f64,
 }
 
-/// All routers and the network between them.
+/// Routers and the network between them, in simulated time.
 pub(super) struct MembershipSimulation {
     variant: Variant,
     scenario: Scenario,
@@ -60,7 +60,7 @@
 }
 
 impl MembershipSimulation {
-    /// A run before its first event.
+    /// Creates a run with all starts and faults scheduled.
     pub fn new(variant: Variant, scenario: Scenario, routers: u32, seed: u64) -> MembershipSimulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut events = EventQueue::new();
@@ -87,11 +87,11 @@
         }
     }
 
-    /// Runs until this time.
+    /// Runs all events up to `until`, inclusive.
     pub fn run(&mut self, until: Nanos) {
         while let Some((at, event)) = self.events.pop().filter(|(at, _)| *at <= until) {
             self.now = at;
-            self.handle(event);
+            self.handle_event(event);
         }
         self.now = until;
     }
@@ -104,20 +104,22 @@
         &mut self.hosts[router as usize]
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Delivery { from, to, bytes } => self.deliver(from, to, bytes),
-            Event::Turn(router) if self.hosts[router as usize].wake_at == self.now => self.turn(router),
-            Event::Turn(_) => {}
-            Event::Fault(fault) => self.inject(fault),
-            Event::BurstBegins => self.begin_bursts(),
+            Event::WakeUp(router) if self.hosts[router as usize].wake_at == self.now => {
+                self.run_iteration(router)
+            }
+            Event::WakeUp(_) => {}
+            Event::Fault(fault) => self.inject_fault(fault),
+            Event::LossBurstBegins => self.begin_loss_bursts(),
             Event::BudgetMeasurement => self.measure_budgets(),
         }
     }
 
     // ---- Faults ----------------------------------------------------------------------------
 
-    fn inject(&mut self, fault: Fault) {
+    fn inject_fault(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
             Fault::Kill(router) => {
@@ -126,18 +128,18 @@
             }
             Fault::Leave(router) => {
                 self.host(router).leave(now);
-                self.turn(router);
+                self.run_iteration(router);
             }
             Fault::Start(router) => self.start(router),
             Fault::Suspend(router) => self.host(router).set_suspended(true),
             Fault::Resume(router) => {
                 self.host(router).set_suspended(false);
-                self.turn(router);
+                self.run_iteration(router);
             }
             Fault::NetworkFaultBegins => {
                 self.network.set_faulty(true);
                 if self.scenario == Scenario::Loss {
-                    self.events.schedule(now, Event::BurstBegins);
+                    self.events.schedule(now, Event::LossBurstBegins);
                 }
             }
             Fault::NetworkFaultEnds => self.network.set_faulty(false),
@@ -149,32 +151,32 @@
         let process = self.new_process(router);
         self.host(router).start(process, routers);
         self.observations.died_at.remove(&router);
-        self.turn(router);
+        self.run_iteration(router);
     }
 
     fn new_process(&mut self, router: u32) -> Process {
         let (routers, now) = (self.routers(), self.now);
         match self.variant.protocol_variant() {
             Some(variant) => {
-                let starts = self.host(router).starts();
-                let start = ProcessStart { seed: self.seed, router, routers, starts, now };
+                let start_count = self.host(router).start_count();
+                let start = ProcessStart { seed: self.seed, router, routers, start_count, now };
                 Process::protocol(variant, &start)
             }
             None => {
-                let first = now + HEARTBEAT_INTERVAL.times(self.rng.random());
-                Process::FixedHeartbeat(FixedHeartbeat::new(router, routers, first))
+                let first_heartbeat = now + HEARTBEAT_INTERVAL.times(self.rng.random());
+                Process::FixedHeartbeat(FixedHeartbeat::new(router, routers, first_heartbeat))
             }
         }
     }
 
-    /// A twentieth of the routers at any time sends into the void for a second.
-    fn begin_bursts(&mut self) {
+    /// Begins a loss burst for a sample of the routers, and schedules the next one while the fault is active.
+    fn begin_loss_bursts(&mut self) {
         let (now, routers) = (self.now, self.routers());
         for router in sample(&mut self.rng, (routers / ROUTERS_PER_BURST).max(1), routers) {
-            self.network.begin_burst(router, now + BURST);
+            self.network.begin_loss_burst(router, now + BURST_DURATION);
         }
         if self.network.is_faulty() {
-            self.events.schedule(now + BURST, Event::BurstBegins);
+            self.events.schedule(now + BURST_DURATION, Event::LossBurstBegins);
         }
     }
 
@@ -186,13 +188,13 @@
             return;
         }
         host.deliver(Input { from, bytes });
-        self.turn(to);
+        self.run_iteration(to);
     }
 
-    /// One turn of a router's event loop.
-    fn turn(&mut self, router: u32) {
+    /// Runs one iteration of a router's event loop.
+    fn run_iteration(&mut self, router: u32) {
         let now = self.now;
-        let Some(outputs) = self.host(router).turn(now) else { return };
+        let Some(outputs) = self.host(router).run_iteration(now) else { return };
         for output in outputs {
             match output {
                 Output::Send { to, bytes } => self.send(router, to, bytes),
@@ -202,7 +204,7 @@
             }
         }
         let wake_at = self.host(router).wake_at;
-        self.events.schedule(wake_at, Event::Turn(router));
+        self.events.schedule(wake_at, Event::WakeUp(router));
     }
 
     fn send(&mut self, from: u32, to: u32, bytes: Vec<u8>) {
@@ -215,12 +217,12 @@
 
     // ---- Observations ----------------------------------------------------------------------
 
-    /// Whether `member` counts as failed at `observer` has changed.
+    /// Records a status change of `member` at `observer`.
     fn observe_change(&mut self, observer: u32, member: u32, was_failed: bool, is_failed: bool) {
         if is_failed {
             self.observe_failure(observer, member);
-        } else if was_failed && let Some(since) = self.recovers_at.filter(|at| *at <= self.now) {
-            self.observations.rejoin_times.add(self.now - since);
+        } else if was_failed && let Some(recovers_at) = self.recovers_at.filter(|at| *at <= self.now) {
+            self.observations.rejoin_times.add(self.now - recovers_at);
         }
     }
 
@@ -229,38 +231,40 @@
             self.observations.detection_times.add(self.now - *died_at);
             return;
         }
-        // A process that is suspended cannot be heard; neither can one beyond a partition.
-        let can_be_heard = self.network.hears(observer, member) || self.network.is_heard_through_others();
-        if can_be_heard && !self.hosts[member as usize].is_suspended() {
+        // The failure is false only if the process could send and a path from it to the observer was intact.
+        let is_reachable = self.network.receives_from(observer, member) || self.network.has_indirect_paths();
+        if is_reachable && !self.hosts[member as usize].is_suspended() {
             self.observations.false_failures += 1;
         }
     }
 
-    /// Routers measure what warm nodes answered to each of them, which is the same to all that are active.
+    /// Records the excess of all claimed shares over the budget, then lets the active routers measure their shares. Load is
+    /// even, so that each active router gets an equal share of the warm nodes' answers.
     fn measure_budgets(&mut self) {
         let active = self.hosts.iter().filter(|host| host.is_active()).count().max(1);
         let with_process = self.hosts.iter().filter(|host| host.has_process());
-        let taken: f64 = with_process.map(|host| host.budget.share()).sum();
+        let claimed: f64 = with_process.map(|host| host.budget.share()).sum();
         if self.now >= FAULT_START {
-            self.observations.max_cold_overload = self.observations.max_cold_overload.max(taken - 1.0);
+            self.observations.max_cold_overload = self.observations.max_cold_overload.max(claimed - 1.0);
         }
         for host in self.hosts.iter_mut().filter(|host| host.is_active()) {
-            host.budget.measure(1.0 / active as f64);
+            host.budget.add_measurement(1.0 / active as f64);
         }
         self.events.schedule(self.now + MEASURING_INTERVAL, Event::BudgetMeasurement);
     }
 
-    /// Pairs of a host with a process and one of `members` that it takes for gone, or not.
-    fn count_pairs(&self, members: &[u32], is_gone: bool) -> u64 {
+    /// Counts the pairs of a host with a process and another one of `members` whose failed-or-left state there is
+    /// `is_failed_or_left`.
+    fn count_pairs(&self, members: &[u32], is_failed_or_left: bool) -> u64 {
         let observers = (0..self.routers()).zip(&self.hosts).filter(|(_, host)| host.has_process());
         let count = |(observer, host): (u32, &Host)| {
             let others = members.iter().filter(|member| **member != observer);
-            others.filter(|member| host.is_gone(**member) == is_gone).count() as u64
+            others.filter(|member| host.is_failed_or_left(**member) == is_failed_or_left).count() as u64
         };
         observers.map(count).sum()
     }
 
-    /// The figures of the run.
+    /// Returns the figures of the run.
     pub fn row(&self) -> Row {
         let routers = self.routers();
         let running: Vec<u32> =
--- a/crates/fernknot-experiments/src/membership/timing.rs
+++ b/crates/fernknot-experiments/src/membership/timing.rs
@@ -1,30 +1,32 @@
-//! When things happen in a run.
+//! Times of a run, and durations and intervals of its faults.
 
 use fernknot::interface::Nanos;
 
-const MILLISECOND: u64 = 1_000_000;
+const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
 const fn millis(ms: u64) -> Nanos {
-    Nanos(ms * MILLISECOND)
+    Nanos(ms * NANOS_PER_MILLISECOND)
 }
 
-/// Routers start at random within this time.
+/// Period at the beginning of a run in which the routers start, at random times.
 pub(super) const START_SPREAD: Nanos = millis(500);
-/// When the scenario's fault begins.
+/// Time of the scenario's first fault.
 pub(super) const FAULT_START: Nanos = millis(15_000);
-/// When a fault that lasts is over.
+/// End of a fault that lasts.
 pub(super) const FAULT_END: Nanos = millis(25_000);
-/// When the run is over.
-pub(super) const END: Nanos = millis(40_000);
-/// How long a paused process is suspended.
-pub(super) const PAUSE: Nanos = millis(2000);
-/// The time between two crashes.
+/// End of the run.
+pub(super) const RUN_END: Nanos = millis(40_000);
+/// Time for which a paused process is suspended.
+pub(super) const PAUSE_DURATION: Nanos = millis(2000);
+/// Time between two crashes.
 pub(super) const CRASH_INTERVAL: Nanos = millis(1500);
-/// Routers that failed together start again at random within this time.
+/// Period in which routers that failed together restart, at random times.
 pub(super) const RESTART_SPREAD: Nanos = millis(2000);
-/// The time between two steps of a rolling restart, and in a step until the process ends and starts again.
-pub(super) const ROLL_INTERVAL: Nanos = millis(1000);
-pub(super) const ROLL_END: Nanos = millis(400);
-pub(super) const ROLL_START: Nanos = millis(1400);
-/// How long a burst of losses lasts.
-pub(super) const BURST: Nanos = millis(1000);
+/// Time between two steps of a rolling restart.
+pub(super) const ROLL_STEP_INTERVAL: Nanos = millis(1000);
+/// Time from the announced shutdown of a process until its end, in a rolling restart.
+pub(super) const ROLL_KILL_DELAY: Nanos = millis(400);
+/// Time from the announced shutdown of a process until its restart, in a rolling restart.
+pub(super) const ROLL_RESTART_DELAY: Nanos = millis(1400);
+/// Duration of a loss burst.
+pub(super) const BURST_DURATION: Nanos = millis(1000);
--- a/crates/fernknot-experiments/src/membership/variant.rs
+++ b/crates/fernknot-experiments/src/membership/variant.rs
@@ -1,25 +1,25 @@
-//! The variants that are compared.
+//! Variants of the membership protocol.
 
 use fernknot_membership::Variant as ProtocolVariant;
 
-/// What is compared: this build, and two baselines.
+/// Membership protocol of a run: the production one, or a baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// The protocol as the router runs it.
+    /// Production protocol.
     Full,
-    /// The same with SWIM's parts alone.
+    /// Protocol reduced to plain SWIM.
     PlainSwim,
-    /// Heartbeats to all with one time-out.
+    /// Heartbeats to all other routers, with a fixed time-out.
     FixedHeartbeat,
 }
 
 impl Variant {
     /// All variants, in the order of the output.
     pub const ALL: [Variant; 3] = [Variant::Full, Variant::PlainSwim, Variant::FixedHeartbeat];
-    /// Their names.
+    /// Names of all variants, in the order of [`ALL`](Self::ALL).
     pub const NAMES: [&str; 3] = ["fleet", "plain", "fixed"];
 
-    /// Its name on the command line and in the output.
+    /// Returns the name used on the command line and in the output.
     pub fn name(self) -> &'static str {
         match self {
             Variant::Full => Variant::NAMES[0],
@@ -28,12 +28,12 @@
         }
     }
 
-    /// The variant of this name.
+    /// Returns the variant with this name; `None` if there is none.
     pub fn from_name(name: &str) -> Option<Variant> {
         Variant::ALL.into_iter().find(|variant| variant.name() == name)
     }
 
-    /// The variant of the protocol; `None` where another one runs.
+    /// Returns the variant of the production protocol; `None` for fixed heartbeats.
     pub(super) fn protocol_variant(self) -> Option<ProtocolVariant> {
         match self {
             Variant::Full => Some(ProtocolVariant::Full),
--- a/crates/fernknot-experiments/src/parallel.rs
+++ b/crates/fernknot-experiments/src/parallel.rs
@@ -1,9 +1,13 @@
-//! Runs side by side, whose results stand in the order of the cases.
+//! Parallel runs with results in the order of the cases.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// The result of each case, in their order. A run that panics ends the program.
+/// Runs all cases on the available cores and returns their results in order.
+///
+/// # Panics
+///
+/// Panics if a run panics.
 pub(crate) fn map<C: Sync, R: Send>(cases: &[C], run: impl Fn(&C) -> R + Sync) -> Vec<R> {
     let next_case = AtomicUsize::new(0);
     let worker = || {
--- a/crates/fernknot-experiments/src/report.rs
+++ b/crates/fernknot-experiments/src/report.rs
@@ -1,22 +1,22 @@
-//! Figures as JSON lines and as a table.
+//! Output of figures as JSON lines or as a table.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// One JSON object a line, keys in the order of the fields.
+/// Formats each row as a JSON object on its own line, with keys in the order of the fields.
 pub fn json<T: Serialize>(rows: &[T]) -> String {
     // Serialising plain structs of numbers and strings cannot fail.
     rows.iter().map(|row| serde_json::to_string(row).unwrap_or_default() + "\n").collect()
 }
 
-/// A table in Markdown, with the names of the fields as its head.
+/// Formats the rows as a Markdown table whose header has the names of the fields.
 pub fn table<T: Serialize>(rows: &[T]) -> String {
     let rows: Vec<Vec<Cell>> = rows.iter().filter_map(cells).collect();
     let Some(first) = rows.first() else { return String::new() };
-    let head = table_line(first.iter().map(|cell| cell.key.as_str()).collect());
-    let rule = table_line(first.iter().map(|_| "---").collect());
+    let header = table_line(first.iter().map(|cell| cell.key.as_str()).collect());
+    let separator = table_line(first.iter().map(|_| "---").collect());
     let body = rows.iter().map(|row| table_line(row.iter().map(|cell| cell.text.as_str()).collect()));
-    head + &rule + &body.collect::<String>()
+    header + &separator + &body.collect::<String>()
 }
 
 struct Cell {
@@ -37,7 +37,7 @@
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
 
-/// `value` with so many decimals, so that a figure reads the same wherever it is printed.
+/// Rounds `value` to this number of decimals, so that JSON and tables show the same figure.
 pub(crate) fn rounded(value: f64, decimals: i32) -> f64 {
     let scale = 10f64.powi(decimals);
     (value * scale).round() / scale
--- a/crates/fernknot-experiments/src/stores.rs
+++ b/crates/fernknot-experiments/src/stores.rs
@@ -1,4 +1,4 @@
-//! Scripted stores: one server and a bounded queue each, work from distributions, and spells in which they are slow or
+//! Simulated stores: each has one server, a bounded queue, randomly distributed work, and periods in which it is slow or
 //! stalled.
 
 use fernknot::interface::{AttemptNumber, Nanos, PartId};
@@ -7,148 +7,151 @@
 use rand_distr::{Distribution, Exp, Gamma};
 use std::collections::VecDeque;
 
-/// A spell lasts the script's mean length times a factor between these.
-const SPELL_FACTORS: std::ops::Range<f64> = 0.5..1.5;
+/// Range of the random factor by which the length of a degradation differs from its mean.
+const DEGRADATION_LENGTH_FACTORS: std::ops::Range<f64> = 0.5..1.5;
 
-/// One attempt of a part, as it reached a store.
+/// An attempt of a part, as received by a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// The part.
+    /// Part that is attempted.
     pub part: PartId,
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// The work of it at full speed.
+    /// Processing time at full speed.
     pub work: Nanos,
 }
 
-/// A time in which a store is slow or stalled.
+/// Period in which a store is slow or stalled.
 #[derive(Clone, Copy, Debug)]
-pub struct Spell {
-    /// When it begins.
+pub struct Degradation {
+    /// Start of the period, inclusive.
     pub from: Nanos,
-    /// When it is over.
+    /// End of the period, exclusive.
     pub to: Nanos,
-    /// By this factor the store is slower; it is stalled where there is none.
+    /// Factor by which work takes longer; `None` if the store is stalled.
     pub slowdown: Option<f64>,
 }
 
-/// How stores behave.
+/// Distribution of work, queue limit and degradations of the stores.
 #[derive(Clone, Debug)]
-pub struct StoreScript {
-    /// The mean work of a first-phase part.
+pub struct StoreBehaviour {
+    /// Mean processing time of a first-phase part at full speed.
     pub match_work: Nanos,
-    /// The mean work of a second-phase part.
+    /// Mean processing time of a second-phase part at full speed.
     pub fetch_work: Nanos,
-    /// The shape of the Gamma distribution of both; higher is steadier.
+    /// Shape of the Gamma distribution of both; a higher shape has a lower variance.
     pub work_shape: f64,
-    /// Parts that wait at a store; more are rejected.
+    /// Maximum number of queued parts at a store; further parts are rejected.
     pub queue_limit: usize,
-    /// The mean time between stalls of a store.
+    /// Mean time between stalls of a store.
     pub stall_interval: Nanos,
-    /// The mean length of a stall.
+    /// Mean length of a stall.
     pub stall_length: Nanos,
-    /// The mean time between slow spells of a store.
+    /// Mean time between slow periods of a store.
     pub slow_interval: Nanos,
-    /// The mean length of a slow spell.
+    /// Mean length of a slow period.
     pub slow_length: Nanos,
-    /// By this factor a store is slower in a slow spell.
+    /// Factor by which work takes longer in a slow period.
     pub slowdown: f64,
 }
 
-impl StoreScript {
-    /// The work of one part, drawn at random.
+impl StoreBehaviour {
+    /// Draws the processing time of one part.
     pub fn draw_work(&self, rng: &mut ChaCha8Rng, is_fetch: bool) -> Nanos {
         let mean = if is_fetch { self.fetch_work } else { self.match_work };
-        let gamma =
-            Gamma::new(self.work_shape, 1.0 / self.work_shape).expect("scripts have a positive shape");
+        let gamma = Gamma::new(self.work_shape, 1.0 / self.work_shape).expect("the shape is positive");
         mean.times(gamma.sample(rng))
     }
 
-    /// The spells of one store until `end`, drawn at random, in order and without overlap.
-    pub fn draw_spells(&self, rng: &mut ChaCha8Rng, start: Nanos, end: Nanos) -> Vec<Spell> {
-        let mut spells = Vec::new();
+    /// Draws the degradations of one store that start before `end`, in ascending order and without overlap.
+    pub fn draw_degradations(&self, rng: &mut ChaCha8Rng, start: Nanos, end: Nanos) -> Vec<Degradation> {
+        let mut degradations = Vec::new();
         let rate = 1.0 / self.stall_interval.0 as f64 + 1.0 / self.slow_interval.0 as f64;
-        let gap = Exp::new(rate).expect("scripts have positive intervals");
+        let gap = Exp::new(rate).expect("the intervals are positive");
         let intervals = self.slow_interval.0 + self.stall_interval.0;
         let stall_share = self.slow_interval.0 as f64 / intervals as f64;
         let mut at = start;
         loop {
             at = at + Nanos(gap.sample(rng) as u64);
             if at >= end {
-                return spells;
+                return degradations;
             }
             let is_stall = rng.random_bool(stall_share);
             let mean_length = if is_stall { self.stall_length } else { self.slow_length };
-            let length = mean_length.times(rng.random_range(SPELL_FACTORS));
-            spells.push(Spell { from: at, to: at + length, slowdown: (!is_stall).then_some(self.slowdown) });
+            let length = mean_length.times(rng.random_range(DEGRADATION_LENGTH_FACTORS));
+            degradations.push(Degradation {
+                from: at,
+                to: at + length,
+                slowdown: (!is_stall).then_some(self.slowdown),
+            });
             at = at + length;
         }
     }
 }
 
-/// A store: what it runs, what waits, and its spells.
+/// A store with its running job, its queue and its degradations.
 pub struct Store {
     running: Option<Job>,
-    waiting: VecDeque<Job>,
-    spells: VecDeque<Spell>,
+    queue: VecDeque<Job>,
+    degradations: VecDeque<Degradation>,
     queue_limit: usize,
 }
 
 impl Store {
-    /// An idle store with these spells to come.
-    pub fn new(spells: Vec<Spell>, queue_limit: usize) -> Store {
-        Store { running: None, waiting: VecDeque::new(), spells: spells.into(), queue_limit }
+    /// Creates an idle store with these degradations, in ascending order.
+    pub fn new(degradations: Vec<Degradation>, queue_limit: usize) -> Store {
+        Store { running: None, queue: VecDeque::new(), degradations: degradations.into(), queue_limit }
     }
 
-    /// Takes a part; `false` if it is rejected.
+    /// Adds a part to the queue; returns `false` if the queue is full.
     pub fn enqueue(&mut self, job: Job) -> bool {
-        let has_room = self.waiting.len() < self.queue_limit;
+        let has_room = self.queue.len() < self.queue_limit;
         if has_room {
-            self.waiting.push_back(job);
+            self.queue.push_back(job);
         }
         has_room
     }
 
-    /// Starts what waits first, if nothing runs. Returns when it will be done.
+    /// Starts the first queued job unless one is running, and returns its completion time.
     pub fn start_next(&mut self, now: Nanos) -> Option<Nanos> {
         if self.running.is_some() {
             return None;
         }
-        let job = self.waiting.pop_front()?;
+        let job = self.queue.pop_front()?;
         self.running = Some(job);
         Some(self.completion_time(now, job.work))
     }
 
-    /// What runs is done.
+    /// Removes the running job and returns it.
     pub fn complete(&mut self) -> Option<Job> {
         self.running.take()
     }
 
-    /// Drops a part that still waits. One that runs goes on to its end.
+    /// Removes a queued attempt; a running one continues to its end.
     pub fn cancel(&mut self, part: PartId, attempt: AttemptNumber) {
-        self.waiting.retain(|job| (job.part, job.attempt) != (part, attempt));
+        self.queue.retain(|job| (job.part, job.attempt) != (part, attempt));
     }
 
-    /// When so much work that starts now is done, through the spells on its way.
+    /// Returns the time at which `work` that starts now completes, given the degradations.
     fn completion_time(&mut self, now: Nanos, work: Nanos) -> Nanos {
-        while self.spells.front().is_some_and(|spell| spell.to <= now) {
-            self.spells.pop_front();
+        while self.degradations.front().is_some_and(|degradation| degradation.to <= now) {
+            self.degradations.pop_front();
         }
         let (mut at, mut remaining) = (now, work);
-        for spell in &self.spells {
-            if spell.from > at {
-                let until_spell = spell.from - at;
-                if remaining <= until_spell {
+        for degradation in &self.degradations {
+            if degradation.from > at {
+                let until_degradation = degradation.from - at;
+                if remaining <= until_degradation {
                     return at + remaining;
                 }
-                (at, remaining) = (spell.from, remaining - until_spell);
+                (at, remaining) = (degradation.from, remaining - until_degradation);
             }
-            let length = spell.to - at;
-            let done = spell.slowdown.map_or(Nanos(0), |slowdown| length.times(1.0 / slowdown));
+            let length = degradation.to - at;
+            let done = degradation.slowdown.map_or(Nanos(0), |slowdown| length.times(1.0 / slowdown));
             if remaining <= done {
-                return at + remaining.times(spell.slowdown.unwrap_or(1.0));
+                return at + remaining.times(degradation.slowdown.unwrap_or(1.0));
             }
-            (at, remaining) = (spell.to, remaining - done);
+            (at, remaining) = (degradation.to, remaining - done);
         }
         at + remaining
     }
--- a/crates/fernknot-experiments/src/two_phase.rs
+++ b/crates/fernknot-experiments/src/two_phase.rs
@@ -1,4 +1,4 @@
-//! Queries in two phases against stores that stall and slow down, at loads under and past capacity.
+//! Two-phase queries against stores that stall and slow down, at loads below and above capacity.
 
 mod figures;
 mod variant;
@@ -6,13 +6,13 @@
 
 pub use figures::{LoadMeans, Row, RunFigures, means};
 pub use variant::Variant;
-pub use workload::LOADS;
+pub use workload::LOAD_SHARES;
 
 use crate::engine_simulation::{EngineSimulation, SimulationConfig};
 use crate::parallel;
 use std::ops::Range;
 
-/// Runs one variant at one load, for so many simulated seconds.
+/// Runs one variant at one load, given as a share of the stores' capacity, for `seconds` of simulated load.
 pub fn run(variant: Variant, seed: u64, load: f64, seconds: u64) -> RunFigures {
     let workload = workload::workload(seed, load, seconds);
     let true_matches: Vec<usize> = workload.queries.iter().map(|query| query.matches.len()).collect();
@@ -21,7 +21,7 @@
         site: workload::site_settings(),
         phases: vec![Some(workload::phase_settings(variant))],
         stores_per_place: workload::STORES_PER_PLACE,
-        script: workload::store_script(),
+        store_behaviour: workload::store_behaviour(),
         queries: workload.queries,
         end: workload.end,
     });
@@ -29,10 +29,10 @@
     figures::run_figures(variant, seed, load, &simulation, &true_matches)
 }
 
-/// Runs all variants at all loads for each seed; runs go side by side.
+/// Runs all variants at all loads for each seed, in parallel; results are ordered by seed, load and variant.
 pub fn run_all(seeds: Range<u64>, seconds: u64) -> Vec<RunFigures> {
     let cases: Vec<(u64, f64, Variant)> = seeds
-        .flat_map(|seed| LOADS.map(|load| Variant::ALL.map(|variant| (seed, load, variant))))
+        .flat_map(|seed| LOAD_SHARES.map(|load| Variant::ALL.map(|variant| (seed, load, variant))))
         .flatten()
         .collect();
     parallel::map(&cases, |(seed, load, variant)| run(*variant, *seed, *load, seconds))
--- a/crates/fernknot-experiments/src/two_phase/figures.rs
+++ b/crates/fernknot-experiments/src/two_phase/figures.rs
@@ -1,102 +1,103 @@
-//! The figures of runs. The names of fields are the keys of the output.
+//! Figures of runs. Field names are the keys of the output.
 
 use super::variant::Variant;
-use super::workload::{BLOCKS_PER_QUERY, LOADS, TARGET_MS};
+use super::workload::{BLOCKS_PER_QUERY, LATENCY_TARGET_MS, LOAD_SHARES};
 use crate::engine_simulation::{EngineSimulation, QueryEnd, QueryRecord};
 use crate::report::rounded;
 use fernknot_engine::{Stage, Verdict};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The longest query that is distinguished, in microseconds.
-const MAX_QUERY_MICROS: u64 = 60_000_000;
+/// Upper bound of the latency histogram, in microseconds; longer queries count as this long.
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// One run, as it is printed in JSON.
+/// Figures of one run, as printed in JSON.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// `two-phase`.
+    /// Name of the experiment, `two-phase`.
     pub experiment: &'static str,
-    /// The name of the variant.
+    /// Name of the variant.
     pub variant: &'static str,
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// The load as a share of the stores' capacity.
+    /// Load as a share of the stores' capacity.
     pub load_share: f64,
-    /// Queries that were sent.
+    /// Number of queries sent.
     pub queries: u64,
-    /// Queries answered within the latency target.
+    /// Share of queries answered within the latency target.
     pub in_time_share: f64,
-    /// Queries answered after the target, or given up after half of it with second-phase parts sent.
+    /// Share of queries answered after the latency target, or failed after half of it with second-phase parts sent.
     pub late_failure_share: f64,
-    /// Parts sent for a query, in the mean.
+    /// Mean number of parts sent per query.
     pub parts_per_query: f64,
-    /// The median time to an answer.
+    /// Median time to an answer.
     pub p50_ms: f64,
-    /// The 99th percentile of the time to an answer.
+    /// 99th percentile of the time to an answer.
     pub p99_ms: f64,
 }
 
-/// One run, and what the table shows beside its row.
+/// Figures of one run, with those that only the table shows.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RunFigures {
-    /// What is printed in JSON.
+    /// Figures printed in JSON.
     #[serde(flatten)]
     pub row: Row,
-    /// Queries rejected before any part was sent.
+    /// Share of queries rejected before any part was sent.
     pub refused_share: f64,
-    /// Queries given up in the first phase.
+    /// Share of queries failed in the first phase.
     pub first_failed_share: f64,
-    /// Queries rejected between the phases.
+    /// Share of queries rejected between the phases.
     pub second_refused_share: f64,
-    /// Queries given up with parts of the second phase sent.
+    /// Share of queries failed after parts of the second phase were sent.
     pub second_failed_share: f64,
-    /// Parts sent over the parts of the first phases begun and the true matches of the second phases opened.
+    /// Ratio of parts sent to parts needed: the blocks of each first phase begun and the matching blocks of each second
+    /// phase opened.
     pub parts_over_need: f64,
-    /// Violations of the rules that the records show: none.
+    /// Number of violations: missing or repeated answers, and parts sent after the final answer.
     pub violations: u64,
-    /// Queries that the engine still had in flight at the end: none.
+    /// Number of queries that the engine had in flight at the end; any is a leak.
     pub in_flight: usize,
 }
 
-/// One variant at one load, the means over all seeds.
+/// Means over all seeds of one variant at one load.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadMeans {
-    /// The load as a share of the stores' capacity.
+    /// Load as a share of the stores' capacity.
     pub load_share: f64,
-    /// The name of the variant.
+    /// Name of the variant.
     pub variant: &'static str,
-    /// As in [`Row`].
+    /// Mean of [`Row::in_time_share`].
     pub in_time_share: f64,
-    /// The least `in_time_share` of a seed.
+    /// Lowest `in_time_share` of a seed.
     pub in_time_from: f64,
-    /// The greatest `in_time_share` of a seed.
+    /// Highest `in_time_share` of a seed.
     pub in_time_to: f64,
-    /// As in [`Row`].
+    /// Mean of [`Row::late_failure_share`].
     pub late_failure_share: f64,
-    /// As in [`RunFigures`].
+    /// Mean of [`RunFigures::refused_share`].
     pub refused_share: f64,
-    /// As in [`RunFigures`].
+    /// Mean of [`RunFigures::first_failed_share`].
     pub first_failed_share: f64,
-    /// As in [`RunFigures`].
+    /// Mean of [`RunFigures::second_refused_share`].
     pub second_refused_share: f64,
-    /// As in [`RunFigures`].
+    /// Mean of [`RunFigures::second_failed_share`].
     pub second_failed_share: f64,
-    /// As in [`Row`].
+    /// Mean of [`Row::parts_per_query`].
     pub parts_per_query: f64,
-    /// As in [`RunFigures`].
+    /// Mean of [`RunFigures::parts_over_need`].
     pub parts_over_need: f64,
-    /// As in [`Row`].
+    /// Mean of [`Row::p50_ms`].
     pub p50_ms: f64,
-    /// As in [`Row`].
+    /// Mean of [`Row::p99_ms`].
     pub p99_ms: f64,
 }
 
-/// Counts over the queries of one run.
+/// Counts and latencies over the queries of one run.
 struct Counts {
-    answer_times: Histogram<u64>,
+    answer_latencies: Histogram<u64>,
     in_time: u64,
-    late: u64,
+    late_failures: u64,
     parts: u64,
     needed_parts: u64,
     violations: u64,
@@ -108,12 +109,12 @@
 
 impl Counts {
     fn new() -> Counts {
-        let answer_times = Histogram::new_with_bounds(1, MAX_QUERY_MICROS, SIGNIFICANT_DIGITS)
+        let answer_latencies = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
             .expect("constant bounds are valid");
         Counts {
-            answer_times,
+            answer_latencies,
             in_time: 0,
-            late: 0,
+            late_failures: 0,
             parts: 0,
             needed_parts: 0,
             violations: 0,
@@ -140,15 +141,16 @@
     }
 
     fn add_answer(&mut self, end: &QueryEnd) {
-        let took_ms = end.took.as_millis();
-        self.answer_times.saturating_record(end.took.0 / 1000);
-        self.in_time += u64::from(took_ms <= TARGET_MS);
-        self.late += u64::from(took_ms > TARGET_MS);
+        let duration_ms = end.duration.as_millis();
+        self.answer_latencies.saturating_record(end.duration.0 / 1000);
+        self.in_time += u64::from(duration_ms <= LATENCY_TARGET_MS);
+        self.late_failures += u64::from(duration_ms > LATENCY_TARGET_MS);
     }
 
     fn add_failure(&mut self, record: &QueryRecord, end: &QueryEnd) {
         let second_phase_ran = end.stage == Stage::SecondPhase { ran: true };
-        self.late += u64::from(second_phase_ran && end.took.as_millis() > TARGET_MS / 2.0);
+        self.late_failures +=
+            u64::from(second_phase_ran && end.duration.as_millis() > LATENCY_TARGET_MS / 2.0);
         let count = match end.stage {
             _ if record.first_phase_parts == 0 => &mut self.rejected,
             Stage::SecondPhase { ran: true } => &mut self.second_failed,
@@ -172,7 +174,7 @@
     }
     let queries = simulation.records().len() as u64;
     let share = |count: u64| rounded(count as f64 / queries.max(1) as f64, 5);
-    let quantile = |share: f64| rounded(counts.answer_times.value_at_quantile(share) as f64 / 1e3, 2);
+    let quantile = |share: f64| rounded(counts.answer_latencies.value_at_quantile(share) as f64 / 1e3, 2);
     RunFigures {
         row: Row {
             experiment: "two-phase",
@@ -181,7 +183,7 @@
             load_share: load,
             queries,
             in_time_share: share(counts.in_time),
-            late_failure_share: share(counts.late),
+            late_failure_share: share(counts.late_failures),
             parts_per_query: rounded(counts.parts as f64 / queries.max(1) as f64, 3),
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
@@ -196,20 +198,21 @@
     }
 }
 
-/// The means over the seeds of each variant at each load.
+/// Returns the means over all seeds of each variant at each load.
 pub fn means(runs: &[RunFigures]) -> Vec<LoadMeans> {
-    let cases = LOADS.iter().flat_map(|load| Variant::ALL.map(|variant| (*load, variant)));
+    let cases = LOAD_SHARES.iter().flat_map(|load| Variant::ALL.map(|variant| (*load, variant)));
     cases.map(|(load, variant)| load_means(runs, load, variant)).collect()
 }
 
 fn load_means(runs: &[RunFigures], load_share: f64, variant: Variant) -> LoadMeans {
-    let is_own = |run: &&RunFigures| run.row.variant == variant.name() && run.row.load_share == load_share;
-    let own: Vec<&RunFigures> = runs.iter().filter(is_own).collect();
+    let is_selected =
+        |run: &&RunFigures| run.row.variant == variant.name() && run.row.load_share == load_share;
+    let selected: Vec<&RunFigures> = runs.iter().filter(is_selected).collect();
     let mean = |decimals: i32, figure: &dyn Fn(&RunFigures) -> f64| {
-        let sum: f64 = own.iter().map(|run| figure(run)).sum();
-        rounded(sum / own.len().max(1) as f64, decimals)
+        let sum: f64 = selected.iter().map(|run| figure(run)).sum();
+        rounded(sum / selected.len().max(1) as f64, decimals)
     };
-    let in_time = || own.iter().map(|run| run.row.in_time_share);
+    let in_time = || selected.iter().map(|run| run.row.in_time_share);
     LoadMeans {
         load_share,
         variant: variant.name(),
--- a/crates/fernknot-experiments/src/two_phase/variant.rs
+++ b/crates/fernknot-experiments/src/two_phase/variant.rs
@@ -1,15 +1,15 @@
-//! The variants that are compared.
+//! Variants of the two-phase planner.
 
-/// What is compared: this build, and the same with one part of it off.
+/// Variant of the planner: complete, or with one feature disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// All of it.
+    /// Complete planner.
     TwoPhase,
-    /// Second phases that cannot be in time are not rejected.
+    /// Second phases that cannot meet the latency target are not rejected.
     WithoutRejection,
-    /// Each phase gets half of the time.
+    /// Each phase gets half of the latency target.
     FixedSplit,
-    /// Every candidate is fetched.
+    /// Blocks without a match are fetched as well.
     WithoutPruning,
 }
 
@@ -18,7 +18,7 @@
     pub const ALL: [Variant; 4] =
         [Variant::TwoPhase, Variant::WithoutRejection, Variant::FixedSplit, Variant::WithoutPruning];
 
-    /// Its name in the output.
+    /// Returns the name used in the output.
     pub fn name(self) -> &'static str {
         match self {
             Variant::TwoPhase => "phases",
--- a/crates/fernknot-experiments/src/two_phase/workload.rs
+++ b/crates/fernknot-experiments/src/two_phase/workload.rs
@@ -1,8 +1,8 @@
-//! The settings of the experiment, and the queries of one run.
+//! Settings of the experiment, and the queries of a run.
 
 use super::variant::Variant;
-use crate::engine_simulation::{PlannedQuery, START};
-use crate::stores::StoreScript;
+use crate::engine_simulation::{PlannedQuery, SIMULATION_START};
+use crate::stores::StoreBehaviour;
 use fernknot::interface::{
     Effect, Nanos, ShardId, SiteSettings, SlowStartSettings, UseCaseId, UseCaseSettings,
 };
@@ -13,39 +13,41 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 
-/// The loads that are played, as shares of the stores' capacity.
-pub const LOADS: [f64; 4] = [0.5, 0.9, 1.2, 1.6];
-/// The latency target of a query.
-pub(super) const TARGET_MS: f64 = 300.0;
-/// How long a client waits.
+/// Loads of the runs, as shares of the stores' capacity.
+pub const LOAD_SHARES: [f64; 4] = [0.5, 0.9, 1.2, 1.6];
+/// Latency target of a query.
+pub(super) const LATENCY_TARGET_MS: f64 = 300.0;
+/// Time-out of a client.
 const CLIENT_TIMEOUT_MS: f64 = 1000.0;
-const SHARDS: u32 = 48;
-const PLACES: u32 = 8;
-/// Replicas of each shard.
+const SHARD_COUNT: u32 = 48;
+const PLACE_COUNT: u32 = 8;
+/// Number of stores at each place, which is the number of replicas of each shard.
 pub(super) const STORES_PER_PLACE: usize = 3;
-/// Blocks that a query asks.
+/// Number of blocks in a query.
 pub(super) const BLOCKS_PER_QUERY: usize = 12;
-/// The share of its blocks that match a narrow query, and a wide one.
+/// Share of the blocks that match a narrow query.
 const NARROW_MATCH_SHARE: f64 = 0.08;
+/// Share of the blocks that match a wide query.
 const WIDE_MATCH_SHARE: f64 = 0.5;
-/// The share of queries that are narrow.
+/// Share of queries that are narrow.
 const NARROW_QUERY_SHARE: f64 = 0.7;
-/// The mean work of a part.
-const MATCH_MS: f64 = 2.0;
-const FETCH_MS: f64 = 15.0;
+/// Mean processing time of a first-phase part.
+const MATCH_WORK_MS: f64 = 2.0;
+/// Mean processing time of a second-phase part.
+const FETCH_WORK_MS: f64 = 15.0;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// The queries of one run, and when the load ends.
+/// Queries of one run.
 pub(super) struct Workload {
-    /// The queries, in the order of their times.
+    /// Queries in the order of their send times.
     pub queries: Vec<PlannedQuery>,
-    /// When the load ends.
+    /// Time at which the load ends.
     pub end: Nanos,
 }
 
 pub(super) fn phase_settings(variant: Variant) -> TwoPhaseSettings {
     TwoPhaseSettings {
-        latency_target: Nanos::from_millis(TARGET_MS),
+        latency_target: Nanos::from_millis(LATENCY_TARGET_MS),
         min_first_phase_share: 0.1,
         max_first_phase_share: 0.9,
         unanswered_block: UnansweredBlock::Fetch,
@@ -59,7 +61,7 @@
 
 fn use_case_settings() -> UseCaseSettings {
     UseCaseSettings {
-        latency_target: Nanos::from_millis(TARGET_MS),
+        latency_target: Nanos::from_millis(LATENCY_TARGET_MS),
         hard_limit: Nanos::from_millis(CLIENT_TIMEOUT_MS),
         value: 1.0,
         late_value_share: 0.0,
@@ -88,7 +90,7 @@
             window: millis(1000.0),
         },
         retry_budget: None,
-        places: PLACES,
+        places: PLACE_COUNT,
         places_per_shard: 1,
         cancellation: true,
         hedging: true,
@@ -103,11 +105,11 @@
     }
 }
 
-pub(super) fn store_script() -> StoreScript {
+pub(super) fn store_behaviour() -> StoreBehaviour {
     let millis = Nanos::from_millis;
-    StoreScript {
-        match_work: millis(MATCH_MS),
-        fetch_work: millis(FETCH_MS),
+    StoreBehaviour {
+        match_work: millis(MATCH_WORK_MS),
+        fetch_work: millis(FETCH_WORK_MS),
         work_shape: 4.0,
         queue_limit: 256,
         stall_interval: millis(30_000.0),
@@ -118,47 +120,47 @@
     }
 }
 
-/// Queries a second that the stores can serve.
+/// Returns the number of queries per second that the stores can serve.
 fn capacity_per_s() -> f64 {
     let match_share = NARROW_QUERY_SHARE * NARROW_MATCH_SHARE + (1.0 - NARROW_QUERY_SHARE) * WIDE_MATCH_SHARE;
-    let work_ms = BLOCKS_PER_QUERY as f64 * (MATCH_MS + match_share * FETCH_MS);
-    PLACES as f64 * STORES_PER_PLACE as f64 * 1e3 / work_ms
+    let work_ms = BLOCKS_PER_QUERY as f64 * (MATCH_WORK_MS + match_share * FETCH_WORK_MS);
+    PLACE_COUNT as f64 * STORES_PER_PLACE as f64 * 1e3 / work_ms
 }
 
-/// The queries of one run: the same at the same times for each variant.
+/// Draws the queries of one run. They depend on seed, load and duration only, so that all variants get the same queries.
 pub(super) fn workload(seed: u64, load: f64, seconds: u64) -> Workload {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ load.to_bits());
-    let gap = Exp::new(capacity_per_s() * load / 1e9).expect("loads are positive");
-    let end = START + Nanos(seconds * NANOS_PER_SECOND);
-    let (mut at, mut queries) = (START, Vec::new());
+    let interval = Exp::new(capacity_per_s() * load / 1e9).expect("the load is positive");
+    let end = SIMULATION_START + Nanos(seconds * NANOS_PER_SECOND);
+    let (mut send_at, mut queries) = (SIMULATION_START, Vec::new());
     loop {
-        at = at + Nanos(gap.sample(&mut rng) as u64);
-        if at >= end {
+        send_at = send_at + Nanos(interval.sample(&mut rng) as u64);
+        if send_at >= end {
             return Workload { queries, end };
         }
-        queries.push(draw_query(&mut rng, queries.len(), at));
+        queries.push(draw_query(&mut rng, queries.len(), send_at));
     }
 }
 
-fn draw_query(rng: &mut ChaCha8Rng, number: usize, at: Nanos) -> PlannedQuery {
-    let mut shards: Vec<u32> = (0..SHARDS).collect();
+fn draw_query(rng: &mut ChaCha8Rng, number: usize, send_at: Nanos) -> PlannedQuery {
+    let mut shards: Vec<u32> = (0..SHARD_COUNT).collect();
     let (shards, _) = shards.partial_shuffle(rng, BLOCKS_PER_QUERY);
     let match_share = if rng.random_bool(NARROW_QUERY_SHARE) { NARROW_MATCH_SHARE } else { WIDE_MATCH_SHARE };
     let matching = shards.iter().filter(|_| rng.random_bool(match_share));
     let matches = matching.map(|shard| ShardId(*shard)).collect();
-    let second =
-        SecondPhaseRequest { text: String::new(), parts: parts(shards, FETCH_MS), terms: Vec::new() };
-    let asked = MultigetRequest {
+    let second_phase_request =
+        SecondPhaseRequest { text: String::new(), parts: parts(shards, FETCH_WORK_MS), terms: Vec::new() };
+    let request = MultigetRequest {
         id: format!("q{number}"),
         use_case: UseCaseId(0),
         key: None,
         timeout: Nanos::from_millis(CLIENT_TIMEOUT_MS),
         is_retry: false,
         text: String::new(),
-        parts: parts(shards, MATCH_MS),
-        second_phase: Some(second),
+        parts: parts(shards, MATCH_WORK_MS),
+        second_phase: Some(second_phase_request),
     };
-    PlannedQuery { at, asked, matches }
+    PlannedQuery { send_at, request, matches }
 }
 
 fn parts(shards: &[u32], effort_ms: f64) -> Vec<RequestedPart> {
--- a/crates/fernknot-experiments/tests/membership.rs
+++ b/crates/fernknot-experiments/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership in simulated time: the same row for the same seed, and what each variant is worth.
+//! The membership experiment: reproducible figures, and the detection quality of each variant.
 
 use fernknot_experiments::membership::{Scenario, Variant, run};
 use test_case::test_case;
@@ -10,16 +10,16 @@
 }
 
 #[test_case(Scenario::Pause; "suspended for two seconds")]
-#[test_case(Scenario::Loss; "a fifth lost, and bursts")]
-#[test_case(Scenario::OneWay; "links that work one way")]
-#[test_case(Scenario::Ring; "each hears its left neighbour alone")]
-fn no_running_router_counts_as_failed(scenario: Scenario) {
+#[test_case(Scenario::Loss; "a fifth of datagrams lost, and loss bursts")]
+#[test_case(Scenario::OneWay; "one-way links")]
+#[test_case(Scenario::Ring; "each receives from its left neighbour only")]
+fn no_running_router_is_declared_failed(scenario: Scenario) {
     let row = run(Variant::Full, scenario, 30, 1);
     assert_eq!((row.false_failures, row.not_rejoined), (0, 0), "{row:?}");
 }
 
 #[test]
-fn a_crash_is_known_to_all_and_a_partition_heals() {
+fn all_routers_detect_a_crash_and_rejoin_after_a_partition() {
     let crash = run(Variant::Full, Scenario::Crash, 30, 1);
     assert!(crash.undetected == 0 && crash.detect_p50_ms > 0.0 && crash.failure_changes == 1, "{crash:?}");
     let partition = run(Variant::Full, Scenario::Partition, 30, 1);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn local_health_and_suspicion_keep_running_routers_from_counting_as_failed() {
+fn the_full_protocol_has_under_a_tenth_of_the_false_failures_of_plain_swim() {
     let false_failures = |variant| run(variant, Scenario::Pause, 30, 1).false_failures;
     let [full, plain] = [Variant::Full, Variant::PlainSwim].map(false_failures);
     assert!(full * 10 < plain, "{full} {plain}");
