--- a/crates/fernknot-fault-tests/src/clients.rs
+++ b/crates/fernknot-fault-tests/src/clients.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients: each request has a connection of its own and is sent when its time has come, whatever became of
-//! those before.
+//! Open-loop clients: requests are sent at a fixed rate, each on its own connection, regardless of the outcome of earlier
+//! ones.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,52 +10,52 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a client waits for its answer.
+/// Time for which a client waits for its answer.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long after that it still takes notice of an answer that is late.
+/// Time after the time-out in which a late answer is still recorded.
 pub const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// Idempotent, idempotent under a key, and non-idempotent.
+/// Use cases of the requests: idempotent, idempotent under a key, and non-idempotent.
 const USE_CASES: [&str; 3] = ["page", "mark", "buy"];
 
-/// Why a lock can be taken: whoever holds it does nothing that panics.
-const NO_PANIC: &str = "no holder of the lock panics";
+/// Panic message for a poisoned lock.
+const LOCK_NOT_POISONED: &str = "no holder of the lock panics";
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// It was answered.
+    /// An answer with a valid HTTP status was received.
     Answered {
-        /// The HTTP status.
+        /// HTTP status of the answer.
         status: u16,
         /// Whether the answer claims to be complete.
         complete: bool,
     },
-    /// The connection was refused, before anything was sent.
+    /// The connection could not be established; nothing was sent.
     ConnectionRefused,
-    /// The connection broke, or no answer came in time.
+    /// The connection broke, or no answer was received in time.
     NoAnswer,
 }
 
-/// One request as its client saw it; times from the start of the run.
+/// Request as seen by its client; times count from the start of the run.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, unique within the run.
+    /// Request id, unique within the run.
     pub id: String,
-    /// Its use case.
+    /// Name of the use case.
     pub use_case: &'static str,
-    /// The router that it was sent to.
+    /// Number of the router to which the request was sent.
     pub router: usize,
-    /// When it was sent.
+    /// Time at which the client began to connect.
     pub sent: Duration,
-    /// When its client was done with it.
+    /// Time at which the client received the outcome.
     pub ended: Duration,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
-    /// Final answers that came on the connection.
+    /// Number of final answers received on the connection.
     pub answers: usize,
 }
 
-/// The clients of a run.
+/// Clients of a run.
 pub struct Clients {
     stopped: Arc<AtomicBool>,
     sender: Option<thread::JoinHandle<()>>,
@@ -63,11 +63,12 @@
 }
 
 impl Clients {
-    /// Sends requests at this rate to these routers, drawn by the seed. `run_start` is where times count from.
+    /// Starts sending requests at this rate, to routers and use cases drawn from the seed. Recorded times count from
+    /// `run_start`.
     pub fn start(routers: Vec<SocketAddr>, requests_per_s: f64, seed: u64, run_start: Instant) -> Clients {
         let stopped = Arc::new(AtomicBool::new(false));
         let finished = Arc::new(Mutex::new(Vec::new()));
-        let load = Load {
+        let generator = LoadGenerator {
             routers,
             interval: Duration::from_secs_f64(1.0 / requests_per_s),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -75,19 +76,19 @@
             stopped: stopped.clone(),
             finished: finished.clone(),
         };
-        Clients { stopped, sender: Some(thread::spawn(move || load.run())), finished }
+        Clients { stopped, sender: Some(thread::spawn(move || generator.run())), finished }
     }
 
-    /// Sends nothing more, waits for the requests in flight, and returns all of them.
+    /// Stops sending, waits for the requests in flight, and returns all requests.
     pub fn finish(mut self) -> Vec<Request> {
         self.stop();
-        std::mem::take(&mut *self.finished.lock().expect(NO_PANIC))
+        std::mem::take(&mut *self.finished.lock().expect(LOCK_NOT_POISONED))
     }
 
     fn stop(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
         if let Some(sender) = self.sender.take() {
-            // A panic of the sender has been printed.
+            // The panic hook has already printed a panic of the sender.
             let _ = sender.join();
         }
     }
@@ -99,8 +100,8 @@
     }
 }
 
-/// What the sending thread needs.
-struct Load {
+/// State of the sending thread.
+struct LoadGenerator {
     routers: Vec<SocketAddr>,
     interval: Duration,
     rng: ChaCha8Rng,
@@ -109,21 +110,21 @@
     finished: Arc<Mutex<Vec<Request>>>,
 }
 
-impl Load {
+impl LoadGenerator {
     fn run(mut self) {
         let mut in_flight = Vec::new();
-        let mut next = Instant::now();
+        let mut next_send = Instant::now();
         for number in 0u64.. {
             if self.stopped.load(Ordering::Relaxed) {
                 break;
             }
-            thread::sleep(next.saturating_duration_since(Instant::now()));
-            next += self.interval;
+            thread::sleep(next_send.saturating_duration_since(Instant::now()));
+            next_send += self.interval;
             in_flight.push(self.send(number));
             in_flight.retain(|client| !client.is_finished());
         }
         for client in in_flight {
-            // A panic of a client has been printed.
+            // The panic hook has already printed a panic of the client.
             let _ = client.join();
         }
     }
@@ -135,16 +136,16 @@
         thread::spawn(move || {
             let id = format!("t{number}");
             let sent = run_start.elapsed();
-            let (outcome, answers) = exchange(address, &id, use_case);
+            let (outcome, answers) = send_request(address, &id, use_case);
             let ended = run_start.elapsed();
             let request = Request { id, use_case, router, sent, ended, outcome, answers };
-            finished.lock().expect(NO_PANIC).push(request);
+            finished.lock().expect(LOCK_NOT_POISONED).push(request);
         })
     }
 }
 
-/// Sends a request; what became of it, and how many final answers came.
-fn exchange(address: SocketAddr, id: &str, use_case: &str) -> (RequestOutcome, usize) {
+/// Sends a request and returns its outcome and the number of final answers received.
+fn send_request(address: SocketAddr, id: &str, use_case: &str) -> (RequestOutcome, usize) {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, CLIENT_TIMEOUT) else {
         return (RequestOutcome::ConnectionRefused, 0);
     };
@@ -171,11 +172,11 @@
     )
 }
 
-/// All bytes until the stream ends, or this time has come.
-fn read_until(stream: &mut TcpStream, end: Instant) -> Vec<u8> {
+/// Reads until the stream ends or fails, or until `deadline`.
+fn read_until(stream: &mut TcpStream, deadline: Instant) -> Vec<u8> {
     let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
-        let remaining = end.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
         if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
             return received;
         }
--- a/crates/fernknot-fault-tests/src/cluster.rs
+++ b/crates/fernknot-fault-tests/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of one run: routers, stores, discovery, and the relays between them.
+//! Processes of one run: routers, stores, discovery, and the relays between them.
 
 use crate::addresses::RunAddresses;
 use crate::connection_relay::ConnectionMode;
@@ -20,22 +20,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest wait for anything, however busy the machine is.
-const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Limit of each wait for routers, long enough for a busy machine.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const START_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const STORES: usize = 4;
-/// How long a store takes to answer.
+/// Time in which a store answers.
 const STORE_LATENCY: Duration = Duration::from_millis(3);
-/// Why a lock can be taken: whoever holds it does nothing that panics.
-const NO_PANIC: &str = "no holder of the lock panics";
+/// Panic message for a poisoned lock.
+const LOCK_NOT_POISONED: &str = "no holder of the lock panics";
 
-/// The processes of one run. Dropping it ends them.
+/// Processes of one run, which end when the value is dropped.
 pub(crate) struct Cluster {
     program: PathBuf,
     routers: Vec<RouterProcess>,
     stores: Vec<DataNode>,
-    /// Where the list names each router.
+    /// Public datagram address of each router, which the list of peers names.
     public: Vec<SocketAddr>,
     datagrams: DatagramRelay,
     run_start: Instant,
@@ -44,7 +44,7 @@
 }
 
 impl Cluster {
-    /// Starts the processes of a schedule.
+    /// Starts the processes for a schedule.
     pub fn start(schedule: &Schedule) -> Result<Cluster, FaultTestError> {
         let program = router_program()?;
         let mut cluster = Cluster::prepare(schedule, program).map_err(FaultTestError::Setup)?;
@@ -54,13 +54,15 @@
         Ok(cluster)
     }
 
-    /// All but the processes of the routers.
+    /// Starts the relays, stores and discovery, but not the processes of the routers.
     fn prepare(schedule: &Schedule, program: PathBuf) -> IoResult<Cluster> {
         let addresses = RunAddresses::new();
-        let numbers = || 0..schedule.routers;
-        let public: Vec<SocketAddr> = numbers().map(|router| addresses.public_datagrams(router)).collect();
-        let private: Vec<SocketAddr> = numbers().map(|router| addresses.private_datagrams(router)).collect();
-        let broadcast = addresses.broadcast();
+        let router_numbers = || 0..schedule.routers;
+        let public: Vec<SocketAddr> =
+            router_numbers().map(|router| addresses.public_datagram_address(router)).collect();
+        let private: Vec<SocketAddr> =
+            router_numbers().map(|router| addresses.private_datagram_address(router)).collect();
+        let broadcast = addresses.broadcast_address();
         let datagrams = DatagramRelay::start(&public, &private, broadcast, schedule.seed)?;
         let store = |_| DataNode::start(NodeBehaviour::Delayed(STORE_LATENCY));
         let stores: Vec<DataNode> = (0..STORES).map(store).collect::<IoResult<_>>()?;
@@ -68,9 +70,9 @@
             let own = RouterAddresses { public: &public, private: private[router], broadcast };
             let config = router_config(schedule, router, &own);
             let path = std::env::temp_dir().join(format!("{}-{router}.json", addresses.file_stem()));
-            RouterProcess::prepare(router, addresses.clients(router), path, &config, &stores)
+            RouterProcess::prepare(router, addresses.client_address(router), path, &config, &stores)
         };
-        let routers: Vec<RouterProcess> = numbers().map(prepare_router).collect::<IoResult<_>>()?;
+        let routers: Vec<RouterProcess> = router_numbers().map(prepare_router).collect::<IoResult<_>>()?;
         Ok(Cluster {
             program,
             routers,
@@ -90,45 +92,45 @@
         Ok(())
     }
 
-    /// Records the status changes that a router logs, until its log ends.
+    /// Starts a thread that records the status changes in the log of a router until it ends.
     fn watch_log(&self, router: usize, log: ChildStderr) {
         let (changes, public, run_start) = (self.status_changes.clone(), self.public.clone(), self.run_start);
         thread::spawn(move || {
             for line in BufReader::new(log).lines().map_while(Result::ok) {
                 if let Some(change) = parse_status_change(&line, router, run_start.elapsed(), &public) {
-                    changes.lock().expect(NO_PANIC).push(change);
+                    changes.lock().expect(LOCK_NOT_POISONED).push(change);
                 }
             }
         });
     }
 
-    /// Where times of the run count from.
+    /// Returns the instant from which times of the run count.
     pub fn run_start(&self) -> Instant {
         self.run_start
     }
 
-    /// Where each router listens for clients.
+    /// Returns the address at which each router accepts clients.
     pub fn client_addresses(&self) -> Vec<SocketAddr> {
         self.routers.iter().map(|router| router.listen).collect()
     }
 
-    /// For each store, the ids of the parts that it ran.
+    /// Returns the ids of the parts that each store ran.
     pub fn store_calls(&self) -> Vec<Vec<String>> {
         let ids = |store: &DataNode| store.calls().into_iter().map(|call| call.id).collect();
         self.stores.iter().map(ids).collect()
     }
 
-    /// The status changes logged so far; they are not kept.
+    /// Removes and returns the status changes logged so far.
     pub fn take_status_changes(&mut self) -> Vec<StatusChange> {
-        std::mem::take(&mut *self.status_changes.lock().expect(NO_PANIC))
+        std::mem::take(&mut *self.status_changes.lock().expect(LOCK_NOT_POISONED))
     }
 
-    /// The faults injected so far; they are not kept.
+    /// Removes and returns the faults injected so far.
     pub fn take_fault_events(&mut self) -> Vec<(Duration, FaultEvent)> {
         std::mem::take(&mut self.fault_events)
     }
 
-    /// Membership datagrams that each router has sent; `None` for one that is not running.
+    /// Returns the number of membership datagrams that each router has sent; `None` if it does not run or answer.
     pub fn datagrams_sent(&self) -> Vec<Option<u64>> {
         let count = |router: &RouterProcess| {
             if router.is_running() { datagrams_sent(router.listen) } else { None }
@@ -142,8 +144,13 @@
         self.fault_events.push((self.run_start.elapsed(), event));
     }
 
-    /// Takes routers down by a signal: `Down` is recorded before it, so that nothing happens unrecorded.
-    pub fn take_down(&mut self, routers: &[usize], signal: Signal) -> Result<(), FaultTestError> {
+    /// Sends routers a signal that stops them. `Down` is recorded before the signal, so that no effect of the fault precedes
+    /// its record.
+    pub fn record_down_and_signal(
+        &mut self,
+        routers: &[usize],
+        signal: Signal,
+    ) -> Result<(), FaultTestError> {
         for router in routers {
             self.record(FaultEvent::Down { router: *router });
             self.routers[*router].signal(signal)?;
@@ -151,16 +158,16 @@
         Ok(())
     }
 
-    /// Takes routers down by a signal that ends them, and waits for their end.
-    pub fn end(&mut self, routers: &[usize], signal: Signal) -> Result<(), FaultTestError> {
-        self.take_down(routers, signal)?;
+    /// Sends routers a signal that ends them, and waits until they have exited.
+    pub fn signal_and_reap(&mut self, routers: &[usize], signal: Signal) -> Result<(), FaultTestError> {
+        self.record_down_and_signal(routers, signal)?;
         for router in routers {
             self.routers[*router].reap();
         }
         Ok(())
     }
 
-    /// Lets suspended routers run on.
+    /// Resumes suspended routers. `Up` is recorded after the signal.
     pub fn resume(&mut self, routers: &[usize]) -> Result<(), FaultTestError> {
         for router in routers {
             self.routers[*router].signal(Signal::CONT)?;
@@ -169,7 +176,8 @@
         Ok(())
     }
 
-    /// Starts routers and waits until each listens: clients that come earlier are refused, which is no fault of its.
+    /// Starts routers and waits until each accepts connections; only then `Up` is recorded, because connections are refused
+    /// until then.
     pub fn restart(&mut self, routers: &[usize]) -> Result<(), FaultTestError> {
         for router in routers {
             self.spawn(*router).map_err(|source| FaultTestError::Spawn { router: *router, source })?;
@@ -177,8 +185,8 @@
         let start = Instant::now();
         for router in routers {
             while !self.is_up(*router) {
-                if start.elapsed() > MAX_WAIT {
-                    return Err(FaultTestError::NeverUp { router: *router, limit: MAX_WAIT });
+                if start.elapsed() > WAIT_LIMIT {
+                    return Err(FaultTestError::StartTimeout { router: *router, limit: WAIT_LIMIT });
                 }
                 thread::sleep(START_POLL_INTERVAL);
             }
@@ -191,7 +199,7 @@
         http_get(self.routers[router].listen, "/up").is_some_and(|answer| answer.contains(" 200 "))
     }
 
-    /// Drops datagrams one way; `hidden` keeps that from the checker.
+    /// Drops datagrams in one direction; a `hidden` fault is not recorded for the checker.
     pub fn partition(&mut self, from: &[usize], to: &[usize], hidden: bool) {
         self.datagrams.change_links(from, to, |link| link.blocked = true);
         if !hidden {
@@ -199,13 +207,13 @@
         }
     }
 
-    /// Ends all faults of datagrams one way.
+    /// Ends all datagram faults in one direction.
     pub fn heal(&mut self, from: &[usize], to: &[usize]) {
         self.datagrams.change_links(from, to, |link| *link = LinkFaults::default());
         self.record(FaultEvent::Healed { from: from.to_vec(), to: to.to_vec() });
     }
 
-    /// Degrades all links; blocked ones stay blocked.
+    /// Degrades all links; blocked links stay blocked.
     pub fn degrade(&mut self, loss: f64, duplication: f64, max_delay: Duration) {
         let all: Vec<usize> = (0..self.routers.len()).collect();
         self.datagrams.change_links(&all, &all, |link| {
@@ -213,7 +221,7 @@
         });
     }
 
-    /// Changes what happens to these routers' connections to the stores.
+    /// Sets the mode of these routers' connections to the stores.
     pub fn set_connection_mode(&self, routers: &[usize], mode: ConnectionMode) {
         for router in routers {
             self.routers[*router].set_connection_mode(mode);
@@ -222,7 +230,7 @@
 
     // ---- Waits -----------------------------------------------------------------------------
 
-    /// Waits until the view of each observer satisfies the condition. `description` is for the error.
+    /// Waits until the view of each observer has satisfied the condition once. `description` names it in the error.
     pub fn await_views(
         &self,
         observers: &[usize],
@@ -232,7 +240,7 @@
         let start = Instant::now();
         let mut waiting: Vec<usize> = observers.to_vec();
         let mut last_view = String::new();
-        while start.elapsed() < MAX_WAIT {
+        while start.elapsed() < WAIT_LIMIT {
             waiting.retain(|router| {
                 let text = http_get(self.routers[*router].listen, "/fleet").unwrap_or_default();
                 let is_done = is_satisfied(&RouterView::parse(&text, &self.public), *router);
@@ -247,6 +255,6 @@
             thread::sleep(POLL_INTERVAL);
         }
         let condition = description.to_string();
-        Err(FaultTestError::NeverTrue { condition, router: waiting[0], view: last_view })
+        Err(FaultTestError::ConditionNotMet { condition, router: waiting[0], view: last_view })
     }
 }
--- a/crates/fernknot-fault-tests/src/connection_relay.rs
+++ b/crates/fernknot-fault-tests/src/connection_relay.rs
@@ -1,4 +1,4 @@
-//! The network between routers and stores: each connection passes a relay that may stall or reset it.
+//! Relay for connections between routers and stores, which can stall or reset them.
 
 use std::io::{ErrorKind, Read, Result, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,25 +7,25 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often an idle connection looks at the mode.
+/// Interval at which an idle connection checks the mode.
 const READ_TIMEOUT: Duration = Duration::from_millis(50);
-/// How often a stalled connection looks at the mode.
+/// Interval at which a stalled connection checks the mode.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a relay does with its connections.
+/// Treatment of the connections of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum ConnectionMode {
-    /// Bytes pass.
+    /// Forwards all bytes.
     Pass = 0,
-    /// Nothing gets through either way, and nothing is closed.
+    /// Keeps connections open, but forwards nothing in either direction.
     Stall = 1,
-    /// All are reset, and new ones closed.
+    /// Closes existing connections, and new ones at once.
     Reset = 2,
 }
 
-/// The mode, shared with the threads of the connections.
+/// Mode shared with the threads of the connections.
 #[derive(Clone)]
 struct SharedMode(Arc<AtomicU8>);
 
@@ -35,32 +35,32 @@
     }
 }
 
-/// Relays connections to one process.
+/// Relay of connections to one process.
 pub(crate) struct ConnectionRelay {
-    /// Where the relay listens.
+    /// Address at which the relay accepts connections.
     pub address: SocketAddr,
     mode: SharedMode,
 }
 
 impl ConnectionRelay {
-    /// Listens on a free port, and relays to this address.
+    /// Starts a relay from a free port to this address.
     pub fn start(to: SocketAddr) -> Result<ConnectionRelay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let mode = SharedMode(Arc::new(AtomicU8::new(ConnectionMode::Pass as u8)));
         let relay = ConnectionRelay { address, mode: mode.clone() };
-        // The thread ends with the process, as those of the stand-ins do.
-        thread::spawn(move || accept(&listener, to, &mode));
+        // The thread runs until the process ends.
+        thread::spawn(move || accept_connections(&listener, to, &mode));
         Ok(relay)
     }
 
-    /// Changes what happens to all connections.
+    /// Sets the mode of all connections.
     pub fn set_mode(&self, mode: ConnectionMode) {
         self.mode.0.store(mode as u8, Ordering::Relaxed);
     }
 }
 
-fn accept(listener: &TcpListener, to: SocketAddr, mode: &SharedMode) {
+fn accept_connections(listener: &TcpListener, to: SocketAddr, mode: &SharedMode) {
     for client in listener.incoming().flatten() {
         if mode.is(ConnectionMode::Reset) {
             continue;
@@ -68,15 +68,15 @@
         let Ok(server) = TcpStream::connect(to) else { continue };
         let (Ok(client_clone), Ok(server_clone)) = (client.try_clone(), server.try_clone()) else { continue };
         let (request_mode, answer_mode) = (mode.clone(), mode.clone());
-        thread::spawn(move || copy(client, server, &request_mode));
-        thread::spawn(move || copy(server_clone, client_clone, &answer_mode));
+        thread::spawn(move || copy_direction(client, server, &request_mode));
+        thread::spawn(move || copy_direction(server_clone, client_clone, &answer_mode));
     }
 }
 
-/// Copies one direction until it ends or is reset, and closes both.
-fn copy(mut from: TcpStream, mut to: TcpStream, mode: &SharedMode) {
+/// Copies one direction until it ends or is reset, then closes both directions.
+fn copy_direction(mut from: TcpStream, mut to: TcpStream, mode: &SharedMode) {
     let mut buffer = [0; BUFFER_BYTES];
-    // Without these the copy is slower to notice a change of mode; it works all the same.
+    // Errors are ignored: without these options the copy works, but notices a mode change later.
     let _ = from.set_read_timeout(Some(READ_TIMEOUT));
     let _ = to.set_nodelay(true);
     loop {
@@ -95,7 +95,7 @@
             _ => break,
         }
     }
-    // A direction that is closed already is as good.
+    // Fails only if the connection is closed already.
     let _ = to.shutdown(Shutdown::Both);
     let _ = from.shutdown(Shutdown::Both);
 }
--- a/crates/fernknot-fault-tests/src/datagram_relay.rs
+++ b/crates/fernknot-fault-tests/src/datagram_relay.rs
@@ -1,4 +1,4 @@
-//! The network between routers: each datagram passes a relay that may drop, duplicate or delay it.
+//! Relay for datagrams between routers, which can drop, duplicate or delay them.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,26 +10,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often threads look whether the relay is stopped.
+/// Interval at which threads check whether the relay is stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Why a lock can be taken: whoever holds it does nothing that panics.
-const NO_PANIC: &str = "no holder of the lock panics";
+/// Panic message for a poisoned lock.
+const LOCK_NOT_POISONED: &str = "no holder of the lock panics";
 
-/// What happens to datagrams from one router to another.
+/// Faults of the link from one router to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LinkFaults {
     /// Whether all datagrams are dropped.
     pub blocked: bool,
-    /// The share of datagrams that is dropped, from 0 to 1.
+    /// Share of datagrams that is dropped, from 0 to 1.
     pub loss: f64,
-    /// The share of datagrams that is delivered twice, from 0 to 1.
+    /// Share of datagrams that is delivered twice, from 0 to 1.
     pub duplication: f64,
-    /// Each datagram is delayed at random up to this, so that they overtake each other.
+    /// Upper bound of the random delay of each datagram; different delays reorder datagrams.
     pub max_delay: Duration,
 }
 
-/// A datagram on its way; the one that is due first is the greatest.
+/// Delayed datagram. The one that is due first is the greatest, because `BinaryHeap` is a max-heap.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedDatagram {
     due: Reverse<Instant>,
@@ -40,7 +40,7 @@
 }
 
 struct State {
-    /// By sender and receiver.
+    /// Faults by sender and receiver.
     links: Vec<Vec<LinkFaults>>,
     rng: ChaCha8Rng,
     delayed: BinaryHeap<DelayedDatagram>,
@@ -48,26 +48,27 @@
     stopped: bool,
 }
 
-/// What the threads share.
+/// State shared by the threads of the relay.
 struct Shared {
     state: Mutex<State>,
     changed: Condvar,
-    /// The socket at each router's public address.
+    /// Socket at each router's public address, by router number.
     public_sockets: Vec<UdpSocket>,
     broadcast_socket: UdpSocket,
-    /// Where each router receives.
+    /// Address at which each router receives datagrams from the relay, by router number.
     private: Vec<SocketAddr>,
 }
 
-/// Relays datagrams among all routers. Each router's public address is a socket of the relay, so that a receiver sees
-/// the sender at its listed address.
+/// Relay of datagrams among all routers. It binds each router's public address and forwards a router's datagrams from it,
+/// so that receivers see the sender at its listed address.
 pub(crate) struct DatagramRelay {
     shared: Arc<Shared>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
 impl DatagramRelay {
-    /// `public`: where the list names each router; `private`: where each receives; `broadcast`: what goes to all.
+    /// Starts a relay. It forwards datagrams that arrive at a `public` address to the same router's `private` address, and
+    /// those that arrive at `broadcast` to all routers but the sender. `seed` determines the random faults.
     pub fn start(
         public: &[SocketAddr],
         private: &[SocketAddr],
@@ -101,7 +102,7 @@
         Ok(DatagramRelay { shared, threads })
     }
 
-    /// Changes the links from these to those routers.
+    /// Changes the faults of each link from a router in `from` to another one in `to`.
     pub fn change_links(&self, from: &[usize], to: &[usize], change: impl Fn(&mut LinkFaults)) {
         let mut state = self.shared.lock();
         for from in from {
@@ -117,7 +118,7 @@
         self.shared.lock().stopped = true;
         self.shared.changed.notify_all();
         for thread in self.threads.drain(..) {
-            // A panic of the thread has been printed.
+            // The panic hook has already printed a panic of the thread.
             let _ = thread.join();
         }
     }
@@ -131,10 +132,10 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect(NO_PANIC)
+        self.state.lock().expect(LOCK_NOT_POISONED)
     }
 
-    /// Relays what arrives for one router, or for all, until the relay is stopped.
+    /// Relays datagrams for one router, or for all if `receiver` is `None`, until the relay is stopped.
     fn relay(&self, receiver: Option<usize>) {
         let socket = receiver.map_or(&self.broadcast_socket, |router| &self.public_sockets[router]);
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
@@ -148,13 +149,13 @@
             let Some(from) = self.private.iter().position(|address| *address == sender) else { continue };
             let receivers = receiver.map_or(0..self.private.len(), |router| router..router + 1);
             for to in receivers.filter(|to| *to != from) {
-                self.pass(&mut state, from, to, &buffer[..length]);
+                self.forward(&mut state, from, to, &buffer[..length]);
             }
         }
     }
 
-    /// Delivers a datagram under the faults of its link.
-    fn pass(&self, state: &mut State, from: usize, to: usize, bytes: &[u8]) {
+    /// Forwards a datagram subject to the faults of its link.
+    fn forward(&self, state: &mut State, from: usize, to: usize, bytes: &[u8]) {
         let faults = state.links[from][to];
         if faults.blocked || state.rng.random_bool(faults.loss) {
             return;
@@ -171,7 +172,7 @@
         }
     }
 
-    /// A router that is down receives nothing, as a dead machine would not: errors are ignored.
+    /// Sends a datagram. Errors are ignored: a router that is down receives nothing.
     fn send(&self, from: usize, to: usize, bytes: &[u8]) {
         let _ = self.public_sockets[from].send_to(bytes, self.private[to]);
     }
@@ -189,7 +190,7 @@
             }
             let wait = wait.unwrap_or(STOP_CHECK_INTERVAL);
             let waited = self.changed.wait_timeout(state, wait);
-            state = waited.expect(NO_PANIC).0;
+            state = waited.expect(LOCK_NOT_POISONED).0;
         }
     }
 }
--- a/crates/fernknot-fault-tests/src/error.rs
+++ b/crates/fernknot-fault-tests/src/error.rs
@@ -1,81 +1,81 @@
-//! Why a schedule could not be read, or a test run not be played.
+//! Errors of reading and running schedules.
 
 use std::path::PathBuf;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a schedule is rejected.
+/// Error in a schedule.
 #[derive(Debug, Error)]
 pub enum ScheduleError {
-    /// It is not the JSON of a schedule.
-    #[error("the schedule: {0}")]
+    /// The text is not valid JSON of a schedule.
+    #[error("invalid schedule: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The number of routers is out of its bounds.
+    /// The number of routers is out of bounds.
     #[error("routers: {0} is not between 2 and 200")]
     RouterCount(usize),
-    /// A step names a router that there is not.
+    /// A step names a router that does not exist.
     #[error("steps[{step}]: there is no router {router}")]
     UnknownRouter {
-        /// The index of the step.
+        /// Index of the step.
         step: usize,
-        /// The router's number.
+        /// Number of the router.
         router: usize,
     },
 }
 
-/// Why a test run could not be played, or a step of its schedule failed.
+/// Error that prevents a test run, or that fails a step of its schedule.
 #[derive(Debug, Error)]
 pub enum FaultTestError {
-    /// The path of this program is not known.
-    #[error("own path: {0}")]
+    /// The path of this program cannot be determined.
+    #[error("cannot determine the path of this program: {0}")]
     OwnPath(std::io::Error),
-    /// The router's program was not built.
-    #[error("no fernknot-router beside {0}: build it first")]
-    NoRouterProgram(PathBuf),
+    /// The router program was not found.
+    #[error("fernknot-router not found in the directory of {0} or its parent; build it first")]
+    RouterProgramNotFound(PathBuf),
     /// The processes, relays or stand-ins could not be set up.
-    #[error("the processes could not be set up: {0}")]
+    #[error("cannot set up the processes: {0}")]
     Setup(std::io::Error),
     /// The routers did not become ready before the first fault.
-    #[error("the routers never became ready: {0}")]
-    NeverReady(Box<FaultTestError>),
+    #[error("the routers did not become ready before the first fault: {0}")]
+    NotReady(Box<FaultTestError>),
     /// A router could not be started.
-    #[error("router {router}: {source}")]
+    #[error("cannot start router {router}: {source}")]
     Spawn {
-        /// The router's number.
+        /// Number of the router.
         router: usize,
-        /// Why.
+        /// Cause of the error.
         source: std::io::Error,
     },
-    /// A router is not running, and cannot get a signal.
-    #[error("router {0} does not run")]
+    /// A signal is to be sent to a router that is not running.
+    #[error("cannot signal router {0}: it is not running")]
     NotRunning(usize),
     /// A signal could not be sent.
-    #[error("router {router}: {source}")]
+    #[error("cannot signal router {router}: {source}")]
     Signal {
-        /// The router's number.
+        /// Number of the router.
         router: usize,
-        /// Why.
+        /// Cause of the error.
         source: rustix::io::Errno,
     },
-    /// A router did not answer after it was started.
-    #[error("router {router} never came up (in {limit:?})")]
-    NeverUp {
-        /// The router's number.
+    /// A router did not accept connections in time after its start.
+    #[error("router {router} did not accept connections within {limit:?} of its start")]
+    StartTimeout {
+        /// Number of the router.
         router: usize,
-        /// How long it was waited for.
+        /// Time limit of the wait.
         limit: Duration,
     },
-    /// A condition of the schedule did not come true in time.
-    #[error("{condition}: router {router} shows {view}")]
-    NeverTrue {
-        /// What was awaited, of whom, at whom.
+    /// An awaited condition did not become true in time.
+    #[error("condition not met in time: {condition}; router {router} does not meet it; last view: {view}")]
+    ConditionNotMet {
+        /// Description of the condition.
         condition: String,
-        /// One of the routers at which it did not come true.
+        /// Number of one router at which the condition is not true.
         router: usize,
-        /// The last view that any of them showed.
+        /// Most recent view, of any router, that did not satisfy the condition.
         view: String,
     },
-    /// The schedule could not be read.
+    /// The schedule is invalid.
     #[error(transparent)]
     Schedule(#[from] ScheduleError),
 }
--- a/crates/fernknot-fault-tests/src/history.rs
+++ b/crates/fernknot-fault-tests/src/history.rs
@@ -1,93 +1,93 @@
-//! What a test run left behind: requests, calls of stores, status changes and injected faults.
+//! Record of a test run: requests, store calls, status changes and injected faults.
 
 use crate::clients::{Request, RequestOutcome};
 use crate::status_names::FAILED;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The use case whose parts must run at most once.
+/// Name of the use case whose parts must run at most once.
 const NON_IDEMPOTENT_USE_CASE: &str = "buy";
-/// Parts of each request.
+/// Number of parts of each request.
 const PARTS_PER_REQUEST: u32 = 2;
 
-/// A change of one router's status at another one, from its log.
+/// Change of a router's status at another router, from the latter's log.
 #[derive(Clone, Debug)]
 pub struct StatusChange {
-    /// When it was logged, from the start of the run.
+    /// Time at which the line was read from the log, from the start of the run.
     pub at: Duration,
-    /// The router that logged it.
+    /// Number of the router that logged the change.
     pub observer: usize,
-    /// The router whose status it is.
+    /// Number of the router whose status changed.
     pub member: usize,
-    /// The status before, as the log names it.
+    /// Earlier status, by its name in the log.
     pub from: String,
-    /// The status after, as the log names it.
+    /// New status, by its name in the log.
     pub to: String,
-    /// The line of the log.
+    /// Complete log line.
     pub log_line: String,
 }
 
 impl StatusChange {
-    /// Whether a router counts as failed from here on.
+    /// Whether the new status is failed.
     pub fn is_failure(&self) -> bool {
         self.to == FAILED
     }
 
-    /// Whether a router counts as failed from here on, or no longer does.
+    /// Whether the new or the earlier status is failed.
     pub fn concerns_failure(&self) -> bool {
         self.to == FAILED || self.from == FAILED
     }
 }
 
-/// A fault that was injected, or its end.
+/// Injected fault, or its end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultEvent {
-    /// A router was killed, suspended or asked to end.
+    /// A router was killed, suspended or terminated.
     Down {
-        /// The router.
+        /// Number of the router.
         router: usize,
     },
     /// A router was started or resumed.
     Up {
-        /// The router.
+        /// Number of the router.
         router: usize,
     },
-    /// Datagrams are dropped, one way.
+    /// Datagrams are dropped in one direction.
     Partitioned {
-        /// Their senders.
+        /// Senders of the datagrams.
         from: Vec<usize>,
-        /// Their receivers.
+        /// Receivers of the datagrams.
         to: Vec<usize>,
     },
-    /// Datagrams are no longer dropped, one way.
+    /// Datagrams are no longer dropped in this direction.
     Healed {
-        /// Their senders.
+        /// Senders of the datagrams.
         from: Vec<usize>,
-        /// Their receivers.
+        /// Receivers of the datagrams.
         to: Vec<usize>,
     },
 }
 
-/// All that was recorded; times from the start of the run.
+/// Record of a test run; times count from the start of the run.
 pub struct History {
-    /// How many routers there are; they are numbered from 0.
+    /// Number of routers; they are numbered from 0.
     pub router_count: usize,
-    /// The probe period of their membership protocol.
+    /// Probe period of the membership protocol.
     pub probe_period: Duration,
-    /// The requests of all clients.
+    /// Requests of all clients.
     pub requests: Vec<Request>,
-    /// For each store, the ids of the parts that it ran.
+    /// Ids of the parts that each store ran, in the form `<request id>.<part>`.
     pub store_calls: Vec<Vec<String>>,
-    /// The status changes that routers logged.
+    /// Status changes that routers logged.
     pub status_changes: Vec<StatusChange>,
-    /// The faults that the checker knows of, in the order of time.
+    /// Faults known to the checker, with their times in ascending order.
     pub fault_events: Vec<(Duration, FaultEvent)>,
 }
 
-/// Which routers run, and which links are blocked, at some time.
+/// Running routers and blocked links at one point in time.
 struct NetworkState {
-    is_up: Vec<bool>,
-    /// By sender and receiver.
+    is_running: Vec<bool>,
+    /// Whether a link is blocked, by sender and receiver.
     is_blocked: Vec<Vec<bool>>,
 }
 
@@ -95,17 +95,17 @@
     fn network_at(&self, at: Duration) -> NetworkState {
         let count = self.router_count;
         let mut network =
-            NetworkState { is_up: vec![true; count], is_blocked: vec![vec![false; count]; count] };
+            NetworkState { is_running: vec![true; count], is_blocked: vec![vec![false; count]; count] };
         for (_, event) in self.fault_events.iter().filter(|(when, _)| *when <= at) {
             network.apply(event);
         }
         network
     }
 
-    /// Whether a message of `member` could reach `observer`, through whichever routers.
-    pub(crate) fn could_hear(&self, observer: usize, member: usize, at: Duration) -> bool {
+    /// Whether a message of `member` could reach `observer` at this time, directly or through other running routers.
+    pub(crate) fn is_reachable(&self, observer: usize, member: usize, at: Duration) -> bool {
         let network = self.network_at(at);
-        if !network.is_up[member] || !network.is_up[observer] {
+        if !network.is_running[member] || !network.is_running[observer] {
             return false;
         }
         let mut reached = vec![member];
@@ -113,33 +113,33 @@
         while next < reached.len() {
             let from = reached[next];
             next += 1;
-            let receivers = (0..self.router_count).filter(|to| network.passes(from, *to));
+            let receivers = (0..self.router_count).filter(|to| network.delivers(from, *to));
             let new: Vec<usize> = receivers.filter(|to| !reached.contains(to)).collect();
             reached.extend(new);
         }
         reached.contains(&observer)
     }
 
-    /// Whether a router itself was down, or went down or up, between these times.
-    pub(crate) fn was_disturbed(&self, router: usize, from: Duration, to: Duration) -> bool {
+    /// Whether a router was down at `from`, or went down or up until `to`.
+    pub(crate) fn was_disrupted(&self, router: usize, from: Duration, to: Duration) -> bool {
         let is_about_router = |event: &FaultEvent| match event {
-            FaultEvent::Down { router: disturbed } | FaultEvent::Up { router: disturbed } => {
-                *disturbed == router
+            FaultEvent::Down { router: disrupted } | FaultEvent::Up { router: disrupted } => {
+                *disrupted == router
             }
             FaultEvent::Partitioned { .. } | FaultEvent::Healed { .. } => false,
         };
         let mut events = self.fault_events.iter();
-        !self.network_at(from).is_up[router]
+        !self.network_at(from).is_running[router]
             || events.any(|(at, event)| (from..=to).contains(at) && is_about_router(event))
     }
 
-    /// Requests that no answer came for.
+    /// Returns the number of requests that were sent but not answered.
     pub fn unanswered(&self) -> usize {
         self.requests.iter().filter(|request| request.outcome == RequestOutcome::NoAnswer).count()
     }
 
-    /// Non-idempotent parts that ran more than once, a line each.
-    pub fn double_effects(&self) -> Vec<String> {
+    /// Returns a line for each non-idempotent part that ran more than once.
+    pub fn duplicate_effects(&self) -> Vec<String> {
         let is_non_idempotent = |id: &&String| {
             let request_id = id.split('.').next().unwrap_or_default();
             let mut requests = self.requests.iter();
@@ -153,7 +153,7 @@
         repeated.map(|(id, runs)| format!("{id} ran {runs} times")).collect()
     }
 
-    /// Answers that claim more than what ran, a line each.
+    /// Returns a line for each request with several answers, or with a complete answer although a part did not run.
     pub fn wrong_answers(&self) -> Vec<String> {
         let ran = |id: &str, part: u32| {
             self.store_calls.iter().flatten().any(|call| *call == format!("{id}.{part}"))
@@ -170,8 +170,8 @@
 impl NetworkState {
     fn apply(&mut self, event: &FaultEvent) {
         match event {
-            FaultEvent::Down { router } => self.is_up[*router] = false,
-            FaultEvent::Up { router } => self.is_up[*router] = true,
+            FaultEvent::Down { router } => self.is_running[*router] = false,
+            FaultEvent::Up { router } => self.is_running[*router] = true,
             FaultEvent::Partitioned { from, to } => self.set_blocked(from, to, true),
             FaultEvent::Healed { from, to } => self.set_blocked(from, to, false),
         }
@@ -185,7 +185,7 @@
         }
     }
 
-    fn passes(&self, from: usize, to: usize) -> bool {
-        self.is_up[to] && !self.is_blocked[from][to]
+    fn delivers(&self, from: usize, to: usize) -> bool {
+        self.is_running[to] && !self.is_blocked[from][to]
     }
 }
--- a/crates/fernknot-fault-tests/src/lib.rs
+++ b/crates/fernknot-fault-tests/src/lib.rs
@@ -1,10 +1,10 @@
-//! Fault tests: many processes of the real router, and faults injected between them and into them.
+//! Fault tests: many router processes, with faults injected into them and into the network between them.
 //!
-//! This crate owns the processes of a test run (routers, stand-in stores, discovery and relays on loopback
-//! addresses), the [`Schedule`](schedule::Schedule) that says which faults come in which order
-//! and what is awaited, and the [`checker`] that judges what clients, stores and routers left behind. Its program and
-//! its tests call it, and nothing else. Apart from the stand-ins and their example configuration it links no crate of the
-//! router, so that the checker shares no code with what it judges.
+//! This crate manages the processes of a test run (routers, stand-in stores, discovery and relays on loopback
+//! addresses), the [`Schedule`](schedule::Schedule) of faults and awaited conditions, and the [`checker`], which checks
+//! the records of clients, stores and routers against invariants. Only its program and its tests use it. Apart from the
+//! stand-ins and their example configuration, it links no crate of the router, so that the checker shares no code with
+//! the software under test.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-fault-tests/src/main.rs
+++ b/crates/fernknot-fault-tests/src/main.rs
@@ -1,8 +1,8 @@
-//! `fernknot-fault-tests NAME`: plays scenarios under faults and prints what they showed, an object or a row each.
+//! `fernknot-fault-tests NAME`: runs fault scenarios and prints their figures, one line for each run.
 
 use clap::Parser;
 use fernknot_fault_tests::checker::{NO_FALSE_FAILURE, Violation};
-use fernknot_fault_tests::runner::{RunResult, play};
+use fernknot_fault_tests::runner::{RunResult, run_schedule};
 use fernknot_fault_tests::scenarios::{NAMES, scenario};
 use fernknot_fault_tests::schedule::Schedule;
 use fernknot_fault_tests::{FaultTestError, ScheduleError};
@@ -12,50 +12,50 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The probe periods that may be asked for, in milliseconds.
-const PERIODS_MS: std::ops::RangeInclusive<f64> = 20.0..=60_000.0;
-/// Lines of evidence that are printed of a violation.
+/// Range of valid probe periods, in milliseconds.
+const VALID_PERIODS_MS: std::ops::RangeInclusive<f64> = 20.0..=60_000.0;
+/// Maximum number of lines of evidence printed for a violation.
 const MAX_EVIDENCE_LINES: usize = 10;
-/// The exit code where no run could be played.
-const EXIT_NOT_PLAYED: u8 = 2;
+/// Exit code after an error that prevented a run, as opposed to a violation.
+const EXIT_ERROR: u8 = 2;
 
 #[derive(Parser)]
-#[command(about = "Many processes of the router, and faults between them")]
+#[command(about = "Runs fault scenarios with many router processes")]
 struct Cli {
-    /// One of the scenarios, or `all`.
+    /// Name of a scenario, or `all`.
     #[arg(default_value = "all")]
     name: String,
-    /// A schedule to play in place of a named scenario.
+    /// File with a schedule to run instead of a named scenario.
     #[arg(long)]
     schedule: Option<PathBuf>,
-    /// How many routers there are.
+    /// Number of routers.
     #[arg(long, default_value_t = 7, value_parser = clap::value_parser!(u64).range(3..=200))]
     routers: u64,
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, counted up from the first; each is a run of its own.
+    /// Number of consecutive seeds; each is a separate run.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
-    /// The probe period of membership, in milliseconds.
+    /// Probe period of the membership protocol, in milliseconds.
     #[arg(long, default_value_t = 400.0)]
     period: f64,
-    /// One JSON object a line.
+    /// Print one JSON object per line, without a prefix.
     #[arg(long)]
     json: bool,
-    /// Prints the schedule and plays nothing.
+    /// Print the schedules instead of running them.
     #[arg(long)]
     print: bool,
 }
 
-/// Why nothing, or not all, could be played.
+/// Error that prevented some or all runs.
 #[derive(Debug, Error)]
 enum CliError {
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read the schedule {}: {source}", path.display())]
     ReadSchedule { path: PathBuf, source: std::io::Error },
     #[error("--period: {0} is not between 20 and 60000")]
     Period(f64),
-    #[error("{0:?} is none of {names}, all", names = NAMES.join(", "))]
+    #[error("unknown scenario {0:?}; known are {names}, all", names = NAMES.join(", "))]
     UnknownScenario(String),
     #[error(transparent)]
     Schedule(#[from] ScheduleError),
@@ -65,7 +65,7 @@
     Print(#[from] serde_json::Error),
 }
 
-/// What is printed of a run. The keys are part of the output's format.
+/// Figures of a run, as printed. The keys are part of the output format.
 #[derive(Serialize)]
 struct Row {
     experiment: &'static str,
@@ -81,7 +81,7 @@
     false_failures: usize,
     #[serde(rename = "breaks")]
     violations: usize,
-    /// The longest that the schedule waited for a condition.
+    /// Longest time that the schedule waited for a condition.
     longest_wait_ms: f64,
     datagrams_per_s: f64,
 }
@@ -95,9 +95,9 @@
             routers: schedule.routers,
             requests: result.history.requests.len(),
             unanswered: result.history.unanswered(),
-            double_effects: result.history.double_effects().len(),
+            double_effects: result.history.duplicate_effects().len(),
             wrong_answers: result.history.wrong_answers().len(),
-            false_failures: evidence_lines(&result.violations, NO_FALSE_FAILURE),
+            false_failures: count_evidence_lines(&result.violations, NO_FALSE_FAILURE),
             violations: result.violations.len(),
             longest_wait_ms: (longest_wait(schedule, result).as_secs_f64() * 1e3).round(),
             datagrams_per_s: (result.datagrams_per_s * 10.0).round() / 10.0,
@@ -105,15 +105,15 @@
     }
 }
 
-fn evidence_lines(violations: &[Violation], promise: &str) -> usize {
-    let of_promise = violations.iter().filter(|violation| violation.promise == promise);
-    of_promise.map(|violation| violation.evidence.len()).sum()
+fn count_evidence_lines(violations: &[Violation], invariant: &str) -> usize {
+    let of_invariant = violations.iter().filter(|violation| violation.invariant == invariant);
+    of_invariant.map(|violation| violation.evidence.len()).sum()
 }
 
 fn longest_wait(schedule: &Schedule, result: &RunResult) -> Duration {
     let durations = result.step_durations.iter();
     let waits = durations.filter(|(index, _)| schedule.steps[*index].is_wait());
-    waits.map(|(_, took)| *took).max().unwrap_or_default()
+    waits.map(|(_, duration)| *duration).max().unwrap_or_default()
 }
 
 fn main() -> ExitCode {
@@ -122,24 +122,24 @@
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("fernknot-fault-tests: {error}");
-            ExitCode::from(EXIT_NOT_PLAYED)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
 
-/// Whether all promises were kept.
+/// Runs all selected schedules; returns whether no invariant was violated.
 fn run(cli: &Cli) -> Result<bool, CliError> {
-    let mut all_kept = true;
+    let mut all_held = true;
     for schedule in schedules(cli)? {
         if cli.print {
             println!("{}", serde_json::to_string_pretty(&schedule)?);
             continue;
         }
-        let result = play(&schedule)?;
-        all_kept &= result.violations.is_empty();
+        let result = run_schedule(&schedule)?;
+        all_held &= result.violations.is_empty();
         print_result(cli, &Row::new(&schedule, &result), &result.violations)?;
     }
-    Ok(all_kept)
+    Ok(all_held)
 }
 
 fn schedules(cli: &Cli) -> Result<Vec<Schedule>, CliError> {
@@ -148,7 +148,7 @@
         let text = read.map_err(|source| CliError::ReadSchedule { path: path.clone(), source })?;
         return Ok(vec![Schedule::parse(&text)?]);
     }
-    if !PERIODS_MS.contains(&cli.period) {
+    if !VALID_PERIODS_MS.contains(&cli.period) {
         return Err(CliError::Period(cli.period));
     }
     let names: Vec<&str> = if cli.name == "all" { NAMES.to_vec() } else { vec![&cli.name] };
@@ -168,7 +168,7 @@
         println!("{:10} seed {:3}: {text}", row.variant, row.seed);
     }
     for violation in violations {
-        eprintln!("BROKEN {}:", violation.promise);
+        eprintln!("VIOLATED {}:", violation.invariant);
         for line in violation.evidence.iter().take(MAX_EVIDENCE_LINES) {
             eprintln!("  {line}");
         }
--- a/crates/fernknot-fault-tests/src/router_config.rs
+++ b/crates/fernknot-fault-tests/src/router_config.rs
@@ -1,27 +1,27 @@
-//! The configuration file of one router.
+//! Configuration file of a router.
 
 use crate::schedule::Schedule;
 use fernknot_stand_in::CONFIG;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Datagrams that a router may send in one probe period, for its membership.
+/// Maximum number of membership datagrams that a router may send in one probe period.
 const DATAGRAMS_PER_PERIOD: f64 = 6.4;
-/// Spreads the routers' seeds (2^32 over the golden ratio).
+/// Multiplier that keeps the routers' seeds of different runs apart (2^32 divided by the golden ratio).
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9;
 
-/// What a router is configured with: where its peers are, and where it is itself.
+/// Addresses in the configuration of a router.
 pub(crate) struct RouterAddresses<'a> {
-    /// Where the list names each router.
+    /// Public datagram address of each router, in the list of peers.
     pub public: &'a [SocketAddr],
-    /// Where the router receives datagrams.
+    /// Address at which the router receives datagrams.
     pub private: SocketAddr,
-    /// Where routers send what is for all of them.
+    /// Address to which routers send datagrams for all routers.
     pub broadcast: SocketAddr,
 }
 
-/// The configuration of this router as JSON: that of the stand-ins, with peers, membership and a non-idempotent use
-/// case.
+/// Creates the configuration of a router: the example configuration of the stand-ins, extended by peers, membership and a
+/// non-idempotent use case.
 pub(crate) fn router_config(schedule: &Schedule, router: usize, addresses: &RouterAddresses) -> Value {
     let mut config: Value = serde_json::from_str(CONFIG).unwrap_or_default();
     let seed = schedule.seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(router as u64);
--- a/crates/fernknot-fault-tests/src/router_log.rs
+++ b/crates/fernknot-fault-tests/src/router_log.rs
@@ -1,4 +1,4 @@
-//! Status changes in a router's log.
+//! Parser for status changes in a router's log.
 
 use crate::history::StatusChange;
 use std::net::SocketAddr;
@@ -6,7 +6,8 @@
 
 const STATUS_CHANGE_MARKER: &str = " fleet: status of a router changed ";
 
-/// The status change that a log line of `observer` reports, if it does; `public` has the listed address of each router.
+/// Parses a log line of `observer`; returns `None` if it reports no status change. `public` has the listed address of each
+/// router.
 pub(crate) fn parse_status_change(
     line: &str,
     observer: usize,
--- a/crates/fernknot-fault-tests/src/router_process.rs
+++ b/crates/fernknot-fault-tests/src/router_process.rs
@@ -1,4 +1,4 @@
-//! One router: its process, its configuration, its stand-in of discovery and its relays to the stores.
+//! A router with its process, configuration file, discovery stand-in and relays to the stores.
 
 use crate::connection_relay::{ConnectionMode, ConnectionRelay};
 use crate::error::FaultTestError;
@@ -11,32 +11,32 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// Shards that the stores of the example configuration share.
-const SHARDS: u32 = 2;
-const PROGRAM: &str = "fernknot-router";
+/// Number of shards in the example configuration, distributed over the stores.
+const SHARD_COUNT: u32 = 2;
+const ROUTER_PROGRAM: &str = "fernknot-router";
 
-/// The router's program, which is built beside this one.
+/// Returns the path of the router program, which is built into the same directory as this program.
 pub(crate) fn router_program() -> Result<PathBuf, FaultTestError> {
-    let own = std::env::current_exe().map_err(FaultTestError::OwnPath)?;
-    let in_folder = |folder: &Path| Some(folder.join(PROGRAM)).filter(|path| path.is_file());
-    // A test's program is one folder below.
-    let found = own.ancestors().skip(1).take(2).find_map(in_folder);
-    found.ok_or(FaultTestError::NoRouterProgram(own))
+    let own_path = std::env::current_exe().map_err(FaultTestError::OwnPath)?;
+    let in_directory = |directory: &Path| Some(directory.join(ROUTER_PROGRAM)).filter(|path| path.is_file());
+    // Test programs are one directory below.
+    let program = own_path.ancestors().skip(1).take(2).find_map(in_directory);
+    program.ok_or(FaultTestError::RouterProgramNotFound(own_path))
 }
 
-/// One router. Dropping it kills its process.
+/// Router whose process is killed when the value is dropped.
 pub(crate) struct RouterProcess {
     number: usize,
     child: Option<Child>,
     config: PathBuf,
-    /// Where it listens for clients.
+    /// Address at which the router accepts clients.
     pub listen: SocketAddr,
     discovery: Discovery,
     store_relays: Vec<ConnectionRelay>,
 }
 
 impl RouterProcess {
-    /// Writes the configuration and starts all that the router needs, but not its process.
+    /// Writes the configuration and starts discovery and relays, but not the process.
     pub fn prepare(
         number: usize,
         listen: SocketAddr,
@@ -48,13 +48,13 @@
         let relay = |store: &DataNode| ConnectionRelay::start(store.address);
         let store_relays: Vec<ConnectionRelay> = stores.iter().map(relay).collect::<IoResult<_>>()?;
         for (index, relay) in store_relays.iter().enumerate() {
-            discovery.put(&format!("s-{index}"), relay.address, index as u32 % SHARDS, "up");
+            discovery.put(&format!("s-{index}"), relay.address, index as u32 % SHARD_COUNT, "up");
         }
         std::fs::write(&config_path, config.to_string())?;
         Ok(RouterProcess { number, child: None, config: config_path, listen, discovery, store_relays })
     }
 
-    /// Starts the process. Its log comes back; without it nothing was piped.
+    /// Starts the process and returns its log.
     pub fn spawn(&mut self, program: &Path) -> IoResult<Option<ChildStderr>> {
         let mut command = Command::new(program);
         command
@@ -87,15 +87,15 @@
             .map_err(|source| FaultTestError::Signal { router, source })
     }
 
-    /// Waits for the end of a process that was killed or asked to end.
+    /// Waits until the process, which was killed or terminated, has exited.
     pub fn reap(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Only a process that is not this one's child could not be waited for.
+            // Fails only for a process that is not a child of this one.
             let _ = child.wait();
         }
     }
 
-    /// Changes what happens to the router's connections to all stores.
+    /// Sets the mode of the router's connections to all stores.
     pub fn set_connection_mode(&self, mode: ConnectionMode) {
         for relay in &self.store_relays {
             relay.set_mode(mode);
@@ -106,11 +106,11 @@
 impl Drop for RouterProcess {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // A process that has ended already is as good.
+            // Fails only if the process has exited already.
             let _ = child.kill();
         }
         self.reap();
-        // A file that is left behind does no harm.
+        // A file that remains in the temporary directory is harmless.
         let _ = std::fs::remove_file(&self.config);
     }
 }
--- a/crates/fernknot-fault-tests/src/router_view.rs
+++ b/crates/fernknot-fault-tests/src/router_view.rs
@@ -1,4 +1,4 @@
-//! What a router shows over HTTP: its view of the others, and its counters.
+//! HTTP queries of a router's membership view and counters.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -9,25 +9,25 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 const SENT_DATAGRAMS_COUNTER: &str = "fleet_datagrams_sent ";
 
-/// A router's membership view, as `GET /fleet` shows it.
+/// Membership view of a router, from `GET /fleet`.
 pub(crate) struct RouterView {
-    /// What it reports of itself.
-    pub own: BTreeMap<String, String>,
-    /// The status of each other router, by its number.
+    /// Keys and values that the router reports about itself.
+    pub own_report: BTreeMap<String, String>,
+    /// Status names of the other routers, by router number.
     pub statuses: BTreeMap<usize, String>,
 }
 
 impl RouterView {
-    /// `public` has the listed address of each router.
+    /// Parses the answer to `GET /fleet`. `public` has the listed address of each router.
     pub fn parse(text: &str, public: &[SocketAddr]) -> RouterView {
         let lines = text.lines().skip_while(|line| !line.contains(" incarnation="));
-        let mut view = RouterView { own: BTreeMap::new(), statuses: BTreeMap::new() };
+        let mut view = RouterView { own_report: BTreeMap::new(), statuses: BTreeMap::new() };
         for (index, line) in lines.enumerate() {
             let mut fields = line.split(' ');
             let (Some(address), Some(status)) = (fields.next(), fields.next()) else { continue };
             if index == 0 {
                 let pairs = fields.filter_map(|field| field.split_once('='));
-                view.own = pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect();
+                view.own_report = pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect();
             } else if let Some(router) = public.iter().position(|public| public.to_string() == address) {
                 view.statuses.insert(router, status.to_string());
             }
@@ -36,13 +36,13 @@
     }
 }
 
-/// Membership datagrams that a router has sent.
+/// Returns the number of membership datagrams that a router has sent; `None` if it does not answer.
 pub(crate) fn datagrams_sent(router: SocketAddr) -> Option<u64> {
     let text = http_get(router, "/counters")?;
     text.lines().find_map(|line| line.strip_prefix(SENT_DATAGRAMS_COUNTER)?.parse().ok())
 }
 
-/// The answer to a GET, head and body.
+/// Sends a GET request and returns the complete answer, headers included; `None` on any error.
 pub(crate) fn http_get(address: SocketAddr, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
--- a/crates/fernknot-fault-tests/src/runner.rs
+++ b/crates/fernknot-fault-tests/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a schedule, and judges what it left behind.
+//! Runs a schedule and checks the recorded history.
 
 use crate::checker::{CONDITION_MET, Violation, check};
 use crate::clients::Clients;
@@ -13,41 +13,41 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a run left behind.
+/// Result of a run.
 pub struct RunResult {
-    /// All that was recorded.
+    /// Record of the run.
     pub history: History,
-    /// The promises that were not kept.
+    /// Violations of invariants.
     pub violations: Vec<Violation>,
-    /// The index of each step that was played, and how long it took.
+    /// Index and duration of each completed step.
     pub step_durations: Vec<(usize, Duration)>,
-    /// Membership datagrams that one router sent in a second, in the mean over those that ran to the end.
+    /// Mean number of membership datagrams per router and second, over the routers that ran at the start and at the end.
     pub datagrams_per_s: f64,
 }
 
-/// What playing the steps showed.
+/// Durations of the completed steps, and the violation that ended them.
 #[derive(Default)]
-struct PlayedSteps {
+struct StepResults {
     durations: Vec<(usize, Duration)>,
     violation: Option<Violation>,
 }
 
-/// Plays a schedule and judges it.
+/// Runs a schedule and checks the recorded history.
 ///
 /// # Errors
 ///
-/// A [`FaultTestError`] if the processes could not be started or did not become ready. A step that fails later is a
-/// violation.
-pub fn play(schedule: &Schedule) -> Result<RunResult, FaultTestError> {
+/// Returns a [`FaultTestError`] if the processes cannot be started or do not become ready. A step that fails later is
+/// a violation.
+pub fn run_schedule(schedule: &Schedule) -> Result<RunResult, FaultTestError> {
     let mut cluster = Cluster::start(schedule)?;
-    await_ready(&mut cluster, schedule).map_err(|error| FaultTestError::NeverReady(Box::new(error)))?;
+    await_ready(&mut cluster, schedule).map_err(|error| FaultTestError::NotReady(Box::new(error)))?;
     let run_start = cluster.run_start();
     let clients = Clients::start(cluster.client_addresses(), schedule.load_per_s, schedule.seed, run_start);
     let sent_before = cluster.datagrams_sent();
     let start = Instant::now();
-    let played = play_steps(&mut cluster, schedule);
-    let took = start.elapsed();
-    let datagrams_per_s = mean_rate(&sent_before, &cluster.datagrams_sent(), took);
+    let results = run_steps(&mut cluster, schedule);
+    let elapsed = start.elapsed();
+    let datagrams_per_s = mean_rate(&sent_before, &cluster.datagrams_sent(), elapsed);
     let history = History {
         router_count: schedule.routers,
         probe_period: probe_period(schedule),
@@ -56,42 +56,42 @@
         status_changes: cluster.take_status_changes(),
         fault_events: cluster.take_fault_events(),
     };
-    let violations = played.violation.into_iter().chain(check(&history)).collect();
-    Ok(RunResult { history, violations, step_durations: played.durations, datagrams_per_s })
+    let violations = results.violation.into_iter().chain(check(&history)).collect();
+    Ok(RunResult { history, violations, step_durations: results.durations, datagrams_per_s })
 }
 
 fn probe_period(schedule: &Schedule) -> Duration {
     Duration::from_secs_f64(schedule.period_ms / 1e3)
 }
 
-/// All routers know each other, and no view is settling any more.
+/// Waits until all routers show each other as alive and none reports `young` any more.
 fn await_ready(cluster: &mut Cluster, schedule: &Schedule) -> Result<(), FaultTestError> {
     let all: Vec<usize> = (0..schedule.routers).collect();
     await_statuses(cluster, &all, &all, &[ALIVE.to_string()])?;
     await_own_view(cluster, &all, "young", false)
 }
 
-/// Plays the steps up to the first that fails.
-fn play_steps(cluster: &mut Cluster, schedule: &Schedule) -> PlayedSteps {
-    let mut played = PlayedSteps::default();
+/// Runs the steps up to the first that fails.
+fn run_steps(cluster: &mut Cluster, schedule: &Schedule) -> StepResults {
+    let mut results = StepResults::default();
     for (index, step) in schedule.steps.iter().enumerate() {
         let start = Instant::now();
-        if let Err(error) = play_step(cluster, schedule, step) {
+        if let Err(error) = run_step(cluster, schedule, step) {
             let evidence = vec![format!("steps[{index}]: {error}")];
-            played.violation = Some(Violation { promise: CONDITION_MET, evidence });
+            results.violation = Some(Violation { invariant: CONDITION_MET, evidence });
             break;
         }
-        played.durations.push((index, start.elapsed()));
+        results.durations.push((index, start.elapsed()));
     }
-    played
+    results
 }
 
-fn play_step(cluster: &mut Cluster, schedule: &Schedule, step: &Step) -> Result<(), FaultTestError> {
+fn run_step(cluster: &mut Cluster, schedule: &Schedule, step: &Step) -> Result<(), FaultTestError> {
     match step {
-        Step::Kill { routers } => cluster.end(routers, Signal::KILL)?,
-        Step::Suspend { routers } => cluster.take_down(routers, Signal::STOP)?,
+        Step::Kill { routers } => cluster.signal_and_reap(routers, Signal::KILL)?,
+        Step::Suspend { routers } => cluster.record_down_and_signal(routers, Signal::STOP)?,
         Step::Resume { routers } => cluster.resume(routers)?,
-        Step::Terminate { routers } => cluster.end(routers, Signal::TERM)?,
+        Step::Terminate { routers } => cluster.signal_and_reap(routers, Signal::TERM)?,
         Step::Start { routers } => cluster.restart(routers)?,
         Step::Partition { from, to, hidden } => cluster.partition(from, to, *hidden),
         Step::Heal { from, to } => cluster.heal(from, to),
@@ -117,8 +117,8 @@
     members: &[usize],
     statuses: &[String],
 ) -> Result<(), FaultTestError> {
-    let description = format!("{members:?} never {statuses:?} at all of {observers:?}");
-    cluster.await_views(observers, &description, |view: &RouterView, observer| {
+    let condition = format!("routers {members:?} shown as one of {statuses:?} by each of {observers:?}");
+    cluster.await_views(observers, &condition, |view: &RouterView, observer| {
         let has_status =
             |member: &usize| view.statuses.get(member).is_some_and(|status| statuses.contains(status));
         members.iter().filter(|member| **member != observer).all(has_status)
@@ -131,15 +131,15 @@
     key: &str,
     value: bool,
 ) -> Result<(), FaultTestError> {
-    let description = format!("{key} never {value} at all of {observers:?}");
+    let condition = format!("{key}={value} reported by each of {observers:?}");
     let expected = value.to_string();
-    cluster.await_views(observers, &description, |view, _| view.own.get(key) == Some(&expected))
+    cluster.await_views(observers, &condition, |view, _| view.own_report.get(key) == Some(&expected))
 }
 
-/// The mean of the rates of those that ran at both times, a second.
-fn mean_rate(before: &[Option<u64>], after: &[Option<u64>], took: Duration) -> f64 {
+/// Returns the mean rate per second over the routers that ran at both times.
+fn mean_rate(before: &[Option<u64>], after: &[Option<u64>], elapsed: Duration) -> f64 {
     let sent = |(before, after): (&Option<u64>, &Option<u64>)| (*after)?.checked_sub((*before)?);
     let counts = before.iter().zip(after).filter_map(sent);
-    let rates: Vec<f64> = counts.map(|count| count as f64 / took.as_secs_f64()).collect();
+    let rates: Vec<f64> = counts.map(|count| count as f64 / elapsed.as_secs_f64()).collect();
     rates.iter().sum::<f64>() / rates.len().max(1) as f64
 }
--- a/crates/fernknot-fault-tests/src/scenarios.rs
+++ b/crates/fernknot-fault-tests/src/scenarios.rs
@@ -1,56 +1,56 @@
-//! The scenarios that are played: one for each thing that can go wrong between routers.
+//! Fault scenarios, as schedules.
 
 use crate::checker::{NO_FALSE_FAILURE, ONE_ANSWER};
 use crate::schedule::{Routers, Schedule, Step};
 use crate::status_names::{ALIVE, FAILED, LEFT, SUSPECTED};
 
-/// The names of all scenarios, as the command line takes them.
+/// Names of all scenarios, as the command line accepts them.
 pub const NAMES: [&str; 12] = [
     "crash", "pause", "loss", "late", "pair", "one-way", "hears", "speaks", "split", "herd", "roll", "again",
 ];
-/// Scenarios with a fault that is hidden from the checker, and the promise that it has to find broken.
+/// Scenarios with a seeded bug that the checker must find, with the invariant that each violates.
 pub const SEEDED_BUGS: [(&str, &str); 2] = [("planted-lost", NO_FALSE_FAILURE), ("planted-stop", ONE_ANSWER)];
 
-/// Requests a second of all clients together.
+/// Total requests per second of all clients.
 const LOAD_PER_S: f64 = 30.0;
-/// Routers that a rolling restart restarts.
-const ROLLED_ROUTERS: usize = 3;
-/// How often a router is killed and started again.
-const RESTARTS: usize = 3;
+/// Number of routers that a rolling restart restarts.
+const ROLLING_RESTART_ROUTERS: usize = 3;
+/// Number of times that a router is killed and restarted.
+const RESTART_COUNT: usize = 3;
 
-/// The schedule of the scenario with this name; `None` if there is none. `period_ms` is the probe period in
+/// Returns the schedule of the scenario with this name; `None` if there is none. `period_ms` is the probe period in
 /// milliseconds.
 pub fn scenario(name: &str, routers: usize, seed: u64, period_ms: f64) -> Option<Schedule> {
-    let run = Run::new(routers, seed, period_ms);
+    let scenario_routers = ScenarioRouters::new(routers, seed, period_ms);
     let steps = match name {
-        "crash" => run.crash(),
-        "pause" => run.pause(),
-        "loss" => run.loss(),
-        "late" => run.delay_and_duplication(),
-        "pair" => run.broken_pair(),
-        "one-way" => run.broken_one_way(),
-        "hears" => run.inbound_only(),
-        "speaks" => run.outbound_only(),
-        "split" => run.partition(),
-        "herd" => run.mass_failure(),
-        "roll" => run.rolling_restart(),
-        "again" => run.repeated_restart(),
-        "planted-lost" => run.hidden_partition(),
-        "planted-stop" => run.kill_with_requests_in_flight(),
+        "crash" => scenario_routers.crash(),
+        "pause" => scenario_routers.pause(),
+        "loss" => scenario_routers.loss(),
+        "late" => scenario_routers.delay_and_duplication(),
+        "pair" => scenario_routers.broken_pair(),
+        "one-way" => scenario_routers.broken_one_way(),
+        "hears" => scenario_routers.inbound_only(),
+        "speaks" => scenario_routers.outbound_only(),
+        "split" => scenario_routers.partition(),
+        "herd" => scenario_routers.mass_failure(),
+        "roll" => scenario_routers.rolling_restart(),
+        "again" => scenario_routers.repeated_restart(),
+        "planted-lost" => scenario_routers.hidden_partition(),
+        "planted-stop" => scenario_routers.kill_with_requests_in_flight(),
         _ => return None,
     };
-    let steps = [steps, run.await_full_membership()].concat();
+    let steps = [steps, scenario_routers.await_full_membership()].concat();
     Some(Schedule { name: name.to_string(), routers, seed, period_ms, load_per_s: LOAD_PER_S, steps })
 }
 
-/// The routers of one run. Which are hit goes by the seed, so that seeds differ in more than the network's chance.
-struct Run {
+/// Routers of one run. The seed selects the affected ones, so that seeds differ in more than random network faults.
+struct ScenarioRouters {
     all: Routers,
     period_ms: f64,
-    /// The router that is hit.
+    /// Router that the fault affects.
     victim: usize,
-    /// Another one.
-    other: usize,
+    /// Peer of the victim in faults of a single link.
+    link_peer: usize,
 }
 
 fn await_status(observers: &[usize], members: &[usize], statuses: &[&str]) -> Step {
@@ -73,11 +73,11 @@
     Step::Degrade { loss, duplication, max_delay_ms }
 }
 
-impl Run {
-    fn new(routers: usize, seed: u64, period_ms: f64) -> Run {
+impl ScenarioRouters {
+    fn new(routers: usize, seed: u64, period_ms: f64) -> ScenarioRouters {
         let victim = seed as usize % routers;
-        let other = (victim + 1 + seed as usize / routers % (routers - 1)) % routers;
-        Run { all: (0..routers).collect(), period_ms, victim, other }
+        let link_peer = (victim + 1 + seed as usize / routers % (routers - 1)) % routers;
+        ScenarioRouters { all: (0..routers).collect(), period_ms, victim, link_peer }
     }
 
     fn all_but(&self, excluded: &[usize]) -> Routers {
@@ -114,7 +114,7 @@
         ]
     }
 
-    /// A pause shorter than any suspicion: nobody may count as failed.
+    /// A pause that is shorter than the suspicion time-out, so that no router may be declared failed.
     fn pause(&self) -> Vec<Step> {
         let victim = vec![self.victim];
         vec![
@@ -133,29 +133,30 @@
         vec![degrade(0.0, 0.2, self.period_ms / 4.0), self.sustain(40.0), degrade(0.0, 0.0, 0.0)]
     }
 
-    /// Two routers that do not hear each other, and are heard by all others.
+    /// Two routers without a link in either direction, both of which can reach all others.
     fn broken_pair(&self) -> Vec<Step> {
-        let (victim, other) = ([self.victim], [self.other]);
+        let (victim, link_peer) = ([self.victim], [self.link_peer]);
         vec![
-            partition(&victim, &other),
-            partition(&other, &victim),
+            partition(&victim, &link_peer),
+            partition(&link_peer, &victim),
             Step::WaitPeriods { periods: 30 },
             await_status(&self.all, &self.all, &[ALIVE, SUSPECTED]),
             self.heal(),
         ]
     }
 
-    /// A router that one other does not hear.
+    /// A router from which one other router receives nothing.
     fn broken_one_way(&self) -> Vec<Step> {
         vec![
-            partition(&[self.victim], &[self.other]),
+            partition(&[self.victim], &[self.link_peer]),
             Step::WaitPeriods { periods: 30 },
             await_status(&self.all, &self.all, &[ALIVE, SUSPECTED]),
             self.heal(),
         ]
     }
 
-    /// A router that hears all, and that nobody hears: the others take it for failed, and it suspects nobody for good.
+    /// A router that receives from all others but cannot send: the others declare it failed, and it declares none of them
+    /// failed.
     fn inbound_only(&self) -> Vec<Step> {
         let (victim, others) = ([self.victim], self.others());
         vec![
@@ -166,7 +167,7 @@
         ]
     }
 
-    /// A router that all hear, and that hears nobody: it accuses nobody, and takes itself for isolated.
+    /// A router that can send but receives nothing: it considers itself isolated and declares none of the others failed.
     fn outbound_only(&self) -> Vec<Step> {
         let (victim, others) = ([self.victim], self.others());
         vec![
@@ -179,7 +180,7 @@
         ]
     }
 
-    /// A minority and a majority that do not hear each other.
+    /// A partition between a minority and a majority.
     fn partition(&self) -> Vec<Step> {
         let routers = self.all.len();
         let (minority, majority) = self.all.split_at(routers / 2 - usize::from(routers.is_multiple_of(2)));
@@ -214,18 +215,18 @@
                 self.await_all_alive(),
             ]
         };
-        self.all.iter().take(ROLLED_ROUTERS).flat_map(restart).collect()
+        self.all.iter().take(ROLLING_RESTART_ROUTERS).flat_map(restart).collect()
     }
 
     fn repeated_restart(&self) -> Vec<Step> {
         let restart = [
             Step::Kill { routers: vec![self.victim] },
             Step::Start { routers: vec![self.victim] },
-            // The restarted one has to hear of all; that the others never noticed is as good.
+            // The restarted router must learn of all others; they need not have noticed its absence.
             self.await_all_alive(),
             Step::WaitPeriods { periods: 5 },
         ];
-        std::iter::repeat_n(restart, RESTARTS).flatten().collect()
+        std::iter::repeat_n(restart, RESTART_COUNT).flatten().collect()
     }
 
     fn hidden_partition(&self) -> Vec<Step> {
@@ -237,7 +238,7 @@
         ]
     }
 
-    /// Stalled stores make sure that requests are in flight, which then end without an answer.
+    /// Kills a router while stalled stores keep requests in flight, so that these end without an answer.
     fn kill_with_requests_in_flight(&self) -> Vec<Step> {
         let victim = vec![self.victim];
         vec![
--- a/crates/fernknot-fault-tests/src/schedule.rs
+++ b/crates/fernknot-fault-tests/src/schedule.rs
@@ -1,161 +1,162 @@
-//! A test run as a schedule of faults and waits, in JSON that can be printed, stored, played again and cut down.
+//! Schedule of the faults and waits of a test run, in JSON that can be printed, stored, edited and run again.
 //!
-//! The names in the JSON are part of the format; the code's names differ where the field has another term.
+//! The names in the JSON are part of the format; the identifiers in the code may differ from them.
 
 use crate::error::ScheduleError;
 use serde::{Deserialize, Serialize};
 
-/// Routers by their numbers, from 0.
+/// Numbers of routers, from 0.
 pub type Routers = Vec<usize>;
 
-/// The numbers of routers that a schedule may have.
+/// Range of the number of routers in a schedule.
 const ROUTER_COUNTS: std::ops::RangeInclusive<usize> = 2..=200;
 
-/// A fault that is injected or ended, or a wait.
+/// Step of a schedule: begins or ends a fault, or waits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Step {
-    /// SIGKILL, to all at one moment.
+    /// Sends SIGKILL to all routers, then waits until they have exited.
     Kill {
-        /// Whom to kill.
+        /// Routers to kill.
         routers: Routers,
     },
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     #[serde(rename = "stop")]
     Suspend {
-        /// Whom to suspend.
+        /// Routers to suspend.
         routers: Routers,
     },
-    /// SIGCONT.
+    /// Sends SIGCONT.
     #[serde(rename = "wake")]
     Resume {
-        /// Whom to resume.
+        /// Routers to resume.
         routers: Routers,
     },
-    /// SIGTERM.
+    /// Sends SIGTERM and waits until the routers have exited.
     #[serde(rename = "term")]
     Terminate {
-        /// Whom to terminate.
+        /// Routers to terminate.
         routers: Routers,
     },
-    /// Starts routers again, with the same names and addresses.
+    /// Restarts routers with the same names and addresses, and waits until they accept connections.
     Start {
-        /// Whom to start.
+        /// Routers to start.
         routers: Routers,
     },
-    /// Drops datagrams one way.
+    /// Drops datagrams in one direction.
     #[serde(rename = "cut")]
     Partition {
-        /// Their senders.
+        /// Senders of the datagrams.
         from: Routers,
-        /// Their receivers.
+        /// Receivers of the datagrams.
         to: Routers,
-        /// It is hidden from the checker, so that this finds a broken promise: a seeded bug.
+        /// Whether the fault is hidden from the checker, which then has to report its effects as a violation.
         #[serde(rename = "secret", default)]
         hidden: bool,
     },
-    /// Ends all faults of datagrams one way.
+    /// Ends all datagram faults in one direction.
     #[serde(rename = "mend")]
     Heal {
-        /// Their senders.
+        /// Senders of the datagrams.
         from: Routers,
-        /// Their receivers.
+        /// Receivers of the datagrams.
         to: Routers,
     },
     /// Degrades the links among all routers.
     #[serde(rename = "spoil")]
     Degrade {
-        /// The share of datagrams to drop, from 0 to 1.
+        /// Share of datagrams to drop, from 0 to 1.
         #[serde(rename = "lose")]
         loss: f64,
-        /// The share of datagrams to deliver twice, from 0 to 1.
+        /// Share of datagrams to deliver twice, from 0 to 1.
         #[serde(rename = "repeat")]
         duplication: f64,
-        /// The most by which a datagram is delayed, in milliseconds.
+        /// Upper bound of the random delay of a datagram, in milliseconds.
         #[serde(rename = "delay_ms")]
         max_delay_ms: f64,
     },
-    /// Stalls connections to all stores: open, and nothing gets through.
+    /// Stalls connections to all stores: they stay open, but nothing is forwarded.
     #[serde(rename = "silence")]
     StallConnections {
-        /// Whose connections.
+        /// Routers whose connections are affected.
         routers: Routers,
     },
     /// Resets connections to all stores.
     #[serde(rename = "reset")]
     ResetConnections {
-        /// Whose connections.
+        /// Routers whose connections are affected.
         routers: Routers,
     },
-    /// Lets connections to all stores pass again.
+    /// Restores connections to all stores.
     #[serde(rename = "speak")]
     RestoreConnections {
-        /// Whose connections.
+        /// Routers whose connections are affected.
         routers: Routers,
     },
-    /// Waits until each observer shows each member (itself apart) with one of these statuses.
+    /// Waits until each observer shows each member other than itself with one of these statuses.
     #[serde(rename = "await")]
     AwaitStatus {
-        /// The routers that are asked.
+        /// Routers that are queried.
         #[serde(rename = "by")]
         observers: Routers,
-        /// The routers that they are asked about.
+        /// Routers whose status is awaited.
         #[serde(rename = "of")]
         members: Routers,
-        /// Status names of `GET /fleet` ([`status_names`](crate::status_names)).
+        /// Accepted status names, as in `GET /fleet` (see [`status_names`](crate::status_names)).
         #[serde(rename = "is")]
         statuses: Vec<String>,
     },
-    /// Waits until each observer reports this of its own view.
+    /// Waits until each observer reports this value about itself.
     #[serde(rename = "view")]
     AwaitView {
-        /// The routers that are asked.
+        /// Routers that are queried.
         #[serde(rename = "by")]
         observers: Routers,
-        /// `majority`, `young` or `alone`.
+        /// Key of the report: `majority`, `young` or `alone`.
         key: String,
-        /// Its value.
+        /// Awaited value.
         #[serde(rename = "is")]
         value: bool,
     },
-    /// Lets a fault last. For times that are themselves the fault; anything else is awaited.
+    /// Sustains a fault for a fixed time. For faults that are defined by their duration; other effects are awaited.
     #[serde(rename = "last")]
     Sustain {
-        /// How long, in milliseconds.
+        /// Duration in milliseconds.
         ms: u64,
     },
-    /// Some time after a fault by which all would have shown that was going to.
+    /// Waits until all effects of a fault would have appeared.
     #[serde(rename = "settle")]
     WaitPeriods {
-        /// How long, in probe periods.
+        /// Duration in probe periods.
         periods: u64,
     },
 }
 
-/// A test run.
+/// Schedule of a test run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// Its name, for the output.
+    /// Name of the scenario in the output.
     pub name: String,
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: usize,
-    /// Determines the random choices of relays and clients.
+    /// Seed of the random choices of routers, datagram relay and clients.
     pub seed: u64,
-    /// The probe period of membership, in milliseconds.
+    /// Probe period of the membership protocol, in milliseconds.
     pub period_ms: f64,
-    /// Requests a second of all clients together.
+    /// Total requests per second of all clients.
     pub load_per_s: f64,
-    /// What happens, in this order.
+    /// Steps, in the order of execution.
     pub steps: Vec<Step>,
 }
 
 impl Schedule {
-    /// A schedule from JSON.
+    /// Parses and validates a schedule in JSON.
     ///
     /// # Errors
     ///
-    /// A [`ScheduleError`], which names the step at fault.
+    /// Returns a [`ScheduleError`] if the JSON is malformed, the number of routers is out of bounds, or a step names an
+    /// unknown router.
     pub fn parse(text: &str) -> Result<Schedule, ScheduleError> {
         let schedule: Schedule = serde_json::from_str(text)?;
         if !ROUTER_COUNTS.contains(&schedule.routers) {
@@ -171,7 +172,7 @@
 }
 
 impl Step {
-    /// All routers that the step names.
+    /// Returns all routers that the step names.
     fn routers(&self) -> Routers {
         match self {
             Step::Kill { routers }
--- a/crates/fernknot-fault-tests/src/status_names.rs
+++ b/crates/fernknot-fault-tests/src/status_names.rs
@@ -1,10 +1,10 @@
-//! The names by which a router's log and `GET /fleet` give another router's status (`docs/operating-router.md`).
+//! Names of the statuses of other routers in a router's log and in `GET /fleet` (see `docs/operating-router.md`).
 
-/// It runs.
+/// The router runs.
 pub const ALIVE: &str = "alive";
-/// It is suspected of having failed.
+/// The router is suspected of having failed.
 pub const SUSPECTED: &str = "doubted";
-/// It has failed.
+/// The router has failed.
 pub const FAILED: &str = "lost";
-/// It announced its shutdown.
+/// The router announced its shutdown.
 pub const LEFT: &str = "left";
--- a/crates/fernknot-fault-tests/tests/checker_finds_each_violation.rs
+++ b/crates/fernknot-fault-tests/tests/checker_finds_each_violation.rs
@@ -1,4 +1,4 @@
-//! The checker against histories made by hand: each breaks one promise, and the sound one none.
+//! The checker on constructed histories, each with at most one violated invariant.
 
 use fernknot_fault_tests::checker::check;
 use fernknot_fault_tests::clients::{Request, RequestOutcome};
@@ -16,8 +16,8 @@
     Request { id: id.to_string(), use_case, router: 1, sent: at(100), ended: at(150), outcome, answers: 1 }
 }
 
-/// Three routers, one request that ran once and was answered.
-fn sound() -> History {
+/// A history of three routers without violations: one request, whose parts ran once and which was answered.
+fn history_without_violations() -> History {
     History {
         router_count: 3,
         probe_period: at(100),
@@ -28,7 +28,7 @@
     }
 }
 
-/// Router 0 logs another status of router 1.
+/// A status change of router 1 in the log of router 0.
 fn status_change(ms: u64, from: &str, to: &str) -> StatusChange {
     StatusChange {
         at: at(ms),
@@ -44,7 +44,7 @@
     status_change(ms, "doubted", "lost")
 }
 
-fn never_answered(history: &mut History) {
+fn request_without_answer(history: &mut History) {
     history.requests[0].outcome = RequestOutcome::NoAnswer;
 }
 
@@ -56,41 +56,41 @@
 fn failure_of_a_dead_router(history: &mut History) {
     history.fault_events.push((at(50), FaultEvent::Down { router: 1 }));
     history.status_changes.push(failure(5000));
-    never_answered(history);
+    request_without_answer(history);
 }
 
-/// Nothing that router 1 sends reaches these any more.
-fn silence_router_1(history: &mut History, receivers: &[usize]) {
+/// Drops all datagrams from router 1 to these receivers.
+fn block_datagrams_from_router_1(history: &mut History, receivers: &[usize]) {
     let partition = FaultEvent::Partitioned { from: vec![1], to: receivers.to_vec() };
     history.fault_events.push((at(2000), partition));
 }
 
-fn failure_heard_by(history: &mut History, unreached: &[usize]) {
-    silence_router_1(history, unreached);
+fn failure_with_blocked_receivers(history: &mut History, blocked_receivers: &[usize]) {
+    block_datagrams_from_router_1(history, blocked_receivers);
     history.status_changes.push(failure(5000));
 }
 
 fn flapping(history: &mut History) {
-    silence_router_1(history, &[0, 2]);
-    let back = |ms| status_change(ms, "lost", "alive");
-    history.status_changes = vec![failure(3000), back(3500), failure(4000), back(4500)];
+    block_datagrams_from_router_1(history, &[0, 2]);
+    let recovery = |ms| status_change(ms, "lost", "alive");
+    history.status_changes = vec![failure(3000), recovery(3500), failure(4000), recovery(4500)];
 }
 
-#[test_case(|_| {}, None; "sound")]
-#[test_case(never_answered, Some("one-answer"); "never answered")]
+#[test_case(|_| {}, None; "no violation")]
+#[test_case(request_without_answer, Some("one-answer"); "never answered")]
 #[test_case(|history| history.requests[0].ended = at(9000), Some("one-answer"); "answered too late")]
 #[test_case(|history| history.requests[0].answers = 2, Some("honest-answers"); "answered twice")]
 #[test_case(|history| history.store_calls[1].clear(), Some("honest-answers"); "complete without a part")]
 #[test_case(|history| history.store_calls[0].push("a.0".to_string()), Some("no-effect-twice"); "a non-idempotent part that ran twice")]
 #[test_case(repeated_idempotent_part, None; "an idempotent part that ran twice")]
 #[test_case(|history| history.status_changes.push(failure(5000)), Some("no-false-lost"); "failure of a running router")]
-#[test_case(failure_of_a_dead_router, None; "failure of a dead router, with what it had in flight")]
-#[test_case(|history| failure_heard_by(history, &[0]), Some("no-false-lost"); "one link broken, and heard by the third")]
-#[test_case(|history| failure_heard_by(history, &[0, 2]), None; "heard by nobody")]
-#[test_case(flapping, Some("no-flapping"); "back and forth for one fault")]
-fn each_violation_is_found_and_nothing_else(change: fn(&mut History), promise: Option<&str>) {
-    let mut history = sound();
+#[test_case(failure_of_a_dead_router, None; "failure of a dead router with a request in flight")]
+#[test_case(|history| failure_with_blocked_receivers(history, &[0]), Some("no-false-lost"); "failure of a router that a third one can reach")]
+#[test_case(|history| failure_with_blocked_receivers(history, &[0, 2]), None; "failure of a router that reaches no other")]
+#[test_case(flapping, Some("no-flapping"); "repeated failure and recovery after one fault")]
+fn checker_reports_exactly_the_violated_invariant(change: fn(&mut History), invariant: Option<&str>) {
+    let mut history = history_without_violations();
     change(&mut history);
-    let broken: Vec<&str> = check(&history).iter().map(|violation| violation.promise).collect();
-    assert_eq!(broken, promise.into_iter().collect::<Vec<_>>());
+    let violated: Vec<&str> = check(&history).iter().map(|violation| violation.invariant).collect();
+    assert_eq!(violated, invariant.into_iter().collect::<Vec<_>>());
 }
--- a/crates/fernknot-fault-tests/tests/invariants_hold_under_faults.rs
+++ b/crates/fernknot-fault-tests/tests/invariants_hold_under_faults.rs
@@ -1,50 +1,50 @@
-//! Several real processes and faults between them: each scenario keeps its promises, and seeded bugs are found.
+//! Fault scenarios with real router processes: invariants hold, and the checker finds seeded bugs.
 
 use fernknot_fault_tests::checker::{ONE_ANSWER, check};
-use fernknot_fault_tests::runner::play;
+use fernknot_fault_tests::runner::run_schedule;
 use fernknot_fault_tests::scenarios::{NAMES, SEEDED_BUGS, scenario};
 use fernknot_fault_tests::schedule::Schedule;
 use test_case::test_case;
 
 const PERIOD_MS: f64 = 200.0;
 
-#[test_case("crash", 5; "a crash is known to all, and a restart")]
-#[test_case("pause", 5; "a pause makes nobody fail")]
+#[test_case("crash", 5; "all routers detect a crash and a restart")]
+#[test_case("pause", 5; "a short pause fails no router")]
 #[test_case("loss", 5; "lost datagrams")]
-#[test_case("late", 5; "late, duplicated and overtaken datagrams")]
-#[test_case("pair", 5; "two that do not hear each other")]
-#[test_case("one-way", 5; "one that is not heard by another")]
-#[test_case("hears", 5; "one that only hears")]
-#[test_case("speaks", 5; "one that is only heard")]
+#[test_case("late", 5; "delayed, duplicated and reordered datagrams")]
+#[test_case("pair", 5; "two routers without a link between them")]
+#[test_case("one-way", 5; "a link broken in one direction")]
+#[test_case("hears", 5; "a router that can only receive")]
+#[test_case("speaks", 5; "a router that can only send")]
 #[test_case("split", 7; "a partition")]
-#[test_case("herd", 7; "seven in ten at once")]
+#[test_case("herd", 7; "simultaneous failure of seven in ten routers")]
 #[test_case("roll", 5; "a rolling restart")]
-#[test_case("again", 5; "one that is killed again and again")]
-fn routers_keep_their_promises(name: &str, routers: usize) {
+#[test_case("again", 5; "a router that is killed repeatedly")]
+fn invariants_hold_in_each_scenario(name: &str, routers: usize) {
     let schedule = scenario(name, routers, 3, PERIOD_MS).unwrap();
-    let result = play(&schedule).unwrap();
+    let result = run_schedule(&schedule).unwrap();
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
     assert!(result.history.requests.len() > 10, "no load");
 }
 
 #[test]
-fn a_fault_that_is_hidden_from_the_checker_breaks_the_promise_that_it_should() {
-    for (name, promise) in SEEDED_BUGS {
+fn checker_finds_seeded_bugs() {
+    for (name, invariant) in SEEDED_BUGS {
         let mut schedule = scenario(name, 5, 3, PERIOD_MS).unwrap();
         schedule.load_per_s = 100.0;
-        let mut result = play(&schedule).unwrap();
-        if promise == ONE_ANSWER {
-            // Its clients are judged as though nothing had happened to the router.
+        let mut result = run_schedule(&schedule).unwrap();
+        if invariant == ONE_ANSWER {
+            // Without the recorded faults, the unanswered requests count as violations.
             result.history.fault_events.clear();
             result.violations = check(&result.history);
         }
-        let is_found = result.violations.iter().any(|violation| violation.promise == promise);
+        let is_found = result.violations.iter().any(|violation| violation.invariant == invariant);
         assert!(is_found, "{name}: {:#?}", result.violations);
     }
 }
 
 #[test]
-fn a_schedule_is_the_same_after_it_was_printed_and_read() {
+fn schedules_round_trip_through_json() {
     for name in NAMES {
         let schedule = scenario(name, 6, 4, PERIOD_MS).unwrap();
         let text = serde_json::to_string(&schedule).unwrap();
--- a/crates/fernknot-fault-tests/tests/routers_end_with_the_run.rs
+++ b/crates/fernknot-fault-tests/tests/routers_end_with_the_run.rs
@@ -1,26 +1,26 @@
-//! No process that a run started outlives it.
+//! Router processes end with the fault tests that started them.
 
 use rustix::process::{Pid, Signal, kill_process, test_kill_process};
 use std::io::Read;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The children of a process that are routers.
-fn routers_of(parent: u32) -> Vec<i32> {
+/// Returns the process ids of the routers that are children of a process.
+fn router_pids_of(parent: u32) -> Vec<i32> {
     let entries = std::fs::read_dir("/proc").unwrap().flatten();
     let pid = |entry: std::fs::DirEntry| entry.file_name().to_str()?.parse::<i32>().ok();
     let is_child = |pid: &i32| {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-        let after = stat.rsplit(") ").next().unwrap_or_default().to_string();
-        let parent_of_child = after.split(' ').nth(1).and_then(|word| word.parse().ok());
+        let fields_after_name = stat.rsplit(") ").next().unwrap_or_default().to_string();
+        let parent_of_child = fields_after_name.split(' ').nth(1).and_then(|word| word.parse().ok());
         parent_of_child == Some(parent) && stat.contains("(fernknot-router)")
     };
     entries.filter_map(pid).filter(is_child).collect()
 }
 
-/// Guards the machine that a run is played on: the fault tests are killed, and can end nothing themselves.
+/// Router processes must not leak when the fault tests are killed and cannot stop them.
 #[test]
-fn killed_fault_tests_take_their_routers_with_them() {
+fn routers_exit_when_the_fault_tests_are_killed() {
     let mut fault_tests = Command::new(env!("CARGO_BIN_EXE_fernknot-fault-tests"))
         .args(["loss", "--routers", "4", "--period", "200"])
         .stdout(Stdio::null())
@@ -37,7 +37,7 @@
         }
         assert!(start.elapsed() < Duration::from_secs(30), "never four routers: {routers:?}");
         std::thread::sleep(Duration::from_millis(5));
-        routers = routers_of(fault_tests.id());
+        routers = router_pids_of(fault_tests.id());
     }
     kill_process(Pid::from_child(&fault_tests), Signal::KILL).unwrap();
     fault_tests.wait().unwrap();
