--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -81,9 +81,9 @@
     pub second_phase_parts: u64,
     /// Whether any second-phase part was sent.
     pub second_phase_opened: bool,
-    /// Number of parts sent after the final answer; any is a violation.
+    /// Number of parts sent after the end of the query; any is a violation.
     pub parts_after_end: u64,
-    /// Number of final answers; any other number than one is a violation, unless the client timed out.
+    /// Number of final answers. It must be one, or zero if the client timed out.
     pub final_answers: u64,
 }
 
--- a/crates/fernknot-experiments/src/membership/cold_budget.rs
+++ b/crates/fernknot-experiments/src/membership/cold_budget.rs
@@ -27,7 +27,7 @@
         self.share
     }
 
-    /// Resets the share for a new process; a restarted one has no measurement and claims nothing until it has one.
+    /// Prepares the share for a new process; a restarted one claims nothing until its first measurement.
     pub fn process_started(&mut self, routers: u32, is_restart: bool) {
         if is_restart {
             self.share = 0.0;
--- a/crates/fernknot-experiments/src/membership/network.rs
+++ b/crates/fernknot-experiments/src/membership/network.rs
@@ -12,7 +12,7 @@
 /// Range of the one-way delay of a datagram, in nanoseconds.
 const DELAY_RANGE_NANOS: std::ops::Range<u64> = 200_000..2_000_000;
 
-/// The network and its faults.
+/// Network between the simulated routers, with the fault of the scenario.
 pub(super) struct Network {
     scenario: Scenario,
     routers: u32,
--- a/crates/fernknot-experiments/src/membership/process_io.rs
+++ b/crates/fernknot-experiments/src/membership/process_io.rs
@@ -14,7 +14,7 @@
         to: u32,
         bytes: Vec<u8>,
     },
-    /// The status of another router changed; the flags tell whether it counted and counts as failed.
+    /// Status change of another router, with whether the old and the new status are failed.
     FailureChanged {
         member: u32,
         was_failed: bool,
--- a/crates/fernknot-experiments/src/membership/simulation.rs
+++ b/crates/fernknot-experiments/src/membership/simulation.rs
@@ -17,7 +17,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Number of routers for each one that is in a loss burst.
+/// Ratio of all routers to those in a loss burst at any time.
 const ROUTERS_PER_BURST: u32 = 20;
 
 enum Event {
--- a/crates/fernknot-experiments/src/membership/timing.rs
+++ b/crates/fernknot-experiments/src/membership/timing.rs
@@ -12,7 +12,7 @@
 pub(super) const START_SPREAD: Nanos = millis(500);
 /// Time of the scenario's first fault.
 pub(super) const FAULT_START: Nanos = millis(15_000);
-/// End of a fault that lasts.
+/// End of the network fault, and earliest restart after a mass failure.
 pub(super) const FAULT_END: Nanos = millis(25_000);
 /// End of the run.
 pub(super) const RUN_END: Nanos = millis(40_000);
--- a/crates/fernknot-experiments/src/two_phase/figures.rs
+++ b/crates/fernknot-experiments/src/two_phase/figures.rs
@@ -54,7 +54,7 @@
     /// Ratio of parts sent to parts needed: the blocks of each first phase begun and the matching blocks of each second
     /// phase opened.
     pub parts_over_need: f64,
-    /// Number of violations: missing or repeated answers, and parts sent after the final answer.
+    /// Number of violations: missing or repeated answers, and parts sent after the end of a query.
     pub violations: u64,
     /// Number of queries that the engine had in flight at the end; any is a leak.
     pub in_flight: usize,
