--- a/crates/fernknot-experiments/src/membership/cold_budget.rs
+++ b/crates/fernknot-experiments/src/membership/cold_budget.rs
@@ -1,6 +1,6 @@
-//! Shares of a cold node's load budget, which all routers divide among themselves without coordination. A router derives
-//! its share from its part of the warm nodes' recent answers and from the number of routers that it considers live. One
-//! that underestimates this number claims too much.
+//! Shares of a cold node's load budget, which all routers divide among themselves without coordination. A router
+//! derives its share from its part of the warm nodes' recent answers and from the number of routers that it considers
+//! live. One that underestimates this number claims too much.
 
 use fernknot::interface::Nanos;
 
--- a/crates/fernknot-experiments/src/membership/figures.rs
+++ b/crates/fernknot-experiments/src/membership/figures.rs
@@ -26,8 +26,8 @@
     pub detect_p99_ms: f64,
     /// Number of pairs of a live router and a dead one that it shows as neither failed nor left at the end.
     pub undetected: u64,
-    /// 99th percentile of the time from the fault's end until an observer no longer shows a router as failed; -1 if none
-    /// recovered.
+    /// 99th percentile of the time from the fault's end until an observer no longer shows a router as failed; -1 if
+    /// none recovered.
     pub rejoin_p99_ms: f64,
     /// Number of ordered pairs of running routers of which one shows the other as failed or left at the end.
     #[serde(rename = "unjoined")]
--- a/crates/fernknot-experiments/src/membership/fixed_heartbeat.rs
+++ b/crates/fernknot-experiments/src/membership/fixed_heartbeat.rs
@@ -45,7 +45,8 @@
         self.peers.values().map(|peer| peer.failure_changes).max().unwrap_or(0)
     }
 
-    /// Runs one iteration of the event loop: receives the datagrams, checks time-outs and sends heartbeats that are due.
+    /// Runs one iteration of the event loop: receives the datagrams, checks time-outs and sends heartbeats that are
+    /// due.
     pub fn run_iteration(&mut self, now: Nanos, inbox: impl IntoIterator<Item = Input>) -> Vec<Output> {
         let mut outputs = Vec::new();
         for input in inbox {
--- a/crates/fernknot-experiments/src/membership/simulation.rs
+++ b/crates/fernknot-experiments/src/membership/simulation.rs
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Records the excess of all claimed shares over the budget, then lets the active routers measure their shares. Load is
-    /// even, so that each active router gets an equal share of the warm nodes' answers.
+    /// Records the excess of all claimed shares over the budget, then lets the active routers measure their shares.
+    /// Load is even, so that each active router gets an equal share of the warm nodes' answers.
     fn measure_budgets(&mut self) {
         let active = self.hosts.iter().filter(|host| host.is_active()).count().max(1);
         let with_process = self.hosts.iter().filter(|host| host.has_process());
--- a/crates/fernknot-experiments/src/stores.rs
+++ b/crates/fernknot-experiments/src/stores.rs
@@ -1,5 +1,5 @@
-//! Simulated stores: each has one server, a bounded queue, randomly distributed work, and periods in which it is slow or
-//! stalled.
+//! Simulated stores: each has one server, a bounded queue, randomly distributed work, and periods in which it is slow
+//! or stalled.
 
 use fernknot::interface::{AttemptNumber, Nanos, PartId};
 use rand::Rng;
--- a/crates/fernknot-experiments/src/two_phase/workload.rs
+++ b/crates/fernknot-experiments/src/two_phase/workload.rs
@@ -127,7 +127,8 @@
     PLACE_COUNT as f64 * STORES_PER_PLACE as f64 * 1e3 / work_ms
 }
 
-/// Draws the queries of one run. They depend on seed, load and duration only, so that all variants get the same queries.
+/// Draws the queries of one run. They depend on seed, load and duration only, so that all variants get the same
+/// queries.
 pub(super) fn workload(seed: u64, load: f64, seconds: u64) -> Workload {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ load.to_bits());
     let interval = Exp::new(capacity_per_s() * load / 1e9).expect("the load is positive");
--- a/crates/fernknot-fault-tests/src/clients.rs
+++ b/crates/fernknot-fault-tests/src/clients.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients: requests are sent at a fixed rate, each on its own connection, regardless of the outcome of earlier
-//! ones.
+//! Open-loop clients: requests are sent at a fixed rate, each on its own connection, regardless of the outcome of
+//! earlier ones.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/fernknot-fault-tests/src/cluster.rs
+++ b/crates/fernknot-fault-tests/src/cluster.rs
@@ -144,8 +144,8 @@
         self.fault_events.push((self.run_start.elapsed(), event));
     }
 
-    /// Sends routers a signal that stops them. `Down` is recorded before the signal, so that no effect of the fault precedes
-    /// its record.
+    /// Sends routers a signal that stops them. `Down` is recorded before the signal, so that no effect of the fault
+    /// precedes its record.
     pub fn record_down_and_signal(
         &mut self,
         routers: &[usize],
@@ -176,8 +176,8 @@
         Ok(())
     }
 
-    /// Starts routers and waits until each accepts connections; only then `Up` is recorded, because connections are refused
-    /// until then.
+    /// Starts routers and waits until each accepts connections; only then `Up` is recorded, because connections are
+    /// refused until then.
     pub fn restart(&mut self, routers: &[usize]) -> Result<(), FaultTestError> {
         for router in routers {
             self.spawn(*router).map_err(|source| FaultTestError::Spawn { router: *router, source })?;
--- a/crates/fernknot-fault-tests/src/datagram_relay.rs
+++ b/crates/fernknot-fault-tests/src/datagram_relay.rs
@@ -59,16 +59,16 @@
     private: Vec<SocketAddr>,
 }
 
-/// Relay of datagrams among all routers. It binds each router's public address and forwards a router's datagrams from it,
-/// so that receivers see the sender at its listed address.
+/// Relay of datagrams among all routers. It binds each router's public address and forwards a router's datagrams from
+/// it, so that receivers see the sender at its listed address.
 pub(crate) struct DatagramRelay {
     shared: Arc<Shared>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
 impl DatagramRelay {
-    /// Starts a relay. It forwards datagrams that arrive at a `public` address to the same router's `private` address, and
-    /// those that arrive at `broadcast` to all routers but the sender. `seed` determines the random faults.
+    /// Starts a relay. It forwards datagrams that arrive at a `public` address to the same router's `private` address,
+    /// and those that arrive at `broadcast` to all routers but the sender. `seed` determines the random faults.
     pub fn start(
         public: &[SocketAddr],
         private: &[SocketAddr],
--- a/crates/fernknot-fault-tests/src/router_config.rs
+++ b/crates/fernknot-fault-tests/src/router_config.rs
@@ -20,8 +20,8 @@
     pub broadcast: SocketAddr,
 }
 
-/// Creates the configuration of a router: the example configuration of the stand-ins, extended by peers, membership and a
-/// non-idempotent use case.
+/// Creates the configuration of a router: the example configuration of the stand-ins, extended by peers, membership and
+/// a non-idempotent use case.
 pub(crate) fn router_config(schedule: &Schedule, router: usize, addresses: &RouterAddresses) -> Value {
     let mut config: Value = serde_json::from_str(CONFIG).unwrap_or_default();
     let seed = schedule.seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(router as u64);
--- a/crates/fernknot-fault-tests/src/runner.rs
+++ b/crates/fernknot-fault-tests/src/runner.rs
@@ -21,7 +21,8 @@
     pub violations: Vec<Violation>,
     /// Index and duration of each completed step.
     pub step_durations: Vec<(usize, Duration)>,
-    /// Mean number of membership datagrams per router and second, over the routers that ran at the start and at the end.
+    /// Mean number of membership datagrams per router and second, over the routers that ran at the start and at the
+    /// end.
     pub datagrams_per_s: f64,
 }
 
--- a/crates/fernknot-fault-tests/src/scenarios.rs
+++ b/crates/fernknot-fault-tests/src/scenarios.rs
@@ -155,8 +155,8 @@
         ]
     }
 
-    /// A router that receives from all others but cannot send: the others declare it failed, and it declares none of them
-    /// failed.
+    /// A router that receives from all others but cannot send: the others declare it failed, and it declares none of
+    /// them failed.
     fn inbound_only(&self) -> Vec<Step> {
         let (victim, others) = ([self.victim], self.others());
         vec![
@@ -167,7 +167,8 @@
         ]
     }
 
-    /// A router that can send but receives nothing: it considers itself isolated and declares none of the others failed.
+    /// A router that can send but receives nothing: it considers itself isolated and declares none of the others
+    /// failed.
     fn outbound_only(&self) -> Vec<Step> {
         let (victim, others) = ([self.victim], self.others());
         vec![
