--- a/crates/fernknot-controller/src/controller/changes.rs
+++ b/crates/fernknot-controller/src/controller/changes.rs
@@ -14,7 +14,7 @@
 use fernknot_consensus::Revision;
 use fernknot_rpc::{ControllerMessage, ControllerToGateway};
 use fernknot_schema::{RoutingConfig, json_digest};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use log::Level;
 use std::net::SocketAddrV4;
 
@@ -91,7 +91,7 @@
             _ => {
                 self.counters.add(counter::CHANGES_REJECTED, 1);
                 let text = format!("rejected a configuration change with status {reply_status}: {reason}");
-                self.actions.log(Level::Info, part::ROUTING_CONFIG, text);
+                self.actions.log(Level::Info, component::ROUTING_CONFIG, text);
             }
         }
         match origin {
@@ -146,7 +146,9 @@
     pub(super) fn activate_config(&mut self, revision: Revision, state: &[u8]) {
         let config = match ActiveConfig::parse(revision.0, state) {
             Ok(config) => config,
-            Err(error) => return self.actions.log(Level::Error, part::ROUTING_CONFIG, error.to_string()),
+            Err(error) => {
+                return self.actions.log(Level::Error, component::ROUTING_CONFIG, error.to_string());
+            }
         };
         if config.state.epoch != self.active_config.state.epoch {
             let text = format!(
@@ -154,7 +156,7 @@
                 config.state.epoch,
                 config.route_count()
             );
-            self.actions.log(Level::Info, part::ROUTING_CONFIG, text);
+            self.actions.log(Level::Info, component::ROUTING_CONFIG, text);
         }
         self.active_config = config;
         for (origin, evidence) in self.changes.take_committed(&self.active_config.state) {
--- a/crates/fernknot-controller/src/controller/consensus_events.rs
+++ b/crates/fernknot-controller/src/controller/consensus_events.rs
@@ -7,7 +7,7 @@
 use crate::evidence::QuorumEvidence;
 use fernknot_consensus::{Action as ConsensusAction, View};
 use fernknot_rpc::ControllerMessage;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use log::Level;
 
 impl Controller {
@@ -24,7 +24,7 @@
             } else {
                 "lease lost: no majority of the members is reachable"
             };
-            self.actions.log(Level::Info, part::CONSENSUS, text);
+            self.actions.log(Level::Info, component::CONSENSUS, text);
         }
         if self.holds_lease() {
             self.send_deferred_snapshots();
@@ -62,7 +62,7 @@
             ConsensusAction::ViewLeft => {
                 self.actions.log(
                     Level::Warn,
-                    part::CONSENSUS,
+                    component::CONSENSUS,
                     "this controller has left the view; rejoining",
                 );
             }
@@ -81,7 +81,7 @@
     fn view_activated(&mut self, view: &View) {
         let members: Vec<String> = view.members.iter().map(|member| member.addr.ip().to_string()).collect();
         let text = format!("view {} is active with members {}", view.number.0, members.join(", "));
-        self.actions.log(Level::Info, part::CONSENSUS, text);
+        self.actions.log(Level::Info, component::CONSENSUS, text);
         self.changes.requeue_all_proposed(self.now());
         view.members.iter().for_each(|member| self.add_peer(member.addr));
         self.ownership.mark_stale();
@@ -92,6 +92,6 @@
     fn identity_replaced(&mut self) {
         self.active_config = ActiveConfig::empty();
         let text = "joining as a new member: the disk holds an outdated state, or a forced view excluded it";
-        self.actions.log(Level::Warn, part::CONSENSUS, text);
+        self.actions.log(Level::Warn, component::CONSENSUS, text);
     }
 }
--- a/crates/fernknot-controller/src/controller/inspection.rs
+++ b/crates/fernknot-controller/src/controller/inspection.rs
@@ -6,7 +6,7 @@
 use fernknot_consensus::{ForceViewError, ViewNumber};
 use fernknot_registry::VersionedRecords;
 use fernknot_rpc::InspectionTopic;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use log::Level;
 use std::net::SocketAddrV4;
 use thiserror::Error;
@@ -55,7 +55,7 @@
             Ok(number) => format!("operator forced view {} without the lost members {lost}", number.0),
             Err(error) => format!("rejected the operator's request to force a view without {lost}: {error}"),
         };
-        self.actions.log(Level::Warn, part::CONSENSUS, text);
+        self.actions.log(Level::Warn, component::CONSENSUS, text);
         Ok(result?)
     }
 
--- a/crates/fernknot-controller/src/controller/lifecycle.rs
+++ b/crates/fernknot-controller/src/controller/lifecycle.rs
@@ -5,7 +5,7 @@
 use crate::seeded_bug::SeededBug;
 use fernknot::interface::Nanos;
 use fernknot_consensus::{Consensus, MemberId, PersistentState, View, WriteId};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use log::Level;
 use std::net::SocketAddrV4;
 
@@ -59,13 +59,15 @@
         self.disk.is_healthy = is_healthy;
         // At start, the disk is unhealthy until the storage directory has been rebuilt, which is no fault to log.
         match (is_healthy, self.disk.has_recovered) {
-            (true, true) => {
-                self.actions.log(Level::Info, part::STORAGE, "the disk is healthy again; resuming writes")
-            }
+            (true, true) => self.actions.log(
+                Level::Info,
+                component::STORAGE,
+                "the disk is healthy again; resuming writes",
+            ),
             (true, false) => self.disk.has_recovered = true,
             (false, true) => self.actions.log(
                 Level::Warn,
-                part::STORAGE,
+                component::STORAGE,
                 "the disk hangs or rejects writes; storing nothing until it recovers",
             ),
             (false, false) => {}
--- a/crates/fernknot-controller/src/controller/node_updates.rs
+++ b/crates/fernknot-controller/src/controller/node_updates.rs
@@ -3,7 +3,7 @@
 use super::state::Controller;
 use crate::counters as counter;
 use fernknot_rpc::{ControllerMessage, MAX_ITEMS_PER_MESSAGE};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use log::Level;
 
 impl Controller {
@@ -38,7 +38,7 @@
                 "{lost} nodes marked as lost: no heartbeats received; {} nodes are up",
                 self.nodes.up_count()
             );
-            self.actions.log(Level::Info, part::NODES, text);
+            self.actions.log(Level::Info, component::NODES, text);
         }
     }
 
--- a/crates/fernknot-controller/src/controller/publication.rs
+++ b/crates/fernknot-controller/src/controller/publication.rs
@@ -5,7 +5,7 @@
 use crate::subscribers::Subscriber;
 use fernknot_ownership::Assignment;
 use fernknot_rpc::{ControllerEndpoint, ControllerMessage, ControllerToGateway, MAX_ADVERTISED_CONTROLLERS};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use log::Level;
 
 impl Controller {
@@ -78,7 +78,7 @@
             assignment.gateways.len(),
             assignment.presumed_alive
         );
-        self.actions.log(Level::Info, part::OWNERSHIP, text);
+        self.actions.log(Level::Info, component::OWNERSHIP, text);
         self.ownership.replace(assignment);
         let message = || ControllerToGateway::Assignment(self.ownership.assignment().clone());
         self.subscribers.notify_all(message, &mut self.actions);
--- a/crates/fernknot-controller/src/controller/state.rs
+++ b/crates/fernknot-controller/src/controller/state.rs
@@ -17,7 +17,7 @@
 use fernknot::interface::Nanos;
 use fernknot_http_api::Dispatcher;
 use fernknot_rpc::ControllerMessage;
-use fernknot_telemetry::{Counters, part};
+use fernknot_telemetry::{Counters, component};
 use log::Level;
 use std::net::SocketAddrV4;
 
@@ -144,7 +144,7 @@
         self.consensus.add_address(now, addr);
         self.actions.log(
             Level::Info,
-            part::CONNECTIONS,
+            component::CONNECTIONS,
             format!("learned the controller address {addr}; connecting"),
         );
         let addrs = self.peers.known_addrs();
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -2,7 +2,7 @@
 
 use fernknot_consensus::{PersistentState, WriteId};
 use fernknot_storage::{Capacity, CompletedWrite, Storage, StorageError};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use mio::Waker;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -64,7 +64,7 @@
         let work = move || open_and_load(directory, disk_bytes, &waker, &sender);
         if let Err(error) = std::thread::Builder::new().name("opening".into()).spawn(work) {
             log::error!(
-                target: part::STORAGE,
+                target: component::STORAGE,
                 "cannot start the thread that opens the disk: {error}; the disk stays unavailable until a restart"
             );
         }
@@ -140,7 +140,7 @@
     tracked
         .map(|CompletedWrite { write_id, result }| {
             if let Err(error) = &result {
-                log::warn!(target: part::STORAGE, "cannot write the consensus state: {error}");
+                log::warn!(target: component::STORAGE, "cannot write the consensus state: {error}");
             }
             (WriteId(write_id), result.is_ok())
         })
@@ -164,7 +164,7 @@
             let _ = sender.send((storage, recovered));
         }
         Err(error) => log::error!(
-            target: part::STORAGE,
+            target: component::STORAGE,
             "cannot open the storage directory: {error}; the disk stays unavailable until a restart"
         ),
     }
@@ -178,7 +178,7 @@
             Ok(recovered) => return recovered,
             Err(error) => {
                 if !std::mem::replace(&mut is_logged, true) {
-                    log::warn!(target: part::STORAGE, "cannot read the stored state: {error}; retrying");
+                    log::warn!(target: component::STORAGE, "cannot read the stored state: {error}; retrying");
                 }
                 std::thread::sleep(READ_RETRY_DELAY);
             }
@@ -201,7 +201,7 @@
         Ok(state) => Some(state),
         Err(error) => {
             log::error!(
-                target: part::STORAGE,
+                target: component::STORAGE,
                 "cannot decode the consensus state: {error}; joining as a new member"
             );
             None
--- a/crates/fernknot-controller/src/host/actions.rs
+++ b/crates/fernknot-controller/src/host/actions.rs
@@ -7,7 +7,7 @@
 use fernknot_http_api::Reply;
 use fernknot_net::{Buffer, ConnectionId};
 use fernknot_rpc::{ControllerMessage, ControllerToGateway, GatewayToController, write_message};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::net::SocketAddrV4;
 
 impl Host {
@@ -48,7 +48,7 @@
         let Some(id) = self.connections.outbound(to) else { return };
         if self.event_loop.pending_output_bytes(id) > self.limits.max_output_bytes() {
             log::warn!(
-                target: part::CONNECTIONS,
+                target: component::CONNECTIONS,
                 "closing the connection to controller {to}: it does not read its messages; connecting again"
             );
             self.drop_connection(id);
@@ -67,7 +67,7 @@
             let id = ConnectionId(subscriber.0);
             if self.event_loop.pending_output_bytes(id) > self.limits.max_output_bytes() {
                 log::warn!(
-                    target: part::CONNECTIONS,
+                    target: component::CONNECTIONS,
                     "closing the connection to a subscriber: it does not read its messages"
                 );
                 self.controller.unsubscribe(*subscriber);
@@ -83,7 +83,7 @@
             Ok(id) => self.connections.add_outbound(id, to, now),
             Err(error) => {
                 log::warn!(
-                    target: part::CONNECTIONS,
+                    target: component::CONNECTIONS,
                     "cannot open a connection to controller {to}: {error}; retrying"
                 );
                 self.controller.peer_disconnected(now, to);
@@ -104,7 +104,7 @@
     pub(super) fn poll_disk(&mut self, now: Nanos) {
         if let Some(recovered) = self.disk.take_recovered() {
             let revision = recovered.consensus.as_ref().map_or(0, |state| state.revision.0);
-            log::info!(target: part::STORAGE, "control state loaded from disk, revision {revision}");
+            log::info!(target: component::STORAGE, "control state loaded from disk, revision {revision}");
             let (state, known_peers) = (recovered.consensus, &recovered.known_peers);
             self.controller.disk_loaded(now, state, known_peers, recovered.is_empty);
         }
--- a/crates/fernknot-controller/src/host/events.rs
+++ b/crates/fernknot-controller/src/host/events.rs
@@ -8,7 +8,7 @@
 use fernknot_http_api::{HttpServerConnection, ReadOutcome};
 use fernknot_net::{ConnectionId, Event};
 use fernknot_rpc::{ControllerMessage, GatewayToController, read_message};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::net::SocketAddrV4;
 
 impl Host {
@@ -118,7 +118,7 @@
                 Err(error) => {
                     let peer = self.event_loop.peer(id);
                     log::warn!(
-                        target: part::CONNECTIONS,
+                        target: component::CONNECTIONS,
                         "closing the connection from {peer:?}: cannot read a message: {error}"
                     );
                     return self.connection_closed(now, id);
--- a/crates/fernknot-controller/src/host/run.rs
+++ b/crates/fernknot-controller/src/host/run.rs
@@ -3,7 +3,7 @@
 use crate::host::settings::{contact_timeout, duration, seed_addrs, settings_check_interval};
 use crate::host::state::Host;
 use fernknot::interface::Nanos;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 
 /// Time limit of a requested stop, as a share of the grace period.
 const SHUTDOWN_GRACE_SHARE: f64 = 0.25;
@@ -38,7 +38,7 @@
 
     fn check_signals(&mut self, now: Nanos) {
         if self.signals.take_stop_request() && self.shutdown_deadline.is_none() {
-            log::info!(target: part::PROCESS, "stop requested; shutting down");
+            log::info!(target: component::PROCESS, "stop requested; shutting down");
             let grace_period = Nanos::from_millis(self.settings.bounds.grace_s * 1000.0);
             self.shutdown_deadline = Some(now + grace_period.times(SHUTDOWN_GRACE_SHARE));
             self.controller.begin_shutdown(now);
@@ -56,7 +56,7 @@
         }
         let Some(settings) = self.settings_file.reload() else { return };
         if settings.seeds != self.settings.seeds {
-            log::info!(target: part::SETTINGS, "seeds changed, now {} in the settings file", settings.seeds.len());
+            log::info!(target: component::SETTINGS, "seeds changed, now {} in the settings file", settings.seeds.len());
         }
         let seeds = seed_addrs(&settings);
         self.controller.add_seeds(now, &seeds);
@@ -111,7 +111,7 @@
             self.event_loop.poll(Some(duration(remaining.times(CLOSE_WAIT_SHARE))), &mut events);
             events.clear();
         }
-        log::info!(target: part::PROCESS, "controller stopped");
+        log::info!(target: component::PROCESS, "controller stopped");
     }
 
     fn has_pending_output(&self) -> bool {
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -15,7 +15,7 @@
 use fernknot_peer_sampling::{PeerDescriptor, Role};
 use fernknot_rpc::ShuffleProtocol;
 use fernknot_schema::ProcessSettings;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::net::SocketAddrV4;
 
 /// Period of the partial view shuffles, in contact timeouts; the same as on gateways.
@@ -130,7 +130,7 @@
     fn start_without_disk(&mut self) {
         if self.disk.is_absent() {
             log::warn!(
-                target: part::STORAGE,
+                target: component::STORAGE,
                 "no data directory is configured; the control state is lost when the process ends"
             );
             self.controller.disk_loaded(Nanos(0), None, &[], true);
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -3,7 +3,7 @@
 use fernknot_controller::host::{Host, check_settings};
 use fernknot_net::process::{Command, Program, SettingsFile, init_log};
 use fernknot_schema::ProcessSettings;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::hash::{BuildHasher, Hasher};
 use std::process::ExitCode;
 
@@ -42,12 +42,12 @@
 fn serve(settings: ProcessSettings, settings_file: SettingsFile, seed: u64) -> ExitCode {
     match Host::new(settings, settings_file, seed) {
         Ok(mut host) => {
-            log::info!(target: part::PROCESS, "controller started");
+            log::info!(target: component::PROCESS, "controller started");
             host.run();
             ExitCode::SUCCESS
         }
         Err(error) => {
-            log::error!(target: part::PROCESS, "cannot start the controller: {error}");
+            log::error!(target: component::PROCESS, "cannot start the controller: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -13,7 +13,7 @@
 use fernknot_protocol::http::Response;
 use fernknot_protocol::multiget::MultigetRequest;
 use fernknot_router_config::Limits;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 
 /// Time for which an idle connection may be reused before any node has stated a time-out, in milliseconds.
 const DEFAULT_NODE_IDLE_MS: f64 = 4000.0;
@@ -259,7 +259,7 @@
             self.abandon_unopened(now, in_flight, network);
         }
         if !changes.entries.is_empty() {
-            log::info!(target: part::NODES, "{} node changes applied; {known_nodes} nodes known", changes.entries.len());
+            log::info!(target: component::NODES, "{} node changes applied; {known_nodes} nodes known", changes.entries.len());
             self.decisions.apply_node_entries(&changes.entries);
         }
     }
--- a/crates/fernknot-gateway/src/data_plane.rs
+++ b/crates/fernknot-gateway/src/data_plane.rs
@@ -18,7 +18,7 @@
 use fernknot_net::{ConnectionId, Network};
 use fernknot_protocol::http::Request;
 use fernknot_schema::{ProcessSettings, RoutingConfig};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::rc::Rc;
 
 /// Clients, their requests, and the nodes that the requests are sent to.
@@ -111,7 +111,7 @@
     fn reject<N: Network>(&mut self, now: Nanos, id: ConnectionId, rejection: Rejection, network: &mut N) {
         self.counters.count(rejection);
         if let Rejection::Malformed(error) = rejection {
-            log::debug!(target: part::CONNECTIONS, "client request rejected: {} {}", error.status, error.reason);
+            log::debug!(target: component::CONNECTIONS, "client request rejected: {} {}", error.status, error.reason);
         }
         self.clients.reject(now, id, rejection, self.is_stopping, network);
     }
@@ -215,7 +215,7 @@
     ) -> Option<Rc<ConfigSnapshot>> {
         let (snapshot, change) = self.routing.apply(now, revision, config)?;
         let (epoch, routes) = (snapshot.config.epoch, snapshot.config.routes.len());
-        log::info!(target: part::ROUTING_CONFIG, "routing configuration applied: epoch {epoch}, {routes} routes");
+        log::info!(target: component::ROUTING_CONFIG, "routing configuration applied: epoch {epoch}, {routes} routes");
         let decisions = self.attempts.decisions_mut();
         if decisions.has_engine() {
             decisions.apply_use_cases(now, &change);
--- a/crates/fernknot-gateway/src/engine_setup.rs
+++ b/crates/fernknot-gateway/src/engine_setup.rs
@@ -13,12 +13,12 @@
     budget: &BudgetShare,
     use_cases: Vec<UseCaseSettings>,
 ) -> SiteSettings {
-    let shortest_goal =
-        use_cases.iter().map(|use_case| use_case.latency_target).filter(|goal| goal.0 > 0).min();
+    let min_latency_target =
+        use_cases.iter().map(|use_case| use_case.latency_target).filter(|target| target.0 > 0).min();
     SiteSettings {
         routers: budget.sharers().unwrap_or(1).max(1) as usize,
         use_cases,
-        min_latency_target: shortest_goal,
+        min_latency_target,
         customer_quotas: Vec::new(),
         tick: Nanos::from_millis(LOOP_GRANULARITY_MS),
         slow_start: SlowStartSettings::default(),
@@ -33,7 +33,7 @@
         cancellation: true,
         hedging: true,
         max_attempts: 1,
-        max_retry_after: shortest_goal,
+        max_retry_after: min_latency_target,
         list_changes_on_request: false,
         peer_updates: false,
         value_by_work: false,
--- a/crates/fernknot-gateway/src/gateway.rs
+++ b/crates/fernknot-gateway/src/gateway.rs
@@ -20,7 +20,7 @@
 use fernknot_registry::NodeRecord;
 use fernknot_rpc::InspectionTopic;
 use fernknot_schema::{ProcessSettings, RoutingConfig};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::net::SocketAddrV4;
 
 /// Interval of the sweeps that close and remove whatever has timed out.
@@ -84,7 +84,7 @@
     /// Handles the events up to `now`, runs everything that is due, and writes the output to the network.
     pub fn step<N: Network>(&mut self, now: Nanos, events: impl IntoIterator<Item = Event>, network: &mut N) {
         if let Some(gap) = self.stall_detector.step(now) {
-            log::warn!(target: part::PROCESS, "event loop stalled for {:.0} ms; restarting time-outs", gap.as_millis());
+            log::warn!(target: component::PROCESS, "event loop stalled for {:.0} ms; restarting time-outs", gap.as_millis());
             self.update_relay.resume_after_stall(now);
         }
         for event in events {
@@ -134,7 +134,7 @@
         if self.shutdown.request(now) {
             self.data_plane.is_stopping = true;
             let in_flight = self.data_plane.attempts.requests().len();
-            log::info!(target: part::PROCESS, "stop requested; completing {in_flight} requests in flight");
+            log::info!(target: component::PROCESS, "stop requested; completing {in_flight} requests in flight");
             self.update_relay.announce_shutdown(network);
         }
     }
@@ -168,7 +168,7 @@
             Event::ReadClosed { connection } => self.handle_read_closed(now, connection, network),
             Event::Closed { connection, was_open, error } => {
                 if self.data_plane.attempts.connections().contains(connection) {
-                    log::debug!(target: part::CONNECTIONS, "connection to a node closed: {error}");
+                    log::debug!(target: component::CONNECTIONS, "connection to a node closed: {error}");
                     self.data_plane.node_connection_closed(now, connection, was_open, network);
                 } else if self.update_relay.owns_connection(connection) {
                     self.update_relay.connection_closed(now, connection);
--- a/crates/fernknot-gateway/src/host.rs
+++ b/crates/fernknot-gateway/src/host.rs
@@ -7,7 +7,7 @@
 use fernknot_net::process::{Clock, ProcessError, SettingsFile};
 use fernknot_net::{EventLoop, EventLoopSettings, Signals};
 use fernknot_schema::ProcessSettings;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
 
     /// Serves until a requested shutdown is complete.
     pub fn run(&mut self) {
-        log::info!(target: part::PROCESS, "gateway {} is serving in zone {}", self.node_name, self.zone);
+        log::info!(target: component::PROCESS, "gateway {} is serving in zone {}", self.node_name, self.zone);
         let mut events = Vec::new();
         loop {
             let wait = (self.gateway.next_wakeup() - self.clock.now()).min(MAX_WAIT);
@@ -60,7 +60,7 @@
             if self.gateway.poll_shutdown(now, &mut self.event_loop) {
                 // Sends the output of the last step.
                 self.event_loop.poll(Some(Duration::ZERO), &mut events);
-                log::info!(target: part::PROCESS, "shutdown complete");
+                log::info!(target: component::PROCESS, "shutdown complete");
                 return;
             }
         }
@@ -72,7 +72,7 @@
             self.gateway.stop(now, &mut self.event_loop);
         }
         if self.signals.take_reload_request() {
-            log::info!(target: part::SETTINGS, "reload signal received; reading the settings file again");
+            log::info!(target: component::SETTINGS, "reload signal received; reading the settings file again");
             self.reload_seeds();
         }
         if self.gateway.take_settings_reload_request() {
--- a/crates/fernknot-gateway/src/main.rs
+++ b/crates/fernknot-gateway/src/main.rs
@@ -38,7 +38,7 @@
             Ok(ExitCode::SUCCESS)
         }
         Err(error) => {
-            log::error!(target: fernknot_telemetry::part::PROCESS, "{error}");
+            log::error!(target: fernknot_telemetry::component::PROCESS, "{error}");
             eprintln!("gateway: {error}");
             Err(ExitCode::from(1))
         }
--- a/crates/fernknot-gateway/src/updates/relay.rs
+++ b/crates/fernknot-gateway/src/updates/relay.rs
@@ -15,7 +15,7 @@
     read_message, write_message,
 };
 use fernknot_schema::RoutingConfig;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
@@ -137,7 +137,7 @@
         }
         if let Some(stream) = self.sources.remove(id) {
             let Source { kind, addr } = stream.source;
-            log::info!(target: part::CONNECTIONS, "update stream from {addr} closed; selecting a source again");
+            log::info!(target: component::CONNECTIONS, "update stream from {addr} closed; selecting a source again");
             self.relays.source_lost(now, addr, kind);
         }
     }
@@ -184,7 +184,7 @@
         let id = match known.map_or_else(|| network.connect(source.addr), Ok) {
             Ok(id) => id,
             Err(error) => {
-                log::warn!(target: part::CONNECTIONS, "cannot subscribe to updates: {error}; selecting a source again");
+                log::warn!(target: component::CONNECTIONS, "cannot subscribe to updates: {error}; selecting a source again");
                 return self.relays.source_lost(now, source.addr, source.kind);
             }
         };
@@ -274,7 +274,7 @@
                 Ok(Some(())) => {}
                 Ok(None) => return,
                 Err(error) => {
-                    log::warn!(target: part::CONNECTIONS, "cannot decode a message: {error}; closing its connection");
+                    log::warn!(target: component::CONNECTIONS, "cannot decode a message: {error}; closing its connection");
                     network.close(id);
                     return self.connection_closed(now, id);
                 }
@@ -351,7 +351,7 @@
             return;
         }
         let (count, token) = (assignment.gateways.len(), assignment.fencing_token.0);
-        log::info!(target: part::OWNERSHIP, "assignment with fencing token {token} applied: {count} live gateways");
+        log::info!(target: component::OWNERSHIP, "assignment with fencing token {token} applied: {count} live gateways");
         self.ownership.apply(now, assignment);
         self.relays.apply_assignment(now, self.ownership.assignment());
     }
--- a/crates/fernknot-net/src/process/settings_file.rs
+++ b/crates/fernknot-net/src/process/settings_file.rs
@@ -1,7 +1,7 @@
 //! Settings file of a process, which may change while the process runs.
 
 use fernknot_schema::ProcessSettings;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::SystemTime;
@@ -75,7 +75,7 @@
             Err(errors) => {
                 for error in errors {
                     log::warn!(
-                        target: part::SETTINGS,
+                        target: component::SETTINGS,
                         "cannot use the changed settings file: {error}; keeping the current settings"
                     );
                 }
--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -16,8 +16,8 @@
 const READ_AHEAD_BYTES: usize = 24 * KIB;
 /// Share of the memory that the buffers of clients may use, from 0 to 1.
 const BUFFER_MEMORY_SHARE: f64 = 1.0 / 2.0;
-/// Share of the memory that sketches of blocks may use, from 0 to 1.
-const SKETCH_MEMORY_SHARE: f64 = 1.0 / 16.0;
+/// Share of the memory that term filters of blocks may use, from 0 to 1.
+const TERM_FILTER_MEMORY_SHARE: f64 = 1.0 / 16.0;
 
 /// Limits of a router, from the memory and sockets that it may use.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,8 +57,8 @@
     pub max_datagrams_per_iteration: usize,
     /// Maximum number of cancelled parts that a connection remembers to tell a late answer from an unknown one.
     pub max_remembered_cancellations: usize,
-    /// Maximum size of all sketches of blocks, in bytes.
-    pub max_sketch_bytes: usize,
+    /// Maximum size of all term filters of blocks, in bytes.
+    pub max_term_filter_bytes: usize,
     /// Maximum number of terms in a query.
     pub max_terms: usize,
     /// Maximum length of a term, in bytes.
@@ -131,7 +131,7 @@
             max_datagrams_per_iteration: 4096,
             max_remembered_cancellations: 1024,
             // Unused where no use case has two phases.
-            max_sketch_bytes: (memory_mb * BYTES_PER_MB * SKETCH_MEMORY_SHARE) as usize,
+            max_term_filter_bytes: (memory_mb * BYTES_PER_MB * TERM_FILTER_MEMORY_SHARE) as usize,
             max_terms: 64,
             max_term_bytes: 256,
             max_pending_log_bytes: 64 * KIB,
--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -81,10 +81,10 @@
         let position = config.sockets.position;
         let peers = config.peer_addresses.map(|addresses| Peers::new(&event_loop, addresses, position));
         let peers = peers.transpose().map_err(RunError::PeerListen)?;
-        let sketch_bytes = config.limits.max_sketch_bytes;
+        let max_term_filter_bytes = config.limits.max_term_filter_bytes;
         let context = Context {
             now,
-            engine: Engine::new(config.seed, config.site, &config.sockets.phases, sketch_bytes, now),
+            engine: Engine::new(config.seed, config.site, &config.sockets.phases, max_term_filter_bytes, now),
             settings: config.sockets,
             counters: Counters::default(),
             timers: BTreeSet::new(),
--- a/crates/fernknot-telemetry/src/lib.rs
+++ b/crates/fernknot-telemetry/src/lib.rs
@@ -1,16 +1,17 @@
 //! Telemetry of a process: its log and its counters.
 //!
 //! This crate defines the set-up of the log and the format of its lines, the names of the components that log
-//! ([`part`]), and the container of counters. A program calls [`init`] once. Controller and gateway name the component
-//! in each log statement, `log::info!(target: part::CONSENSUS, ...)`, and serve their [`Counters`] as JSON.
+//! ([`component`]), and the container of counters. A program calls [`init`] once. Controller and gateway name the
+//! component in each log statement, `log::info!(target: component::CONSENSUS, ...)`, and serve their [`Counters`] as
+//! JSON.
 //!
 //! Log state changes only, never single requests or heartbeats, whose log lines would use too much processor time.
 
 #![deny(missing_docs)]
 
+pub mod component;
 mod counters;
 mod logging;
-pub mod part;
 
 pub use counters::Counters;
 pub use log::LevelFilter;
