--- a/crates/fernknot-cli/src/config.rs
+++ b/crates/fernknot-cli/src/config.rs
@@ -42,9 +42,9 @@
 fn read(operator: &Operator) -> Result<(), CliError> {
     let failure = match operator.read() {
         CallOutcome::Completed { status: 200, body, .. } => {
-            let mut out = std::io::stdout().lock();
+            let mut stdout = std::io::stdout().lock();
             // Write errors are ignored: the reader of the output may have closed it.
-            let _ = out.write_all(&body).and_then(|()| out.write_all(b"\n"));
+            let _ = stdout.write_all(&body).and_then(|()| stdout.write_all(b"\n"));
             return Ok(());
         }
         CallOutcome::Completed { status, body, controller } => {
--- a/crates/fernknot-controller/src/host/events.rs
+++ b/crates/fernknot-controller/src/host/events.rs
@@ -80,8 +80,8 @@
         let Some(output) = self.event_loop.output(id) else { return };
         let outcome = http.read_request(&mut input, output, &self.http_settings);
         let call = PendingCall { connection: id.0, call: http.last_call() };
-        if let Some(rest) = self.event_loop.input(id) {
-            *rest = input;
+        if let Some(unread_input) = self.event_loop.input(id) {
+            *unread_input = input;
         }
         match outcome {
             ReadOutcome::Incomplete => {}
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -16,7 +16,7 @@
 FERNKNOT_CONFIG  path of the settings file (JSON)
 FERNKNOT_LOG     error, warn, info (the default), debug or trace
 
-Exit codes: 0 after a requested stop, 1 if a system call fails at start, 2 for invalid settings or usage.";
+Exit codes: 0 after a requested shutdown, 1 if a system call fails at start, 2 for invalid settings or usage.";
 
 const PROGRAM: Program =
     Program { name: "fernknot-controller", version: env!("CARGO_PKG_VERSION"), help: HELP };
--- a/crates/fernknot-gateway/src/main.rs
+++ b/crates/fernknot-gateway/src/main.rs
@@ -6,16 +6,16 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-const HELP: &str = "fernknot-gateway: one gateway between clients and nodes
+const HELP: &str = "fernknot-gateway: a gateway; forwards client requests to nodes and returns their responses
 
 usage: fernknot-gateway [--check] [--help] [--version]
 
-  --check    reads the settings, reports every error, and exits
+  --check    validates the settings, reports every error, and exits
 
-FERNKNOT_CONFIG  path of the settings, JSON
+FERNKNOT_CONFIG  path of the settings file (JSON)
 FERNKNOT_LOG     error, warn, info (the default), debug or trace
 
-Exit codes: 0 after a requested shutdown, 1 if the operating system refuses a resource, 2 for bad settings or usage.";
+Exit codes: 0 after a requested shutdown, 1 if a system call fails at start, 2 for invalid settings or usage.";
 
 const PROGRAM: Program = Program { name: "fernknot-gateway", version: env!("CARGO_PKG_VERSION"), help: HELP };
 
--- a/crates/fernknot-membership/src/message.rs
+++ b/crates/fernknot-membership/src/message.rs
@@ -136,7 +136,7 @@
 
 impl Message {
     /// Encodes the message in at most `max_bytes` by dropping updates from the end. A message without updates may
-    /// exceed the limit. Also returns the number of updates kept.
+    /// exceed the limit. Also returns the number of updates encoded.
     pub fn encode(&mut self, max_bytes: usize) -> (Vec<u8>, usize) {
         loop {
             // Serialising plain values into a vector cannot fail.
--- a/crates/fernknot-membership/src/sender.rs
+++ b/crates/fernknot-membership/src/sender.rs
@@ -28,8 +28,8 @@
         body,
         updates,
     };
-    let (bytes, kept) = message.encode(state.settings.max_datagram_bytes);
-    mark_sent(state, &queued, kept.saturating_sub(mandatory));
+    let (bytes, encoded_updates) = message.encode(state.settings.max_datagram_bytes);
+    mark_sent(state, &queued, encoded_updates.saturating_sub(mandatory));
     Action::Send { to, bytes }
 }
 
--- a/crates/fernknot-ownership/src/assignment.rs
+++ b/crates/fernknot-ownership/src/assignment.rs
@@ -87,8 +87,8 @@
             return None;
         }
         let removed: BTreeSet<IncarnationId> = change.removed.iter().copied().collect();
-        let kept = self.gateways.iter().filter(|gateway| !removed.contains(&gateway.incarnation));
-        let mut gateways: Vec<GatewayRecord> = kept.chain(&change.added).cloned().collect();
+        let remaining = self.gateways.iter().filter(|gateway| !removed.contains(&gateway.incarnation));
+        let mut gateways: Vec<GatewayRecord> = remaining.chain(&change.added).cloned().collect();
         sort_by_incarnation(&mut gateways);
         Some(Assignment { fencing_token: change.to, gateways, presumed_alive: change.presumed_alive })
     }
--- a/crates/fernknot-placement/src/placement_map.rs
+++ b/crates/fernknot-placement/src/placement_map.rs
@@ -183,8 +183,10 @@
     }
 
     fn merge(&mut self, left: u64, right: u64) {
-        if let (Some(removed), Some(kept)) = (self.ranges.remove(&right), self.ranges.get_mut(&left)) {
-            kept.last = removed.last;
+        if let (Some(right_range), Some(left_range)) =
+            (self.ranges.remove(&right), self.ranges.get_mut(&left))
+        {
+            left_range.last = right_range.last;
         }
     }
 }
--- a/crates/fernknot-protocol/src/matches.rs
+++ b/crates/fernknot-protocol/src/matches.rs
@@ -78,8 +78,8 @@
 
 fn decode_fingerprints(text: &str) -> Result<Vec<u64>, MatchError> {
     let bytes = STANDARD.decode(text).map_err(|_| MatchError::NotBase64)?;
-    let (fingerprints, rest) = bytes.as_chunks::<8>();
-    if !rest.is_empty() {
+    let (fingerprints, partial_fingerprint) = bytes.as_chunks::<8>();
+    if !partial_fingerprint.is_empty() {
         return Err(MatchError::PartialFingerprint);
     }
     Ok(fingerprints.iter().map(|bytes| u64::from_le_bytes(*bytes)).collect())
--- a/crates/fernknot-router-config/src/phase_settings.rs
+++ b/crates/fernknot-router-config/src/phase_settings.rs
@@ -37,7 +37,7 @@
         latency_target,
         min_first_phase_share: raw.min_first.unwrap_or(DEFAULT_MIN_FIRST_PHASE_SHARE),
         max_first_phase_share: raw.max_first.unwrap_or(DEFAULT_MAX_FIRST_PHASE_SHARE),
-        unanswered_block: raw.silent.unwrap_or(UnansweredBlock::Fetch),
+        unanswered_block: raw.unanswered_block.unwrap_or(UnansweredBlock::Fetch),
         may_name_other_blocks: raw.names_others.unwrap_or(false),
         min_match_share: raw.least_matches.unwrap_or(min_share),
         split: raw.split.unwrap_or(LatencySplit::Learned),
--- a/crates/fernknot-router-config/src/settings.rs
+++ b/crates/fernknot-router-config/src/settings.rs
@@ -96,7 +96,8 @@
     pub(crate) min_first: Option<f64>,
     #[serde(rename = "mostFirst")]
     pub(crate) max_first: Option<f64>,
-    pub(crate) silent: Option<UnansweredBlock>,
+    #[serde(rename = "silent")]
+    pub(crate) unanswered_block: Option<UnansweredBlock>,
     pub(crate) names_others: Option<bool>,
     pub(crate) least_matches: Option<f64>,
     pub(crate) split: Option<LatencySplit>,
--- a/crates/fernknot-router/src/discovery.rs
+++ b/crates/fernknot-router/src/discovery.rs
@@ -94,7 +94,7 @@
 
     fn flush(&mut self, context: &mut Context) {
         let Some(connection) = &mut self.connection else { return };
-        // Nothing can be written before the connection is established.
+        // Writes are possible only once the connection is established.
         let flushed = connection
             .check_connected()
             .and_then(|is_connected| if is_connected { connection.flush() } else { Ok(0) });
--- a/crates/fernknot-simulator/src/checks/requests.rs
+++ b/crates/fernknot-simulator/src/checks/requests.rs
@@ -191,7 +191,8 @@
         match message.status() {
             200..300 => {
                 self.count(RequestEvent::Success);
-                let text = || format!("{attempt_id} got what was answered to another, or less");
+                let text =
+                    || format!("{attempt_id} received another request's response, or an incomplete one");
                 let is_complete = self.is_response_to(message, &attempt_id);
                 (!is_complete).then(|| BrokenRule::new(Rule::Mixed, text()))
             }
--- a/crates/fernknot-simulator/src/control_clients/outcomes.rs
+++ b/crates/fernknot-simulator/src/control_clients/outcomes.rs
@@ -79,7 +79,7 @@
         };
         let machine = attempt.machine;
         if response.is_success() && found.is_none() {
-            self.report(Rule::Config, format!("{machine} hands out what nobody sent"));
+            self.report(Rule::Config, format!("{machine} returned a configuration that no client sent"));
         }
         self.observations.reads.push(Call {
             operation: Operation::Read,
--- a/crates/fernknot-simulator/src/gateways/connections.rs
+++ b/crates/fernknot-simulator/src/gateways/connections.rs
@@ -131,10 +131,10 @@
         let delay = self.sample_delay(zones.0, zones.1);
         let mut arrival = self.last_arrival(id, to).max(self.now + delay);
         if bytes.len() > 1 && self.rng.one_in(8) {
-            let rest = bytes.split_off(1 + self.rng.below(bytes.len() - 1));
+            let second_segment = bytes.split_off(1 + self.rng.below(bytes.len() - 1));
             self.schedule_bytes(arrival, id, to, bytes);
             arrival = arrival + self.rng.between(micros(100), millis(4));
-            bytes = rest;
+            bytes = second_segment;
         }
         if let Some(connection) = self.gateways.connections.get_mut(&id) {
             connection.end_mut(to).last_arrival = arrival;
--- a/crates/fernknot-simulator/src/linearizability.rs
+++ b/crates/fernknot-simulator/src/linearizability.rs
@@ -149,16 +149,16 @@
     let mut calls: Vec<Call> = calls.iter().filter(|call| !is_always_valid(call, calls)).cloned().collect();
     calls.sort_by_key(|call| call.invoked_at);
     let mut initial = None;
-    let mut rest = &calls[..];
-    while !rest.is_empty() {
-        let (segment, others) = rest.split_at(segment_length(rest));
+    let mut unchecked = &calls[..];
+    while !unchecked.is_empty() {
+        let (segment, others) = unchecked.split_at(segment_length(unchecked));
         match check_segment(initial, segment) {
             Verdict::Linearizable => {}
             other => return other,
         }
         // Committed versions have ascending epochs, as each replaces the previous one.
         initial = segment.iter().filter_map(committed_version).max().or(initial);
-        rest = others;
+        unchecked = others;
     }
     Verdict::Linearizable
 }
--- a/crates/fernknot-simulator/src/wire.rs
+++ b/crates/fernknot-simulator/src/wire.rs
@@ -112,7 +112,7 @@
 }
 
 fn parse_chunks(mut rest: &[u8]) -> Result<Option<(Vec<u8>, usize)>, WireError> {
-    let (all, mut body) = (rest.len(), Vec::new());
+    let (total_bytes, mut body) = (rest.len(), Vec::new());
     loop {
         let Some(end) = rest.windows(2).position(|two| two == b"\r\n") else { return Ok(None) };
         let size = std::str::from_utf8(&rest[..end]).ok();
@@ -124,7 +124,7 @@
         body.extend_from_slice(&rest[end + 2..end + 2 + size]);
         rest = &rest[end + 2 + size + 2..];
         if size == 0 {
-            return Ok(Some((body, all - rest.len())));
+            return Ok(Some((body, total_bytes - rest.len())));
         }
     }
 }
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -7,9 +7,9 @@
 use fernknot_router_config::{TwoPhaseSettings, UnansweredBlock};
 use std::collections::BTreeMap;
 
-/// Block that the first phase asks.
+/// Block that receives a part of the first phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct AskedBlock {
+pub(crate) struct FirstPhaseBlock {
     /// Whether its answer arrived.
     pub answered: bool,
     /// Answer of the block's filter when the query began.
@@ -54,8 +54,8 @@
     pub target: Nanos,
     /// End of the first phase and start of the second; `None` while the first one runs.
     pub second_phase_opened_at: Option<Nanos>,
-    /// Blocks that the first phase asks.
-    pub asked: BTreeMap<ShardId, AskedBlock>,
+    /// Blocks that receive a part of the first phase.
+    pub first_phase_blocks: BTreeMap<ShardId, FirstPhaseBlock>,
     /// Blocks that the second phase may fetch.
     pub candidates: BTreeMap<ShardId, Candidate>,
     /// Fingerprints of the query's terms.
@@ -86,7 +86,7 @@
 
     /// Whether every block of the first phase has answered.
     pub fn is_first_phase_complete(&self) -> bool {
-        self.asked.values().all(|asked| asked.answered)
+        self.first_phase_blocks.values().all(|block| block.answered)
     }
 
     /// Returns the expected number of parts of the second phase.
@@ -125,12 +125,12 @@
     /// unmatched blocks are pruned, the chances of the others shrink: where blocks may name others, those of all remaining
     /// candidates; otherwise that of the answering block to 0.
     pub fn apply_answer(&mut self, from: ShardId, named: &[ShardId], settings: &TwoPhaseSettings) {
-        if let Some(asked) = self.asked.get_mut(&from) {
-            asked.answered = true;
+        if let Some(block) = self.first_phase_blocks.get_mut(&from) {
+            block.answered = true;
         }
         if settings.may_name_other_blocks {
             let is_complete = self.is_first_phase_complete();
-            let remaining = if is_complete { 0.0 } else { 1.0 - 1.0 / self.asked.len() as f64 };
+            let remaining = if is_complete { 0.0 } else { 1.0 - 1.0 / self.first_phase_blocks.len() as f64 };
             let candidates = self.candidates.values_mut();
             for candidate in candidates.filter(|candidate| !candidate.named && settings.prunes_unmatched) {
                 candidate.fetch_chance *= remaining;
@@ -152,7 +152,8 @@
         let mut plan = FetchPlan { blocks: Vec::new(), ruled_out_weight: 0.0, is_complete: true, named: 0 };
         for (shard, candidate) in &mut self.candidates {
             // A block that did not answer may have named itself, or any block where blocks name others.
-            let is_own_answer_missing = self.asked.get(shard).is_some_and(|asked| !asked.answered);
+            let is_own_answer_missing =
+                self.first_phase_blocks.get(shard).is_some_and(|block| !block.answered);
             let may_be_named = !candidate.named
                 && (is_own_answer_missing || !is_first_complete && settings.may_name_other_blocks);
             plan.named += usize::from(candidate.named);
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -1,6 +1,6 @@
 //! Planner of queries in two phases.
 
-use crate::in_flight::{AskedBlock, Candidate, QueryInFlight};
+use crate::in_flight::{Candidate, FirstPhaseBlock, QueryInFlight};
 use crate::query::{CandidateBlock, MatchError, SecondPhase, TwoPhaseQuery};
 use crate::term_filter_cache::{FilterAnswer, TermFilterCache};
 use crate::use_case_statistics::UseCaseStatistics;
@@ -62,10 +62,11 @@
         let Some(Some(statistics)) = self.use_cases.get(query.use_case.0) else {
             return query.first_phase_blocks;
         };
-        let asked = check_filters(&mut self.filters, &query);
+        let first_phase_blocks = check_filters(&mut self.filters, &query);
         let chances = statistics.match_chances();
         let chance = |shard: &ShardId| {
-            chances.of(asked.get(shard).map_or(FilterAnswer::Unknown, |asked| asked.filter_answer))
+            chances
+                .of(first_phase_blocks.get(shard).map_or(FilterAnswer::Unknown, |block| block.filter_answer))
         };
         let mut order = query.first_phase_blocks;
         order.sort_by(|one, other| chance(other).total_cmp(&chance(one)).then(one.cmp(other)));
@@ -80,7 +81,7 @@
             target: statistics.settings.latency_target.min(query.client_timeout),
             second_phase_opened_at: None,
             candidates: query.candidates.into_iter().map(candidate).collect(),
-            asked,
+            first_phase_blocks,
             terms: query.terms,
             second_phase_parts: 0,
             mean_effort,
@@ -128,8 +129,8 @@
         let query = self.in_flight.get_mut(&id).filter(|query| !query.is_second_phase_open());
         let Some(query) = query else { return Ok(false) };
         let Some(Some(statistics)) = self.use_cases.get_mut(query.use_case.0) else { return Ok(false) };
-        let asked = *query.asked.get(&from).ok_or(MatchError::NotInQuery)?;
-        if asked.answered {
+        let sender = *query.first_phase_blocks.get(&from).ok_or(MatchError::NotInQuery)?;
+        if sender.answered {
             return Ok(false);
         }
         let named = match answer.matched_blocks {
@@ -139,7 +140,7 @@
             }
             MatchedBlocks::Same(version) => named_by_filter(&mut self.filters, query, from, version),
         };
-        if asked.filter_answer == FilterAnswer::CannotMatch && !named.ruled_out_by_filter {
+        if sender.filter_answer == FilterAnswer::CannotMatch && !named.ruled_out_by_filter {
             statistics.record_denied_match(!named.blocks.is_empty());
         }
         if let (Some((version, fingerprints)), Some(filters)) = (answer.summary, self.filters.as_mut()) {
@@ -194,15 +195,15 @@
     }
 }
 
-/// Returns the blocks that the first phase asks, with the answers of their cached filters.
+/// Returns the blocks that receive a part of the first phase, with the answers of their cached filters.
 fn check_filters(
     filters: &mut Option<TermFilterCache>,
     query: &TwoPhaseQuery,
-) -> BTreeMap<ShardId, AskedBlock> {
+) -> BTreeMap<ShardId, FirstPhaseBlock> {
     let mut check_filter = |shard: &ShardId| {
         let answer = filters.as_mut().map(|filters| filters.check(*shard, &query.terms));
         let filter_answer = answer.unwrap_or(FilterAnswer::Unknown);
-        (*shard, AskedBlock { answered: false, filter_answer })
+        (*shard, FirstPhaseBlock { answered: false, filter_answer })
     };
     query.first_phase_blocks.iter().map(&mut check_filter).collect()
 }
