--- a/crates/fernknot-controller/src/host/events.rs
+++ b/crates/fernknot-controller/src/host/events.rs
@@ -8,7 +8,7 @@
 use fernknot_http_api::{HttpServerConnection, ReadOutcome};
 use fernknot_net::{ConnectionId, Event};
 use fernknot_rpc::{ControllerMessage, GatewayToController, read_message};
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::net::SocketAddrV4;
 
 impl Host {
@@ -80,8 +80,8 @@
         let Some(output) = self.event_loop.output(id) else { return };
         let outcome = http.read_request(&mut input, output, &self.http_settings);
         let call = PendingCall { connection: id.0, call: http.last_call() };
-        if let Some(rest) = self.event_loop.input(id) {
-            *rest = input;
+        if let Some(unread_input) = self.event_loop.input(id) {
+            *unread_input = input;
         }
         match outcome {
             ReadOutcome::Incomplete => {}
@@ -118,7 +118,7 @@
                 Err(error) => {
                     let peer = self.event_loop.peer(id);
                     log::warn!(
-                        target: part::CONNECTIONS,
+                        target: component::CONNECTIONS,
                         "closing the connection from {peer:?}: cannot read a message: {error}"
                     );
                     return self.connection_closed(now, id);
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -3,7 +3,7 @@
 use fernknot_controller::host::{Host, check_settings};
 use fernknot_net::process::{Command, Program, SettingsFile, init_log};
 use fernknot_schema::ProcessSettings;
-use fernknot_telemetry::part;
+use fernknot_telemetry::component;
 use std::hash::{BuildHasher, Hasher};
 use std::process::ExitCode;
 
@@ -16,7 +16,7 @@
 FERNKNOT_CONFIG  path of the settings file (JSON)
 FERNKNOT_LOG     error, warn, info (the default), debug or trace
 
-Exit codes: 0 after a requested stop, 1 if a system call fails at start, 2 for invalid settings or usage.";
+Exit codes: 0 after a requested shutdown, 1 if a system call fails at start, 2 for invalid settings or usage.";
 
 const PROGRAM: Program =
     Program { name: "fernknot-controller", version: env!("CARGO_PKG_VERSION"), help: HELP };
@@ -42,12 +42,12 @@
 fn serve(settings: ProcessSettings, settings_file: SettingsFile, seed: u64) -> ExitCode {
     match Host::new(settings, settings_file, seed) {
         Ok(mut host) => {
-            log::info!(target: part::PROCESS, "controller started");
+            log::info!(target: component::PROCESS, "controller started");
             host.run();
             ExitCode::SUCCESS
         }
         Err(error) => {
-            log::error!(target: part::PROCESS, "cannot start the controller: {error}");
+            log::error!(target: component::PROCESS, "cannot start the controller: {error}");
             ExitCode::FAILURE
         }
     }
