--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -283,7 +283,8 @@
         self.connections.endpoint(node).map(|endpoint| endpoint.incarnation.clone())
     }
 
-    /// Handles a connection to a node that was reported as closed.
+    /// Ends the attempt on a connection to a node that was reported as closed. Only if the connection `was_open` may
+    /// the node have executed the attempt.
     pub(crate) fn connection_closed<N: Network>(
         &mut self,
         now: Nanos,
@@ -397,7 +398,8 @@
         }
     }
 
-    /// Handles a response. Returns whether another incarnation than the addressed one has answered.
+    /// Stores a classified response in its request, and reports the end of the attempt to the engine. Returns whether
+    /// another incarnation than the addressed one has answered.
     fn record_response(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-gateway/src/budget.rs
+++ b/crates/fernknot-gateway/src/budget.rs
@@ -1,6 +1,7 @@
 //! This gateway's share of the retry budget.
 
-/// Retries that are allowed in each window whatever the number of requests, and this gateway's share of them.
+/// Free retries, which are allowed in each window (`retry_window_s`) whatever the number of requests, and this
+/// gateway's share of them.
 pub(crate) struct BudgetShare {
     /// Free retries of one service in a window, of all gateways together.
     total: f64,
--- a/crates/fernknot-gateway/src/clients/rejection.rs
+++ b/crates/fernknot-gateway/src/clients/rejection.rs
@@ -24,7 +24,8 @@
     NoConfig,
     /// No route matches the request.
     NoRoute,
-    /// `Attempt-Id` is missing, or would not reach a node unchanged.
+    /// `Attempt-Id` is missing or empty, is longer than 256 bytes, or contains other characters than printable ASCII
+    /// without spaces.
     InvalidAttemptId,
     /// The request is not valid HTTP, or is too large.
     Malformed(HttpError),
--- a/crates/fernknot-gateway/src/counters.rs
+++ b/crates/fernknot-gateway/src/counters.rs
@@ -45,9 +45,10 @@
     pub(crate) node_connections: usize,
     pub(crate) nodes: usize,
     pub(crate) services: usize,
-    /// Operator's epoch number of the configuration in force; 0 for none.
+    /// Number that the operator gave to the configuration in force (`epoch`); 0 before the first configuration.
     pub(crate) config_epoch: u64,
-    /// Whether no source in contact with the controllers has sent a heartbeat for too long.
+    /// Whether the last heartbeat with a lease from a source of the configuration is older than `drain_cutoff_ms`, or
+    /// there was none.
     pub(crate) is_config_stale: bool,
 }
 
--- a/crates/fernknot-gateway/src/data_plane.rs
+++ b/crates/fernknot-gateway/src/data_plane.rs
@@ -1,4 +1,5 @@
-//! Processing of requests: from clients, routed by the configuration in force, to nodes and back.
+//! Processing of requests: from clients, routed by the configuration in force, to nodes and back. The engine
+//! (`fernknot-engine`) decides to which nodes a request is sent and when it is complete.
 
 use crate::attempts::Attempts;
 use crate::budget::BudgetShare;
@@ -156,7 +157,7 @@
         self.handle_wrong_node(now, wrong_node, network);
     }
 
-    /// Handles a connection to a node that was reported as closed.
+    /// Handles the end of a connection to a node: reads a response that was complete before, or else ends the attempt.
     pub(crate) fn node_connection_closed<N: Network>(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-gateway/src/decisions.rs
+++ b/crates/fernknot-gateway/src/decisions.rs
@@ -1,4 +1,5 @@
-//! The engine that decides on attempts, started with the first configuration.
+//! The engine (`fernknot-engine`), which decides to which nodes the attempts of a request are sent and when the request
+//! is complete. It starts with the first configuration.
 
 use crate::nodes::AttemptKey;
 use crate::routing::UseCaseChange;
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Sets this gateway's free retries, and the number of gateways that share the budget if it is known.
+    /// Sets the retries that this gateway may spend in each window whatever its number of requests, and the number of
+    /// gateways that share the retry budget if it is known.
     pub(crate) fn set_budget(&mut self, now: Nanos, free_retries: f64, sharers: Option<u32>) {
         let Some(engine) = &mut self.engine else { return };
         engine.set_free_retries(free_retries);
--- a/crates/fernknot-gateway/src/discovery.rs
+++ b/crates/fernknot-gateway/src/discovery.rs
@@ -7,10 +7,12 @@
 use fernknot_rpc::ShuffleProtocol;
 use std::net::SocketAddrV4;
 
-/// Interval of peer sampling's shuffles, in multiples of `contact_ms`.
+/// Interval of peer sampling's shuffles (exchanges of known addresses with another process), in multiples of
+/// `contact_ms`.
 const SHUFFLE_INTERVAL_CONTACTS: f64 = 2.0;
 
-/// Peer sampling over datagrams, and requests to the host to read the settings file again.
+/// Peer sampling over datagrams, and requests to the host (the program that drives the gateway) to read the settings
+/// file again.
 pub(crate) struct Discovery {
     peer_sampling: ShuffleProtocol,
     reload_interval: Nanos,
--- a/crates/fernknot-gateway/src/engine_ids.rs
+++ b/crates/fernknot-gateway/src/engine_ids.rs
@@ -25,7 +25,7 @@
     next_use_case: usize,
 }
 
-/// A new revision, and the changes of use cases that the engine has to apply.
+/// A new revision of the configuration, and the changes of use cases that the engine has to apply.
 pub struct SnapshotChange {
     /// Snapshot of the revision.
     pub snapshot: ConfigSnapshot,
@@ -48,7 +48,7 @@
     }
 
     /// Releases the identifiers of services that have been unused for longer than `retention`; a service that is used
-    /// again gets a new one. Otherwise the identifiers of removed index layouts would accumulate.
+    /// again gets a new one. Otherwise the identifiers of shards that no configuration names any more would accumulate.
     pub fn release_unused(&mut self, now: Nanos, retention: Nanos, is_in_use: impl Fn(&str) -> bool) {
         self.unused_since.retain(|service, _| !is_in_use(service));
         for service in self.shard_by_service.keys().filter(|service| !is_in_use(service)) {
--- a/crates/fernknot-gateway/src/engine_setup.rs
+++ b/crates/fernknot-gateway/src/engine_setup.rs
@@ -4,7 +4,8 @@
 use crate::settings::GatewaySettings;
 use fernknot::interface::*;
 
-/// Granularity of the event loop, in milliseconds; also the network term of the engine's estimates.
+/// Granularity of the event loop, in milliseconds: the resolution of times that the engine counts on (`tick`), and the
+/// wait that a rejection states to the client if the engine gives none.
 pub(crate) const LOOP_GRANULARITY_MS: f64 = 3.0;
 
 /// Returns the site settings of an engine that starts with these use cases.
--- a/crates/fernknot-gateway/src/gateway.rs
+++ b/crates/fernknot-gateway/src/gateway.rs
@@ -1,5 +1,5 @@
-//! One gateway without sockets, clock or signals: events are routed to its parts, whose decisions are carried out over
-//! the network that the host passes in.
+//! One gateway without sockets, clock or signals: it passes events to its components, and sends their output over the
+//! network that the host, the program that drives it, passes in.
 
 use crate::clients::LocalReply;
 use crate::counters::{CurrentValues, counters_text};
@@ -28,9 +28,10 @@
 
 /// A gateway that has no socket, clock, signal handler or file of its own.
 ///
-/// A host passes the events of its connections to [`step`](Gateway::step), together with the [`Network`] over which the
-/// gateway sends. A step is due after each event, and without events at [`next_wakeup`](Gateway::next_wakeup). Times
-/// are nanoseconds since a fixed moment before the first step, and never decrease.
+/// A host (the process in [`host`](crate::host), or a simulation) passes the events of its connections to
+/// [`step`](Gateway::step), together with the [`Network`] over which the gateway sends. A step is due after each event,
+/// and without events at [`next_wakeup`](Gateway::next_wakeup). Times are nanoseconds since a fixed moment before the
+/// first step, and never decrease.
 ///
 /// [`stop`](Gateway::stop) begins a graceful shutdown, and [`poll_shutdown`](Gateway::poll_shutdown) returns after each
 /// step whether it is complete. When [`take_settings_reload_request`](Gateway::take_settings_reload_request) returns
@@ -40,7 +41,8 @@
     listeners: ListenerIds,
     data_plane: DataPlane,
     update_relay: UpdateRelay,
-    /// Whether a source of updates has sent a complete snapshot.
+    /// Whether a source of updates (a controller, or a gateway that forwards its updates) has sent all node records of
+    /// a subscription since the start.
     is_synchronized: bool,
     discovery: Discovery,
     shutdown: Shutdown,
@@ -49,8 +51,8 @@
 }
 
 impl Gateway {
-    /// Creates a gateway that listens at these sockets. `seed` identifies its incarnation and seeds its random numbers:
-    /// no two incarnations of a system may have the same seed.
+    /// Creates a gateway that listens at these sockets. `seed` identifies its incarnation (this run of the process) and
+    /// seeds its random numbers: no two incarnations of a system may have the same seed.
     ///
     /// # Errors
     /// Fails if the settings allow less memory or fewer connections than a gateway needs.
@@ -74,7 +76,7 @@
         })
     }
 
-    /// Adds a seeded bug, for tests of checkers.
+    /// Gives the gateway a bug on purpose, so that tests can show that their checks find it.
     #[doc(hidden)]
     pub fn with_seeded_bug(mut self, bug: SeededBug) -> Gateway {
         self.data_plane.set_seeded_bug(bug);
@@ -103,14 +105,15 @@
         engine.min(self.update_relay.next_wakeup()).min(self.next_sweep_at)
     }
 
-    /// Replaces the seeds with the inner addresses of the controllers that the settings name now.
+    /// Adds the controllers that the settings name now, by inner address (for other processes of the system), to the
+    /// known ones, and makes them the seeds of peer sampling.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.update_relay.add_controllers(seeds);
         self.discovery.set_seeds(seeds);
     }
 
-    /// Whether the host has to read the settings again, which may name other controllers, because no known source sends
-    /// updates. Returns true once for each request.
+    /// Whether the host has to read the settings again, which may name other controllers, because no source has
+    /// confirmed the configuration for `apply_ms`. Returns true once for each request.
     pub fn take_settings_reload_request(&mut self) -> bool {
         self.discovery.take_settings_reload_request()
     }
@@ -120,7 +123,7 @@
         self.next_sweep_at = now + SWEEP_INTERVAL;
         self.data_plane.sweep_connections(now, network);
         self.discovery.send_due(now, network);
-        // Peer sampling finds controllers that neither the seeds nor heartbeats name any more.
+        // Peer sampling may know controllers that neither the seeds nor the heartbeats of sources name any more.
         if self.update_relay.config_age(now).is_none_or(|age| age > self.settings.apply_timeout) {
             self.update_relay.add_controllers(&self.discovery.find_controllers(now));
         }
--- a/crates/fernknot-gateway/src/headers.rs
+++ b/crates/fernknot-gateway/src/headers.rs
@@ -1,12 +1,14 @@
 //! Header fields of the system's protocol, and the selection of the fields that a gateway forwards.
 
-/// Identifier of a client's attempt, repeated in every response to it.
+/// Identifier that a client gives to one attempt at its request. Nodes repeat it in their responses, and so does the
+/// gateway in the response to a request that it has routed.
 pub const ATTEMPT_ID: &str = "Attempt-Id";
 /// Time that the sender waits for the response, in milliseconds.
 pub const DEADLINE_MS: &str = "Deadline-Ms";
-/// Identifier of the node incarnation that a request is addressed to.
+/// Identifier of the node incarnation (one run of a node's process) that a request is addressed to.
 pub const TARGET_NODE: &str = "Target-Node";
-/// Proof that a node produced the response for this attempt.
+/// Opaque value by which a node marks its response as the answer to this attempt. The gateway requires that it is not
+/// empty, but does not verify it.
 pub const ANSWER_SEAL: &str = "Answer-Seal";
 /// Marks the response to a request that the node did not execute.
 pub const NOT_EXECUTED: &str = "Not-Executed";
@@ -40,7 +42,8 @@
     !UNFORWARDED_HEADERS.iter().any(|unforwarded| name.eq_ignore_ascii_case(unforwarded))
 }
 
-/// Whether an `Attempt-Id` reaches a node exactly as the client sent it.
+/// Whether an `Attempt-Id` is acceptable: 1 to 256 printable ASCII characters without spaces, which reach a node
+/// exactly as the client sent them.
 pub(crate) fn is_valid_attempt_id(id: &str) -> bool {
     (1..=MAX_ATTEMPT_ID_BYTES).contains(&id.len()) && id.bytes().all(|byte| byte.is_ascii_graphic())
 }
--- a/crates/fernknot-gateway/src/listeners.rs
+++ b/crates/fernknot-gateway/src/listeners.rs
@@ -2,7 +2,7 @@
 
 use fernknot_net::ConnectionId;
 
-/// Sockets at which a gateway listens, opened by the host.
+/// Sockets at which a gateway listens, opened by the program that drives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenerIds {
     /// Socket for clients.
--- a/crates/fernknot-gateway/src/nodes/connections.rs
+++ b/crates/fernknot-gateway/src/nodes/connections.rs
@@ -7,7 +7,8 @@
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// Identifier of one attempt to have a part of a request executed.
+/// Identifier of one attempt. A request has one part for each shard that has to answer it, and each part may be
+/// attempted several times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
     /// Identifier of the part.
@@ -26,12 +27,12 @@
     expects_no_body: bool,
     /// Whether the connection has to be closed after the attempt that it carries.
     not_reusable: bool,
-    /// Time from which the connection may not carry another attempt.
+    /// Time from which the connection may not carry another attempt; set when it becomes idle.
     reusable_until: Nanos,
     connect_started_at: Nanos,
 }
 
-/// An incarnation of a node that attempts may be sent to.
+/// An incarnation of a node (one run of its process) that attempts may be sent to.
 pub struct NodeEndpoint {
     /// Identifier of the incarnation.
     pub incarnation: String,
@@ -121,8 +122,8 @@
         self.connections.contains_key(&id)
     }
 
-    /// Takes the most recently used idle connection to a node that is not in `excluded`. Also returns the expired
-    /// connections that were removed, which the caller closes.
+    /// Takes the most recently used idle connection to `node` among those that are not in `excluded`. Also returns the
+    /// connections that were removed because their time for reuse is over; the caller closes them.
     pub fn take_idle(
         &mut self,
         now: Nanos,
@@ -250,8 +251,8 @@
         }
     }
 
-    /// Reads a response that was complete before its connection failed; the connection is not reused. The failure does
-    /// not count as the end of a response without a length, which may be truncated.
+    /// Reads a response that was complete before its connection failed; the connection is not reused. A response that
+    /// states no length ends with its connection: it is not accepted here, since the failure may have truncated it.
     pub fn read_remaining(&mut self, id: ConnectionId, mut input: Buffer, limits: &Limits) -> ReadOutcome {
         match self.connections.get_mut(&id) {
             Some(connection) if connection.attempt.is_some() => connection.not_reusable = true,
--- a/crates/fernknot-gateway/src/nodes/node_table.rs
+++ b/crates/fernknot-gateway/src/nodes/node_table.rs
@@ -1,4 +1,6 @@
-//! The known nodes: the records that other processes report, and the state that the engine has been given.
+//! The known nodes: the records that other processes report, and the state that the engine has been given. The engine
+//! (`fernknot-engine`) selects the node of each attempt. Each record is of one incarnation, that is, one run of a
+//! node's process.
 
 use crate::engine_ids::EngineIds;
 use crate::settings::ZoneIds;
@@ -11,7 +13,7 @@
 /// Nodes of all services.
 pub(crate) struct NodeTable {
     directory: NodeDirectory,
-    /// Incarnations of each service as last passed to the engine.
+    /// Incarnations of each service by their identifiers, as last passed to the engine.
     engine_nodes: HashMap<ShardId, BTreeMap<String, EngineNode>>,
     next_node_id: u32,
     zones: ZoneIds,
@@ -32,7 +34,8 @@
 /// Differences between the reported nodes and the state that the engine has been given.
 #[derive(Default)]
 pub(crate) struct NodeChanges {
-    /// Group of each service that was compared.
+    /// Group of shards with similar work that each compared service belongs to. A service has one place in the engine,
+    /// with the number of its shard.
     pub(crate) groups: Vec<(PlaceId, u32)>,
     pub(crate) endpoints: Vec<EndpointChange>,
     /// Nodes that receive no further attempts.
@@ -72,7 +75,8 @@
         new
     }
 
-    /// Completes a snapshot: all records of the subscription have been reported since the watermark.
+    /// Completes a snapshot: all records of the subscription have been reported since `watermark`, which the directory
+    /// returned when the snapshot began.
     pub(crate) fn finish_snapshot(&mut self, watermark: u64, subscription: &Subscription) {
         let services = match subscription {
             Subscription::All => None,
@@ -81,12 +85,14 @@
         self.directory.finish_snapshot(watermark, services);
     }
 
-    /// Records a heartbeat of a source of updates that is in contact with the controllers.
+    /// Records a heartbeat with a lease from a source of updates: a controller in contact with a majority has sent or
+    /// confirmed it.
     pub(crate) fn record_source_heartbeat(&mut self, now: Nanos) {
         self.directory.record_source_heartbeat(now);
     }
 
-    /// Removes records that no source has reported for too long.
+    /// Removes incarnations that healthy sources have omitted for too long, and records of stopped ones that are kept
+    /// no longer; see [`NodeDirectory::expire`].
     pub(crate) fn expire(&mut self, now: Nanos) {
         self.directory.expire(now);
     }
@@ -104,13 +110,15 @@
         self.changes_of(services, ids)
     }
 
-    /// Returns these changes for the services that have changed since the last call.
+    /// Returns the changes that the engine has not been given, in the services whose records have changed since the
+    /// last call.
     pub(crate) fn recent_changes(&mut self, ids: &mut EngineIds) -> NodeChanges {
         let services = self.directory.take_changed_services();
         self.changes_of(services, ids)
     }
 
-    /// Clears the set of changed services. It is not needed before the engine starts, which is then given all nodes.
+    /// Clears the set of changed services. Before the engine starts, the set is not needed: all nodes are passed to the
+    /// engine when it starts.
     pub(crate) fn skip_recent_changes(&mut self) {
         let _ = self.directory.take_changed_services();
     }
--- a/crates/fernknot-gateway/src/requests/pending_request.rs
+++ b/crates/fernknot-gateway/src/requests/pending_request.rs
@@ -41,9 +41,9 @@
     /// Head as sent to nodes, without the fields that differ between nodes.
     head: Vec<u8>,
     body: Vec<u8>,
-    /// First answer of each shard.
+    /// First answer of each shard; `None` until the shard has answered.
     parts: Vec<Option<Response>>,
-    /// Complete error response of a node, which is forwarded if there is no better one.
+    /// Last complete error response of a node, which is forwarded if the request gets no answer.
     failure: Option<Response>,
 }
 
@@ -93,8 +93,9 @@
         }
     }
 
-    /// Stores an error response in case there is no better one. Statuses that state that the request was not executed
-    /// or may be repeated are excluded, since that may be untrue.
+    /// Stores a complete response with a status from 400 up, to be forwarded if a request of one part gets no answer;
+    /// other responses are ignored. So are statuses that tell the client that the request was not executed or may be
+    /// repeated, since the node may have executed it.
     pub fn record_failure(&mut self, response: Response) {
         let implies_not_executed = matches!(response.status, 408 | 421 | 429 | 503);
         if self.parts.len() == 1
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -20,7 +20,8 @@
 const ID_SWEEP_INTERVAL_CONTACTS: f64 = 2.0;
 /// Maximum time for a complete request to arrive, in multiples of `header_ms`.
 const RECEIVE_TIMEOUT_HEADERS: f64 = 2.0;
-/// Time for which a use case is kept after its route has been removed, in multiples of the longest deadline.
+/// Time for which a use case is kept after its route has been removed, in multiples of the longest deadline of a route
+/// in the new configuration.
 const USE_CASE_RETENTION_DEADLINES: f64 = 2.0;
 /// Time that is added to the retention of use cases, in milliseconds.
 const EXTRA_USE_CASE_RETENTION_MS: f64 = 10_000.0;
--- a/crates/fernknot-gateway/src/settings.rs
+++ b/crates/fernknot-gateway/src/settings.rs
@@ -32,17 +32,17 @@
 /// Time-outs and limits of one gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewaySettings {
-    /// Time until a configuration is in force everywhere.
+    /// Time within which an acknowledged configuration has to be in force everywhere (`apply_ms`).
     pub(crate) apply_timeout: Nanos,
-    /// Time for which a process may be out of contact with another one.
+    /// Time for which a machine has to run and be connected before it counts as in contact (`contact_ms`).
     pub(crate) contact_timeout: Nanos,
-    /// Time for which a draining node may still receive requests.
+    /// Time for which requests may still go to a node after its draining was acknowledged (`drain_cutoff_ms`).
     pub(crate) drain_cutoff: Nanos,
     /// Time after which a connection to a node that is not open yet is closed.
     pub(crate) connect_timeout: Nanos,
-    /// Window over which retries are counted.
+    /// Length of the window over which retries are counted (`retry_window_s`).
     pub(crate) retry_window: Nanos,
-    /// Number of retries that are allowed per request.
+    /// Number of retries that are allowed per request in a window, in addition to the free ones (`retry_ratio`).
     pub(crate) retry_ratio: f64,
     /// Maximum number of bytes that bodies of incomplete requests may use in total.
     pub(crate) max_partial_body_bytes: usize,
--- a/crates/fernknot-gateway/src/shutdown.rs
+++ b/crates/fernknot-gateway/src/shutdown.rs
@@ -1,4 +1,6 @@
-//! Phases of a graceful shutdown, from the stop request to the exit of the process.
+//! Phases of a graceful shutdown, from the stop request to the exit of the process. The platform is the system that
+//! starts the process, probes its readiness and stops it; the grace period (`grace_s`) is the time from its stop
+//! request until it kills the process.
 
 use fernknot::interface::Nanos;
 
@@ -6,7 +8,7 @@
 const EXPIRY_GRACE_SHARE: f64 = 0.92;
 /// Time for the platform to notice that a gateway is not ready: two readiness probes and a margin.
 const UNREADY_TIME: Nanos = Nanos(2_600_000_000);
-/// Maximum share of the grace period that is spent waiting for the platform to notice.
+/// Maximum share of the grace period that is spent waiting for the platform to notice that the gateway is not ready.
 const MAX_UNREADY_GRACE_SHARE: f64 = 0.6;
 
 /// Phase of a graceful shutdown.
--- a/crates/fernknot-gateway/src/stall.rs
+++ b/crates/fernknot-gateway/src/stall.rs
@@ -12,7 +12,7 @@
 }
 
 impl StallDetector {
-    /// Creates a detector; `apply_timeout` is the time until a configuration is in force everywhere.
+    /// Creates a detector; `apply_timeout` is `apply_ms` of the settings.
     pub(crate) fn new(apply_timeout: Nanos) -> StallDetector {
         StallDetector { threshold: apply_timeout.times(STALL_APPLY_TIMEOUT_SHARE), last_step_at: Nanos(0) }
     }
--- a/crates/fernknot-gateway/src/updates/controllers.rs
+++ b/crates/fernknot-gateway/src/updates/controllers.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Known controllers by inner address.
+/// Known controllers by inner address, that is, the one for other processes of the system.
 #[derive(Default)]
 pub(super) struct KnownControllers {
     /// Zone of each controller; empty for a seed, whose zone is unknown.
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Replaces all controllers with the complete list that a source in contact with them has reported.
+    /// Replaces all controllers with the list in a heartbeat with a lease, which is complete.
     pub(super) fn replace(&mut self, controllers: Vec<ReportedController>) {
         self.zones = controllers.into_iter().map(|known| (known.addr, known.zone)).collect();
     }
--- a/crates/fernknot-gateway/src/updates/ownership.rs
+++ b/crates/fernknot-gateway/src/updates/ownership.rs
@@ -1,10 +1,11 @@
-//! The live gateways by the newest assignment, and the number of gateways that share the retry budget.
+//! The live gateways by the newest assignment, and the number of gateways that share the retry budget. An assignment is
+//! the list of live gateways that the leader of the controllers makes; its fencing token grows with each new one.
 
 use fernknot::interface::Nanos;
 use fernknot_ownership::{Assignment, FencingToken, GatewayRecord, OwnedKeys, OwnedKeysSettings};
 use std::fmt::Write;
 
-/// Newest assignment, and this gateway's part in it.
+/// Newest assignment, and this gateway's right to a share of the retry budget by it.
 pub(super) struct Ownership {
     assignment: Assignment,
     /// Decides whether this gateway may use a share of the retry budget, and among how many gateways it is divided.
@@ -36,7 +37,7 @@
         self.owned_keys.apply(now, self.assignment.clone());
     }
 
-    /// Confirms that a fencing token is the newest, by a heartbeat of a source in contact with the controllers.
+    /// Records that a heartbeat with a lease has named this fencing token as the newest.
     pub(super) fn confirm(&mut self, now: Nanos, token: FencingToken) {
         self.owned_keys.confirm(now, token);
     }
--- a/crates/fernknot-gateway/src/updates/relay.rs
+++ b/crates/fernknot-gateway/src/updates/relay.rs
@@ -23,9 +23,9 @@
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
 /// Interval of this gateway's own heartbeats, in intervals of its sources' heartbeats.
 const HEARTBEAT_INTERVALS: f64 = 2.0;
-/// Time after which a subscriber without heartbeats may be gone, in heartbeat intervals.
+/// Time without heartbeats after which a subscriber is not reported as live, in intervals of this gateway's heartbeats.
 const HEARTBEAT_TIMEOUT_INTERVALS: f64 = 3.0;
-/// Reason given for rejecting an operator's request to force a view.
+/// Reason given for rejecting an operator's request to force a consensus view, which only controllers have.
 const NO_VIEW_REASON: &str = "a gateway is in no view; order it at a controller";
 
 /// Streams of updates that a gateway receives and sends.
@@ -41,7 +41,7 @@
     controllers: KnownControllers,
     /// Services in the configuration in force.
     services: BTreeSet<String>,
-    /// Identifier of the controller that sent the newest heartbeat with a lease.
+    /// Identifier of the controller whose heartbeat was the last to arrive with a lease; 0 before the first one.
     last_heartbeat_from: u64,
 }
 
@@ -54,8 +54,8 @@
 }
 
 impl UpdateRelay {
-    /// Creates a relay without streams. The hand-over time-out in `settings` bounds both the hand-over of a relayed
-    /// topic and the time until a configuration is in force everywhere.
+    /// Creates a relay without streams. `settings.handover_timeout` is the time within which an update has to be in
+    /// force everywhere (`apply_ms`); all intervals and time-outs of the relay are shares of it.
     pub(crate) fn new(
         this_gateway: GatewayRecord,
         seeds: &[SocketAddrV4],
@@ -80,7 +80,7 @@
         relay
     }
 
-    /// Adds controllers that may answer at these inner addresses.
+    /// Adds controllers that may answer at these inner addresses, the ones for other processes of the system.
     pub(crate) fn add_controllers(&mut self, addrs: &[SocketAddrV4]) {
         self.controllers.add_seeds(addrs);
         self.relays.set_controllers(&self.controllers.endpoints());
@@ -92,7 +92,8 @@
         self.services = config.services.iter().map(|service| service.name.clone()).collect();
     }
 
-    /// Time since a source in contact with the controllers last confirmed the configuration; `None` if none ever did.
+    /// Time since the last heartbeat with a lease (of a controller in contact with a majority, perhaps forwarded) from
+    /// a current source of the configuration; `None` if no current source has sent one.
     pub(crate) fn config_age(&self, now: Nanos) -> Option<Nanos> {
         self.relays.time_since_lease(now, &Topic::Configuration)
     }
--- a/crates/fernknot-gateway/src/updates/sources.rs
+++ b/crates/fernknot-gateway/src/updates/sources.rs
@@ -20,7 +20,7 @@
     /// Whether the configuration is received from this source. Only this source receives reports of the gateways that
     /// subscribe to this one.
     pub(super) carries_config: bool,
-    /// Watermark of the node directory at the time of the subscription.
+    /// Watermark of the node directory when this gateway subscribed; needed to complete the snapshot that follows.
     pub(super) watermark: u64,
 }
 
--- a/crates/fernknot-gateway/src/updates/state.rs
+++ b/crates/fernknot-gateway/src/updates/state.rs
@@ -1,4 +1,5 @@
-//! Data passed between the relay of updates and the rest of the gateway.
+//! Data passed between the relay of updates and the rest of the gateway. A source is a controller or gateway that this
+//! gateway receives updates from; a subscriber is a gateway that receives them from this one.
 
 use fernknot_net::ConnectionId;
 use fernknot_registry::{NodeDirectory, NodeRecord};
@@ -10,7 +11,7 @@
     pub(crate) nodes: &'a NodeDirectory,
     /// Revision and contents of the configuration in force.
     pub(crate) config: Option<(u64, &'a RoutingConfig)>,
-    /// Whether a source has sent a complete snapshot.
+    /// Whether a source has sent all node records of a subscription since the start.
     pub(crate) is_synchronized: bool,
     pub(crate) is_ready: bool,
 }
@@ -21,9 +22,10 @@
     Config { revision: u64, config: RoutingConfig },
     /// Records of nodes.
     Nodes(Vec<NodeRecord>),
-    /// All records of a subscription have been received since the directory had this watermark.
+    /// A source has sent all node records of a subscription. `watermark` is that of the node directory when this
+    /// gateway subscribed.
     SnapshotComplete { watermark: u64, subscription: Subscription },
-    /// A source that is in contact with the controllers has sent a heartbeat.
+    /// A source has sent a heartbeat with a lease: a controller in contact with a majority has sent or confirmed it.
     SourceHealthy,
     /// An operator requests a report over this connection.
     Inspect { connection: ConnectionId, topic: InspectionTopic },
--- a/crates/fernknot-gateway/src/use_case.rs
+++ b/crates/fernknot-gateway/src/use_case.rs
@@ -1,4 +1,5 @@
-//! The engine's settings for a route.
+//! Use cases: the engine applies one set of settings and keeps one set of measurements for each use case, and each
+//! route is a use case.
 
 use fernknot::decide::{DEFAULT_LATE_VALUE_SHARE, value_of_rank};
 use fernknot::interface::*;
--- a/crates/fernknot-gateway/tests/scenarios/identifiers.rs
+++ b/crates/fernknot-gateway/tests/scenarios/identifiers.rs
@@ -90,7 +90,7 @@
     let client = scenario.connect_client();
     scenario.receive(client, &request("a", 60_000));
     scenario.open_node_connection();
-    // Its node is dropped from the directory, and the configuration in force names another service.
+    // No configuration in force names the service any more, and the next snapshot omits its node.
     scenario.apply_config(config(ClientLimits::default()));
     let addr = "10.128.0.2:8080".parse().unwrap();
     scenario.reconnect_source(vec![NodeRecord {
