--- a/crates/fernknot-distribution/src/action.rs
+++ b/crates/fernknot-distribution/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions that the host of the state machine has to execute.
+//! Actions that the host, the program that drives the state machine, has to execute.
 
 use crate::source::{SourceHeartbeat, SourceKind};
 use crate::topic::Topic;
--- a/crates/fernknot-distribution/src/backoff.rs
+++ b/crates/fernknot-distribution/src/backoff.rs
@@ -33,7 +33,8 @@
         Backoff { seed, total_failures: 0, base_delay, by_addr: BTreeMap::new() }
     }
 
-    /// Records a failed attempt: each one doubles the delay before the next attempt at this address, up to a limit.
+    /// Records a failed attempt: each one doubles the delay before the next attempt at this address, up to
+    /// `MAX_DOUBLINGS` times.
     pub fn record_failure(&mut self, now: Nanos, addr: SocketAddrV4) {
         self.total_failures += 1;
         let jitter = MIN_JITTER_FACTOR + self.random_fraction(self.total_failures);
--- a/crates/fernknot-distribution/src/lib.rs
+++ b/crates/fernknot-distribution/src/lib.rs
@@ -5,8 +5,14 @@
 //! subscribes to a controller, and the other gateways of the zone subscribe to it, so that each update crosses into a
 //! zone once. Gateways without a healthy relay subscribe to a controller themselves.
 //!
-//! One [`Relays`] is the state machine of one gateway. Its host (`fernknot-gateway`) reports received messages and lost
-//! connections, and executes the [`Action`]s. `docs/distribution.md` compares the alternatives.
+//! An assignment is the list of live gateways that the leader of the controllers makes (`fernknot-ownership`); its
+//! fencing token grows with each new one. A source, that is, a controller or relay, sends heartbeats also without
+//! updates. A heartbeat has a lease if the controller that it comes from is in contact with a majority of the
+//! controllers, so that the updates are current.
+//!
+//! One [`Relays`] is the state machine of one gateway. The host, which is the program that drives it
+//! (`fernknot-gateway`), reports received messages and lost connections, and executes the [`Action`]s.
+//! `docs/distribution.md` compares the alternatives.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-distribution/src/relay_health.rs
+++ b/crates/fernknot-distribution/src/relay_health.rs
@@ -1,4 +1,5 @@
-//! Detection of stale relays, whose topics then come from a controller instead.
+//! Detection of stale relays: those whose connection is lost, or whose heartbeats with a lease have stopped for a
+//! time-out. Their topics come from a controller instead.
 
 use crate::backoff::Backoff;
 use crate::source::Source;
@@ -12,7 +13,7 @@
 /// when a relay fails.
 const MAX_TIMEOUT_JITTER_SHARE: f64 = 0.25;
 
-/// Set of stale relays.
+/// Set of stale relays, by address.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RelayHealth {
     stale: BTreeSet<SocketAddrV4>,
@@ -34,8 +35,10 @@
         self.stale.retain(|relay| relays.contains(relay));
     }
 
-    /// Updates the state of the relays. A relay becomes stale when its heartbeats with a lease stop, and healthy again
-    /// after it has sent them without a gap for [`Timing::stale_after`].
+    /// Updates the set of stale relays. A relay becomes stale when its last heartbeat with a lease is older than
+    /// [`Timing::stale_after`], or than [`Timing::source_timeout`] while it still sends other messages, plus a random
+    /// extension. It is healthy again after it has sent heartbeats with a lease without a gap for
+    /// [`Timing::stale_after`].
     pub fn update(
         &mut self,
         now: Nanos,
@@ -60,8 +63,8 @@
     }
 }
 
-/// Whether the last heartbeat with a lease is too old. A relay that still sends heartbeats without a lease has more
-/// time.
+/// Whether the last heartbeat with a lease is too old: older than [`Timing::stale_after`], or than
+/// [`Timing::source_timeout`] for a relay that still sends other messages, plus `jitter`.
 fn is_lease_overdue(now: Nanos, subscription: &Subscription, timing: &Timing, jitter: Nanos) -> bool {
     let is_alive = now - subscription.last_message_at <= timing.stale_after && subscription.has_responded;
     let timeout = if is_alive { timing.source_timeout } else { timing.stale_after };
--- a/crates/fernknot-distribution/src/relays.rs
+++ b/crates/fernknot-distribution/src/relays.rs
@@ -37,7 +37,8 @@
 
 /// Sources and subscribers of one gateway, for each topic of updates.
 ///
-/// The host reports received messages and lost connections, and polls [`Action`]s until there are none.
+/// The host, which is the program that drives it, reports received messages and lost connections, and polls [`Action`]s
+/// until there are none.
 #[derive(Clone, Debug)]
 pub struct Relays {
     limits: RelaysLimits,
@@ -106,7 +107,7 @@
         self.needs_update |= self.controllers.set_controllers(controllers);
     }
 
-    /// Applies an assignment if it is newer than the current one.
+    /// Applies an assignment if its fencing token is newer than that of the current one.
     pub fn apply_assignment(&mut self, now: Nanos, assignment: &Assignment) {
         let handover_until = now + self.timing.handover_timeout;
         if self.upstreams.apply(assignment, self.controllers.current(), handover_until) {
--- a/crates/fernknot-distribution/src/source.rs
+++ b/crates/fernknot-distribution/src/source.rs
@@ -3,7 +3,7 @@
 use fernknot_ownership::FencingToken;
 use std::net::SocketAddrV4;
 
-/// Maximum number of hops of a heartbeat with a lease; no relay tree is deeper.
+/// Maximum number of gateways by which a heartbeat with a lease may have been forwarded; no tree of relays is deeper.
 pub(crate) const MAX_HOPS: u8 = 6;
 
 /// Kind of process that sends updates.
@@ -41,15 +41,15 @@
 pub struct SourceHeartbeat {
     /// Newest revision of the configuration known to the source.
     pub revision: u64,
-    /// Version of its node registry; comparable only between heartbeats of one controller.
+    /// Version of the controller's list of nodes; comparable only between heartbeats of one controller.
     pub registry_version: u64,
     /// Fencing token of the newest assignment known to the source.
     pub fencing_token: FencingToken,
-    /// Whether the controller is in contact with a majority, so that its updates are current. A relay sets it only
-    /// while its own sources do.
+    /// Whether the controller that the heartbeat comes from is in contact with a majority of the controllers, so that
+    /// its updates are current. A relay sets it only while the heartbeats of its own sources have it.
     pub has_lease: bool,
-    /// Number of relays that forwarded it since the controller. Two gateways with different assignments may forward a
-    /// heartbeat to each other in a loop; the limit on hops removes its lease.
+    /// Number of gateways that forwarded the heartbeat since the controller sent it. Two gateways with different
+    /// assignments may forward a heartbeat to each other in a loop; the limit on hops removes its lease.
     pub hops: u8,
 }
 
--- a/crates/fernknot-distribution/src/subscribers.rs
+++ b/crates/fernknot-distribution/src/subscribers.rs
@@ -8,7 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// Number of heartbeat intervals for which a source counts as fresh here. It is shorter than elsewhere, because a
+/// Number of heartbeat intervals after its last heartbeat with a lease for which a source counts as fresh when
+/// heartbeats are forwarded. It is less than the 2.5 intervals of `Timing::stale_after`, because a
 /// forwarded heartbeat is already old when it arrives.
 const FRESH_INTERVALS: f64 = 1.5;
 /// Minimum time between two heartbeats with a lease to one subscriber, in heartbeat intervals.
@@ -84,7 +85,8 @@
         self.unforwarded_sources.insert(source);
     }
 
-    /// Whether [`Self::forward_heartbeats`] has to be called.
+    /// Whether [`Self::forward_heartbeats`] has to be called: a source has sent a heartbeat with a lease, or the
+    /// interval is over.
     pub fn is_forward_due(&self, now: Nanos) -> bool {
         !self.unforwarded_sources.is_empty() || now >= self.next_forward_at
     }
--- a/crates/fernknot-distribution/src/subscription.rs
+++ b/crates/fernknot-distribution/src/subscription.rs
@@ -19,7 +19,8 @@
     pub last_message_at: Nanos,
     /// Time of the last heartbeat with a lease; initially the time of subscribing.
     pub last_leased_at: Nanos,
-    /// Start of the current series of heartbeats with a lease and without a gap.
+    /// Start of the current series of heartbeats with a lease that has no gap longer than `Timing::stale_after`;
+    /// `None` before the first of them.
     pub leased_since: Option<Nanos>,
     /// Whether any heartbeat has arrived.
     pub has_responded: bool,
@@ -53,14 +54,14 @@
         }
     }
 
-    /// Treats the source as alive now.
+    /// Restarts the time-outs of the source, as if it had sent a heartbeat with a lease now.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.subscribed_at = now;
         self.last_message_at = now;
         self.last_leased_at = now;
     }
 
-    /// Whether the last heartbeat with a lease is at most this old.
+    /// Whether the last heartbeat with a lease is at most `stale_after` old; false before the first one.
     pub fn is_fresh(&self, now: Nanos, stale_after: Nanos) -> bool {
         self.leased_since.is_some() && now - self.last_leased_at <= stale_after
     }
--- a/crates/fernknot-distribution/src/timing.rs
+++ b/crates/fernknot-distribution/src/timing.rs
@@ -1,4 +1,4 @@
-//! Intervals and time-outs, as shares of the time within which an update has to be in force.
+//! Intervals and time-outs, as shares of the deadline: the time within which an update has to be in force.
 
 use fernknot::interface::Nanos;
 
@@ -6,8 +6,9 @@
 const HEARTBEAT_INTERVAL_SHARE: f64 = 1.0 / 15.0;
 /// Age of the last heartbeat with a lease above which a source is stale, as a share of the deadline.
 const STALE_AFTER_SHARE: f64 = 1.0 / 6.0;
-/// Time for a relay that sends heartbeats without a lease to find another controller, as a share of the deadline.
-/// Including the subscriptions that follow, a failed relay delays its zone by less than a third of the deadline.
+/// Time that a relay which sends heartbeats without a lease has to find another controller, before its subscribers use
+/// a controller instead, as a share of the deadline. Including the subscriptions that follow, a failed relay delays its
+/// zone by less than a third of the deadline.
 const SOURCE_TIMEOUT_SHARE: f64 = 1.0 / 4.0;
 /// Time for which an earlier relay continues after a new assignment, as a share of the deadline; for gateways that
 /// receive the assignment later.
--- a/crates/fernknot-distribution/src/topic.rs
+++ b/crates/fernknot-distribution/src/topic.rs
@@ -38,8 +38,8 @@
     gateways.div_ceil(GATEWAYS_PER_TOPIC_GROUP).clamp(1, MAX_TOPIC_GROUPS)
 }
 
-/// Ownership key of a topic group; the key's owner in a zone is the group's relay there. Releases that run side by side
-/// have to use the same text.
+/// Ownership key of a topic group; the key's owner in a zone is the group's relay there. All gateways of a system have
+/// to use the same text, also those of different releases, so that they agree on the relay.
 pub(crate) fn group_key(group: usize) -> String {
     format!("home {group}")
 }
--- a/crates/fernknot-distribution/src/topic_upstreams.rs
+++ b/crates/fernknot-distribution/src/topic_upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstream gateway of each topic by the newest assignment, and the topic's previous source.
+//! Upstream of each topic, and the topic's previous source. The upstream is the gateway that this gateway receives the
+//! topic's updates from by the newest assignment.
 
 use crate::relay_health::RelayHealth;
 use crate::source::Source;
@@ -25,7 +26,7 @@
 pub(crate) struct TopicUpstreams {
     incarnation: IncarnationId,
     zone: String,
-    /// Part of the newest assignment that concerns the zone.
+    /// Newest assignment, with only the gateways of this gateway's zone.
     assignment: Assignment,
     /// Upstream of the topics of each topic group; see `by_topic`.
     by_group: Vec<Option<SocketAddrV4>>,
@@ -34,7 +35,8 @@
     by_topic: BTreeMap<Topic, Option<SocketAddrV4>>,
     /// Topics of which this gateway was the relay by the previous assignment, with the end of its service.
     handover_until: BTreeMap<Topic, Nanos>,
-    /// Sources before the assignment; kept until the new ones are fresh, or for a bounded time.
+    /// Sources of the topics whose upstream an assignment has changed; each is kept until the new source is fresh, or
+    /// until its time has elapsed.
     previous_sources: BTreeMap<Topic, PreviousSource>,
 }
 
--- a/crates/fernknot-ownership/src/assigner.rs
+++ b/crates/fernknot-ownership/src/assigner.rs
@@ -29,7 +29,8 @@
 }
 
 /// Time for which a gateway uses its budget share after its assignment was last confirmed as the newest: the time
-/// `contact` after which all processes are in contact again, but at least five heartbeat intervals.
+/// `contact` (`contact_ms` of the settings) after which a machine that is connected again counts as in contact, but at
+/// least five heartbeat intervals.
 pub fn confirmation_timeout(contact: Nanos, heartbeat_interval: Nanos) -> Nanos {
     contact.max(heartbeat_interval.times(MIN_HEARTBEATS_TO_CONFIRM))
 }
@@ -40,7 +41,8 @@
     confirmation_timeout(contact, heartbeat_interval) + budget_window
 }
 
-/// Lower bound on the number of gateways presumed alive, from an assignment that another controller made.
+/// Lower bound on the number of gateways presumed alive, from an assignment that this controller has learned. It holds
+/// until the gateways counted there and unknown here have certainly stopped spending.
 #[derive(Clone, Copy, Debug)]
 struct PresumedAliveFloor {
     count: u32,
@@ -50,7 +52,7 @@
 /// Times that limit the rate of assignments.
 #[derive(Clone, Debug, Default)]
 struct AssignmentPacing {
-    /// Start of collecting heartbeats.
+    /// Start of collecting heartbeats: the first call as a leader, or the last reset of the liveness after a stall.
     listening_since: Option<Nanos>,
     /// Time since which the gateways have differed from the newest assignment.
     changed_since: Option<Nanos>,
@@ -157,7 +159,8 @@
     }
 
     /// Number of gateways that may be alive, or whose spending still counts against a budget: the live ones, and those
-    /// lost or shut down within the retention time.
+    /// lost or shut down within [`AssignerSettings::presumed_alive_timeout`]. It is at least the number in an
+    /// assignment learned within that time.
     pub fn presumed_alive(&mut self, now: Nanos) -> usize {
         self.liveness.advance_clock(now);
         let floor = self.presumed_alive_floor;
--- a/crates/fernknot-ownership/src/budget_share.rs
+++ b/crates/fernknot-ownership/src/budget_share.rs
@@ -7,7 +7,8 @@
 /// State that decides whether a gateway may use its share of a budget.
 ///
 /// The spending of all gateways stays within the budget over any window, not only at any moment: a gateway waits until
-/// all others count it, and until their spending under larger shares has left the window.
+/// all others divide the budget by a number that includes it, and until their spending under larger shares has left the
+/// window.
 #[derive(Clone, Debug)]
 pub(crate) struct BudgetShare {
     incarnation: IncarnationId,
--- a/crates/fernknot-ownership/src/gateway_liveness.rs
+++ b/crates/fernknot-ownership/src/gateway_liveness.rs
@@ -10,7 +10,8 @@
     record: GatewayRecord,
     /// Time of its last heartbeat to this controller or to another one.
     last_heartbeat_at: Nanos,
-    /// Whether this controller received a heartbeat since it last notified the other controllers.
+    /// Whether this controller received a heartbeat of the gateway since it last reported the gateway to the other
+    /// controllers.
     unreported: bool,
 }
 
@@ -69,7 +70,7 @@
         true
     }
 
-    /// Marks a gateway's heartbeat for notification of the other controllers.
+    /// Marks a gateway as one whose heartbeat has to be reported to the other controllers.
     pub fn mark_unreported(&mut self, incarnation: IncarnationId) {
         if let Some(known) = self.gateways.get_mut(&incarnation) {
             known.unreported = true;
--- a/crates/fernknot-ownership/src/key_handover.rs
+++ b/crates/fernknot-ownership/src/key_handover.rs
@@ -1,5 +1,5 @@
-//! Handover of keys between gateways: the previous owner serves a key until the new owner notifies it, or a time-out
-//! elapses.
+//! Handover of keys between gateways: the previous owner serves a key until the new owner notifies it that it serves
+//! the key now, or until a time-out elapses. A gateway watches the keys that it serves when it owns them.
 
 use crate::assignment::{Assignment, GatewayRecord};
 use crate::identifiers::{FencingToken, IncarnationId};
@@ -24,12 +24,12 @@
     Unowned,
 }
 
-/// Action that the host has to execute.
+/// Action that the host, the program that uses `OwnedKeys`, has to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Start serving a key. A previous owner serves it until it is notified ([`Action::NotifyPreviousOwner`]).
     Acquire {
-        /// Key to acquire.
+        /// Key that this gateway owns by the newest assignment.
         key: String,
         /// Token of the assignment that gives the key to this gateway.
         fencing_token: FencingToken,
@@ -38,7 +38,7 @@
     },
     /// Notify the previous owner that this gateway serves the key now.
     NotifyPreviousOwner {
-        /// Gateway to notify.
+        /// Owner by the previous assignment, which serves the key until it is notified or its time-out elapses.
         to: GatewayRecord,
         /// Key that this gateway now serves.
         key: String,
@@ -47,7 +47,7 @@
     },
     /// Stop serving a key.
     Release {
-        /// Key to release.
+        /// Key that this gateway serves, but no longer watches, or no longer owns after the end of the handover.
         key: String,
         /// Token of the newest assignment.
         fencing_token: FencingToken,
--- a/crates/fernknot-ownership/src/lib.rs
+++ b/crates/fernknot-ownership/src/lib.rs
@@ -1,8 +1,9 @@
 //! Ownership of keys by live gateways, without I/O or clock.
 //!
-//! This crate defines the owner of every key (a singleton role). An [`Assignment`] lists the live gateways, and
-//! rendezvous hashing selects the owner of a key among them, so that a gateway that joins or leaves moves only its own
-//! keys. Assignments are ordered by a [`FencingToken`] that also increases across consensus views.
+//! This crate defines the owner of every key, the name of a role that one gateway has at a time, such as the relay of a
+//! group of topics. An [`Assignment`] lists the live gateways, and rendezvous hashing selects the owner of a key among
+//! them, so that a gateway that joins or leaves moves only its own keys. Assignments are ordered by a [`FencingToken`]
+//! that also increases across consensus views, the terms of the leaders of the controllers.
 //!
 //! The leader among the controllers makes assignments with an [`Assigner`]. Each gateway applies them to its
 //! [`OwnedKeys`], which hands keys over and determines whether the gateway may use its share of a budget. The relays of
--- a/crates/fernknot-ownership/src/owned_keys.rs
+++ b/crates/fernknot-ownership/src/owned_keys.rs
@@ -33,8 +33,8 @@
 
 /// Watched keys of one gateway and their ownership by the newest assignment.
 ///
-/// The host passes in assignments, confirmations and messages of other gateways, and polls [`Action`]s until there are
-/// none.
+/// A watched key is one that this gateway serves when it owns it. The host, which is the program that uses this state,
+/// passes in assignments, confirmations and messages of other gateways, and polls [`Action`]s until there are none.
 #[derive(Clone, Debug)]
 pub struct OwnedKeys {
     incarnation: IncarnationId,
@@ -80,7 +80,9 @@
         ApplyOutcome::Applied
     }
 
-    /// Records a confirmation, by a process with a valid lease, that this is the newest fencing token.
+    /// Records a confirmation that this is the newest fencing token, from a process whose heartbeat has a lease: the
+    /// controller that it comes from is in contact with a majority. It has no effect if the token is not that of the
+    /// assignment in force.
     pub fn confirm(&mut self, now: Nanos, fencing_token: FencingToken) {
         if fencing_token == self.assignment.fencing_token && fencing_token != FencingToken::default() {
             self.budget_share.confirm(now, &self.assignment);
--- a/crates/fernknot-peer-sampling/src/lib.rs
+++ b/crates/fernknot-peer-sampling/src/lib.rs
@@ -4,8 +4,9 @@
 //! with one peer per period (as in Cyclon: the peer is the oldest entry, and sent entries are replaced by received
 //! ones). Controllers are kept in a separate list, so that a live one can be found even if all seeds have ended.
 //!
-//! One [`PeerSampler`] is the state machine of one process. `fernknot-rpc` encodes its shuffles as datagrams for
-//! controllers and gateways. `docs/distribution.md` compares the alternatives.
+//! One [`PeerSampler`] is the state machine of one process. The host is the program that drives it; `fernknot-rpc`
+//! encodes the exchanges (shuffles) as datagrams for controllers and gateways. `docs/distribution.md` compares the
+//! alternatives.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-peer-sampling/src/partial_view.rs
+++ b/crates/fernknot-peer-sampling/src/partial_view.rs
@@ -54,8 +54,9 @@
         candidates.max_by_key(|entry| entry.age_ms)
     }
 
-    /// Adds or updates an entry. In a full view it replaces an entry that was sent to the peer (`sent`, the last
-    /// first), or one of a zone with more entries.
+    /// Adds or updates an entry. In a full view it replaces an entry that this shuffle sent to the peer (`sent`, the
+    /// last first), or else the oldest entry of the zone with the most entries if the new entry's zone has fewer than
+    /// `MIN_ENTRIES_PER_ZONE`. Without such an entry it is ignored.
     pub fn merge(&mut self, entry: &PeerDescriptor, sent: &mut Vec<SocketAddrV4>) {
         if let Some(known) = self.entries.iter_mut().find(|known| known.addr == entry.addr) {
             known.merge_younger(entry);
--- a/crates/fernknot-peer-sampling/src/peer_descriptor.rs
+++ b/crates/fernknot-peer-sampling/src/peer_descriptor.rs
@@ -23,7 +23,8 @@
     pub zone: String,
     /// Incarnation of the process; a restart changes it.
     pub incarnation: u64,
-    /// Time since the process itself sent this description, in milliseconds.
+    /// Estimated time since the process itself sent this description or was reached, in milliseconds. Failed calls to a
+    /// controller add to it.
     pub age_ms: u32,
 }
 
--- a/crates/fernknot-peer-sampling/src/peer_sampler.rs
+++ b/crates/fernknot-peer-sampling/src/peer_sampler.rs
@@ -61,7 +61,7 @@
     Shuffle {
         /// Address of the peer.
         to: SocketAddrV4,
-        /// Descriptors to send.
+        /// Descriptors to send: this process's own, then random ones of the view and of the known controllers.
         sample: Vec<PeerDescriptor>,
     },
 }
@@ -161,7 +161,7 @@
         reply
     }
 
-    /// Handles the reply to a shuffle.
+    /// Handles the reply to a shuffle; ignored unless it comes from the peer of the pending shuffle.
     pub fn handle_shuffle_reply(&mut self, now: Nanos, from: SocketAddrV4, sample: &[PeerDescriptor]) {
         self.advance_clock(now);
         let Some(pending) = self.pending_shuffle.take_if(|pending| pending.to == from) else { return };
@@ -271,7 +271,8 @@
         sample
     }
 
-    /// Merges a received sample. The entries that were sent to the peer are replaced first.
+    /// Merges a received sample into the view and the known controllers. In a full view, the entries at the addresses
+    /// `sent` to the peer are replaced first.
     fn merge(&mut self, sample: &[PeerDescriptor], mut sent: Vec<SocketAddrV4>) {
         let max_entries = 1 + self.sample_size + CONTROLLERS_PER_SHUFFLE;
         let expiry_age_ms = self.expiry_age_ms();
