--- a/crates/fernknot-router/src/app.rs
+++ b/crates/fernknot-router/src/app.rs
@@ -124,7 +124,8 @@
             && !self.clients.has_busy_clients()
     }
 
-    /// Starts a graceful shutdown.
+    /// Starts a graceful shutdown: connections are still accepted for `shutdown_linger`, and pending requests are
+    /// answered.
     fn stop(&mut self) {
         let context = &mut self.context;
         if context.stop_deadline.is_some() {
@@ -140,8 +141,8 @@
     }
 
     /// Reloads the configuration, and applies the part that a running router can change: the limits, the address of
-    /// discovery, and the list of routers. An invalid configuration changes nothing. Pending requests and open
-    /// connections stay.
+    /// discovery, and, if membership is on, the list of routers. An invalid configuration changes nothing. Pending
+    /// requests and open connections stay.
     fn reload(&mut self) {
         let context = &mut self.context;
         match RouterConfig::read(Precedence::File, crate::variable) {
@@ -285,7 +286,7 @@
             Action::Answer { requester, verdict, stage } => {
                 clients.answer(context, requester, verdict, stage)
             }
-            // Discovery is watched from the start, whether or not the site requires a subscription.
+            // The router watches discovery from its start, so a request of the engine for the list changes nothing.
             Action::SubscribeToNodeList => {}
             Action::RenewConnections { node } => nodes.renew_connections(context, node),
             Action::NotifyPeers { updates } => {
--- a/crates/fernknot-router/src/attempts.rs
+++ b/crates/fernknot-router/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to have parts answered by nodes: assignment to connections, cancellation and end.
+//! Attempts to have parts of multigets answered by nodes: assignment to connections, cancellation and end.
 
 use crate::context::Context;
 use crate::events::NodeConnectionId;
--- a/crates/fernknot-router/src/clients.rs
+++ b/crates/fernknot-router/src/clients.rs
@@ -12,7 +12,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Number of steps in which a stopping router closes its connections.
+/// Number of steps in which a stopping router closes its connections during `connection_handover`, the last part of
+/// `shutdown_linger`.
 const HANDOVER_STEPS: u64 = 32;
 
 /// Listener and connections of clients.
@@ -24,7 +25,8 @@
     next_id: u64,
     /// Whether accepting is paused because the maximum number of connections is open.
     is_accept_paused: bool,
-    /// Connections whose sockets have unread bytes.
+    /// Connections whose sockets have unread bytes, because reading stopped at the limit of an iteration of the event
+    /// loop.
     pub readable_connections: Vec<ClientId>,
     /// Connections with output to write in this iteration.
     pub unflushed_connections: Vec<ClientId>,
@@ -47,7 +49,7 @@
         })
     }
 
-    /// Returns whether a connection has unread bytes.
+    /// Returns whether the socket of a connection has unread bytes.
     pub fn has_readable(&self) -> bool {
         !self.readable_connections.is_empty()
     }
@@ -164,9 +166,9 @@
         self.readable_connections.push(id);
     }
 
-    /// Returns whether a stopping router no longer keeps a connection. Connections end one by one over a period, so
-    /// that clients can connect to another router that is just starting, and the other routers do not receive all
-    /// clients at once.
+    /// Returns whether a stopping router no longer keeps a connection. Connections end one by one during
+    /// `connection_handover`, so that clients can connect to another router that is just starting, and the other
+    /// routers do not receive all clients at once.
     pub fn is_handed_over(&self, context: &Context, id: ClientId) -> bool {
         let step = (id.0 % HANDOVER_STEPS) as f64 / HANDOVER_STEPS as f64;
         let limits = &context.limits;
--- a/crates/fernknot-router/src/context.rs
+++ b/crates/fernknot-router/src/context.rs
@@ -21,17 +21,17 @@
     pub now: Nanos,
     /// Limits on sizes, counts and durations. A reload of the configuration replaces them.
     pub limits: Limits,
-    /// Settings of the sockets.
+    /// Settings of the sockets, such as the maximum number of parts in a call. A reload does not change them.
     pub settings: SocketSettings,
     /// Counters of the sockets.
     pub counters: Counters,
-    /// Query router without sockets.
+    /// Engine, which decides on the attempts of all requests and has their state.
     pub engine: Engine,
     /// Timers, sorted by the time for which they are set.
     pub timers: BTreeSet<(Nanos, Timer)>,
     /// Membership, which detects the live routers; `None` if it is off.
     pub membership: Option<Membership>,
-    /// Whether a full list of nodes has been received.
+    /// Whether a full list of nodes has been applied, from discovery or from the configuration (the last known list).
     pub has_full_list: bool,
     /// Time by which all requests must be answered; `None` before the signal to stop.
     pub stop_deadline: Option<Nanos>,
--- a/crates/fernknot-router/src/discovery.rs
+++ b/crates/fernknot-router/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Client of discovery: watches the list of nodes over one connection at a time.
+//! Client of discovery, the service that provides the list of data nodes: watches the list over one connection at a
+//! time.
 
 use crate::context::Context;
 use crate::events::{Source, Timer};
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Applies the last known list, and requests the current one.
+    /// Applies the last known list that the configuration contains, if any, and requests the current one.
     pub fn start(&mut self, context: &mut Context, nodes: &mut Nodes, last_known_list: Option<&str>) {
         self.backoff = context.limits.initial_backoff;
         match last_known_list.map(|list| parse_list(list.as_bytes())) {
--- a/crates/fernknot-router/src/main.rs
+++ b/crates/fernknot-router/src/main.rs
@@ -1,8 +1,10 @@
-//! The query router as a process: the engine with sockets, in one event loop.
+//! The query router as a process: the engine (`fernknot-engine`), which decides on the attempts of each request, with
+//! sockets, in one event loop.
 //!
 //! Clients send requests over HTTP, data nodes receive calls in frames over TCP, discovery provides the list of nodes,
-//! and routers exchange datagrams with their peers. The environment and a file configure the process; see
-//! `fernknot_router_config`.
+//! and routers exchange datagrams with the other routers, their peers. A request is a multiget: it has a part for each
+//! shard that it queries, and each part is answered in one or several attempts. A call is a frame with the parts of one
+//! or several attempts at one node. The environment and a file configure the process; see `fernknot_router_config`.
 
 mod app;
 mod attempts;
--- a/crates/fernknot-router/src/membership.rs
+++ b/crates/fernknot-router/src/membership.rs
@@ -1,4 +1,5 @@
-//! Connection of the membership protocol to the datagrams between peers, the log and the counters.
+//! Connection of the membership protocol, which detects the live routers, to the datagrams between routers, the log and
+//! the counters.
 
 use fernknot::interface::Nanos;
 use fernknot_membership::{
@@ -27,7 +28,8 @@
 pub struct Membership {
     protocol: MembershipProtocol,
     addresses: BTreeMap<RouterId, SocketAddr>,
-    /// Number of routers that share the quotas, as last reported to the engine.
+    /// Number of routers that share the customers' quotas, as last reported to the engine; at first all routers of the
+    /// list.
     quota_sharers: usize,
     has_majority: bool,
     /// Whether it has been logged that another router has the same name.
--- a/crates/fernknot-router/src/node_connection.rs
+++ b/crates/fernknot-router/src/node_connection.rs
@@ -5,10 +5,11 @@
 use fernknot_protocol::outbox::Outbox;
 use std::collections::{HashMap, VecDeque};
 
-/// Identifier of an attempt to have a part answered by a node.
+/// Identifier of an attempt to have a part answered by a node. A multiget, which is the request of a client, has a part
+/// for each shard that it queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// Part of a multiget.
+    /// Identifier of the part, which names its multiget.
     pub part: PartId,
     /// Number of the attempt among those of the part.
     pub number: AttemptNumber,
@@ -29,7 +30,7 @@
 pub struct PendingAttempt {
     /// Identifier of the attempt.
     pub id: AttemptId,
-    /// Number of the call that contains the attempt.
+    /// Number of the call, which is the frame that contains the attempt, among those of the connection.
     pub call: u64,
     /// Progress of the writing of the call's frame.
     pub state: WriteState,
@@ -55,7 +56,7 @@
     pub is_retired: bool,
     /// Frames that are not yet in the output buffer.
     pub queued_frames: VecDeque<OutgoingFrame>,
-    /// Frames that are in the output buffer.
+    /// Frames that are in the output buffer, some bytes of the first perhaps already written.
     pub outbox: Outbox<OutgoingFrame>,
     /// Attempts with a pending answer, by the ids of their parts.
     pub pending_attempts: HashMap<String, PendingAttempt>,
@@ -63,7 +64,8 @@
     pub attempts_by_call: HashMap<u64, usize>,
     /// Number of the next call.
     pub next_call: u64,
-    /// Ids of cancelled parts, whose answers may still arrive.
+    /// Ids of cancelled parts, whose answers may still arrive; the oldest is dropped beyond
+    /// `max_remembered_cancellations`.
     pub cancelled_part_ids: VecDeque<String>,
     /// Time at which a frame was last encoded, or an answer last received.
     pub last_used: Nanos,
--- a/crates/fernknot-router/src/node_connections.rs
+++ b/crates/fernknot-router/src/node_connections.rs
@@ -13,7 +13,8 @@
 
 impl Nodes {
     /// Starts a connection to a node. At the maximum number of connections the one that has been idle for longest is
-    /// closed first. Returns `None` if no connection is idle, or the operating system reports an error.
+    /// closed first. Returns `None` if the maximum is reached and no connection is idle, or if the operating system
+    /// reports an error.
     pub fn open_connection(&mut self, context: &mut Context, node: NodeId) -> Option<NodeConnectionId> {
         if self.connections.len() >= context.limits.max_node_connections {
             let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
--- a/crates/fernknot-router/src/nodes.rs
+++ b/crates/fernknot-router/src/nodes.rs
@@ -13,7 +13,8 @@
 pub struct NodeRecord {
     /// Address at which the node accepts connections.
     pub address: SocketAddr,
-    /// Failure domain of the node.
+    /// Place of the node: its position in the placement of shards. The nodes at one place are replicas of the same
+    /// shards.
     pub place: PlaceId,
     /// Health according to the list, which determines whether the node gets new calls.
     pub health: Health,
@@ -40,16 +41,17 @@
     pub unassigned_attempts: BTreeMap<NodeId, Vec<AttemptId>>,
     /// Connection to which each pending attempt is assigned.
     pub connection_by_attempt: HashMap<AttemptId, NodeConnectionId>,
-    /// Tags of the nodes in messages between routers; `None` if routers may not send messages to each other.
+    /// Tags of the nodes in messages between routers; `None` if the configuration names no peers.
     pub tags: Option<NodeTags>,
-    /// Connections whose sockets have unread bytes.
+    /// Connections whose sockets have unread bytes, because reading stopped at the limit of an iteration of the event
+    /// loop.
     pub readable_connections: Vec<NodeConnectionId>,
     /// Connections with frames to write in this iteration.
     pub unflushed_connections: Vec<NodeConnectionId>,
 }
 
 impl Nodes {
-    /// Returns whether a connection has unread bytes.
+    /// Returns whether the socket of a connection has unread bytes.
     pub fn has_readable(&self) -> bool {
         !self.readable_connections.is_empty()
     }
@@ -64,7 +66,8 @@
         &mut self.records[id.0 as usize]
     }
 
-    /// Applies a list or its changes, and returns the entries for the decision module.
+    /// Applies a full list or changes of the list, and returns the entries for the engine. Nodes that a full list lacks
+    /// are gone.
     pub fn apply_list(&mut self, context: &mut Context, list: &NodeList) -> Vec<NodeEntry> {
         let mut entries = Vec::new();
         for listed in &list.nodes {
--- a/crates/fernknot-router/src/peers.rs
+++ b/crates/fernknot-router/src/peers.rs
@@ -28,7 +28,7 @@
         Ok(Peers { socket, addresses, own_position })
     }
 
-    /// Sends updates about nodes to all peers.
+    /// Sends updates about nodes to the address whose datagrams reach all routers.
     pub fn send_updates(&self, context: &mut Context, tags: &NodeTags, updates: &[(NodeId, Update)]) {
         for message in tags.write(updates, context.limits.max_datagram_bytes) {
             match self.socket.send_to(&message, self.addresses.all_peers) {
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Sends the pending datagrams of membership, and reports a changed number of quota sharers to the engine.
+    /// Sends the pending datagrams of membership, and reports a changed number of routers that share the customers'
+    /// quotas to the engine.
     pub fn send_membership(&self, context: &mut Context) {
         let Some(membership) = context.membership.as_mut() else { return };
         while let Some((to, bytes)) = membership.next_datagram(context.now, &context.log) {
--- a/crates/fernknot-router/tests/end_to_end.rs
+++ b/crates/fernknot-router/tests/end_to_end.rs
@@ -91,7 +91,7 @@
 fn a_protocol_error_does_not_delay_later_parts() {
     let (router, nodes, _discovery) = deployment(&[NodeBehaviour::UnknownIdFirst; 4]);
     assert!(!router.multiget("page", &[0], "2").starts_with("HTTP/1.1 200"));
-    // The maximum number of attempts for a part.
+    // The part is attempted four times, which is the maximum, and each attempt ends with a protocol error.
     assert_eq!((router.counter("frames_bad"), router.counter("outcome_error")), (4, 4));
     nodes.iter().for_each(|node| node.set_behaviour(NodeBehaviour::Unresponsive));
     // If the parts were sent one after the other, the client's deadline would pass before the second.
--- a/crates/fernknot-router/tests/migration.rs
+++ b/crates/fernknot-router/tests/migration.rs
@@ -104,8 +104,8 @@
     assert_eq!(deployment.calls(4), before);
 }
 
-/// The node is the only remaining replica of a shard for the old router and one of five for the new router, and both
-/// routers receive more requests than a node that has just started may get.
+/// A node that has just started is the only remaining replica of a shard for the old router and one of five for the new
+/// router, and both routers receive more requests than such a node may get.
 #[test]
 fn a_cold_node_is_not_overloaded_by_both_routers_together() {
     let deployment = MigratingDeployment::start();
--- a/crates/fernknot-router/tests/two_phase.rs
+++ b/crates/fernknot-router/tests/two_phase.rs
@@ -146,9 +146,9 @@
 fn a_block_that_does_not_match_is_not_fetched_from_its_only_unresponsive_node() {
     let responsive = (two_phase_node(true, Some(SHORT_DELAY)), 2);
     let unresponsive = (two_phase_node(false, None), 1);
-    // The last node never answers a fetch, so a query that sends it one cannot be complete. Latency is tested in
-    // simulated time (`fernknot-engine`, `two_phase.rs`): on a busy machine a short target leads to justified
-    // rejections here.
+    // The last node never answers a fetch, the call of the second phase, so a query that sends it one cannot be
+    // complete. Latency is tested in simulated time (`fernknot-engine`, `two_phase.rs`): on a busy machine a short
+    // target leads to justified rejections here.
     let (router, nodes, _discovery) =
         deploy_with_target(UNLIMITED_LATENCY_TARGET, [responsive, responsive, responsive, unresponsive]);
     let answers = run_load(UNLIMITED_LATENCY_TARGET, &router, 200);
@@ -163,7 +163,7 @@
 #[test]
 fn most_queries_that_need_an_unresponsive_block_are_rejected_before_they_fail_late() {
     let responsive = (two_phase_node(true, Some(SHORT_DELAY)), 2);
-    // The only node of the last block answers matches, but never a fetch.
+    // The only node of the last shard answers the first phase, which asks for matches, but never the second, a fetch.
     let unresponsive = (two_phase_node(true, None), 1);
     let (router, _nodes, _discovery) = deploy([responsive, responsive, responsive, unresponsive]);
     let answers = run_load(LATENCY_TARGET, &router, 240);
--- a/examples/stand-in/src/discovery.rs
+++ b/examples/stand-in/src/discovery.rs
@@ -12,7 +12,8 @@
 #[derive(Default)]
 struct List {
     generation: u64,
-    /// Each entry's JSON, and the generation in which it last changed.
+    /// Each entry's JSON by the name of its node, and the generation of the list in which the entry last changed. Each
+    /// change of the list increases the generation by 1.
     entries: BTreeMap<String, (u64, String)>,
     is_unresponsive: bool,
     call_count: usize,
@@ -112,7 +113,8 @@
     }
 }
 
-/// Returns the JSON of the list or of its changes, at the first change or when the call's wait is over; `None` for an
+/// Returns the JSON of the full list, or of its changes since the generation in the call's `index`. Changes are
+/// returned as soon as there are any, or when the time in the call's `wait` (in milliseconds) is over. `None` for an
 /// unknown path.
 fn answer(request: &Request, state: &State) -> Option<String> {
     if request.path() != "/discovery/hosts" {
--- a/examples/stand-in/src/main.rs
+++ b/examples/stand-in/src/main.rs
@@ -3,7 +3,8 @@
 use fernknot_stand_in::{DataNode, Discovery, NodeBehaviour};
 use std::time::Duration;
 
-/// Place of each node: two nodes at each of the example's two places.
+/// Place of each node, that is, its position in the placement of shards: two nodes, replicas of each other, at each of
+/// the example's two places.
 const NODE_PLACES: [u32; 4] = [0, 0, 1, 1];
 
 fn main() -> std::io::Result<()> {
--- a/examples/stand-in/src/node.rs
+++ b/examples/stand-in/src/node.rs
@@ -1,4 +1,5 @@
-//! A data node that answers each part with the part's text and shard, or misbehaves in a chosen way.
+//! A data node that answers each part of a call, which is the request for one shard, with the text and the shard of the
+//! part, or misbehaves in a chosen way.
 
 use fernknot::interface::ShardId;
 use fernknot_protocol::buffer::Buffer;
@@ -25,7 +26,8 @@
     TrailingBytes,
     /// Answers the parts of two-phase queries after a delay, and all other parts at once.
     TwoPhase {
-        /// Whether the node's blocks match.
+        /// Whether the answers of the first phase name the block of the requested shard (its part of the index) as one
+        /// that holds matches.
         matches: bool,
         /// Delay of the answers in the first phase.
         match_after: Duration,
@@ -46,7 +48,7 @@
     RejectFrame,
 }
 
-/// A part of a call as it was received.
+/// A part of a call as it was received: the request for one shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     pub id: String,
