--- a/crates/fernknot-net/src/connection_table.rs
+++ b/crates/fernknot-net/src/connection_table.rs
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Closes a connection that has failed, and reports the failure unless the host had already closed the connection.
+    /// Closes a connection that has failed, and reports the failure unless [`Self::close_after_flush`] was called for
+    /// the connection before.
     fn connection_failed(
         &mut self,
         registry: &Registry,
--- a/crates/fernknot-net/src/event.rs
+++ b/crates/fernknot-net/src/event.rs
@@ -19,37 +19,37 @@
         /// The remote address.
         peer: SocketAddrV4,
     },
-    /// A connection started with [`Network::connect`](crate::Network::connect) is open.
+    /// A connection started with [`Network::connect`](crate::Network::connect) is open now.
     Connected {
-        /// The connection.
+        /// Identifier that [`Network::connect`](crate::Network::connect) returned.
         connection: ConnectionId,
     },
     /// Bytes were received; [`Network::input`](crate::Network::input) returns them.
     Received {
-        /// The connection.
+        /// Connection with the new input.
         connection: ConnectionId,
     },
     /// The peer has closed its sending side. [`Network::input`](crate::Network::input) returns the bytes that it sent
     /// before.
     ReadClosed {
-        /// The connection.
+        /// Connection whose input has ended; output can still be written.
         connection: ConnectionId,
     },
     /// The connection has failed and is closed. Input that was not consumed can be taken with
     /// [`Network::take_unread_input`](crate::Network::take_unread_input).
     Closed {
-        /// The connection.
+        /// Identifier of the closed connection, which is not used again.
         connection: ConnectionId,
         /// Whether the connection was ever open.
         was_open: bool,
-        /// Error of the connection.
+        /// Failed operation, and the error of the operating system.
         error: NetError,
     },
     /// A datagram was received.
     Datagram {
         /// The sender's address.
         from: SocketAddrV4,
-        /// The payload.
+        /// Payload of the datagram.
         bytes: Vec<u8>,
     },
     /// Another thread woke the loop through its waker.
--- a/crates/fernknot-net/src/event_loop.rs
+++ b/crates/fernknot-net/src/event_loop.rs
@@ -37,7 +37,8 @@
     settings: EventLoopSettings,
     connections: ConnectionTable,
     listeners: HashMap<ConnectionId, TcpListener>,
-    /// Listening sockets that may have connections to accept.
+    /// Listening sockets that may have connections to accept, because accepting stopped at the maximum number of
+    /// connections or at an error.
     pending_accepts: BTreeSet<ConnectionId>,
     datagram_socket: Option<DatagramSocket>,
     last_id: u64,
@@ -182,7 +183,8 @@
     }
 
     /// Writes pending output, waits for events for at most `timeout` (`None`: without limit), and appends them to
-    /// `events`.
+    /// `events`. It does not wait if `events` is not empty after the writing, or if reading stopped at a full buffer
+    /// that has space again.
     pub fn poll(&mut self, timeout: Option<Duration>, events: &mut Vec<Event>) {
         self.connections.drop_unread_inputs();
         self.connections.flush(self.poll.registry(), events);
--- a/crates/fernknot-net/src/lib.rs
+++ b/crates/fernknot-net/src/lib.rs
@@ -2,9 +2,10 @@
 //! [`Event`]s. It does not interpret the bytes.
 //!
 //! The crate owns the sockets, their buffers and the signal flags; [`process`] contains the code that the programs
-//! around an event loop share. The hosts of `fernknot-gateway` and `fernknot-controller` drive an event loop; a state
-//! machine that only needs connections borrows a [`Network`], which simulations implement too. A [`ConnectionId`] is
-//! never reused, so that an event of a closed connection cannot be mistaken for one of another connection.
+//! around an event loop share. The host processes of `fernknot-gateway` and `fernknot-controller` drive an event loop;
+//! the state machines that they host only need connections and borrow a [`Network`], which simulations implement too. A
+//! [`ConnectionId`] is never reused, so that an event of a closed connection cannot be mistaken for one of another
+//! connection.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-net/src/network.rs
+++ b/crates/fernknot-net/src/network.rs
@@ -1,4 +1,4 @@
-//! Interface between a state machine and the connections that its host owns.
+//! Interface between a state machine and the connections that its host, the program that drives it, owns.
 
 use crate::error::NetError;
 use crate::event::ConnectionId;
@@ -25,7 +25,7 @@
     /// connection, for which [`Event::Closed`](crate::Event::Closed) tells whether it was ever open.
     fn is_opening(&self, connection: ConnectionId) -> bool;
 
-    /// Returns the input that was received and not yet consumed.
+    /// Returns the input that was received and not yet consumed; `None` if the connection does not exist or is closed.
     fn input(&mut self, connection: ConnectionId) -> Option<&mut Buffer>;
 
     /// Removes and returns the unconsumed input of a connection whose [`Event::Closed`](crate::Event::Closed) is being
--- a/crates/fernknot-net/src/process/error.rs
+++ b/crates/fernknot-net/src/process/error.rs
@@ -6,7 +6,7 @@
 /// Error because of which a server process cannot run.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// The settings lack a value that the process needs.
+    /// The settings lack a value that the process needs, or have one with which it cannot run.
     #[error("settings: {0}")]
     Settings(String),
     /// The operating system rejected a request for a resource.
--- a/crates/fernknot-net/src/process/mod.rs
+++ b/crates/fernknot-net/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Code shared by the server processes: command line, settings file, log and clock.
+//! Code shared by the server processes, which are controllers and gateways: command line, settings file, log and clock.
 
 mod clock;
 mod command_line;
--- a/crates/fernknot-net/src/process/settings_file.rs
+++ b/crates/fernknot-net/src/process/settings_file.rs
@@ -67,7 +67,8 @@
         std::mem::replace(&mut self.modified_at, modified_at) != modified_at
     }
 
-    /// Reads the settings again. Returns `None` if there is no file or the file has faults, which are logged.
+    /// Reads the settings again, without the check of the program. Returns `None` if the file cannot be read, or if it
+    /// has faults; these are logged.
     pub fn reload(&self) -> Option<ProcessSettings> {
         let bytes = std::fs::read(&self.path).ok()?;
         match ProcessSettings::parse(&bytes) {
