--- a/crates/fernknot-membership/src/lib.rs
+++ b/crates/fernknot-membership/src/lib.rs
@@ -9,7 +9,7 @@
 //! ([`poll_action`](MembershipProtocol::poll_action)) until none is left.
 //!
 //! The protocol is SWIM (Das, Gupta and Motivala, DSN 2002) with the local health awareness of Lifeguard (Dadgar,
-//! Phillips and Currey, 2017). `docs/membership.md` lists the differences from both, with reasons.
+//! Phillips and Currey, 2017). `docs/membership.md` lists the differences from SWIM and from Lifeguard, with reasons.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-membership/src/local_health.rs
+++ b/crates/fernknot-membership/src/local_health.rs
@@ -67,7 +67,7 @@
         self.last_received >= since
     }
 
-    /// Suppresses suspicions until this time, after a stall of the host.
+    /// Suppresses suspicions until this time, after a stall of the host (an iteration that began late).
     pub fn recover_from_stall_until(&mut self, until: Nanos) {
         self.stall_recovery_ends_at = self.stall_recovery_ends_at.max(until);
     }
@@ -84,7 +84,7 @@
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Time-out lengthened in proportion to the health score.
+    /// Time-out lengthened by half of `timeout` for each point of the health score.
     pub fn lengthen(&self, timeout: Nanos) -> Nanos {
         timeout.times(1.0 + f64::from(self.score) / 2.0)
     }
@@ -99,7 +99,7 @@
         now < self.stall_recovery_ends_at
     }
 
-    /// Whether the process started less than the settling time ago.
+    /// Whether the process started less than the settling time (15 probe periods) ago.
     pub fn has_just_started(&self, settings: &MembershipSettings, now: Nanos) -> bool {
         now < self.started_at + settings.settling_time()
     }
--- a/crates/fernknot-membership/src/local_router.rs
+++ b/crates/fernknot-membership/src/local_router.rs
@@ -44,7 +44,8 @@
         true
     }
 
-    /// Adopts a new incarnation unless the last announcement was at most `window` ago; returns whether it did.
+    /// Adopts a new incarnation, which overrides older reports that this router has failed, unless it has left or the
+    /// last such announcement was at most `window` ago. Returns whether it did.
     pub fn announce(&mut self, now: Nanos, window: Nanos) -> bool {
         let earliest = now - window;
         if self.has_left || self.last_announced.is_some_and(|at| at >= earliest) {
--- a/crates/fernknot-membership/src/member.rs
+++ b/crates/fernknot-membership/src/member.rs
@@ -14,11 +14,11 @@
     pub id: RouterId,
     /// Status, and the incarnation that it refers to.
     pub state: VersionedStatus,
-    /// Reporter and evidence of the status.
+    /// Reporter and evidence of the status, and the time at which it was learned.
     pub cause: Cause,
     /// Number of times that the router was confirmed as failed or returned after that.
     pub failure_changes: u32,
-    /// Arrival of the last message sent by the router itself.
+    /// Arrival of the last message sent by the router itself; `None` before the first.
     pub(crate) last_received: Option<Nanos>,
     /// Start of the router's process, by its own wall clock in milliseconds.
     pub(crate) process_started_ms: u64,
@@ -27,12 +27,13 @@
     /// Incarnation that the router itself claims.
     pub(crate) claimed_incarnation: Incarnation,
     pub(crate) link: LinkTracker,
-    /// Routers that suspect it in the current round.
+    /// Routers that suspect it in the current round; a failure that another router forwards fills the list up to the
+    /// maximum with its reporter. Empty if the router is not suspected.
     pub(crate) accusers: Vec<RouterId>,
     /// Time at which the current round of suspicion became known locally.
     pub(crate) suspected_at: Nanos,
     pub(crate) refutations: Refutations,
-    /// Time of the last failed probe of it.
+    /// Time of the last failed probe of the router; `None` before the first.
     pub(crate) last_failed_probe: Option<Nanos>,
 }
 
--- a/crates/fernknot-membership/src/message.rs
+++ b/crates/fernknot-membership/src/message.rs
@@ -9,8 +9,8 @@
 
 /// Version of the message format. Messages of any other version are rejected.
 pub const MESSAGE_VERSION: u8 = 1;
-/// First byte of each datagram of this protocol. Load-report datagrams never begin with it: their first byte is a
-/// number of entries, and that many entries do not fit into a datagram.
+/// First byte of each datagram of this protocol. Datagrams in which routers report the load of nodes never begin with
+/// it: their first byte is a number of entries, and that many entries do not fit into a datagram.
 pub const DATAGRAM_PREFIX: u8 = 0xff;
 
 /// Approximate size of one update in bytes, to estimate how many updates do not fit.
@@ -47,7 +47,7 @@
         /// Probe number chosen by the receiver.
         number: u32,
     },
-    /// SWIM's ping-req: asks the receiver to probe a third router.
+    /// SWIM's ping-req: asks the receiver, then called a relay, to probe a third router.
     PingRequest {
         /// Probe number chosen by the sender.
         number: u32,
@@ -67,14 +67,15 @@
         number: u32,
         /// Router that requested the probe.
         requester: RouterId,
-        /// Whether the sender recently received a message from the requester.
+        /// Whether the sender received a message from the requester within the last two probe periods.
         hears_requester: bool,
     },
     /// Acknowledgement, forwarded by a relay, of the indirect probe that the receiver requested.
     RelayedAck {
         /// Probe number chosen by the receiver.
         number: u32,
-        /// Whether the probed router recently received a message from the receiver.
+        /// Whether the probed router received a message from the receiver within the two probe periods before the
+        /// probe.
         hears_requester: bool,
     },
     /// Acknowledgement of the ping-req itself, sent at once and independent of the probe's result: Lifeguard's nack.
--- a/crates/fernknot-membership/src/probe.rs
+++ b/crates/fernknot-membership/src/probe.rs
@@ -20,7 +20,8 @@
     pub relays_asked: usize,
     /// Number of relays that acknowledged the request itself.
     pub relays_responding: usize,
-    /// Whether the target receives from the local router, once a relay has reached the target.
+    /// Whether the target receives from the local router, by the acknowledgements that relays have forwarded; `None`
+    /// without any.
     pub relayed_ack: Option<bool>,
 }
 
--- a/crates/fernknot-membership/src/probe_targets.rs
+++ b/crates/fernknot-membership/src/probe_targets.rs
@@ -62,7 +62,8 @@
         self.urgent_target = Some(target);
     }
 
-    /// Picks the target of this turn: the urgent one, at times a failed one, otherwise the ring's next.
+    /// Picks the target of this turn: the urgent one if it is present, a random failed one in every fourth turn if
+    /// there are failed ones, otherwise the ring's next.
     pub fn pick(
         &mut self,
         settings: &MembershipSettings,
--- a/crates/fernknot-membership/src/prober.rs
+++ b/crates/fernknot-membership/src/prober.rs
@@ -1,4 +1,5 @@
-//! Failure detector: direct and indirect probes, and the evaluation of unanswered ones.
+//! Failure detector: direct probes, indirect probes through other routers (relays), and the evaluation of unanswered
+//! ones.
 
 use crate::identity::RouterId;
 use crate::link::LinkState;
@@ -30,7 +31,8 @@
     }
 }
 
-/// Time of the next step of [`advance`]; never once the local router has left.
+/// Time of the next step of [`advance`]. Once the local router has left and no probe is in progress, there is none, and
+/// the time is the maximum.
 pub(crate) fn next_step_at(state: &ProtocolState) -> Nanos {
     let may_send_at = state.outbox.may_send_at(0.0);
     match &state.probes.current {
@@ -132,7 +134,8 @@
     state.learn(now, probe.target, suspected, state.local_cause(now));
 }
 
-/// Link state shown by the probe if the target turns out to be running.
+/// Link state shown by a probe that was not acknowledged directly, if a relayed acknowledgement or another message
+/// proves that the target is running; otherwise `None`.
 fn observed_link(state: &ProtocolState, now: Nanos, probe: &Probe, member: &Member) -> Option<LinkState> {
     let received_since = |since: Nanos| member.last_received.is_some_and(|at| at >= since);
     match probe.relayed_ack {
--- a/crates/fernknot-membership/src/protocol.rs
+++ b/crates/fernknot-membership/src/protocol.rs
@@ -232,7 +232,8 @@
         }
     }
 
-    /// Whether no message has arrived for longer than poor local health explains.
+    /// Whether no message of any other router has arrived for longer than the isolation time-out of three probe
+    /// periods, which poor local health lengthens.
     pub fn is_isolated(&self, now: Nanos) -> bool {
         self.state.is_isolated(now)
     }
@@ -243,14 +244,15 @@
         2 * count.live > count.total && !self.is_isolated(now)
     }
 
-    /// Whether the view is not yet reliable after a start or a stall.
+    /// Whether the view is not yet reliable: less than 15 probe periods after a start, or two after a stall of the
+    /// host.
     pub fn is_settling(&self, now: Nanos) -> bool {
         self.state.health.has_just_started(&self.state.settings, now)
             || self.state.health.is_recovering_from_stall(now)
     }
 
-    /// Number of routers that share fleet-wide quotas: the live ones. Without a majority, or with a view that is still
-    /// settling, all configured ones, so that the two sides of a partition do not each use the full quota.
+    /// Number of routers that share the customers' quotas: the live ones. Without a majority, or with a view that is
+    /// still settling, all configured ones, so that the two sides of a partition do not each use the full quota.
     pub fn quota_sharers(&self, now: Nanos) -> usize {
         let count = self.live_count();
         if self.is_settling(now) || !self.has_majority(now) { count.total } else { count.live.max(1) }
--- a/crates/fernknot-membership/src/receiver.rs
+++ b/crates/fernknot-membership/src/receiver.rs
@@ -30,7 +30,8 @@
     Ok(())
 }
 
-/// Detects another process with the local router's name; the later of the two leaves.
+/// Detects another process with the local router's name. If the local router started later, or at the same time with a
+/// higher id, it leaves.
 fn check_name(state: &mut ProtocolState, now: Nanos, from: RouterId, message: &Message) {
     if message.name_hash != state.local.name_hash || state.local.has_yielded {
         return;
--- a/crates/fernknot-membership/src/sender.rs
+++ b/crates/fernknot-membership/src/sender.rs
@@ -69,7 +69,8 @@
     }
 }
 
-/// Counts the queued updates that fitted, and the departure, which is part of every message.
+/// Counts one send of each queued update that fitted into the datagram, and of the departure, which every message
+/// contains once the local router has left.
 fn mark_sent(state: &mut ProtocolState, queued: &[RouterId], fitted: usize) {
     let routers = state.router_count();
     for id in queued.iter().take(fitted) {
--- a/crates/fernknot-membership/src/state.rs
+++ b/crates/fernknot-membership/src/state.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Disseminates a change and reports it to the host.
+    /// Disseminates a change, and reports it to the host, the program that drives the protocol, unless only the round
+    /// of a suspicion or the incarnation differs.
     fn spread_change(&mut self, now: Nanos, change: &StateChange, cause: Cause) {
         // Low priority, because otherwise every router would forward the start of every other when many start together.
         if change.is_first_start() {
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Probes the suspected member next with a probability that makes a few routers do so, to find more accusers.
+    /// Probes the suspected member next, to confirm or refute the suspicion, with a probability at which on average six
+    /// of all routers do so.
     fn confirm_suspicion(&mut self, member: RouterId) {
         if !self.settings.is_full() {
             return;
@@ -111,8 +113,9 @@
         }
     }
 
-    /// Announces a new incarnation when one of many failed members returns: a partition has healed, and the other side
-    /// counts the local router as failed, too. The announcement refutes that before each of them reports it.
+    /// Announces a new incarnation when a failed member returns while at least [`PARTITION_SHARE`] of all routers
+    /// counted as failed: a network partition has healed, and the routers on the other side count the local router as
+    /// failed, too. The announcement refutes that before each of them reports it.
     fn detect_healed_partition(&mut self, now: Nanos, change: &StateChange) {
         let was_partitioned = change.failed_before as f64 >= PARTITION_SHARE * self.router_count() as f64;
         if was_partitioned && self.local.announce(now, self.settings.settling_time()) {
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Marks the local router as left and notifies a few other routers at once.
+    /// Marks the local router as left, and sends messages that say so to [`INDIRECT_PROBES`] random live routers as
+    /// soon as the rate limit allows.
     pub fn leave(&mut self, now: Nanos) {
         if self.local.has_left {
             return;
@@ -137,7 +141,8 @@
         self.next_gossip = now;
     }
 
-    /// Whether no message of any other router arrives.
+    /// Whether no message of any other router has arrived for longer than the isolation time-out, which poor local
+    /// health lengthens.
     pub fn is_isolated(&self, now: Nanos) -> bool {
         !self.members.is_empty() && self.health.receipt_timed_out(&self.settings, now)
     }
@@ -147,7 +152,8 @@
         !self.settings.is_full() || !self.health.is_recovering_from_stall(now) && !self.is_isolated(now)
     }
 
-    /// Confirms suspicions that have timed out as failures; returns whether there were any.
+    /// Confirms suspicions that have timed out as failures; returns whether there were any. While the local router may
+    /// not accuse others, it restarts these suspicions instead.
     pub fn confirm_failures(&mut self, now: Nanos) -> bool {
         let is_due = |id: &RouterId| {
             let member = self.members.get(*id);
--- a/crates/fernknot-membership/src/update_queue.rs
+++ b/crates/fernknot-membership/src/update_queue.rs
@@ -27,7 +27,8 @@
         self.sends.insert(member, 0);
     }
 
-    /// Queues a status that all routers learn by other means, too: it is sent only a few times, and after all others.
+    /// Queues a status that all routers learn from the member itself, too, such as its first start: it is sent only
+    /// [`LOW_PRIORITY_SENDS`] times, and after statuses with fewer sends.
     pub fn add_low_priority(&mut self, member: RouterId, routers: usize) {
         self.sends.insert(member, max_sends(routers).saturating_sub(LOW_PRIORITY_SENDS));
     }
--- a/crates/fernknot-membership/tests/status_lattice_model.rs
+++ b/crates/fernknot-membership/tests/status_lattice_model.rs
@@ -17,7 +17,7 @@
 /// Maximum number of updates in flight at once.
 const MAX_IN_FLIGHT: usize = 3;
 
-/// Bugs seeded to show that the checker finds them.
+/// Bugs that the model is given on purpose, to show that the checker finds them.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SeededBug {
     None,
