--- a/crates/fernknot-placement/benches/ranges.rs
+++ b/crates/fernknot-placement/benches/ranges.rs
@@ -88,7 +88,7 @@
             left.last = right.last;
         }
     }
-    /// Estimate for nodes of eleven entries, two thirds full, and a pointer for each child.
+    /// Estimated memory of the B-tree: nodes of eleven entries, two thirds full, and a pointer for each child.
     fn bytes(&self) -> usize {
         self.0.len() * size_of::<(u64, Row)>() * 3 / 2 + self.0.len() * 2
     }
--- a/crates/fernknot-placement/src/change.rs
+++ b/crates/fernknot-placement/src/change.rs
@@ -1,10 +1,11 @@
-//! Changes of ownership, as reported by an endpoint list or by an owner.
+//! Changes of ownership, as reported by an endpoint list (the list of nodes that routers receive) or by an owner.
 
 use crate::key_range::KeyRange;
 use crate::owners::Owners;
 use serde::{Deserialize, Serialize};
 
-/// Version of a range's ownership; each change has a higher one.
+/// Version of a range's ownership; each new ownership, with the migration that leads to it, has a higher one than
+/// before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
@@ -13,7 +14,7 @@
 pub enum MigrationStage {
     /// The targets copy the range; the old owners answer.
     Prepared,
-    /// Either side may answer; a node that no longer owns the range redirects.
+    /// Old owners and targets may answer; a node that does not own the range, any more or yet, redirects.
     Moving,
     /// The targets answer. A change of this stage lists them as owners.
     Done,
@@ -51,7 +52,7 @@
 pub struct OwnershipChange {
     /// Keys whose ownership changes.
     pub range: KeyRange,
-    /// Version of the ownership.
+    /// Epoch of the ownership after the change.
     pub epoch: Epoch,
     /// Owners after the change.
     pub owners: Owners,
@@ -64,8 +65,8 @@
 pub enum Source {
     /// Snapshot restored after a restart: unconfirmed until a list or an owner reports the same or a newer state.
     Snapshot,
-    /// Endpoint list.
+    /// List of all nodes with their ranges, as routers receive it.
     EndpointList,
-    /// Node that received a request for the range: authoritative within an epoch.
+    /// Node that received a request for the range and redirected it. It overrides the other sources within an epoch.
     Owner,
 }
--- a/crates/fernknot-placement/src/part_route.rs
+++ b/crates/fernknot-placement/src/part_route.rs
@@ -1,4 +1,5 @@
-//! Route of one part of a query from owner to owner: its next hop and its end.
+//! Route of one part of a query from owner to owner: its next hop and its end. A part is the portion of the query for
+//! one range of keys; a node redirects it if it does not own all of them.
 
 use crate::change::{Epoch, OwnershipChange};
 use crate::key_range::KeyRange;
@@ -27,7 +28,7 @@
 }
 
 /// Route of one part. A node that redirected keys is not asked for them again at the same epoch, and the route ends
-/// after `max_hops` redirects, whatever nodes report.
+/// when there are more than `max_hops` redirects, whatever nodes report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PartRoute {
     range: KeyRange,
--- a/crates/fernknot-placement/src/placement_map.rs
+++ b/crates/fernknot-placement/src/placement_map.rs
@@ -65,7 +65,8 @@
         (key <= stored.last).then_some((KeyRange { first: *first, last: stored.last }, &stored.state))
     }
 
-    /// Applies a change to those of its keys whose ownership is unknown or overridden by it.
+    /// Applies a change to those of its keys whose ownership is unknown or overridden by it; the doc comment of
+    /// `RangeState::update` has the precedence.
     pub fn apply(&mut self, now: Nanos, change: &OwnershipChange, source: Source) -> ApplyOutcome {
         let range = change.range;
         self.split_at(range.first);
@@ -125,8 +126,8 @@
         segments
     }
 
-    /// Time since the least recently reported part of the range was reported; `None` if the ownership of some key is
-    /// unknown.
+    /// Time since the last report on those keys of the range whose last report is the oldest; `None` if the ownership
+    /// of some key is unknown.
     pub fn age(&self, now: Nanos, range: KeyRange) -> Option<Nanos> {
         let is_known = self.segments(range).iter().all(|segment| segment.epoch.is_some());
         let overlapping = self.overlapping(range);
--- a/crates/fernknot-placement/src/range_state.rs
+++ b/crates/fernknot-placement/src/range_state.rs
@@ -14,7 +14,7 @@
     pub owners: Owners,
     /// Migration in progress, if any.
     pub migration: Option<Migration>,
-    /// Most authoritative reporter of the state.
+    /// Reporter of the state; if several sources have reported the same state, the one of the highest precedence.
     pub source: Source,
     /// Time of the last report by any source, on the caller's clock.
     pub last_reported: Nanos,
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Whether a migration gives or has just given the range to the node, so that the node's caches are cold for it.
+    /// Whether the migration of this epoch, unless it was aborted, gives or gave the range to the node, so that the
+    /// node's caches are cold for it.
     pub fn is_new_to(&self, node: NodeId) -> bool {
         self.migration.as_ref().is_some_and(|migration| {
             migration.stage != MigrationStage::Aborted && migration.targets.contains(node)
--- a/crates/fernknot-placement/tests/migration_model.rs
+++ b/crates/fernknot-placement/tests/migration_model.rs
@@ -109,7 +109,7 @@
     epoch: u64,
     migrations_left: u32,
     losses_left: u32,
-    /// Number of retries of parts that may have been executed; 0 unless that bug is seeded.
+    /// Number of retries left for parts that may have been executed; 0 unless the bug `RetryAfterTimeout` is seeded.
     retries_left: u32,
     routers: Vec<Router>,
     messages_in_flight: BTreeSet<Message>,
@@ -130,7 +130,7 @@
     TimeOut(usize, usize),
 }
 
-/// Bugs seeded to show that the check finds them.
+/// Bugs that the model is given on purpose, to show that the check finds them.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SeededBug {
     None,
@@ -295,7 +295,8 @@
         }
     }
 
-    /// Ends a query after a time-out: its part may have been executed, so it is not retried.
+    /// Ends a query after a time-out of one of its parts, which is not retried, since it may have been executed; with
+    /// the bug `RetryAfterTimeout` it is retried.
     fn time_out(&mut self, router: usize, part: usize) {
         if self.retries_left > 0 {
             self.retries_left -= 1;
