--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Requests in flight, the engine that decides on their attempts, and the connections that carry the attempts.
+//! Requests in flight, the engine (`fernknot-engine`) that decides on their attempts, and the connections that carry
+//! the attempts. An attempt sends one part of a request, for one shard, to one node.
 
 use crate::counters::NodeCounters;
 use crate::decisions::Decisions;
--- a/crates/fernknot-gateway/src/config_snapshot.rs
+++ b/crates/fernknot-gateway/src/config_snapshot.rs
@@ -1,4 +1,5 @@
-//! A revision of the routing configuration, with the engine's identifiers for its routes.
+//! A revision of the routing configuration, with the identifiers (use cases) that the engine, `fernknot-engine`, has
+//! for its routes.
 
 use fernknot::interface::UseCaseId;
 use fernknot_schema::{Route, RouteTable, RouteTarget, RoutingConfig};
--- a/crates/fernknot-gateway/src/engine_ids.rs
+++ b/crates/fernknot-gateway/src/engine_ids.rs
@@ -1,4 +1,5 @@
-//! The engine's identifiers for services and routes, over all revisions of the configuration.
+//! Identifiers that the engine (`fernknot-engine`, which decides on the attempts of requests) uses for services and
+//! routes, over all revisions of the configuration.
 
 use crate::config_snapshot::ConfigSnapshot;
 use crate::use_case::{UseCaseKey, use_case_settings};
@@ -6,7 +7,7 @@
 use fernknot_schema::{RouteTarget, RoutingConfig};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// Identifiers of services (shards) and of routes (use cases).
+/// Identifiers of services, which the engine calls shards, and of routes, which it calls use cases.
 #[derive(Default)]
 pub struct EngineIds {
     shard_by_service: HashMap<String, ShardId>,
--- a/crates/fernknot-gateway/src/engine_setup.rs
+++ b/crates/fernknot-gateway/src/engine_setup.rs
@@ -1,4 +1,4 @@
-//! Settings with which the engine starts.
+//! Settings with which the engine (`fernknot-engine`, which decides on the attempts of requests) starts.
 
 use crate::budget::BudgetShare;
 use crate::settings::GatewaySettings;
@@ -8,7 +8,7 @@
 /// wait that a rejection states to the client if the engine gives none.
 pub(crate) const LOOP_GRANULARITY_MS: f64 = 3.0;
 
-/// Returns the site settings of an engine that starts with these use cases.
+/// Returns all settings of an engine that starts with these use cases.
 pub(crate) fn initial_site(
     settings: &GatewaySettings,
     budget: &BudgetShare,
@@ -39,9 +39,11 @@
         peer_updates: false,
         value_by_work: false,
         zone: Some(settings.zone),
-        // A client's deadline shows when it first sent the request, but a late answer still has some value.
+        // No request counts as a retry. Otherwise the engine would take one with little time left for a retry, and
+        // count its latency target from the first try, although a late answer still has some value.
         clients_mark_retries: true,
-        // Rejecting a request twice costs a third of its value, which a late answer would still have.
+        // Only requests that cannot be answered in time are rejected: a second rejection costs a request a third of its
+        // value, which a late answer would still have.
         rejections_cost_value: true,
     }
 }
--- a/crates/fernknot-gateway/src/lib.rs
+++ b/crates/fernknot-gateway/src/lib.rs
@@ -7,8 +7,9 @@
 //! clients and nodes, messages of `fernknot-rpc` to controllers and other gateways.
 //!
 //! [`Gateway`] only dispatches events. `data_plane` processes requests: `clients` has the connections of clients,
-//! `routing` the configuration, `attempts` the requests in flight with the engine's `decisions` and the connections to
-//! [`nodes`]. `updates` has the streams over which nodes and configurations are received.
+//! `routing` the configuration, `attempts` the requests in flight with the `decisions` of the engine
+//! (`fernknot-engine`, which selects the node of each attempt) and the connections to [`nodes`]. `updates` has the
+//! streams over which nodes and configurations are received.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-gateway/src/requests/completed_request.rs
+++ b/crates/fernknot-gateway/src/requests/completed_request.rs
@@ -6,7 +6,8 @@
 use fernknot::interface::Nanos;
 use fernknot_engine::Verdict;
 
-/// A request with the engine's verdict on it.
+/// A request with the verdict of the engine (`fernknot-engine`): enough shards have answered, it is rejected, or it has
+/// failed.
 pub(crate) struct CompletedRequest {
     pub(crate) request: PendingRequest,
     pub(crate) verdict: Verdict,
--- a/crates/fernknot-gateway/src/routing.rs
+++ b/crates/fernknot-gateway/src/routing.rs
@@ -25,8 +25,8 @@
 const USE_CASE_RETENTION_DEADLINES: f64 = 2.0;
 /// Time that is added to the retention of use cases, in milliseconds.
 const EXTRA_USE_CASE_RETENTION_MS: f64 = 10_000.0;
-/// Time for which the identifier of an unused service is kept, in retry windows: the retries that were spent on the
-/// service count by its identifier for as long.
+/// Time for which the identifier of an unused service is kept, in retry windows: the engine counts the retries that
+/// were spent on a service in the last window by its identifier.
 const ID_RETENTION_RETRY_WINDOWS: f64 = 2.0;
 
 /// A request with its route and the services that have to answer it.
@@ -41,7 +41,8 @@
     pub(crate) parts: Vec<RequestedPart>,
 }
 
-/// Configuration in force, with the engine's identifiers and the limits that depend on it.
+/// Configuration in force, with the identifiers that the engine has for its services and routes, and the limits that
+/// depend on it.
 pub(crate) struct Routing {
     config: Option<Rc<ConfigSnapshot>>,
     ids: EngineIds,
--- a/crates/fernknot-gateway/tests/simulation/checker.rs
+++ b/crates/fernknot-gateway/tests/simulation/checker.rs
@@ -29,7 +29,7 @@
     /// Indexes of the oldest and the newest configuration under which the gateway may have read the request, if
     /// known.
     pub config_range: (Option<usize>, Option<usize>),
-    /// Whether none of these configurations allows to repeat the request.
+    /// Whether none of the configurations in `config_range` allows to repeat the request.
     pub is_non_idempotent: bool,
 }
 
@@ -260,7 +260,8 @@
                 self.violation(format!("TWICE: {attempt} {:?}: {services:?}", self.requests[index].kind));
             }
             match self.rejection_statuses.get(&index) {
-                // The status is a guarantee for non-idempotent requests only; others are counted.
+                // The status guarantees that the request was not executed for non-idempotent requests only; others are
+                // counted.
                 Some(status) if is_non_idempotent => self.violation(format!(
                     "REFUSED: {attempt} received {status}, but was executed by {services:?}"
                 )),
--- a/crates/fernknot-gateway/tests/simulation/clients.rs
+++ b/crates/fernknot-gateway/tests/simulation/clients.rs
@@ -51,7 +51,7 @@
         let attempt_count = &mut self.clients[client].attempt_count;
         *attempt_count += 1;
         let attempt_count = *attempt_count;
-        // Some identifiers are not ASCII; these must not reach a node.
+        // Some values of `Attempt-Id` are not ASCII; requests with them must not reach a node.
         let non_ascii_suffix = if self.rng.chance_per_mille(15) { "\u{e9}" } else { "" };
         let attempt = format!("t{client}x{attempt_count}{non_ascii_suffix}");
         let kind = KINDS[self.rng.below(KINDS.len())];
--- a/crates/fernknot-gateway/tests/simulation/mod.rs
+++ b/crates/fernknot-gateway/tests/simulation/mod.rs
@@ -80,7 +80,7 @@
     PeerReceives(ConnectionId, Vec<u8>),
     PeerClosed(ConnectionId),
     Client(usize),
-    /// A client interrupts its connection, if the connection is still the same.
+    /// A client interrupts its connection, unless it has another connection by then.
     Interruption(usize, ConnectionId, clients::Interruption),
     Node(usize, u64, ConnectionId, Job),
     Heartbeat {
--- a/crates/fernknot-gateway/tests/simulation/nodes.rs
+++ b/crates/fernknot-gateway/tests/simulation/nodes.rs
@@ -280,7 +280,7 @@
         self.send_to_gateway(id, wait, end);
     }
 
-    /// Sends a response, sometimes with an earlier one before it or a duplicate after it.
+    /// Sends a response, sometimes with the previous response on the connection before it or a duplicate after it.
     fn node_sends_response(
         &mut self,
         host: usize,
@@ -361,7 +361,7 @@
             host_state.service = service;
         }
         let (record, incarnation_number) = (host_state.record(), host_state.incarnation_number);
-        // Sometimes the records arrive together with the end of the connections.
+        // Sometimes the records of the old and the new incarnation arrive together with the end of the connections.
         let longest = if self.rng.chance_per_mille(300) { 4.0 } else { 400.0 };
         let wait = self.rng.duration_ms(0.0, longest);
         self.schedule(
--- a/crates/fernknot-net/src/process/clock.rs
+++ b/crates/fernknot-net/src/process/clock.rs
@@ -3,7 +3,7 @@
 use fernknot::interface::Nanos;
 use std::time::Instant;
 
-/// A monotonic clock that starts at 0 when the process starts.
+/// A monotonic clock that counts from 0 at its creation, which is at the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
--- a/crates/fernknot-placement/tests/migration_model.rs
+++ b/crates/fernknot-placement/tests/migration_model.rs
@@ -1,6 +1,6 @@
-//! Model of range migrations, checked over all orders of events: stores release and take over keys in either order,
-//! routers have maps of different ages, and messages are lost, delayed and reordered. Map and route are the production
-//! code; modelled are the stores, the network and the router's handling of queries.
+//! Model of range migrations, checked over all orders of events: stores (nodes) release and take over keys in either
+//! order, routers have maps of different ages, and messages are lost, delayed and reordered. Map and route are the
+//! production code; modelled are the stores, the network and the router's handling of queries.
 
 use fernknot::interface::{Nanos, NodeId};
 use fernknot_placement::{
@@ -85,7 +85,7 @@
         self.parts.iter().filter(|part| part.answered).map(|part| part.route.range()).collect()
     }
 
-    /// Whether an answer or redirect of this part still has an effect.
+    /// Whether an answer to this part, or a redirect of it, still changes the query.
     fn awaits(&self, part: usize) -> bool {
         self.end.is_none() && self.parts[part].in_flight
     }
@@ -113,7 +113,7 @@
     retries_left: u32,
     routers: Vec<Router>,
     messages_in_flight: BTreeSet<Message>,
-    /// Number of executions of each key's effect, by router.
+    /// Number of times that the query of each router was executed for each key.
     executions: Vec<[u8; KEYS]>,
 }
 
--- a/crates/fernknot-router/tests/migration.rs
+++ b/crates/fernknot-router/tests/migration.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Returns the settings after the migration: a ring in which two consecutive places hold a shard, zones, value counted
-/// by work, and clients that do not mark repeated requests.
+/// Returns the settings after the migration: a ring in which two consecutive places hold a shard, zones, requests whose
+/// value grows with their work, and clients that do not mark repeated requests.
 fn new_config() -> Value {
     let mut config = config();
     let settings = &mut config["settings"];
