--- a/crates/fernknot-distribution/src/subscribers.rs
+++ b/crates/fernknot-distribution/src/subscribers.rs
@@ -97,8 +97,8 @@
     }
 
     /// Returns the heartbeats to forward. Subscribers all of whose topics come from fresh sources receive a new
-    /// heartbeat with a lease at once; the others receive one without a lease at intervals, as a sign that this gateway
-    /// is alive.
+    /// heartbeat with a lease at once; the others receive one without a lease in each heartbeat interval, as a sign
+    /// that this gateway is alive.
     pub fn forward_heartbeats(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-distribution/src/topic_upstreams.rs
+++ b/crates/fernknot-distribution/src/topic_upstreams.rs
@@ -152,8 +152,8 @@
         relays.chain(self.previous_sources.iter().map(|(topic, previous)| (previous.source, topic)))
     }
 
-    /// Topics to subscribe to at a controller: this gateway is their relay or was it until recently, or their relay is
-    /// stale.
+    /// Topics to subscribe to at a controller: this gateway is their relay, or was it before an assignment whose
+    /// handover has not ended, or their relay is stale.
     pub fn topics_from_controller(&self, health: &RelayHealth) -> BTreeSet<Topic> {
         let topics = self.by_topic.iter().filter(|(topic, relay)| {
             relay.is_none_or(|relay| health.is_stale(relay)) || self.handover_until.contains_key(topic)
--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and those that were started at `started_until` or before
-    /// and are not open yet.
+    /// Closes the idle connections whose time for reuse is over, and the connections that were started at
+    /// `started_until` or before and are not open yet.
     pub(crate) fn close_expired<N: Network>(&mut self, now: Nanos, started_until: Nanos, network: &mut N) {
         for id in self.connections.remove_expired(now) {
             network.close(id);
--- a/crates/fernknot-gateway/src/clients/connections.rs
+++ b/crates/fernknot-gateway/src/clients/connections.rs
@@ -207,8 +207,8 @@
         keep_alive
     }
 
-    /// Returns the connections that have been idle, or receiving one request, for too long. An idle time-out that was
-    /// stated to a client stays valid after a new configuration has shortened it.
+    /// Returns the connections that have been idle, or receiving one request, for longer than the time-out of that
+    /// state. An idle time-out that was stated to a client stays valid after a new configuration has shortened it.
     pub(crate) fn timed_out(&self, now: Nanos, timeouts: ClientTimeouts) -> Vec<ConnectionId> {
         self.matching(|connection| {
             let timeout = match connection.is_receiving {
--- a/crates/fernknot-gateway/src/nodes/connections.rs
+++ b/crates/fernknot-gateway/src/nodes/connections.rs
@@ -38,7 +38,7 @@
     pub incarnation: String,
     /// Address at which the incarnation listens.
     pub addr: SocketAddrV4,
-    /// Idle connections to it, the most recently used one last.
+    /// Idle connections to the incarnation, the most recently used one last.
     idle_connections: Vec<ConnectionId>,
 }
 
@@ -146,7 +146,7 @@
         (None, expired)
     }
 
-    /// Removes the connections that have been idle for too long and returns them; the caller closes them.
+    /// Removes the idle connections whose time for reuse is over, and returns them; the caller closes them.
     pub fn remove_expired(&mut self, now: Nanos) -> Vec<ConnectionId> {
         let is_expired =
             |connection: &NodeConnection| connection.attempt.is_none() && connection.reusable_until <= now;
--- a/crates/fernknot-gateway/tests/simulation/mod.rs
+++ b/crates/fernknot-gateway/tests/simulation/mod.rs
@@ -102,7 +102,7 @@
     ChangeConfig,
     /// The gateway's event loop stalls.
     StallGateway { millis: u64 },
-    /// The gateway cannot open connections for a while.
+    /// The gateway cannot open connections until [`Fault::RestoreGateway`].
     ExhaustConnections,
     /// The gateway can open connections again, and restarts if it had stopped.
     RestoreGateway,
--- a/crates/fernknot-membership/src/prober.rs
+++ b/crates/fernknot-membership/src/prober.rs
@@ -149,8 +149,9 @@
     }
 }
 
-/// Records a failed probe and returns whether the previous one failed recently, too. A single failure is only retried:
-/// a suspicion for every few lost datagrams would produce more updates than a large fleet can disseminate.
+/// Records a failed probe, and returns whether another probe of the target failed within the last six probe periods. A
+/// single failure is only retried: a suspicion for every few lost datagrams would produce more updates than a large
+/// fleet can disseminate.
 fn record_failed_probe(state: &mut ProtocolState, now: Nanos, target: RouterId) -> bool {
     let earliest = now - state.settings.second_failure_window();
     let member = state.members.get_mut(target);
--- a/crates/fernknot-membership/src/protocol.rs
+++ b/crates/fernknot-membership/src/protocol.rs
@@ -84,7 +84,7 @@
     }
 
     /// Begins an iteration of the host's event loop. After a stall, during which nothing could be received, the router
-    /// first receives for some time before it suspects anybody.
+    /// first receives for two probe periods before it suspects anybody.
     pub fn wake(&mut self, now: Nanos) {
         let state = &mut self.state;
         let late_by = state.health.begin_iteration(now);
--- a/crates/fernknot-ownership/src/assignment.rs
+++ b/crates/fernknot-ownership/src/assignment.rs
@@ -25,8 +25,8 @@
     pub fencing_token: FencingToken,
     /// Live gateways, sorted by incarnation.
     pub gateways: Vec<GatewayRecord>,
-    /// Number of gateways of all zones that may be alive, including recently lost ones. Budgets are divided by this
-    /// number.
+    /// Number of gateways of all zones that may be alive, including those lost or shut down within the presumed-alive
+    /// time-out ([`crate::presumed_alive_timeout`]). Budgets are divided by this number.
     pub presumed_alive: u32,
 }
 
--- a/crates/fernknot-ownership/src/owned_keys.rs
+++ b/crates/fernknot-ownership/src/owned_keys.rs
@@ -100,8 +100,9 @@
         self.budget_share.begin_shutdown();
     }
 
-    /// Number of gateways that share a budget. `None` while this gateway may not use a share: it has not been listed
-    /// for long enough, the last confirmation of its assignment is too old, or it is shutting down.
+    /// Number of gateways that share a budget. `None` while this gateway may not use a share: confirmed assignments
+    /// have not listed it for the confirmation time-out plus the budget window (for the first assignment ever made, the
+    /// time-out alone), the last confirmation is older than the time-out, or it is shutting down.
     pub fn budget_sharers(&self, now: Nanos) -> Option<u32> {
         self.budget_share.is_usable(now).then_some(self.assignment.presumed_alive.max(1))
     }
@@ -122,7 +123,8 @@
         matches!(self.ownership_state(now, key), OwnershipState::Owned | OwnershipState::HandingOver { .. })
     }
 
-    /// Handles the notification that the new owner of a key serves it; ignored if its fencing token is too old.
+    /// Handles the notification that the new owner of a key serves it; ignored if its fencing token is older than that
+    /// of the assignment in force.
     pub fn handover_acknowledged(&mut self, by: IncarnationId, key: &str, fencing_token: FencingToken) {
         if self.accepts(fencing_token) {
             self.handover.handover_acknowledged(by, key);
