--- a/crates/fernknot-gateway/src/attempts.rs
+++ b/crates/fernknot-gateway/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Requests in flight, the engine that decides on their attempts, and the connections that carry the attempts.
+//! Requests in flight, the engine (`fernknot-engine`) that decides on their attempts, and the connections that carry
+//! the attempts. An attempt sends one part of a request, for one shard, to one node.
 
 use crate::counters::NodeCounters;
 use crate::decisions::Decisions;
@@ -229,8 +230,8 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and those that were started at `started_until` or before
-    /// and are not open yet.
+    /// Closes the idle connections whose time for reuse is over, and the connections that were started at
+    /// `started_until` or before and are not open yet.
     pub(crate) fn close_expired<N: Network>(&mut self, now: Nanos, started_until: Nanos, network: &mut N) {
         for id in self.connections.remove_expired(now) {
             network.close(id);
@@ -283,7 +284,8 @@
         self.connections.endpoint(node).map(|endpoint| endpoint.incarnation.clone())
     }
 
-    /// Handles a connection to a node that was reported as closed.
+    /// Ends the attempt on a connection to a node that was reported as closed. Only if the connection `was_open` may
+    /// the node have executed the attempt.
     pub(crate) fn connection_closed<N: Network>(
         &mut self,
         now: Nanos,
@@ -397,7 +399,8 @@
         }
     }
 
-    /// Handles a response. Returns whether another incarnation than the addressed one has answered.
+    /// Stores a classified response in its request, and reports the end of the attempt to the engine. Returns whether
+    /// another incarnation than the addressed one has answered.
     fn record_response(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-gateway/src/engine_ids.rs
+++ b/crates/fernknot-gateway/src/engine_ids.rs
@@ -1,4 +1,5 @@
-//! The engine's identifiers for services and routes, over all revisions of the configuration.
+//! Identifiers that the engine (`fernknot-engine`, which decides on the attempts of requests) uses for services and
+//! routes, over all revisions of the configuration.
 
 use crate::config_snapshot::ConfigSnapshot;
 use crate::use_case::{UseCaseKey, use_case_settings};
@@ -6,7 +7,7 @@
 use fernknot_schema::{RouteTarget, RoutingConfig};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// Identifiers of services (shards) and of routes (use cases).
+/// Identifiers of services, which the engine calls shards, and of routes, which it calls use cases.
 #[derive(Default)]
 pub struct EngineIds {
     shard_by_service: HashMap<String, ShardId>,
@@ -25,7 +26,7 @@
     next_use_case: usize,
 }
 
-/// A new revision, and the changes of use cases that the engine has to apply.
+/// A new revision of the configuration, and the changes of use cases that the engine has to apply.
 pub struct SnapshotChange {
     /// Snapshot of the revision.
     pub snapshot: ConfigSnapshot,
@@ -48,7 +49,7 @@
     }
 
     /// Releases the identifiers of services that have been unused for longer than `retention`; a service that is used
-    /// again gets a new one. Otherwise the identifiers of removed index layouts would accumulate.
+    /// again gets a new one. Otherwise the identifiers of shards that no configuration names any more would accumulate.
     pub fn release_unused(&mut self, now: Nanos, retention: Nanos, is_in_use: impl Fn(&str) -> bool) {
         self.unused_since.retain(|service, _| !is_in_use(service));
         for service in self.shard_by_service.keys().filter(|service| !is_in_use(service)) {
--- a/crates/fernknot-gateway/tests/simulation/mod.rs
+++ b/crates/fernknot-gateway/tests/simulation/mod.rs
@@ -80,7 +80,7 @@
     PeerReceives(ConnectionId, Vec<u8>),
     PeerClosed(ConnectionId),
     Client(usize),
-    /// A client interrupts its connection, if the connection is still the same.
+    /// A client interrupts its connection, unless it has another connection by then.
     Interruption(usize, ConnectionId, clients::Interruption),
     Node(usize, u64, ConnectionId, Job),
     Heartbeat {
@@ -102,7 +102,7 @@
     ChangeConfig,
     /// The gateway's event loop stalls.
     StallGateway { millis: u64 },
-    /// The gateway cannot open connections for a while.
+    /// The gateway cannot open connections until [`Fault::RestoreGateway`].
     ExhaustConnections,
     /// The gateway can open connections again, and restarts if it had stopped.
     RestoreGateway,
--- a/crates/fernknot-ownership/src/owned_keys.rs
+++ b/crates/fernknot-ownership/src/owned_keys.rs
@@ -33,8 +33,8 @@
 
 /// Watched keys of one gateway and their ownership by the newest assignment.
 ///
-/// The host passes in assignments, confirmations and messages of other gateways, and polls [`Action`]s until there are
-/// none.
+/// A watched key is one that this gateway serves when it owns it. The host, which is the program that uses this state,
+/// passes in assignments, confirmations and messages of other gateways, and polls [`Action`]s until there are none.
 #[derive(Clone, Debug)]
 pub struct OwnedKeys {
     incarnation: IncarnationId,
@@ -80,7 +80,9 @@
         ApplyOutcome::Applied
     }
 
-    /// Records a confirmation, by a process with a valid lease, that this is the newest fencing token.
+    /// Records a confirmation that this is the newest fencing token, from a process whose heartbeat has a lease: the
+    /// controller that it comes from is in contact with a majority. It has no effect if the token is not that of the
+    /// assignment in force.
     pub fn confirm(&mut self, now: Nanos, fencing_token: FencingToken) {
         if fencing_token == self.assignment.fencing_token && fencing_token != FencingToken::default() {
             self.budget_share.confirm(now, &self.assignment);
@@ -98,8 +100,9 @@
         self.budget_share.begin_shutdown();
     }
 
-    /// Number of gateways that share a budget. `None` while this gateway may not use a share: it has not been listed
-    /// for long enough, the last confirmation of its assignment is too old, or it is shutting down.
+    /// Number of gateways that share a budget. `None` while this gateway may not use a share: confirmed assignments
+    /// have not listed it for the confirmation time-out plus the budget window (for the first assignment ever made, the
+    /// time-out alone), the last confirmation is older than the time-out, or it is shutting down.
     pub fn budget_sharers(&self, now: Nanos) -> Option<u32> {
         self.budget_share.is_usable(now).then_some(self.assignment.presumed_alive.max(1))
     }
@@ -120,7 +123,8 @@
         matches!(self.ownership_state(now, key), OwnershipState::Owned | OwnershipState::HandingOver { .. })
     }
 
-    /// Handles the notification that the new owner of a key serves it; ignored if its fencing token is too old.
+    /// Handles the notification that the new owner of a key serves it; ignored if its fencing token is older than that
+    /// of the assignment in force.
     pub fn handover_acknowledged(&mut self, by: IncarnationId, key: &str, fencing_token: FencingToken) {
         if self.accepts(fencing_token) {
             self.handover.handover_acknowledged(by, key);
--- a/crates/fernknot-placement/tests/migration_model.rs
+++ b/crates/fernknot-placement/tests/migration_model.rs
@@ -1,6 +1,6 @@
-//! Model of range migrations, checked over all orders of events: stores release and take over keys in either order,
-//! routers have maps of different ages, and messages are lost, delayed and reordered. Map and route are the production
-//! code; modelled are the stores, the network and the router's handling of queries.
+//! Model of range migrations, checked over all orders of events: stores (nodes) release and take over keys in either
+//! order, routers have maps of different ages, and messages are lost, delayed and reordered. Map and route are the
+//! production code; modelled are the stores, the network and the router's handling of queries.
 
 use fernknot::interface::{Nanos, NodeId};
 use fernknot_placement::{
@@ -85,7 +85,7 @@
         self.parts.iter().filter(|part| part.answered).map(|part| part.route.range()).collect()
     }
 
-    /// Whether an answer or redirect of this part still has an effect.
+    /// Whether an answer to this part, or a redirect of it, still changes the query.
     fn awaits(&self, part: usize) -> bool {
         self.end.is_none() && self.parts[part].in_flight
     }
@@ -109,11 +109,11 @@
     epoch: u64,
     migrations_left: u32,
     losses_left: u32,
-    /// Number of retries of parts that may have been executed; 0 unless that bug is seeded.
+    /// Number of retries left for parts that may have been executed; 0 unless the bug `RetryAfterTimeout` is seeded.
     retries_left: u32,
     routers: Vec<Router>,
     messages_in_flight: BTreeSet<Message>,
-    /// Number of executions of each key's effect, by router.
+    /// Number of times that the query of each router was executed for each key.
     executions: Vec<[u8; KEYS]>,
 }
 
@@ -130,7 +130,7 @@
     TimeOut(usize, usize),
 }
 
-/// Bugs seeded to show that the check finds them.
+/// Bugs that the model is given on purpose, to show that the check finds them.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SeededBug {
     None,
@@ -295,7 +295,8 @@
         }
     }
 
-    /// Ends a query after a time-out: its part may have been executed, so it is not retried.
+    /// Ends a query after a time-out of one of its parts, which is not retried, since it may have been executed; with
+    /// the bug `RetryAfterTimeout` it is retried.
     fn time_out(&mut self, router: usize, part: usize) {
         if self.retries_left > 0 {
             self.retries_left -= 1;
--- a/crates/fernknot-router/tests/migration.rs
+++ b/crates/fernknot-router/tests/migration.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Returns the settings after the migration: a ring in which two consecutive places hold a shard, zones, value counted
-/// by work, and clients that do not mark repeated requests.
+/// Returns the settings after the migration: a ring in which two consecutive places hold a shard, zones, requests whose
+/// value grows with their work, and clients that do not mark repeated requests.
 fn new_config() -> Value {
     let mut config = config();
     let settings = &mut config["settings"];
@@ -104,8 +104,8 @@
     assert_eq!(deployment.calls(4), before);
 }
 
-/// The node is the only remaining replica of a shard for the old router and one of five for the new router, and both
-/// routers receive more requests than a node that has just started may get.
+/// A node that has just started is the only remaining replica of a shard for the old router and one of five for the new
+/// router, and both routers receive more requests than such a node may get.
 #[test]
 fn a_cold_node_is_not_overloaded_by_both_routers_together() {
     let deployment = MigratingDeployment::start();
