--- a/crates/fernknot-consensus/src/consensus.rs
+++ b/crates/fernknot-consensus/src/consensus.rs
@@ -1,5 +1,6 @@
-//! Public interface of the state machine: each input updates the replica's state, and the host polls actions until
-//! there are none. This module only routes inputs; each concern has a module of its own.
+//! Public interface of the state machine: each input updates the replica's state, and the host (the program that
+//! drives the state machine) polls actions until there are none. This module only routes inputs; each concern has a
+//! module of its own.
 
 use std::net::SocketAddrV4;
 
@@ -60,14 +61,16 @@
         self.finish_step();
     }
 
-    /// Handles the result of a write. If it is not `ok`, the content of the disk is treated as unknown.
+    /// Handles the host's result of the write `write_id`. If `ok` is false, the content of the disk is treated as
+    /// unknown, and the state is written again later. A result of any write but the one in flight is ignored.
     pub fn handle_write_result(&mut self, now: Nanos, write_id: WriteId, ok: bool) {
         self.replica.clock.advance(now);
         self.replica.handle_write_result(write_id, ok);
         self.finish_step();
     }
 
-    /// Records the health of the disk as the host sees it, for example that it hangs or is full.
+    /// Records the health of the disk as the host sees it, for example that it hangs or is full. While the disk is
+    /// unhealthy, the replica begins no write, accepts no change and starts no attempt to change the view.
     pub fn set_disk_healthy(&mut self, now: Nanos, healthy: bool) {
         self.replica.clock.advance(now);
         let changed = self.replica.disk.set_healthy(healthy);
@@ -91,9 +94,9 @@
         self.finish_step();
     }
 
-    /// Proposes the next state after `base`. Only the leader accepts it, and only if `base` is the last assigned
-    /// revision, counting queued changes. The result is [`Action::Committed`] or [`Action::Rejected`]; if the view
-    /// changes meanwhile, there may be none.
+    /// Proposes `state` as the complete state that follows revision `base`. Only the leader accepts it, and only if
+    /// `base` is the last assigned revision, counting queued changes, its disk is healthy and its queue isn't full.
+    /// The result is [`Action::Committed`] or [`Action::Rejected`]; if the view changes meanwhile, there may be none.
     pub fn propose(&mut self, now: Nanos, change_id: u64, base: Revision, state: Vec<u8>) {
         self.replica.clock.advance(now);
         self.replica.accept_change(change_id, base, state);
@@ -118,9 +121,10 @@
         self.replica.read_indexes.cancel(read_index);
     }
 
-    /// Forces a view of this replica and the voters that it receives heartbeats from. The operator guarantees that the
-    /// disks at `lost` (addresses as in the view) are lost for good. The view becomes active once it has enough disks,
-    /// including those of new members. Returns its number.
+    /// Forces a view of this replica and the voters that it receives heartbeats from. The operator guarantees that
+    /// the disks at `lost` (addresses as in the view) are lost for good. Changes are accepted again once a view of
+    /// more than `fault_tolerance` members is active, which may need new members to join first. Returns the number of
+    /// the forced view.
     ///
     /// # Errors
     ///
@@ -162,21 +166,23 @@
         self.replica.is_leader()
     }
 
-    /// Returns the leader of the active view, as known to this replica.
+    /// Returns the leader of the view that [`Consensus::view`] returns, its first member; `None` if there is no such
+    /// view.
     #[must_use]
     pub fn leader(&self) -> Option<&Member> {
         self.view().and_then(|view| view.members.first())
     }
 
     /// Whether this replica holds a lease: a majority of the voters has confirmed the view within `lease_duration`,
-    /// and no older change is uncommitted. The delivered state is then at most `lease_duration` old.
+    /// and no change that this replica stored longer ago than that is uncommitted. The delivered state is then at
+    /// most `lease_duration` old.
     #[must_use]
     pub fn has_lease(&self, now: Nanos) -> bool {
         self.replica.has_lease(now)
     }
 
-    /// Whether this replica has run for long enough to tell that no majority of the voters is reachable. A read index
-    /// can't be confirmed here then.
+    /// Whether this replica reaches no majority of the voters, and has run for longer than `suspicion_timeout`, so
+    /// that it can tell. A read index can't be confirmed here then.
     #[must_use]
     pub fn is_partitioned(&self, now: Nanos) -> bool {
         self.replica.is_partitioned(now)
@@ -189,7 +195,8 @@
         delivered.map(|delivered| (delivered.revision, &delivered.state[..]))
     }
 
-    /// Returns the status of the view, as known to this replica. A failed replica shows within `suspicion_timeout`.
+    /// Returns the status of the view, as known to this replica. A replica that fails is shown as unreachable at most
+    /// `suspicion_timeout` later.
     #[must_use]
     pub fn status(&self) -> ViewStatus {
         self.replica.status()
@@ -222,7 +229,7 @@
         self.replica.write_if_needed();
     }
 
-    /// Passes a message to its handler.
+    /// Passes a message to its handler, unless it has to wait until the disk is verified or is dropped until then.
     fn dispatch(&mut self, from: SocketAddrV4, message: Message) {
         let replica = &mut self.replica;
         let Some(message) = replica.defer_until_recovered(from, message) else { return };
--- a/crates/fernknot-consensus/src/disk_writes.rs
+++ b/crates/fernknot-consensus/src/disk_writes.rs
@@ -5,7 +5,8 @@
 use crate::types::{Action, WriteId};
 
 impl Replica {
-    /// Handles the result of a write: sends the messages that waited for it, or defers them to the next write.
+    /// Handles the result of a write: sends the messages that waited for it or, if it failed, defers them to the next
+    /// write.
     pub fn handle_write_result(&mut self, write_id: WriteId, ok: bool) {
         let Some(write) = self.disk.take_pending_write(write_id) else { return };
         if !ok {
@@ -21,7 +22,8 @@
         self.commit_when_replicated();
     }
 
-    /// Begins a write, if one is due.
+    /// Begins a write if the state has changed and no write is in flight. After a failed write, the next one begins
+    /// half a suspicion time-out later.
     pub fn write_if_needed(&mut self) {
         let retry_pause = self.settings.suspicion_timeout.times(0.5);
         if !self.disk.needs_write(self.now(), retry_pause) {
--- a/crates/fernknot-consensus/src/forced_view.rs
+++ b/crates/fernknot-consensus/src/forced_view.rs
@@ -1,6 +1,6 @@
 //! Views forced by an operator, after more disks were lost than are tolerated. A forced view rests on the operator's
-//! guarantee that the others are lost, not on votes. Its number is above all that they could still reach by regular
-//! view changes, and a replica that learns of it and is not in it continues as a new member.
+//! guarantee that the voters left out of it are lost, not on votes. Its number is above all that those voters could
+//! still reach by regular view changes, and a replica that learns of it and is not in it continues as a new member.
 
 use std::cmp::Reverse;
 use std::net::SocketAddrV4;
@@ -13,8 +13,9 @@
     View, ViewNumber, ViewStart,
 };
 
-/// Number of views in a fork. A forced view starts a random fork of its era, so that views forced at the same time in
-/// different places have different numbers.
+/// Number of views in a fork, a range of view numbers within an era. A forced view starts at the first number of a
+/// random fork of the next era, so that views forced at the same time in different places are unlikely to have the
+/// same number.
 const VIEWS_PER_FORK: u64 = 1 << 16;
 /// Highest view number, since fencing tokens carry it in 32 bits.
 const MAX_VIEW_NUMBER: u64 = u32::MAX as u64;
@@ -95,13 +96,14 @@
         Ok(survivors)
     }
 
-    /// Whether the peer can vote. One whose disk is outdated, or that doesn't complete its recovery, can't.
+    /// Whether the peer counts as a vote. It doesn't if it is recovering, and either its disk is unhealthy or
+    /// outdated or the recovery has taken longer than two suspicion time-outs.
     fn may_vote(&self, peer: &Peer) -> bool {
         let is_stuck = !peer.heartbeat.disk_healthy || peer.is_recovery_overdue(&self.clock);
         !(peer.heartbeat.recovering && is_stuck)
     }
 
-    /// Returns the newest state on this disk, which may be that of an accepted next view.
+    /// Returns the newest state on this disk: the current one, or that of an accepted next view if it is newer.
     fn newest_state(&self) -> NewestState {
         let disk = &self.disk.state;
         let stored = disk.state_position();
--- a/crates/fernknot-consensus/src/heartbeats.rs
+++ b/crates/fernknot-consensus/src/heartbeats.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Returns the receivers of heartbeats, and the echo for each.
+    /// Returns the receivers of heartbeats, and the echo for each: the replicas with a recent heartbeat, the members
+    /// of the view and of an accepted next view, and all known addresses if `sends_to_all_addresses` holds.
     fn heartbeat_receivers(&self) -> BTreeMap<SocketAddrV4, HeartbeatEcho> {
         let mut receivers: BTreeMap<SocketAddrV4, HeartbeatEcho> = BTreeMap::new();
         for peer in self.peers.iter().filter(|peer| peer.has_recent_heartbeat(&self.clock)) {
@@ -112,7 +113,8 @@
         self.commit_when_replicated();
     }
 
-    /// Takes the activation of the view and the newest committed revision from a heartbeat.
+    /// Takes over from a heartbeat of this view that the view is active, if its first member reports it, or the
+    /// newest committed revision, if the view is active here already. A replica that may lead the view ignores both.
     pub fn follow_leader(&mut self, heartbeat: &PeerHeartbeat) {
         let view = self.view();
         if heartbeat.view != view.number {
--- a/crates/fernknot-consensus/src/lease.rs
+++ b/crates/fernknot-consensus/src/lease.rs
@@ -6,8 +6,8 @@
 use crate::state::peers::Peer;
 
 impl Replica {
-    /// Whether a majority has answered a heartbeat in this view within the lease duration, and no older change is
-    /// uncommitted.
+    /// Whether a majority has answered a heartbeat in this view within the lease duration, and no change that was
+    /// stored here longer ago than that is uncommitted.
     pub fn has_lease(&self, now: Nanos) -> bool {
         let is_active = self.activation.active && !self.is_changing_view();
         if !is_active || self.activation.entered_view.is_none() {
--- a/crates/fernknot-consensus/src/replica.rs
+++ b/crates/fernknot-consensus/src/replica.rs
@@ -22,17 +22,18 @@
     SeededBug, View, ViewNumber,
 };
 
-/// Shortest heartbeat interval that the state machine supports.
+/// Shortest heartbeat interval that the state machine supports; a shorter setting is raised to it.
 const MIN_HEARTBEAT_INTERVAL: Nanos = Nanos(1);
-/// Shortest suspicion time-out that the state machine supports.
+/// Shortest suspicion time-out that the state machine supports; a shorter setting is raised to it.
 const MIN_SUSPICION_TIMEOUT: Nanos = Nanos(2);
 
-/// State of one replica.
+/// State of one replica: its settings, and one struct for each concern.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Replica {
     pub settings: ConsensusSettings,
     pub seeded_bug: Option<SeededBug>,
-    /// Random identifier of this process, echoed in responses to its messages.
+    /// Random identifier of this run of the process, echoed in responses to its messages. It tells them from
+    /// responses to a process before a restart.
     pub incarnation: u64,
     pub random: Random,
     pub clock: Clock,
@@ -134,7 +135,8 @@
         self.disk.state.prepared != ProposalNumber::default()
     }
 
-    /// Whether this replica is the first member of the view, and no change of an earlier process can be in flight.
+    /// Whether this replica is the first member of the view, and the view is later than any that an earlier process
+    /// on this disk may have led. No change of an earlier process can be in flight in it then.
     pub fn may_lead(&self) -> bool {
         let view = self.view();
         let is_first = view.members.first().is_some_and(|first| self.is_me(first));
--- a/crates/fernknot-consensus/src/state/peers.rs
+++ b/crates/fernknot-consensus/src/state/peers.rs
@@ -28,7 +28,8 @@
     pub excluded_until: Nanos,
     /// Time at which the newest state was last sent to it.
     pub state_sent_at: Option<Nanos>,
-    /// Start of its recovery, while it is recovering.
+    /// Time of the first of the heartbeats in which it has since reported that it is recovering; `None` if it is not
+    /// recovering.
     pub recovering_since: Option<Nanos>,
 }
 
@@ -57,7 +58,7 @@
         self.has_recent_heartbeat(clock) && self.newest_echo_sent_at.is_some_and(recent)
     }
 
-    /// Whether it has been recovering for so long that others no longer wait for it.
+    /// Whether it has been recovering for more than two suspicion time-outs, so that others no longer wait for it.
     pub fn is_recovery_overdue(&self, clock: &Clock) -> bool {
         self.recovering_since.is_some_and(|since| clock.timeouts_passed(2.0, since))
     }
@@ -131,7 +132,8 @@
         address == self.own_address || self.iter().any(replaces)
     }
 
-    /// Whether the member is unreachable, and this replica has run for long enough to tell.
+    /// Whether the member is unreachable and this replica has run for longer than the suspicion time-out, so that it
+    /// can tell, or another disk has taken the member's address.
     pub fn is_suspected(&self, member: &Member, clock: &Clock) -> bool {
         if member.id == self.own_id {
             return false;
--- a/crates/fernknot-consensus/src/state/recovery.rs
+++ b/crates/fernknot-consensus/src/state/recovery.rs
@@ -20,7 +20,7 @@
 /// Recovery of this replica's disk, and the known progress of others.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct DiskRecovery {
-    /// Progress of the disk when this process started from it.
+    /// Progress of the disk when this process started from it; for an empty disk, the default.
     initial_progress: DurableProgress,
     /// Whether the disk is verified to be the newest copy, as far as others know.
     pub complete: bool,
--- a/crates/fernknot-consensus/src/state/replication.rs
+++ b/crates/fernknot-consensus/src/state/replication.rs
@@ -40,7 +40,8 @@
     pub state: Arc<[u8]>,
 }
 
-/// Progress of changes.
+/// Changes by stage: queued at the leader, pending on the members' disks, committed, delivered to the host, or
+/// unresolved because their view ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Replication {
     /// The newest revision known to be committed.
--- a/crates/fernknot-consensus/src/types/action.rs
+++ b/crates/fernknot-consensus/src/types/action.rs
@@ -31,7 +31,8 @@
         message: Message,
     },
     /// Write to disk and sync, then call [`Consensus::handle_write_result`](crate::Consensus::handle_write_result).
-    /// Only one write is in flight at a time, except after a failure.
+    /// The next write is requested only after that call; a write that was reported as failed may still be under way
+    /// then.
     Persist {
         /// Identifier of the write, passed back with its result.
         write_id: WriteId,
@@ -48,7 +49,8 @@
         /// The complete state.
         state: Arc<[u8]>,
     },
-    /// The change is on the disk of every member of its view: no faults within `fault_tolerance` can undo it.
+    /// The change is on the disk of every member of its view, or of the next view, whose first state includes it: no
+    /// faults within `fault_tolerance` can undo it.
     Committed {
         /// The id that was passed to [`Consensus::propose`](crate::Consensus::propose).
         change_id: u64,
--- a/crates/fernknot-consensus/src/types/error.rs
+++ b/crates/fernknot-consensus/src/types/error.rs
@@ -25,7 +25,8 @@
     /// The disk of this replica hangs or rejects writes.
     #[error("the disk of this controller is unhealthy")]
     DiskUnhealthy,
-    /// This replica has run for less than `suspicion_timeout`, so it can't tell yet which peers are unreachable.
+    /// This replica has run for less than `suspicion_timeout` since its start or its last suspension, so it can't
+    /// tell yet which peers are unreachable.
     #[error("this controller has not run long enough to tell which peers are unreachable; try again later")]
     StillListening,
     /// No view numbers are left for another era.
--- a/crates/fernknot-consensus/src/types/message.rs
+++ b/crates/fernknot-consensus/src/types/message.rs
@@ -1,4 +1,7 @@
 //! Messages between replicas. Any of them may be lost, duplicated, delayed or reordered.
+//!
+//! The incarnation of a process, which many messages carry, is a random number drawn at the start of the process. It
+//! has nothing to do with the incarnation of a disk, which [`MemberId`] identifies.
 
 use std::sync::Arc;
 
@@ -28,9 +31,9 @@
     pub state_view: ViewNumber,
     /// The revision of the newest state that is durable on its disk.
     pub revision: Revision,
-    /// The durable prepared number in the change of `view`.
+    /// The highest proposal number that is durably prepared for the change of `view`; the default if there is none.
     pub prepared: ProposalNumber,
-    /// The durable accepted number in the change of `view`.
+    /// The number under which a next view is durably accepted in the change of `view`; the default if there is none.
     pub accepted: ProposalNumber,
     /// Whether the sender started from a disk and has not verified that the disk is the newest copy.
     pub recovering: bool,
@@ -40,7 +43,8 @@
     pub view_active: bool,
     /// Whether the sender has prepared the change of `view`, and stores no more changes in it.
     pub changing_view: bool,
-    /// Whether its disk completes writes in time and is not outdated.
+    /// Whether the sender's disk completes writes without error and within half a suspicion time-out, and is not
+    /// outdated.
     pub disk_healthy: bool,
     /// Incarnation of the sender's process.
     pub incarnation: u64,
@@ -48,7 +52,7 @@
     pub sent_at: u64,
     /// The receiver's newest heartbeat that the sender has received.
     pub echo: HeartbeatEcho,
-    /// Replicas that the sender has exchanged messages with in both directions within its suspicion time-out.
+    /// Replicas that the sender has exchanged heartbeats with in both directions within its suspicion time-out.
     pub reachable: Vec<MemberId>,
     /// Members of the view that the sender suspects to have failed.
     pub suspected: Vec<MemberId>,
@@ -115,7 +119,7 @@
         proposal: ProposalNumber,
         /// The view to be changed.
         current: ChosenView,
-        /// The newest revision of `current` that the proposer has.
+        /// The newest revision of `current` that the proposer has; `None` if it lacks the state of `current`.
         revision: Option<Revision>,
     },
     /// The sender has prepared, and stores no more changes in `view`.
@@ -126,14 +130,14 @@
         proposal: ProposalNumber,
         /// The view to be changed.
         view: ViewNumber,
-        /// The newest revision of `view` that the sender has.
+        /// The newest revision of `view` that the sender has; `None` if it lacks the state of `view`.
         revision: Option<Revision>,
-        /// The state at `revision`; absent if the proposer has it.
+        /// The state at `revision`; absent if the proposer has it, or if `revision` is.
         state: Option<Arc<[u8]>>,
         /// The next view that the sender accepted under an earlier number.
         accepted: Option<AcceptedView>,
     },
-    /// The sender has prepared a higher number.
+    /// The sender has prepared a higher proposal number than that of the receiver's request, and rejects the request.
     Rejected {
         /// The view to be changed.
         view: ViewNumber,
--- a/crates/fernknot-consensus/src/types/seeded_bug.rs
+++ b/crates/fernknot-consensus/src/types/seeded_bug.rs
@@ -1,4 +1,4 @@
-//! Bugs seeded on purpose, to test that the checkers detect them.
+//! Faults put into the protocol on purpose, one per run and only in tests, to check that the checkers detect them.
 
 /// Bug that a test seeds and a checker must detect.
 #[doc(hidden)]
--- a/crates/fernknot-consensus/src/types/status.rs
+++ b/crates/fernknot-consensus/src/types/status.rs
@@ -8,17 +8,19 @@
 pub enum Ineligibility {
     /// No heartbeat was received from it for `suspicion_timeout`, or it receives none from this one.
     Unreachable,
-    /// Another incarnation of a disk is at its address.
+    /// A replica with another disk id was heard from at its address since its own last heartbeat, or is this one.
     Replaced,
     /// Its disk hangs or rejects writes, by its own report.
     DiskUnhealthy,
-    /// The replica did not store in time the state that it was sent.
+    /// The replica did not store a state that it was sent, for two suspicion time-outs if it was a change or for one
+    /// if it was to join; it is left out of views for two suspicion time-outs after that.
     SlowDisk,
     /// The replica started from a disk and has not verified that the disk is the newest copy.
     Recovering,
-    /// Its disk is an older copy of itself, or unhealthy.
+    /// The replica started from a disk that is an older copy of itself, or whose writes fail or hang while the
+    /// replica verifies it.
     OutdatedDisk,
-    /// The replica has not yet stored the view's first state.
+    /// The replica has not yet stored the view's first state, or could join and is not a member yet.
     CatchingUp,
     /// The replica is reachable from this one, but not from all members of the view.
     PartiallyConnected,
--- a/crates/fernknot-consensus/src/view_activation.rs
+++ b/crates/fernknot-consensus/src/view_activation.rs
@@ -100,7 +100,8 @@
         });
     }
 
-    /// Activates the view: changes are accepted and committed in it.
+    /// Marks the last chosen view as active, so that changes are accepted and committed in it, and delivers its
+    /// state. Does nothing while this replica's disk is not verified or lacks the view's state.
     pub fn activate_view(&mut self) {
         if !self.recovery.complete || !self.has_view_state() || self.view().number == ViewNumber(0) {
             return;
--- a/crates/fernknot-consensus/src/view_change/accept.rs
+++ b/crates/fernknot-consensus/src/view_change/accept.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Ends the attempt once the view is chosen by a quorum, and all its members have accepted it or are no longer
-    /// awaited.
+    /// Ends the attempt once the view is chosen by a quorum, and all its members have accepted it, or the others are
+    /// suspected, or half a suspicion time-out has passed since it was chosen.
     pub(super) fn finish_accept(&mut self) {
         let Some(attempt) = &self.view_change.attempt else { return };
         let Some(next_view) = &attempt.next_view else { return };
--- a/crates/fernknot-consensus/src/view_change/schedule.rs
+++ b/crates/fernknot-consensus/src/view_change/schedule.rs
@@ -13,7 +13,7 @@
     is_stable: bool,
     /// Whether this replica is the first member of an active view in which it must not lead.
     is_leaderless: bool,
-    /// Whether a member is lost.
+    /// Whether the next view has to leave out a member, by the conditions of `is_lost`.
     has_lost_member: bool,
     /// Whether a member has prepared the change of the view.
     has_prepared_member: bool,
@@ -37,7 +37,8 @@
 }
 
 impl Replica {
-    /// Begins an attempt if there is a reason to change the view and the attempt is due.
+    /// Begins an attempt if there is a reason to change the view and the time for it, including this replica's delay
+    /// and the pause after an abandoned attempt, has come.
     pub fn start_attempt_when_due(&mut self) {
         let Some(due_at) = self.attempt_due_at() else {
             self.view_change.scheduled = None;
@@ -157,7 +158,8 @@
         competing_attempt_expires.max(due_at)
     }
 
-    /// Whether the next view has to leave out the member.
+    /// Whether the next view has to leave out the member: it is suspected, its disk is unhealthy, it was slow to
+    /// store a state, or its recovery takes too long.
     fn is_lost(&self, member: &Member) -> bool {
         if self.is_me(member) {
             return false;
--- a/crates/fernknot-consensus/tests/common/checks.rs
+++ b/crates/fernknot-consensus/tests/common/checks.rs
@@ -7,7 +7,8 @@
 
 use super::Cluster;
 
-/// A read index that is not confirmed yet.
+/// A requested read index that is not confirmed yet; by its confirmation the machine must have delivered
+/// `newest_committed`.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingRead {
     /// The machine that requested it.
--- a/crates/fernknot-consensus/tests/common/fault_schedule.rs
+++ b/crates/fernknot-consensus/tests/common/fault_schedule.rs
@@ -21,7 +21,8 @@
     UnblockLinks,
     Suspend(usize),
     Resume(usize),
-    /// Sets the state of a disk.
+    /// Makes the disk of the machine with this index healthy (0), hanging (1) or full (2); the number counts modulo
+    /// 3.
     Disk(usize, u8),
     /// Sets the rates of lost, duplicated and delayed messages, each per thousand.
     Links(u64, u64, u64),
--- a/crates/fernknot-consensus/tests/forced_views.rs
+++ b/crates/fernknot-consensus/tests/forced_views.rs
@@ -51,7 +51,7 @@
     (0..3).for_each(|index| cluster.machines[index].removed = true);
     cluster.run_for(3 * SUSPICION_TIMEOUT);
     let results = [force(&mut cluster, 3, &[0, 1, 2]), force(&mut cluster, 4, &[0, 1, 2])];
-    // Both have the same state: it succeeds only at the one with the smaller id.
+    // Both machines have the same state: the request succeeds only at the one with the smaller id.
     assert_eq!(results.iter().filter(|result| result.is_ok()).count(), 1, "{results:?}");
     assert_matches!(cluster.commits_within(4 * SUSPICION_TIMEOUT), Some(_));
     assert_eq!(cluster.members().len(), 2);
--- a/crates/fernknot-consensus/tests/many_changes.rs
+++ b/crates/fernknot-consensus/tests/many_changes.rs
@@ -45,7 +45,7 @@
     None
 }
 
-/// Injects one of the faults.
+/// Injects the fault with this number at the machine with this index.
 fn inject(cluster: &mut Cluster, fault: u64, index: usize) {
     match fault {
         0 => cluster.kill(index),
@@ -200,7 +200,8 @@
     }
 }
 
-/// The starts of 32 views are kept.
+/// A replica keeps the starts of the last 32 views. If the start of the view after the change's own has been
+/// discarded, it reports no outcome.
 #[test_case::test_case(20, false, Outcome::Rejected; "not received, start kept")]
 #[test_case::test_case(20, true, Outcome::Committed; "received, start kept")]
 #[test_case::test_case(45, false, Outcome::Unknown; "not received, start discarded")]
--- a/crates/fernknot-consensus/tests/random_schedules.rs
+++ b/crates/fernknot-consensus/tests/random_schedules.rs
@@ -50,7 +50,8 @@
     }
 }
 
-/// Returns the number of random schedules needed to find the bug, up to 100.
+/// Returns the number of the first random schedule, counted from 1, that fails with the bug; `None` if none of the
+/// first 100 does.
 fn schedules_to_find(seeded_bug: SeededBug) -> Option<u32> {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
@@ -102,8 +103,8 @@
     cluster.commits_within(8 * SUSPICION_TIMEOUT);
 }
 
-/// Changes to a view of the first two. Then only the third, which doesn't know of it, and the first with a wiped disk
-/// reach each other.
+/// Changes to a view of the first two machines. Then only the third, which doesn't know of that view, and the first
+/// with a wiped disk reach each other.
 fn join_wiped_and_dropped_members(cluster: &mut Cluster) {
     cluster.isolate(2);
     cluster.commits_within(4 * SUSPICION_TIMEOUT);
@@ -114,7 +115,7 @@
     cluster.commits_within(12 * SUSPICION_TIMEOUT);
 }
 
-/// Activates the next view at the first, and isolates it before the second learns that the view is chosen.
+/// Activates the next view at the first machine, and isolates it before the second learns that the view is chosen.
 fn isolate_after_activation(cluster: &mut Cluster) {
     cluster.isolate(2);
     for _ in 0..20_000 {
@@ -129,7 +130,7 @@
     cluster.commits_within(12 * SUSPICION_TIMEOUT);
 }
 
-/// Isolates the first, lets the others continue, and requests reads at all machines.
+/// Isolates the first machine, lets the others continue, and requests reads at all machines.
 fn read_while_isolated(cluster: &mut Cluster) {
     cluster.isolate(0);
     cluster.run_for(3 * SUSPICION_TIMEOUT);
@@ -139,9 +140,9 @@
     cluster.run_for(HEARTBEAT_INTERVAL);
 }
 
-/// Of five, the third and the fourth change to a view of their own, with the vote of the fifth. The fifth is not in
-/// it, has prepared, and doesn't learn that the view was chosen. It then reaches only the first two, while all
-/// request reads.
+/// Of five machines, the third and the fourth change to a view of their own, with the vote of the fifth. The fifth is
+/// not a member of that view, has prepared the change to it, and doesn't learn that it was chosen. It then reaches
+/// only the first two, while reads are requested at all machines.
 fn read_during_view_change(cluster: &mut Cluster) {
     let partition = |cluster: &mut Cluster, pairs: &[(usize, usize)]| {
         pairs.iter().for_each(|(one, other)| cluster.partition(*one, *other));
@@ -161,9 +162,9 @@
     }
 }
 
-/// Drops the third, which returns, misses that the view with it is chosen, and receives the state with a change in
-/// flight that another member has not acknowledged. It has delivered nothing of that view, and reads are pending at
-/// all machines.
+/// Drops the third machine from the view. It returns, misses that a view with it is chosen, and receives that view's
+/// state with a change in flight that another member has not acknowledged. It has delivered nothing of that view, and
+/// reads are pending at all machines.
 fn read_with_change_in_flight(cluster: &mut Cluster) {
     cluster.isolate(2);
     cluster.run_for(3 * SUSPICION_TIMEOUT);
--- a/crates/fernknot-consensus/tests/single_faults.rs
+++ b/crates/fernknot-consensus/tests/single_faults.rs
@@ -182,7 +182,8 @@
 
 #[test]
 fn given_a_member_dropped_when_another_loses_its_disk_after_its_return_then_changes_continue() {
-    // The dropped member still votes; otherwise the view of two could never have a majority again.
+    // The dropped member still votes; otherwise the view of two could never have a majority again after one of the
+    // two lost its disk.
     let mut cluster = founded_cluster(15);
     cluster.kill(2);
     cluster.commits_within(3 * SUSPICION_TIMEOUT).unwrap();
--- a/crates/fernknot-consensus/tests/wire_format.rs
+++ b/crates/fernknot-consensus/tests/wire_format.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns the heartbeat with other flags.
+/// Returns a sample heartbeat with these flags.
 fn heartbeat_with_flags(
     recovering: bool,
     view_active: bool,
