--- a/crates/fernknot-controller/src/action.rs
+++ b/crates/fernknot-controller/src/action.rs
@@ -50,14 +50,14 @@
         /// Internal address of the controller.
         to: SocketAddrV4,
     },
-    /// Abort the attempt to open that connection.
+    /// Abort the attempt to open a connection to a controller that [`Action::Connect`] began; no call follows.
     AbortConnect {
         /// Internal address of the controller.
         to: SocketAddrV4,
     },
-    /// Write and sync the consensus state, then call `write_completed`.
+    /// Write and sync the state of the consensus member, then call `write_completed` with the result.
     Store {
-        /// Identifier of the write.
+        /// Identifier of the write, passed back with its result.
         write_id: WriteId,
         /// State that replaces the one on disk.
         state: PersistentState,
@@ -71,7 +71,7 @@
     Log {
         /// Severity.
         level: Level,
-        /// Component, one of [`fernknot_telemetry::part`].
+        /// Component that the line is about, one of [`fernknot_telemetry::component`].
         target: &'static str,
         /// Text of the line.
         text: String,
--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -202,7 +202,7 @@
     }
 }
 
-/// A readiness check.
+/// Call that asks whether this controller is ready: it is not shutting down, and a majority confirms its view.
 pub struct CheckReadiness;
 
 /// Outcome of a readiness check: the evidence that a majority is reachable, or None if the controller is not ready.
--- a/crates/fernknot-controller/src/change.rs
+++ b/crates/fernknot-controller/src/change.rs
@@ -36,7 +36,7 @@
     Queued,
     /// Forwarded to the leader at this address.
     Forwarded(SocketAddrV4),
-    /// Proposed by this controller, with this number.
+    /// Proposed by this controller to its consensus member, with this number as the change's id.
     Proposed(u64),
     /// Waiting for a majority to confirm that the local state, which conflicts with the change, is the newest one.
     AwaitingQuorum,
@@ -57,11 +57,11 @@
     pub digest: u64,
     /// Configuration as the operator sent it.
     pub body: Vec<u8>,
-    /// Time at which the origin is sent an unknown outcome.
+    /// Time at which the origin is sent an unknown outcome if there is no other by then.
     pub deadline: Nanos,
-    /// Earliest time of the next attempt.
+    /// Earliest time at which the queued change is assessed next, to be proposed, forwarded or finished.
     pub not_before: Nanos,
-    /// Current stage.
+    /// What the change waits for.
     pub stage: ChangeStage,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Assessment of a change against the active control state.
+/// Result of comparing a change with the active control state.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChangeAssessment {
     /// The change was committed earlier.
--- a/crates/fernknot-controller/src/consensus_driver.rs
+++ b/crates/fernknot-controller/src/consensus_driver.rs
@@ -1,4 +1,5 @@
-//! Driver of the consensus member: passes inputs to it and tracks when to poll it again.
+//! Driver of the consensus member, this controller's [`Consensus`] state machine: passes inputs to it and tracks when
+//! to poll it again.
 
 use fernknot::interface::Nanos;
 use fernknot_consensus::{
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Asks a majority of the voters to confirm the view. Returns false if no majority is reachable or too many
-    /// requests are pending.
+    /// Asks a majority of the voters to confirm the view. Returns false if the disk has not been read yet, no
+    /// majority is reachable or too many requests are pending.
     pub fn read_index(&mut self, now: Nanos, id: ReadIndexId) -> bool {
         self.next_poll = now;
         self.member.as_mut().is_some_and(|member| !member.is_partitioned(now) && member.read_index(now, id))
@@ -127,12 +128,14 @@
         self.member.is_some()
     }
 
-    /// Whether a majority was reachable recently, so that the local state is no older than that.
+    /// Whether a majority was reachable within the lease duration, so that the local state is no older than that;
+    /// false before the disk has been read.
     pub fn has_lease(&self, now: Nanos) -> bool {
         self.member.as_ref().is_some_and(|member| member.has_lease(now))
     }
 
-    /// Whether no majority of the voters is reachable, once enough time has passed to tell.
+    /// Whether no majority of the voters is reachable. False in the first suspicion timeout after a start or a stall,
+    /// and before the disk has been read.
     pub fn is_partitioned(&self, now: Nanos) -> bool {
         self.member.as_ref().is_some_and(|member| member.is_partitioned(now))
     }
--- a/crates/fernknot-controller/src/control_state.rs
+++ b/crates/fernknot-controller/src/control_state.rs
@@ -1,4 +1,5 @@
-//! The control state that the controllers agree on.
+//! The control state that the controllers agree on: the active routing configuration, and which versions were
+//! committed last.
 
 use bitcode::{Decode, Encode};
 use fernknot_schema::RoutingConfig;
@@ -15,7 +16,7 @@
 pub struct CommittedVersion {
     /// Epoch of the version, chosen by the operator.
     pub epoch: u64,
-    /// Epoch that was active before.
+    /// Epoch that this version replaced; 0 for the first version.
     pub base_epoch: u64,
     /// Hash of the parsed configuration, independent of its formatting.
     pub digest: u64,
--- a/crates/fernknot-controller/src/controller/consensus_events.rs
+++ b/crates/fernknot-controller/src/controller/consensus_events.rs
@@ -87,8 +87,8 @@
         self.ownership.mark_stale();
     }
 
-    /// Drops the history of the member, which continues with a new identity. Otherwise a retry could be acknowledged
-    /// from a history that an operator has discarded.
+    /// Discards the active configuration with its history, because the consensus member continues with a new identity
+    /// and an empty state. Otherwise a retry could be acknowledged from a history that an operator has discarded.
     fn identity_replaced(&mut self) {
         self.active_config = ActiveConfig::empty();
         let text = "joining as a new member: the disk holds an outdated state, or a forced view excluded it";
--- a/crates/fernknot-controller/src/controller/gateway_messages.rs
+++ b/crates/fernknot-controller/src/controller/gateway_messages.rs
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Removes a subscriber whose connection was closed. Its gateway may still be alive; its heartbeats decide.
+    /// Removes a subscriber whose connection was closed. Its gateway may still be alive, and counts as live until its
+    /// heartbeats, which other controllers may receive, have stopped for too long.
     pub fn unsubscribe(&mut self, id: SubscriberId) {
         self.subscribers.remove(id);
     }
--- a/crates/fernknot-controller/src/controller/inspection.rs
+++ b/crates/fernknot-controller/src/controller/inspection.rs
@@ -59,7 +59,7 @@
         Ok(result?)
     }
 
-    /// Updates the gauges.
+    /// Sets the gauges to the current values; to be called before the counters are reported.
     pub(super) fn refresh_gauges(&mut self) {
         let status = self.consensus.status();
         let fault_tolerance = status.map_or(0, |status| status.remaining_fault_tolerance);
--- a/crates/fernknot-controller/src/controller/lifecycle.rs
+++ b/crates/fernknot-controller/src/controller/lifecycle.rs
@@ -40,7 +40,8 @@
         self.consensus.start(now, member);
     }
 
-    /// Handles the end of a write requested by [`Action::Store`](crate::Action::Store); `ok` if the state is on disk.
+    /// Handles the end of a write requested by [`Action::Store`](crate::Action::Store); `ok` is true if the state is
+    /// on disk.
     pub fn write_completed(&mut self, now: Nanos, write_id: WriteId, ok: bool) {
         self.advance_clock(now);
         self.consensus.handle_write_result(now, write_id, ok);
@@ -82,7 +83,7 @@
         self.consensus.set_disk_healthy(self.now(), may_store);
     }
 
-    /// Adds controllers listed in the settings or known to a neighbour.
+    /// Adds controllers listed in the settings or found by peer sampling, with their internal addresses.
     pub fn add_seeds(&mut self, now: Nanos, seeds: &[SocketAddrV4]) {
         self.advance_clock(now);
         seeds.iter().for_each(|seed| self.add_peer(*seed));
@@ -100,7 +101,8 @@
         self.consensus.view()
     }
 
-    /// Whether the process may exit: no call is pending, and no other member depends on this one.
+    /// Whether the process may exit: no change and no read index request is pending, and this controller doesn't lead
+    /// a view with other members.
     pub fn can_exit(&self) -> bool {
         let is_alone = self.consensus.view().is_none_or(|view| view.members.len() < 2);
         let is_not_view_leader =
--- a/crates/fernknot-controller/src/controller/node_updates.rs
+++ b/crates/fernknot-controller/src/controller/node_updates.rs
@@ -7,8 +7,8 @@
 use log::Level;
 
 impl Controller {
-    /// Reports the heartbeats received here to the other controllers, and marks nodes as lost whose heartbeats have
-    /// stopped.
+    /// Reports to the other controllers which nodes and gateways sent heartbeats here since the last call, and marks
+    /// nodes as lost whose heartbeats have stopped.
     pub(super) fn sync_peers(&mut self) {
         let now = self.now();
         let incarnations = self.nodes.take_heartbeats(now);
--- a/crates/fernknot-controller/src/controller/peer_messages.rs
+++ b/crates/fernknot-controller/src/controller/peer_messages.rs
@@ -10,7 +10,8 @@
 use std::net::SocketAddrV4;
 
 impl Controller {
-    /// Handles a new connection to a controller: identifies this one and sends a snapshot.
+    /// Handles a new connection to a controller: identifies this one, and sends the addresses of known controllers,
+    /// all nodes and the newest assignment.
     pub fn peer_connected(&mut self, now: Nanos, to: SocketAddrV4) {
         self.advance_clock(now);
         self.peers.link_opened(to);
--- a/crates/fernknot-controller/src/controller/publication.rs
+++ b/crates/fernknot-controller/src/controller/publication.rs
@@ -54,8 +54,8 @@
         self.actions.notify(vec![id], ControllerToGateway::NodeUpdates(records));
     }
 
-    /// Computes a new assignment, if this controller leads and holds the lease. Without the lease, its fencing token
-    /// would be rejected and its count of gateways could be wrong.
+    /// Computes a new assignment, if this controller leads and holds the lease. Without the lease, another controller
+    /// may lead a later view, whose fencing tokens are higher, and live gateways may be missing here.
     pub(super) fn refresh_assignment(&mut self) {
         if !self.consensus.is_started() {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Publishes a new assignment to all subscribers.
+    /// Makes the assignment the known one, and sends it to all subscribers.
     pub(super) fn publish_assignment(&mut self, assignment: Assignment) {
         let token = assignment.fencing_token;
         let text = format!(
--- a/crates/fernknot-controller/src/controller/quorum.rs
+++ b/crates/fernknot-controller/src/controller/quorum.rs
@@ -49,7 +49,8 @@
         self.actions.reply(call, outcome);
     }
 
-    /// Ends the call of `waiter` without a confirmation in time: the reply asserts nothing about local state.
+    /// Ends the call of `waiter`, which no majority confirmed in time, with a reply that asserts nothing about the
+    /// state of the system.
     pub(super) fn quorum_unavailable(&mut self, waiter: QuorumWaiter) {
         self.counters.add(counter::READ_INDEXES_UNCONFIRMED, 1);
         match waiter {
--- a/crates/fernknot-controller/src/controller/schedule.rs
+++ b/crates/fernknot-controller/src/controller/schedule.rs
@@ -51,8 +51,8 @@
         self.poll_peers();
     }
 
-    /// Ends read index requests and changes whose deadline has passed. Without a reachable majority, ends all
-    /// requests and the changes of local callers, so that callers try another controller at once.
+    /// Ends read index requests and changes whose deadline has passed. If this controller is partitioned, ends all
+    /// read index requests and the changes of local callers, so that callers try another controller at once.
     fn expire_waiters(&mut self) {
         let now = self.now();
         if !self.read_indexes.is_empty() || !self.changes.is_empty() {
--- a/crates/fernknot-controller/src/controller/state.rs
+++ b/crates/fernknot-controller/src/controller/state.rs
@@ -49,8 +49,8 @@
 /// Health of the disk, as the host last reported it.
 pub(super) struct DiskHealth {
     pub(super) is_healthy: bool,
-    /// Whether the disk has recovered from an unhealthy state before. The first such recovery ends the rebuilding of
-    /// the directory at start.
+    /// Whether the disk has become healthy again before. The first time ends the rebuilding of the directory at
+    /// start, so changes of health up to then are not logged.
     pub(super) has_recovered: bool,
 }
 
@@ -65,8 +65,8 @@
 }
 
 impl Controller {
-    /// Creates a controller without nodes and configuration. Heartbeats are accepted at once, all else after the host
-    /// has called [`disk_loaded`](Controller::disk_loaded).
+    /// Creates a controller without nodes and configuration. Heartbeats of ready nodes are accepted at once; replies
+    /// that need a majority wait or are a 503 until the host has called [`disk_loaded`](Controller::disk_loaded).
     pub fn new(settings: ControllerSettings, now: Nanos) -> Controller {
         Controller::with_seeded_bug(settings, now, None)
     }
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Advances the clock. After a stall of the event loop, liveness time-outs restart, because messages may have
-    /// been missed.
+    /// Advances the clock. After a stall of the event loop, the times without a heartbeat of all nodes and gateways
+    /// restart, because heartbeats may have been missed.
     pub(super) fn advance_clock(&mut self, now: Nanos) {
         if self.timers.advance(now) {
             self.nodes.reset_liveness(now);
@@ -111,12 +111,13 @@
         self.timers.now()
     }
 
-    /// Whether a majority of the members was reachable recently, so that the local state is no older than that.
+    /// Whether a majority of the view's voters has answered heartbeats within the lease duration, so that the local
+    /// state is no older than that.
     pub fn holds_lease(&self) -> bool {
         self.consensus.has_lease(self.now())
     }
 
-    /// Whether no majority of the voters is reachable, once enough time has passed to tell.
+    /// Whether no majority of the voters is reachable. False in the first suspicion timeout after a start or a stall.
     pub(super) fn is_partitioned(&self) -> bool {
         self.consensus.is_partitioned(self.now())
     }
--- a/crates/fernknot-controller/src/counters.rs
+++ b/crates/fernknot-controller/src/counters.rs
@@ -1,4 +1,5 @@
 //! Names of a controller's counters and gauges, as reported by `GET /-/counters` and `fernknot show counters`.
+//! Counters start from 0 with the process; gauges are updated for each report.
 
 /// Heartbeats received from nodes.
 pub const NODE_HEARTBEATS: &str = "node_heartbeats";
@@ -8,42 +9,46 @@
 pub const NODE_DRAINS_REJECTED: &str = "node_drains_rejected";
 /// Node records from other controllers that changed the registry.
 pub const NODE_RECORDS_MERGED: &str = "node_records_merged";
-/// Nodes marked as lost because their heartbeats stopped.
+/// Nodes marked as lost because no controller reported a heartbeat of them for 3.5 heartbeat intervals.
 pub const NODES_LOST: &str = "nodes_lost";
 /// Configuration changes received from operators.
 pub const CHANGES: &str = "changes";
-/// Changes acknowledged as committed, by this call or an earlier one.
+/// Changes that ended here as committed, those forwarded to or by this controller included. A retry that the history
+/// answers at its arrival is not counted.
 pub const CHANGES_COMMITTED: &str = "changes_committed";
-/// Changes rejected because they conflict with the active version.
+/// Changes rejected because they conflict with the active version, those forwarded to or by this controller included.
 pub const CHANGES_REJECTED: &str = "changes_rejected";
-/// Changes whose outcome was unknown at their deadline.
+/// Changes that ended here without a known outcome: at their deadline, or because no majority was reachable.
 pub const CHANGES_UNKNOWN: &str = "changes_unknown";
-/// Read index requests.
+/// Read index requests: a majority is asked to confirm the view before a reply.
 pub const READ_INDEXES: &str = "read_indexes";
-/// Read index requests that no majority confirmed.
+/// Read index requests that ended unconfirmed, at their deadline or because no majority was reachable.
 pub const READ_INDEXES_UNCONFIRMED: &str = "read_indexes_unconfirmed";
 /// Failed writes to disk.
 pub const DISK_FAILURES: &str = "disk_failures";
-/// Stalls of the event loop for longer than two heartbeat intervals.
+/// Stalls of the event loop for longer than two heartbeat intervals of a node.
 pub const LOOP_GAPS: &str = "loop_gaps";
 
-/// Gauge: number of the view.
+/// Gauge: number of the active view that this controller is a member of; 0 if there is none.
 pub const VIEW: &str = "view";
-/// Gauge: epoch of the active configuration.
+/// Gauge: epoch of the active configuration; 0 before the first.
 pub const EPOCH: &str = "epoch";
-/// Gauge: revision of the active configuration.
+/// Gauge: revision of the control state with the active configuration; 0 before the first.
 pub const REVISION: &str = "revision";
-/// Gauge: 1 while a majority is reachable, otherwise 0.
+/// Gauge: 1 while this controller holds a lease, because a majority has answered its heartbeats recently, otherwise
+/// 0.
 pub const LEASE: &str = "lease";
-/// Gauge: number of further disks that may be lost.
+/// Gauge: number of further disks of controllers that may be lost at once without losing an acknowledged change or
+/// needing an operator to continue.
 pub const REMAINING_FAULT_TOLERANCE: &str = "remaining_fault_tolerance";
-/// Gauge: number of nodes that are up.
+/// Gauge: number of nodes that are up, ready or draining.
 pub const NODES_UP: &str = "nodes_up";
 /// Gauge: number of gateways subscribed to this controller.
 pub const SUBSCRIBERS: &str = "subscribers";
 /// Gauge: number of controllers to which a connection is open.
 pub const PEERS_UP: &str = "peers_up";
-/// Gauge: fencing token of the newest assignment.
+/// Gauge: fencing token of the newest known assignment of singleton roles, a number that grows with each assignment;
+/// 0 before the first.
 pub const FENCING_TOKEN: &str = "fencing_token";
 /// Gauge: 1 while the disk is healthy, otherwise 0.
 pub const DISK_HEALTHY: &str = "disk_healthy";
--- a/crates/fernknot-controller/src/host/connections.rs
+++ b/crates/fernknot-controller/src/host/connections.rs
@@ -91,7 +91,8 @@
         Some(connection)
     }
 
-    /// Returns the connections that have been idle for too long.
+    /// Returns the connections without received data for longer than the limit of their role; those opened to other
+    /// controllers are never idle.
     pub fn idle(&self, now: Nanos, contact_timeout: Nanos) -> Vec<ConnectionId> {
         let idle = self.by_id.iter().filter(|(_, connection)| connection.is_idle(now, contact_timeout));
         idle.map(|(id, _)| *id).collect()
--- a/crates/fernknot-controller/src/host/events.rs
+++ b/crates/fernknot-controller/src/host/events.rs
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Handles a message of a controller. Messages are ignored until the sender has identified itself.
+    /// Handles a message of a controller. Messages over a connection are ignored until the sender has identified
+    /// itself there.
     fn handle_peer_message(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-controller/src/host/limits.rs
+++ b/crates/fernknot-controller/src/host/limits.rs
@@ -16,7 +16,8 @@
 /// Pending output allowed in addition to two messages of maximum size, in bytes. A receiver with more does not read,
 /// and is disconnected.
 const OUTPUT_SLACK_BYTES: usize = 1 << 20;
-/// Maximum size of a message from a sender that has not identified itself, in bytes.
+/// Maximum size of a message over a connection on which no controller has identified itself, as on those of gateways,
+/// in bytes.
 pub const MAX_UNIDENTIFIED_MESSAGE_BYTES: usize = MESSAGE_OVERHEAD_BYTES;
 
 /// Limits of one host.
@@ -26,7 +27,7 @@
     pub max_connections: usize,
     /// Maximum size of a configuration, in bytes.
     pub max_config_bytes: usize,
-    /// Maximum size of a message from another controller, in bytes.
+    /// Maximum size of a message from an identified controller, in bytes.
     pub max_message_bytes: usize,
 }
 
--- a/crates/fernknot-controller/src/host/mod.rs
+++ b/crates/fernknot-controller/src/host/mod.rs
@@ -1,5 +1,5 @@
 //! The host of the program: sockets, clock, signals, settings file and disk around one
-//! [`Controller`](crate::Controller).
+//! [`Controller`](crate::Controller), which performs no I/O itself.
 //!
 //! `state` defines [`Host`], `events` passes inputs to the controller, `actions` executes its actions, and `run` is
 //! the main loop.
--- a/crates/fernknot-controller/src/host/run.rs
+++ b/crates/fernknot-controller/src/host/run.rs
@@ -5,7 +5,8 @@
 use fernknot::interface::Nanos;
 use fernknot_telemetry::component;
 
-/// Time limit of a requested stop, as a share of the grace period.
+/// Time after a requested stop at which the process ends whatever is pending, as a share of the grace period in the
+/// settings.
 const SHUTDOWN_GRACE_SHARE: f64 = 0.25;
 /// Interval between polls of the disk while a write is pending, as a share of the apply deadline.
 const DISK_POLL_SHARE: f64 = 1.0 / 12.0;
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Adds the seeds of the settings file, if the file has been modified.
+    /// Takes over the seeds (addresses of controllers) of the settings file, if the file has been modified since the
+    /// last check.
     fn reload_settings(&mut self, now: Nanos) {
         self.next_settings_check = now + settings_check_interval(&self.settings);
         if !self.settings_file.take_modified() {
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Closes idle connections. Without a majority, also adds controllers that are known only to neighbours, as
-    /// neither the settings nor the members name them.
+    /// Closes idle connections. Without a lease, also adds the controllers that peer sampling has found: those named
+    /// by the settings and the view may not suffice for a majority.
     fn close_idle_connections(&mut self, now: Nanos) {
         let contact_timeout = contact_timeout(&self.settings);
         self.next_sweep = now + contact_timeout;
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Stops listening, and waits until pending replies are sent or the time limit is reached.
+    /// Stops listening, and waits until pending replies are sent or the setting `bounds.loss_slack_ms` has passed.
     fn close(&mut self) {
         self.event_loop.stop_listening(self.control_listener);
         self.event_loop.stop_listening(self.internal_listener);
--- a/crates/fernknot-controller/src/host/state.rs
+++ b/crates/fernknot-controller/src/host/state.rs
@@ -18,7 +18,8 @@
 use fernknot_telemetry::component;
 use std::net::SocketAddrV4;
 
-/// Period of the partial view shuffles, in contact timeouts; the same as on gateways.
+/// Period at which this process exchanges a sample of the processes that it knows with another one, in contact
+/// timeouts; the same as on gateways.
 const SHUFFLE_PERIOD_CONTACT_TIMEOUTS: f64 = 2.0;
 /// Age of a pending write above which the disk is unhealthy, as a share of the apply deadline.
 const WRITE_TIMEOUT_SHARE: f64 = 1.0 / 6.0;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Returns the time since the start of the host.
+    /// Returns the time since the start of the host, which all inputs of the controller carry.
     pub(super) fn now(&self) -> Nanos {
         self.clock.now()
     }
--- a/crates/fernknot-controller/src/main.rs
+++ b/crates/fernknot-controller/src/main.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns a seed derived from the system's random numbers, the address and the process identifier, so that two
-/// incarnations never share one, even across machines.
+/// Returns a seed derived from the system's random numbers, the address and the process identifier, so that two runs
+/// of the program never share one, even on different machines.
 fn random_seed(settings: &ProcessSettings) -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u32(u32::from(settings.ip));
--- a/crates/fernknot-controller/src/node_registry.rs
+++ b/crates/fernknot-controller/src/node_registry.rs
@@ -12,7 +12,8 @@
     registry: Registry,
     /// Version of the registry that was last sent to subscribers.
     published_version: u64,
-    /// Incarnations whose records the other controllers are to be sent: first changed at this controller, or leaving.
+    /// Ids of the incarnations whose records the other controllers are to be sent: first changed at this controller,
+    /// or leaving, that is draining or gone.
     unannounced: BTreeSet<String>,
 }
 
@@ -102,12 +103,14 @@
         self.registry.take_unreported(now)
     }
 
-    /// Restarts the liveness timeout of every node, because heartbeats may have been missed up to now.
+    /// Restarts the time without a heartbeat after which each node is lost, because heartbeats may have been missed
+    /// up to now.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.registry.reset_liveness(now);
     }
 
-    /// Marks nodes as lost whose heartbeats have stopped. Returns their number.
+    /// Marks nodes as lost that have sent no heartbeat to any known controller for 3.5 heartbeat intervals. Returns
+    /// their number.
     pub fn expire(&mut self, now: Nanos) -> usize {
         self.registry.expire(now)
     }
--- a/crates/fernknot-controller/src/ownership.rs
+++ b/crates/fernknot-controller/src/ownership.rs
@@ -1,4 +1,5 @@
-//! Live gateways, and the resulting assignment of singleton roles.
+//! Live gateways, and the resulting assignment: the list of live gateways from which the owner of each singleton role
+//! is computed.
 
 use fernknot::interface::Nanos;
 use fernknot_ownership::{
@@ -6,14 +7,14 @@
 };
 use fernknot_rpc::ControllerToGateway;
 
-/// Maximum number of known gateways.
+/// Maximum number of known gateways; heartbeats of further ones are ignored.
 const MAX_GATEWAYS: usize = 1024;
 
 /// Assigner of this controller, with the newest known assignment.
 pub struct Ownership {
     assigner: Assigner,
     assignment: Assignment,
-    /// Whether an input of the assignment has changed.
+    /// Whether an input of the assignment has changed since the last call of [`take_stale`](Self::take_stale).
     is_stale: bool,
 }
 
@@ -56,7 +57,8 @@
         self.assigner.record_heartbeat(now, gateway);
     }
 
-    /// Records heartbeats that a relay sent on behalf of its subscribers.
+    /// Records heartbeats that a relay, a gateway that passes updates on to others of its zone, sent on behalf of its
+    /// subscribers.
     pub fn record_relayed_heartbeats(&mut self, now: Nanos, gateways: impl Iterator<Item = GatewayRecord>) {
         for gateway in gateways {
             self.assigner.record_heartbeat(now, gateway);
@@ -86,12 +88,14 @@
         std::mem::take(&mut self.is_stale)
     }
 
-    /// Returns a new assignment, if this controller is the leader and an input has changed.
+    /// Returns a new assignment, if this controller is the leader and either the live gateways differ from the newest
+    /// assignment or that assignment is of an earlier view than `view`.
     pub fn reassign(&mut self, now: Nanos, view: u32, is_leader: bool) -> Option<Assignment> {
         self.assigner.reassign(now, view, is_leader)
     }
 
-    /// Learns the assignment of another controller. Returns false if it is no newer than the known one.
+    /// Passes another controller's assignment to the assigner, which continues from it. Returns false if it is no
+    /// newer than the known one. [`replace`](Self::replace) then makes it the known one.
     pub fn learn(&mut self, now: Nanos, assignment: &Assignment) -> bool {
         let is_newer = assignment.fencing_token > self.assignment.fencing_token;
         if is_newer {
@@ -111,7 +115,8 @@
         self.assigner.records_of(&incarnations)
     }
 
-    /// Restarts the liveness timeout of every gateway, because heartbeats may have been missed up to now.
+    /// Restarts the time without a heartbeat after which each gateway is no longer live, because heartbeats may have
+    /// been missed up to now.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.assigner.reset_liveness(now);
     }
--- a/crates/fernknot-controller/src/pending_changes.rs
+++ b/crates/fernknot-controller/src/pending_changes.rs
@@ -14,7 +14,8 @@
 const MAX_PENDING_CHANGES: usize = 24;
 /// Maximum size of all pending configurations together, in bytes.
 const MAX_PENDING_BYTES: usize = 64 << 20;
-/// Delay before a change that the leader left undecided is tried again.
+/// Delay before a change is tried again that the leader left undecided, the consensus member rejected, or no majority
+/// could be asked about.
 const RETRY_DELAY: Nanos = Nanos(50_000_000);
 /// Length of the history under the seeded bug `ForgetHistoryEarly`.
 const SEEDED_HISTORY_LENGTH: usize = 2;
@@ -39,7 +40,7 @@
     pub state: Vec<u8>,
 }
 
-/// Steps that the pending changes require, to be carried out in the order of the fields.
+/// Steps that the pending changes require, to be carried out by the controller in the order of the fields.
 #[derive(Debug, Default)]
 pub struct ChangeSteps {
     /// Changes that have an outcome and are no longer pending.
@@ -157,12 +158,12 @@
         steps
     }
 
-    /// Removes the changes whose deadline has passed.
+    /// Removes the changes whose deadline has passed. Returns their origins.
     pub fn expire(&mut self, now: Nanos) -> Vec<RequestOrigin> {
         self.remove_where(|change| change.deadline <= now)
     }
 
-    /// Removes the changes that the history lists as committed.
+    /// Removes the changes that the history lists as committed. Returns their origins, with that evidence.
     pub fn take_committed(&mut self, control: &ControlState) -> Vec<(RequestOrigin, QuorumEvidence)> {
         let mut committed = Vec::new();
         self.changes.retain(|change| {
@@ -173,12 +174,13 @@
         committed
     }
 
-    /// Removes the change of a committed proposal.
+    /// Removes the change of a committed proposal. Returns its origin, or nothing if the change is no longer pending.
     pub fn take_proposed(&mut self, change_id: u64) -> Vec<RequestOrigin> {
         self.remove_where(|change| change.stage == ChangeStage::Proposed(change_id))
     }
 
-    /// Removes all changes whose callers are connected to this controller; their outcome is unknown.
+    /// Removes all changes whose callers are connected to this controller; their outcome is unknown. Returns their
+    /// origins.
     pub fn abandon_local(&mut self) -> Vec<RequestOrigin> {
         self.remove_where(|change| matches!(change.origin, RequestOrigin::Caller(_)))
     }
@@ -226,7 +228,8 @@
         Some(self.changes.remove(index).origin)
     }
 
-    /// Queues changes again that were forwarded to a controller other than the leader, which may be down.
+    /// Queues changes again that were forwarded to a controller other than `leader`, which may be down or no longer
+    /// lead.
     pub fn requeue_unless_forwarded_to(&mut self, leader: Option<SocketAddrV4>) {
         for change in &mut self.changes {
             if matches!(change.stage, ChangeStage::Forwarded(to) if Some(to) != leader) {
--- a/crates/fernknot-controller/src/read_index.rs
+++ b/crates/fernknot-controller/src/read_index.rs
@@ -102,7 +102,7 @@
         self.by_id.is_empty()
     }
 
-    /// Earliest deadline.
+    /// Earliest deadline of a pending request; None if no request is pending.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.by_id.values().map(|read| read.deadline).min()
     }
--- a/crates/fernknot-controller/src/seeded_bug.rs
+++ b/crates/fernknot-controller/src/seeded_bug.rs
@@ -1,4 +1,4 @@
-//! Bugs that tests enable, to show that the checkers find them.
+//! Bugs that tests put into a controller on purpose, to show that the checkers find them.
 
 use fernknot_consensus::SeededBug as ConsensusBug;
 
@@ -7,7 +7,7 @@
 pub enum SeededBug {
     /// Replies to reads, rejected changes and drains from local state, without asking a majority.
     AnswerFromLocalState,
-    /// Keeps a short history of versions, and rejects changes older than it.
+    /// Keeps a history of only two versions, and rejects changes older than it.
     ForgetHistoryEarly,
     /// Accepts the outcome of a forwarded change without checking the incarnation for which it is meant.
     AcceptAnyIncarnation,
--- a/crates/fernknot-controller/src/settings.rs
+++ b/crates/fernknot-controller/src/settings.rs
@@ -4,11 +4,13 @@
 use fernknot_consensus::{ConsensusSettings, Member, MemberId};
 use std::net::SocketAddrV4;
 
-/// Suspicion timeout, as a share of the contact timeout.
+/// Suspicion timeout, after which the consensus members consider a silent one failed, as a share of the contact
+/// timeout.
 const SUSPICION_SHARE: f64 = 0.25;
 /// Interval between heartbeats of consensus members, as a share of the suspicion timeout.
 const MEMBER_HEARTBEAT_SHARE: f64 = 0.2;
-/// Duration of the leader's lease, as a share of the suspicion timeout.
+/// Duration of a controller's lease: time for which the answers of a majority to its heartbeats count, as a share of
+/// the suspicion timeout.
 const LEASE_SHARE: f64 = 0.8;
 /// Interval between heartbeats to subscribers, as a share of the apply deadline.
 const SUBSCRIBER_HEARTBEAT_SHARE: f64 = 1.0 / 12.0;
@@ -20,11 +22,13 @@
     pub addr: SocketAddrV4,
     /// Failure domain of its machine.
     pub zone: String,
-    /// Internal addresses of the controllers listed in the operator's settings.
+    /// Internal addresses of the controllers listed in the operator's settings: the founders of the first view, and
+    /// the first addresses that this controller connects to.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time, so that this controller may found the first view. Has no
+    /// effect if the disk is not empty.
     pub bootstrap: bool,
-    /// Number of disks that may be lost at the same time.
+    /// Number of controllers' disks that may be lost at the same time without losing an acknowledged change.
     pub tolerated_losses: usize,
     /// Nominal interval between two heartbeats of a node.
     pub heartbeat_interval: Nanos,
@@ -32,7 +36,8 @@
     pub apply_deadline: Nanos,
     /// Time after which an unreachable machine is considered failed.
     pub contact_timeout: Nanos,
-    /// Window over which a retry budget counts the retries spent.
+    /// Window over which the gateways' retry budgets count the retries spent; a lost gateway is presumed alive for
+    /// that much longer.
     pub budget_window: Nanos,
     /// Seed of the random choices, also the identifier of this incarnation of the process: must differ between any
     /// two starts.
@@ -40,7 +45,7 @@
 }
 
 impl ControllerSettings {
-    /// Time without a message after which a controller is removed from the view.
+    /// Time without heartbeats in both directions after which a controller is removed from the view.
     pub fn suspicion_timeout(&self) -> Nanos {
         self.contact_timeout.times(SUSPICION_SHARE)
     }
@@ -50,7 +55,8 @@
         self.apply_deadline.times(SUBSCRIBER_HEARTBEAT_SHARE)
     }
 
-    /// Time for which a gateway is presumed alive after its last heartbeat.
+    /// Time for which a gateway is presumed alive after its last heartbeat, and so counts as one that may still spend
+    /// a share of the budgets.
     pub(crate) fn gateway_expiry(&self) -> Nanos {
         fernknot_ownership::presumed_alive_timeout(
             self.contact_timeout,
--- a/crates/fernknot-controller/src/subscribers.rs
+++ b/crates/fernknot-controller/src/subscribers.rs
@@ -15,7 +15,7 @@
     pub is_ready: bool,
     /// Services whose nodes the gateway requested.
     pub subscription: Subscription,
-    /// Revision of the configuration that it was last sent; 0 for none.
+    /// Revision of the configuration that it was last sent, or that it had when it subscribed; 0 for none.
     pub sent_revision: u64,
 }
 
@@ -42,8 +42,8 @@
 #[derive(Debug, Default)]
 pub struct Subscribers {
     by_id: BTreeMap<SubscriberId, Subscriber>,
-    /// Subscribers that were added while no majority was reachable: they have been sent neither the configuration nor
-    /// the end of the snapshot.
+    /// Subscribers that were added while this controller held no lease: they have been sent neither the configuration
+    /// nor the end of the snapshot.
     awaiting_snapshot: BTreeSet<SubscriberId>,
 }
 
@@ -66,7 +66,7 @@
         Some(&subscriber.gateway)
     }
 
-    /// Defers the rest of a subscriber's snapshot until a majority is reachable.
+    /// Defers the configuration and the end of a subscriber's snapshot, until this controller holds a lease.
     pub fn defer_snapshot(&mut self, id: SubscriberId) {
         self.awaiting_snapshot.insert(id);
     }
@@ -91,12 +91,12 @@
         self.by_id.keys().copied().collect()
     }
 
-    /// Whether a subscriber was last sent an older configuration than this revision, or none.
+    /// Whether a subscriber has an older configuration than that of this revision, or none.
     pub fn is_behind(&self, id: SubscriberId, revision: u64) -> bool {
         self.by_id.get(&id).is_some_and(|subscriber| subscriber.sent_revision < revision)
     }
 
-    /// Subscribers that are behind, without those whose snapshot is deferred.
+    /// Subscribers with an older configuration than that of this revision, without those whose snapshot is deferred.
     pub fn behind(&self, revision: u64) -> Vec<SubscriberId> {
         let behind = self.by_id.iter().filter(|(id, subscriber)| {
             subscriber.sent_revision < revision && !self.awaiting_snapshot.contains(id)
@@ -118,7 +118,8 @@
         self.by_id.get(&id).map(|subscriber| subscriber.select(records))
     }
 
-    /// Sends each subscriber the records that it requested, with one message for all subscribers of every service.
+    /// Sends each subscriber those of the records that it requested; the subscribers that requested all services
+    /// share one message.
     pub fn publish_nodes(&self, records: Vec<NodeRecord>, actions: &mut ActionQueue) {
         for (id, subscriber) in self.by_id.iter().filter(|(_, subscriber)| !subscriber.wants_all_services()) {
             let wanted = subscriber.select(&records);
--- a/crates/fernknot-controller/tests/nodes.rs
+++ b/crates/fernknot-controller/tests/nodes.rs
@@ -8,7 +8,7 @@
 use fernknot_rpc::{ControllerToGateway, GatewayToController, Subscription};
 use test_case::test_case;
 
-/// Returns the state of a node in the last update that a subscriber received.
+/// Returns the state of a node in the last update about it that a subscriber received, if any.
 fn last_received_state(cluster: &Cluster, subscriber: u64, id: &str) -> Option<NodeState> {
     let updates = cluster.received[&subscriber].iter().filter_map(|message| match message {
         ControllerToGateway::NodeUpdates(records) => Some(records),
@@ -103,7 +103,8 @@
     assert_eq!(last_received_state(&cluster, subscriber, "i-1"), Some(NodeState::Draining));
 }
 
-/// Neither controller can send to the subscriber's controller when the third one learns of the deregistration.
+/// The node deregisters at controller 1 while neither 1 nor 3 can send to controller 2, to which the gateway is
+/// subscribed. Once they can, the node deregisters again at controller 3, which knows of it already.
 #[test]
 fn given_a_known_deregistration_when_it_is_acknowledged_then_all_other_controllers_are_sent_it_again() {
     let mut cluster = Cluster::of_three();
--- a/crates/fernknot-controller/tests/old_disk.rs
+++ b/crates/fernknot-controller/tests/old_disk.rs
@@ -19,7 +19,7 @@
 /// Storage keys of the consensus state and of the addresses of other controllers.
 const CONSENSUS_KEY: &str = "views";
 const KNOWN_PEERS_KEY: &str = "known";
-/// Numbers of the recorded controllers.
+/// Numbers of the controllers whose disks are recorded.
 const CONTROLLERS: [usize; 4] = [1, 2, 3, 4];
 const NON_SEED_CONTROLLER: usize = 4;
 const ZONE_COUNT: usize = 3;
--- a/crates/fernknot-controller/tests/random_faults.rs
+++ b/crates/fernknot-controller/tests/random_faults.rs
@@ -61,7 +61,8 @@
 
 impl OperatorChanges {
     fn send_change(&mut self, cluster: &mut Cluster, random: &mut Random, controller: usize) {
-        // Builds on a version that may be the newest: the last acknowledged one, or one with an unknown outcome.
+        // Builds on a version that may be the newest: the last acknowledged one, or one whose change had an unknown
+        // outcome.
         let bases: Vec<u64> = self.unknown_epochs.iter().copied().chain([self.acknowledged_epoch]).collect();
         let base = bases[random.next_below(bases.len() as u64) as usize];
         self.next_epoch += 1 + random.next_below(3);
