--- a/crates/fernknot-controller/tests/common/mod.rs
+++ b/crates/fernknot-controller/tests/common/mod.rs
@@ -178,7 +178,7 @@
         self.powered_off.insert(machine_id);
     }
 
-    /// Restarts the clock from 0 and drops all events, as each process measures time from its own start. No
+    /// Sets the clock back to its start and drops all events, as each process measures time from its own start. No
     /// controller may be running.
     pub fn restart_clock(&mut self) {
         self.events.clear();
