--- a/crates/fernknot-registry/src/address_index.rs
+++ b/crates/fernknot-registry/src/address_index.rs
@@ -1,4 +1,4 @@
-//! Index of incarnations by address.
+//! Index of the incarnations that are up, by the address at which they accept requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
--- a/crates/fernknot-registry/src/change_log.rs
+++ b/crates/fernknot-registry/src/change_log.rs
@@ -26,7 +26,8 @@
         self.version
     }
 
-    /// Removes an incarnation by the version of its last change.
+    /// Removes the incarnation whose last change has this version; [`Self::since`] returns `None` from then on for
+    /// older versions.
     pub fn remove(&mut self, version: u64) {
         self.newest_removed_version = self.newest_removed_version.max(version);
         self.id_by_version.remove(&version);
--- a/crates/fernknot-registry/src/incarnation_table.rs
+++ b/crates/fernknot-registry/src/incarnation_table.rs
@@ -18,7 +18,7 @@
     pub last_heartbeat_at: Nanos,
     /// Whether a heartbeat was received here since the last report to the other controllers.
     pub unreported: bool,
-    /// Version of the last change.
+    /// Version, in the change log, of the last change of this incarnation.
     version: u64,
     warm_up_until: Nanos,
 }
@@ -156,7 +156,7 @@
         changed
     }
 
-    /// Assigns the next version to an incarnation, so that it is included in the next changes.
+    /// Assigns the next version to an incarnation, so that it counts as changed for the readers of the change log.
     pub fn assign_version(&mut self, id: &str) {
         if let Some(incarnation) = self.by_id.get_mut(id) {
             incarnation.version = self.changes.record(incarnation.version, id);
--- a/crates/fernknot-registry/src/node_directory.rs
+++ b/crates/fernknot-registry/src/node_directory.rs
@@ -7,9 +7,11 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
 
-/// Time for which healthy sources must omit an incarnation before it is removed, in heartbeat intervals.
+/// Time of healthy sources for which they must omit an incarnation before it is removed, in heartbeat intervals of a
+/// node.
 const REMOVED_AFTER_HEARTBEAT_INTERVALS: f64 = 10.0;
-/// Gap between heartbeats of sources above which they were not healthy in between, in heartbeat intervals.
+/// Longest gap between two heartbeats of any sources that still counts as time of healthy sources, in heartbeat
+/// intervals of a node.
 const MAX_SOURCE_GAP_HEARTBEAT_INTERVALS: f64 = 3.0;
 
 /// Limits of a [`NodeDirectory`].
@@ -42,7 +44,7 @@
     }
 }
 
-/// Total time during which sources were healthy.
+/// Total time of healthy sources: the gaps between their heartbeats, without those that were too long.
 #[derive(Clone, Debug, Default)]
 struct SourceUptime {
     total: Nanos,
@@ -59,8 +61,8 @@
     }
 }
 
-/// Nodes by service, as reported by sources. An announcement that a node drains or is gone is never undone within its
-/// incarnation.
+/// Nodes by service, as reported by sources. Once an incarnation is known to drain or to be gone, no later record
+/// makes it ready again.
 ///
 /// Time is passed as an argument and never goes back.
 #[derive(Clone, Debug)]
@@ -105,16 +107,17 @@
         }
     }
 
-    /// Returns a mark for the start of a source's complete snapshot, to be passed to [`Self::finish_snapshot`].
+    /// Returns a mark for the start of a source's complete snapshot: the number of updates applied so far, to be
+    /// passed to [`Self::finish_snapshot`].
     #[must_use]
     pub fn begin_snapshot(&self) -> u64 {
         self.update_count
     }
 
-    /// Completes a snapshot in which a source has sent, since the mark `start_mark`, all nodes of `services`, or of all
-    /// services if None. Nodes of these services that no source has listed since the mark are kept for now, because a
-    /// controller that has just restarted knows few nodes. They are removed only after healthy sources have omitted
-    /// them for long enough.
+    /// Completes a snapshot in which a source has sent, since the mark `start_mark`, all nodes of `services`, or of
+    /// all services if None. Nodes of these services that no source has listed since the mark are kept for now,
+    /// because a controller that has just restarted knows few nodes. They are removed only after healthy sources have
+    /// omitted them for ten heartbeat intervals.
     pub fn finish_snapshot(&mut self, start_mark: u64, services: Option<&[String]>) {
         for entry in self.entries.values_mut() {
             let record = entry.tracked.record();
@@ -132,15 +135,15 @@
         self.finish_snapshot(start_mark, services);
     }
 
-    /// Records a heartbeat with a lease from a source.
+    /// Records a heartbeat of a source that holds a lease: it was in contact with a majority of the controllers.
     pub fn record_source_heartbeat(&mut self, now: Nanos) {
         self.advance_clock(now);
         let max_gap = self.heartbeat_interval.times(MAX_SOURCE_GAP_HEARTBEAT_INTERVALS);
         self.source_uptime.record_heartbeat(self.now, max_gap);
     }
 
-    /// Removes incarnations that healthy sources have omitted for long enough, and those whose tombstone retention
-    /// has passed. Returns the number of the former.
+    /// Removes incarnations that healthy sources have omitted for ten heartbeat intervals, and those whose tombstone
+    /// retention has passed. Returns the number of the former.
     pub fn expire(&mut self, now: Nanos) -> usize {
         self.advance_clock(now);
         let max_missing_time = self.heartbeat_interval.times(REMOVED_AFTER_HEARTBEAT_INTERVALS);
@@ -182,7 +185,8 @@
         self.ids_by_service.keys().map(String::as_str)
     }
 
-    /// All records, to be sent to another process: a restarted controller, or a gateway of this zone.
+    /// All records, those of tombstones included, to be sent to another process: a restarted controller, or a gateway
+    /// of this zone.
     pub fn records(&self) -> impl Iterator<Item = &NodeRecord> {
         self.entries.values().map(DirectoryEntry::record)
     }
--- a/crates/fernknot-registry/src/node_record.rs
+++ b/crates/fernknot-registry/src/node_record.rs
@@ -22,8 +22,8 @@
     Ready,
     /// Announced that it drains; accepts no new requests for the rest of this incarnation.
     Draining,
-    /// Sent no heartbeat for too long, or another incarnation uses its address; accepts requests again only after a
-    /// later heartbeat.
+    /// Sent no heartbeat for 3.5 heartbeat intervals, or another incarnation uses its address; accepts requests again
+    /// only after a later heartbeat.
     Lost,
     /// Deregistered; final for this incarnation.
     Gone,
@@ -44,10 +44,10 @@
     pub state: NodeState,
     /// Number of requests that the node processes concurrently.
     pub capacity: u32,
-    /// Remaining warm-up time, in milliseconds from when this record was sent.
+    /// Remaining time of the node's warm-up, in milliseconds from when this record was sent; 0 if there is none.
     pub warm_up_left_ms: u64,
-    /// Sequence number of the call, increasing with each call of this incarnation; an older call never overrides a
-    /// newer one.
+    /// Sequence number of the heartbeat that this record describes, increasing with each heartbeat of this
+    /// incarnation; an older heartbeat never overrides a newer one. 0 in a tombstone of an unknown incarnation.
     pub sequence: u64,
 }
 
@@ -76,9 +76,10 @@
         matches!(self.state, NodeState::Ready | NodeState::Draining)
     }
 
-    /// Merges another record of the same incarnation; records merged in any order give the same result. Returns
-    /// whether something that gateways act on has changed (changes of the sequence and the warm-up alone are not
-    /// counted).
+    /// Merges another record of the same incarnation. Whatever the order in which records are merged, the sequence,
+    /// the description and whether the incarnation is gone come out the same; whether an announcement to drain
+    /// survives a loss depends on it, which `TrackedRecord` corrects. Returns whether something that gateways act on
+    /// has changed (changes of the sequence and the warm-up alone are not counted).
     pub fn merge(&mut self, other: &NodeRecord) -> bool {
         let state = merge_states((self.state, self.sequence), (other.state, other.sequence));
         let mut changed = state != self.state;
--- a/crates/fernknot-registry/src/registry.rs
+++ b/crates/fernknot-registry/src/registry.rs
@@ -1,4 +1,4 @@
-//! A controller's registry of nodes.
+//! A controller's registry of nodes: which incarnations are known, and which are lost because heartbeats are missing.
 
 use crate::incarnation_table::{Incarnation, IncarnationTable};
 use crate::node_record::{IncarnationHash, NodeRecord, NodeState, incarnation_hash};
@@ -28,18 +28,21 @@
     }
 }
 
-/// Result of a node's call.
+/// Result of a node's heartbeat or deregistration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// First call of this incarnation.
+    /// The incarnation was unknown here, and is added.
     New,
     /// Something that gateways act on has changed.
     Changed,
-    /// The node is up, and nothing that gateways act on has changed.
+    /// Nothing that gateways act on has changed: a heartbeat of an incarnation that is up, or a deregistration of one
+    /// that is gone.
     Unchanged,
-    /// The call is older than the known record, or its incarnation is lost or gone; it changes nothing.
+    /// The heartbeat is older than the known record, repeats the last one of an incarnation that is lost since, or
+    /// comes from one that is gone. It changes nothing.
     Stale,
-    /// The names are invalid or the registry is full; the incarnation is not known after this call.
+    /// The registry is full, or a name is invalid: an empty id, the empty service of a heartbeat, or a name over 200
+    /// bytes. The call changes nothing.
     Rejected,
 }
 
@@ -50,7 +53,7 @@
     }
 }
 
-/// Records with the version of the registry that they lead to.
+/// Records of changed incarnations, and the version of the registry that they bring a reader to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedRecords {
     /// Version of the newest change.
@@ -102,7 +105,7 @@
         outcome
     }
 
-    /// Records a deregistration. An unknown incarnation is recorded too, because another controller may report it
+    /// Records that an incarnation is gone. An unknown one is recorded too, because another controller may report it
     /// later.
     pub fn deregister(&mut self, now: Nanos, id: &str) -> CallOutcome {
         self.advance_clock(now);
@@ -170,8 +173,9 @@
         known.map(|incarnation| incarnation.current_record(self.now)).collect()
     }
 
-    /// Restarts the liveness time-out of every incarnation. To be called after a jump of the clock, and while the
-    /// other controllers are unreachable, because missing heartbeats are then no evidence of a loss.
+    /// Restarts, for every incarnation, the time without a heartbeat after which it is lost. To be called after a
+    /// jump of the clock, and while the other controllers are unreachable, because missing heartbeats are then no
+    /// evidence of a loss.
     pub fn reset_liveness(&mut self, now: Nanos) {
         self.advance_clock(now);
         for incarnation in self.incarnations.values_mut() {
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Marks incarnations without heartbeats as lost, and removes those whose tombstone retention has passed. Returns
-    /// the number of incarnations marked as lost.
+    /// Marks incarnations without a heartbeat for 3.5 heartbeat intervals as lost, and removes those whose tombstone
+    /// retention has passed. Returns the number of incarnations marked as lost.
     pub fn expire(&mut self, now: Nanos) -> usize {
         self.advance_clock(now);
         let timeout = self.heartbeat_interval.times(LOST_AFTER_HEARTBEAT_INTERVALS);
@@ -313,7 +317,8 @@
         known.map(|incarnation| incarnation.current_record(self.now)).collect()
     }
 
-    /// Whether a heartbeat is so recent that contrary reports of other processes are ignored.
+    /// Whether the last heartbeat is less than 1.5 heartbeat intervals old, so that contrary reports of other
+    /// processes are ignored.
     fn has_recent_heartbeat(&self, incarnation: &Incarnation) -> bool {
         self.now - incarnation.last_heartbeat_at < self.heartbeat_interval.times(RECENT_HEARTBEAT_INTERVALS)
     }
--- a/crates/fernknot-registry/src/tracked_record.rs
+++ b/crates/fernknot-registry/src/tracked_record.rs
@@ -1,4 +1,4 @@
-//! Node record with the state that must survive a loss of the node.
+//! Node record, with what the record itself does not keep when the node is lost.
 
 use crate::node_record::{NodeRecord, NodeState};
 use fernknot::interface::Nanos;
--- a/crates/fernknot-registry/tests/replication.rs
+++ b/crates/fernknot-registry/tests/replication.rs
@@ -102,7 +102,8 @@
             for record in records {
                 merged.entry(record.id.clone()).and_modify(|known| { known.merge(record); }).or_insert(record.clone());
             }
-            // Whether draining or lost came last depends on the order; neither state accepts requests.
+            // A plain record may lose an announcement to drain, depending on the order of a loss; whether the node is
+            // gone may not depend on it.
             merged.into_values().map(|record| (record.id.clone(), record.sequence, record.state == Gone)).collect::<Vec<_>>()
         };
         let mut reordered = records.clone();
--- a/crates/fernknot-storage/src/directory.rs
+++ b/crates/fernknot-storage/src/directory.rs
@@ -1,5 +1,5 @@
-//! Executes the generation manager's actions on files. Each generation is a directory named by its number. It contains
-//! a `fjall` store and, once the generation is sealed, the file `sealed`.
+//! Executes the generation manager's actions on files. Each generation is a directory named by its number. It
+//! contains a `fjall` store and, once the generation is sealed (marked as complete), the file `sealed`.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the operation that failed; a panic of `fjall` counts as a failure. After a failed write or seal the open
-    /// store is closed and never used again.
+    /// Returns the operation that failed and the reason; a panic of `fjall` counts as a failure. After a failed write
+    /// or seal the open store is closed and never used again.
     pub fn execute(&mut self, action: Action) -> Result<Outcome, StorageError> {
         let operation = match action {
             Action::List | Action::Read(_) => Operation::Read,
--- a/crates/fernknot-storage/src/error.rs
+++ b/crates/fernknot-storage/src/error.rs
@@ -13,7 +13,7 @@
     Sync,
     /// Reading a store or a seal.
     Read,
-    /// Marking a new generation as the one in use.
+    /// Marking a new generation as complete and so as the one in use.
     Seal,
     /// Deleting an obsolete generation.
     Remove,
--- a/crates/fernknot-storage/src/generation.rs
+++ b/crates/fernknot-storage/src/generation.rs
@@ -1,4 +1,5 @@
-//! Generations of the store, the actions on them and their results.
+//! Generations, the actions on them and their results. A generation is one store in the directory, with all values up
+//! to its time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Generation(pub u64);
 
-/// Action that the host has to execute next.
+/// Action on the directory that the host of the generation manager has to execute next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use = "the host has to execute it and report its result"]
 pub enum Action {
@@ -25,7 +26,7 @@
     Build(Generation, Values),
     /// Mark the store that was just built as sealed and sync the directories. It is the open store from then on.
     Seal(Generation),
-    /// Add the values to the open store and sync it.
+    /// Add the values to the open store, which is the one of this generation, and sync it.
     Write(Generation, Values),
     /// Delete an obsolete generation.
     Remove(Generation),
--- a/crates/fernknot-storage/src/generation_manager.rs
+++ b/crates/fernknot-storage/src/generation_manager.rs
@@ -25,7 +25,7 @@
     Unlisted,
     /// Newest sealed generation, which has not been read.
     Unread(Generation),
-    /// No open store is trusted, but the stored values are known.
+    /// No open store is trusted, but the stored values are known, so that the next generation can be built from them.
     Closed,
     /// Generation whose store is open and trusted.
     Healthy(Generation),
@@ -49,7 +49,7 @@
     value: Arc<[u8]>,
 }
 
-/// Decides which generation is written to, trusted, built or removed.
+/// State machine of a directory: decides which generation is written to, trusted, built or removed, and when.
 #[derive(Debug)]
 pub struct GenerationManager {
     limits: Limits,
@@ -67,7 +67,8 @@
     journal_bytes: u64,
     queue: VecDeque<PendingWrite>,
     completed: Vec<CompletedWrite>,
-    /// Error with which writes are rejected, if they are.
+    /// Error with which writes are rejected, from a failure until the next generation is sealed; `None` while they
+    /// are accepted.
     fault: Option<StorageError>,
     backoff: Nanos,
     /// Earliest time of the next action other than a write to a healthy store or a seal.
@@ -105,7 +106,8 @@
         self.queue.push_back(PendingWrite { write_id, key, value: value.into() });
     }
 
-    /// Returns whether a trusted store is open.
+    /// Returns whether a trusted store is open: one that this process built and read back, and to which no write has
+    /// failed.
     #[must_use]
     pub fn is_healthy(&self) -> bool {
         matches!(self.phase, Phase::Healthy(_))
@@ -117,7 +119,7 @@
         self.stored.as_ref()
     }
 
-    /// Returns the error with which writes are rejected at present.
+    /// Returns the error with which writes are rejected at present; `None` if they are accepted.
     #[must_use]
     pub fn fault(&self) -> Option<&StorageError> {
         self.fault.as_ref()
@@ -129,8 +131,8 @@
         std::mem::take(&mut self.completed)
     }
 
-    /// Time of the next poll if there is no action now; `None` if only a submission or a completed action can cause
-    /// one.
+    /// Time at which to poll next if there is no action now; `None` if only a submission or the result of the action
+    /// in flight can cause one.
     #[must_use]
     pub fn wake_at(&self) -> Option<Nanos> {
         let has_work = !self.is_healthy() || self.journal_exceeds_limit() || !self.obsolete.is_empty();
--- a/crates/fernknot-storage/src/lib.rs
+++ b/crates/fernknot-storage/src/lib.rs
@@ -2,6 +2,11 @@
 //! and syncs, so that a hanging disk never delays the caller's event loop. Acknowledged writes survive a power loss.
 //! `fernknot-controller` uses it. docs/storage.md describes the order of syncs and the possible failures.
 //!
+//! Terms: a store is a `fjall` database with one journal, the file to which it appends all writes. The directory
+//! contains one store per generation, numbered from 1. A generation is sealed once a file in it marks it as complete;
+//! the newest sealed one is in use, and the others are obsolete. An open store is trusted if this process has built
+//! it and read it back, and no write to it has failed.
+//!
 //! | Module | Responsibility |
 //! |---|---|
 //! | `storage` | the storage thread, its bounded queue and its waker |
--- a/crates/fernknot-storage/src/limits.rs
+++ b/crates/fernknot-storage/src/limits.rs
@@ -9,7 +9,7 @@
 const MAX_JOURNAL_BYTES: u64 = 48 * MIB;
 /// Upper bound of the bytes that a journal adds to a key and its value.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
-/// Maximum length of a key in bytes. The journal encodes a key's length in two bytes.
+/// Maximum length of a key in bytes, well within the two bytes in which the journal encodes it.
 pub const MAX_KEY_BYTES: usize = 256;
 
 /// Size limits of a store, and delays after failures.
--- a/crates/fernknot-storage/src/storage.rs
+++ b/crates/fernknot-storage/src/storage.rs
@@ -15,10 +15,10 @@
 use crate::limits::Limits;
 
 const THREAD_NAME: &str = "storage";
-/// Shortest sleep of the thread before a retry.
+/// Shortest sleep of the storage thread before it polls the generation manager for a retry.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// Limits on the memory and disk space of a [`Storage`].
+/// Limits on the memory and disk space of a [`Storage`], which its owner sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
     /// Maximum number of writes that are pending, or completed but not yet taken.
@@ -27,12 +27,14 @@
     pub disk_bytes: u64,
 }
 
-/// Rejection of a write because too many are pending. Nothing of the write was accepted.
+/// Rejection of a write because too many are pending, or completed but not yet taken. Nothing of the write was
+/// accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the queue of pending writes is full")]
 pub struct QueueFull;
 
-/// Callback that the storage thread calls when its published state has changed.
+/// Callback that the storage thread calls after a write has completed or [`Storage::loaded`] or
+/// [`Storage::is_healthy`] has changed.
 pub type Waker = Box<dyn Fn() + Send>;
 
 /// Handle of the stored values and the thread that owns them. Dropping it requests the thread's end without waiting for
@@ -148,7 +150,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`QueueFull`] if too many writes are pending.
+    /// Returns [`QueueFull`] if too many writes are pending, or completed but not yet taken.
     pub fn submit(&self, write_id: u64, key: impl Into<String>, value: Vec<u8>) -> Result<(), QueueFull> {
         let mut state = self.shared.lock();
         if state.pending.len() + state.completed.len() >= self.max_pending_writes {
@@ -169,7 +171,7 @@
         std::mem::take(&mut self.shared.lock().completed)
     }
 
-    /// Returns the age of the oldest pending write; `None` if no write is pending.
+    /// Returns the age of the oldest write without a result, since its submission; `None` if no write is pending.
     #[must_use]
     pub fn oldest_pending_age(&self, now: Instant) -> Option<Duration> {
         let state = self.shared.lock();
@@ -177,13 +179,14 @@
         Some(now.saturating_duration_since(oldest.submitted_at))
     }
 
-    /// Returns the number of pending writes.
+    /// Returns the number of writes without a result.
     #[must_use]
     pub fn pending_writes(&self) -> usize {
         self.shared.lock().pending.len()
     }
 
-    /// Returns whether a trusted store is open. Writes are rejected while there is none.
+    /// Returns whether a trusted store is open: one that this process built and read back, and to which no write has
+    /// failed. Writes are rejected after a failure, until there is one again.
     #[must_use]
     pub fn is_healthy(&self) -> bool {
         self.shared.lock().healthy
@@ -269,7 +272,7 @@
         true
     }
 
-    /// Publishes the manager's state to the host, and wakes the host if it changed.
+    /// Publishes the manager's state to the owner of the [`Storage`], and calls the waker if it changed.
     fn publish(&mut self) {
         let completed = self.manager.take_completed();
         let mut state = self.shared.lock();
--- a/crates/fernknot-storage/src/store.rs
+++ b/crates/fernknot-storage/src/store.rs
@@ -9,12 +9,12 @@
 use crate::generation::Values;
 use crate::journal;
 
-/// Name of the only keyspace; stored on disk.
+/// Name of the only keyspace, the `fjall` table that holds all values; stored on disk.
 const KEYSPACE_NAME: &str = "kept";
 /// File that every complete store has; without it `fjall` would create a new store in the directory.
 const VERSION_FILE: &str = "version";
 const CACHE_BYTES: u64 = 1 << 20;
-/// Smallest value that `fjall` accepts.
+/// Number of files that `fjall` keeps open; the smallest that it accepts.
 const MAX_CACHED_FILES: usize = 10;
 
 /// Open `fjall` store of a generation.
@@ -41,7 +41,7 @@
         Ok(Store { keyspace, database })
     }
 
-    /// Opens an existing store after repairing its journal.
+    /// Opens an existing store, after truncating its journal behind the last complete write.
     pub fn open(path: &Path) -> Result<Store, StorageError> {
         let wrap_error = StorageError::wrap(Operation::Open);
         let wrap_io_error = StorageError::wrap(Operation::Open);
--- a/crates/fernknot-storage/tests/generation_manager.rs
+++ b/crates/fernknot-storage/tests/generation_manager.rs
@@ -132,7 +132,7 @@
             let lose_all_unsynced = process.random.below(2) == 0;
             process.disk.lose_power(process.random, lose_all_unsynced);
         }
-        // Once the disk is healthy, a restart succeeds and accepts writes.
+        // Once the simulated disk no longer fails, a restart succeeds and accepts writes.
         disk.failure_interval = 0;
         let mut process = Process {
             manager: GenerationManager::new(limits()), now: Nanos(0), disk: &mut disk, random: &mut random, histories: &mut histories,
