--- a/crates/fernknot-http-api/src/connection.rs
+++ b/crates/fernknot-http-api/src/connection.rs
@@ -16,11 +16,11 @@
     Rejected,
 }
 
-/// Bug that tests seed to show that a checker detects it.
+/// Bug that tests put into a connection on purpose, to show that a checker detects it.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
-    /// Writes a reply to whichever call is pending on its connection.
+    /// Writes a reply to the call that is pending on its connection, even if the reply is meant for an earlier one.
     ReplyIgnoresCallNumber,
 }
 
@@ -59,8 +59,8 @@
         self.pending_reply.is_some()
     }
 
-    /// Reads the next request, once it is complete. An immediate response (`100 Continue` or an error) is written to
-    /// `output`.
+    /// Reads the next request, once it is complete and the previous one has been answered. An immediate response
+    /// (`100 Continue` or an error) is written to `output`.
     pub fn read_request(
         &mut self,
         input: &mut Buffer,
--- a/crates/fernknot-http-api/src/dispatcher.rs
+++ b/crates/fernknot-http-api/src/dispatcher.rs
@@ -4,9 +4,11 @@
 use crate::reply::Reply;
 use fernknot_protocol::http::Request;
 
-/// Handler of the calls of one endpoint. `S` identifies a call that is answered later.
+/// Handler of the calls of one endpoint `C`. `S` is the server's own type of identifier for a call that is answered
+/// later.
 pub trait Handler<C: Endpoint, S> {
-    /// Returns the answer, or `None` if it is sent later; `pending_call` then identifies the call.
+    /// Returns the answer, or `None` if it is sent later; the server then keeps `pending_call` to identify the call
+    /// by.
     fn handle(&mut self, call: C, pending_call: S) -> Option<C::Answer>;
 }
 
@@ -27,7 +29,7 @@
     handle: HandleFn<H, S>,
 }
 
-/// Endpoints that `H` handles.
+/// Endpoints that the server `H` handles, in the order in which they were added.
 pub struct Dispatcher<H, S> {
     routes: Vec<Route<H, S>>,
 }
--- a/crates/fernknot-http-api/src/lib.rs
+++ b/crates/fernknot-http-api/src/lib.rs
@@ -1,4 +1,5 @@
-//! Typed calls over HTTP/1.1 and JSON, for servers without sockets.
+//! Typed calls over HTTP/1.1 and JSON, for servers without sockets: the program around a server passes in the
+//! received bytes and sends the written ones.
 //!
 //! A call and its answer are a pair of types ([`Endpoint`]). The server implements a [`Handler`] for each pair, and a
 //! [`Dispatcher`] finds the endpoint of a request, parses the call and passes it to the handler. An
--- a/crates/fernknot-http-api/src/settings.rs
+++ b/crates/fernknot-http-api/src/settings.rs
@@ -13,8 +13,7 @@
     /// Creates the settings of a process with `max_connections` connections and `memory_mb` megabytes of memory, which
     /// accepts request bodies of up to `max_body_bytes`.
     ///
-    /// # Errors
-    /// Returns an error if a server needs more connections or memory.
+    /// Returns an error if a server needs more connections or memory than these.
     pub fn new(
         max_connections: usize,
         memory_mb: f64,
@@ -26,8 +25,8 @@
     }
 }
 
-/// Placeholder for the inputs of the time and count limits. Request readers use only the size limits, which do not
-/// depend on these settings.
+/// Socket settings from which the limits on times and counts are derived, all empty. A server uses only the limits on
+/// sizes, which do not depend on these settings.
 fn unused_socket_settings() -> SocketSettings {
     SocketSettings {
         use_cases: Vec::new(),
--- a/crates/fernknot-http-api/tests/callers.rs
+++ b/crates/fernknot-http-api/tests/callers.rs
@@ -30,7 +30,8 @@
     output: Buffer,
     /// Bytes that the caller has yet to send.
     unsent: VecDeque<u8>,
-    /// Names of the calls that are waiting for their replies.
+    /// Names of the calls that are waiting for their replies, oldest first. Each call has a name of its own, which
+    /// its reply repeats.
     pending_calls: VecDeque<String>,
     closing: bool,
 }
@@ -118,7 +119,7 @@
         match self.rng.below(10) {
             0..4 => self.reply_to(DelayedReply { connection: id, call, reply: named_reply(200, &name) }),
             4..7 => self.delayed.push(DelayedReply { connection: id, call, reply: named_reply(200, &name) }),
-            // The call has timed out, and its result arrives later.
+            // The call times out: it is answered with a 503, and its result arrives later.
             7..9 => {
                 self.delayed.push(DelayedReply { connection: id, call, reply: named_reply(503, &name) });
                 self.delayed.push(DelayedReply { connection: id, call, reply: named_reply(200, &name) });
--- a/crates/fernknot-rpc/src/framing.rs
+++ b/crates/fernknot-rpc/src/framing.rs
@@ -10,7 +10,7 @@
 /// Error of decoding received bytes. The connection has to be closed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Length prefix over the limit for this sender.
+    /// Length prefix over the limit that the receiver sets for messages of this sender.
     #[error("message of {length} bytes exceeds the limit of {max} bytes")]
     TooLong {
         /// Value of the length prefix, in bytes.
--- a/crates/fernknot-rpc/src/messages.rs
+++ b/crates/fernknot-rpc/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between the system's own processes. The process that opens a connection sends [`GatewayToController`]
-//! messages and receives [`ControllerToGateway`] messages.
+//! Messages between the system's own processes. The process that opens a connection (a gateway, a controller or an
+//! operator's tool) sends [`GatewayToController`] messages and receives [`ControllerToGateway`] messages.
 
 use bitcode::{Decode, Encode};
 use fernknot_ownership::{Assignment, GatewayRecord};
@@ -9,13 +9,15 @@
 
 /// Maximum number of records or identifiers in one message that carries a list.
 pub const MAX_ITEMS_PER_MESSAGE: usize = 4096;
-/// Maximum number of controllers in one heartbeat or one list of known controllers.
+/// Maximum number of controllers in one heartbeat or one list of known controllers; a receiver ignores the rest of a
+/// longer list of known controllers.
 pub const MAX_ADVERTISED_CONTROLLERS: usize = 16;
 
 /// Nodes whose records a subscriber requests. Configurations, assignments and heartbeats are sent in either case.
 ///
-/// The subscriber determines for which services it is a relay; the publisher only filters by the services named here. A
-/// later subscription on the same connection replaces the earlier one, and the publisher then sends a snapshot.
+/// The publisher (a controller or a relay) filters by the services named here, and doesn't know for which of them the
+/// subscriber is a relay itself. A later subscription on the same connection replaces the earlier one, and the
+/// publisher then sends a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Subscription {
     /// Nodes of all services.
@@ -24,7 +26,7 @@
     Services(Vec<String>),
 }
 
-/// Message from the process that opened the connection to an internal port.
+/// Message from the process that opened the connection, to the internal address of a controller or a gateway.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum GatewayToController {
     /// Subscribes a gateway to updates.
@@ -35,7 +37,7 @@
         ready: bool,
         /// Nodes whose records it requests.
         subscription: Subscription,
-        /// Revision of the gateway's configuration; 0 for none.
+        /// Revision of the control state whose configuration the gateway has; 0 for none.
         revision: u64,
     },
     /// Periodic sign of liveness from a subscriber.
@@ -52,7 +54,8 @@
     Peer(ControllerMessage),
     /// Operator's request for a report.
     Inspect(InspectionTopic),
-    /// Operator's order to form a view without controllers whose disks are permanently lost.
+    /// Operator's order to form a view, a membership of the controllers, without those whose disks are permanently
+    /// lost.
     ForceView {
         /// Addresses of the lost controllers, as the report on views shows them.
         lost: Vec<SocketAddrV4>,
@@ -69,28 +72,31 @@
         /// Failure domain of the sender.
         zone: String,
     },
-    /// Message between consensus members.
+    /// Message from the sender's consensus member to the receiver's.
     Consensus(fernknot_consensus::Message),
     /// Nodes whose changes the sender received first, or that the receiver requested.
     NodeUpdates(Vec<NodeRecord>),
-    /// Hashes of the incarnations of nodes whose heartbeats the sender received recently.
+    /// Hashes of the ids of the incarnations of nodes whose heartbeats the sender received since its last message of
+    /// this kind.
     RecentIncarnations(Vec<u64>),
-    /// Request for the records of incarnations that the sender does not know.
+    /// Request for the records of incarnations of nodes that the sender does not know, by the hashes of their ids.
     RequestNodes(Vec<u64>),
-    /// Gateways whose heartbeats the sender received recently.
+    /// Gateways whose heartbeats the sender received, itself or by a relay, since its last message of this kind.
     LiveGateways(Vec<GatewayRecord>),
     /// Notice of a gateway's graceful shutdown.
     GatewayShutDown {
         /// Incarnation of the gateway.
         incarnation: u64,
     },
-    /// Assignment of singleton roles, made by the leader.
+    /// Assignment, made by the leader: the live gateways from which the owner of each singleton role (a task of one
+    /// gateway at a time) is computed.
     Assignment(Assignment),
     /// Operator's change of the configuration, forwarded to the leader.
     ForwardChange {
         /// Incarnation of the controller that received the operator's call.
         incarnation: u64,
-        /// Number that this controller assigned to the change; the outcome repeats both.
+        /// Number that the controller that received the operator's call assigned to the change; the outcome repeats
+        /// it and `incarnation`.
         call: u64,
         /// Epoch of the configuration that the change is based on.
         base_epoch: u64,
@@ -101,7 +107,7 @@
     ChangeOutcome {
         /// Incarnation of the controller that received the operator's call.
         incarnation: u64,
-        /// Number that this controller assigned to the change.
+        /// Number that the controller that received the operator's call assigned to the change.
         call: u64,
         /// HTTP status for the operator.
         status: u16,
@@ -124,24 +130,25 @@
 /// Message from a controller or a relay to a subscriber.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControllerToGateway {
-    /// Configuration that is in force.
+    /// Routing configuration that is active at the sender.
     Config {
-        /// Position of the configuration among all that were ever in force.
+        /// Revision of the control state with this configuration; a later configuration has a higher one.
         revision: u64,
         /// Configuration for routing.
         config: RoutingConfig,
     },
     /// Records of changed nodes, or of all nodes in a snapshot.
     NodeUpdates(Vec<NodeRecord>),
-    /// End of a snapshot.
+    /// End of a snapshot: all that the subscription asked for has been sent once.
     SnapshotComplete,
-    /// Periodic message with the sender's newest versions.
+    /// Periodic message with the newest versions that the sender has.
     Heartbeat {
-        /// Incarnation of the sender.
+        /// Incarnation of the controller that the heartbeat comes from, which a relay copies.
         sender: u64,
         /// Revision of the sender's configuration.
         revision: u64,
-        /// Whether the sender is in contact with a majority of its view.
+        /// Whether the controller that the heartbeat comes from is in contact with a majority of its view and not
+        /// about to stop. A relay that can't vouch for it makes it false.
         holds_lease: bool,
         /// Number of gateways that forwarded the heartbeat; 0 from a controller.
         hops: u8,
@@ -150,7 +157,7 @@
         /// Controllers to which the subscriber may connect.
         controllers: Vec<ControllerEndpoint>,
     },
-    /// Assignment of singleton roles that is in force.
+    /// Newest assignment of singleton roles that the sender knows.
     Assignment(Assignment),
     /// Report requested by an operator, as human-readable text.
     InspectionReport(String),
@@ -163,9 +170,11 @@
 pub enum InspectionTopic {
     /// Nodes known to the process.
     Nodes,
-    /// View of the controllers.
+    /// View as a controller knows it: its members, the other controllers that vote or ask to join, and the number of
+    /// further losses that it tolerates.
     Views,
-    /// Relays that distribute updates.
+    /// Sources and subscribers of a gateway's updates; a controller reports the assignment, which determines the
+    /// relays.
     Relays,
     /// Assignment of singleton roles.
     Ownership,
--- a/crates/fernknot-rpc/src/shuffle.rs
+++ b/crates/fernknot-rpc/src/shuffle.rs
@@ -1,4 +1,5 @@
-//! Datagrams of peer sampling: decodes the received ones for the sampler, and encodes the ones it sends.
+//! Datagrams of peer sampling, in which each process periodically sends another one a sample of the processes that it
+//! knows and gets one in return: decodes the received ones for the sampler, and encodes the ones it sends.
 
 use bitcode::{Decode, Encode};
 use fernknot::interface::Nanos;
@@ -8,7 +9,7 @@
 /// Maximum number of descriptors in a datagram; a datagram with more is ignored.
 const MAX_DESCRIPTORS: usize = 32;
 
-/// Datagram of a shuffle.
+/// Datagram of a shuffle, one exchange of samples between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ShuffleDatagram {
     /// Whether the datagram replies to a shuffle of the receiver.
@@ -31,7 +32,7 @@
         ShuffleProtocol { sampler }
     }
 
-    /// Replaces the seeds after a change of the settings.
+    /// Replaces the seeds, the addresses of controllers in the settings, after a change of the settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.sampler.set_seeds(seeds);
     }
@@ -62,7 +63,7 @@
         self.sampler.wakes_at()
     }
 
-    /// Addresses at which a controller may respond: the known controllers, then the remembered seeds.
+    /// Addresses at which a controller may respond: the controllers known from samples, then the seeds.
     pub fn candidate_controllers(&self) -> Vec<SocketAddrV4> {
         self.sampler.controller_candidates()
     }
--- a/crates/fernknot-rpc/tests/wire_format.rs
+++ b/crates/fernknot-rpc/tests/wire_format.rs
@@ -14,7 +14,7 @@
 use fixtures::Fixtures;
 use samples::{addr, assignment, descriptors, gateway, nodes, routing_config};
 
-/// Limit on the length of a message that is read back.
+/// Limit in bytes on the length of a sample message that is read back.
 const MAX_MESSAGE_BYTES: usize = 1024;
 
 /// Returns the name under which a message to a controller or gateway is recorded. A new variant needs a name here, and
