--- a/crates/fernknot-consensus/src/heartbeats.rs
+++ b/crates/fernknot-consensus/src/heartbeats.rs
@@ -79,7 +79,8 @@
             || !self.is_member()
     }
 
-    /// Handles another replica's heartbeat.
+    /// Handles another replica's heartbeat: records it unless the same or a newer one of the same process is known,
+    /// and sends what the replica lacks.
     pub fn handle_heartbeat(&mut self, from: SocketAddrV4, heartbeat: PeerHeartbeat) {
         let id = heartbeat.sender.id;
         if id == self.member_id() || id == MemberId(0) {
--- a/crates/fernknot-consensus/src/lease.rs
+++ b/crates/fernknot-consensus/src/lease.rs
@@ -35,7 +35,8 @@
             && (!has_uncommitted || is_recent(self.activation.unstable_since))
     }
 
-    /// Whether this replica has run for long enough to tell that no majority of the voters is reachable.
+    /// Whether this replica reaches no majority of the voters, and has run for longer than the suspicion time-out, so
+    /// that it can tell.
     pub fn is_partitioned(&self, now: Nanos) -> bool {
         self.clock.can_detect_failures(now) && !self.view().is_majority(self.reachable_voters())
     }
--- a/crates/fernknot-consensus/src/recovery.rs
+++ b/crates/fernknot-consensus/src/recovery.rs
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Completes the recovery if a majority of the voters, including this replica, knows of no missing progress, and
-    /// each other voter is suspected. Returns the messages that were deferred.
+    /// Completes the recovery if a majority of the voters, including this replica, knows of no progress that is
+    /// missing on the disk, and each other voter is suspected. Returns the messages that were deferred until now.
     #[must_use]
     pub fn complete_recovery(&mut self) -> VecDeque<ReceivedMessage> {
         if !self.recovery.is_waiting() || !self.is_recovery_confirmed() {
--- a/crates/fernknot-consensus/src/replication.rs
+++ b/crates/fernknot-consensus/src/replication.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Records that a member has stored a change.
+    /// Records that the member `sender` has stored a change, and commits the change in flight if all members have.
     pub fn handle_replicate_ack(&mut self, sender: MemberId, view: ViewNumber, revision: Revision) {
         let stored = StatePosition { view, revision };
         self.record_progress(sender, DurableProgress { state: stored, ..DurableProgress::default() });
--- a/crates/fernknot-consensus/src/state/attempt.rs
+++ b/crates/fernknot-consensus/src/state/attempt.rs
@@ -142,7 +142,8 @@
     pub delay: Nanos,
 }
 
-/// The state of a view change.
+/// Changes of the current view, as far as this replica takes part in them: its own attempt, the schedule of the next
+/// one, and what it has seen of others'.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ViewChange {
     /// This replica's own attempt.
--- a/crates/fernknot-consensus/src/state/disk.rs
+++ b/crates/fernknot-consensus/src/state/disk.rs
@@ -11,10 +11,10 @@
 /// dropped, and the oldest of those for the next write; the protocol retransmits them.
 const MAX_DEFERRED_SENDS: usize = 64;
 
-/// The replica's disk.
+/// State of the replica's disk: what is to be written, what is durable, and the write in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Disk {
-    /// The state to be written.
+    /// State to be written, which includes all changes since the last write.
     pub state: PersistentState,
     /// Progress that is durable, according to the host's write results.
     pub durable: DurableProgress,
@@ -133,7 +133,7 @@
         self.pending_write.take_if(|write| write.write_id == write_id)
     }
 
-    /// Records that the write has succeeded.
+    /// Records that the write has succeeded. Returns what has become possible by that.
     pub fn complete_write(&mut self, write: PendingWrite) -> CompletedWrite {
         self.write_failed_at = None;
         let before = (self.durable_view(), self.durable.state.view);
--- a/crates/fernknot-consensus/src/state/heartbeat_timer.rs
+++ b/crates/fernknot-consensus/src/state/heartbeat_timer.rs
@@ -1,4 +1,4 @@
-//! Timer of heartbeats.
+//! Timer that determines when this replica sends its next heartbeats.
 
 use fernknot::interface::Nanos;
 
--- a/crates/fernknot-consensus/src/state/peers.rs
+++ b/crates/fernknot-consensus/src/state/peers.rs
@@ -8,12 +8,13 @@
 use super::clock::Clock;
 use crate::types::{Member, MemberId, PeerHeartbeat, StatePosition, View};
 
-/// Maximum number of peers that are tracked.
+/// Maximum number of other replicas that are tracked; beyond it, heartbeats of new ones replace the non-voter with
+/// the oldest heartbeat.
 pub(crate) const MAX_PEERS: usize = 32;
 /// Maximum number of addresses that are kept.
 const MAX_ADDRESSES: usize = 2 * MAX_PEERS;
 
-/// State of another replica.
+/// State of another replica, which has sent at least one heartbeat to this process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     /// Its newest heartbeat.
@@ -24,7 +25,7 @@
     pub newest_echo_sent_at: Option<Nanos>,
     /// Position of the newest state on its disk. Acknowledgements may advance it ahead of the heartbeats.
     pub stored: StatePosition,
-    /// Time until which it is left out of the next view, because it did not store a state in time.
+    /// Time until which it is left out of the next view, because it did not store a state that it was sent.
     pub excluded_until: Nanos,
     /// Time at which the newest state was last sent to it.
     pub state_sent_at: Option<Nanos>,
--- a/crates/fernknot-consensus/src/state/replication.rs
+++ b/crates/fernknot-consensus/src/state/replication.rs
@@ -46,7 +46,7 @@
 pub(crate) struct Replication {
     /// The newest revision known to be committed.
     pub commit_revision: Revision,
-    /// The newest state that was delivered.
+    /// Newest state that this process has delivered to the host; `None` before the first.
     pub delivered: Option<DeliveredState>,
     pub pending: Option<PendingChange>,
     pub queued: VecDeque<QueuedChange>,
--- a/crates/fernknot-consensus/src/types/action.rs
+++ b/crates/fernknot-consensus/src/types/action.rs
@@ -25,9 +25,9 @@
 pub enum Action {
     /// Send a message; it may be lost.
     Send {
-        /// The receiver.
+        /// Address on which the receiving replica listens for others.
         to: SocketAddrV4,
-        /// The message.
+        /// Message to pass to `handle_message` of the receiving replica.
         message: Message,
     },
     /// Write to disk and sync, then call [`Consensus::handle_write_result`](crate::Consensus::handle_write_result).
@@ -42,11 +42,13 @@
     /// A committed state. Every member delivers states in the same order. After a start, the newest one is delivered
     /// once the view is active.
     Deliver {
-        /// The active view.
+        /// Number of the active view in which the state is delivered.
         view: ViewNumber,
-        /// The state's revision.
+        /// Revision of the state, higher than that of any state that this process has delivered under the same member
+        /// id.
         revision: Revision,
-        /// The complete state.
+        /// Complete state, as passed to [`Consensus::propose`](crate::Consensus::propose); empty before the first
+        /// change.
         state: Arc<[u8]>,
     },
     /// The change is on the disk of every member of its view, or of the next view, whose first state includes it: no
@@ -54,7 +56,7 @@
     Committed {
         /// The id that was passed to [`Consensus::propose`](crate::Consensus::propose).
         change_id: u64,
-        /// The change's revision.
+        /// Revision that the change was assigned.
         revision: Revision,
     },
     /// The change is not committed and never will be. The outcome of a change that gets neither this nor
@@ -65,7 +67,7 @@
     },
     /// This replica is a member of the view, and the view is active.
     ViewActivated {
-        /// The active view.
+        /// The view with its members, the leader first.
         view: View,
     },
     /// This replica is no longer a member of the view. It keeps asking to join again without the host's help.
@@ -73,9 +75,9 @@
     /// The disk was outdated, or a forced view has excluded it: this replica continues under a new id with an empty
     /// disk, and asks to join.
     IdentityReplaced {
-        /// The id that is no longer valid.
+        /// Id that this replica had until now, and will not use again.
         previous: MemberId,
-        /// The id to use from here on.
+        /// Id that this replica uses from here on; the next [`Action::Persist`] stores it.
         current: MemberId,
     },
     /// After the read index was requested, a majority of the voters was in the view and not changing it. All that was
@@ -86,7 +88,7 @@
     },
     /// Request to call [`Consensus::poll_action`](crate::Consensus::poll_action) again after `after` at the latest.
     Wake {
-        /// Time from the call that returned this action.
+        /// Time from the `now` of the call that returned this action.
         after: Nanos,
     },
 }
--- a/crates/fernknot-consensus/src/types/message.rs
+++ b/crates/fernknot-consensus/src/types/message.rs
@@ -1,7 +1,8 @@
 //! Messages between replicas. Any of them may be lost, duplicated, delayed or reordered.
 //!
 //! The incarnation of a process, which many messages carry, is a random number drawn at the start of the process. It
-//! has nothing to do with the incarnation of a disk, which [`MemberId`] identifies.
+//! has nothing to do with the incarnation of a disk, which [`MemberId`] identifies. An attempt is one proposer's try
+//! to have the next view chosen, in two phases of Paxos; its number is a [`ProposalNumber`].
 
 use std::sync::Arc;
 
@@ -23,7 +24,7 @@
 /// Status that a replica reports at every heartbeat interval, and earlier after a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct PeerHeartbeat {
-    /// The replica that reports.
+    /// Id, address and zone of the replica that reports.
     pub sender: Member,
     /// The last chosen view that is durable on its disk.
     pub view: ViewNumber,
@@ -65,9 +66,9 @@
     Heartbeat(PeerHeartbeat),
     /// Response to a recovering replica (RECOVERYRESPONSE in VR Revisited, section 4.3).
     RecoveryResponse {
-        /// The replica that responds.
+        /// Id, address and zone of the replica that responds.
         sender: Member,
-        /// The disk of the recovering replica.
+        /// Id of the recovering replica, and so of the disk that the progress is about.
         member_id: MemberId,
         /// Incarnation of the recovering process.
         incarnation: u64,
@@ -76,37 +77,37 @@
     },
     /// A later view, for a replica that knows only an older one.
     NewerView {
-        /// The later view.
+        /// Newest view that the sender knows to be chosen.
         chosen: ChosenView,
     },
     /// The newest state, for a member of the view that lacks it (NEWSTATE in VR Revisited, section 5.2).
     StateTransfer {
         /// The view that the state belongs to.
         chosen: ChosenView,
-        /// The state's revision.
+        /// Revision of the state.
         revision: Revision,
-        /// The complete state.
+        /// Complete state at `revision`.
         state: Arc<[u8]>,
     },
-    /// The leader's next change.
+    /// The leader's next change, to be stored and acknowledged by a member; sent again until it is acknowledged.
     Replicate {
-        /// The leader's view.
+        /// Number of the view in which the sender leads.
         view: ViewNumber,
         /// The change's revision.
         revision: Revision,
         /// The complete state after the change.
         state: Arc<[u8]>,
     },
-    /// The sender has the change on disk.
+    /// Acknowledgement that the sender has the change, or a later one, on disk.
     ReplicateAck {
-        /// The member that has stored the change.
+        /// Id of the member that has stored the change.
         sender: MemberId,
         /// The view of the change.
         view: ViewNumber,
         /// The change's revision.
         revision: Revision,
     },
-    /// All members have the change on disk.
+    /// Notice of the leader that all members have the change on disk, so that it can be delivered.
     Commit {
         /// The view of the change.
         view: ViewNumber,
@@ -115,7 +116,7 @@
     },
     /// Paxos phase 1: request to prepare the change of `current` under this number.
     Prepare {
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view to be changed.
         current: ChosenView,
@@ -124,9 +125,9 @@
     },
     /// The sender has prepared, and stores no more changes in `view`.
     Prepared {
-        /// The voter.
+        /// Id, address and zone of the voter that has prepared.
         sender: Member,
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view to be changed.
         view: ViewNumber,
@@ -141,12 +142,12 @@
     Rejected {
         /// The view to be changed.
         view: ViewNumber,
-        /// The higher number.
+        /// Highest number that the sender has prepared in the change of `view`.
         prepared: ProposalNumber,
     },
     /// Paxos phase 2: request to accept the next view and its first state.
     Accept {
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view to be changed.
         current: ChosenView,
@@ -159,16 +160,16 @@
     },
     /// The sender has written the next view to disk under this number.
     Accepted {
-        /// The voter or joining member.
+        /// Voter of `view`, or replica that joins with the next view, that has written the next view.
         sender: Member,
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view to be changed.
         view: ViewNumber,
     },
-    /// The next view is chosen.
+    /// Notice of the proposer that the next view is chosen, to the voters and the members of the next view.
     Chosen {
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view that was changed.
         view: ViewNumber,
@@ -178,7 +179,7 @@
     /// Request to confirm that the receiver is in this view and not changing it (the round of heartbeats of Raft's read
     /// index, section 6.4 of Ongaro's thesis).
     ReadIndexRequest {
-        /// The requester's view.
+        /// Number of the requester's view, which the receiver is to confirm.
         view: ViewNumber,
         /// Incarnation of the requesting process.
         incarnation: u64,
@@ -187,7 +188,7 @@
     },
     /// Confirmation that, after the request was sent, the sender was in the view and not changing it.
     ReadIndexResponse {
-        /// The voter.
+        /// Id of the voter that confirms.
         sender: MemberId,
         /// The view of the request.
         view: ViewNumber,
--- a/crates/fernknot-consensus/src/types/persistent_state.rs
+++ b/crates/fernknot-consensus/src/types/persistent_state.rs
@@ -21,7 +21,7 @@
 pub struct AcceptedView {
     /// The number under which it was accepted.
     pub proposal: ProposalNumber,
-    /// The next view.
+    /// The accepted next view, with the starts of the views before it.
     pub next: ChosenView,
     /// The revision of the next view's first state.
     pub revision: Revision,
@@ -55,7 +55,7 @@
     pub prepared: ProposalInView,
     /// The highest proposal number under which it accepted a next view.
     pub accepted: ProposalInView,
-    /// The newest state.
+    /// Position of the newest state that it stores.
     pub state: StatePosition,
 }
 
@@ -80,16 +80,16 @@
 /// Lower bound on the progress of another member's disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct KnownProgress {
-    /// The member.
+    /// Id of the member, and so of the disk that the progress is about.
     pub member: MemberId,
-    /// The progress of its disk.
+    /// Progress that the member's disk has at least made, unless it lost writes.
     pub progress: DurableProgress,
 }
 
 /// Everything that a replica stores on disk. The host writes it atomically and returns it at the next start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct PersistentState {
-    /// The id under which this was written.
+    /// Id of the replica that wrote this; the content is ignored at a start under another id.
     pub member_id: MemberId,
     /// The last view known to be chosen.
     pub chosen: ChosenView,
@@ -102,7 +102,8 @@
     pub state_view: ViewNumber,
     /// The revision of `state`.
     pub revision: Revision,
-    /// The newest complete state.
+    /// Complete state at `revision`: the newest that this replica has stored, apart from that of an accepted next
+    /// view.
     pub state: Arc<[u8]>,
     /// Progress of the voters' disks, as known to this replica when this was written.
     pub known_progress: Vec<KnownProgress>,
--- a/crates/fernknot-consensus/src/types/status.rs
+++ b/crates/fernknot-consensus/src/types/status.rs
@@ -29,11 +29,11 @@
 /// Status of a replica that votes in the view or asks to join.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaStatus {
-    /// The replica.
+    /// Id, address and zone of the replica, as the view or its own heartbeat names them.
     pub member: Member,
     /// Whether it is a member of the view, which stores every change.
     pub is_member: bool,
-    /// Whether it votes on the next view.
+    /// Whether it votes on the next view, as a member or as a dropped one that kept its vote.
     pub is_voter: bool,
     /// Reason for which it is not counted; `None` if it is.
     pub ineligibility: Option<Ineligibility>,
@@ -42,9 +42,10 @@
 /// The state of the view, as one replica sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ViewStatus {
-    /// The last view known to be chosen.
+    /// Number of the last view known to be chosen; 0 before the founding.
     pub number: ViewNumber,
-    /// Whether changes are accepted in it.
+    /// Whether the view is active here: this replica is a member, knows that changes can be committed in the view,
+    /// and has not prepared a change of it.
     pub active: bool,
     /// The voters, followed by the replicas that ask to join.
     pub replicas: Vec<ReplicaStatus>,
--- a/crates/fernknot-consensus/src/types/view.rs
+++ b/crates/fernknot-consensus/src/types/view.rs
@@ -5,7 +5,7 @@
 
 use super::member::{Member, MemberId};
 
-/// Maximum number of members of a view.
+/// Maximum number of members of a view; larger views in received messages are rejected.
 pub(crate) const MAX_MEMBERS: usize = 9;
 /// Maximum number of view starts that a chosen view carries.
 pub(crate) const MAX_VIEW_STARTS: usize = 32;
@@ -103,7 +103,7 @@
     }
 }
 
-/// The revision at which a view began.
+/// Beginning of a view, as a revision: changes of the view have higher ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct ViewStart {
     /// The view that began.
--- a/crates/fernknot-consensus/src/view_activation.rs
+++ b/crates/fernknot-consensus/src/view_activation.rs
@@ -1,5 +1,6 @@
 //! Adoption of a chosen view, its activation once all members have stored it, and the outcome of changes that were in
-//! flight meanwhile. Also the new identity of a replica whose disk is no longer valid.
+//! flight when the view before it ended. Also the new identity of a replica whose disk is outdated or excluded by a
+//! forced view.
 
 use std::mem;
 
--- a/crates/fernknot-consensus/src/view_change/planning.rs
+++ b/crates/fernknot-consensus/src/view_change/planning.rs
@@ -66,8 +66,8 @@
 }
 
 impl Replica {
-    /// Whether the peer could store changes as a member: it is reachable, its disk is healthy, it has not been too
-    /// slow, and its recovery doesn't take too long.
+    /// Whether the peer could store changes as a member: it is reachable, its disk is healthy and not replaced, it is
+    /// not left out for being slow, and it has not been recovering for more than two suspicion time-outs.
     pub fn is_eligible(&self, peer: &Peer) -> bool {
         self.is_reachable(peer)
             && peer.heartbeat.disk_healthy
--- a/crates/fernknot-consensus/src/view_change/proposer.rs
+++ b/crates/fernknot-consensus/src/view_change/proposer.rs
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Retransmits requests without a response, and abandons an attempt whose phase takes too long.
+    /// Retransmits requests without a response, and abandons an attempt that has been in the joining or preparing
+    /// phase for more than one suspicion time-out, or in the accepting phase for more than two.
     pub fn tick_attempt(&mut self) {
         let Some(phase) = self.view_change.attempt.as_ref().map(|attempt| attempt.phase) else { return };
         match phase {
@@ -165,7 +166,8 @@
         self.send_phase_requests();
     }
 
-    /// Leaves replicas that didn't join in time out of the next views for a while.
+    /// Leaves replicas that were to join and have not accepted the next view out of further views, for two suspicion
+    /// time-outs.
     fn exclude_absent_joiners(&mut self) {
         let Some(attempt) = &self.view_change.attempt else { return };
         let Some(next_view) = &attempt.next_view else { return };
--- a/crates/fernknot-consensus/src/view_change/schedule.rs
+++ b/crates/fernknot-consensus/src/view_change/schedule.rs
@@ -159,7 +159,7 @@
     }
 
     /// Whether the next view has to leave out the member: it is suspected, its disk is unhealthy, it was slow to
-    /// store a state, or its recovery takes too long.
+    /// store a state, or it has been recovering for more than two suspicion time-outs.
     fn is_lost(&self, member: &Member) -> bool {
         if self.is_me(member) {
             return false;
