--- a/crates/fernknot-controller/src/action.rs
+++ b/crates/fernknot-controller/src/action.rs
@@ -11,9 +11,9 @@
 /// connection, because another call may be pending on the same connection by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PendingCall {
-    /// Host's identifier of the connection.
+    /// Host's identifier of the connection over which the call was received.
     pub connection: u64,
-    /// Number of the call on that connection.
+    /// Number of the call on that connection, counted from 1.
     pub call: u64,
 }
 
@@ -26,16 +26,16 @@
 pub enum Action {
     /// Write the reply to an HTTP call.
     Reply {
-        /// Call to reply to.
+        /// Call to reply to; if its caller has disconnected, the reply is dropped.
         call: PendingCall,
-        /// Status, headers and body.
+        /// HTTP status, headers and body to write.
         reply: Reply,
     },
     /// Send a message to another controller, over the connection opened to it.
     Send {
         /// Internal address of the controller.
         to: SocketAddrV4,
-        /// Message to send.
+        /// Message to encode with `fernknot-rpc` and send.
         message: ControllerMessage,
     },
     /// Send one message to several subscribers.
@@ -59,21 +59,22 @@
     Store {
         /// Identifier of the write, passed back with its result.
         write_id: WriteId,
-        /// State that replaces the one on disk.
+        /// Complete state of the consensus member, which replaces the one on disk.
         state: PersistentState,
     },
     /// Replace the stored addresses of other controllers. The controller does not wait for the write.
     StoreKnownPeers {
-        /// Internal addresses of other controllers.
+        /// Internal addresses of all other controllers that this one knows; they are passed to the next
+        /// `disk_loaded`.
         addrs: Vec<SocketAddrV4>,
     },
     /// Write a line to the process log.
     Log {
-        /// Severity.
+        /// Severity, by which the log may leave the line out.
         level: Level,
         /// Component that the line is about, one of [`fernknot_telemetry::component`].
         target: &'static str,
-        /// Text of the line.
+        /// Text of the line, without a line break at its end.
         text: String,
     },
 }
--- a/crates/fernknot-controller/src/calls.rs
+++ b/crates/fernknot-controller/src/calls.rs
@@ -7,7 +7,7 @@
 
 /// HTTP status codes, also used in messages between controllers.
 pub mod status {
-    /// The call succeeded.
+    /// The call succeeded: what it asked for is recorded, committed or in the body.
     pub const OK: u16 = 200;
     /// The request is invalid, or its epoch is not above the active one.
     pub const BAD_REQUEST: u16 = 400;
@@ -19,7 +19,8 @@
     pub const SERVICE_UNAVAILABLE: u16 = 503;
 }
 
-/// Reason in a 503 reply while no majority is reachable.
+/// Reason in a 503 reply of a controller that reaches no majority of the voters, or to a drain that none confirmed in
+/// time.
 pub const NO_QUORUM_REASON: &str = "cut off from the others; ask another";
 /// Maximum length of a node's identifier, in bytes.
 const MAX_NODE_ID_BYTES: usize = 200;
@@ -44,9 +45,9 @@
     pub heartbeat: NodeHeartbeat,
 }
 
-/// Outcome of a node's call.
+/// Outcome of a node's heartbeat or deregistration.
 pub enum NodeCallOutcome {
-    /// Recorded by this controller only.
+    /// Recorded by this controller, without waiting for the others.
     Recorded,
     /// A majority has recorded that the node drains or is gone.
     DrainConfirmed(QuorumEvidence),
@@ -74,7 +75,7 @@
     }
 }
 
-/// Deregistration of a node.
+/// Deregistration of a node: its incarnation ends for good.
 pub struct Deregister {
     /// Identifier of the node's incarnation.
     pub id: String,
@@ -102,7 +103,7 @@
     pub body: Vec<u8>,
 }
 
-/// Outcome of an operator's change.
+/// Outcome of an operator's change. The texts are reasons for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
     /// Committed, by this call or an earlier one.
@@ -227,10 +228,10 @@
     }
 }
 
-/// A request for the counters.
+/// Request for the counters and gauges of this controller.
 pub struct ReadCounters;
 
-/// All counters and gauges, as JSON.
+/// Counters and gauges of this controller, as a JSON object.
 pub struct CountersReport(pub String);
 
 impl From<CountersReport> for Reply {
--- a/crates/fernknot-controller/src/change.rs
+++ b/crates/fernknot-controller/src/change.rs
@@ -25,11 +25,11 @@
 pub struct ForwardedCallId {
     /// Incarnation of the controller that received the call.
     pub incarnation: u64,
-    /// Number of the change at that controller.
+    /// Number that the controller that received the call assigned to the change.
     pub call: u64,
 }
 
-/// Stage of a pending change.
+/// Stage of a pending change: what happens to it next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeStage {
     /// Waiting for a leader to be known, or for another change to finish.
@@ -42,7 +42,7 @@
     AwaitingQuorum,
 }
 
-/// A pending change.
+/// Change of the routing configuration that has no outcome yet.
 #[derive(Clone, Debug)]
 pub struct ConfigChange {
     /// Number of the change at this controller, unique within this incarnation.
@@ -76,9 +76,9 @@
 /// Result of comparing a change with the active control state.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChangeAssessment {
-    /// The change was committed earlier.
+    /// The history lists the change as committed; the call is a retry.
     AlreadyCommitted(QuorumEvidence),
-    /// The change may be proposed.
+    /// The change builds on the active version with a higher epoch, so it may be proposed.
     Propose,
     /// The change builds on a version other than the active one. May be replied only after a majority has confirmed
     /// the active version.
--- a/crates/fernknot-controller/src/consensus_driver.rs
+++ b/crates/fernknot-controller/src/consensus_driver.rs
@@ -11,7 +11,7 @@
 /// Consensus member of this controller, absent until the disk has been read.
 pub struct ConsensusDriver {
     member: Option<Consensus>,
-    /// Time of the next poll.
+    /// Time of the next poll: at once after an input, otherwise `wake_at`.
     next_poll: Nanos,
     /// Time at which the member last asked to be polled if no input arrives.
     wake_at: Nanos,
@@ -54,7 +54,7 @@
         self.input(now, |member| member.handle_write_result(now, write_id, ok));
     }
 
-    /// Sets whether the member may accept state to store.
+    /// Sets whether the member may store further states: the disk is healthy, and no shutdown is in progress.
     pub fn set_disk_healthy(&mut self, now: Nanos, healthy: bool) {
         self.input(now, |member| member.set_disk_healthy(now, healthy));
     }
@@ -78,7 +78,7 @@
         self.member.as_mut().is_some_and(|member| !member.is_partitioned(now) && member.read_index(now, id))
     }
 
-    /// Cancels a request for a confirmation.
+    /// Cancels a request that [`read_index`](Self::read_index) began; nothing is reported for it.
     pub fn cancel_read_index(&mut self, id: ReadIndexId) {
         if let Some(member) = &mut self.member {
             member.cancel_read_index(id);
@@ -123,7 +123,7 @@
         self.member.as_ref().map(|_| self.next_poll)
     }
 
-    /// Whether there is a member to drive.
+    /// Whether there is a member to drive: the disk has been read.
     pub fn is_started(&self) -> bool {
         self.member.is_some()
     }
--- a/crates/fernknot-controller/src/control_state.rs
+++ b/crates/fernknot-controller/src/control_state.rs
@@ -22,12 +22,12 @@
     pub digest: u64,
 }
 
-/// State that the controllers agree on.
+/// State that the controllers agree on, encoded as the state of `fernknot-consensus`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ControlState {
     /// Active epoch; 0 before the first configuration.
     pub epoch: u64,
-    /// Configuration as its operator sent it.
+    /// Active configuration as its operator sent it; empty before the first.
     pub body: Vec<u8>,
     /// Most recently committed versions, oldest first.
     pub history: Vec<CommittedVersion>,
@@ -100,12 +100,12 @@
     }
 }
 
-/// The active configuration, parsed.
+/// Control state that was delivered last, with its configuration parsed.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
     /// Revision of the control state; 0 before the first one is delivered.
     pub revision: u64,
-    /// Control state as delivered.
+    /// Control state as the consensus member delivered it; the default before that.
     pub state: ControlState,
     /// Shared copy of the body, so that replies need no copy per caller.
     pub body: Arc<[u8]>,
@@ -119,7 +119,7 @@
         ActiveConfig { revision: 0, state: ControlState::default(), body: Arc::from([]), config: None }
     }
 
-    /// Parses a delivered state.
+    /// Decodes a delivered state and parses its configuration.
     pub fn parse(revision: u64, state: &[u8]) -> Result<ActiveConfig, ActivationError> {
         let state = ControlState::decode(state)?;
         let config = match state.body.is_empty() {
--- a/crates/fernknot-controller/src/controller/changes.rs
+++ b/crates/fernknot-controller/src/controller/changes.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Advances every queued change by one step where possible.
+    /// Advances every queued change by one step where possible, and carries out the resulting steps.
     pub(super) fn advance_changes(&mut self) {
         if !self.consensus.is_started() {
             return;
@@ -142,7 +142,8 @@
         Leadership { is_local: self.consensus.is_leader(), remote }
     }
 
-    /// Activates a state that the consensus member delivered.
+    /// Activates a state that the consensus member delivered: finishes the changes that it lists as committed, and
+    /// sends it to the subscribers that lack it. A state that can't be parsed is logged and ignored.
     pub(super) fn activate_config(&mut self, revision: Revision, state: &[u8]) {
         let config = match ActiveConfig::parse(revision.0, state) {
             Ok(config) => config,
--- a/crates/fernknot-controller/src/controller/consensus_events.rs
+++ b/crates/fernknot-controller/src/controller/consensus_events.rs
@@ -67,7 +67,7 @@
                 );
             }
             ConsensusAction::IdentityReplaced { .. } => self.identity_replaced(),
-            // Handled by the driver.
+            // `ConsensusDriver::poll_action` handles this action and never returns it.
             ConsensusAction::Wake { .. } => {}
         }
     }
--- a/crates/fernknot-controller/src/controller/inspection.rs
+++ b/crates/fernknot-controller/src/controller/inspection.rs
@@ -17,7 +17,7 @@
     /// The disk has not been read yet, so there is no consensus member.
     #[error("the disk has not been read yet")]
     DiskNotRead,
-    /// The consensus member rejects the request.
+    /// The consensus member rejects the request, for this reason.
     #[error(transparent)]
     Consensus(#[from] ForceViewError),
 }
--- a/crates/fernknot-controller/src/controller/publication.rs
+++ b/crates/fernknot-controller/src/controller/publication.rs
@@ -84,7 +84,7 @@
         self.subscribers.notify_all(message, &mut self.actions);
     }
 
-    /// Sends a heartbeat to all subscribers.
+    /// Sends all subscribers a heartbeat with this controller's newest versions and whether it holds the lease.
     pub(super) fn send_heartbeats(&mut self) {
         let subscribers = self.subscribers.ids();
         if !subscribers.is_empty() {
--- a/crates/fernknot-controller/src/controller/quorum.rs
+++ b/crates/fernknot-controller/src/controller/quorum.rs
@@ -54,7 +54,7 @@
     pub(super) fn quorum_unavailable(&mut self, waiter: QuorumWaiter) {
         self.counters.add(counter::READ_INDEXES_UNCONFIRMED, 1);
         match waiter {
-            // Ends by its own deadline, or when it is abandoned.
+            // The change ends by its own deadline, or when no majority is reachable.
             QuorumWaiter::ConfigChange(_) => {}
             QuorumWaiter::ReadConfig(call) => self.actions.reply(call, ReadConfigOutcome::Unavailable),
             QuorumWaiter::Readiness(call) => self.actions.reply(call, ReadinessOutcome(None)),
--- a/crates/fernknot-controller/src/controller/schedule.rs
+++ b/crates/fernknot-controller/src/controller/schedule.rs
@@ -1,4 +1,4 @@
-//! Polling by the host, and the work that is due by time.
+//! Polling of the controller by its host, and the work that is due by time.
 
 use super::state::Controller;
 use crate::action::Action;
--- a/crates/fernknot-controller/src/disk.rs
+++ b/crates/fernknot-controller/src/disk.rs
@@ -19,14 +19,15 @@
 const MAX_PENDING_WRITES: usize = 8;
 /// Delay between two attempts to read the directory.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Identifier of writes whose completion is not reported.
+/// Identifier of the writes of addresses, whose completion is not reported to the controller.
 const UNTRACKED_WRITE_ID: u64 = u64::MAX;
 
-/// State read from disk at start.
+/// State read from the disk at the start of the process.
 pub struct RecoveredState {
     /// State of the consensus member, if it can be decoded.
     pub consensus: Option<PersistentState>,
-    /// Internal addresses of other controllers.
+    /// Internal addresses of other controllers that an earlier process knew; empty if there are none or they can't be
+    /// decoded.
     pub known_peers: Vec<SocketAddrV4>,
     /// Whether no consensus state was stored, decodable or not.
     pub is_empty: bool,
@@ -41,7 +42,7 @@
     Absent(Vec<WriteId>),
 }
 
-/// Disk of a controller.
+/// Data directory of a controller, as the event loop uses it: no call waits for the disk.
 pub struct Disk {
     state: DiskState,
     /// Age of a pending write above which the disk is unhealthy.
@@ -79,7 +80,7 @@
         Some(recovered)
     }
 
-    /// Whether the controller runs without a disk.
+    /// Whether the controller runs without a data directory.
     pub fn is_absent(&self) -> bool {
         matches!(self.state, DiskState::Absent(_))
     }
--- a/crates/fernknot-controller/src/evidence.rs
+++ b/crates/fernknot-controller/src/evidence.rs
@@ -22,7 +22,7 @@
     ConfirmedByMajority,
     /// Another controller replied, which had evidence of its own.
     ReportedByPeer,
-    /// No evidence: a seeded bug.
+    /// No evidence: a seeded bug replies without asking a majority.
     SeededBug,
 }
 
--- a/crates/fernknot-controller/src/host/connections.rs
+++ b/crates/fernknot-controller/src/host/connections.rs
@@ -22,7 +22,7 @@
     OutboundPeer(SocketAddrV4),
 }
 
-/// A connection.
+/// Connection of the host in either direction, accepted or opened.
 pub struct Connection {
     /// Role of the process at the other end.
     pub role: ConnectionRole,
--- a/crates/fernknot-controller/src/host/events.rs
+++ b/crates/fernknot-controller/src/host/events.rs
@@ -52,7 +52,8 @@
         match connection.role {
             ConnectionRole::HttpCaller(_) => self.handle_http_input(id),
             ConnectionRole::InboundInternal(_) => self.handle_internal_input(now, id),
-            // Peers send nothing over connections that this host opened.
+            // Controllers send only over connections that they opened themselves, so this is a violation of the
+            // protocol.
             ConnectionRole::OutboundPeer(_) => self.connection_closed(now, id),
         }
     }
--- a/crates/fernknot-controller/src/host/limits.rs
+++ b/crates/fernknot-controller/src/host/limits.rs
@@ -20,10 +20,10 @@
 /// in bytes.
 pub const MAX_UNIDENTIFIED_MESSAGE_BYTES: usize = MESSAGE_OVERHEAD_BYTES;
 
-/// Limits of one host.
+/// Limits of one host, fixed at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct HostLimits {
-    /// Maximum number of connections of all kinds.
+    /// Maximum number of connections of all kinds: the file descriptors that are not reserved.
     pub max_connections: usize,
     /// Maximum size of a configuration, in bytes.
     pub max_config_bytes: usize,
@@ -48,7 +48,7 @@
         self.max_message_bytes + MESSAGE_LENGTH_BYTES
     }
 
-    /// Maximum number of bytes pending to be written on one connection.
+    /// Maximum number of bytes pending to be written on one connection; with more, the connection is closed.
     pub fn max_output_bytes(&self) -> usize {
         2 * self.max_message_bytes + OUTPUT_SLACK_BYTES
     }
--- a/crates/fernknot-controller/src/host/run.rs
+++ b/crates/fernknot-controller/src/host/run.rs
@@ -1,4 +1,4 @@
-//! The main loop of the host.
+//! Main loop of the host: polls the disk, executes actions, and waits for network events and due times.
 
 use crate::host::settings::{contact_timeout, duration, seed_addrs, settings_check_interval};
 use crate::host::state::Host;
--- a/crates/fernknot-controller/src/host/settings.rs
+++ b/crates/fernknot-controller/src/host/settings.rs
@@ -50,7 +50,7 @@
 
 impl Error for UnsuitableSettings {}
 
-/// Checks the requirements of a controller.
+/// Checks whether valid process settings are suitable for a controller.
 ///
 /// # Errors
 /// All unsuitable settings.
@@ -110,7 +110,7 @@
     Nanos::from_millis(settings.bounds.contact_ms)
 }
 
-/// Converts a duration to the type of the standard library.
+/// Converts a duration to the type of the standard library, as the event loop and the disk take it.
 pub fn duration(nanos: Nanos) -> Duration {
     Duration::from_nanos(nanos.0)
 }
--- a/crates/fernknot-controller/src/ownership.rs
+++ b/crates/fernknot-controller/src/ownership.rs
@@ -40,7 +40,7 @@
         self.is_assigned().then(|| ControllerToGateway::Assignment(self.assignment.clone()))
     }
 
-    /// Whether an assignment is known.
+    /// Whether an assignment was made or learned since the start of the process.
     pub fn is_assigned(&self) -> bool {
         self.assignment.fencing_token != FencingToken::default()
     }
@@ -72,7 +72,7 @@
         self.is_stale = true;
     }
 
-    /// Records the planned shutdown of a gateway.
+    /// Records the planned shutdown of a gateway, which is no longer live from now on.
     pub fn record_shutdown(&mut self, now: Nanos, incarnation: IncarnationId) {
         self.assigner.record_shutdown(now, incarnation);
         self.is_stale = true;
@@ -104,7 +104,7 @@
         is_newer
     }
 
-    /// Replaces the newest known assignment.
+    /// Replaces the newest known assignment, which this controller has made or learned.
     pub fn replace(&mut self, assignment: Assignment) {
         self.assignment = assignment;
     }
--- a/crates/fernknot-controller/src/peers.rs
+++ b/crates/fernknot-controller/src/peers.rs
@@ -8,18 +8,18 @@
 /// Maximum number of known addresses; the one without a message for the longest time is evicted first.
 const MAX_KNOWN_PEERS: usize = 32;
 
-/// State of the connection to a controller.
+/// State of the connection that this controller opens to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
     /// Closed, to be opened at `retry_at`, after a delay of `backoff`.
     Down { retry_at: Nanos, backoff: Nanos },
     /// Being opened; aborted at `deadline` if there is no response.
     Connecting { since: Nanos, deadline: Nanos },
-    /// Open.
+    /// Open: messages can be sent.
     Up,
 }
 
-/// Another controller.
+/// Another controller, known by its internal address.
 #[derive(Clone, Debug)]
 struct Peer {
     link: LinkState,
@@ -28,7 +28,7 @@
     last_received_at: Option<Nanos>,
 }
 
-/// All other controllers with known addresses.
+/// All other controllers with known internal addresses, at most `MAX_KNOWN_PEERS`.
 #[derive(Debug)]
 pub struct Peers {
     local_addr: SocketAddrV4,
--- a/crates/fernknot-controller/src/pending_changes.rs
+++ b/crates/fernknot-controller/src/pending_changes.rs
@@ -23,7 +23,7 @@
 /// Leader of the view, as known to this controller.
 #[derive(Clone, Copy, Debug)]
 pub struct Leadership {
-    /// Whether this controller leads.
+    /// Whether this controller leads the active view, and so may propose.
     pub is_local: bool,
     /// Address of the leader, if it is another controller to which a connection is up.
     pub remote: Option<SocketAddrV4>,
@@ -32,9 +32,9 @@
 /// A control state to propose to the consensus member.
 #[derive(Debug)]
 pub struct Proposal {
-    /// Number of the change.
+    /// Number of the change at this controller, which its outcome repeats.
     pub change_id: u64,
-    /// Revision on which the state builds.
+    /// Revision of the control state that `state` is to follow.
     pub base: Revision,
     /// Encoded control state.
     pub state: Vec<u8>,
@@ -49,11 +49,11 @@
     pub forwarded: Vec<(SocketAddrV4, ControllerMessage)>,
     /// Numbers and deadlines of the changes whose rejection a majority has to confirm.
     pub awaiting_quorum: Vec<(u64, Nanos)>,
-    /// Proposal of this controller, if it leads.
+    /// Proposal for this controller's consensus member; at most one is in flight.
     pub proposal: Option<Proposal>,
 }
 
-/// Next step of one change.
+/// Next step of one queued change, by its assessment and by who leads.
 enum NextStep {
     /// Keep the change queued.
     Wait,
@@ -116,7 +116,8 @@
         true
     }
 
-    /// Advances every queued change by one step where possible.
+    /// Assesses every queued change whose time has come, and advances it by one step where possible. Returns what the
+    /// controller has to do.
     pub fn advance(
         &mut self,
         now: Nanos,
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Queues a change again for which no majority could be asked.
+    /// Queues the change `id` again, for which no majority could be asked, to be tried after `RETRY_DELAY`.
     pub fn requeue(&mut self, now: Nanos, id: u64) {
         for change in self.changes.iter_mut().filter(|change| change.id == id) {
             change.requeue(now + RETRY_DELAY);
--- a/crates/fernknot-controller/src/read_index.rs
+++ b/crates/fernknot-controller/src/read_index.rs
@@ -6,16 +6,16 @@
 use fernknot_consensus::ReadIndexId;
 use std::collections::BTreeMap;
 
-/// Recipient of a majority's confirmation.
+/// Call or change that a majority's confirmation lets proceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuorumWaiter {
     /// A pending configuration change, by its number.
     ConfigChange(u64),
     /// Call of an operator that reads the configuration.
     ReadConfig(PendingCall),
-    /// Readiness check.
+    /// Call that checks the readiness of this controller.
     Readiness(PendingCall),
-    /// Drain or deregistration of a node.
+    /// Call of a node that drains or deregisters.
     NodeDrain(PendingCall),
 }
 
--- a/crates/fernknot-controller/src/reports.rs
+++ b/crates/fernknot-controller/src/reports.rs
@@ -1,4 +1,4 @@
-//! Human-readable reports for operators.
+//! Human-readable reports for operators, as `fernknot show` prints them.
 
 use fernknot_consensus::{Ineligibility, ReplicaStatus, ViewStatus};
 use fernknot_ownership::Assignment;
--- a/crates/fernknot-controller/src/seeded_bug.rs
+++ b/crates/fernknot-controller/src/seeded_bug.rs
@@ -11,6 +11,6 @@
     ForgetHistoryEarly,
     /// Accepts the outcome of a forwarded change without checking the incarnation for which it is meant.
     AcceptAnyIncarnation,
-    /// A bug of the consensus member.
+    /// A bug of the consensus member, as `fernknot-consensus` defines it.
     Consensus(ConsensusBug),
 }
--- a/crates/fernknot-controller/src/settings.rs
+++ b/crates/fernknot-controller/src/settings.rs
@@ -20,7 +20,7 @@
 pub struct ControllerSettings {
     /// Internal address, at which other processes of the system reach this controller.
     pub addr: SocketAddrV4,
-    /// Failure domain of its machine.
+    /// Name of the failure domain of the controller's machine.
     pub zone: String,
     /// Internal addresses of the controllers listed in the operator's settings: the founders of the first view, and
     /// the first addresses that this controller connects to.
--- a/crates/fernknot-controller/src/subscribers.rs
+++ b/crates/fernknot-controller/src/subscribers.rs
@@ -9,7 +9,7 @@
 /// A subscribed gateway.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
-    /// Record of the gateway.
+    /// Incarnation, address and zone of the gateway.
     pub gateway: GatewayRecord,
     /// Whether the gateway is ready to serve queries, by its last report.
     pub is_ready: bool,
@@ -71,7 +71,7 @@
         self.awaiting_snapshot.insert(id);
     }
 
-    /// Takes the subscribers with deferred snapshots.
+    /// Takes the subscribers with deferred snapshots, which are to be sent now.
     pub fn take_awaiting_snapshot(&mut self) -> BTreeSet<SubscriberId> {
         std::mem::take(&mut self.awaiting_snapshot)
     }
--- a/crates/fernknot-controller/src/timers.rs
+++ b/crates/fernknot-controller/src/timers.rs
@@ -1,4 +1,4 @@
-//! Clock and periodic work of the controller.
+//! Clock of the controller, and the times at which its periodic work is due.
 
 use fernknot::interface::Nanos;
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Time of the last input.
+    /// Time of the last input, on the host's monotonic clock.
     pub fn now(&self) -> Nanos {
         self.now
     }
