--- a/crates/fernknot-http-api/src/connection.rs
+++ b/crates/fernknot-http-api/src/connection.rs
@@ -54,7 +54,7 @@
         self.call_count
     }
 
-    /// Whether a request is waiting for its reply.
+    /// Whether a request is waiting for its reply; no other request is read until then.
     pub fn has_pending_call(&self) -> bool {
         self.pending_reply.is_some()
     }
--- a/crates/fernknot-http-api/src/dispatcher.rs
+++ b/crates/fernknot-http-api/src/dispatcher.rs
@@ -15,7 +15,7 @@
 /// Outcome of dispatching a request.
 #[derive(Debug)]
 pub enum DispatchOutcome {
-    /// Reply that can be sent now.
+    /// Reply that can be sent now: the handler's answer, or the rejection of an invalid request.
     Ready(Reply),
     /// No reply yet; it is sent later, to the call identified by the `pending_call` argument of the dispatch.
     Pending,
--- a/crates/fernknot-http-api/src/endpoint.rs
+++ b/crates/fernknot-http-api/src/endpoint.rs
@@ -14,7 +14,7 @@
 
 /// Type of a call, paired with the type of its answer.
 pub trait Endpoint: Sized {
-    /// Type of the answer.
+    /// Type of the answer to a call, which is converted to an HTTP reply.
     type Answer: Into<Reply>;
     /// HTTP method of the requests, in capitals.
     const METHOD: &'static str;
--- a/crates/fernknot-http-api/src/reply.rs
+++ b/crates/fernknot-http-api/src/reply.rs
@@ -1,11 +1,11 @@
-//! Replies to calls.
+//! Replies to calls, and the JSON of errors.
 
 use std::borrow::Cow;
 use std::sync::Arc;
 
 const CONTENT_TYPE_JSON: &str = "application/json";
 
-/// HTTP response of an endpoint.
+/// HTTP response of an endpoint, without the headers that depend on the connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     /// HTTP status code.
@@ -21,9 +21,9 @@
 /// Bytes of a body, which may be shared so that a large body is not copied for each caller.
 #[derive(Clone, Debug)]
 pub enum Body {
-    /// Bytes with static lifetime.
+    /// Constant bytes of the program.
     Static(&'static [u8]),
-    /// Bytes owned by this body.
+    /// Bytes made for this reply only.
     Owned(Vec<u8>),
     /// Bytes shared by several bodies.
     Shared(Arc<[u8]>),
--- a/crates/fernknot-http-api/src/settings.rs
+++ b/crates/fernknot-http-api/src/settings.rs
@@ -1,4 +1,4 @@
-//! Limits on the requests of callers.
+//! Limits on the sizes of callers' requests.
 
 use fernknot::interface::Nanos;
 use fernknot_router_config::{ConfigError, Limits, SocketSettings};
--- a/crates/fernknot-registry/src/incarnation_table.rs
+++ b/crates/fernknot-registry/src/incarnation_table.rs
@@ -10,7 +10,7 @@
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// A known incarnation of a node.
+/// Incarnation of a node that the registry knows, with the times that decide whether it is lost.
 #[derive(Clone, Debug)]
 pub(crate) struct Incarnation {
     tracked: TrackedRecord,
@@ -24,7 +24,7 @@
 }
 
 impl Incarnation {
-    /// Record as last merged.
+    /// Record that results from all merged ones; its warm-up time is as of when it was received.
     pub fn record(&self) -> &NodeRecord {
         self.tracked.record()
     }
--- a/crates/fernknot-rpc/src/messages.rs
+++ b/crates/fernknot-rpc/src/messages.rs
@@ -31,11 +31,11 @@
 pub enum GatewayToController {
     /// Subscribes a gateway to updates.
     Subscribe {
-        /// Record of the subscribing gateway.
+        /// Incarnation, address and zone of the subscribing gateway.
         gateway: GatewayRecord,
         /// Whether the gateway is ready to serve queries.
         ready: bool,
-        /// Nodes whose records it requests.
+        /// Nodes whose records the gateway requests.
         subscription: Subscription,
         /// Revision of the control state whose configuration the gateway has; 0 for none.
         revision: u64,
@@ -50,7 +50,7 @@
     RelayedHeartbeats(Vec<GatewayRecord>),
     /// Notice of the subscriber's graceful shutdown.
     ShuttingDown,
-    /// Message between controllers.
+    /// Message of a controller, the one that opened the connection.
     Peer(ControllerMessage),
     /// Operator's request for a report.
     Inspect(InspectionTopic),
@@ -65,11 +65,11 @@
 /// Message from one controller to another, over a connection that the sender opened.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControllerMessage {
-    /// Identity of the sender; the first message on a connection.
+    /// Identity of the sender; the first message on a connection. Messages before it are ignored.
     Identify {
         /// Internal address at which the sender listens.
         addr: SocketAddrV4,
-        /// Failure domain of the sender.
+        /// Name of the failure domain of the sender's machine.
         zone: String,
     },
     /// Message from the sender's consensus member to the receiver's.
@@ -103,7 +103,7 @@
         /// Configuration as the operator sent it.
         body: Vec<u8>,
     },
-    /// Outcome of a forwarded change.
+    /// Outcome of a forwarded change, sent by the controller that it was forwarded to.
     ChangeOutcome {
         /// Incarnation of the controller that received the operator's call.
         incarnation: u64,
@@ -123,7 +123,7 @@
 pub struct ControllerEndpoint {
     /// Internal address of the controller.
     pub addr: SocketAddrV4,
-    /// Failure domain of the controller.
+    /// Name of the failure domain of the controller's machine.
     pub zone: String,
 }
 
@@ -134,7 +134,7 @@
     Config {
         /// Revision of the control state with this configuration; a later configuration has a higher one.
         revision: u64,
-        /// Configuration for routing.
+        /// Parsed configuration, complete in every message.
         config: RoutingConfig,
     },
     /// Records of changed nodes, or of all nodes in a snapshot.
@@ -145,7 +145,7 @@
     Heartbeat {
         /// Incarnation of the controller that the heartbeat comes from, which a relay copies.
         sender: u64,
-        /// Revision of the sender's configuration.
+        /// Revision of the configuration that is active at the sender; 0 for none.
         revision: u64,
         /// Whether the controller that the heartbeat comes from is in contact with a majority of its view and not
         /// about to stop. A relay that can't vouch for it makes it false.
@@ -168,7 +168,7 @@
 /// Report that an operator can request from a running process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum InspectionTopic {
-    /// Nodes known to the process.
+    /// Nodes known to the process, with the state of each.
     Nodes,
     /// View as a controller knows it: its members, the other controllers that vote or ask to join, and the number of
     /// further losses that it tolerates.
--- a/crates/fernknot-storage/src/error.rs
+++ b/crates/fernknot-storage/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Kind of a storage operation.
+/// Kind of a storage operation, by which a [`StorageError`] names what failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
     /// Opening or creating a store, or listing the directory.
@@ -38,7 +38,7 @@
 pub struct StorageError {
     /// Operation that failed.
     pub operation: Operation,
-    /// Message of the underlying error.
+    /// Text of the underlying error, for the log.
     pub reason: String,
 }
 
--- a/crates/fernknot-storage/src/generation.rs
+++ b/crates/fernknot-storage/src/generation.rs
@@ -37,25 +37,25 @@
 pub struct ListedGeneration {
     /// Number of the generation.
     pub generation: Generation,
-    /// Whether its seal is complete.
+    /// Whether the generation is sealed, with complete contents of the file that marks it.
     pub sealed: bool,
 }
 
-/// Result of a successful action.
+/// Result of a successful [`Action`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Generations in the directory.
+    /// Generations in the directory, in any order: the result of [`Action::List`].
     Listed(Vec<ListedGeneration>),
-    /// Values of a store.
+    /// Values read from a store: the result of [`Action::Read`] and [`Action::Build`].
     Contents(Values),
-    /// Success without a further result.
+    /// Success of an action that has no further result.
     Done,
 }
 
 /// Write that has completed, with or without an error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedWrite {
-    /// Id that the write was submitted with.
+    /// Id that the write was submitted with, chosen by the caller.
     pub write_id: u64,
     /// `Ok`: the value, or a newer one that was submitted under the same key, is written and synced. After an error the
     /// value may or may not be stored.
--- a/crates/fernknot-storage/src/limits.rs
+++ b/crates/fernknot-storage/src/limits.rs
@@ -21,12 +21,12 @@
     pub max_journal_bytes: u64,
     /// First delay after a failure; each further delay is twice as long, up to `max_backoff`.
     pub initial_backoff: Nanos,
-    /// Longest delay after a failure.
+    /// Longest delay between a failure and the next attempt.
     pub max_backoff: Nanos,
 }
 
 impl Limits {
-    /// Returns the limits for a disk of this size.
+    /// Returns the limits for a directory that may use `disk_bytes` bytes.
     #[must_use]
     pub fn of_disk(disk_bytes: u64) -> Limits {
         // A store under construction preallocates 64 MB for its journal, so that on a small disk the previous
--- a/crates/fernknot-storage/src/storage.rs
+++ b/crates/fernknot-storage/src/storage.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 struct SharedState {
     queue: VecDeque<SubmittedWrite>,
-    /// Writes without a result, by sequence.
+    /// Writes without a result, by their sequence number; the first one is the oldest.
     pending: BTreeMap<u64, PendingWrite>,
     next_sequence: u64,
     completed: Vec<CompletedWrite>,
@@ -213,7 +213,7 @@
     }
 }
 
-/// State of the storage thread.
+/// State that only the storage thread uses.
 struct Worker {
     shared: Arc<Shared>,
     manager: GenerationManager,
--- a/crates/fernknot-storage/src/store.rs
+++ b/crates/fernknot-storage/src/store.rs
@@ -1,4 +1,4 @@
-//! One generation's `fjall` store.
+//! The `fjall` store of one generation: creating, opening, reading and writing it.
 
 use std::path::Path;
 use std::{fmt, fs};
@@ -81,7 +81,7 @@
             .map_err(StorageError::wrap(Operation::Open))
     }
 
-    /// Reads all values.
+    /// Reads the newest value of each key.
     pub fn values(&self) -> Result<Values, StorageError> {
         let mut values = Values::new();
         for guard in self.keyspace.iter() {
@@ -92,7 +92,7 @@
         Ok(values)
     }
 
-    /// Adds values and syncs them.
+    /// Adds or replaces the values of these keys, and syncs them all at once.
     pub fn write<'a>(&self, entries: impl Iterator<Item = (&'a str, &'a [u8])>) -> Result<(), StorageError> {
         for (key, value) in entries {
             self.keyspace.insert(key, value).map_err(StorageError::wrap(Operation::Insert))?;
