--- a/crates/fernknot-registry/src/node_record.rs
+++ b/crates/fernknot-registry/src/node_record.rs
@@ -40,7 +40,7 @@
     pub addr: SocketAddrV4,
     /// Zone (failure domain) of the node's machine.
     pub zone: String,
-    /// State of the node.
+    /// State of the node, by its own report or as the process that holds the record infers it.
     pub state: NodeState,
     /// Number of requests that the node processes concurrently.
     pub capacity: u32,
--- a/crates/fernknot-registry/src/registry.rs
+++ b/crates/fernknot-registry/src/registry.rs
@@ -33,7 +33,7 @@
 pub enum CallOutcome {
     /// The incarnation was unknown here, and is added.
     New,
-    /// Something that gateways act on has changed.
+    /// Something that gateways act on has changed: the state, service, address, zone, capacity or end of the warm-up.
     Changed,
     /// Nothing that gateways act on has changed: a heartbeat of an incarnation that is up, or a deregistration of one
     /// that is gone.
@@ -56,7 +56,7 @@
 /// Records of changed incarnations, and the version of the registry that they bring a reader to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedRecords {
-    /// Version of the newest change.
+    /// Version of the registry: the number of its newest change.
     pub version: u64,
     /// Records, oldest change first.
     pub records: Vec<NodeRecord>,
@@ -212,7 +212,7 @@
         Some(VersionedRecords { version: self.version(), records: self.current_records(changed) })
     }
 
-    /// Returns all known incarnations.
+    /// Returns the records of all known incarnations, lost and gone ones included.
     pub fn snapshot(&self) -> VersionedRecords {
         let records = self.current_records(self.incarnations.changes().all());
         VersionedRecords { version: self.version(), records }
--- a/crates/fernknot-storage/src/generation_manager.rs
+++ b/crates/fernknot-storage/src/generation_manager.rs
@@ -31,7 +31,7 @@
     Healthy(Generation),
 }
 
-/// Action that the host is executing.
+/// Action that the host is executing, with what its result is to be applied to.
 #[derive(Clone, Debug)]
 enum InFlight {
     List,
@@ -139,7 +139,7 @@
         (self.in_flight.is_none() && has_work).then_some(self.retry_at)
     }
 
-    /// Returns the next action; `None` while another one is in flight.
+    /// Returns the next action; `None` while another one is in flight, or if none is due at `now`.
     pub fn poll_action(&mut self, now: Nanos) -> Option<Action> {
         if self.in_flight.is_some() {
             return None;
@@ -246,7 +246,7 @@
     fn handle_failure(&mut self, in_flight: InFlight, error: StorageError, now: Nanos) {
         match in_flight {
             InFlight::List | InFlight::Read(_) => {
-                // The directory may have changed, so it is listed again.
+                // The failure leaves open which generations there are, so the directory is listed again.
                 self.phase = Phase::Unlisted;
                 self.obsolete.clear();
                 self.reject_pending(error, now);
