--- a/crates/fernknot-consensus/src/lease.rs
+++ b/crates/fernknot-consensus/src/lease.rs
@@ -6,8 +6,8 @@
 use crate::state::peers::Peer;
 
 impl Replica {
-    /// Whether a majority has answered a heartbeat in this view within the lease duration, and no older change is
-    /// uncommitted.
+    /// Whether a majority has answered a heartbeat in this view within the lease duration, and no change that was
+    /// stored here longer ago than that is uncommitted.
     pub fn has_lease(&self, now: Nanos) -> bool {
         let is_active = self.activation.active && !self.is_changing_view();
         if !is_active || self.activation.entered_view.is_none() {
@@ -35,7 +35,8 @@
             && (!has_uncommitted || is_recent(self.activation.unstable_since))
     }
 
-    /// Whether this replica has run for long enough to tell that no majority of the voters is reachable.
+    /// Whether this replica reaches no majority of the voters, and has run for longer than the suspicion time-out, so
+    /// that it can tell.
     pub fn is_partitioned(&self, now: Nanos) -> bool {
         self.clock.can_detect_failures(now) && !self.view().is_majority(self.reachable_voters())
     }
--- a/crates/fernknot-consensus/src/state/replication.rs
+++ b/crates/fernknot-consensus/src/state/replication.rs
@@ -40,12 +40,13 @@
     pub state: Arc<[u8]>,
 }
 
-/// Progress of changes.
+/// Changes by stage: queued at the leader, pending on the members' disks, committed, delivered to the host, or
+/// unresolved because their view ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Replication {
     /// The newest revision known to be committed.
     pub commit_revision: Revision,
-    /// The newest state that was delivered.
+    /// Newest state that this process has delivered to the host; `None` before the first.
     pub delivered: Option<DeliveredState>,
     pub pending: Option<PendingChange>,
     pub queued: VecDeque<QueuedChange>,
--- a/crates/fernknot-consensus/src/types/message.rs
+++ b/crates/fernknot-consensus/src/types/message.rs
@@ -1,4 +1,8 @@
 //! Messages between replicas. Any of them may be lost, duplicated, delayed or reordered.
+//!
+//! The incarnation of a process, which many messages carry, is a random number drawn at the start of the process. It
+//! has nothing to do with the incarnation of a disk, which [`MemberId`] identifies. An attempt is one proposer's try
+//! to have the next view chosen, in two phases of Paxos; its number is a [`ProposalNumber`].
 
 use std::sync::Arc;
 
@@ -20,7 +24,7 @@
 /// Status that a replica reports at every heartbeat interval, and earlier after a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct PeerHeartbeat {
-    /// The replica that reports.
+    /// Id, address and zone of the replica that reports.
     pub sender: Member,
     /// The last chosen view that is durable on its disk.
     pub view: ViewNumber,
@@ -28,9 +32,9 @@
     pub state_view: ViewNumber,
     /// The revision of the newest state that is durable on its disk.
     pub revision: Revision,
-    /// The durable prepared number in the change of `view`.
+    /// The highest proposal number that is durably prepared for the change of `view`; the default if there is none.
     pub prepared: ProposalNumber,
-    /// The durable accepted number in the change of `view`.
+    /// The number under which a next view is durably accepted in the change of `view`; the default if there is none.
     pub accepted: ProposalNumber,
     /// Whether the sender started from a disk and has not verified that the disk is the newest copy.
     pub recovering: bool,
@@ -40,7 +44,8 @@
     pub view_active: bool,
     /// Whether the sender has prepared the change of `view`, and stores no more changes in it.
     pub changing_view: bool,
-    /// Whether its disk completes writes in time and is not outdated.
+    /// Whether the sender's disk completes writes without error and within half a suspicion time-out, and is not
+    /// outdated.
     pub disk_healthy: bool,
     /// Incarnation of the sender's process.
     pub incarnation: u64,
@@ -48,7 +53,7 @@
     pub sent_at: u64,
     /// The receiver's newest heartbeat that the sender has received.
     pub echo: HeartbeatEcho,
-    /// Replicas that the sender has exchanged messages with in both directions within its suspicion time-out.
+    /// Replicas that the sender has exchanged heartbeats with in both directions within its suspicion time-out.
     pub reachable: Vec<MemberId>,
     /// Members of the view that the sender suspects to have failed.
     pub suspected: Vec<MemberId>,
@@ -61,9 +66,9 @@
     Heartbeat(PeerHeartbeat),
     /// Response to a recovering replica (RECOVERYRESPONSE in VR Revisited, section 4.3).
     RecoveryResponse {
-        /// The replica that responds.
+        /// Id, address and zone of the replica that responds.
         sender: Member,
-        /// The disk of the recovering replica.
+        /// Id of the recovering replica, and so of the disk that the progress is about.
         member_id: MemberId,
         /// Incarnation of the recovering process.
         incarnation: u64,
@@ -72,37 +77,37 @@
     },
     /// A later view, for a replica that knows only an older one.
     NewerView {
-        /// The later view.
+        /// Newest view that the sender knows to be chosen.
         chosen: ChosenView,
     },
     /// The newest state, for a member of the view that lacks it (NEWSTATE in VR Revisited, section 5.2).
     StateTransfer {
         /// The view that the state belongs to.
         chosen: ChosenView,
-        /// The state's revision.
+        /// Revision of the state.
         revision: Revision,
-        /// The complete state.
+        /// Complete state at `revision`.
         state: Arc<[u8]>,
     },
-    /// The leader's next change.
+    /// The leader's next change, to be stored and acknowledged by a member; sent again until it is acknowledged.
     Replicate {
-        /// The leader's view.
+        /// Number of the view in which the sender leads.
         view: ViewNumber,
         /// The change's revision.
         revision: Revision,
         /// The complete state after the change.
         state: Arc<[u8]>,
     },
-    /// The sender has the change on disk.
+    /// Acknowledgement that the sender has the change, or a later one, on disk.
     ReplicateAck {
-        /// The member that has stored the change.
+        /// Id of the member that has stored the change.
         sender: MemberId,
         /// The view of the change.
         view: ViewNumber,
         /// The change's revision.
         revision: Revision,
     },
-    /// All members have the change on disk.
+    /// Notice of the leader that all members have the change on disk, so that it can be delivered.
     Commit {
         /// The view of the change.
         view: ViewNumber,
@@ -111,38 +116,38 @@
     },
     /// Paxos phase 1: request to prepare the change of `current` under this number.
     Prepare {
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view to be changed.
         current: ChosenView,
-        /// The newest revision of `current` that the proposer has.
+        /// The newest revision of `current` that the proposer has; `None` if it lacks the state of `current`.
         revision: Option<Revision>,
     },
     /// The sender has prepared, and stores no more changes in `view`.
     Prepared {
-        /// The voter.
+        /// Id, address and zone of the voter that has prepared.
         sender: Member,
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view to be changed.
         view: ViewNumber,
-        /// The newest revision of `view` that the sender has.
+        /// The newest revision of `view` that the sender has; `None` if it lacks the state of `view`.
         revision: Option<Revision>,
-        /// The state at `revision`; absent if the proposer has it.
+        /// The state at `revision`; absent if the proposer has it, or if `revision` is.
         state: Option<Arc<[u8]>>,
         /// The next view that the sender accepted under an earlier number.
         accepted: Option<AcceptedView>,
     },
-    /// The sender has prepared a higher number.
+    /// The sender has prepared a higher proposal number than that of the receiver's request, and rejects the request.
     Rejected {
         /// The view to be changed.
         view: ViewNumber,
-        /// The higher number.
+        /// Highest number that the sender has prepared in the change of `view`.
         prepared: ProposalNumber,
     },
     /// Paxos phase 2: request to accept the next view and its first state.
     Accept {
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view to be changed.
         current: ChosenView,
@@ -155,16 +160,16 @@
     },
     /// The sender has written the next view to disk under this number.
     Accepted {
-        /// The voter or joining member.
+        /// Voter of `view`, or replica that joins with the next view, that has written the next view.
         sender: Member,
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view to be changed.
         view: ViewNumber,
     },
-    /// The next view is chosen.
+    /// Notice of the proposer that the next view is chosen, to the voters and the members of the next view.
     Chosen {
-        /// The number of the attempt.
+        /// Number of the attempt to change the view that this message belongs to.
         proposal: ProposalNumber,
         /// The view that was changed.
         view: ViewNumber,
@@ -174,7 +179,7 @@
     /// Request to confirm that the receiver is in this view and not changing it (the round of heartbeats of Raft's read
     /// index, section 6.4 of Ongaro's thesis).
     ReadIndexRequest {
-        /// The requester's view.
+        /// Number of the requester's view, which the receiver is to confirm.
         view: ViewNumber,
         /// Incarnation of the requesting process.
         incarnation: u64,
@@ -183,7 +188,7 @@
     },
     /// Confirmation that, after the request was sent, the sender was in the view and not changing it.
     ReadIndexResponse {
-        /// The voter.
+        /// Id of the voter that confirms.
         sender: MemberId,
         /// The view of the request.
         view: ViewNumber,
--- a/crates/fernknot-consensus/src/types/status.rs
+++ b/crates/fernknot-consensus/src/types/status.rs
@@ -8,17 +8,19 @@
 pub enum Ineligibility {
     /// No heartbeat was received from it for `suspicion_timeout`, or it receives none from this one.
     Unreachable,
-    /// Another incarnation of a disk is at its address.
+    /// A replica with another disk id was heard from at its address since its own last heartbeat, or is this one.
     Replaced,
     /// Its disk hangs or rejects writes, by its own report.
     DiskUnhealthy,
-    /// The replica did not store in time the state that it was sent.
+    /// The replica did not store a state that it was sent, for two suspicion time-outs if it was a change or for one
+    /// if it was to join; it is left out of views for two suspicion time-outs after that.
     SlowDisk,
     /// The replica started from a disk and has not verified that the disk is the newest copy.
     Recovering,
-    /// Its disk is an older copy of itself, or unhealthy.
+    /// The replica started from a disk that is an older copy of itself, or whose writes fail or hang while the
+    /// replica verifies it.
     OutdatedDisk,
-    /// The replica has not yet stored the view's first state.
+    /// The replica has not yet stored the view's first state, or could join and is not a member yet.
     CatchingUp,
     /// The replica is reachable from this one, but not from all members of the view.
     PartiallyConnected,
@@ -27,11 +29,11 @@
 /// Status of a replica that votes in the view or asks to join.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaStatus {
-    /// The replica.
+    /// Id, address and zone of the replica, as the view or its own heartbeat names them.
     pub member: Member,
     /// Whether it is a member of the view, which stores every change.
     pub is_member: bool,
-    /// Whether it votes on the next view.
+    /// Whether it votes on the next view, as a member or as a dropped one that kept its vote.
     pub is_voter: bool,
     /// Reason for which it is not counted; `None` if it is.
     pub ineligibility: Option<Ineligibility>,
@@ -40,9 +42,10 @@
 /// The state of the view, as one replica sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ViewStatus {
-    /// The last view known to be chosen.
+    /// Number of the last view known to be chosen; 0 before the founding.
     pub number: ViewNumber,
-    /// Whether changes are accepted in it.
+    /// Whether the view is active here: this replica is a member, knows that changes can be committed in the view,
+    /// and has not prepared a change of it.
     pub active: bool,
     /// The voters, followed by the replicas that ask to join.
     pub replicas: Vec<ReplicaStatus>,
--- a/crates/fernknot-consensus/src/view_activation.rs
+++ b/crates/fernknot-consensus/src/view_activation.rs
@@ -1,5 +1,6 @@
 //! Adoption of a chosen view, its activation once all members have stored it, and the outcome of changes that were in
-//! flight meanwhile. Also the new identity of a replica whose disk is no longer valid.
+//! flight when the view before it ended. Also the new identity of a replica whose disk is outdated or excluded by a
+//! forced view.
 
 use std::mem;
 
@@ -100,7 +101,8 @@
         });
     }
 
-    /// Activates the view: changes are accepted and committed in it.
+    /// Marks the last chosen view as active, so that changes are accepted and committed in it, and delivers its
+    /// state. Does nothing while this replica's disk is not verified or lacks the view's state.
     pub fn activate_view(&mut self) {
         if !self.recovery.complete || !self.has_view_state() || self.view().number == ViewNumber(0) {
             return;
--- a/crates/fernknot-controller/src/change.rs
+++ b/crates/fernknot-controller/src/change.rs
@@ -25,24 +25,24 @@
 pub struct ForwardedCallId {
     /// Incarnation of the controller that received the call.
     pub incarnation: u64,
-    /// Number of the change at that controller.
+    /// Number that the controller that received the call assigned to the change.
     pub call: u64,
 }
 
-/// Stage of a pending change.
+/// Stage of a pending change: what happens to it next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeStage {
     /// Waiting for a leader to be known, or for another change to finish.
     Queued,
     /// Forwarded to the leader at this address.
     Forwarded(SocketAddrV4),
-    /// Proposed by this controller, with this number.
+    /// Proposed by this controller to its consensus member, with this number as the change's id.
     Proposed(u64),
     /// Waiting for a majority to confirm that the local state, which conflicts with the change, is the newest one.
     AwaitingQuorum,
 }
 
-/// A pending change.
+/// Change of the routing configuration that has no outcome yet.
 #[derive(Clone, Debug)]
 pub struct ConfigChange {
     /// Number of the change at this controller, unique within this incarnation.
@@ -57,11 +57,11 @@
     pub digest: u64,
     /// Configuration as the operator sent it.
     pub body: Vec<u8>,
-    /// Time at which the origin is sent an unknown outcome.
+    /// Time at which the origin is sent an unknown outcome if there is no other by then.
     pub deadline: Nanos,
-    /// Earliest time of the next attempt.
+    /// Earliest time at which the queued change is assessed next, to be proposed, forwarded or finished.
     pub not_before: Nanos,
-    /// Current stage.
+    /// What the change waits for.
     pub stage: ChangeStage,
 }
 
@@ -73,12 +73,12 @@
     }
 }
 
-/// Assessment of a change against the active control state.
+/// Result of comparing a change with the active control state.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChangeAssessment {
-    /// The change was committed earlier.
+    /// The history lists the change as committed; the call is a retry.
     AlreadyCommitted(QuorumEvidence),
-    /// The change may be proposed.
+    /// The change builds on the active version with a higher epoch, so it may be proposed.
     Propose,
     /// The change builds on a version other than the active one. May be replied only after a majority has confirmed
     /// the active version.
--- a/crates/fernknot-controller/src/consensus_driver.rs
+++ b/crates/fernknot-controller/src/consensus_driver.rs
@@ -1,4 +1,5 @@
-//! Driver of the consensus member: passes inputs to it and tracks when to poll it again.
+//! Driver of the consensus member, this controller's [`Consensus`] state machine: passes inputs to it and tracks when
+//! to poll it again.
 
 use fernknot::interface::Nanos;
 use fernknot_consensus::{
@@ -10,7 +11,7 @@
 /// Consensus member of this controller, absent until the disk has been read.
 pub struct ConsensusDriver {
     member: Option<Consensus>,
-    /// Time of the next poll.
+    /// Time of the next poll: at once after an input, otherwise `wake_at`.
     next_poll: Nanos,
     /// Time at which the member last asked to be polled if no input arrives.
     wake_at: Nanos,
@@ -53,7 +54,7 @@
         self.input(now, |member| member.handle_write_result(now, write_id, ok));
     }
 
-    /// Sets whether the member may accept state to store.
+    /// Sets whether the member may store further states: the disk is healthy, and no shutdown is in progress.
     pub fn set_disk_healthy(&mut self, now: Nanos, healthy: bool) {
         self.input(now, |member| member.set_disk_healthy(now, healthy));
     }
@@ -70,14 +71,14 @@
         }
     }
 
-    /// Asks a majority of the voters to confirm the view. Returns false if no majority is reachable or too many
-    /// requests are pending.
+    /// Asks a majority of the voters to confirm the view. Returns false if the disk has not been read yet, no
+    /// majority is reachable or too many requests are pending.
     pub fn read_index(&mut self, now: Nanos, id: ReadIndexId) -> bool {
         self.next_poll = now;
         self.member.as_mut().is_some_and(|member| !member.is_partitioned(now) && member.read_index(now, id))
     }
 
-    /// Cancels a request for a confirmation.
+    /// Cancels a request that [`read_index`](Self::read_index) began; nothing is reported for it.
     pub fn cancel_read_index(&mut self, id: ReadIndexId) {
         if let Some(member) = &mut self.member {
             member.cancel_read_index(id);
@@ -122,17 +123,19 @@
         self.member.as_ref().map(|_| self.next_poll)
     }
 
-    /// Whether there is a member to drive.
+    /// Whether there is a member to drive: the disk has been read.
     pub fn is_started(&self) -> bool {
         self.member.is_some()
     }
 
-    /// Whether a majority was reachable recently, so that the local state is no older than that.
+    /// Whether a majority was reachable within the lease duration, so that the local state is no older than that;
+    /// false before the disk has been read.
     pub fn has_lease(&self, now: Nanos) -> bool {
         self.member.as_ref().is_some_and(|member| member.has_lease(now))
     }
 
-    /// Whether no majority of the voters is reachable, once enough time has passed to tell.
+    /// Whether no majority of the voters is reachable. False in the first suspicion timeout after a start or a stall,
+    /// and before the disk has been read.
     pub fn is_partitioned(&self, now: Nanos) -> bool {
         self.member.as_ref().is_some_and(|member| member.is_partitioned(now))
     }
--- a/crates/fernknot-controller/src/host/limits.rs
+++ b/crates/fernknot-controller/src/host/limits.rs
@@ -16,17 +16,18 @@
 /// Pending output allowed in addition to two messages of maximum size, in bytes. A receiver with more does not read,
 /// and is disconnected.
 const OUTPUT_SLACK_BYTES: usize = 1 << 20;
-/// Maximum size of a message from a sender that has not identified itself, in bytes.
+/// Maximum size of a message over a connection on which no controller has identified itself, as on those of gateways,
+/// in bytes.
 pub const MAX_UNIDENTIFIED_MESSAGE_BYTES: usize = MESSAGE_OVERHEAD_BYTES;
 
-/// Limits of one host.
+/// Limits of one host, fixed at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct HostLimits {
-    /// Maximum number of connections of all kinds.
+    /// Maximum number of connections of all kinds: the file descriptors that are not reserved.
     pub max_connections: usize,
     /// Maximum size of a configuration, in bytes.
     pub max_config_bytes: usize,
-    /// Maximum size of a message from another controller, in bytes.
+    /// Maximum size of a message from an identified controller, in bytes.
     pub max_message_bytes: usize,
 }
 
@@ -47,7 +48,7 @@
         self.max_message_bytes + MESSAGE_LENGTH_BYTES
     }
 
-    /// Maximum number of bytes pending to be written on one connection.
+    /// Maximum number of bytes pending to be written on one connection; with more, the connection is closed.
     pub fn max_output_bytes(&self) -> usize {
         2 * self.max_message_bytes + OUTPUT_SLACK_BYTES
     }
--- a/crates/fernknot-controller/src/pending_changes.rs
+++ b/crates/fernknot-controller/src/pending_changes.rs
@@ -14,7 +14,8 @@
 const MAX_PENDING_CHANGES: usize = 24;
 /// Maximum size of all pending configurations together, in bytes.
 const MAX_PENDING_BYTES: usize = 64 << 20;
-/// Delay before a change that the leader left undecided is tried again.
+/// Delay before a change is tried again that the leader left undecided, the consensus member rejected, or no majority
+/// could be asked about.
 const RETRY_DELAY: Nanos = Nanos(50_000_000);
 /// Length of the history under the seeded bug `ForgetHistoryEarly`.
 const SEEDED_HISTORY_LENGTH: usize = 2;
@@ -22,7 +23,7 @@
 /// Leader of the view, as known to this controller.
 #[derive(Clone, Copy, Debug)]
 pub struct Leadership {
-    /// Whether this controller leads.
+    /// Whether this controller leads the active view, and so may propose.
     pub is_local: bool,
     /// Address of the leader, if it is another controller to which a connection is up.
     pub remote: Option<SocketAddrV4>,
@@ -31,15 +32,15 @@
 /// A control state to propose to the consensus member.
 #[derive(Debug)]
 pub struct Proposal {
-    /// Number of the change.
+    /// Number of the change at this controller, which its outcome repeats.
     pub change_id: u64,
-    /// Revision on which the state builds.
+    /// Revision of the control state that `state` is to follow.
     pub base: Revision,
     /// Encoded control state.
     pub state: Vec<u8>,
 }
 
-/// Steps that the pending changes require, to be carried out in the order of the fields.
+/// Steps that the pending changes require, to be carried out by the controller in the order of the fields.
 #[derive(Debug, Default)]
 pub struct ChangeSteps {
     /// Changes that have an outcome and are no longer pending.
@@ -48,11 +49,11 @@
     pub forwarded: Vec<(SocketAddrV4, ControllerMessage)>,
     /// Numbers and deadlines of the changes whose rejection a majority has to confirm.
     pub awaiting_quorum: Vec<(u64, Nanos)>,
-    /// Proposal of this controller, if it leads.
+    /// Proposal for this controller's consensus member; at most one is in flight.
     pub proposal: Option<Proposal>,
 }
 
-/// Next step of one change.
+/// Next step of one queued change, by its assessment and by who leads.
 enum NextStep {
     /// Keep the change queued.
     Wait,
@@ -115,7 +116,8 @@
         true
     }
 
-    /// Advances every queued change by one step where possible.
+    /// Assesses every queued change whose time has come, and advances it by one step where possible. Returns what the
+    /// controller has to do.
     pub fn advance(
         &mut self,
         now: Nanos,
@@ -157,12 +159,12 @@
         steps
     }
 
-    /// Removes the changes whose deadline has passed.
+    /// Removes the changes whose deadline has passed. Returns their origins.
     pub fn expire(&mut self, now: Nanos) -> Vec<RequestOrigin> {
         self.remove_where(|change| change.deadline <= now)
     }
 
-    /// Removes the changes that the history lists as committed.
+    /// Removes the changes that the history lists as committed. Returns their origins, with that evidence.
     pub fn take_committed(&mut self, control: &ControlState) -> Vec<(RequestOrigin, QuorumEvidence)> {
         let mut committed = Vec::new();
         self.changes.retain(|change| {
@@ -173,12 +175,13 @@
         committed
     }
 
-    /// Removes the change of a committed proposal.
+    /// Removes the change of a committed proposal. Returns its origin, or nothing if the change is no longer pending.
     pub fn take_proposed(&mut self, change_id: u64) -> Vec<RequestOrigin> {
         self.remove_where(|change| change.stage == ChangeStage::Proposed(change_id))
     }
 
-    /// Removes all changes whose callers are connected to this controller; their outcome is unknown.
+    /// Removes all changes whose callers are connected to this controller; their outcome is unknown. Returns their
+    /// origins.
     pub fn abandon_local(&mut self) -> Vec<RequestOrigin> {
         self.remove_where(|change| matches!(change.origin, RequestOrigin::Caller(_)))
     }
@@ -226,7 +229,8 @@
         Some(self.changes.remove(index).origin)
     }
 
-    /// Queues changes again that were forwarded to a controller other than the leader, which may be down.
+    /// Queues changes again that were forwarded to a controller other than `leader`, which may be down or no longer
+    /// lead.
     pub fn requeue_unless_forwarded_to(&mut self, leader: Option<SocketAddrV4>) {
         for change in &mut self.changes {
             if matches!(change.stage, ChangeStage::Forwarded(to) if Some(to) != leader) {
@@ -235,7 +239,7 @@
         }
     }
 
-    /// Queues a change again for which no majority could be asked.
+    /// Queues the change `id` again, for which no majority could be asked, to be tried after `RETRY_DELAY`.
     pub fn requeue(&mut self, now: Nanos, id: u64) {
         for change in self.changes.iter_mut().filter(|change| change.id == id) {
             change.requeue(now + RETRY_DELAY);
--- a/crates/fernknot-http-api/src/dispatcher.rs
+++ b/crates/fernknot-http-api/src/dispatcher.rs
@@ -4,16 +4,18 @@
 use crate::reply::Reply;
 use fernknot_protocol::http::Request;
 
-/// Handler of the calls of one endpoint. `S` identifies a call that is answered later.
+/// Handler of the calls of one endpoint `C`. `S` is the server's own type of identifier for a call that is answered
+/// later.
 pub trait Handler<C: Endpoint, S> {
-    /// Returns the answer, or `None` if it is sent later; `pending_call` then identifies the call.
+    /// Returns the answer, or `None` if it is sent later; the server then keeps `pending_call` to identify the call
+    /// by.
     fn handle(&mut self, call: C, pending_call: S) -> Option<C::Answer>;
 }
 
 /// Outcome of dispatching a request.
 #[derive(Debug)]
 pub enum DispatchOutcome {
-    /// Reply that can be sent now.
+    /// Reply that can be sent now: the handler's answer, or the rejection of an invalid request.
     Ready(Reply),
     /// No reply yet; it is sent later, to the call identified by the `pending_call` argument of the dispatch.
     Pending,
@@ -27,7 +29,7 @@
     handle: HandleFn<H, S>,
 }
 
-/// Endpoints that `H` handles.
+/// Endpoints that the server `H` handles, in the order in which they were added.
 pub struct Dispatcher<H, S> {
     routes: Vec<Route<H, S>>,
 }
--- a/crates/fernknot-registry/src/incarnation_table.rs
+++ b/crates/fernknot-registry/src/incarnation_table.rs
@@ -10,7 +10,7 @@
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// A known incarnation of a node.
+/// Incarnation of a node that the registry knows, with the times that decide whether it is lost.
 #[derive(Clone, Debug)]
 pub(crate) struct Incarnation {
     tracked: TrackedRecord,
@@ -18,13 +18,13 @@
     pub last_heartbeat_at: Nanos,
     /// Whether a heartbeat was received here since the last report to the other controllers.
     pub unreported: bool,
-    /// Version of the last change.
+    /// Version, in the change log, of the last change of this incarnation.
     version: u64,
     warm_up_until: Nanos,
 }
 
 impl Incarnation {
-    /// Record as last merged.
+    /// Record that results from all merged ones; its warm-up time is as of when it was received.
     pub fn record(&self) -> &NodeRecord {
         self.tracked.record()
     }
@@ -156,7 +156,7 @@
         changed
     }
 
-    /// Assigns the next version to an incarnation, so that it is included in the next changes.
+    /// Assigns the next version to an incarnation, so that it counts as changed for the readers of the change log.
     pub fn assign_version(&mut self, id: &str) {
         if let Some(incarnation) = self.by_id.get_mut(id) {
             incarnation.version = self.changes.record(incarnation.version, id);
