--- a/crates/fernknot-simulator/src/checks/requests.rs
+++ b/crates/fernknot-simulator/src/checks/requests.rs
@@ -92,7 +92,7 @@
 pub(crate) struct RequestChecker {
     pub requests: Vec<RequestRecord>,
     by_attempt: BTreeMap<String, usize>,
-    /// Responses of nodes by their `Answer-Seal`.
+    /// Responses of nodes by the header `Answer-Seal`, by which the node identifies each response.
     responses: BTreeMap<String, NodeResponse>,
     retries: Vec<Retry>,
     /// Versions observed through each gateway incarnation, in ascending order.
@@ -231,7 +231,7 @@
     }
 }
 
-/// Checks that a mutating request was not executed although its rejection guaranteed that.
+/// Checks that a mutating request was not executed if a rejection guaranteed that to its client.
 fn check_rejection(record: &RequestRecord) -> Option<BrokenRule> {
     let status = record.rejected_with?;
     if record.sent.kind != RequestKind::Mutating || record.executions == 0 {
--- a/crates/fernknot-simulator/src/checks/retry_budget.rs
+++ b/crates/fernknot-simulator/src/checks/retry_budget.rs
@@ -1,4 +1,5 @@
-//! Check of the retry budget over all gateways.
+//! Check of the retry budget: in each window, the retries that arrive at nodes through all gateways together are at
+//! most `RETRY_RATIO` times the clients' requests plus `RETRY_SLACK`.
 
 use crate::checks::rule::{BrokenRule, Rule};
 use crate::checks::sent_request::SentRequest;
@@ -45,9 +46,10 @@
     }
 }
 
-/// Checks every window. Its number of requests is the maximum over the window itself, the one that starts half a window
-/// earlier and the previous one. Counts change only where a window starts or ends at a retry or a request, or half a
-/// window from one, so that only those windows are checked.
+/// Checks the retry budget of every window, and describes the first window that exceeds it. The number of requests that
+/// counts for a window is the maximum over the window itself, the one that starts half a window earlier and the
+/// previous one. Counts change only where a window starts or ends at a retry or a request, or half a window from one,
+/// so that only windows with such a start are checked.
 pub(super) fn check_retry_budget(requests: &[&SentRequest], retries: &[Retry]) -> Option<BrokenRule> {
     let sent = Timestamps::new(requests.iter().map(|request| request.sent_at));
     let arrived = Timestamps::new(retries.iter().map(|retry| retry.arrived_at));
--- a/crates/fernknot-simulator/src/checks/rule.rs
+++ b/crates/fernknot-simulator/src/checks/rule.rs
@@ -6,25 +6,26 @@
 /// A rule that every run must keep. `docs/simulator.md` defines the rules in detail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Changes and drains receive a definitive response within the deadline while the core is undisturbed.
+    /// Changes and drains receive a definitive response within the acknowledgement deadline while the core is stable.
     Acks,
-    /// Subscribers in contact have an acknowledged version within the deadline, and all have the newest at the end.
+    /// Subscribers in contact have an acknowledged version within the apply deadline, and all subscribers have the
+    /// newest one at the end.
     Apply,
     /// Retries stay within the retry budget.
     Budget,
     /// Acknowledged changes persist, rejected ones are never in force, and no process reverts to an older version.
     Config,
-    /// Requests on a route that every version contains are not answered with an unexpected status.
+    /// Clients receive only 2xx, 408, 421, 429, 500, 502, 503 and 504, and 404 on the route of a single version.
     Denied,
     /// No process in contact considers a node ready, or sends requests to it, after the drain cutoff.
     Drain,
     /// The operators' history is linearizable as that of one register.
     Linearizable,
-    /// At the end every controller returns the newest acknowledged version.
+    /// At the end every running controller returns the newest acknowledged version of the configuration.
     Lost,
     /// A client receives the complete response to its own request.
     Mixed,
-    /// A mutating request is not executed if its rejection guarantees that.
+    /// A mutating request is not executed if its client received a status that guarantees that.
     Refused,
     /// A gateway accepts its settings.
     Settings,
--- a/crates/fernknot-simulator/src/checks/sent_request.rs
+++ b/crates/fernknot-simulator/src/checks/sent_request.rs
@@ -25,7 +25,7 @@
     pub target: String,
     pub body: Vec<u8>,
     pub sent_at: Nanos,
-    /// Gateway that receives the request, with its incarnation at that time.
+    /// Gateway to which the request is sent, and in the next field the incarnation of the gateway at that time.
     pub gateway: usize,
     pub incarnation: u64,
     /// Whether the gateway was in contact when the request was sent.
--- a/crates/fernknot-simulator/src/control_clients/operators.rs
+++ b/crates/fernknot-simulator/src/control_clients/operators.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of concurrent changes of all operators.
 const MAX_CHANGES_IN_FLIGHT: usize = 8;
-/// Number of reads in a run after which floods stop.
+/// Number of completed reads in a run after which read floods (`flood_machine`) stop.
 const MAX_READS: usize = 300;
 /// Time after which an operator abandons a change, if it abandons it at all.
 const CHANGE_ABANDON_TIMEOUT: Nanos = millis(2000);
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Sends as many concurrent changes as are allowed, all based on one version, by two operators with two epochs.
+    /// Sends `MAX_CHANGES_IN_FLIGHT` changes at once, all based on one version, by two operators and with two epochs.
+    /// Changes beyond the limits of `submit_change` are not sent.
     pub(crate) fn submit_concurrent_changes(&mut self) {
         let base = self.control_clients.newest_known_epoch();
         for change in 0..MAX_CHANGES_IN_FLIGHT {
--- a/crates/fernknot-simulator/src/control_clients/state.rs
+++ b/crates/fernknot-simulator/src/control_clients/state.rs
@@ -8,12 +8,13 @@
 
 const OPERATOR_COUNT: u64 = 2;
 
-/// Purpose of a request.
+/// Purpose of a request. The numbers are the index of a change in `Observations::changes`, or of a node in
+/// `ControlClients::nodes`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// Change of the configuration, by its index, retried until it has a definitive response.
+    /// Change of the configuration, retried until it has a definitive response or is abandoned.
     Replace(usize),
-    /// Repetition of an acknowledged change, by its index.
+    /// Repetition of an acknowledged change, which must succeed again.
     Resend(usize),
     /// Read of the newest configuration, for an operator or for the checkers.
     Read {
@@ -36,7 +37,7 @@
     /// Number of attempts that were rejected.
     pub rejections: usize,
     pub last_machine: Option<usize>,
-    /// Time after which a failed attempt is not retried.
+    /// Time after which a failed attempt is not retried; `None` if attempts are retried without limit.
     pub give_up_at: Option<Nanos>,
 }
 
@@ -46,7 +47,7 @@
     pub machine: usize,
     /// Incarnation of the process that received the attempt; 0 before it arrives.
     pub incarnation: u64,
-    /// Sequence number of the attempt among all events.
+    /// Number of the attempt in the run's single sequence of events; also its id.
     pub invoked_at: u64,
     pub is_answered: bool,
 }
@@ -120,7 +121,8 @@
     pub attempts: BTreeMap<u64, Attempt>,
     pub operators: Vec<Operator>,
     pub nodes: Vec<Node>,
-    /// Start of the current period without disturbances, for the acknowledgement deadline.
+    /// Start of the current period in which the core is stable, no link is partitioned and no responses are lost;
+    /// `None` outside such a period. The acknowledgement deadline counts from there at the earliest.
     pub undisturbed_since: Option<Nanos>,
     /// Whether the run is in its final phase, in which operators start no operations of their own and no fault begins.
     pub in_final_phase: bool,
--- a/crates/fernknot-simulator/src/controllers/actions.rs
+++ b/crates/fernknot-simulator/src/controllers/actions.rs
@@ -1,4 +1,5 @@
-//! Executes the actions that a controller requests from its host.
+//! Execution of a controller's actions. A controller does no input or output itself; it requests messages, writes and
+//! replies as actions from the program that drives it, which here is the simulation.
 
 use crate::simulation::Simulation;
 use crate::topology::machine_index;
--- a/crates/fernknot-simulator/src/controllers/machine.rs
+++ b/crates/fernknot-simulator/src/controllers/machine.rs
@@ -61,7 +61,7 @@
 /// Reading of a controller's clock when its process starts.
 pub(crate) const INITIAL_CLOCK_READING: Nanos = millis(1);
 
-/// Contents of a disk, its pending writes and its current fault.
+/// Contents of a disk, its pending writes, and its behavior under the current fault.
 pub(crate) struct Disk {
     pub state: Option<PersistentState>,
     /// Earlier states, for the seeded bug `StaleDisk`.
@@ -94,7 +94,8 @@
     }
 }
 
-/// Part of a controller's counters that the log shows.
+/// Part of a controller's counters that the log shows: the number of its view, the revision and the epoch of its
+/// configuration, and whether a majority of the members was reachable recently (the lease).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct KnownState {
     pub view: u64,
@@ -177,7 +178,7 @@
         self.is_powered && !self.is_removed
     }
 
-    /// Converts simulated time to the reading of the process's clock.
+    /// Returns the reading of the process's clock at the simulated time `now`.
     pub fn local_time(&self, now: Nanos) -> Nanos {
         self.clock.read(now)
     }
--- a/crates/fernknot-simulator/src/controllers/process.rs
+++ b/crates/fernknot-simulator/src/controllers/process.rs
@@ -11,7 +11,8 @@
 use fernknot::interface::Nanos;
 use fernknot_controller::{Controller, ControllerSettings};
 
-/// Time that a controller has for a graceful shutdown, a quarter of `grace_s`, before it is killed.
+/// Time that a controller has for a graceful shutdown before it is killed: a quarter of the setting `grace_s` of 6 s,
+/// as in production.
 const SHUTDOWN_GRACE: Nanos = millis(1500);
 /// Interval at which a process that is shutting down is polled for completion.
 const SHUTDOWN_POLL_INTERVAL: Nanos = millis(20);
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Sets the clients' lists to all present machines.
+    /// Sets the clients' lists of controllers to all machines that were not replaced.
     pub(crate) fn update_advertised(&mut self) {
         self.discovery.advertised = self.present_machines();
     }
--- a/crates/fernknot-simulator/src/event.rs
+++ b/crates/fernknot-simulator/src/event.rs
@@ -30,15 +30,15 @@
     FirstStart(usize),
     /// Starts the controller of a machine, unless it runs.
     StartMachine(usize),
-    /// Ends a controller that is shutting down if it may exit or its time is over.
+    /// Ends a controller that is shutting down if it may exit or its shutdown deadline has passed.
     CheckStopped { machine: usize, incarnation: u64 },
-    /// Updates the clients' lists to the present machines.
+    /// Updates the clients' lists of controllers to the machines that were not replaced.
     UpdateAdvertised,
-    /// Injects a fault that is due, or arms it until its trigger.
+    /// Injects the fault with this index in the schedule, which is due, or lets it wait for its trigger.
     FaultDue(usize),
-    /// Injects a fault, unless it was injected before.
+    /// Injects the fault with this index in the schedule, unless it was injected before.
     InjectFault(usize),
-    /// Ends a fault on the machine where it was injected.
+    /// Ends the fault with this index in the schedule on the machine where it was injected.
     EndFault { fault: usize, machine: usize },
     /// Event of operators and nodes.
     ControlClient(ControlClientEvent),
--- a/crates/fernknot-simulator/src/faults/schedule.rs
+++ b/crates/fernknot-simulator/src/faults/schedule.rs
@@ -54,7 +54,7 @@
 /// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The process ends at once; pending writes may be kept or lost.
+    /// The process ends at once and is started again when the fault ends; pending writes may be kept or lost.
     Kill,
     /// The machine loses power until the fault ends.
     PowerLoss,
@@ -71,17 +71,17 @@
     Isolate {
         /// Blocked direction.
         direction: Direction,
-        /// The machine is partitioned from the subscribers too.
+        /// The machine is partitioned from the subscribers too; production gateways always stay linked.
         subscribers: bool,
     },
-    /// The machine is partitioned from one other controller.
+    /// The machine is partitioned from one other, by index the next of the initial machines.
     PartitionPair {
         /// Blocked direction.
         direction: Direction,
     },
-    /// The core is partitioned into two halves, in addition to the losses of the budget. Clients reach both halves.
+    /// The core is partitioned into two parts, in addition to the losses of the fault budget. Clients reach both parts.
     SplitCore {
-        /// Bit mask of the machines in the first half.
+        /// Bit mask of the machines in the first part; the bit's position is the machine's index.
         half: u64,
     },
     /// All connections of the machine are reset.
@@ -92,11 +92,11 @@
     DiskFull,
     /// Writes hang.
     DiskHang,
-    /// Writes take a hundred times as long.
+    /// Writes take 30 to 300 ms instead of 1 to 5 ms.
     DiskSlow,
-    /// The machine's network delays increase.
+    /// Network delays from and to the machine increase by 200 ms.
     LinkSlow,
-    /// Most responses of all machines to their clients are lost.
+    /// Two thirds of the responses of all controllers to operators and nodes are lost.
     LoseResponses,
     /// The machine is replaced permanently by a new one with another address and an empty disk.
     ReplaceMachine,
@@ -104,9 +104,10 @@
     GracefulRestart,
     /// Eight concurrent changes based on one version.
     ConcurrentChanges,
-    /// Changes and resends in quick succession.
+    /// Operators change, resend and read in quick succession.
     ChangeStorm,
-    /// Reads at one machine in quick succession, with some changes and resends.
+    /// Reads at one machine in quick succession, with some changes and resends. The machine is the one that returned
+    /// last, whatever the target; the target if none has returned.
     ReadFlood,
 }
 
--- a/crates/fernknot-simulator/src/faults/state.rs
+++ b/crates/fernknot-simulator/src/faults/state.rs
@@ -9,7 +9,7 @@
     pub schedule: Vec<Fault>,
     /// Due faults that wait for their trigger.
     pub armed: BTreeSet<usize>,
-    /// Faults that were injected, or skipped because they would exceed the budget.
+    /// Faults that were injected, or skipped because they would exceed the budget or no machine was running.
     pub injected: BTreeSet<usize>,
     /// Machine on which each fault was injected.
     pub machines: BTreeMap<usize, usize>,
@@ -22,7 +22,8 @@
     pub core_splits: usize,
     /// Time at which the last split of the core ended.
     pub split_until: Nanos,
-    /// Time until which service may be unavailable, because more was lost than the budget allows.
+    /// Time until which service may be unavailable, because the core was split or more machines were lost than the
+    /// fault budget allows.
     pub outage_allowed_until: Nanos,
     /// Leader of the newest view that any controller has entered.
     pub leader: Option<usize>,
--- a/crates/fernknot-simulator/src/faults/triggers.rs
+++ b/crates/fernknot-simulator/src/faults/triggers.rs
@@ -1,4 +1,4 @@
-//! Triggers, targets and the loss budget of faults.
+//! Triggers and targets of faults, and the fault budget: the number of machines that may be lost at one time.
 
 use crate::event::Event;
 use crate::faults::schedule::{Fault, FaultKind, Target, Trigger};
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Schedules the injection of the first armed fault that waits for this trigger.
+    /// Schedules the injection of the first due fault that waits for this trigger, if there is one.
     pub(crate) fn fire_trigger(&mut self, trigger: Trigger) {
         if let Some(fault) = self.faults.waiting_for(trigger) {
             self.faults.armed.remove(&fault);
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Injects a fault, unless more machines would be lost than the budget allows.
+    /// Injects a fault, unless it was injected before, no machine is running, or more machines would be lost than the
+    /// budget allows.
     pub(crate) fn inject_fault(&mut self, fault: usize) {
         let Fault { target, kind, duration, .. } = self.faults.schedule[fault];
         self.faults.armed.remove(&fault);
@@ -87,8 +88,8 @@
         is_over_budget && !self.settings.exceeds_fault_budget
     }
 
-    /// Number of other machines with a lost disk whose data may not have been replicated to them again. Only a split
-    /// core can need more time for that than the machine counts as lost; without splits this is 0.
+    /// Number of other machines with a lost disk whose data may not have been replicated to them again. Without core
+    /// splits this is 0, because the data is then replicated before the machine stops counting as lost.
     fn unrepaired_disks_besides(&self, machine: usize) -> usize {
         let is_unrepaired = |other: &usize| *other != machine && self.machines[*other].lost_disk;
         let present = self.present_machines();
--- a/crates/fernknot-simulator/src/gateways/processes.rs
+++ b/crates/fernknot-simulator/src/gateways/processes.rs
@@ -112,8 +112,8 @@
     }
 
     /// Returns the side that closes when the process of a gateway ends. For a connection of a gateway to itself,
-    /// which was opened to the address of an earlier incarnation, this is the opener for both ends: recorded
-    /// schedules depend on it.
+    /// which was opened to the address of an earlier incarnation, this is the opener for both ends: another choice
+    /// would change the order of events in the runs of recorded seeds.
     fn closing_side(&self, index: usize, link: GatewayLink) -> Side {
         let connection = self.gateways.connections.get(&link.connection);
         match connection.map(|connection| connection.opener.endpoint) {
@@ -197,7 +197,8 @@
         }
     }
 
-    /// Queues a network event for the gateway's next turn, which may be delayed a little.
+    /// Queues a network event for the gateway's next turn, which begins at once or, for one event in ten, up to 10 ms
+    /// later.
     pub(super) fn push_gateway_event(&mut self, index: usize, event: NetworkEvent) {
         self.gateways.processes[index].inbox.push(event);
         let delay = match self.rng.below(10) {
--- a/crates/fernknot-simulator/src/gateways/state.rs
+++ b/crates/fernknot-simulator/src/gateways/state.rs
@@ -71,7 +71,8 @@
 /// State of one side of a connection.
 pub(crate) struct ConnectionEnd {
     pub endpoint: Endpoint,
-    /// Arrival time of the last bytes sent to this side.
+    /// Time at which the last bytes sent to this side arrive, which may lie in the future. No later bytes arrive
+    /// before.
     pub last_arrival: Nanos,
     /// Whether this side has closed the connection or seen its end.
     pub is_closed: bool,
@@ -83,7 +84,7 @@
     pub acceptor: ConnectionEnd,
     /// Whether the connection has stopped delivering.
     pub is_broken: bool,
-    /// Received bytes that the controller has not read.
+    /// Bytes that have arrived at a controller and do not yet form a complete message.
     pub received: Buffer,
 }
 
--- a/crates/fernknot-simulator/src/lib.rs
+++ b/crates/fernknot-simulator/src/lib.rs
@@ -3,8 +3,23 @@
 //! nodes, clients and faults. Checkers that share no code with the system under test judge the messages on the
 //! simulated wire. `docs/simulator.md` describes the use and the coverage of the simulator.
 //!
-//! The machines that run controllers form the *core*. A process is *in contact* while nothing has disturbed it or the
-//! core for the contact time-out and it can reach the core's majority.
+//! # Terms
+//!
+//! - A *machine* runs one controller; a *process* on it is started anew after a crash, each time as another
+//!   *incarnation*, which is identified by a number. The machines form the *core*.
+//! - A *node* serves requests of one backend and reports to the controllers by heartbeats. A node *drains* before it
+//!   leaves: it receives no new requests once the gateways know the drain.
+//! - An *operator* replaces the configuration by a *change*. Each *version* of the configuration has an *epoch*, which
+//!   the operator chooses, and a *revision*, its position among all versions that were ever in force. A *view* is the
+//!   numbered set of the controllers that decide on changes; its first member leads.
+//! - The machines that are listed in the settings of processes as the first ones to contact are also called *seeds*;
+//!   in `Settings::seed` the word means the seed of the random numbers.
+//! - A machine counts as *lost* while a fault that counts against the fault budget is active on it, and for the
+//!   catch-up time after. The *fault budget* is the number of machines that may be lost at one time.
+//! - The core is *stable* while nothing has disturbed it for the contact time-out, no disk or link is slowed down, and
+//!   some machine reaches a majority of the core. A process is *in contact* while the core is stable, nothing has
+//!   disturbed the process for the contact time-out, and it is linked to all machines that reach a majority.
+//! - A *seeded bug* is a deliberate defect that the checkers must find; it exists to test the checkers.
 //!
 //! # Layers
 //!
--- a/crates/fernknot-simulator/src/linearizability.rs
+++ b/crates/fernknot-simulator/src/linearizability.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A version of the configuration.
+/// Identity of a version of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
     /// Epoch chosen by the operator.
     pub epoch: u64,
-    /// Distinguishes configurations with the same epoch.
+    /// Distinguishes configurations with the same epoch: the index of the operators' change that sent it.
     pub body: u64,
 }
 
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 struct Register {
     newest: Option<Version>,
-    /// Index of the last non-mutating call since the last committed change.
+    /// Index of the last non-mutating call (a read or a rejected change) since the last committed change.
     last_non_mutating: Option<usize>,
     steps: Arc<AtomicU64>,
 }
@@ -186,12 +186,13 @@
 fn is_always_valid(call: &Call, all: &[Call]) -> bool {
     let Some(Completion { at: end, result }) = call.completion else { return false };
     match (call.operation, result) {
-        // Valid at its end: another change that replaced its base was committed before.
+        // A rejection is valid at its end if another change of the same base was committed before.
         (Operation::Replace { base, .. }, OperationResult::Rejected) => {
             let mut others = all.iter().filter(|other| other.replaces_epoch(base));
             others.any(|other| committed_at(other).is_some_and(|committed_at| committed_at < end))
         }
-        // Valid after the commit of the version and before the beginning of any change that replaces it.
+        // A read is valid after the commit of the version that it found, and before the beginning of any change that
+        // replaces this version.
         (Operation::Read, OperationResult::Value(found)) => {
             let since = match found {
                 None => Some(0),
--- a/crates/fernknot-simulator/src/network/connectivity.rs
+++ b/crates/fernknot-simulator/src/network/connectivity.rs
@@ -11,7 +11,9 @@
 const DELAY_JITTER: f64 = 0.3;
 
 impl Simulation {
-    /// Samples a network delay from one process to another.
+    /// Samples a network delay from one process to another. An index stands for a zone, by its remainder modulo
+    /// `ZONES`. An index of a machine adds the delay of the machine's slow link, even if it
+    /// stands for another process or for a zone.
     pub(crate) fn sample_delay(&self, from: usize, to: usize) -> Nanos {
         let base = self.network.zone_delay(from, to);
         let is_slow = |index: &usize| self.machines.get(*index).is_some_and(|machine| machine.has_slow_link);
@@ -58,7 +60,7 @@
         self.gateways.mark_disturbed(position, self.now);
     }
 
-    /// Returns the running machines that can reach a majority of the core.
+    /// Returns the running machines that are linked in both directions to a majority of the core, themselves included.
     pub(crate) fn majority_members(&self) -> Vec<usize> {
         let core = self.present_machines().len();
         let running = self.running_machines();
@@ -70,7 +72,8 @@
         running.iter().copied().filter(reaches_majority).collect()
     }
 
-    /// Returns whether the core has been undisturbed for the contact time-out and a majority of it is connected.
+    /// Returns whether the core is stable: undisturbed for the contact time-out, without slow disks or links, with a
+    /// machine that reaches a majority, and after the time for which an outage is allowed.
     pub(crate) fn is_core_stable(&self) -> bool {
         if self.now < self.faults.outage_allowed_until {
             return false;
--- a/crates/fernknot-simulator/src/network/state.rs
+++ b/crates/fernknot-simulator/src/network/state.rs
@@ -23,11 +23,11 @@
     pub to: usize,
     pub to_incarnation: u64,
     pub is_open: bool,
-    /// Arrival time of the last message that was sent.
+    /// Time at which the last sent message arrives, which may lie in the future. No later message arrives before it.
     pub last_arrival: Nanos,
     /// Messages delayed by a partition.
     pub stalled: VecDeque<ControllerMessage>,
-    /// Number of the stall that delays them.
+    /// Number of the stall in which the first of the `stalled` messages was delayed.
     pub stall: u64,
 }
 
--- a/crates/fernknot-simulator/src/ports.rs
+++ b/crates/fernknot-simulator/src/ports.rs
@@ -39,7 +39,7 @@
     pub actions: Vec<PortAction>,
     /// Unread input of reset connections.
     pub unread_after_reset: BTreeMap<ConnectionId, Buffer>,
-    /// Whether opening a connection fails with [`ErrorKind::QuotaExceeded`].
+    /// Whether opening a connection fails with [`ErrorKind::QuotaExceeded`], as without free file descriptors.
     pub is_full: bool,
 }
 
--- a/crates/fernknot-simulator/src/run.rs
+++ b/crates/fernknot-simulator/src/run.rs
@@ -21,15 +21,15 @@
 /// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// First violations of each rule.
+    /// Violations in the order of their detection: at most three of each rule, and at most 20 in all.
     pub violations: Vec<Violation>,
     /// Number of changes that operators sent.
     pub changes: usize,
-    /// Number of reads with a definitive response.
+    /// Number of reads that returned a configuration, or 404 for none.
     pub reads: usize,
     /// Number of acknowledged drains.
     pub drains: usize,
-    /// Number of faults that were injected, or skipped because they would exceed the budget.
+    /// Number of faults that were injected, or skipped because they would exceed the budget or no machine was running.
     pub faults: usize,
     /// Number of events of each kind in the processing of requests.
     pub counts: BTreeMap<RequestEvent, u64>,
@@ -81,7 +81,8 @@
         self.run_until(fault_period + millis(2000) + self.settings.bounds.contact_timeout);
     }
 
-    /// Runs until every change should have a definitive response, then checks that one more change is committed.
+    /// Runs until every change should have a definitive response, then submits one more change and checks that no
+    /// change is left without a definitive response.
     fn complete_changes(&mut self) {
         let ack_deadline = self.settings.bounds.ack_deadline;
         self.control_clients.in_final_phase = true;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Checks that every running controller returns the newest acknowledged version and every subscriber has it.
+    /// Checks that every running controller returns the newest acknowledged version and that every subscriber has it.
     fn check_final_versions(&mut self) {
         let running = self.running_machines();
         for machine in &running {
@@ -130,8 +131,8 @@
     }
 }
 
-/// Removes faults one at a time while the same rule is still violated, and returns the remaining ones with their
-/// outcome.
+/// Tries the run without each fault, from the last to the first, and drops the fault if the rule that was violated
+/// first is still violated. Returns the remaining faults and the outcome with them; all faults if no rule is violated.
 pub fn shrink(settings: &Settings) -> (Vec<Fault>, Outcome) {
     let mut faults = fault_schedule(settings);
     let mut outcome = simulate_with_faults(settings, faults.clone());
--- a/crates/fernknot-simulator/src/settings.rs
+++ b/crates/fernknot-simulator/src/settings.rs
@@ -4,7 +4,8 @@
 use crate::time::millis;
 use fernknot::interface::Nanos;
 
-/// Number of controllers' machines that are listed as seeds, if there are as many.
+/// Number of machines that are listed as the first ones to contact in the settings of the processes; all machines if
+/// there are fewer. They form the first view.
 pub const FOUNDING_MEMBERS: usize = 3;
 /// Retries that the retry budget allows, as a share of the requests in a window.
 pub const RETRY_RATIO: f64 = 0.2;
@@ -24,26 +25,28 @@
 /// Time bounds that the system guarantees, as in the deployment files.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Interval between the heartbeats of a node.
+    /// Interval between the heartbeats of a node. The same interval is set for controllers and gateways.
     pub heartbeat_interval: Nanos,
     /// Time after its acknowledgement within which a version must be in force at every gateway in contact.
     pub apply_deadline: Nanos,
-    /// Time without disturbances after which a process is in contact.
+    /// Time without disturbances of the process and of the core after which the process is in contact.
     pub contact_timeout: Nanos,
     /// Time within which a change or a drain must have a definitive response while the core is stable.
     pub ack_deadline: Nanos,
     /// Time after its acknowledgement within which a drain must be known to every gateway in contact.
     pub drain_cutoff: Nanos,
-    /// Time for which a machine still counts as lost after its fault has ended.
+    /// Time for which a machine still counts as lost after its last fault has ended.
     pub catch_up_time: Nanos,
-    /// Delay until clients' lists contain a new machine.
+    /// Delay until a machine that replaces another is on the lists of controllers that clients may call.
     pub seed_lag: Nanos,
-    /// Time for which service may be unavailable after all machines are back, if more were lost than the budget allows.
+    /// Time for which service may be unavailable after the core was last split or more machines were lost than the
+    /// fault budget allows. It applies to runs with core splits only.
     pub recovery_time: Nanos,
 }
 
 impl Bounds {
-    /// Returns the time after which a connection without acknowledgements ends, as configured on the host's sockets.
+    /// Returns the time after which a connection ends if sent bytes are not acknowledged: a quarter of the contact
+    /// time-out.
     pub fn suspect_timeout(&self) -> Nanos {
         self.contact_timeout.times(0.25)
     }
@@ -64,31 +67,31 @@
     }
 }
 
-/// A bug seeded into a run, which the checkers must find.
+/// Deliberate bug of a run, which the checkers must find: in the simulated environment, a gateway or a controller.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
     /// A disk acknowledges a write before it has stored it.
     DiskAcksEarly,
-    /// A process starts with an older copy of its disk.
+    /// A controller starts with the oldest of up to four earlier states of its disk.
     StaleDisk,
-    /// The response 503 to a change becomes 200.
+    /// The response 503 to a change, which does not tell whether the change is in force, becomes 200.
     AcknowledgesUnclear,
-    /// A read returns the result of an earlier read at the same machine.
+    /// A read of the configuration returns the result of an earlier read at the same machine.
     StaleReads,
     /// An acknowledged change is rejected when it is resent.
     RejectsRepeats,
     /// Controllers do not forward node updates to each other.
     WithholdsNodeUpdates,
-    /// A response goes to another waiting client.
+    /// A controller's response goes to another client that is waiting for a response of the same machine.
     SwapsResponses,
     /// Subscribers receive an older configuration as if it were the newest.
     ReplaysOldConfig,
     /// Gateways are configured with a retry budget a hundred times too large.
     UnlimitedRetries,
-    /// A bug in the gateways.
+    /// A bug in the production code of the gateways.
     Gateway(fernknot_gateway::SeededBug),
-    /// A bug in the controllers.
+    /// A bug in the production code of the controllers.
     Controller(fernknot_controller::SeededBug),
 }
 
@@ -99,38 +102,38 @@
     pub seed: u64,
     /// Number of controllers at the start.
     pub members: usize,
-    /// Number of machines that may be lost at one time.
+    /// Fault budget: number of machines that may be lost at one time.
     pub tolerated_losses: usize,
-    /// Number of subscribers, which model the gateways' control connections.
+    /// Number of subscribers, which model the gateways' connections to controllers.
     pub subscribers: usize,
-    /// Number of production gateways, which replace the subscribers.
+    /// Number of production gateways. A run has either gateways or subscribers.
     pub gateways: usize,
-    /// Number of clients of the gateways.
+    /// Number of clients that send requests to the gateways.
     pub clients: usize,
     /// Number of nodes of the single backend.
     pub nodes: usize,
-    /// Maximum number of configuration changes in the run.
+    /// Maximum number of configuration changes in the run, without the one that is sent after the faults have ended.
     pub max_changes: usize,
-    /// Time at which the injection of faults ends.
+    /// Simulated time at which all faults end and no further ones are injected.
     pub fault_period: Nanos,
     /// Whether more machines than `tolerated_losses` may be lost at one time.
     pub exceeds_fault_budget: bool,
-    /// Whether the core is also partitioned into two halves at times, in addition to the losses of the budget.
+    /// Whether the core is also partitioned into two parts at times, in addition to the losses of the fault budget.
     pub splits_core: bool,
     /// Whether the clocks of processes run at different rates.
     pub uneven_clocks: bool,
-    /// Whether a log is written.
+    /// Whether the run records a log, which `Outcome` returns.
     pub trace: bool,
     /// Guaranteed time bounds.
     pub bounds: Bounds,
-    /// Bug that the checkers must find.
+    /// Bug that the checkers must find; `None` for a run without one.
     #[doc(hidden)]
     pub seeded_bug: Option<SeededBug>,
 }
 
 impl Settings {
-    /// Creates settings for `members` controllers. As many may be lost as leave a majority, but at most two: three
-    /// seeds form the first view, and a change is stored on one disk more than may be lost.
+    /// Creates settings for `members` controllers. As many may be lost as leave a majority, but at most two: the first
+    /// view has three members, and a change must be stored on one disk more than may be lost.
     pub fn new(seed: u64, members: usize) -> Settings {
         Settings {
             seed,
--- a/crates/fernknot-simulator/src/simulation.rs
+++ b/crates/fernknot-simulator/src/simulation.rs
@@ -21,9 +21,9 @@
 
 /// Machines that processes and clients are configured to contact.
 pub(crate) struct Discovery {
-    /// Machines listed as seeds in the settings of processes that start from now on.
+    /// Machines listed as the first ones to contact in the settings of processes that start from now on.
     pub seeds: Vec<usize>,
-    /// Machines on the clients' lists, which are updated with a delay.
+    /// Machines on the clients' lists of controllers, which contain a replacement only after `Bounds::seed_lag`.
     pub advertised: Vec<usize>,
 }
 
--- a/crates/fernknot-simulator/src/subscribers/state.rs
+++ b/crates/fernknot-simulator/src/subscribers/state.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Subscriber {
     /// Id of the current subscription; `None` while there is no controller.
     pub subscription: Option<u64>,
-    /// Machine of the current or last controller.
+    /// Index of the machine on which the current or last controller runs.
     pub controller: usize,
     /// Incarnation of the controller; 0 until the subscription has arrived there.
     pub incarnation: u64,
@@ -22,17 +22,18 @@
     pub is_broken: bool,
     /// Whether the controller has sent a message on this subscription.
     pub has_received: bool,
-    /// Arrival time of the last message that was sent to the subscriber.
+    /// Time at which the last sent message arrives, which may lie in the future. No later message arrives before it.
     pub last_arrival: Nanos,
     pub last_received: Nanos,
-    /// Time of the last heartbeat by which the controller reported a majority lease.
+    /// Time at which the subscription began, or at which the last heartbeat arrived in which the controller reported
+    /// the lease: that it is in contact with a majority of its view.
     pub last_lease: Nanos,
     pub revision: u64,
     pub version: Option<Version>,
     pub nodes: BTreeMap<String, NodeRecord>,
     /// Time of the last event that interrupts the subscriber's contact with the controllers.
     pub disturbed_at: Nanos,
-    /// Time of the last failure of each controller.
+    /// Time at which the subscriber last left each controller or failed to connect to it.
     pub last_failures: BTreeMap<usize, Nanos>,
     /// Previous configuration, for the seeded bug `ReplaysOldConfig`.
     pub previous_config: Option<RoutingConfig>,
--- a/crates/fernknot-simulator/src/subscribers/subscriptions.rs
+++ b/crates/fernknot-simulator/src/subscribers/subscriptions.rs
@@ -12,9 +12,11 @@
 use fernknot_rpc::{GatewayToController, Subscription};
 
 const CHECK_INTERVAL: Nanos = millis(100);
-/// Time without a message, or without a majority lease, after which a subscriber leaves its controller.
+/// Time after which a subscriber leaves its controller if it receives no message, or no heartbeat that reports contact
+/// with a majority (the lease).
 const CONTROLLER_TIMEOUT: Nanos = millis(1000);
-/// Time without a first message after which a subscriber leaves its controller.
+/// Time after the beginning of a subscription after which a subscriber that has received no message leaves its
+/// controller.
 const FIRST_MESSAGE_TIMEOUT: Nanos = millis(300);
 
 impl Simulation {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Leaves a controller on a time-out or without a majority, and otherwise sends it a heartbeat.
+    /// Leaves the controller if it has been silent or without a majority for too long, and otherwise sends it a
+    /// heartbeat.
     fn check_controller(&mut self, index: usize) {
         let event = SubscriberEvent::CheckController { subscriber: index };
         self.schedule_subscriber(CHECK_INTERVAL, event);
--- a/crates/fernknot-simulator/src/subscribers/updates.rs
+++ b/crates/fernknot-simulator/src/subscribers/updates.rs
@@ -77,7 +77,7 @@
         self.schedule_subscriber(delay, SubscriberEvent::Message { subscriber, subscription, message });
     }
 
-    /// Implements the seeded bug: sends the previous configuration again with the next revision.
+    /// Implements the seeded bug `ReplaysOldConfig`: sends the previous configuration again with the next revision.
     fn replay_old_config(
         &mut self,
         index: usize,
--- a/crates/fernknot-simulator/src/traffic/checks.rs
+++ b/crates/fernknot-simulator/src/traffic/checks.rs
@@ -10,8 +10,8 @@
 use crate::wire::Message;
 use fernknot::interface::Nanos;
 
-/// Time after a gateway was observed to use a newer version within which requests may still be sent that use an older
-/// one.
+/// Time after the first observation of a version at a gateway for which requests may still be sent that the gateway
+/// routes by an older version.
 const REVERT_SLACK: Nanos = millis(1000);
 
 impl Simulation {
--- a/crates/fernknot-simulator/src/traffic/state.rs
+++ b/crates/fernknot-simulator/src/traffic/state.rs
@@ -49,7 +49,7 @@
     pub request: Option<ClientRequest>,
     /// Gateway of the connection.
     pub gateway: usize,
-    /// Index of the request that is waiting for a response, among all requests sent.
+    /// Index in `RequestChecker::requests` of the request that is waiting for a response.
     pub sent_request: Option<usize>,
     /// Current attempt; `None` while the client pauses between attempts.
     pub attempt: Option<u64>,
--- a/crates/fernknot-simulator/tests/seeded_bugs.rs
+++ b/crates/fernknot-simulator/tests/seeded_bugs.rs
@@ -45,8 +45,9 @@
     assert!(is_detected(bug, 3, false, seeds.clone()), "{bug:?} is not detected in {seeds:?}");
 }
 
-/// Bugs in safety rules, which hold beyond the fault budget, are detected sooner with more losses. Each range starts
-/// near the first seed that detects its bug, to keep the test short; docs/simulator.md has the counts from seed 0.
+/// Bugs that violate safety rules, which must hold even if more machines are lost than the fault budget allows, are
+/// detected sooner with more losses. Each range starts near the first seed that detects its bug, to keep the test
+/// short; docs/simulator.md has the counts from seed 0.
 #[test_case(SeededBug::Controller(ControllerBug::Consensus(ConsensusBug::SendBeforePersist)), 20..200; "message sent before its state is persisted")]
 #[test_case(SeededBug::Controller(ControllerBug::Consensus(ConsensusBug::EmptyDiskVotes)), 100..400; "vote of a member with an empty disk")]
 #[test_case(SeededBug::Controller(ControllerBug::Consensus(ConsensusBug::ForgetAcceptedView)), 640..960; "accepted view forgotten")]
