--- a/crates/fernknot-cli/src/arguments.rs
+++ b/crates/fernknot-cli/src/arguments.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::str::FromStr;
 
-/// Positional arguments and options of a command.
+/// Positional arguments and options of a command, such as `show`, without the command itself.
 pub struct Arguments {
     pub positional: Vec<OsString>,
     options: Vec<(String, Option<String>)>,
--- a/crates/fernknot-cli/src/check.rs
+++ b/crates/fernknot-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `fernknot check`: validates a file and lists all its errors.
+//! `fernknot check`: validates a configuration, or with `--settings` the settings of a process, and lists all errors.
 
 use crate::arguments::Arguments;
 use crate::error::CliError;
--- a/crates/fernknot-cli/src/config.rs
+++ b/crates/fernknot-cli/src/config.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 const USAGE: &str = "config read ADDR[,ADDR...], or config replace ADDR[,ADDR...] FILE --base N";
-/// Time-out of a call, retries included, after which its outcome is unclear.
+/// Time-out of a call, retries included, after which the operator cannot tell whether a change is in force.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 pub fn run(arguments: &Arguments) -> Result<(), CliError> {
--- a/crates/fernknot-cli/src/demo.rs
+++ b/crates/fernknot-cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! `fernknot demo`: runs a complete system on loopback until it is stopped.
+//! `fernknot demo`: runs a complete system on loopback, sends it queries until it is stopped or its time is over, and
+//! checks the responses.
 
 use crate::arguments::Arguments;
 use crate::error::CliError;
@@ -18,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Rate of the demo's queries, per second.
+/// Requests per second of all clients together.
 const QUERIES_PER_S: f64 = 20.0;
 const NODES_PER_SERVICE: usize = 3;
 const RECORD_BYTES: usize = 16;
@@ -149,7 +150,7 @@
     });
 }
 
-/// Waits until the time is over or a stop is requested, and prints progress reports.
+/// Waits until `seconds` have passed or a stop is requested, and prints progress reports meanwhile.
 fn serve(load: &Load, seconds: Option<f64>, stop_requested: &AtomicBool) {
     let started_at = Instant::now();
     let mut reported_at = started_at;
@@ -199,7 +200,7 @@
         single_service: SINGLE_SERVICE.into(),
     };
     let mut violations = check(requests, &nodes.execution_log(), &expectations);
-    // Requests that the user sends by hand appear only in the nodes' log.
+    // Requests that the user sends by hand, as the printed hints suggest, are in the nodes' log but not in `requests`.
     violations.retain(|violation| violation.rule != Rule::UnrequestedExecution);
     for Violation { rule, detail } in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         print_line(format!("broken: {rule} {detail}"));
--- a/crates/fernknot-cli/src/error.rs
+++ b/crates/fernknot-cli/src/error.rs
@@ -8,7 +8,7 @@
 
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// Invalid arguments.
+    /// Arguments that the command does not accept, with the reason.
     #[error("{0}")]
     Usage(String),
     #[error(transparent)]
@@ -26,7 +26,7 @@
     RegisterSignals(std::io::Error),
     #[error("cannot start a node: {0}")]
     StartNode(std::io::Error),
-    /// The operation was rejected or failed, or its outcome is unclear.
+    /// The command was valid, but its operation was rejected or failed, or it is unclear whether it took effect.
     #[error("{0}")]
     Failed(String),
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Formats one line per error, with the path and the error's place in the file.
+/// Formats one line per error, with the file's path and the error, which names the invalid field.
 fn format_errors(path: &Path, errors: &[ValidationError]) -> String {
     let lines: Vec<String> = errors.iter().map(|error| format!("{}: {error}", path.display())).collect();
     lines.join("\n")
--- a/crates/fernknot-cli/src/measure.rs
+++ b/crates/fernknot-cli/src/measure.rs
@@ -1,4 +1,5 @@
-//! `fernknot measure`: measures resource usage while one parameter is varied.
+//! `fernknot measure`: measures the resource usage of controllers and gateways on loopback at several sizes of one
+//! parameter, such as the number of nodes.
 
 use crate::arguments::Arguments;
 use crate::error::CliError;
--- a/crates/fernknot-cli/src/output.rs
+++ b/crates/fernknot-cli/src/output.rs
@@ -3,7 +3,8 @@
 use std::fmt::Display;
 use std::io::Write;
 
-/// Prints a line. Exits with code 0 if standard output is closed.
+/// Prints a line. Ends the process with exit code 0 if standard output cannot be written, as when its reader has closed
+/// it.
 pub fn print_line(text: impl Display) {
     if writeln!(std::io::stdout(), "{text}").is_err() {
         std::process::exit(0);
--- a/crates/fernknot-cli/src/plan_capacity.rs
+++ b/crates/fernknot-cli/src/plan_capacity.rs
@@ -1,4 +1,6 @@
-//! `fernknot plan-capacity`: estimates the resource usage of each role from results of `fernknot measure`.
+//! `fernknot plan-capacity`: estimates the resource usage of each role (controller, gateway) from results of
+//! `fernknot measure`. Controllers send configurations and nodes to the relays, a few gateways of each zone, which pass
+//! them on to the other gateways; the receivers are called subscribers. A snapshot is what a subscriber receives first.
 //!
 //! The constants are slopes of `results/capacity/*.jsonl`, from release builds with 3 controllers on one machine of 8
 //! cores with other load; `docs/CAPACITY.md` has the tables. Each is the steepest measured slope, so that estimates err on
@@ -36,11 +38,11 @@
 const GATEWAY_CPU_S_PER_ROUTE: f64 = 8e-6;
 /// Memory of a controller without nodes, routes and gateways, in bytes.
 const CONTROLLER_BASE_BYTES: f64 = 5.5e6;
-/// Memory of a controller per node, with a third of the nodes connected, in bytes.
+/// Memory of a controller per node of the system, in bytes, with a third of the nodes connected to this controller.
 const CONTROLLER_BYTES_PER_NODE: f64 = 6.5e3;
 /// Memory of a controller per route, in bytes.
 const CONTROLLER_BYTES_PER_ROUTE: f64 = 5.1e3;
-/// Memory of a controller per gateway in an assignment, in bytes.
+/// Memory of a controller per gateway in the assignment, the leader's list of live gateways, in bytes.
 const CONTROLLER_BYTES_PER_GATEWAY: f64 = 8.4e3;
 /// Processor time of a gateway without clients per relay that it subscribes to, as a share of a core.
 const GATEWAY_CPU_SHARE_PER_RELAY: f64 = 0.0013;
@@ -54,13 +56,13 @@
 const IDLE_SUBSCRIBER_BYTES_PER_S: f64 = 300.0;
 /// Bytes of a snapshot per node.
 const SNAPSHOT_BYTES_PER_NODE: f64 = 35.0;
-/// Bytes to one subscriber per route of each version, in a snapshot or an update.
+/// Bytes to one subscriber per route of each configuration version, in a snapshot or an update.
 const UPDATE_BYTES_PER_ROUTE: f64 = 48.0;
-/// Processor time of a gateway per query, without its shard responses, in seconds.
+/// Processor time of a gateway per query, without the time for the responses of the shards, in seconds.
 const GATEWAY_CPU_S_PER_QUERY: f64 = 320e-6;
 /// Processor time of a gateway per shard response of 3,200 bytes, in seconds.
 const GATEWAY_CPU_S_PER_SHARD_RESPONSE: f64 = 49e-6;
-/// Number of gateways of a zone that share a relay (`docs/distribution.md`).
+/// Number of gateways of a zone for which the zone has one relay (`docs/distribution.md`).
 const GATEWAYS_PER_RELAY: f64 = 16.0;
 const MAX_RELAYS_PER_ZONE: f64 = 8.0;
 
@@ -93,7 +95,7 @@
     }
 }
 
-/// Size of the system to estimate.
+/// Size of the system whose resource usage is estimated.
 struct SystemSize {
     gateways: f64,
     nodes: f64,
@@ -101,7 +103,7 @@
     controllers: f64,
     changes_per_s: f64,
     queries_per_s: f64,
-    /// Shards of each query.
+    /// Number of shards to which a gateway sends each query.
     shards: f64,
     zones: f64,
     heartbeat_interval_s: f64,
@@ -126,12 +128,12 @@
         (self.gateways / self.zones / GATEWAYS_PER_RELAY).ceil().clamp(1.0, MAX_RELAYS_PER_ZONE)
     }
 
-    /// Returns the number of routes in all versions that are committed per second.
+    /// Returns the number of routes per second that committed configurations contain: each change sends all routes.
     fn changed_routes_per_s(&self) -> f64 {
         self.changes_per_s * self.routes
     }
 
-    /// Returns the bytes per second to one subscriber.
+    /// Returns the bytes per second that one sender sends to one subscriber.
     fn update_bytes_per_s(&self) -> f64 {
         IDLE_SUBSCRIBER_BYTES_PER_S + self.changed_routes_per_s() * UPDATE_BYTES_PER_ROUTE
     }
--- a/crates/fernknot-cli/src/show.rs
+++ b/crates/fernknot-cli/src/show.rs
@@ -7,10 +7,10 @@
 use fernknot_testbed::inspection::inspect;
 use std::time::Duration;
 
-/// Time-out for the response of a process.
+/// Time-out for the response of a process to an inspection or to a forced view.
 pub const INSPECTION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Returns the topic of this name. `homes` and `duties` are earlier names of `relays` and `ownership`.
+/// Returns the topic of the report with this name. `homes` and `duties` are earlier names of `relays` and `ownership`.
 fn topic(name: &str) -> Option<InspectionTopic> {
     Some(match name {
         "nodes" => InspectionTopic::Nodes,
--- a/crates/fernknot-cli/src/views.rs
+++ b/crates/fernknot-cli/src/views.rs
@@ -1,4 +1,5 @@
-//! `fernknot views force`: forces a view of the remaining controllers after the loss of more disks than tolerated.
+//! `fernknot views force`: forces a view of the remaining controllers after the loss of more disks than tolerated. A
+//! view is the numbered set of controllers that decide on changes of the configuration.
 
 use crate::arguments::{Arguments, parse_addrs};
 use crate::error::CliError;
--- a/crates/fernknot-testbed/src/checker.rs
+++ b/crates/fernknot-testbed/src/checker.rs
@@ -1,5 +1,5 @@
-//! Compares the responses that clients received with the executions that nodes recorded. Merges records with code of its
-//! own, so that a fault in the gateways' merge is detected.
+//! Checker that compares the responses that clients received with the executions that nodes recorded. It merges records
+//! with code of its own, so that a fault in the gateways' merge is detected.
 
 use crate::execution_log::{Execution, ExecutionLog};
 use crate::requests::{Attempt, AttemptOutcome, ClientResponse, Request, RequestKind};
@@ -13,9 +13,9 @@
 /// Correctness rule for requests and executions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A request that was executed gets a response.
+    /// The client receives at least a part of a response to each attempt that was executed.
     LostResponse,
-    /// A response is complete and belongs to its request.
+    /// A response is well-formed, and a successful one has the body that the executions named by its seals allow.
     WrongResponse,
     /// A mutating request whose status says that it was not executed (408, 421, 429, 503) was not executed.
     RejectedButExecuted,
@@ -23,7 +23,7 @@
     WrongService,
     /// A mutating request is executed at most once per attempt.
     DuplicateExecution,
-    /// Nodes execute only requests that clients sent, with unchanged targets.
+    /// Nodes execute only attempts that clients sent, with unchanged targets.
     UnrequestedExecution,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Fault of a successful response.
+/// Difference between a successful response and the executions that it claims by its seals.
 #[derive(Debug, Error)]
 enum ResponseError {
     #[error("no execution of the attempt has the seal {0}")]
@@ -59,12 +59,12 @@
     WrongRecords,
 }
 
-/// Responses that the configurations allow.
+/// Responses and executions that the configurations sent so far allow.
 #[derive(Clone, Debug)]
 pub struct Expectations {
-    /// Shards of the gathered route, one set for each configuration version sent so far.
+    /// Services that are the shards of the gathered route, one list for each configuration version sent so far.
     pub shard_sets: Vec<Vec<String>>,
-    /// Number of records in a gathered response.
+    /// Number of records in a gathered response, unless its parts have fewer.
     pub top_k: usize,
     /// Minimum share of shards in a successful gathered response, from 0 to 1.
     pub quorum: f64,
@@ -182,7 +182,8 @@
     result.err().map(|error| Violation::new(Rule::WrongResponse, error.to_string()))
 }
 
-/// Returns the executions that the seals of a successful response refer to, at most one per service.
+/// Returns the executions that the seals of a successful response refer to. Fails if there is no seal, a seal is
+/// unknown, or two executions are of one service.
 fn sealed_executions<'log>(
     response: &ClientResponse,
     executions: &'log [Execution],
@@ -207,7 +208,8 @@
     }
 }
 
-/// Checks that a gathered response contains the greatest records of a quorum of the shards of one version.
+/// Checks that a gathered response consists of the greatest records of its parts, and that the parts and the reported
+/// missing ones add up to the shards of one configuration version, with a quorum of parts.
 fn check_gathered(
     response: &ClientResponse,
     sealed: &[&Execution],
--- a/crates/fernknot-testbed/src/client.rs
+++ b/crates/fernknot-testbed/src/client.rs
@@ -27,7 +27,7 @@
     Failed(#[from] ConnectionError),
 }
 
-/// Client that sends one request at a time.
+/// Client that sends one request at a time, and keeps its connection to a gateway for the next one.
 pub(crate) struct Client {
     gateways: Arc<GatewayList>,
     deadline: Duration,
@@ -69,7 +69,7 @@
                 let duration_ms = started_at.elapsed().as_secs_f64() * 1e3;
                 return Request { kind, target, attempts, duration_ms };
             }
-            // Each retry uses a new connection. A third of the remaining time limits the delay.
+            // Each retry uses a new connection. The delay is at most a third of the time until the request's deadline.
             self.connection = None;
             thread::sleep(result.retry_after.unwrap_or(RETRY_DELAY).min(remaining / 3));
         }
--- a/crates/fernknot-testbed/src/cluster/error.rs
+++ b/crates/fernknot-testbed/src/cluster/error.rs
@@ -34,7 +34,7 @@
     /// A configuration was not accepted.
     #[error("configuration version {epoch} was not accepted: {outcome}")]
     ConfigNotAccepted {
-        /// Version of the configuration.
+        /// Version of the rejected configuration.
         epoch: u64,
         /// Outcome of the operator's call.
         outcome: String,
--- a/crates/fernknot-testbed/src/cluster/mod.rs
+++ b/crates/fernknot-testbed/src/cluster/mod.rs
@@ -35,15 +35,17 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Last octets of addresses in a cluster's network: of the first controller, the first gateway, and all nodes.
+/// Last octets of addresses in a cluster's network, in this order: of the first controller, the first gateway, and the
+/// address that all nodes share.
 const FIRST_CONTROLLER_HOST: u8 = 1;
 const FIRST_GATEWAY_HOST: u8 = 20;
 const NODE_HOST: u8 = 250;
-/// Number of networks for the clusters of one process.
+/// Number of loopback networks that the clusters started by one process use in turn.
 const NETWORKS_PER_PROCESS: u32 = 5;
-/// Number of processes that can have distinct networks.
+/// Number of processes whose clusters can have distinct networks; processes are told apart by their process ids modulo
+/// this number.
 const PROCESS_NETWORK_COUNT: u32 = 8192;
-/// Maximum number of controllers that the settings name as seeds.
+/// Maximum number of controllers that the settings name as seeds, the ones that a starting process contacts first.
 const MAX_SEEDS: usize = 3;
 /// Time between checks of an awaited condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -61,7 +63,7 @@
     [64 + (network / 256) as u8, (network % 256) as u8]
 }
 
-/// Polls until a condition is met. Returns the elapsed time.
+/// Polls `is_met` every 10 ms until it returns true. Returns the elapsed time.
 ///
 /// # Errors
 /// The condition is not met before the time-out; the error contains `condition`.
@@ -179,13 +181,13 @@
         &self.settings
     }
 
-    /// Returns the control addresses of all controllers.
+    /// Returns the addresses at which the controllers accept operators and nodes.
     pub fn control_addrs(&self) -> Vec<SocketAddrV4> {
         let addr = |number| SocketAddrV4::new(self.process_ip(Role::Controller, number), CONTROL_PORT);
         (0..self.settings.controllers).map(addr).collect()
     }
 
-    /// Returns the address where a process accepts its peers and `fernknot show`.
+    /// Returns the address where a process accepts other controllers and gateways, and `fernknot show`.
     pub fn peer_addr(&self, role: Role, number: usize) -> SocketAddrV4 {
         let port = PEER_PORTS.0 + u16::from(role == Role::Controller);
         SocketAddrV4::new(self.process_ip(role, number), port)
@@ -234,7 +236,7 @@
         self.process_mut(role, number)?.signal(Signal::TERM)
     }
 
-    /// Returns the exit status of a process that has ended since the last call.
+    /// Returns the exit status of a process that has ended since the last call; none if it runs or was not started.
     pub fn exit_status(&mut self, role: Role, number: usize) -> Option<ExitStatus> {
         self.process_mut(role, number).ok()?.exit_status()
     }
@@ -250,7 +252,7 @@
         self.processes[index].spawn(log_filter)
     }
 
-    /// Returns the last lines of a process's log.
+    /// Returns the last lines of a process's log, at most 400.
     pub fn log_lines(&self, role: Role, number: usize) -> Vec<String> {
         self.process(role, number).map(Process::log_lines).unwrap_or_default()
     }
--- a/crates/fernknot-testbed/src/cluster/settings.rs
+++ b/crates/fernknot-testbed/src/cluster/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a cluster.
+//! Size, timing and initial data of a cluster.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,9 +12,9 @@
     pub gateways: usize,
     /// Number of zones over which processes and nodes are spread in turn.
     pub zones: usize,
-    /// Number of controllers that may be lost at the same time.
+    /// Number of controllers whose simultaneous loss the cluster must tolerate.
     pub max_losses: usize,
-    /// Time between heartbeats of a node.
+    /// Time between heartbeats of a node, which the settings of controllers and gateways contain too.
     pub heartbeat_interval: Duration,
     /// Log level of the processes, the value of `FERNKNOT_LOG`.
     pub log_filter: &'static str,
--- a/crates/fernknot-testbed/src/cluster/settings_file.rs
+++ b/crates/fernknot-testbed/src/cluster/settings_file.rs
@@ -12,7 +12,8 @@
 pub(super) const FRONT_PORT: u16 = 8726;
 /// Port where gateways report readiness and counters.
 pub(super) const READY_PORT: u16 = 8723;
-/// Ports for messages between processes; a gateway listens on the first, a controller on the second.
+/// First and last port for messages between processes. A gateway listens on the first port, a controller on the next
+/// one.
 pub(super) const PEER_PORTS: (u16, u16) = (7120, 7135);
 const REGION: &str = "testbed";
 
--- a/crates/fernknot-testbed/src/config_draft.rs
+++ b/crates/fernknot-testbed/src/config_draft.rs
@@ -10,7 +10,7 @@
 /// Parameters of a routing configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigDraft {
-    /// Version of the configuration.
+    /// Version of the configuration, which must be above the version that it replaces.
     pub epoch: u64,
     /// Number of shards of the gathered route; their services are `shard-0`, `shard-1` and so on.
     pub shards: usize,
@@ -20,7 +20,7 @@
     pub top_k: usize,
     /// Minimum share of shards in a successful gathered response, from 0 to 1.
     pub quorum: f64,
-    /// Maximum number of attempts of a gateway for one request.
+    /// Maximum number of nodes to which a gateway sends one request.
     pub max_attempts: usize,
     /// Latency target of each route, in milliseconds.
     pub target_ms: u64,
--- a/crates/fernknot-testbed/src/execution_log.rs
+++ b/crates/fernknot-testbed/src/execution_log.rs
@@ -18,10 +18,11 @@
 /// Executions and numbers of rejected requests of all nodes.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
-    /// Executions by the ids of attempts.
+    /// Executions by the client's attempt id, the header `Attempt-Id`.
     pub executions: HashMap<String, Vec<Execution>>,
     /// Number of rejected requests.
     pub rejected: u64,
-    /// Number of requests rejected because they were for another incarnation; included in `rejected`.
+    /// Number of requests rejected because they were for another incarnation than that of the receiving node; included
+    /// in `rejected`.
     pub misdirected: u64,
 }
--- a/crates/fernknot-testbed/src/http.rs
+++ b/crates/fernknot-testbed/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 for clients and nodes, on blocking sockets. Shares no code with the programs, so that a fault in their HTTP
-//! code is detected.
+//! HTTP/1.1 for clients and nodes, on blocking sockets. It shares no code with the controller and gateway programs, so
+//! that a fault in their HTTP code is detected.
 
 use crate::error::ConnectionError;
 use httparse::Status;
@@ -164,7 +164,8 @@
         Connection { stream, peer, buffered: Vec::new() }
     }
 
-    /// Returns the number of received bytes after the last message. At a client they belong to no request.
+    /// Returns the number of received bytes after the last message. A client sends one request at a time, so that these
+    /// bytes belong to none of its requests.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered.len()
     }
@@ -355,7 +356,7 @@
     connection.read_response(until)
 }
 
-/// Whether a process reports that it is ready.
+/// Whether the process at this address reports readiness (`GET /-/readiness`) within half a second.
 pub fn is_ready(addr: SocketAddrV4) -> bool {
     let headers = [format!("Host: {addr}"), "Connection: close".into()];
     let request = encode_request("GET", "/-/readiness", &headers, b"");
--- a/crates/fernknot-testbed/src/inspection.rs
+++ b/crates/fernknot-testbed/src/inspection.rs
@@ -1,4 +1,5 @@
-//! Operator commands to a running process: inspection reports and forced views.
+//! Operator commands to a running process: inspection reports and forced views. A view is the numbered set of
+//! controllers that decide on changes of the configuration; an operator forces one if too many of its members are lost.
 
 use crate::error::ConnectionError;
 use crate::peer_stream::PeerStream;
@@ -40,7 +41,7 @@
     exchange(peer, &GatewayToController::ForceView { lost }, timeout, result)
 }
 
-/// Sends a message on a new connection and waits for the response, ignoring other messages.
+/// Sends a message on a new connection and waits for the first message that `response` accepts, ignoring others.
 fn exchange<T>(
     peer: SocketAddrV4,
     message: &GatewayToController,
--- a/crates/fernknot-testbed/src/lib.rs
+++ b/crates/fernknot-testbed/src/lib.rs
@@ -1,6 +1,12 @@
 //! Test environment on one machine: a cluster of the real programs on loopback, an operator, stand-in nodes, clients, and a
 //! checker of the responses.
 //!
+//! A *service* is a named group of nodes that serve the same requests. A *gathered* route sends each request to one
+//! node of every service on its list, the *shards*, and merges their records into one response; any other route has one
+//! service. A node adds a *seal*, a unique token, to the response to each request that it executed. The *version* of a
+//! configuration is the number in its field `epoch`. An *incarnation* is one start of a process or node, which has an
+//! id of its own.
+//!
 //! | Module | Contents |
 //! |---|---|
 //! | [`http`] | HTTP/1.1 for clients and nodes, on blocking sockets; shares no code with the programs |
--- a/crates/fernknot-testbed/src/load.rs
+++ b/crates/fernknot-testbed/src/load.rs
@@ -53,7 +53,7 @@
         lock(&self.completed).len()
     }
 
-    /// Returns the number of requests that were served.
+    /// Returns the number of requests that were served, that is, whose last attempt succeeded.
     pub fn served_count(&self) -> usize {
         lock(&self.completed).iter().filter(|request| request.is_served()).count()
     }
--- a/crates/fernknot-testbed/src/measure/cost.rs
+++ b/crates/fernknot-testbed/src/measure/cost.rs
@@ -21,13 +21,13 @@
     pub gateway_cpu_max: f64,
     /// Resident memory of a gateway, in bytes.
     pub gateway_resident_bytes: f64,
-    /// Size of the snapshot that a controller sends to a subscriber, in bytes.
+    /// Size of the snapshot (the configuration and all nodes) that a controller first sends to a subscriber, in bytes.
     pub snapshot_bytes: f64,
-    /// Bytes per second that the subscriber receives after the snapshot.
+    /// Bytes per second that a controller sends to a subscriber after the snapshot.
     pub update_bytes_per_s: f64,
-    /// Mean time from the acknowledgement of a change until all gateways have the version, in milliseconds.
+    /// Mean time from the acknowledgement of a change until all gateways have applied its version, in milliseconds.
     pub apply_mean_ms: f64,
-    /// Maximum time from the acknowledgement of a change until all gateways have the version, in milliseconds.
+    /// Maximum time from the acknowledgement of a change until all gateways have applied its version, in milliseconds.
     pub apply_max_ms: f64,
     /// Mean time from the sending of a change to its acknowledgement, in milliseconds.
     pub ack_mean_ms: f64,
@@ -35,17 +35,18 @@
     pub changes: usize,
     /// Number of completed queries, successful or not.
     pub queries: usize,
-    /// Number of queries that were served.
+    /// Number of queries whose last attempt succeeded.
     pub served: usize,
-    /// Median duration of a query, in milliseconds.
+    /// Median duration of a query, retries included, in milliseconds.
     pub query_p50_ms: f64,
-    /// 99th percentile of the duration of a query, in milliseconds.
+    /// 99th percentile of the duration of a query, retries included, in milliseconds.
     pub query_p99_ms: f64,
     /// Number of acknowledged heartbeats of nodes.
     pub heartbeats: usize,
 }
 
-/// Usage of the processes of one role at the beginning and at the end; none for a process that could not be read.
+/// Usage of the processes of one role at the beginning and at the end of a measurement; none for a process whose usage
+/// could not be read.
 pub(super) struct RoleUsage {
     pub before: Vec<Option<Usage>>,
     pub after: Vec<Option<Usage>>,
@@ -67,7 +68,7 @@
 pub(super) struct ChangeTimes {
     /// Times from the sending of a change to its acknowledgement.
     pub acknowledged: Vec<Duration>,
-    /// Times from the acknowledgement until all gateways had the version.
+    /// Times from the acknowledgement of a change until all gateways had applied its version.
     pub applied: Vec<Duration>,
 }
 
@@ -121,7 +122,8 @@
     values.iter().copied().fold(0.0, f64::max)
 }
 
-/// Returns the value below which this share (from 0 to 1) of the sorted values lies; none if there are no values.
+/// Returns the value below which this share of the ascending values lies; `share` is from 0 to below 1. None if there
+/// are no values.
 pub fn quantile(sorted: &[f64], share: f64) -> Option<f64> {
     sorted.get((sorted.len() as f64 * share) as usize).copied()
 }
--- a/crates/fernknot-testbed/src/measure/mod.rs
+++ b/crates/fernknot-testbed/src/measure/mod.rs
@@ -59,7 +59,7 @@
 }
 
 impl Bench {
-    /// Starts the cluster and its nodes, and waits until all gateways have the first version.
+    /// Starts the cluster and its nodes, and waits until all gateways have applied the first configuration version.
     fn start(workload: &Workload) -> Result<Bench, ClusterError> {
         let cluster = Cluster::start(ClusterSettings {
             gateways: workload.gateways,
@@ -97,7 +97,8 @@
         Ok(load_balancer)
     }
 
-    /// Starts a subscriber of a controller that counts its traffic; none if that fails.
+    /// Starts a thread that subscribes to the first controller and counts the received traffic. It returns none if the
+    /// subscription fails.
     fn start_subscriber(&self, duration: Duration) -> JoinHandle<Option<SubscriptionTraffic>> {
         let (addr, zone) = (self.cluster.peer_addr(Role::Controller, 0), self.cluster.zone(0));
         thread::spawn(move || {
@@ -137,7 +138,7 @@
         Ok(times)
     }
 
-    /// Whether all gateways have the newest version.
+    /// Whether all gateways have applied the newest configuration version.
     fn is_applied(&self) -> bool {
         let gateways = self.cluster.settings().gateways;
         (0..gateways).all(|gateway| self.cluster.gateway_version(gateway) >= self.draft.epoch)
--- a/crates/fernknot-testbed/src/measure/workload.rs
+++ b/crates/fernknot-testbed/src/measure/workload.rs
@@ -17,9 +17,9 @@
     Routes,
     /// Configuration changes per minute.
     Changes,
-    /// Queries per second at one gateway.
+    /// Queries per second, in a system with one gateway.
     Queries,
-    /// Number of shards of each query, at 40 queries per second at one gateway.
+    /// Number of shards of each query, at 40 queries per second and one gateway.
     Shards,
 }
 
@@ -43,7 +43,8 @@
 }
 
 impl Workload {
-    /// Returns the base workload with one parameter set to `count`.
+    /// Returns the base workload with one parameter set to `count`, and with the other parameters that a measurement of
+    /// this dimension needs, such as changes or queries.
     pub fn varying(dimension: Dimension, count: usize) -> Workload {
         let base = Workload {
             gateways: 4,
--- a/crates/fernknot-testbed/src/nodes/mod.rs
+++ b/crates/fernknot-testbed/src/nodes/mod.rs
@@ -1,6 +1,7 @@
-//! Stand-in nodes, which follow the protocol between the system and the nodes of a service. Each incarnation has its own
-//! id, sends heartbeats, serves a limited number of requests at once and rejects further ones. A node drains before a
-//! planned stop, and sends no notice before a crash.
+//! Stand-in nodes, which follow the protocol between the system and the nodes of a service. Each incarnation has its
+//! own id, sends heartbeats to the controllers, serves a limited number of requests at once, queues a limited number
+//! and rejects further ones. A node drains before a planned stop: it reports this state in its heartbeats, so that
+//! gateways send it no new requests. It sends no notice before a crash.
 
 mod control;
 mod node;
--- a/crates/fernknot-testbed/src/operator.rs
+++ b/crates/fernknot-testbed/src/operator.rs
@@ -1,5 +1,6 @@
-//! Operator that replaces and reads the configuration. A call starts at any controller, goes to another one after a
-//! failure, and is repeated unchanged until a response is final.
+//! Operator that replaces and reads the configuration. A call goes to the first controller of the operator's list,
+//! after each failure or response that is not final to the next one, and is repeated unchanged until a response is
+//! final.
 
 use crate::error::ConnectionError;
 use crate::http::{Message, encode_request, exchange_once};
@@ -16,7 +17,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 const BACKOFF_FACTOR: f64 = 1.6;
 const MAX_REDIRECTS: usize = 2;
-/// Number of rejections that end a call although their status is not final.
+/// Number of rejections (4xx other than 408 and 429) that end a call although their status is not final.
 const MAX_REJECTIONS: usize = 3;
 
 /// Outcome of a call.
@@ -66,7 +67,7 @@
 }
 
 impl Operator {
-    /// Replaces the configuration of version `base`, 0 for none, with a new one.
+    /// Replaces the configuration of version `base` (0 if there is none yet) with a new one, given as JSON.
     pub fn replace(&self, body: &[u8], base: u64) -> CallOutcome {
         let headers = [format!("Base-Epoch: {base}"), "Content-Type: application/json".into()];
         self.call(&Call { method: "POST", path: "/-/config/replace", headers: &headers, body })
--- a/crates/fernknot-testbed/src/peer_stream.rs
+++ b/crates/fernknot-testbed/src/peer_stream.rs
@@ -1,4 +1,4 @@
-//! Messages of the protocol between the programs, on a blocking socket.
+//! Messages of the protocol between gateways and controllers, on a blocking socket.
 
 use crate::error::ConnectionError;
 use fernknot_protocol::buffer::Buffer;
@@ -12,12 +12,12 @@
 /// Size of one read, in bytes.
 const READ_BYTES: usize = 64 * 1024;
 
-/// Connection to a process at its port for peers.
+/// Connection to a controller or gateway, at its port for messages between processes.
 pub(crate) struct PeerStream {
     stream: TcpStream,
     peer: SocketAddrV4,
     input: Buffer,
-    /// Operation that errors name.
+    /// Verb phrase that names the connection's purpose in errors, such as "subscribe to".
     operation: &'static str,
 }
 
--- a/crates/fernknot-testbed/src/requests.rs
+++ b/crates/fernknot-testbed/src/requests.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether the last attempt succeeded.
+    /// Whether the request was served: its last attempt succeeded.
     pub fn is_served(&self) -> bool {
         self.success().is_some()
     }
--- a/crates/fernknot-testbed/src/subscription.rs
+++ b/crates/fernknot-testbed/src/subscription.rs
@@ -1,4 +1,6 @@
-//! Subscriber that counts the messages and bytes that it receives.
+//! Subscriber that counts the messages and bytes that it receives. A controller or relay (a gateway that passes updates
+//! on to others) first sends a subscriber a snapshot: the configuration and all nodes, up to a message that completes
+//! it.
 
 use crate::error::ConnectionError;
 use crate::peer_stream::PeerStream;
@@ -22,7 +24,7 @@
     pub update_bytes: usize,
     /// Number of messages received after the snapshot.
     pub update_messages: usize,
-    /// Time for which updates were counted, in seconds.
+    /// Time after the snapshot for which updates were counted, in seconds.
     pub seconds: f64,
     /// Time from the subscription until the snapshot was complete, in seconds.
     pub snapshot_s: f64,
--- a/crates/fernknot-testbed/src/usage.rs
+++ b/crates/fernknot-testbed/src/usage.rs
@@ -7,7 +7,8 @@
 pub struct Usage {
     /// Time of the measurement.
     pub measured_at: Instant,
-    /// Processor time since the start of the process; with `schedstat`, of the live threads only.
+    /// Processor time since the start of the process. If the kernel provides `schedstat`, this is the time of the live
+    /// threads only, without threads that have ended.
     pub cpu_time: Duration,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
@@ -56,7 +57,7 @@
         })
     }
 
-    /// Returns the share of a core used since an earlier measurement.
+    /// Returns the processor time since an earlier measurement, as a share of a core: 1 for one fully used core.
     pub fn cpu_share_since(&self, earlier: &Usage) -> f64 {
         let elapsed_s = self.measured_at.saturating_duration_since(earlier.measured_at).as_secs_f64();
         if elapsed_s > 0.0 {
--- a/crates/fernknot-testbed/tests/checker.rs
+++ b/crates/fernknot-testbed/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker detects each kind of violation in constructed histories.
+//! The checker detects each kind of violation in constructed requests and executions.
 
 use fernknot_testbed::checker::{Expectations, Rule, check};
 use fernknot_testbed::execution_log::{Execution, ExecutionLog};
@@ -27,7 +27,8 @@
     AttemptOutcome::Disconnected("reset".into())
 }
 
-/// Returns executions by shard a, with the records 1, 4 and 6, and shard b, with 5 and 6.
+/// Returns executions by shard a, with the records 1, 4 and 6, and shard b, with 5 and 6. The number of a record stands
+/// for its first bytes, by which records are ordered.
 fn executions_of_both_shards() -> Vec<Execution> {
     vec![execution("a", "sa", &[1, 4, 6]), execution("b", "sb", &[5, 6])]
 }
--- a/crates/fernknot-testbed/tests/common/mod.rs
+++ b/crates/fernknot-testbed/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests of this package: building the programs, and a running system.
+//! Functions shared by the tests of this package: they build the programs and start a complete system.
 
 use fernknot_testbed::checker::Expectations;
 use fernknot_testbed::cluster::{Cluster, ClusterSettings, Role, find_program, wait_until};
@@ -34,7 +34,7 @@
     });
 }
 
-/// Three controllers, two gateways, nodes, and a configuration that all gateways have applied.
+/// Three controllers, two ready gateways, two nodes of each service, and the first configuration.
 pub struct System {
     pub cluster: Cluster,
     pub nodes: Nodes,
