--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -1,4 +1,10 @@
 //! Discrete-event simulation of one engine with its stores and clients.
+//!
+//! The *engine* is the state machine of a query router. It receives a query as a *multiget*, a request to several
+//! shards, makes a *part* of it for each shard, and sends *attempts* of the part to *stores*, the nodes that hold the
+//! shard. The stores at one *place* hold the same shards. A query in *two phases* first asks each shard of its request,
+//! then called a *block*, whether it matches the query; the second phase fetches the values of the matching blocks. The
+//! engine answers each multiget once, with a *verdict*.
 
 use crate::event_queue::EventQueue;
 use crate::stores::{Job, Store, StoreBehaviour};
@@ -16,9 +22,10 @@
 
 /// Start of the simulated clock, late enough that no store counts as recently started.
 pub(crate) const SIMULATION_START: Nanos = Nanos(1_000_000_000_000_000);
-/// Memory limit of the engine's term filters.
+/// Memory limit of the engine's term filters, its cached summaries of the terms in blocks, in bytes. The simulated stores
+/// send no summaries.
 const MAX_FILTER_BYTES: usize = 1 << 20;
-/// One-way network delay before it is multiplied by a random factor.
+/// One-way network delay in milliseconds, before it is multiplied by a random factor.
 const NETWORK_DELAY_MS: f64 = 0.3;
 /// Range of the random factor, drawn for each message.
 const NETWORK_DELAY_FACTORS: std::ops::Range<f64> = 0.7..1.6;
@@ -37,7 +44,7 @@
     Arrival { query: usize },
     /// A part arrives at its store.
     PartReceived(Attempt),
-    /// A cancellation arrives at the store.
+    /// The cancellation of an attempt arrives at its store.
     CancelReceived(Attempt),
     /// A store completes its running job.
     WorkDone(NodeId),
@@ -55,14 +62,14 @@
     pub send_at: Nanos,
     /// Request as submitted to the engine.
     pub request: MultigetRequest,
-    /// Blocks that match the query.
+    /// Blocks that match the query, among the shards of the request.
     pub matches: Vec<ShardId>,
 }
 
 /// End of a query.
 #[derive(Clone, Debug)]
 pub(crate) struct QueryEnd {
-    /// Time from sending to the end.
+    /// Time from the sending of the query to its final answer or the client's time-out.
     pub duration: Nanos,
     /// Final verdict; `None` if the client timed out before it.
     pub verdict: Option<Verdict>,
@@ -70,18 +77,18 @@
     pub stage: Stage,
 }
 
-/// Outcome of a query, and counts of the parts sent for it.
+/// Outcome of a query, and counts of the attempts sent for it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct QueryRecord {
     /// End of the query; `None` while it is in flight.
     pub end: Option<QueryEnd>,
-    /// Number of first-phase parts sent.
+    /// Number of attempts of first-phase parts sent.
     pub first_phase_parts: u64,
-    /// Number of second-phase parts sent.
+    /// Number of attempts of second-phase parts sent.
     pub second_phase_parts: u64,
-    /// Whether any second-phase part was sent.
+    /// Whether any attempt of a second-phase part was sent.
     pub second_phase_opened: bool,
-    /// Number of parts sent after the end of the query; any is a violation.
+    /// Number of attempts sent after the end of the query; any is a violation.
     pub parts_after_end: u64,
     /// Number of final answers. It must be one, or zero if the client timed out.
     pub final_answers: u64,
@@ -100,7 +107,7 @@
     pub seed: u64,
     /// Settings of the engine.
     pub site: SiteSettings,
-    /// Two-phase settings, by use case.
+    /// Two-phase settings, by use case; `None` for a use case without two-phase queries.
     pub phases: Vec<Option<TwoPhaseSettings>>,
     /// Number of stores at each place of the site.
     pub stores_per_place: usize,
@@ -108,7 +115,7 @@
     pub store_behaviour: StoreBehaviour,
     /// Queries of all clients.
     pub queries: Vec<PlannedQuery>,
-    /// Time at which the load ends.
+    /// Time from which no query is sent and no degradation of a store begins.
     pub end: Nanos,
 }
 
@@ -119,11 +126,11 @@
     store_behaviour: StoreBehaviour,
     queries: Vec<PlannedQuery>,
     records: Vec<QueryRecord>,
-    /// Query of each multiget; entries stay after the final answer, to attribute parts that are sent late.
+    /// Query of each multiget; entries stay after the final answer, to attribute attempts that are sent late.
     query_of: HashMap<MultigetId, usize>,
     multiget_of: Vec<Option<MultigetId>>,
     events: EventQueue<Event>,
-    /// Number of scheduled events other than wakes; the simulation ends when none is left.
+    /// Number of scheduled events other than `Event::Wake`; the simulation ends when none is left.
     pending_events: usize,
     now: Nanos,
     wake_at: Option<Nanos>,
@@ -172,12 +179,12 @@
         &self.records
     }
 
-    /// Number of queries that the engine has in flight.
+    /// Number of multigets in the engine's table, plus the queries in flight that its two-phase planner counts.
     pub fn in_flight(&self) -> usize {
         self.engine.table.len() + self.engine.two_phase_planner().in_flight()
     }
 
-    /// Runs until no event other than wakes is pending.
+    /// Runs until no event other than `Event::Wake` is pending.
     pub fn run(&mut self) {
         self.poll_engine();
         while let Some((at, event)) = self.events.pop().filter(|_| self.pending_events > 0) {
--- a/crates/fernknot-experiments/src/membership.rs
+++ b/crates/fernknot-experiments/src/membership.rs
@@ -1,5 +1,6 @@
 //! Membership of query routers in simulated time: the production protocol on a network that loses, blocks and delays
-//! datagrams, with processes that crash, stall and restart.
+//! datagrams, with processes that crash, stall and restart. By the protocol each router, as an *observer*, holds a
+//! status of each other router, its *members*: among others failed, or left after an announced shutdown.
 
 mod cold_budget;
 mod fault_plan;
@@ -21,7 +22,8 @@
 use simulation::MembershipSimulation;
 use std::ops::Range;
 
-/// Largest number of routers for which fixed heartbeats are simulated; their datagrams grow with its square.
+/// Largest number of routers for which fixed heartbeats are simulated; the number of heartbeats grows with the square
+/// of the number of routers.
 const MAX_FIXED_HEARTBEAT_ROUTERS: u32 = 300;
 
 /// Selection of runs for each seed.
--- a/crates/fernknot-experiments/src/membership/fault_plan.rs
+++ b/crates/fernknot-experiments/src/membership/fault_plan.rs
@@ -1,4 +1,4 @@
-//! Timed faults of a scenario.
+//! Faults of a scenario, with the times at which they begin and end.
 
 use super::scenario::Scenario;
 use super::timing::{
@@ -50,9 +50,9 @@
 pub(super) struct FaultPlan {
     /// Faults with their times.
     pub faults: Vec<(Nanos, Fault)>,
-    /// Time from which failed routers are expected to rejoin; `None` if none does.
+    /// Time from which rejoins of failed routers are measured; `None` if no failed router returns.
     pub recovers_at: Option<Nanos>,
-    /// Links that are broken during the network fault.
+    /// Links that deliver nothing during the network fault of the one-way scenario; empty in all others.
     pub broken_links: BTreeSet<Link>,
 }
 
@@ -134,7 +134,7 @@
     (routers / 10).max(1)
 }
 
-/// Draws for each router one other that cannot receive from it; for some of these pairs, neither direction works.
+/// Draws for each router another one that cannot receive from it; for a tenth of these pairs, neither direction works.
 fn one_way_links(routers: u32, rng: &mut ChaCha8Rng) -> BTreeSet<Link> {
     let mut links = BTreeSet::new();
     for from in 0..routers {
--- a/crates/fernknot-experiments/src/membership/figures.rs
+++ b/crates/fernknot-experiments/src/membership/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of runs. Field names, or their `rename`, are the keys of the output.
+//! Figures of runs. The keys of the output are the names of the fields, or the names in `rename` where given.
 
 use crate::report::rounded;
 use fernknot::interface::Nanos;
@@ -17,22 +17,23 @@
     pub scenario: &'static str,
     /// Number of routers.
     pub routers: u32,
-    /// Number of times that a router declared another one failed although it ran and could reach the observer.
+    /// Number of times that a router, the observer, declared another one failed although the other one ran and a path
+    /// from it to the observer was intact.
     #[serde(rename = "false_lost")]
     pub false_failures: u64,
     /// Median time from the end of a process until a live router declares it failed; -1 if none did.
     pub detect_p50_ms: f64,
-    /// 99th percentile of that time; -1 if none did.
+    /// 99th percentile of the time from the end of a process until a live router declares it failed; -1 if none did.
     pub detect_p99_ms: f64,
-    /// Number of pairs of a live router and a dead one that it shows as neither failed nor left at the end.
+    /// Number of pairs of a live router and a dead one that the live one shows as neither failed nor left at the end.
     pub undetected: u64,
-    /// 99th percentile of the time from the fault's end until an observer no longer shows a router as failed; -1 if
-    /// none recovered.
+    /// 99th percentile of the time from the end of the scenario's fault until an observer no longer shows a router as
+    /// failed; -1 if no status changed from failed after that end.
     pub rejoin_p99_ms: f64,
     /// Number of ordered pairs of running routers of which one shows the other as failed or left at the end.
     #[serde(rename = "unjoined")]
     pub not_rejoined: u64,
-    /// Maximum number of changes to or from failed of one router at one observer.
+    /// Maximum number of changes of one router's status to or from failed at one observer.
     #[serde(rename = "verdict_changes")]
     pub failure_changes: u32,
     /// Mean number of datagrams sent per router and second.
@@ -42,7 +43,8 @@
     pub max_datagrams_per_s: u64,
     /// Mean number of bytes sent per router and second.
     pub bytes_per_s: f64,
-    /// Maximum excess of the sum of all routers' shares of a cold node's budget over the budget, as a share of it.
+    /// Maximum, from the first fault on, of the excess of all routers' claims on a cold node's load budget over the
+    /// budget, as a share of the budget; 0 if the claims never exceed it.
     pub cold_overload_share: f64,
 }
 
--- a/crates/fernknot-experiments/src/membership/fixed_heartbeat.rs
+++ b/crates/fernknot-experiments/src/membership/fixed_heartbeat.rs
@@ -1,4 +1,5 @@
-//! Baseline protocol: heartbeats to all other routers, with a fixed time-out.
+//! Baseline for comparison with the production protocol: each router sends heartbeats to all others every second, and
+//! considers a router failed after three seconds without one.
 
 use super::process_io::{Input, Output};
 use fernknot::interface::Nanos;
@@ -8,7 +9,7 @@
 const HEARTBEAT_TIMEOUT: Nanos = Nanos(3_000_000_000);
 const HEARTBEAT_BYTES: usize = 16;
 
-/// State of a peer, as seen by one router.
+/// State of another router, as seen by one router.
 struct Peer {
     last_received: Nanos,
     is_failed: bool,
@@ -35,7 +36,7 @@
         self.next_heartbeat
     }
 
-    /// Whether the other router has timed out.
+    /// Whether heartbeats of this router have been missing for the time-out; false before its first heartbeat.
     pub fn is_failed(&self, router: u32) -> bool {
         self.peers.get(&router).is_some_and(|peer| peer.is_failed)
     }
--- a/crates/fernknot-experiments/src/membership/host.rs
+++ b/crates/fernknot-experiments/src/membership/host.rs
@@ -13,16 +13,17 @@
 const PROBE_PERIOD: Nanos = Nanos(400_000_000);
 const DATAGRAMS_PER_S: f64 = 16.0;
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Maximum number of datagrams in the socket buffer of a suspended process; further ones are dropped.
+/// Maximum number of datagrams in the socket buffer of a router, which fills up while the process is suspended; further
+/// datagrams are dropped.
 const MAX_INBOX_DATAGRAMS: usize = 256;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 /// Wall-clock time at the start of the simulation, in milliseconds.
 const WALL_CLOCK_START_MS: u64 = 1_000_000;
-/// Multiplier that keeps the protocol seeds of different runs apart.
+/// Multiplier of the run's seed, which keeps the seeds of the routers' protocols of different runs apart.
 const SEED_MULTIPLIER: u64 = 1_000_003;
 
-/// Process of a router, by variant.
+/// Process of a router: the production protocol, full or reduced, or the baseline with fixed heartbeats.
 pub(super) enum Process {
     Protocol(Box<MembershipProtocol>),
     FixedHeartbeat(FixedHeartbeat),
@@ -60,7 +61,7 @@
         Process::Protocol(Box::new(protocol))
     }
 
-    /// Whether this process considers the router failed or left.
+    /// Whether this process considers the given router failed or, after an announced shutdown, left.
     fn is_failed_or_left(&self, router: u32) -> bool {
         match self {
             Process::Protocol(protocol) => {
@@ -120,7 +121,7 @@
     }
 }
 
-/// Counts of the datagrams that a host sent.
+/// Counts of the datagrams that a router sent.
 #[derive(Default)]
 pub(super) struct Traffic {
     /// Total number of datagrams.
@@ -146,7 +147,7 @@
     }
 }
 
-/// Simulated router.
+/// Simulated router, with at most one process at a time.
 pub(super) struct Host {
     process: Option<Process>,
     is_suspended: bool,
@@ -161,7 +162,7 @@
 }
 
 impl Host {
-    /// Creates one of `routers` routers, without a process.
+    /// Creates a router without a process; `routers` is the number of all routers.
     pub fn new(routers: u32) -> Host {
         Host {
             process: None,
@@ -207,7 +208,7 @@
         self.inbox.clear();
     }
 
-    /// Makes the process announce its shutdown; the baseline has no announcement.
+    /// Makes the process announce its shutdown; a process with fixed heartbeats announces nothing.
     pub fn leave(&mut self, now: Nanos) {
         if let Some(Process::Protocol(protocol)) = &mut self.process {
             protocol.leave(now);
@@ -219,7 +220,7 @@
         self.is_suspended = is_suspended;
     }
 
-    /// Buffers a datagram for the next iteration, or drops it if the buffer is full.
+    /// Buffers a datagram for the next iteration of the process's event loop, or drops it if the buffer is full.
     pub fn deliver(&mut self, input: Input) {
         if self.inbox.len() < MAX_INBOX_DATAGRAMS {
             self.inbox.push_back(input);
@@ -241,12 +242,12 @@
         Some(outputs)
     }
 
-    /// Whether the process considers the router failed or left.
+    /// Whether the process considers the given router failed or left; false without a process.
     pub fn is_failed_or_left(&self, router: u32) -> bool {
         self.process.as_ref().is_some_and(|process| process.is_failed_or_left(router))
     }
 
-    /// Returns the maximum number of changes to or from failed of one router at this observer.
+    /// Returns the maximum number of changes of one other router's status to or from failed at this router.
     pub fn max_failure_changes(&self) -> u32 {
         self.process.as_ref().map_or(0, Process::max_failure_changes)
     }
--- a/crates/fernknot-experiments/src/membership/network.rs
+++ b/crates/fernknot-experiments/src/membership/network.rs
@@ -44,7 +44,7 @@
         self.loss_burst_until[router as usize] = until;
     }
 
-    /// Whether the link from `sender` to `receiver` is intact; random losses do not count as broken.
+    /// Whether the link from `sender` to `receiver` is intact; random losses and loss bursts do not break a link.
     pub fn receives_from(&self, receiver: u32, sender: u32) -> bool {
         if !self.is_faulty {
             return true;
--- a/crates/fernknot-experiments/src/membership/process_io.rs
+++ b/crates/fernknot-experiments/src/membership/process_io.rs
@@ -14,7 +14,7 @@
         to: u32,
         bytes: Vec<u8>,
     },
-    /// Status change of another router, with whether the old and the new status are failed.
+    /// Status change of another router, `member`. The flags tell whether its old and its new status are failed.
     FailureChanged {
         member: u32,
         was_failed: bool,
--- a/crates/fernknot-experiments/src/membership/scenario.rs
+++ b/crates/fernknot-experiments/src/membership/scenario.rs
@@ -7,13 +7,14 @@
     Crash,
     /// A tenth of the processes are suspended for two seconds.
     Pause,
-    /// A fifth of all datagrams are lost, and at any time all datagrams from a twentieth of the routers.
+    /// A fifth of all datagrams are lost, and in addition all datagrams that a twentieth of the routers send. This
+    /// twentieth is drawn anew every second.
     Loss,
-    /// Each router has one other that cannot receive from it.
+    /// Each router has another one that cannot receive from it.
     OneWay,
-    /// Each router receives only from its left neighbour in a ring.
+    /// Each router receives only from the one with the previous number; the first router, from the last.
     Ring,
-    /// Two fifths of the routers are partitioned from the rest.
+    /// Two fifths of the routers are partitioned from the rest, in both directions.
     Partition,
     /// Seven in ten processes are killed at once, and restart.
     MassFailure,
--- a/crates/fernknot-experiments/src/membership/simulation.rs
+++ b/crates/fernknot-experiments/src/membership/simulation.rs
@@ -30,14 +30,14 @@
     Fault(Fault),
     /// A random sample of routers begins a loss burst.
     LossBurstBegins,
-    /// Routers measure their shares of the cold node's budget.
+    /// Routers measure their shares of a cold node's load budget.
     BudgetMeasurement,
 }
 
 /// Observations for the figures.
 #[derive(Default)]
 struct Observations {
-    /// Time of death of each router that is dead.
+    /// Time at which the process of each router without a process was killed.
     died_at: BTreeMap<u32, Nanos>,
     detection_times: Durations,
     rejoin_times: Durations,
@@ -169,7 +169,8 @@
         }
     }
 
-    /// Begins a loss burst for a sample of the routers, and schedules the next one while the fault is active.
+    /// Begins a loss burst for a sample of the routers, and schedules the next burst for the end of this one while the
+    /// network fault is active.
     fn begin_loss_bursts(&mut self) {
         let (now, routers) = (self.now, self.routers());
         for router in sample(&mut self.rng, (routers / ROUTERS_PER_BURST).max(1), routers) {
@@ -238,8 +239,9 @@
         }
     }
 
-    /// Records the excess of all claimed shares over the budget, then lets the active routers measure their shares.
-    /// Load is even, so that each active router gets an equal share of the warm nodes' answers.
+    /// Records the excess of all claimed shares over a cold node's budget, then lets the active routers measure their
+    /// shares. Clients are assumed to load all active routers evenly, so that each gets an equal share of the warm
+    /// nodes' answers.
     fn measure_budgets(&mut self) {
         let active = self.hosts.iter().filter(|host| host.is_active()).count().max(1);
         let with_process = self.hosts.iter().filter(|host| host.has_process());
@@ -253,8 +255,8 @@
         self.events.schedule(self.now + MEASURING_INTERVAL, Event::BudgetMeasurement);
     }
 
-    /// Counts the pairs of a host with a process and another one of `members` whose failed-or-left state there is
-    /// `is_failed_or_left`.
+    /// Counts the pairs of a router with a process and another one of `members` that the former considers failed or
+    /// left if `is_failed_or_left` is true, and neither failed nor left otherwise.
     fn count_pairs(&self, members: &[u32], is_failed_or_left: bool) -> u64 {
         let observers = (0..self.routers()).zip(&self.hosts).filter(|(_, host)| host.has_process());
         let count = |(observer, host): (u32, &Host)| {
--- a/crates/fernknot-experiments/src/membership/timing.rs
+++ b/crates/fernknot-experiments/src/membership/timing.rs
@@ -1,4 +1,4 @@
-//! Times of a run, and durations and intervals of its faults.
+//! Times of a run, from its start, and durations and intervals of its faults.
 
 use fernknot::interface::Nanos;
 
--- a/crates/fernknot-experiments/src/membership/variant.rs
+++ b/crates/fernknot-experiments/src/membership/variant.rs
@@ -7,9 +7,9 @@
 pub enum Variant {
     /// Production protocol.
     Full,
-    /// Protocol reduced to plain SWIM.
+    /// Production protocol reduced to the published SWIM protocol, without its extensions.
     PlainSwim,
-    /// Heartbeats to all other routers, with a fixed time-out.
+    /// Heartbeats every second to all other routers, with a time-out of three seconds.
     FixedHeartbeat,
 }
 
--- a/crates/fernknot-experiments/src/stores.rs
+++ b/crates/fernknot-experiments/src/stores.rs
@@ -1,5 +1,5 @@
-//! Simulated stores: each has one server, a bounded queue, randomly distributed work, and periods in which it is slow
-//! or stalled.
+//! Simulated stores, the nodes that run the parts of queries: each processes one part at a time, and has a bounded
+//! queue, randomly distributed work, and periods in which it is slow or stalled.
 
 use fernknot::interface::{AttemptNumber, Nanos, PartId};
 use rand::Rng;
@@ -28,20 +28,20 @@
     pub from: Nanos,
     /// End of the period, exclusive.
     pub to: Nanos,
-    /// Factor by which work takes longer; `None` if the store is stalled.
+    /// Factor by which work takes longer; `None` if the store is stalled and makes no progress.
     pub slowdown: Option<f64>,
 }
 
 /// Distribution of work, queue limit and degradations of the stores.
 #[derive(Clone, Debug)]
 pub struct StoreBehaviour {
-    /// Mean processing time of a first-phase part at full speed.
+    /// Mean processing time of a first-phase part, which asks for matches, at full speed.
     pub match_work: Nanos,
-    /// Mean processing time of a second-phase part at full speed.
+    /// Mean processing time of a second-phase part, which fetches values, at full speed.
     pub fetch_work: Nanos,
-    /// Shape of the Gamma distribution of both; a higher shape has a lower variance.
+    /// Shape of the Gamma distribution of the processing times of both phases; a higher shape has a lower variance.
     pub work_shape: f64,
-    /// Maximum number of queued parts at a store; further parts are rejected.
+    /// Maximum number of parts that wait at a store, besides the one that runs; further parts are rejected.
     pub queue_limit: usize,
     /// Mean time between stalls of a store.
     pub stall_interval: Nanos,
@@ -56,7 +56,7 @@
 }
 
 impl StoreBehaviour {
-    /// Draws the processing time of one part.
+    /// Draws the processing time of one part at full speed; `is_fetch` if it is of the second phase.
     pub fn draw_work(&self, rng: &mut ChaCha8Rng, is_fetch: bool) -> Nanos {
         let mean = if is_fetch { self.fetch_work } else { self.match_work };
         let gamma = Gamma::new(self.work_shape, 1.0 / self.work_shape).expect("the shape is positive");
@@ -112,7 +112,7 @@
         has_room
     }
 
-    /// Starts the first queued job unless one is running, and returns its completion time.
+    /// Starts the first queued job unless one is running, and returns its completion time; `None` if no job starts.
     pub fn start_next(&mut self, now: Nanos) -> Option<Nanos> {
         if self.running.is_some() {
             return None;
--- a/crates/fernknot-experiments/src/two_phase.rs
+++ b/crates/fernknot-experiments/src/two_phase.rs
@@ -1,4 +1,6 @@
-//! Two-phase queries against stores that stall and slow down, at loads below and above capacity.
+//! Two-phase queries against stores that stall and slow down, at loads below and above capacity. The first phase asks
+//! each block (the data of one shard) whether it matches the query, the second fetches the matching blocks.
+//! The planner of the engine divides the latency target between the phases.
 
 mod figures;
 mod variant;
--- a/crates/fernknot-experiments/src/two_phase/figures.rs
+++ b/crates/fernknot-experiments/src/two_phase/figures.rs
@@ -1,4 +1,5 @@
-//! Figures of runs. Field names are the keys of the output.
+//! Figures of runs. Field names are the keys of the output. Parts are counted as often as they are sent to a store, so
+//! that each retry or copy of a part counts.
 
 use super::variant::Variant;
 use super::workload::{BLOCKS_PER_QUERY, LATENCY_TARGET_MS, LOAD_SHARES};
@@ -27,13 +28,14 @@
     pub queries: u64,
     /// Share of queries answered within the latency target.
     pub in_time_share: f64,
-    /// Share of queries answered after the latency target, or failed after half of it with second-phase parts sent.
+    /// Share of queries that were answered after the latency target, or that failed or timed out after half of the
+    /// target with second-phase parts sent.
     pub late_failure_share: f64,
     /// Mean number of parts sent per query.
     pub parts_per_query: f64,
-    /// Median time to an answer.
+    /// Median time from sending to the answer, over the answered queries.
     pub p50_ms: f64,
-    /// 99th percentile of the time to an answer.
+    /// 99th percentile of the time from sending to the answer, over the answered queries.
     pub p99_ms: f64,
 }
 
@@ -43,20 +45,20 @@
     /// Figures printed in JSON.
     #[serde(flatten)]
     pub row: Row,
-    /// Share of queries rejected before any part was sent.
+    /// Share of queries that ended without an answer and for which no first-phase part was sent.
     pub refused_share: f64,
-    /// Share of queries failed in the first phase.
+    /// Share of queries that ended without an answer in the first phase, with parts of it sent.
     pub first_failed_share: f64,
-    /// Share of queries rejected between the phases.
+    /// Share of queries that ended without an answer after the first phase, before any part of the second was sent.
     pub second_refused_share: f64,
-    /// Share of queries failed after parts of the second phase were sent.
+    /// Share of queries that ended without an answer after parts of the second phase were sent.
     pub second_failed_share: f64,
-    /// Ratio of parts sent to parts needed: the blocks of each first phase begun and the matching blocks of each second
-    /// phase opened.
+    /// Ratio of parts sent to parts needed. Needed are one part for each block of each first phase begun, and one for
+    /// each matching block of each second phase begun.
     pub parts_over_need: f64,
-    /// Number of violations: missing or repeated answers, and parts sent after the end of a query.
+    /// Number of violations: missing or repeated final answers, and parts sent after the end of a query.
     pub violations: u64,
-    /// Number of queries that the engine had in flight at the end; any is a leak.
+    /// Number of queries that the engine still held in flight at the end of the run; any is a leak.
     pub in_flight: usize,
 }
 
@@ -69,9 +71,9 @@
     pub variant: &'static str,
     /// Mean of [`Row::in_time_share`].
     pub in_time_share: f64,
-    /// Lowest `in_time_share` of a seed.
+    /// Lowest [`Row::in_time_share`] of all seeds.
     pub in_time_from: f64,
-    /// Highest `in_time_share` of a seed.
+    /// Highest [`Row::in_time_share`] of all seeds.
     pub in_time_to: f64,
     /// Mean of [`Row::late_failure_share`].
     pub late_failure_share: f64,
--- a/crates/fernknot-experiments/src/two_phase/variant.rs
+++ b/crates/fernknot-experiments/src/two_phase/variant.rs
@@ -7,7 +7,7 @@
     TwoPhase,
     /// Second phases that cannot meet the latency target are not rejected.
     WithoutRejection,
-    /// Each phase gets half of the latency target.
+    /// Each phase gets half of the latency target, instead of shares learned from earlier queries.
     FixedSplit,
     /// Blocks without a match are fetched as well.
     WithoutPruning,
--- a/crates/fernknot-experiments/src/two_phase/workload.rs
+++ b/crates/fernknot-experiments/src/two_phase/workload.rs
@@ -15,25 +15,26 @@
 
 /// Loads of the runs, as shares of the stores' capacity.
 pub const LOAD_SHARES: [f64; 4] = [0.5, 0.9, 1.2, 1.6];
-/// Latency target of a query.
+/// Latency target of a query, in milliseconds from its sending.
 pub(super) const LATENCY_TARGET_MS: f64 = 300.0;
-/// Time-out of a client.
+/// Time after which a client stops waiting for the answer to its query, in milliseconds.
 const CLIENT_TIMEOUT_MS: f64 = 1000.0;
 const SHARD_COUNT: u32 = 48;
 const PLACE_COUNT: u32 = 8;
-/// Number of stores at each place, which is the number of replicas of each shard.
+/// Number of stores at each place. The stores at one place hold the same shards, and each shard is at one place, so
+/// that this is the number of replicas of each shard.
 pub(super) const STORES_PER_PLACE: usize = 3;
-/// Number of blocks in a query.
+/// Number of blocks, distinct shards, that a query asks for matches.
 pub(super) const BLOCKS_PER_QUERY: usize = 12;
-/// Share of the blocks that match a narrow query.
+/// Probability that a block matches a narrow query.
 const NARROW_MATCH_SHARE: f64 = 0.08;
-/// Share of the blocks that match a wide query.
+/// Probability that a block matches a wide query.
 const WIDE_MATCH_SHARE: f64 = 0.5;
-/// Share of queries that are narrow.
+/// Probability that a query is narrow; it is wide otherwise.
 const NARROW_QUERY_SHARE: f64 = 0.7;
-/// Mean processing time of a first-phase part.
+/// Mean processing time of a first-phase part at a store, in milliseconds.
 const MATCH_WORK_MS: f64 = 2.0;
-/// Mean processing time of a second-phase part.
+/// Mean processing time of a second-phase part at a store, in milliseconds.
 const FETCH_WORK_MS: f64 = 15.0;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
@@ -41,7 +42,7 @@
 pub(super) struct Workload {
     /// Queries in the order of their send times.
     pub queries: Vec<PlannedQuery>,
-    /// Time at which the load ends.
+    /// Time from which no query is sent.
     pub end: Nanos,
 }
 
@@ -120,7 +121,7 @@
     }
 }
 
-/// Returns the number of queries per second that the stores can serve.
+/// Returns the mean number of queries per second that the stores can serve at full speed, without retries.
 fn capacity_per_s() -> f64 {
     let match_share = NARROW_QUERY_SHARE * NARROW_MATCH_SHARE + (1.0 - NARROW_QUERY_SHARE) * WIDE_MATCH_SHARE;
     let work_ms = BLOCKS_PER_QUERY as f64 * (MATCH_WORK_MS + match_share * FETCH_WORK_MS);
