--- a/crates/fernknot-fault-tests/src/addresses.rs
+++ b/crates/fernknot-fault-tests/src/addresses.rs
@@ -4,21 +4,23 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Number of /24 networks, from 127.20.0.0 upwards, for the even runs; the odd ones use the same number after them.
+/// Number of /24 networks, from 127.20.0.0 upwards, for the even runs of a process; the odd runs use the same number of
+/// networks after these. A process is told apart from others by its id modulo this number.
 const NETWORK_COUNT: u32 = 25_000;
 const NETWORKS_PER_SECOND_BYTE: u32 = 250;
 const FIRST_SECOND_BYTE: u32 = 20;
 /// Number of port blocks in a network. Each second run of a process uses the next block of the same network.
 const PORT_BLOCK_COUNT: u32 = 1000;
 const PORTS_PER_BLOCK: u16 = 8;
-/// Host number of the broadcast address, which no router has.
+/// Last byte of the broadcast address, which no router's address has.
 const BROADCAST_HOST: usize = 254;
 
-/// Base port for datagrams to a router, which is bound by the relay.
+/// Port of the first run for datagrams to a router, bound by the datagram relay. Later runs add their port block's
+/// offset to this port and the next two.
 const PUBLIC_DATAGRAM_PORT: u16 = 20_001;
-/// Base port on which a router receives datagrams from the relay.
+/// Port of the first run on which a router receives datagrams from the datagram relay.
 const PRIVATE_DATAGRAM_PORT: u16 = 20_002;
-/// Base port on which a router accepts clients.
+/// Port of the first run on which a router accepts clients.
 const CLIENT_PORT: u16 = 20_003;
 
 /// Number of runs of this process so far.
@@ -31,7 +33,7 @@
 }
 
 impl RunAddresses {
-    /// Creates addresses that no earlier run of this process used.
+    /// Creates addresses that no earlier run of this process used, unless there were 2,000 of them.
     pub fn new() -> RunAddresses {
         let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
         RunAddresses { network: std::process::id() % NETWORK_COUNT + NETWORK_COUNT * (run % 2), run }
@@ -42,7 +44,7 @@
         format!("fernknot-fault-test-{}-{}", self.network, self.run)
     }
 
-    /// Returns the address to which peers send datagrams for a router.
+    /// Returns the address to which other routers send datagrams for a router.
     pub fn public_datagram_address(&self, router: usize) -> SocketAddr {
         self.address(router + 1, PUBLIC_DATAGRAM_PORT)
     }
--- a/crates/fernknot-fault-tests/src/checker.rs
+++ b/crates/fernknot-fault-tests/src/checker.rs
@@ -5,20 +5,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Invariant: each request gets an answer within the client's time-out, unless a fault hit its router meanwhile.
+/// Invariant: each request gets an answer within the client's time-out and its grace period, unless its router was
+/// down, or went down or up, meanwhile.
 pub const ONE_ANSWER: &str = "one-answer";
-/// Invariant: no non-idempotent part runs twice.
+/// Invariant: no part of a non-idempotent request runs twice, at one store or at two.
 pub const NO_DUPLICATE_EFFECT: &str = "no-effect-twice";
-/// Invariant: no request gets two answers, and no answer claims parts that did not run.
+/// Invariant: no request gets two answers, and no answer claims to be complete although a part did not run.
 pub const NO_FALSE_ANSWER: &str = "honest-answers";
-/// Invariant: no router is declared failed while it runs and can reach the observer.
+/// Invariant: no router is declared failed that could reach the observer during the last five probe periods.
 pub const NO_FALSE_FAILURE: &str = "no-false-lost";
-/// Invariant: a router's status changes to or from failed at most twice for each fault of the router or the network.
+/// Invariant: at each observer, a router's status changes to or from failed at most twice for each fault of that router
+/// or of the network, and at most twice without faults.
 pub const NO_FLAPPING: &str = "no-flapping";
 /// Invariant: each step of the schedule succeeds, and each awaited condition becomes true in time.
 pub const CONDITION_MET: &str = "awaited";
 
-/// Number of probe periods for which a router must have been reachable for its failure to be false.
+/// Number of probe periods before a declared failure during which the failed router must have been able to reach the
+/// observer for the failure to be false.
 const REACHABILITY_WINDOW_PERIODS: f64 = 5.0;
 
 /// Violation of an invariant.
@@ -53,7 +56,7 @@
     history.requests.iter().filter(is_missing).map(|request| format!("{request:?}")).collect()
 }
 
-/// Finds failures of routers that could reach the observer during the entire window before.
+/// Finds failures of routers that could reach the observer during the entire window before the failure.
 ///
 /// Reachability changes only at fault events, so that it suffices to check these and both ends of the window.
 fn false_failures(history: &History) -> Vec<String> {
--- a/crates/fernknot-fault-tests/src/clients.rs
+++ b/crates/fernknot-fault-tests/src/clients.rs
@@ -14,7 +14,8 @@
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Time after the time-out in which a late answer is still recorded.
 pub const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// Use cases of the requests: idempotent, idempotent under a key, and non-idempotent.
+/// Use cases of the requests, which the configuration defines, in this order: idempotent, idempotent under a key, and
+/// non-idempotent.
 const USE_CASES: [&str; 3] = ["page", "mark", "buy"];
 
 /// Panic message for a poisoned lock.
@@ -27,10 +28,10 @@
     Answered {
         /// HTTP status of the answer.
         status: u16,
-        /// Whether the answer claims to be complete.
+        /// Whether the answer claims that all parts of the request were answered.
         complete: bool,
     },
-    /// The connection could not be established; nothing was sent.
+    /// The connection could not be established within the client's time-out; nothing was sent.
     ConnectionRefused,
     /// The connection broke, or no answer was received in time.
     NoAnswer,
@@ -41,17 +42,17 @@
 pub struct Request {
     /// Request id, unique within the run.
     pub id: String,
-    /// Name of the use case.
+    /// Name of the use case, which is also the path of the request.
     pub use_case: &'static str,
     /// Number of the router to which the request was sent.
     pub router: usize,
     /// Time at which the client began to connect.
     pub sent: Duration,
-    /// Time at which the client received the outcome.
+    /// Time at which the router closed the connection, or the client gave up.
     pub ended: Duration,
     /// Outcome of the request.
     pub outcome: RequestOutcome,
-    /// Number of final answers received on the connection.
+    /// Number of answers received on the connection, counted by their status lines.
     pub answers: usize,
 }
 
@@ -144,7 +145,7 @@
     }
 }
 
-/// Sends a request and returns its outcome and the number of final answers received.
+/// Sends a request and returns its outcome and the number of answers received.
 fn send_request(address: SocketAddr, id: &str, use_case: &str) -> (RequestOutcome, usize) {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, CLIENT_TIMEOUT) else {
         return (RequestOutcome::ConnectionRefused, 0);
--- a/crates/fernknot-fault-tests/src/cluster.rs
+++ b/crates/fernknot-fault-tests/src/cluster.rs
@@ -25,7 +25,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const START_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const STORES: usize = 4;
-/// Time in which a store answers.
+/// Time that a store takes to answer a part.
 const STORE_LATENCY: Duration = Duration::from_millis(3);
 /// Panic message for a poisoned lock.
 const LOCK_NOT_POISONED: &str = "no holder of the lock panics";
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Returns the instant from which times of the run count.
+    /// Returns the instant from which the times in the records of the run count.
     pub fn run_start(&self) -> Instant {
         self.run_start
     }
@@ -144,8 +144,8 @@
         self.fault_events.push((self.run_start.elapsed(), event));
     }
 
-    /// Sends routers a signal that stops them. `Down` is recorded before the signal, so that no effect of the fault
-    /// precedes its record.
+    /// Sends routers a signal that ends or suspends them. `Down` is recorded before the signal, so that no effect of
+    /// the fault precedes its record.
     pub fn record_down_and_signal(
         &mut self,
         routers: &[usize],
@@ -167,7 +167,7 @@
         Ok(())
     }
 
-    /// Resumes suspended routers. `Up` is recorded after the signal.
+    /// Resumes suspended routers. `Up` is recorded after the signal, so that the router counts as down until then.
     pub fn resume(&mut self, routers: &[usize]) -> Result<(), FaultTestError> {
         for router in routers {
             self.routers[*router].signal(Signal::CONT)?;
@@ -176,8 +176,8 @@
         Ok(())
     }
 
-    /// Starts routers and waits until each accepts connections; only then `Up` is recorded, because connections are
-    /// refused until then.
+    /// Starts routers and waits until each answers `GET /up`; only then `Up` is recorded, because connections of
+    /// clients are refused until then.
     pub fn restart(&mut self, routers: &[usize]) -> Result<(), FaultTestError> {
         for router in routers {
             self.spawn(*router).map_err(|source| FaultTestError::Spawn { router: *router, source })?;
@@ -199,7 +199,7 @@
         http_get(self.routers[router].listen, "/up").is_some_and(|answer| answer.contains(" 200 "))
     }
 
-    /// Drops datagrams in one direction; a `hidden` fault is not recorded for the checker.
+    /// Drops all datagrams from routers in `from` to routers in `to`; a `hidden` fault is not recorded for the checker.
     pub fn partition(&mut self, from: &[usize], to: &[usize], hidden: bool) {
         self.datagrams.change_links(from, to, |link| link.blocked = true);
         if !hidden {
@@ -207,13 +207,13 @@
         }
     }
 
-    /// Ends all datagram faults in one direction.
+    /// Ends all faults of the datagrams from routers in `from` to routers in `to`.
     pub fn heal(&mut self, from: &[usize], to: &[usize]) {
         self.datagrams.change_links(from, to, |link| *link = LinkFaults::default());
         self.record(FaultEvent::Healed { from: from.to_vec(), to: to.to_vec() });
     }
 
-    /// Degrades all links; blocked links stay blocked.
+    /// Sets the loss, duplication and delay of the datagrams between all routers; blocked links stay blocked.
     pub fn degrade(&mut self, loss: f64, duplication: f64, max_delay: Duration) {
         let all: Vec<usize> = (0..self.routers.len()).collect();
         self.datagrams.change_links(&all, &all, |link| {
@@ -230,7 +230,8 @@
 
     // ---- Waits -----------------------------------------------------------------------------
 
-    /// Waits until the view of each observer has satisfied the condition once. `description` names it in the error.
+    /// Waits until the membership view of each observer has satisfied the condition once. `description` stands for the
+    /// condition in the error.
     pub fn await_views(
         &self,
         observers: &[usize],
--- a/crates/fernknot-fault-tests/src/connection_relay.rs
+++ b/crates/fernknot-fault-tests/src/connection_relay.rs
@@ -13,7 +13,7 @@
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Treatment of the connections of a relay.
+/// Treatment of the connections of a relay; `Pass` at the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum ConnectionMode {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Relay of connections to one process.
+/// Relay of connections from a router to one store.
 pub(crate) struct ConnectionRelay {
     /// Address at which the relay accepts connections.
     pub address: SocketAddr,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Copies one direction until it ends or is reset, then closes both directions.
+/// Copies the bytes of one direction until its sender closes or the mode resets it, then closes both directions.
 fn copy_direction(mut from: TcpStream, mut to: TcpStream, mode: &SharedMode) {
     let mut buffer = [0; BUFFER_BYTES];
     // Errors are ignored: without these options the copy works, but notices a mode change later.
--- a/crates/fernknot-fault-tests/src/datagram_relay.rs
+++ b/crates/fernknot-fault-tests/src/datagram_relay.rs
@@ -40,7 +40,7 @@
 }
 
 struct State {
-    /// Faults by sender and receiver.
+    /// Faults of each link, by the numbers of its sender and its receiver.
     links: Vec<Vec<LinkFaults>>,
     rng: ChaCha8Rng,
     delayed: BinaryHeap<DelayedDatagram>,
@@ -135,7 +135,8 @@
         self.state.lock().expect(LOCK_NOT_POISONED)
     }
 
-    /// Relays datagrams for one router, or for all if `receiver` is `None`, until the relay is stopped.
+    /// Relays the datagrams that arrive for one router, or at the broadcast address if `receiver` is `None`, until the
+    /// relay is stopped.
     fn relay(&self, receiver: Option<usize>) {
         let socket = receiver.map_or(&self.broadcast_socket, |router| &self.public_sockets[router]);
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Forwards a datagram subject to the faults of its link.
+    /// Forwards a datagram from one router to another, subject to the faults of the link between them.
     fn forward(&self, state: &mut State, from: usize, to: usize, bytes: &[u8]) {
         let faults = state.links[from][to];
         if faults.blocked || state.rng.random_bool(faults.loss) {
--- a/crates/fernknot-fault-tests/src/error.rs
+++ b/crates/fernknot-fault-tests/src/error.rs
@@ -32,7 +32,7 @@
     /// The router program was not found.
     #[error("fernknot-router not found in the directory of {0} or its parent; build it first")]
     RouterProgramNotFound(PathBuf),
-    /// The processes, relays or stand-ins could not be set up.
+    /// The router processes, the relays, or the stand-ins for stores and discovery could not be set up.
     #[error("cannot set up the processes: {0}")]
     Setup(std::io::Error),
     /// The routers did not become ready before the first fault.
@@ -72,7 +72,7 @@
         condition: String,
         /// Number of one router at which the condition is not true.
         router: usize,
-        /// Most recent view, of any router, that did not satisfy the condition.
+        /// Text of the most recent membership view, of any observer, that did not satisfy the condition.
         view: String,
     },
     /// The schedule is invalid.
--- a/crates/fernknot-fault-tests/src/history.rs
+++ b/crates/fernknot-fault-tests/src/history.rs
@@ -10,7 +10,7 @@
 /// Number of parts of each request.
 const PARTS_PER_REQUEST: u32 = 2;
 
-/// Change of a router's status at another router, from the latter's log.
+/// Change of the status that one router, the observer, holds of another one, from the observer's log.
 #[derive(Clone, Debug)]
 pub struct StatusChange {
     /// Time at which the line was read from the log, from the start of the run.
@@ -72,7 +72,7 @@
 pub struct History {
     /// Number of routers; they are numbered from 0.
     pub router_count: usize,
-    /// Probe period of the membership protocol.
+    /// Probe period of the membership protocol: the interval at which a router probes another one.
     pub probe_period: Duration,
     /// Requests of all clients.
     pub requests: Vec<Request>,
@@ -80,7 +80,7 @@
     pub store_calls: Vec<Vec<String>>,
     /// Status changes that routers logged.
     pub status_changes: Vec<StatusChange>,
-    /// Faults known to the checker, with their times in ascending order.
+    /// Faults that are not hidden from the checker, with their times in ascending order.
     pub fault_events: Vec<(Duration, FaultEvent)>,
 }
 
@@ -102,7 +102,8 @@
         network
     }
 
-    /// Whether a message of `member` could reach `observer` at this time, directly or through other running routers.
+    /// Whether a datagram of `member` could reach `observer` at this time, directly or through other running routers,
+    /// according to the recorded faults. False if one of the two is down.
     pub(crate) fn is_reachable(&self, observer: usize, member: usize, at: Duration) -> bool {
         let network = self.network_at(at);
         if !network.is_running[member] || !network.is_running[observer] {
@@ -133,7 +134,7 @@
             || events.any(|(at, event)| (from..=to).contains(at) && is_about_router(event))
     }
 
-    /// Returns the number of requests that were sent but not answered.
+    /// Returns the number of requests that were sent but not answered, whatever the faults.
     pub fn unanswered(&self) -> usize {
         self.requests.iter().filter(|request| request.outcome == RequestOutcome::NoAnswer).count()
     }
--- a/crates/fernknot-fault-tests/src/main.rs
+++ b/crates/fernknot-fault-tests/src/main.rs
@@ -81,7 +81,7 @@
     false_failures: usize,
     #[serde(rename = "breaks")]
     violations: usize,
-    /// Longest time that the schedule waited for a condition.
+    /// Longest time that a completed step of the schedule waited for a condition.
     longest_wait_ms: f64,
     datagrams_per_s: f64,
 }
--- a/crates/fernknot-fault-tests/src/router_config.rs
+++ b/crates/fernknot-fault-tests/src/router_config.rs
@@ -5,16 +5,17 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Maximum number of membership datagrams that a router may send in one probe period.
+/// Maximum mean number of membership datagrams that a router may send in one probe period.
 const DATAGRAMS_PER_PERIOD: f64 = 6.4;
-/// Multiplier that keeps the routers' seeds of different runs apart (2^32 divided by the golden ratio).
+/// Multiplier of the schedule's seed (2^32 divided by the golden ratio), to which the router's number is added. It
+/// keeps the routers' seeds of different runs apart.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9;
 
 /// Addresses in the configuration of a router.
 pub(crate) struct RouterAddresses<'a> {
-    /// Public datagram address of each router, in the list of peers.
+    /// Address to which other routers send datagrams for each router, by router number; they are the list of peers.
     pub public: &'a [SocketAddr],
-    /// Address at which the router receives datagrams.
+    /// Address at which this router receives datagrams from the datagram relay.
     pub private: SocketAddr,
     /// Address to which routers send datagrams for all routers.
     pub broadcast: SocketAddr,
--- a/crates/fernknot-fault-tests/src/router_log.rs
+++ b/crates/fernknot-fault-tests/src/router_log.rs
@@ -6,8 +6,8 @@
 
 const STATUS_CHANGE_MARKER: &str = " fleet: status of a router changed ";
 
-/// Parses a log line of `observer`; returns `None` if it reports no status change. `public` has the listed address of
-/// each router.
+/// Parses a log line of `observer`; returns `None` if it reports no status change. `at` is the time at which the line
+/// was read, and `public` has the address of each router in the list of peers, by which log lines name routers.
 pub(crate) fn parse_status_change(
     line: &str,
     observer: usize,
--- a/crates/fernknot-fault-tests/src/router_process.rs
+++ b/crates/fernknot-fault-tests/src/router_process.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// Number of shards in the example configuration, distributed over the stores.
+/// Number of shards in the example configuration; store `s-N` holds the shard with the number N modulo this number.
 const SHARD_COUNT: u32 = 2;
 const ROUTER_PROGRAM: &str = "fernknot-router";
 
@@ -19,7 +19,7 @@
 pub(crate) fn router_program() -> Result<PathBuf, FaultTestError> {
     let own_path = std::env::current_exe().map_err(FaultTestError::OwnPath)?;
     let in_directory = |directory: &Path| Some(directory.join(ROUTER_PROGRAM)).filter(|path| path.is_file());
-    // Test programs are one directory below.
+    // Test programs are one directory below the other programs.
     let program = own_path.ancestors().skip(1).take(2).find_map(in_directory);
     program.ok_or(FaultTestError::RouterProgramNotFound(own_path))
 }
@@ -36,7 +36,7 @@
 }
 
 impl RouterProcess {
-    /// Writes the configuration and starts discovery and relays, but not the process.
+    /// Writes the configuration and starts the discovery stand-in and the relays to the stores, but not the process.
     pub fn prepare(
         number: usize,
         listen: SocketAddr,
--- a/crates/fernknot-fault-tests/src/router_view.rs
+++ b/crates/fernknot-fault-tests/src/router_view.rs
@@ -11,14 +11,15 @@
 
 /// Membership view of a router, from `GET /fleet`.
 pub(crate) struct RouterView {
-    /// Keys and values that the router reports about itself.
+    /// Keys and values that the router reports about itself, such as `majority` and `true`.
     pub own_report: BTreeMap<String, String>,
     /// Status names of the other routers, by router number.
     pub statuses: BTreeMap<usize, String>,
 }
 
 impl RouterView {
-    /// Parses the answer to `GET /fleet`. `public` has the listed address of each router.
+    /// Parses the answer to `GET /fleet`: one line about the router itself, then one about each other router.
+    /// `public` has the address of each router in the list of peers, by which the lines name routers.
     pub fn parse(text: &str, public: &[SocketAddr]) -> RouterView {
         let lines = text.lines().skip_while(|line| !line.contains(" incarnation="));
         let mut view = RouterView { own_report: BTreeMap::new(), statuses: BTreeMap::new() };
--- a/crates/fernknot-fault-tests/src/runner.rs
+++ b/crates/fernknot-fault-tests/src/runner.rs
@@ -19,14 +19,14 @@
     pub history: History,
     /// Violations of invariants.
     pub violations: Vec<Violation>,
-    /// Index and duration of each completed step.
+    /// Index in the schedule and duration of each completed step.
     pub step_durations: Vec<(usize, Duration)>,
     /// Mean number of membership datagrams per router and second, over the routers that ran at the start and at the
     /// end.
     pub datagrams_per_s: f64,
 }
 
-/// Durations of the completed steps, and the violation that ended them.
+/// Durations of the completed steps, and the violation by the step that failed, if one did.
 #[derive(Default)]
 struct StepResults {
     durations: Vec<(usize, Duration)>,
@@ -65,7 +65,8 @@
     Duration::from_secs_f64(schedule.period_ms / 1e3)
 }
 
-/// Waits until all routers show each other as alive and none reports `young` any more.
+/// Waits until all routers show each other as alive and none reports any more that it is `young`: that its view is not
+/// yet reliable after its start.
 fn await_ready(cluster: &mut Cluster, schedule: &Schedule) -> Result<(), FaultTestError> {
     let all: Vec<usize> = (0..schedule.routers).collect();
     await_statuses(cluster, &all, &all, &[ALIVE.to_string()])?;
@@ -137,7 +138,7 @@
     cluster.await_views(observers, &condition, |view, _| view.own_report.get(key) == Some(&expected))
 }
 
-/// Returns the mean rate per second over the routers that ran at both times.
+/// Returns the mean number of datagrams per second over the routers whose counts are known before and after.
 fn mean_rate(before: &[Option<u64>], after: &[Option<u64>], elapsed: Duration) -> f64 {
     let sent = |(before, after): (&Option<u64>, &Option<u64>)| (*after)?.checked_sub((*before)?);
     let counts = before.iter().zip(after).filter_map(sent);
--- a/crates/fernknot-fault-tests/src/scenarios.rs
+++ b/crates/fernknot-fault-tests/src/scenarios.rs
@@ -8,7 +8,9 @@
 pub const NAMES: [&str; 12] = [
     "crash", "pause", "loss", "late", "pair", "one-way", "hears", "speaks", "split", "herd", "roll", "again",
 ];
-/// Scenarios with a seeded bug that the checker must find, with the invariant that each violates.
+/// Scenarios that violate an invariant on purpose, each with the invariant; they test that the checker finds
+/// violations. `planted-stop` violates its invariant only if the recorded faults are removed from the history, as its
+/// test does.
 pub const SEEDED_BUGS: [(&str, &str); 2] = [("planted-lost", NO_FALSE_FAILURE), ("planted-stop", ONE_ANSWER)];
 
 /// Total requests per second of all clients.
@@ -49,7 +51,7 @@
     period_ms: f64,
     /// Router that the fault affects.
     victim: usize,
-    /// Peer of the victim in faults of a single link.
+    /// Other end of the link in faults of a single link of the victim.
     link_peer: usize,
 }
 
@@ -114,7 +116,8 @@
         ]
     }
 
-    /// A pause that is shorter than the suspicion time-out, so that no router may be declared failed.
+    /// A pause of five probe periods, which is shorter than the suspicion time-out, so that no router may be declared
+    /// failed.
     fn pause(&self) -> Vec<Step> {
         let victim = vec![self.victim];
         vec![
@@ -133,7 +136,7 @@
         vec![degrade(0.0, 0.2, self.period_ms / 4.0), self.sustain(40.0), degrade(0.0, 0.0, 0.0)]
     }
 
-    /// Two routers without a link in either direction, both of which can reach all others.
+    /// Two routers without a link in either direction; each of the two can reach all others.
     fn broken_pair(&self) -> Vec<Step> {
         let (victim, link_peer) = ([self.victim], [self.link_peer]);
         vec![
@@ -223,7 +226,7 @@
         let restart = [
             Step::Kill { routers: vec![self.victim] },
             Step::Start { routers: vec![self.victim] },
-            // The restarted router must learn of all others; they need not have noticed its absence.
+            // The restarted router must learn of all others; the others need not have noticed its absence.
             self.await_all_alive(),
             Step::WaitPeriods { periods: 5 },
         ];
@@ -239,7 +242,8 @@
         ]
     }
 
-    /// Kills a router while stalled stores keep requests in flight, so that these end without an answer.
+    /// Kills a router while stalled connections to the stores keep requests in flight, so that these requests end
+    /// without an answer.
     fn kill_with_requests_in_flight(&self) -> Vec<Step> {
         let victim = vec![self.victim];
         vec![
--- a/crates/fernknot-fault-tests/src/schedule.rs
+++ b/crates/fernknot-fault-tests/src/schedule.rs
@@ -1,6 +1,7 @@
 //! Schedule of the faults and waits of a test run, in JSON that can be printed, stored, edited and run again.
 //!
-//! The names in the JSON are part of the format; the identifiers in the code may differ from them.
+//! The names in the JSON are part of the format; the identifiers in the code may differ from them. Routers are numbered
+//! from 0. Unless a step says otherwise, it does not wait for its effects.
 
 use crate::error::ScheduleError;
 use serde::{Deserialize, Serialize};
@@ -20,13 +21,13 @@
         /// Routers to kill.
         routers: Routers,
     },
-    /// Sends SIGSTOP.
+    /// Suspends routers by SIGSTOP.
     #[serde(rename = "stop")]
     Suspend {
         /// Routers to suspend.
         routers: Routers,
     },
-    /// Sends SIGCONT.
+    /// Resumes suspended routers by SIGCONT.
     #[serde(rename = "wake")]
     Resume {
         /// Routers to resume.
@@ -38,12 +39,13 @@
         /// Routers to terminate.
         routers: Routers,
     },
-    /// Restarts routers with the same names and addresses, and waits until they accept connections.
+    /// Starts routers that were killed or terminated, with the same names and addresses, and waits until each accepts
+    /// connections.
     Start {
         /// Routers to start.
         routers: Routers,
     },
-    /// Drops datagrams in one direction.
+    /// Drops all datagrams between routers in one direction, until `Heal`.
     #[serde(rename = "cut")]
     Partition {
         /// Senders of the datagrams.
@@ -54,7 +56,7 @@
         #[serde(rename = "secret", default)]
         hidden: bool,
     },
-    /// Ends all datagram faults in one direction.
+    /// Ends the faults of datagrams in one direction: those of `Partition` and those of `Degrade`.
     #[serde(rename = "mend")]
     Heal {
         /// Senders of the datagrams.
@@ -62,7 +64,7 @@
         /// Receivers of the datagrams.
         to: Routers,
     },
-    /// Degrades the links among all routers.
+    /// Sets the loss, duplication and delay of the datagrams between all routers, until the next `Degrade` or `Heal`.
     #[serde(rename = "spoil")]
     Degrade {
         /// Share of datagrams to drop, from 0 to 1.
@@ -75,25 +77,26 @@
         #[serde(rename = "delay_ms")]
         max_delay_ms: f64,
     },
-    /// Stalls connections to all stores: they stay open, but nothing is forwarded.
+    /// Stalls the connections of routers to all stores, until `RestoreConnections`: they stay open, but nothing is
+    /// forwarded in either direction.
     #[serde(rename = "silence")]
     StallConnections {
         /// Routers whose connections are affected.
         routers: Routers,
     },
-    /// Resets connections to all stores.
+    /// Closes the connections of routers to all stores, and closes new ones at once, until `RestoreConnections`.
     #[serde(rename = "reset")]
     ResetConnections {
         /// Routers whose connections are affected.
         routers: Routers,
     },
-    /// Restores connections to all stores.
+    /// Ends the effect of `StallConnections` and `ResetConnections`.
     #[serde(rename = "speak")]
     RestoreConnections {
         /// Routers whose connections are affected.
         routers: Routers,
     },
-    /// Waits until each observer shows each member other than itself with one of these statuses.
+    /// Waits until each observer has once shown all members other than itself with one of these statuses.
     #[serde(rename = "await")]
     AwaitStatus {
         /// Routers that are queried.
@@ -106,25 +109,27 @@
         #[serde(rename = "is")]
         statuses: Vec<String>,
     },
-    /// Waits until each observer reports this value about itself.
+    /// Waits until each observer has once reported this value of the key about itself.
     #[serde(rename = "view")]
     AwaitView {
         /// Routers that are queried.
         #[serde(rename = "by")]
         observers: Routers,
-        /// Key of the report: `majority`, `young` or `alone`.
+        /// Key of the report: `majority` (more than half of the routers are live, and the observer is not alone),
+        /// `young` (its view is not yet reliable after a start or a stall) or `alone` (no message reaches it).
         key: String,
         /// Awaited value.
         #[serde(rename = "is")]
         value: bool,
     },
-    /// Sustains a fault for a fixed time. For faults that are defined by their duration; other effects are awaited.
+    /// Waits for a fixed time while a fault lasts. It is meant for faults that are defined by their duration; effects
+    /// of other faults are awaited.
     #[serde(rename = "last")]
     Sustain {
         /// Duration in milliseconds.
         ms: u64,
     },
-    /// Waits until all effects of a fault would have appeared.
+    /// Waits for a number of probe periods, in which every effect of a fault would appear.
     #[serde(rename = "settle")]
     WaitPeriods {
         /// Duration in probe periods.
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Whether the step waits for a condition.
+    /// Whether the step waits for a condition, not for a fixed time.
     pub fn is_wait(&self) -> bool {
         matches!(self, Step::AwaitStatus { .. } | Step::AwaitView { .. })
     }
--- a/crates/fernknot-fault-tests/src/status_names.rs
+++ b/crates/fernknot-fault-tests/src/status_names.rs
@@ -2,9 +2,9 @@
 
 /// The router runs.
 pub const ALIVE: &str = "alive";
-/// The router is suspected of having failed.
+/// The router is suspected of having failed, and may still refute this.
 pub const SUSPECTED: &str = "doubted";
-/// The router has failed.
+/// The router is declared failed.
 pub const FAILED: &str = "lost";
 /// The router announced its shutdown.
 pub const LEFT: &str = "left";
--- a/crates/fernknot-fault-tests/tests/checker_finds_each_violation.rs
+++ b/crates/fernknot-fault-tests/tests/checker_finds_each_violation.rs
@@ -59,7 +59,7 @@
     request_without_answer(history);
 }
 
-/// Drops all datagrams from router 1 to these receivers.
+/// Adds the fault that all datagrams from router 1 to these receivers are dropped from 2 s on.
 fn block_datagrams_from_router_1(history: &mut History, receivers: &[usize]) {
     let partition = FaultEvent::Partitioned { from: vec![1], to: receivers.to_vec() };
     history.fault_events.push((at(2000), partition));
--- a/crates/fernknot-fault-tests/tests/invariants_hold_under_faults.rs
+++ b/crates/fernknot-fault-tests/tests/invariants_hold_under_faults.rs
@@ -34,7 +34,7 @@
         schedule.load_per_s = 100.0;
         let mut result = run_schedule(&schedule).unwrap();
         if invariant == ONE_ANSWER {
-            // Without the recorded faults, the unanswered requests count as violations.
+            // Without the recorded faults, no fault excuses the unanswered requests, and they count as violations.
             result.history.fault_events.clear();
             result.violations = check(&result.history);
         }
