--- a/crates/fernknot-experiments/src/engine_simulation.rs
+++ b/crates/fernknot-experiments/src/engine_simulation.rs
@@ -66,7 +66,7 @@
     pub matches: Vec<ShardId>,
 }
 
-/// End of a query.
+/// End of a query: its final answer or the client's time-out, whichever is first.
 #[derive(Clone, Debug)]
 pub(crate) struct QueryEnd {
     /// Time from the sending of the query to its final answer or the client's time-out.
@@ -101,9 +101,9 @@
     }
 }
 
-/// Parameters of a simulation.
+/// Parameters of a simulation; they determine it completely.
 pub(crate) struct SimulationConfig {
-    /// Seed of all random choices.
+    /// Seed of the engine, the network delays and the stores' work and degradations.
     pub seed: u64,
     /// Settings of the engine.
     pub site: SiteSettings,
@@ -113,7 +113,7 @@
     pub stores_per_place: usize,
     /// Work, queues and degradations of the stores.
     pub store_behaviour: StoreBehaviour,
-    /// Queries of all clients.
+    /// Queries of all clients, each sent once.
     pub queries: Vec<PlannedQuery>,
     /// Time from which no query is sent and no degradation of a store begins.
     pub end: Nanos,
--- a/crates/fernknot-experiments/src/membership/fault_plan.rs
+++ b/crates/fernknot-experiments/src/membership/fault_plan.rs
@@ -18,7 +18,7 @@
 /// Share of one-way faults that also break the opposite direction.
 const BIDIRECTIONAL_SHARE: f64 = 0.1;
 
-/// Fault of a process or of the network, or its end.
+/// Fault of a process or of the network, or its end. Processes are named by their router's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     /// The process is killed without notice.
@@ -48,7 +48,7 @@
 
 /// Faults of a run.
 pub(super) struct FaultPlan {
-    /// Faults with their times.
+    /// Faults with the times at which they occur, in any order.
     pub faults: Vec<(Nanos, Fault)>,
     /// Time from which rejoins of failed routers are measured; `None` if no failed router returns.
     pub recovers_at: Option<Nanos>,
--- a/crates/fernknot-experiments/src/membership/figures.rs
+++ b/crates/fernknot-experiments/src/membership/figures.rs
@@ -4,16 +4,16 @@
 use fernknot::interface::Nanos;
 use serde::Serialize;
 
-/// Figures of one run.
+/// Figures of one run of a variant in a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     /// Name of the experiment, `fleet`.
     pub experiment: &'static str,
-    /// Name of the variant.
+    /// Name of the variant, as in `Variant::NAMES`.
     pub variant: &'static str,
     /// Seed of the run.
     pub seed: u64,
-    /// Name of the scenario.
+    /// Name of the scenario, as in `Scenario::NAMES`.
     pub scenario: &'static str,
     /// Number of routers.
     pub routers: u32,
--- a/crates/fernknot-experiments/src/membership/host.rs
+++ b/crates/fernknot-experiments/src/membership/host.rs
@@ -39,7 +39,7 @@
     pub routers: u32,
     /// Number of earlier starts of this router.
     pub start_count: u64,
-    /// Time of the start.
+    /// Simulated time of the start.
     pub now: Nanos,
 }
 
@@ -154,7 +154,7 @@
     inbox: VecDeque<Input>,
     /// Time of the next wake-up; wake-up events with another time are stale and ignored.
     pub wake_at: Nanos,
-    /// Traffic that the router sent.
+    /// Traffic that all processes of the router have sent.
     pub traffic: Traffic,
     /// Share of a cold node's budget that the router claims.
     pub budget: BudgetShare,
--- a/crates/fernknot-experiments/src/membership/simulation.rs
+++ b/crates/fernknot-experiments/src/membership/simulation.rs
@@ -17,7 +17,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Ratio of all routers to those in a loss burst at any time.
+/// Ratio of the number of all routers to the number of routers in a loss burst.
 const ROUTERS_PER_BURST: u32 = 20;
 
 enum Event {
@@ -34,7 +34,7 @@
     BudgetMeasurement,
 }
 
-/// Observations for the figures.
+/// Observations during the run, from which the figures are computed.
 #[derive(Default)]
 struct Observations {
     /// Time at which the process of each router without a process was killed.
--- a/crates/fernknot-experiments/src/membership/timing.rs
+++ b/crates/fernknot-experiments/src/membership/timing.rs
@@ -14,7 +14,7 @@
 pub(super) const FAULT_START: Nanos = millis(15_000);
 /// End of the network fault, and earliest restart after a mass failure.
 pub(super) const FAULT_END: Nanos = millis(25_000);
-/// End of the run.
+/// End of the run, at which the figures are taken.
 pub(super) const RUN_END: Nanos = millis(40_000);
 /// Time for which a paused process is suspended.
 pub(super) const PAUSE_DURATION: Nanos = millis(2000);
--- a/crates/fernknot-experiments/src/stores.rs
+++ b/crates/fernknot-experiments/src/stores.rs
@@ -13,9 +13,9 @@
 /// An attempt of a part, as received by a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// Part that is attempted.
+    /// Part of a query that is attempted.
     pub part: PartId,
-    /// Number of the attempt.
+    /// Number of the attempt among those of the part, from 0.
     pub attempt: AttemptNumber,
     /// Processing time at full speed.
     pub work: Nanos,
@@ -45,7 +45,7 @@
     pub queue_limit: usize,
     /// Mean time between stalls of a store.
     pub stall_interval: Nanos,
-    /// Mean length of a stall.
+    /// Mean length of a stall, in which the store makes no progress.
     pub stall_length: Nanos,
     /// Mean time between slow periods of a store.
     pub slow_interval: Nanos,
--- a/crates/fernknot-fault-tests/src/addresses.rs
+++ b/crates/fernknot-fault-tests/src/addresses.rs
@@ -26,7 +26,7 @@
 /// Number of runs of this process so far.
 static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// Addresses of one run.
+/// Addresses of one run: a network and ports that no concurrent run uses.
 pub(crate) struct RunAddresses {
     network: u32,
     run: u32,
--- a/crates/fernknot-fault-tests/src/checker.rs
+++ b/crates/fernknot-fault-tests/src/checker.rs
@@ -29,7 +29,7 @@
 pub struct Violation {
     /// Name of the invariant.
     pub invariant: &'static str,
-    /// Lines of evidence.
+    /// Lines of evidence: requests, parts or log lines of routers that show the violation.
     pub evidence: Vec<String>,
 }
 
@@ -73,7 +73,8 @@
     failures.filter(is_false).map(|change| change.log_line.clone()).collect()
 }
 
-/// Returns the log lines of each pair of observer and member with too many status changes.
+/// Returns the log lines of each pair of an observer and a member with more changes to or from failed than the
+/// recorded faults explain.
 fn flapping(history: &History) -> Vec<Vec<String>> {
     let mut by_pair: BTreeMap<(usize, usize), Vec<&StatusChange>> = BTreeMap::new();
     for change in history.status_changes.iter().filter(|change| change.concerns_failure()) {
--- a/crates/fernknot-fault-tests/src/clients.rs
+++ b/crates/fernknot-fault-tests/src/clients.rs
@@ -56,7 +56,7 @@
     pub answers: usize,
 }
 
-/// Clients of a run.
+/// Clients of a run, which send requests until the value is finished or dropped.
 pub struct Clients {
     stopped: Arc<AtomicBool>,
     sender: Option<thread::JoinHandle<()>>,
@@ -101,7 +101,7 @@
     }
 }
 
-/// State of the sending thread.
+/// State of the thread that starts a new thread for each request.
 struct LoadGenerator {
     routers: Vec<SocketAddr>,
     interval: Duration,
--- a/crates/fernknot-fault-tests/src/connection_relay.rs
+++ b/crates/fernknot-fault-tests/src/connection_relay.rs
@@ -7,9 +7,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// Interval at which an idle connection checks the mode.
+/// Interval at which an idle connection checks the mode of the relay.
 const READ_TIMEOUT: Duration = Duration::from_millis(50);
-/// Interval at which a stalled connection checks the mode.
+/// Interval at which a stalled connection checks the mode of the relay.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const BUFFER_BYTES: usize = 16 * 1024;
 
--- a/crates/fernknot-fault-tests/src/error.rs
+++ b/crates/fernknot-fault-tests/src/error.rs
@@ -16,7 +16,7 @@
     /// A step names a router that does not exist.
     #[error("steps[{step}]: there is no router {router}")]
     UnknownRouter {
-        /// Index of the step.
+        /// Index of the step in the schedule.
         step: usize,
         /// Number of the router.
         router: usize,
@@ -62,7 +62,7 @@
     StartTimeout {
         /// Number of the router.
         router: usize,
-        /// Time limit of the wait.
+        /// Time after which the wait for the router was given up.
         limit: Duration,
     },
     /// An awaited condition did not become true in time.
--- a/crates/fernknot-fault-tests/src/history.rs
+++ b/crates/fernknot-fault-tests/src/history.rs
@@ -39,7 +39,8 @@
     }
 }
 
-/// Injected fault, or its end.
+/// Injected fault of a router or of the datagrams between routers, or its end. Faults of connections to stores and
+/// degraded links are not recorded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultEvent {
     /// A router was killed, suspended or terminated.
@@ -78,7 +79,7 @@
     pub requests: Vec<Request>,
     /// Ids of the parts that each store ran, in the form `<request id>.<part>`.
     pub store_calls: Vec<Vec<String>>,
-    /// Status changes that routers logged.
+    /// Status changes that routers logged, in the order in which their lines were read.
     pub status_changes: Vec<StatusChange>,
     /// Faults that are not hidden from the checker, with their times in ascending order.
     pub fault_events: Vec<(Duration, FaultEvent)>,
--- a/crates/fernknot-fault-tests/src/lib.rs
+++ b/crates/fernknot-fault-tests/src/lib.rs
@@ -2,8 +2,7 @@
 //!
 //! A *router* sends the parts of each client request to *stores* and merges their answers. By a membership protocol, it
 //! keeps a status of each other router: as an *observer*, of the *members*. It probes one member in each *probe
-//! period*; the protocol's time-outs grow with this period. *Discovery* is the service from which a router learns its
-//! stores.
+//! period*. *Discovery* is the service from which a router learns its stores.
 //!
 //! This crate manages the processes of a test run (routers, stand-in stores, discovery and relays on loopback
 //! addresses), the [`Schedule`](schedule::Schedule) of faults and awaited conditions, and the [`checker`], which checks
--- a/crates/fernknot-fault-tests/src/runner.rs
+++ b/crates/fernknot-fault-tests/src/runner.rs
@@ -13,11 +13,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Result of a run.
+/// Result of a run of a schedule.
 pub struct RunResult {
-    /// Record of the run.
+    /// Record of the run, from which the violations were found.
     pub history: History,
-    /// Violations of invariants.
+    /// Violations of invariants; first the step that failed, if one did.
     pub violations: Vec<Violation>,
     /// Index in the schedule and duration of each completed step.
     pub step_durations: Vec<(usize, Duration)>,
--- a/crates/fernknot-fault-tests/src/scenarios.rs
+++ b/crates/fernknot-fault-tests/src/scenarios.rs
@@ -49,7 +49,7 @@
 struct ScenarioRouters {
     all: Routers,
     period_ms: f64,
-    /// Router that the fault affects.
+    /// Router that a fault of a single router affects.
     victim: usize,
     /// Other end of the link in faults of a single link of the victim.
     link_peer: usize,
--- a/crates/fernknot-fault-tests/src/schedule.rs
+++ b/crates/fernknot-fault-tests/src/schedule.rs
@@ -102,7 +102,7 @@
         /// Routers that are queried.
         #[serde(rename = "by")]
         observers: Routers,
-        /// Routers whose status is awaited.
+        /// Routers whose status at the observers is awaited.
         #[serde(rename = "of")]
         members: Routers,
         /// Accepted status names, as in `GET /fleet` (see [`status_names`](crate::status_names)).
@@ -118,7 +118,7 @@
         /// Key of the report: `majority` (more than half of the routers are live, and the observer is not alone),
         /// `young` (its view is not yet reliable after a start or a stall) or `alone` (no message reaches it).
         key: String,
-        /// Awaited value.
+        /// Awaited value of the key.
         #[serde(rename = "is")]
         value: bool,
     },
@@ -137,7 +137,7 @@
     },
 }
 
-/// Schedule of a test run.
+/// Schedule of a test run: the routers, the load, and the steps that run while clients send requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
--- a/crates/fernknot-fault-tests/src/status_names.rs
+++ b/crates/fernknot-fault-tests/src/status_names.rs
@@ -1,6 +1,6 @@
 //! Names of the statuses of other routers in a router's log and in `GET /fleet` (see `docs/operating-router.md`).
 
-/// The router runs.
+/// The router is considered running.
 pub const ALIVE: &str = "alive";
 /// The router is suspected of having failed, and may still refute this.
 pub const SUSPECTED: &str = "doubted";
--- a/crates/fernknot-simulator/src/bin/fernknot-simulator/batch.rs
+++ b/crates/fernknot-simulator/src/bin/fernknot-simulator/batch.rs
@@ -12,7 +12,7 @@
 /// Maximum number of printed violations, and of printed seeds per rule.
 const MAX_PRINTED: usize = 40;
 
-/// Accumulated results of several runs.
+/// Accumulated results of the runs of several seeds.
 #[derive(Default)]
 struct Totals {
     violations: Vec<(u64, Violation)>,
--- a/crates/fernknot-simulator/src/checks/history.rs
+++ b/crates/fernknot-simulator/src/checks/history.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 impl Simulation {
-    /// Records a violation.
+    /// Records a violation with the current time, unless the rule need not hold in this run.
     pub(crate) fn report(&mut self, rule: Rule, text: String) {
         // Beyond the fault budget the system may be unavailable, but safety must hold.
         if self.settings.exceeds_fault_budget && !rule.is_safety() {
--- a/crates/fernknot-simulator/src/checks/observations.rs
+++ b/crates/fernknot-simulator/src/checks/observations.rs
@@ -44,7 +44,7 @@
     pub machine: usize,
 }
 
-/// Observations of a run.
+/// Observations of the control plane in a run, from which the rules are checked.
 #[derive(Debug, Default)]
 pub(crate) struct Observations {
     pub changes: Vec<ChangeRecord>,
--- a/crates/fernknot-simulator/src/checks/requests.rs
+++ b/crates/fernknot-simulator/src/checks/requests.rs
@@ -29,7 +29,7 @@
     Rejection,
     /// A node rejected the request with 503 and `Not-Executed`.
     RejectedByNode,
-    /// A client sent the request.
+    /// A client sent the request, as one attempt with an `Attempt-Id` of its own.
     Request,
     /// The request arrived at a node again.
     Retry,
@@ -87,7 +87,7 @@
     seen_at: Nanos,
 }
 
-/// Observations of requests.
+/// Observations of all requests of the run, and the state of the checks of their rules.
 #[derive(Debug, Default)]
 pub(crate) struct RequestChecker {
     pub requests: Vec<RequestRecord>,
--- a/crates/fernknot-simulator/src/checks/rule.rs
+++ b/crates/fernknot-simulator/src/checks/rule.rs
@@ -27,7 +27,7 @@
     Mixed,
     /// A mutating request is not executed if its client received a status that guarantees that.
     Refused,
-    /// A gateway accepts its settings.
+    /// A gateway accepts its simulated settings file when it starts.
     Settings,
     /// A mutating request is executed at most once.
     Twice,
@@ -77,7 +77,7 @@
     pub rule: Rule,
     /// Simulated time at which the violation was detected.
     pub at: Nanos,
-    /// Description of the violation.
+    /// Description of the violation with the processes, versions or times concerned, for a person to read.
     pub text: String,
 }
 
--- a/crates/fernknot-simulator/src/checks/sent_request.rs
+++ b/crates/fernknot-simulator/src/checks/sent_request.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// A request of a client.
+/// An attempt of a client's request, as sent to a gateway. A client's retry is another one, with another id.
 #[derive(Clone, Debug)]
 pub(crate) struct SentRequest {
     pub attempt_id: String,
--- a/crates/fernknot-simulator/src/controllers/inputs.rs
+++ b/crates/fernknot-simulator/src/controllers/inputs.rs
@@ -9,7 +9,8 @@
 use fernknot::interface::Nanos;
 use fernknot_controller::PendingCall;
 
-/// Number of callers' connections at one process. Calls of different callers reuse them.
+/// Number of connections over which all calls reach one process; a call uses the connection with its number modulo
+/// this.
 const CALLER_CONNECTIONS: u64 = 8;
 
 fn pending_call(call: u64) -> PendingCall {
--- a/crates/fernknot-simulator/src/controllers/machine.rs
+++ b/crates/fernknot-simulator/src/controllers/machine.rs
@@ -14,12 +14,12 @@
     Normal,
     /// Writes wait until the fault has ended.
     Hanging,
-    /// Writes fail.
+    /// Writes fail, and the disk closes until it has space again.
     Full,
     Slow,
 }
 
-/// Input of a controller.
+/// Input that the simulation delivers to a controller. Calls are identified by the numbers of the clients' attempts.
 #[derive(Clone, Debug)]
 pub(crate) enum Input {
     PeerMessage {
@@ -163,7 +163,7 @@
         self.controller.is_some() && !self.is_frozen
     }
 
-    /// Returns whether there is a process, frozen or not.
+    /// Returns whether a controller process exists on the machine, frozen or not.
     pub fn is_up(&self) -> bool {
         self.controller.is_some()
     }
--- a/crates/fernknot-simulator/src/faults/schedule.rs
+++ b/crates/fernknot-simulator/src/faults/schedule.rs
@@ -25,7 +25,7 @@
     LeaderChange,
     /// The return of a machine after a start, a freeze or a partition.
     MachineReturned,
-    /// The beginning of a partition.
+    /// The beginning of a partition fault: `Isolate`, `PartitionPair` or `SplitCore`.
     Partitioned,
 }
 
@@ -40,7 +40,7 @@
     Running(usize),
 }
 
-/// Blocked direction of a partitioned link.
+/// Blocked direction of the partitioned links of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// To and from the machine.
@@ -58,7 +58,7 @@
     Kill,
     /// The machine loses power until the fault ends.
     PowerLoss,
-    /// All processes end at once.
+    /// The processes of all machines end at once, and are started again within 300 ms after the end of the fault.
     AllMachines {
         /// The machines lose power too.
         power: bool,
@@ -86,11 +86,11 @@
     },
     /// All connections of the machine are reset.
     ResetConnections,
-    /// The process is suspended.
+    /// The process is suspended, and continues with the inputs that arrived meanwhile when the fault ends.
     Freeze,
-    /// Writes fail.
+    /// Writes to the disk fail until the fault ends.
     DiskFull,
-    /// Writes hang.
+    /// Writes to the disk hang, and are completed when the fault ends.
     DiskHang,
     /// Writes take 30 to 300 ms instead of 1 to 5 ms.
     DiskSlow,
@@ -111,7 +111,7 @@
     ReadFlood,
 }
 
-/// A fault of a schedule.
+/// A fault of a schedule. Once due, it waits for its trigger, at most five seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Simulated time at which the fault is due.
@@ -120,7 +120,7 @@
     pub trigger: Trigger,
     /// Machine on which the fault is injected.
     pub target: Target,
-    /// Kind of the fault.
+    /// Effect of the fault.
     pub kind: FaultKind,
     /// Time from the injection to the end of the fault.
     pub duration: Nanos,
--- a/crates/fernknot-simulator/src/gateways/state.rs
+++ b/crates/fernknot-simulator/src/gateways/state.rs
@@ -161,7 +161,7 @@
     pub side: Side,
 }
 
-/// Process of a gateway.
+/// Process of a gateway, which restarts as another incarnation after its end, and its simulated connections.
 pub(crate) struct GatewayProcess {
     pub gateway: Option<Gateway>,
     /// Incarnation of the current or most recent process; 0 before the first start.
@@ -176,7 +176,7 @@
     pub inbox: Vec<NetworkEvent>,
     pub turn_at: Option<Nanos>,
     pub links: BTreeMap<ConnectionId, GatewayLink>,
-    /// Time of the last event that interrupts the gateway's contact with the controllers.
+    /// Time of the last event that may interrupt the gateway's contact with the controllers, such as a partition.
     pub disturbed_at: Nanos,
 }
 
@@ -204,7 +204,7 @@
 pub(crate) struct Gateways {
     pub processes: Vec<GatewayProcess>,
     pub connections: BTreeMap<u64, ByteConnection>,
-    /// Configuration that was sent last, for the seeded bug `ReplaysOldConfig`.
+    /// Configuration that controllers last sent to any gateway, for the seeded bug `ReplaysOldConfig`.
     pub previous_config: Option<RoutingConfig>,
 }
 
--- a/crates/fernknot-simulator/src/linearizability.rs
+++ b/crates/fernknot-simulator/src/linearizability.rs
@@ -9,13 +9,13 @@
 /// Identity of a version of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
-    /// Epoch chosen by the operator.
+    /// Epoch chosen by the operator, above that of the version that it replaces.
     pub epoch: u64,
     /// Distinguishes configurations with the same epoch: the index of the operators' change that sent it.
     pub body: u64,
 }
 
-/// Operation of an operator.
+/// Operation that a call requests from the controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
     /// Replaces the version with the epoch `base`; 0 if there is no version yet.
@@ -29,7 +29,7 @@
     Read,
 }
 
-/// Result of an operation.
+/// Result of an operation, from its definitive response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OperationResult {
     /// The change is in force.
@@ -40,21 +40,21 @@
     Value(Option<Version>),
 }
 
-/// Completion of a call.
+/// Completion of a call by a definitive response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Sequence number among all events.
+    /// Number of the completion in the run's single sequence of events.
     pub at: u64,
-    /// Result that the operator received.
+    /// Result that the response reports.
     pub result: OperationResult,
 }
 
-/// A call of an operator.
+/// A call to the controllers, including its retries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Requested operation.
+    /// Operation that the call requests.
     pub operation: Operation,
-    /// Sequence number of the beginning among all events.
+    /// Number of the call's beginning in the run's single sequence of events.
     pub invoked_at: u64,
     /// Completion; `None` if there was no definitive response.
     pub completion: Option<Completion>,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Result of the check.
+/// Result of the linearizability check of a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// An order of the calls explains all results.
@@ -134,7 +134,7 @@
     },
     /// The search exceeded its step limit.
     Undecided {
-        /// Calls without a verdict.
+        /// Overlapping calls for which the search found no verdict.
         calls: Vec<Call>,
     },
 }
--- a/crates/fernknot-simulator/src/network/state.rs
+++ b/crates/fernknot-simulator/src/network/state.rs
@@ -25,7 +25,7 @@
     pub is_open: bool,
     /// Time at which the last sent message arrives, which may lie in the future. No later message arrives before it.
     pub last_arrival: Nanos,
-    /// Messages delayed by a partition.
+    /// Messages delayed by a partition or by the receiver's lack of power, in the order of arrival.
     pub stalled: VecDeque<ControllerMessage>,
     /// Number of the stall in which the first of the `stalled` messages was delayed.
     pub stall: u64,
--- a/crates/fernknot-simulator/src/ports.rs
+++ b/crates/fernknot-simulator/src/ports.rs
@@ -23,7 +23,7 @@
     Connect(ConnectionId, SocketAddrV4),
     /// Closes a connection.
     Close(ConnectionId),
-    /// Stops accepting connections.
+    /// Stops accepting connections of clients.
     StopListening,
 }
 
@@ -37,7 +37,7 @@
     pub pending_output: BTreeSet<ConnectionId>,
     /// Network operations that the simulation has not executed yet.
     pub actions: Vec<PortAction>,
-    /// Unread input of reset connections.
+    /// Input of reset connections that the gateway had not read; discarded after the gateway's next turn.
     pub unread_after_reset: BTreeMap<ConnectionId, Buffer>,
     /// Whether opening a connection fails with [`ErrorKind::QuotaExceeded`], as without free file descriptors.
     pub is_full: bool,
--- a/crates/fernknot-simulator/src/settings.rs
+++ b/crates/fernknot-simulator/src/settings.rs
@@ -11,10 +11,10 @@
 pub const RETRY_RATIO: f64 = 0.2;
 /// Number of retries that the retry budget allows in each window regardless of the number of requests.
 pub const RETRY_SLACK: f64 = 10.0;
-/// Window of the retry budget.
+/// Length of the windows in which the retry budget limits retries.
 pub const RETRY_WINDOW: Nanos = millis(10_000);
 
-/// Number of clients per gateway.
+/// Number of clients per gateway in runs with gateways.
 const CLIENTS_PER_GATEWAY: usize = 2;
 /// Maximum relative difference between the rate of a process's clock and the simulated one; far above real drift.
 const MAX_CLOCK_DRIFT: f64 = 0.005;
@@ -98,7 +98,7 @@
 /// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Seed of all random numbers.
+    /// Seed of all random numbers; it determines the run together with the other settings.
     pub seed: u64,
     /// Number of controllers at the start.
     pub members: usize,
@@ -124,7 +124,7 @@
     pub uneven_clocks: bool,
     /// Whether the run records a log, which `Outcome` returns.
     pub trace: bool,
-    /// Guaranteed time bounds.
+    /// Guaranteed time bounds, which the settings of the processes contain and the checkers enforce.
     pub bounds: Bounds,
     /// Bug that the checkers must find; `None` for a run without one.
     #[doc(hidden)]
--- a/crates/fernknot-simulator/src/subscribers/state.rs
+++ b/crates/fernknot-simulator/src/subscribers/state.rs
@@ -9,7 +9,7 @@
 use fernknot_schema::RoutingConfig;
 use std::collections::BTreeMap;
 
-/// A subscriber and its subscription.
+/// A subscriber, its subscription to one controller, and the configuration and nodes that it has received.
 #[derive(Default)]
 pub(crate) struct Subscriber {
     /// Id of the current subscription; `None` while there is no controller.
@@ -31,7 +31,7 @@
     pub revision: u64,
     pub version: Option<Version>,
     pub nodes: BTreeMap<String, NodeRecord>,
-    /// Time of the last event that interrupts the subscriber's contact with the controllers.
+    /// Time of the last event that may interrupt the subscriber's contact with the controllers, such as a partition.
     pub disturbed_at: Nanos,
     /// Time at which the subscriber last left each controller or failed to connect to it.
     pub last_failures: BTreeMap<usize, Nanos>,
@@ -46,7 +46,8 @@
     }
 }
 
-/// Scheduled event of a subscriber.
+/// Scheduled event of a subscriber. Events of a subscription that is no longer the subscriber's current one are
+/// ignored.
 #[derive(Clone, Debug)]
 pub(crate) enum SubscriberEvent {
     /// The connection for a subscription is open.
--- a/crates/fernknot-simulator/src/topology.rs
+++ b/crates/fernknot-simulator/src/topology.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of controllers' machines in a run, including replaced ones.
 pub const MAX_MACHINES: usize = 60;
-/// Position of the first subscriber.
+/// Position of the first subscriber; the other subscribers follow in the order of their indices.
 pub const FIRST_SUBSCRIBER: usize = 100;
 /// Position of the first gateway. Runs with gateways have no subscribers.
 pub const FIRST_GATEWAY: usize = FIRST_SUBSCRIBER;
--- a/crates/fernknot-simulator/src/traffic/state.rs
+++ b/crates/fernknot-simulator/src/traffic/state.rs
@@ -47,7 +47,7 @@
     /// Received bytes of an incomplete response.
     pub input: Vec<u8>,
     pub request: Option<ClientRequest>,
-    /// Gateway of the connection.
+    /// Index of the gateway to which the current or last connection leads.
     pub gateway: usize,
     /// Index in `RequestChecker::requests` of the request that is waiting for a response.
     pub sent_request: Option<usize>,
--- a/crates/fernknot-testbed/src/checker.rs
+++ b/crates/fernknot-testbed/src/checker.rs
@@ -68,7 +68,7 @@
     pub top_k: usize,
     /// Minimum share of shards in a successful gathered response, from 0 to 1.
     pub quorum: f64,
-    /// Service of all other routes.
+    /// Service of all routes other than the gathered one.
     pub single_service: String,
 }
 
--- a/crates/fernknot-testbed/src/client.rs
+++ b/crates/fernknot-testbed/src/client.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Time-out for establishing a connection.
+/// Time-out for establishing a connection to a gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_ATTEMPTS: usize = 4;
 /// Delay before a retry if the response has no `Retry-After` header.
--- a/crates/fernknot-testbed/src/execution_log.rs
+++ b/crates/fernknot-testbed/src/execution_log.rs
@@ -11,7 +11,7 @@
     pub target: String,
     /// Seal of the response, a unique token that the node adds to it; none if the execution failed.
     pub seal: Option<String>,
-    /// Body of the response.
+    /// Body of the response; empty if the execution failed.
     pub body: Vec<u8>,
 }
 
@@ -20,7 +20,7 @@
 pub struct ExecutionLog {
     /// Executions by the client's attempt id, the header `Attempt-Id`.
     pub executions: HashMap<String, Vec<Execution>>,
-    /// Number of rejected requests.
+    /// Number of requests that nodes rejected without executing them.
     pub rejected: u64,
     /// Number of requests rejected because they were for another incarnation than that of the receiving node; included
     /// in `rejected`.
--- a/crates/fernknot-testbed/src/http.rs
+++ b/crates/fernknot-testbed/src/http.rs
@@ -10,7 +10,7 @@
 /// Maximum size of a received message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 const MAX_HEADERS: usize = 64;
-/// Size of one read, in bytes.
+/// Maximum number of bytes received by one read.
 const READ_BYTES: usize = 16 * 1024;
 
 /// First line of a message.
@@ -322,7 +322,7 @@
     until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1))
 }
 
-/// Encodes a request. `headers` are complete header lines.
+/// Encodes a request. `headers` are header lines without their line ends.
 pub fn encode_request(method: &str, target: &str, headers: &[String], body: &[u8]) -> Vec<u8> {
     let mut out = format!("{method} {target} HTTP/1.1\r\n");
     headers.iter().for_each(|line| out += &format!("{line}\r\n"));
@@ -333,7 +333,7 @@
     [out.as_bytes(), body].concat()
 }
 
-/// Encodes a response. `headers` are complete header lines.
+/// Encodes a response. `headers` are header lines without their line ends.
 pub fn encode_response(status: u16, headers: &[String], body: &[u8]) -> Vec<u8> {
     let mut out = format!("HTTP/1.1 {status} -\r\n");
     headers.iter().for_each(|line| out += &format!("{line}\r\n"));
--- a/crates/fernknot-testbed/src/load_balancer.rs
+++ b/crates/fernknot-testbed/src/load_balancer.rs
@@ -15,9 +15,9 @@
 /// Addresses of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayAddrs {
-    /// Address for clients.
+    /// Address at which the gateway accepts clients.
     pub front: SocketAddrV4,
-    /// Address for readiness checks.
+    /// Address at which the gateway reports its readiness and its counters.
     pub ready: SocketAddrV4,
 }
 
--- a/crates/fernknot-testbed/src/nodes/node.rs
+++ b/crates/fernknot-testbed/src/nodes/node.rs
@@ -23,7 +23,7 @@
     pub zone: String,
     /// Maximum number of requests that run at once.
     pub capacity: usize,
-    /// Maximum number of queued requests.
+    /// Maximum number of requests that wait while `capacity` requests run; further requests are rejected.
     pub queue_capacity: usize,
     /// Time that the execution of a request takes.
     pub service_time: Duration,
@@ -40,7 +40,7 @@
     pub queued: usize,
 }
 
-/// Stand-in node.
+/// One incarnation of a stand-in node.
 pub(super) struct Node {
     pub id: String,
     pub addr: SocketAddrV4,
--- a/crates/fernknot-testbed/src/nodes/server.rs
+++ b/crates/fernknot-testbed/src/nodes/server.rs
@@ -19,7 +19,7 @@
 
 struct Response {
     status: u16,
-    /// Complete header lines.
+    /// Header lines without their line ends.
     headers: Vec<String>,
     body: Vec<u8>,
 }
--- a/crates/fernknot-testbed/src/operator.rs
+++ b/crates/fernknot-testbed/src/operator.rs
@@ -20,7 +20,7 @@
 /// Number of rejections (4xx other than 408 and 429) that end a call although their status is not final.
 const MAX_REJECTIONS: usize = 3;
 
-/// Outcome of a call.
+/// Outcome of a call to the controllers, retries included.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// A controller gave a final response.
@@ -52,7 +52,7 @@
 struct Call<'call> {
     method: &'static str,
     path: &'static str,
-    /// Complete header lines.
+    /// Header lines without their line ends, `Host` excepted.
     headers: &'call [String],
     body: &'call [u8],
 }
--- a/crates/fernknot-testbed/src/requests.rs
+++ b/crates/fernknot-testbed/src/requests.rs
@@ -41,7 +41,7 @@
 }
 
 impl ClientResponse {
-    /// Whether the request succeeded.
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
@@ -50,7 +50,7 @@
 /// Outcome of one attempt at the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A complete response.
+    /// A complete response, whatever its status.
     Response(ClientResponse),
     /// No connection, or a connection that failed before the first byte of the response. Contains the reason.
     Disconnected(String),
@@ -58,10 +58,10 @@
     Malformed(String),
 }
 
-/// Attempt of a request.
+/// Attempt of a request, sent to one gateway.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Unique id of the attempt.
+    /// Unique id of the attempt, sent as the header `Attempt-Id`.
     pub id: String,
     /// Whether the complete request was written to the connection.
     pub was_sent: bool,
@@ -74,7 +74,7 @@
 pub struct Request {
     /// Kind of the request.
     pub kind: RequestKind,
-    /// Path of the request.
+    /// Path of the request, the same in all attempts.
     pub target: String,
     /// Attempts, in their order.
     pub attempts: Vec<Attempt>,
--- a/crates/fernknot-testbed/src/subscription.rs
+++ b/crates/fernknot-testbed/src/subscription.rs
@@ -12,7 +12,7 @@
 
 /// Time between heartbeats of the subscriber.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time-out of one read.
+/// Time-out of one read, after which heartbeats and the end of the measurement are checked.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Traffic that a subscriber received.
--- a/crates/fernknot-testbed/src/usage.rs
+++ b/crates/fernknot-testbed/src/usage.rs
@@ -12,7 +12,7 @@
     pub cpu_time: Duration,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// Peak resident memory, in bytes.
+    /// Peak resident memory since the start of the process, in bytes.
     pub peak_bytes: u64,
     /// Number of open file descriptors.
     pub descriptors: usize,
