--- a/crates/fernknot-simulator/src/checks/requests.rs
+++ b/crates/fernknot-simulator/src/checks/requests.rs
@@ -29,7 +29,7 @@
     Rejection,
     /// A node rejected the request with 503 and `Not-Executed`.
     RejectedByNode,
-    /// A client sent the request.
+    /// A client sent the request, as one attempt with an `Attempt-Id` of its own.
     Request,
     /// The request arrived at a node again.
     Retry,
@@ -87,12 +87,12 @@
     seen_at: Nanos,
 }
 
-/// Observations of requests.
+/// Observations of all requests of the run, and the state of the checks of their rules.
 #[derive(Debug, Default)]
 pub(crate) struct RequestChecker {
     pub requests: Vec<RequestRecord>,
     by_attempt: BTreeMap<String, usize>,
-    /// Responses of nodes by their `Answer-Seal`.
+    /// Responses of nodes by the header `Answer-Seal`, by which the node identifies each response.
     responses: BTreeMap<String, NodeResponse>,
     retries: Vec<Retry>,
     /// Versions observed through each gateway incarnation, in ascending order.
@@ -231,7 +231,7 @@
     }
 }
 
-/// Checks that a mutating request was not executed although its rejection guaranteed that.
+/// Checks that a mutating request was not executed if a rejection guaranteed that to its client.
 fn check_rejection(record: &RequestRecord) -> Option<BrokenRule> {
     let status = record.rejected_with?;
     if record.sent.kind != RequestKind::Mutating || record.executions == 0 {
--- a/crates/fernknot-simulator/src/faults/schedule.rs
+++ b/crates/fernknot-simulator/src/faults/schedule.rs
@@ -25,7 +25,7 @@
     LeaderChange,
     /// The return of a machine after a start, a freeze or a partition.
     MachineReturned,
-    /// The beginning of a partition.
+    /// The beginning of a partition fault: `Isolate`, `PartitionPair` or `SplitCore`.
     Partitioned,
 }
 
@@ -40,7 +40,7 @@
     Running(usize),
 }
 
-/// Blocked direction of a partitioned link.
+/// Blocked direction of the partitioned links of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// To and from the machine.
@@ -54,11 +54,11 @@
 /// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The process ends at once; pending writes may be kept or lost.
+    /// The process ends at once and is started again when the fault ends; pending writes may be kept or lost.
     Kill,
     /// The machine loses power until the fault ends.
     PowerLoss,
-    /// All processes end at once.
+    /// The processes of all machines end at once, and are started again within 300 ms after the end of the fault.
     AllMachines {
         /// The machines lose power too.
         power: bool,
@@ -71,32 +71,32 @@
     Isolate {
         /// Blocked direction.
         direction: Direction,
-        /// The machine is partitioned from the subscribers too.
+        /// The machine is partitioned from the subscribers too; production gateways always stay linked.
         subscribers: bool,
     },
-    /// The machine is partitioned from one other controller.
+    /// The machine is partitioned from one other, by index the next of the initial machines.
     PartitionPair {
         /// Blocked direction.
         direction: Direction,
     },
-    /// The core is partitioned into two halves, in addition to the losses of the budget. Clients reach both halves.
+    /// The core is partitioned into two parts, in addition to the losses of the fault budget. Clients reach both parts.
     SplitCore {
-        /// Bit mask of the machines in the first half.
+        /// Bit mask of the machines in the first part; the bit's position is the machine's index.
         half: u64,
     },
     /// All connections of the machine are reset.
     ResetConnections,
-    /// The process is suspended.
+    /// The process is suspended, and continues with the inputs that arrived meanwhile when the fault ends.
     Freeze,
-    /// Writes fail.
+    /// Writes to the disk fail until the fault ends.
     DiskFull,
-    /// Writes hang.
+    /// Writes to the disk hang, and are completed when the fault ends.
     DiskHang,
-    /// Writes take a hundred times as long.
+    /// Writes take 30 to 300 ms instead of 1 to 5 ms.
     DiskSlow,
-    /// The machine's network delays increase.
+    /// Network delays from and to the machine increase by 200 ms.
     LinkSlow,
-    /// Most responses of all machines to their clients are lost.
+    /// Two thirds of the responses of all controllers to operators and nodes are lost.
     LoseResponses,
     /// The machine is replaced permanently by a new one with another address and an empty disk.
     ReplaceMachine,
@@ -104,13 +104,14 @@
     GracefulRestart,
     /// Eight concurrent changes based on one version.
     ConcurrentChanges,
-    /// Changes and resends in quick succession.
+    /// Operators change, resend and read in quick succession.
     ChangeStorm,
-    /// Reads at one machine in quick succession, with some changes and resends.
+    /// Reads at one machine in quick succession, with some changes and resends. The machine is the one that returned
+    /// last, whatever the target; the target if none has returned.
     ReadFlood,
 }
 
-/// A fault of a schedule.
+/// A fault of a schedule. Once due, it waits for its trigger, at most five seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Simulated time at which the fault is due.
@@ -119,7 +120,7 @@
     pub trigger: Trigger,
     /// Machine on which the fault is injected.
     pub target: Target,
-    /// Kind of the fault.
+    /// Effect of the fault.
     pub kind: FaultKind,
     /// Time from the injection to the end of the fault.
     pub duration: Nanos,
--- a/crates/fernknot-simulator/src/gateways/state.rs
+++ b/crates/fernknot-simulator/src/gateways/state.rs
@@ -71,7 +71,8 @@
 /// State of one side of a connection.
 pub(crate) struct ConnectionEnd {
     pub endpoint: Endpoint,
-    /// Arrival time of the last bytes sent to this side.
+    /// Time at which the last bytes sent to this side arrive, which may lie in the future. No later bytes arrive
+    /// before.
     pub last_arrival: Nanos,
     /// Whether this side has closed the connection or seen its end.
     pub is_closed: bool,
@@ -83,7 +84,7 @@
     pub acceptor: ConnectionEnd,
     /// Whether the connection has stopped delivering.
     pub is_broken: bool,
-    /// Received bytes that the controller has not read.
+    /// Bytes that have arrived at a controller and do not yet form a complete message.
     pub received: Buffer,
 }
 
@@ -160,7 +161,7 @@
     pub side: Side,
 }
 
-/// Process of a gateway.
+/// Process of a gateway, which restarts as another incarnation after its end, and its simulated connections.
 pub(crate) struct GatewayProcess {
     pub gateway: Option<Gateway>,
     /// Incarnation of the current or most recent process; 0 before the first start.
@@ -175,7 +176,7 @@
     pub inbox: Vec<NetworkEvent>,
     pub turn_at: Option<Nanos>,
     pub links: BTreeMap<ConnectionId, GatewayLink>,
-    /// Time of the last event that interrupts the gateway's contact with the controllers.
+    /// Time of the last event that may interrupt the gateway's contact with the controllers, such as a partition.
     pub disturbed_at: Nanos,
 }
 
@@ -203,7 +204,7 @@
 pub(crate) struct Gateways {
     pub processes: Vec<GatewayProcess>,
     pub connections: BTreeMap<u64, ByteConnection>,
-    /// Configuration that was sent last, for the seeded bug `ReplaysOldConfig`.
+    /// Configuration that controllers last sent to any gateway, for the seeded bug `ReplaysOldConfig`.
     pub previous_config: Option<RoutingConfig>,
 }
 
--- a/crates/fernknot-testbed/src/http.rs
+++ b/crates/fernknot-testbed/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 for clients and nodes, on blocking sockets. Shares no code with the programs, so that a fault in their HTTP
-//! code is detected.
+//! HTTP/1.1 for clients and nodes, on blocking sockets. It shares no code with the controller and gateway programs, so
+//! that a fault in their HTTP code is detected.
 
 use crate::error::ConnectionError;
 use httparse::Status;
@@ -10,7 +10,7 @@
 /// Maximum size of a received message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 const MAX_HEADERS: usize = 64;
-/// Size of one read, in bytes.
+/// Maximum number of bytes received by one read.
 const READ_BYTES: usize = 16 * 1024;
 
 /// First line of a message.
@@ -164,7 +164,8 @@
         Connection { stream, peer, buffered: Vec::new() }
     }
 
-    /// Returns the number of received bytes after the last message. At a client they belong to no request.
+    /// Returns the number of received bytes after the last message. A client sends one request at a time, so that these
+    /// bytes belong to none of its requests.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered.len()
     }
@@ -321,7 +322,7 @@
     until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1))
 }
 
-/// Encodes a request. `headers` are complete header lines.
+/// Encodes a request. `headers` are header lines without their line ends.
 pub fn encode_request(method: &str, target: &str, headers: &[String], body: &[u8]) -> Vec<u8> {
     let mut out = format!("{method} {target} HTTP/1.1\r\n");
     headers.iter().for_each(|line| out += &format!("{line}\r\n"));
@@ -332,7 +333,7 @@
     [out.as_bytes(), body].concat()
 }
 
-/// Encodes a response. `headers` are complete header lines.
+/// Encodes a response. `headers` are header lines without their line ends.
 pub fn encode_response(status: u16, headers: &[String], body: &[u8]) -> Vec<u8> {
     let mut out = format!("HTTP/1.1 {status} -\r\n");
     headers.iter().for_each(|line| out += &format!("{line}\r\n"));
@@ -355,7 +356,7 @@
     connection.read_response(until)
 }
 
-/// Whether a process reports that it is ready.
+/// Whether the process at this address reports readiness (`GET /-/readiness`) within half a second.
 pub fn is_ready(addr: SocketAddrV4) -> bool {
     let headers = [format!("Host: {addr}"), "Connection: close".into()];
     let request = encode_request("GET", "/-/readiness", &headers, b"");
