--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-/// Limits of the expected delay as a share of the target, by value per work and over the customer's quota.
+/// Shares of the target that the expected delay may reach: highest value per work, no value, over quota.
 const MAX_DELAY_SHARE_HIGHEST_VALUE: f64 = 0.65;
 const MAX_DELAY_SHARE_NO_VALUE: f64 = 0.5;
 const MAX_DELAY_SHARE_OVER_QUOTA: f64 = 0.33;
-/// Share of the nodes above which a multiget that needs them all at once sends one part as a probe first.
+/// Share of all nodes; a multiget that would send to more of them at once sends one part as a probe first.
 const MAX_UNPROBED_NODE_SHARE: f64 = 0.5;
 /// Limit of the expected delay with a probe, as a share of the target; above it, all parts are sent at once.
 const MAX_PROBED_SHARE: f64 = 0.4;
@@ -15,11 +15,11 @@
 /// Probability of completion that a second phase needs without congestion; `MIN_SERVICE_LEVEL` with it.
 const MIN_SECOND_PHASE_PROBABILITY: f64 = 0.5;
 
-/// Expected delay of a part, the node that it would be sent to, and the part; `u64::MAX` if it has no node.
+/// Expected delay of a part (`u64::MAX` without a node), the node that it would be sent to, and the part.
 type Planned<'a> = (Nanos, Option<Candidate>, &'a Part);
 
 impl Router {
-    /// Sends the first attempts of a phase, or rejects it if its expected delay is too long.
+    /// Sends a phase's first attempts and returns true, or ends the multiget as its delay would be too long.
     pub(super) fn admit(&mut self, now: Nanos, id: MultigetId) -> bool {
         let Some(open) = self.multigets.get_mut(&id) else { return false };
         open.awaits_admission = false;
--- a/src/decide/completion.rs
+++ b/src/decide/completion.rs
@@ -50,7 +50,7 @@
         } else if now >= deadline || !awaits_parts && (reachable < min_share || now >= value_end) {
             self.give_up(now, id);
         } else {
-            // The next end is always among the times: no attempt may delay the final answer past it.
+            // The review is due at the next of the three ends at the latest, however long attempts take.
             let end = ends.into_iter().find(|at| now < *at).unwrap_or(deadline);
             let pending = multiget.phase_parts().iter().filter(|part| !part.answered && !part.given_up);
             let checks = pending.map(|part| self.next_check_at(now, part));
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Returns the time at which an unanswered part needs a review: when an attempt becomes overdue.
+    /// Returns the time of a part's next review: when an attempt becomes overdue, or else in one delay step.
     pub(super) fn next_check_at(&self, now: Nanos, part: &Part) -> Nanos {
         let overdue_at = part.pending().map(|sent| sent.sent_at + self.overdue_after(sent)).min();
         overdue_at.filter(|at| *at > now).unwrap_or(now + self.shortest_target.times(DELAY_STEP_SHARE))
--- a/src/decide/hedging.rs
+++ b/src/decide/hedging.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Limit of the busy share of a part's replicas, below which another copy may be planned.
+/// Limit of the share in use of the replicas' capacity, below which another copy may be planned.
 const MAX_BUSY_SHARE: f64 = 0.9;
 /// Number of answers, or else of replanning intervals, after which a node's own measurements are halved.
 const MIN_ANSWERS_TO_HALVE: f64 = 6.0;
@@ -28,7 +28,7 @@
 }
 
 impl Router {
-    /// Plans the copies, and halves measurements and drops old ones.
+    /// Plans the copies until the next plan, halves the weight of measurements, and drops old ones.
     pub(super) fn replan(&mut self, now: Nanos) {
         self.replan_at = now + PLAN_INTERVAL;
         self.plan_copies();
@@ -37,7 +37,7 @@
         let span = self.slow_start.window.times(CAPACITY_WINDOWS);
         self.measure_warm_nodes(now, span);
         for node in self.nodes.values_mut() {
-            // A router with little traffic would otherwise forget a slow replica before it meets it again.
+            // A router with little traffic would otherwise forget that a replica is slow before its next use.
             let is_due = now - node.halved_at >= PLAN_INTERVAL.times(MAX_INTERVALS_TO_HALVE);
             if is_due || node.latencies.total() >= MIN_ANSWERS_TO_HALVE {
                 node.halved_at = now;
@@ -51,7 +51,7 @@
         self.forget_unused(now, window.max(PLAN_INTERVAL) + PLAN_INTERVAL);
     }
 
-    /// Plans the least number of copies that reaches the service level, lowest level first, within the limit.
+    /// Plans the fewest copies that reach the service level, lowest level first, up to a total limit.
     fn plan_copies(&mut self) {
         let sends = std::mem::take(&mut self.sends_since_replan);
         let total: f64 = sends.values().sum();
--- a/src/decide/limits.rs
+++ b/src/decide/limits.rs
@@ -8,12 +8,12 @@
 const FIRST_PHASE_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Whether a multiget was rejected lately. Copies would then add to an overload of all replicas.
+    /// Whether a rejection is less than `MIN_OVERDUE_SHARE` targets ago: copies would add to an overload.
     pub(super) fn is_shedding(&self, now: Nanos) -> bool {
         self.rejected_at.is_some_and(|at| now - at < self.shortest_target.times(MIN_OVERDUE_SHARE))
     }
 
-    /// Whether retries stay below this share of the first attempts with one more copy.
+    /// Whether retries of the last two plan intervals, and one more, are below `max_share` of first ones.
     pub(super) fn may_copy(&self, now: Nanos, max_share: f64) -> bool {
         let span = PLAN_INTERVAL.times(2.0);
         self.budget_use.all.retries.within(now, span) + 1.0 < max_share * self.first_sends.within(now, span)
@@ -62,7 +62,7 @@
             return true;
         }
         let Some((left, limit)) = self.cold_allowance(now, node) else { return node.in_flight.is_empty() };
-        // Routers whose limit is below one part may send only at times, so that their sum keeps to the limit.
+        // A router with a limit below one part sends only at times: all routers together keep to their limit.
         let max_multiple = SLOW_START_LIMIT_SHARE * self.slow_start.max_load_multiple;
         let share = max_multiple * self.capacity_share(now, node) / self.warm_busy_share;
         left >= 0.0 && (limit >= 1.0 || left < share.max(limit))
@@ -80,7 +80,7 @@
     }
 }
 
-/// Whether an attempt may have run: it is in flight, or ended without proof that it did not.
+/// Whether an attempt may have run: it is in flight, or its outcome does not rule that out.
 pub(super) fn may_have_run(attempt: &Attempt) -> bool {
     !matches!(attempt.outcome, Some(Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent))
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions of a fernknot query router.
+//! Decisions of a fernknot query router: which replicas get the parts of each query, and when it is answered.
 //!
 //! A host creates one [`Router`] per process start and reports events to it (`apply_list`, `attempt_ended`,
 //! ...); these only update its state. After each batch of events the host calls `poll_decision` until that
@@ -50,7 +50,7 @@
 
 /// Value of an answer after its target, as a share of its value, if the settings have none.
 pub const DEFAULT_LATE_VALUE_SHARE: f64 = 1.0 / 3.0;
-/// Time after which a rejected client may retry, before there are settings.
+/// Time after which a client that is rejected before there are settings may retry.
 pub const DEFAULT_RETRY_AFTER: Nanos = Nanos(500_000_000);
 
 /// Value of a use case by its rank: 1 for rank 0, and half as much for each further rank.
--- a/src/decide/observation.rs
+++ b/src/decide/observation.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Records the end of an attempt; only the first end of each counts.
+    /// Records the end of an attempt; a further end of the same attempt counts only as a load report.
     pub fn attempt_ended(&mut self, now: Nanos, end: &AttemptEnd) {
         self.load_reported(end.node, end.report);
         let Some(multiget) = self.multigets.get_mut(&end.part.multiget) else { return };
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Finishes a multiget whose client has gone.
+    /// Finishes a multiget whose client has gone, without a decision to answer it.
     pub fn client_gone(&mut self, id: MultigetId) {
         if self.multigets.get(&id).is_some_and(|multiget| !multiget.finished) {
             self.finish(id);
--- a/src/decide/replica_selection.rs
+++ b/src/decide/replica_selection.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Weight, in answers, of the group's mean in a replica's own rates.
+/// Weight, in answers, of the rates of a replica's group of places in the replica's own rates.
 const PRIOR_ANSWERS: f64 = 3.0;
 /// Difference in completion probability below which replicas count as equal.
 const PROBABILITY_MARGIN: f64 = 0.08;
@@ -33,8 +33,8 @@
         (node.time_per_work.get().unwrap_or(unmeasured) * work).max(stuck)
     }
 
-    /// Returns the replica with the highest completion probability within `left` less its queuing delay; by
-    /// delay, zone and rotation if that is equal. `add` is work planned for replicas.
+    /// Returns the replica most likely to answer within `left` less queuing; of nearly equal ones, the first
+    /// by delay, zone and rotation. `add` is work planned for replicas but not sent to them yet.
     pub(super) fn choose_node(&self, now: Nanos, part: &Part, left: Nanos, add: &Loads) -> Option<Candidate> {
         let replicas = self.running_replicas(part.shard);
         let is_first = part.attempts.is_empty();
@@ -69,7 +69,7 @@
         now - sent.sent_at < self.shortest_target.times(MIN_OVERDUE_SHARE)
     }
 
-    /// Returns the running replicas of a shard; others have no turn in the rotation.
+    /// Returns the running replicas of a shard, the only ones that take turns in the rotation.
     pub(super) fn running_replicas(&self, shard: ShardId) -> Vec<NodeId> {
         self.nodes_by_place.nodes_at(self.places_of(shard), |id| self.nodes[id].health == Health::Running)
     }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the probability that an attempt in flight is answered within `left`, by all answers that took
-    /// longer than it has. It stays high if all are slow, so that no copies add to the overload.
+    /// longer than it has. Stays high if all are slow, so that no copies add to the overload.
     pub(super) fn answer_probability(&self, now: Nanos, part: &Part, sent: &Attempt, left: Nanos) -> f64 {
         let elapsed = (now - sent.sent_at).0 as f64 / part.size;
         let latencies = &self.groups.get(self.place_of(part.shard)).latencies;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,9 @@
-//! Types exchanged between the decision module and its host: ids, times, settings, outcomes and decisions.
+//! Types exchanged between the decision module (`decide`) and its host: ids, times, settings, outcomes and decisions.
+//! The host is the program that drives the decision module: it reports events to it, and sends and cancels what it
+//! decides. A multiget is one client's query. It has a part for each shard that it asks; a part is sent to a replica
+//! of that shard as an attempt, and repeated as further attempts. A part's share of the complete answer is its weight,
+//! and its expected work is its effort. A router is one of several that send parts to the same nodes; the others are
+//! its peers.
 
 #![deny(missing_docs)]
 
@@ -49,23 +54,24 @@
 }
 
 ids!(
-    /// Id of a multiget: a client's query, split into a part for each shard. The host never uses an id again.
+    /// Id of a multiget: a client's query, split into a part for each shard. The host never gives an id twice.
     MultigetId(u64),
     /// Number that the host gives a node.
     NodeId(u32),
-    /// Number of a shard.
+    /// Number of a shard. It determines the places that hold the shard: the place whose number is that of the shard
+    /// modulo [`SiteSettings::places`], and the next ones up to [`SiteSettings::places_per_shard`].
     ShardId(u32),
     /// Position in the placement of shards: the nodes at one place are replicas of the same shards.
     PlaceId(u32),
     /// Number of a zone (failure domain).
     ZoneId(u32),
-    /// Index into the use cases of the settings.
+    /// Index into [`SiteSettings::use_cases`].
     UseCaseId(usize),
-    /// Index into the customers of the settings.
+    /// Index into [`SiteSettings::customer_quotas`].
     CustomerId(usize),
-    /// Number of another router of the same tier.
+    /// Number that the host gives another router that sends parts to the same nodes.
     PeerId(u32),
-    /// Index of an attempt among those of its part.
+    /// Index of an attempt among those of its part, from 0, in the order of their [`Decision::SendAttempt`].
     AttemptNumber(u32)
 );
 
@@ -84,7 +90,7 @@
     /// Idempotent: it may be repeated at any time.
     #[default]
     Idempotent,
-    /// Nodes drop duplicates for this time after the first attempt that may have run.
+    /// Idempotent for this time after the first attempt that may have run was sent: until then, nodes drop duplicates.
     Deduplicated(Nanos),
     /// Non-idempotent: it must not run twice.
     NonIdempotent,
@@ -93,49 +99,55 @@
 /// Settings of a use case: a kind of queries with one latency target and one value.
 #[derive(Clone, Debug, Default)]
 pub struct UseCaseSettings {
-    /// Time from the first try until a query should be answered.
+    /// Latency target: time from the client's first try until a query should be answered.
     pub latency_target: Nanos,
-    /// Time until the client gives up, over all its tries.
+    /// Time from the client's first try of a query until it gives up, repeated tries included.
     pub hard_limit: Nanos,
-    /// Value of an answer within the target, relative to other use cases.
+    /// Value of an answer within the target, relative to other use cases; per unit of work with
+    /// [`SiteSettings::value_by_work`].
     pub value: f64,
     /// Value of an answer after the target, as a share of `value`.
     pub late_value_share: f64,
-    /// Whether the value of a partial answer is the square of its share of the weight.
+    /// Whether a partial answer has the square of its share of the complete answer as its share of the value. If so, a
+    /// partial answer may be held back past the target for further parts.
     pub squares_partial_value: bool,
-    /// Effect of repeating its parts.
+    /// Effect of executing a part of its queries more than once.
     pub effect: Effect,
-    /// Multiple of a multiget's own expected work by which its latency target grows.
+    /// Multiple of a multiget's expected work ([`Arrival::effort`]) by which its latency target grows.
     pub target_work_factor: f64,
-    /// Share of the weight that makes an answer complete, from 0 to 1.
+    /// Sum of the weights of the answered parts, from 0 to 1, from which on an answer counts as complete.
     pub complete_share: f64,
-    /// Smallest share of the weight that may be answered at all, from 0 to 1.
+    /// Smallest sum of the weights of the answered parts, from 0 to 1, with which a partial answer may be given.
     pub quorum: f64,
-    /// Whether its queries run in two phases.
+    /// Whether its queries run in two phases: answers to the first phase's parts determine those of the second.
     pub two_phase: bool,
     /// Limit of attempts per part; `None` for the limit in [`SiteSettings`].
     pub max_attempts: Option<u32>,
 }
 
-/// Slow start: limits on the load of a node that has just started.
+/// Slow start: limits on the load of a node that has just started. A node counts as cold until `warmup_time` and one
+/// more `window` have passed since its start, and then as warm.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStartSettings {
     /// Share of its capacity that a node has when it starts, from 0 to 1.
     pub initial_share: f64,
     /// Time from a node's start until its full capacity, which grows linearly until then.
     pub warmup_time: Nanos,
-    /// Limit of a cold node's load in a window, as a multiple of a warm node's load times the capacity share.
+    /// Limit of the work that a cold node gets in a window, as a multiple of the work that a warm node could answer in
+    /// it times the cold node's present share of its capacity.
     pub max_load_multiple: f64,
-    /// Window over which load is counted.
+    /// Length of the window in which a node's work is counted.
     pub window: Nanos,
 }
 
-/// Retry budget: limit of the attempts beyond the first of each part in a window.
+/// Retry budget: limit on retries in a window. A retry is any attempt beyond the first of its part, hedged ones
+/// included.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudgetSettings {
-    /// Number of retries that are always allowed.
+    /// Number of retries in each window that are allowed even without any accepted part.
     pub free_retries: f64,
-    /// Number of further retries allowed per accepted part.
+    /// Number of further retries allowed per part accepted in the window and, without `per_shard`, per multiget
+    /// accepted in it.
     pub retry_ratio: f64,
     /// Length of the window in which parts and retries are counted.
     pub window: Nanos,
@@ -151,11 +163,12 @@
     pub routers: usize,
     /// Use cases, indexed by [`UseCaseId`].
     pub use_cases: Vec<UseCaseSettings>,
-    /// Shortest latency target that latencies are resolved for, if use cases may be added later.
+    /// Shortest latency target that a use case added later may have: histograms of latencies get bins fine enough for
+    /// it. `None` if no use cases are added later.
     pub min_latency_target: Option<Nanos>,
     /// Quota of each customer in multigets per second, over all routers, indexed by [`CustomerId`].
     pub customer_quotas: Vec<f64>,
-    /// Resolution of the host's clock.
+    /// Resolution of the host's clock; the time between two polls may be as long.
     pub tick: Nanos,
     /// Slow start of nodes.
     pub slow_start: SlowStartSettings,
@@ -165,25 +178,28 @@
     pub places: u32,
     /// Number of consecutive places that hold each shard.
     pub places_per_shard: u32,
-    /// Whether attempts may be cancelled at their node.
+    /// Whether the host can cancel attempts in flight ([`Decision::CancelAttempt`]).
     pub cancellation: bool,
     /// Whether a part may have more than one attempt in flight (hedged requests).
     pub hedging: bool,
-    /// Limit of attempts per part.
+    /// Limit of attempts per part, the first included; [`UseCaseSettings::max_attempts`] takes precedence.
     pub max_attempts: u32,
-    /// Longest time after which a rejected client may be asked to retry; `None` to leave it to the client.
+    /// Time that a rejected client is asked to wait before a retry; `None` to leave it to the client.
     pub max_retry_after: Option<Nanos>,
     /// Whether changes of the node list arrive only after [`Decision::RequestList`].
     pub list_changes_on_request: bool,
     /// Whether routers exchange [`Update`]s.
     pub peer_updates: bool,
-    /// Whether the value of a multiget grows with its work.
+    /// Whether [`UseCaseSettings::value`] counts per unit of work instead of per multiget.
     pub value_by_work: bool,
-    /// Zone of this router, if attempts to other zones cost more.
+    /// Zone of this router. Replicas in other zones are used only if they are clearly faster; `None` if zones don't
+    /// matter.
     pub zone: Option<ZoneId>,
-    /// Whether clients mark their retries.
+    /// Whether clients mark their retries ([`Arrival::is_retry`]). Otherwise any multiget whose client waits for less
+    /// than the longest time seen for its use case counts as a retry.
     pub clients_mark_retries: bool,
-    /// Whether a rejection loses value, so that only multigets that cannot be in time are rejected.
+    /// Whether a rejection loses value. If so, a multiget within its customer's quota is rejected only if it is
+    /// expected to be late.
     pub rejections_cost_value: bool,
 }
 
@@ -209,7 +225,7 @@
     pub zone: Option<ZoneId>,
     /// State of the node.
     pub health: Health,
-    /// Time of its last start; 0 if that was long ago.
+    /// Time of its last start; 0 if that was so long ago that slow start does not apply.
     pub started_at: Nanos,
 }
 
@@ -233,27 +249,28 @@
     pub customer: CustomerId,
     /// Time at which its client gives up.
     pub client_deadline: Nanos,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked it as a retry of an earlier query, whose first try its target then counts from.
     pub is_retry: bool,
-    /// Expected work of all parts, if the host knows it.
+    /// Expected work of all parts together, as time of one node; `None` if the host doesn't know it.
     pub effort: Option<Nanos>,
-    /// Estimate of its second phase, if it has two. Parts of the first one count as idempotent, whatever the
-    /// use case's effect.
+    /// Estimate of the second phase of a query in two phases; `None` for any other. Parts of a first phase count as
+    /// idempotent, whatever [`UseCaseSettings::effect`] is.
     pub second_phase: Option<SecondPhaseEstimate>,
 }
 
 /// Estimate of a second phase while the first one runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondPhaseEstimate {
-    /// Expected duration of the second phase.
+    /// Expected duration of the second phase. The first phase should end this long before the query's latency target.
     pub expected_duration: Nanos,
-    /// Lower bound of its duration.
+    /// Lower bound of the second phase's duration. The first phase ends at the latest when no more time than this is
+    /// left.
     pub min_duration: Nanos,
-    /// Expected number of its parts.
+    /// Expected number of parts of the second phase.
     pub expected_parts: f64,
-    /// Expected work of one of these parts, if the host knows it.
+    /// Expected work of one part of the second phase, as time of one node; `None` if the host doesn't know it.
     pub effort: Option<Nanos>,
-    /// Share of the first phase's weight that suffices to open the second, from 0 to 1.
+    /// Sum of the weights of the first phase's answered parts, from 0 to 1, that suffices to open the second phase.
     pub min_first_phase_share: f64,
 }
 
@@ -275,9 +292,9 @@
     pub part: PartId,
     /// Shard that the part queries.
     pub shard: ShardId,
-    /// Share of the answer's weight, from 0 to 1.
+    /// Share of the complete answer that the part contributes, from 0 to 1.
     pub weight: f64,
-    /// Expected work of the part, if the host knows it.
+    /// Expected work of the part, as time of one node; `None` if the host doesn't know it.
     pub effort: Option<Nanos>,
 }
 
@@ -290,9 +307,9 @@
     Error,
     /// The node rejected it before it ran.
     Rejected,
-    /// No answer arrived before the time-out.
+    /// No answer arrived before the `stop_at` of its [`Decision::SendAttempt`].
     TimedOut,
-    /// The connection was refused or broke: it may have run.
+    /// The connection was refused, or broke before the attempt was written completely: it cannot have run.
     Unreachable,
     /// The answer was malformed.
     Invalid,
@@ -302,12 +319,12 @@
     NeverSent,
 }
 
-/// Load that a node reported, as far as it does.
+/// Load that a node reported with an answer or otherwise; `None` for a figure that the report lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Share of its capacity in use, from 0 to 1.
     pub busy_share: Option<f64>,
-    /// Number of parts in its queue.
+    /// Number of parts in its queue. No decision depends on it.
     pub queued_parts: Option<f64>,
 }
 
@@ -322,20 +339,20 @@
     pub node: NodeId,
     /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time from its start to its end.
+    /// Time from the sending of the attempt to its end.
     pub duration: Nanos,
     /// Load that the node reported with its answer.
     pub report: LoadReport,
 }
 
-/// Event of one attempt, as a router reports it to its peers.
+/// Event of one attempt, as a router reports it to its peers together with the attempt's node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Update {
     /// It was sent.
     Sent,
     /// It was answered after this time.
     Answered(Nanos),
-    /// It takes much longer than expected.
+    /// It is not answered yet and has taken much longer than expected; it stays in flight.
     Overdue,
     /// It failed.
     Failed,
@@ -369,22 +386,22 @@
         /// Whether no second phase follows.
         is_final: bool,
     },
-    /// Reject a multiget of which nothing ran that must not run twice.
+    /// Reject a multiget of which nothing can have run that is not idempotent, so that a retry is harmless.
     Reject {
         /// Id of the multiget.
         multiget: MultigetId,
-        /// Time after which its client may retry.
+        /// Time after which its client may retry; 0 to leave it to the client.
         retry_after: Nanos,
     },
-    /// End a multiget without an answer: some of it may have run.
+    /// End a multiget without an answer: a part that is not idempotent may have run, or the client has given up.
     Abort {
         /// Id of the multiget.
         multiget: MultigetId,
     },
     /// Request the changes of the node list.
     RequestList,
-    /// Send nothing further over connections to a node that have received nothing for as long as a request has
-    /// been in flight on them.
+    /// Send nothing further over those connections to a node on which nothing has arrived since a request that is
+    /// still in flight was sent: the connection may be at fault, not the node.
     RenewConnections {
         /// Number of the node.
         node: NodeId,
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -54,7 +54,7 @@
     by_shard: Option<ShardBudgets>,
 }
 
-/// Budgets by shard, which hold in every window.
+/// Budgets by shard, which hold in every window of this length, wherever it begins.
 #[derive(Clone, Debug)]
 struct ShardBudgets {
     window: Nanos,
@@ -83,9 +83,10 @@
         self.by_shard.as_ref().map_or(0, |by_shard| by_shard.shards.len())
     }
 
-    /// Number of retries that a shard is still allowed if it may use this share of the budget. With a budget for
-    /// each shard it holds in every window, otherwise in the window that ends now, where both edges are counted
-    /// conservatively by a tick.
+    /// Number of retries that a shard is still allowed if it may use this share of the budget. With a budget for each
+    /// shard, it holds in every window, wherever that begins. Otherwise it holds in the window that ends now, which is
+    /// taken to be a `tick` longer for retries and a `tick` shorter for accepted parts, as times are exact only to a
+    /// tick.
     pub fn remaining(
         &self,
         now: Nanos,
@@ -114,7 +115,8 @@
         self.by_shard.iter_mut().for_each(|by_shard| by_shard.get_mut(shard).count_retry(now));
     }
 
-    /// Drops counts over all shards that are older than `span`, and idle budgets of shards.
+    /// Drops counts over all shards that are older than `span`, and budgets of shards whose counts no longer affect
+    /// any window.
     pub fn forget(&mut self, now: Nanos, span: Nanos) {
         self.all.forget(now, span);
         self.by_shard
@@ -123,7 +125,7 @@
     }
 }
 
-/// Token bucket.
+/// Token bucket: limits a rate in the long run, and allows bursts of up to `capacity` after a pause.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     /// Tokens added per second.
@@ -165,7 +167,7 @@
         self.filled_at + Nanos((missing * 1e9) as u64 + 1000)
     }
 
-    /// Takes one token if there is one.
+    /// Takes one token if there is one, and returns whether there was.
     pub fn try_draw(&mut self, now: Nanos) -> bool {
         self.fill(now);
         let has_token = self.tokens >= 1.0;
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -1,4 +1,5 @@
-//! Statistics shared by the replicas of places with similar work.
+//! Statistics shared by the replicas of places with similar work. The size of a part is its expected work relative to
+//! the mean part; work is counted in these sizes.
 
 use super::histogram::Histogram;
 use super::statistics::{FailureRate, RunningMean};
@@ -8,13 +9,14 @@
 /// Statistics over all replicas of a group of places.
 #[derive(Clone, Default)]
 pub struct Group {
-    /// Latencies in nanoseconds divided by the size of the part, misses included.
+    /// Latencies of answers in nanoseconds, divided by the size of their part. Overdue attempts count as misses.
     pub latencies: Histogram,
-    /// Latencies in nanoseconds.
+    /// Latencies of answers in nanoseconds, not divided by a size.
     pub raw_latencies: Histogram,
-    /// Failure rate of attempts.
+    /// Failure rate of the attempts of this router, without those that it cancelled or that were never sent.
     pub failures: FailureRate,
-    /// Nanoseconds per unit of work in flight at a replica.
+    /// Latency of an answer in nanoseconds per unit of work that was in flight at the replica when the attempt was
+    /// sent.
     pub time_per_work: RunningMean,
 }
 
@@ -53,7 +55,7 @@
         self.by_number.entry(self.number(place)).or_insert_with(|| empty.clone())
     }
 
-    /// Halves the weight of all past measurements.
+    /// Halves the weight of past latencies and failures.
     pub fn halve(&mut self) {
         for group in self.by_number.values_mut() {
             group.latencies.halve();
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Keeps only the assignments of matching places, and drops groups without a place.
+    /// Keeps only the assignments of matching places, and drops groups without a place except group 0.
     pub fn retain(&mut self, is_kept: impl Fn(&PlaceId) -> bool) {
         self.by_place.retain(|place, _| is_kept(place));
         let assigned: BTreeSet<u32> = self.by_place.values().copied().chain([0]).collect();
--- a/src/state/histogram.rs
+++ b/src/state/histogram.rs
@@ -69,8 +69,8 @@
         sum
     }
 
-    /// Returns mean and squared coefficient of variation of the fastest `share` of the values, from 0 to 1. Misses
-    /// count as the midpoint of the bin above the last.
+    /// Returns mean and squared coefficient of variation of the fastest `share` of the values, from 0 to 1; `None` if
+    /// there are no values. Misses count as the midpoint of the bin that would follow the last.
     pub fn fastest(&self, share: f64) -> Option<(f64, f64)> {
         let mut remaining = self.total() * share;
         let (mut count, mut sum, mut squares) = (0.0, 0.0, 0.0);
--- a/src/state/node.rs
+++ b/src/state/node.rs
@@ -1,4 +1,5 @@
-//! State of a node as a router knows it.
+//! State of a node as a router knows it. The size of a part is its expected work relative to the mean part; work is
+//! counted in these sizes.
 
 use super::budget::SlidingCount;
 use super::histogram::Histogram;
@@ -10,7 +11,7 @@
 /// State and statistics of a node.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Place of the node.
+    /// Place of the node, which determines its shards.
     pub place: PlaceId,
     /// Zone of the node, if known.
     pub zone: Option<ZoneId>,
@@ -18,28 +19,32 @@
     pub health: Health,
     /// Time of its last start; 0 if that was long ago.
     pub started_at: Nanos,
-    /// Latencies in nanoseconds divided by the size of the part, misses included.
+    /// Latencies of answers in nanoseconds, divided by the size of their part; those that peers report are not
+    /// divided. Overdue attempts count as misses.
     pub latencies: Histogram,
-    /// Failure rate of all attempts.
+    /// Failure rate of the attempts of this router and its peers, without those that this router cancelled or that
+    /// were never sent.
     pub failures: FailureRate,
-    /// Failure rates by kind of work.
+    /// Failure rates of this router's attempts by kind of work. An overdue attempt of a second phase counts as a
+    /// failure.
     pub failures_by_kind: BTreeMap<WorkKind, FailureRate>,
-    /// Nanoseconds that a part took per unit of work in flight when it was sent.
+    /// Latency of an answer in nanoseconds per unit of work that was in flight at the node when the attempt was sent.
     pub time_per_work: RunningMean,
-    /// Attempts in flight, by time sent, part and number: their size, and whether they are overdue.
+    /// Attempts in flight, by time sent, part and number: the size of the part, and whether the attempt is overdue.
     pub in_flight: BTreeMap<(Nanos, PartId, usize), (f64, bool)>,
-    /// Attempts of peers in flight: the peer, the time of its message, and the work in flight then.
+    /// Attempts of peers in flight at the node: the peer, the time at which its report that it sent one arrived, and
+    /// the work in flight at the node then.
     pub peer_attempts: Vec<(PeerId, Nanos, f64)>,
     /// Time at which the latest of the answered attempts was sent.
     pub latest_answered_sent_at: Nanos,
-    /// Time at which its statistics were last halved.
+    /// Time at which the weight of its latencies and failures was last halved.
     pub halved_at: Nanos,
-    /// Share of its capacity in use that it last reported, from 0 to 1.
+    /// Share of its capacity in use that it last reported, from 0 to 1; `None` before the first report.
     pub busy_share: Option<f64>,
-    /// Work that it may still be sent while it is cold, negative if it was sent too much, and the time at which
-    /// that was computed.
+    /// Work that this router may still send it while it is cold ([`SlowStartSettings`]), negative if it was sent too
+    /// much, and the time for which that was computed.
     pub cold_allowance: (f64, Nanos),
-    /// Work that it answered.
+    /// Sizes of the parts that it answered to this router, with the times of the answers.
     pub answered_work: SlidingCount,
 }
 
@@ -65,12 +70,14 @@
         }
     }
 
-    /// Whether it has no attempt in flight and its past measurements have lost their weight.
+    /// Whether it has no attempt in flight and its latencies, whose weight is halved again and again, weigh less than
+    /// one answer.
     pub fn is_forgotten(&self) -> bool {
         self.in_flight.is_empty() && self.latencies.total() < 1.0
     }
 
-    /// Returns the time at which the first overdue attempt was sent that no answered attempt was sent after.
+    /// Returns the time at which the oldest of those overdue attempts was sent that are not older than the latest
+    /// answered attempt; `None` if there are none. The node may have stopped answering then.
     pub fn stuck_since(&self) -> Option<Nanos> {
         let overdue = self
             .in_flight
@@ -79,8 +86,9 @@
         overdue.map(|((sent_at, _, _), _)| *sent_at)
     }
 
-    /// Returns the known work in flight at the node, from this router and its peers. Overdue attempts count as lost
-    /// if they were sent before `lost_before`, or before an attempt that has been answered.
+    /// Returns the known work in flight at the node, from this router and its peers; an attempt of a peer counts as a
+    /// part of size 1. Overdue attempts count as lost if they were sent before `lost_before`, or before an attempt
+    /// that has been answered; attempts of peers if they were reported before `lost_before`.
     pub fn work_in_flight(&self, lost_before: Nanos) -> f64 {
         let own_lost_before = lost_before.max(self.latest_answered_sent_at);
         let pending = self
--- a/src/state/places.rs
+++ b/src/state/places.rs
@@ -3,7 +3,7 @@
 use crate::interface::{NodeId, PlaceId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Nodes by place.
+/// Numbers of the nodes at each place.
 #[derive(Clone, Debug, Default)]
 pub struct NodesByPlace(BTreeMap<PlaceId, BTreeSet<NodeId>>);
 
--- a/src/state/query.rs
+++ b/src/state/query.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-/// Attempt of a part.
+/// Attempt to have a part answered by a node.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Node that it was sent to.
@@ -16,9 +16,9 @@
     pub work_in_flight: f64,
     /// Outcome; `None` while it is in flight.
     pub outcome: Option<Outcome>,
-    /// Whether it was cancelled.
+    /// Whether the host has been told to cancel it; its outcome may still be missing.
     pub cancelled: bool,
-    /// Whether it was counted as a miss of its node while in flight.
+    /// Whether it was counted as a miss of its node, because it became overdue.
     pub is_miss: bool,
 }
 
@@ -50,13 +50,13 @@
     pub id: PartId,
     /// Shard that the part queries.
     pub shard: ShardId,
-    /// Share of the answer's weight, from 0 to 1.
+    /// Share of the complete answer that the part contributes, from 0 to 1.
     pub weight: f64,
-    /// Expected work, relative to the mean part.
+    /// Size: the expected work, relative to the mean part.
     pub size: f64,
-    /// Logarithm of the expected work in nanoseconds, if the host gave it.
+    /// Natural logarithm of the expected work in nanoseconds; `None` if the host does not know the work.
     pub log_effort: Option<f64>,
-    /// Effect of repeating it.
+    /// Effect of executing it more than once.
     pub effect: Effect,
     /// Its use case and phase.
     pub kind: WorkKind,
@@ -64,7 +64,7 @@
     pub attempts: Vec<Attempt>,
     /// Whether it was answered.
     pub answered: bool,
-    /// Whether it gets no further attempt.
+    /// Whether it remains unanswered for good: it gets no further attempt, and later answers are ignored.
     pub given_up: bool,
 }
 
@@ -100,7 +100,7 @@
     pub customer: CustomerId,
     /// Time by which to answer: the end of the latency target, or the client's deadline if that is earlier.
     pub target_end: Nanos,
-    /// Time after which an answer has no value.
+    /// Time after which an answer has no value: the client's deadline, or `target_end` if late answers have none.
     pub value_end: Nanos,
     /// `target_end` and `value_end` of the whole query, since the first of two phases has earlier ones.
     pub overall_ends: (Nanos, Nanos),
@@ -116,15 +116,16 @@
     pub parts: Vec<Part>,
     /// Index of the first part of the current phase.
     pub phase_from: usize,
-    /// Whether the current phase has not been through admission yet.
+    /// Whether it has not been decided yet to send the current phase or to reject the multiget.
     pub awaits_admission: bool,
-    /// Whether its other parts wait until the first one is answered.
+    /// Whether one part was sent first, as a probe; the others wait until its attempt has ended or is overdue.
     pub is_probing: bool,
-    /// Whether its first phase was answered completely.
+    /// Whether its first phase was answered completely; true before that has ended, or if there is none.
     pub first_phase_complete: bool,
-    /// Time of its next review.
+    /// Time of its next scheduled review, which makes the decisions due for it.
     pub review_at: Nanos,
-    /// Whether it has its final answer; it is kept until none of its attempts is in flight.
+    /// Whether it has been answered, rejected or given up, or its client has gone. It is kept until none of its
+    /// attempts is in flight.
     pub finished: bool,
 }
 
@@ -164,6 +165,6 @@
     pub node: NodeId,
     /// Expected time to an answer.
     pub delay: Nanos,
-    /// Probability of an answer in time.
+    /// Probability that the node answers within the time left to the query.
     pub probability: f64,
 }
--- a/src/state/router.rs
+++ b/src/state/router.rs
@@ -20,9 +20,9 @@
     pub(crate) has_unmarked_retries: bool,
     pub(crate) rejections_cost_value: bool,
     pub(crate) zone: Option<ZoneId>,
-    /// Number of routers that share the limits.
+    /// Number of routers that share customers' quotas, this one included.
     pub(crate) router_count: f64,
-    /// This router's share of each customer's quota, in multigets.
+    /// This router's share of each customer's quota; a token is one multiget.
     pub(crate) customer_quotas: Vec<TokenBucket>,
     pub(crate) tick: Nanos,
     /// Shortest latency target of the current use cases.
@@ -49,9 +49,9 @@
     /// Mean wait after the last failed request for the list, in replanning intervals; 0 after a success.
     pub(crate) list_wait: f64,
     pub(crate) peer_updates: bool,
-    /// Updates to be sent to the other routers.
+    /// Updates to be sent to the peers.
     pub(crate) updates: Vec<(NodeId, Update)>,
-    /// Time at which to send them.
+    /// Time at which to send `updates`; `None` if there are none.
     pub(crate) notify_at: Option<Nanos>,
     pub(crate) random: Mwc,
     pub(crate) nodes: BTreeMap<NodeId, Node>,
@@ -61,36 +61,36 @@
     pub(crate) groups: Groups,
     /// Trend of the logarithm of latency over the logarithm of expected work.
     pub(crate) effort_trend: LinearTrend,
-    /// Number of copies planned for each first attempt, where it is more than one.
+    /// Number of replicas that each part is sent to at once, by shard and use case, where it is more than one.
     pub(crate) planned_copies: BTreeMap<(ShardId, UseCaseId), usize>,
-    /// Number of first attempts since the last planning.
+    /// Number of first attempts since copies were last planned.
     pub(crate) sends_since_replan: BTreeMap<(ShardId, UseCaseId), f64>,
     /// Number of first attempts by shard, from a random start, which rotates equal replicas.
     pub(crate) rotations: BTreeMap<ShardId, usize>,
     pub(crate) replan_at: Nanos,
-    /// Mean number of copies planned for a part.
+    /// Mean number of replicas that a part is planned to be sent to at once; 1 without copies.
     pub(crate) mean_copies: f64,
-    /// First attempts over all shards.
+    /// First attempts over all shards, with their times.
     pub(crate) first_sends: SlidingCount,
     pub(crate) budget_use: RetryBudgetUse,
-    /// Mean ratio of a multiget's expected delay to its latency target.
+    /// Mean ratio of a multiget's expected delay to its latency target; longer delays count as 1.
     pub(crate) delay_share: RunningMean,
     /// Work reserved for second phases of multigets in their first phase, in sizes of parts.
     pub(crate) reserved_work: f64,
     /// Time at which a multiget was last rejected for its expected delay.
     pub(crate) rejected_at: Option<Nanos>,
-    /// Multigets to review because of an input.
+    /// Multigets to review because of an input. A review makes the decisions due for one multiget.
     pub(crate) review_queue: VecDeque<MultigetId>,
-    /// Scheduled reviews.
+    /// Times of scheduled reviews, each with its multiget.
     pub(crate) reviews: BTreeSet<(Nanos, MultigetId)>,
-    /// Time of the last [`Decision::Wake`] that was returned.
+    /// Time for which the last [`Decision::Wake`] scheduled a poll.
     pub(crate) wake_at: Option<Nanos>,
-    /// Decisions to be returned.
+    /// Decisions that have been made, but not returned to the host yet.
     pub(crate) decisions: VecDeque<Decision>,
 }
 
 impl Router {
-    /// Sets this router's share of the free retries.
+    /// Sets [`RetryBudgetSettings::free_retries`] to this router's share of them; does nothing without a retry budget.
     pub fn set_free_retries(&mut self, free: f64) {
         self.retry_budget.iter_mut().for_each(|budget| budget.free_retries = free);
     }
@@ -103,8 +103,9 @@
 }
 
 impl Router {
-    /// Adds a use case at the next free id, or replaces one, also for multigets in flight. The measurements of a
-    /// replaced one stay if only its times, values and limit of attempts change and it has not been removed.
+    /// Adds a use case at the next free id, or replaces one, also for multigets in flight; does nothing for a higher
+    /// id. The measurements of a replaced one stay if only its times, values and limit of attempts change and it has
+    /// not been removed.
     pub fn set_use_case(&mut self, _now: Nanos, id: UseCaseId, settings: &UseCaseSettings) {
         let mut case = UseCase::new(settings, &self.empty_bins);
         let work =
@@ -123,7 +124,8 @@
         self.update_shortest_target();
     }
 
-    /// Removes a use case without further arrivals; its id may be used again once none of its multigets is in flight.
+    /// Removes a use case that gets no more arrivals; its id may be used again once none of its multigets is in
+    /// flight.
     pub fn remove_use_case(&mut self, id: UseCaseId) {
         self.use_cases.get_mut(id.0).into_iter().for_each(|case| case.is_live = false);
         self.nodes.values_mut().for_each(|node| node.failures_by_kind.retain(|kind, _| kind.0 != id));
@@ -164,7 +166,7 @@
 /// Numbers of entries that a router keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetainedCounts {
-    /// Number of multigets in flight.
+    /// Number of multigets without a final answer or with attempts in flight.
     pub multigets: usize,
     /// Number of nodes.
     pub nodes: usize,
--- a/src/state/use_case.rs
+++ b/src/state/use_case.rs
@@ -7,37 +7,38 @@
 /// Settings and statistics of a use case.
 #[derive(Clone, Debug, Default)]
 pub struct UseCase {
-    /// Whether it has not been removed.
+    /// Whether it is in use; false once it has been removed.
     pub is_live: bool,
-    /// Time from the first try until a query should be answered.
+    /// Latency target: time from the client's first try until a query should be answered.
     pub latency_target: Nanos,
-    /// Time until the client gives up, over all its tries.
+    /// Time from the client's first try of a query until it gives up, repeated tries included.
     pub hard_limit: Nanos,
     /// Longest time that a client has been seen to wait for one try.
     pub longest_wait: Nanos,
     /// Value of an answer after the target, as a share of `value`.
     pub late_value_share: f64,
-    /// Whether the value of a partial answer is the square of its share of the weight.
+    /// Whether a partial answer has the square of its share of the complete answer as its share of the value.
     pub squares_partial_value: bool,
     /// Value of an answer within the target, relative to other use cases.
     pub value: f64,
-    /// Effect of repeating its parts.
+    /// Effect of executing a part of its queries more than once.
     pub effect: Effect,
-    /// Multiple of a multiget's own expected work by which its latency target grows.
+    /// Multiple of a multiget's expected work ([`Arrival::effort`]) by which its latency target grows.
     pub target_work_factor: f64,
-    /// Share of the weight that makes an answer complete, from 0 to 1.
+    /// Sum of the weights of the answered parts, from 0 to 1, from which on an answer counts as complete.
     pub complete_share: f64,
-    /// Smallest share of the weight that may be answered at all, from 0 to 1.
+    /// Smallest sum of the weights of the answered parts, from 0 to 1, with which a partial answer may be given.
     pub quorum: f64,
-    /// Whether its queries run in two phases.
+    /// Whether its queries run in two phases: answers to the first phase's parts determine those of the second.
     pub two_phase: bool,
-    /// Limit of attempts per part; `None` for the limit of the site.
+    /// Limit of attempts per part; `None` for the limit in [`SiteSettings`].
     pub max_attempts: Option<u32>,
-    /// Latencies in nanoseconds at all replicas, which show the size of its parts relative to other use cases.
+    /// Latencies of this router's answered attempts in nanoseconds, which show the size of its parts relative to other
+    /// use cases.
     pub latencies: Histogram,
-    /// Mean size of a part.
+    /// Mean size of its parts: their expected work, relative to the mean part of all use cases.
     pub part_size: RunningMean,
-    /// Mean size of all parts of a query.
+    /// Mean total size of the parts of one phase of its queries.
     pub total_size: RunningMean,
 }
 
--- a/src/state/windowed_budget.rs
+++ b/src/state/windowed_budget.rs
@@ -1,4 +1,5 @@
-//! Retry budget that holds in every window, wherever that begins.
+//! Retry budget that holds in every window, wherever that begins. A request is an accepted part; a retry is an attempt
+//! beyond the first of its part.
 
 use crate::interface::Nanos;
 use std::collections::VecDeque;
@@ -13,7 +14,7 @@
 /// began half a window earlier, of which more have been counted when many retries are needed at once.
 const SHARE_FOR_OWN_REQUESTS: f64 = 0.5;
 
-/// Numbers of requests and retries since the start.
+/// Numbers of requests and retries since the budget was created.
 #[derive(Clone, Copy, Debug, Default)]
 struct Totals {
     requests: f64,
