--- a/crates/fernknot-engine/src/engine.rs
+++ b/crates/fernknot-engine/src/engine.rs
@@ -24,9 +24,10 @@
     pub table: MultigetTable,
     /// Counters since the start.
     pub counters: Counters,
-    /// Ended attempts that have not been reported to the decision module yet.
+    /// Ended attempts that have not been reported to the decision module yet; the next poll reports them.
     endings: VecDeque<AttemptEnd>,
-    /// Deadlines of the attempts in flight, earliest first.
+    /// Deadlines of the attempts in flight, earliest first. Those whose time-out was returned as an action are left
+    /// out.
     attempt_deadlines: BTreeSet<(Nanos, PartId, AttemptNumber)>,
     wake_at: Option<Nanos>,
     /// Whether a poll has begun and not yet returned `None`. Ended attempts are reported to the decision module before
@@ -38,7 +39,8 @@
 
 impl Engine {
     /// Returns an engine without nodes. `two_phase_settings` has one entry for each use case, `None` where its queries
-    /// run in one phase; the term filters of blocks take at most `max_filter_bytes`.
+    /// run in one phase. The cached term filters, each the approximate set of the terms in a block, take at most
+    /// `max_filter_bytes`.
     pub fn new(
         seed: u64,
         site: SiteSettings,
@@ -66,7 +68,8 @@
         self.decisions.apply_list(kind, entries);
     }
 
-    /// Reports that changes of the node list can no longer be received.
+    /// Reports that changes of the node list can no longer be received. If changes have to be requested
+    /// (`SiteSettings::list_changes_on_request`), an [`Action::SubscribeToNodeList`] follows after a random wait.
     pub fn node_list_lost(&mut self, now: Nanos) {
         self.decisions.list_failed(now);
     }
@@ -81,22 +84,23 @@
         self.decisions.remove_use_case(id);
     }
 
-    /// Sets this router's share of the free retries of the retry budget.
+    /// Sets this router's share of the free retries, those that the retry budget allows without any accepted part.
     pub fn set_free_retries(&mut self, free: f64) {
         self.decisions.set_free_retries(free);
     }
 
-    /// Assigns a place to a group of places with similar work per part.
+    /// Assigns a place (a set of replicas of the same shards) to a group of places with similar work per part, which
+    /// share statistics.
     pub fn set_place_group(&mut self, place: PlaceId, group: u32) {
         self.decisions.set_group(place, group);
     }
 
-    /// Sets the number of routers that share the limits.
+    /// Sets the number of routers that share the customers' quotas, this one included.
     pub fn set_sharing_routers(&mut self, now: Nanos, routers: usize) {
         self.decisions.set_router_count(now, routers);
     }
 
-    /// Applies a peer's updates on attempts of its own: nodes, and what happened to an attempt there.
+    /// Applies the updates of a peer, another router, on its attempts: nodes, and what happened to an attempt there.
     pub fn apply_peer_updates(&mut self, now: Nanos, from: PeerId, updates: &[(NodeId, Update)]) {
         self.decisions.apply_updates(now, from, updates);
     }
@@ -159,7 +163,8 @@
         self.table.mark_over(multiget);
     }
 
-    /// Reports the answer of a node to an attempt. The value is empty where the host keeps values itself.
+    /// Reports the answer of a node to an attempt; it is ignored if the attempt is unknown or has ended. The value is
+    /// empty where the host keeps values itself.
     pub fn attempt_answered(
         &mut self,
         now: Nanos,
@@ -180,7 +185,8 @@
         self.attempt_ended(now, part, number, outcome, report);
     }
 
-    /// Reports that an attempt ended without an answer. Later reports on the same attempt are ignored.
+    /// Reports the end of an attempt, for a host mostly one without an answer. Later reports on the same attempt are
+    /// ignored.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -223,7 +229,8 @@
         &self.planner
     }
 
-    /// Whether there was an input since the last poll began, so that actions may be due.
+    /// Whether a multiget was submitted, its client has gone or an attempt has ended since the last poll began, so
+    /// that actions may be due. Other inputs don't count.
     pub fn has_input(&self) -> bool {
         self.has_input || !self.endings.is_empty()
     }
@@ -321,7 +328,7 @@
         Some(Action::Send { part, number, node })
     }
 
-    /// Returns the final answer that consists of the answered parts.
+    /// Returns the final answer that consists of the answered parts; `None` if the multiget is unknown.
     fn completed_verdict(&self, id: MultigetId, is_complete: bool) -> Option<Verdict> {
         let multiget = self.table.get(id)?;
         let values = multiget.parts.iter().filter_map(|part| Some((part.shard, part.value.clone()?)));
@@ -334,7 +341,7 @@
         Some(Verdict::Completed { is_complete, values, answered_by, blocks })
     }
 
-    /// Returns the action that sends the final answer; `None` if the multiget is over.
+    /// Returns the action that sends the final answer; `None` if the multiget has one already or its client has gone.
     fn answer(&mut self, now: Nanos, multiget: MultigetId, verdict: Verdict) -> Option<Action> {
         let state = self.table.get(multiget).filter(|state| !state.is_over)?;
         let (requester, stage) = (state.requester, state.stage());
--- a/crates/fernknot-engine/src/multiget.rs
+++ b/crates/fernknot-engine/src/multiget.rs
@@ -4,20 +4,20 @@
 use fernknot::interface::{Nanos, ShardId};
 use fernknot_protocol::multiget::{MultigetRequest, SecondPhaseRequest};
 
-/// Host's identifier of the requester of a multiget.
+/// Identifier that the host chooses for whoever waits for the answer to a multiget, such as a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequesterId(pub u64);
 
 /// Stage of a multiget when it got its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The only phase of a plain multiget.
+    /// The only phase of a multiget that is not a query in two phases.
     Plain,
     /// The first of two phases.
     FirstPhase,
     /// The second of two phases.
     SecondPhase {
-        /// Whether an attempt of the second phase was made.
+        /// Whether an attempt of a part of the second phase was made.
         ran: bool,
     },
 }
@@ -35,7 +35,7 @@
     second_phase: Option<Box<SecondPhase>>,
     /// Parts of the multiget; those of a second phase follow those of the first.
     pub parts: Vec<PartState>,
-    /// Number of attempts whose end has not been reported.
+    /// Number of attempts whose end the host has not reported.
     pub in_flight: usize,
     /// Whether the multiget has its final answer, or its client has gone.
     pub is_over: bool,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Returns the client's idempotency key for a part that may have effects. Parts of the first of two phases only
-    /// read, so they carry no key.
+    /// Returns the client's idempotency key, by which nodes recognise duplicates of a part that has effects; `None` if
+    /// the client gave none. Parts of the first of two phases only read, so they carry no key.
     pub fn idempotency_key(&self, part: &PartState) -> Option<&str> {
         self.idempotency_key.as_deref().filter(|_| part.phase != Phase::Match)
     }
--- a/crates/fernknot-engine/src/part.rs
+++ b/crates/fernknot-engine/src/part.rs
@@ -6,9 +6,9 @@
 pub struct AttemptState {
     /// Node that the attempt is sent to.
     pub node: NodeId,
-    /// Time at which the decision module decided on the attempt.
+    /// Time at which the decision module decided on the attempt; the host may send it later.
     pub sent_at: Nanos,
-    /// Time after which the attempt counts as timed out.
+    /// Time from which on the attempt counts as timed out.
     pub deadline: Nanos,
     /// Whether the end of the attempt has been reported.
     pub is_over: bool,
@@ -17,25 +17,25 @@
 /// Phase that a part belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The only phase of a plain multiget.
+    /// The only phase of a multiget that is not a query in two phases.
     Plain,
-    /// The first of two phases, in which blocks are asked for matches.
+    /// The first of two phases, in which blocks are asked which blocks hold matches.
     Match,
-    /// The second of two phases, in which blocks are fetched.
+    /// The second of two phases, in which the blocks that hold matches are fetched.
     Fetch,
 }
 
-/// Part of a multiget.
+/// Part of a multiget: its query to one shard.
 pub struct PartState {
     /// Shard that the part is sent to.
     pub shard: ShardId,
     /// Phase that the part belongs to.
     pub phase: Phase,
-    /// Identifier of the part in frames.
+    /// Identifier of the part in messages to nodes.
     pub id: String,
-    /// Value of the first answer.
+    /// Value of the first answer; `None` without one, and for a part of a first phase.
     pub value: Option<String>,
-    /// Attempt that returned the first answer.
+    /// Attempt that returned the first answer; `None` if `value` is.
     pub answered_by: Option<AttemptNumber>,
     /// Attempts at this part, indexed by attempt number.
     pub attempts: Vec<AttemptState>,
--- a/crates/fernknot-engine/src/table.rs
+++ b/crates/fernknot-engine/src/table.rs
@@ -33,7 +33,7 @@
         id
     }
 
-    /// Sorts the parts of a multiget. Attempts refer to parts by index, so none may have been made.
+    /// Sorts the parts of a multiget. Attempts refer to parts by index, so no attempt may have been made before.
     pub(crate) fn sort_parts<K: Ord>(&mut self, id: MultigetId, key: impl FnMut(&PartState) -> K) {
         if let Some(multiget) = self.multigets.get_mut(&id) {
             multiget.parts.sort_by_key(key);
@@ -55,7 +55,8 @@
         self.multigets.is_empty()
     }
 
-    /// Returns a multiget; `None` once it is over and none of its attempts is in flight.
+    /// Returns a multiget; `None` once it has its final answer or its client has gone, and none of its attempts is in
+    /// flight.
     pub fn get(&self, id: MultigetId) -> Option<&MultigetState> {
         self.multigets.get(&id)
     }
@@ -64,7 +65,7 @@
         self.multigets.get_mut(&id)
     }
 
-    /// Returns a part of a multiget in the table.
+    /// Returns a part of a multiget in the table; `None` if the multiget has been removed.
     pub fn part(&self, id: PartId) -> Option<&PartState> {
         self.multigets.get(&id.multiget)?.parts.get(id.index)
     }
@@ -73,7 +74,8 @@
         self.multigets.get_mut(&id.multiget)?.parts.get_mut(id.index)
     }
 
-    /// Returns an attempt of a multiget in the table.
+    /// Returns an attempt of a multiget in the table; `None` if the multiget has been removed or the attempt was never
+    /// made.
     pub fn attempt(&self, id: PartId, number: AttemptNumber) -> Option<&AttemptState> {
         self.part(id)?.attempts.get(number.0 as usize)
     }
--- a/crates/fernknot-engine/src/two_phase.rs
+++ b/crates/fernknot-engine/src/two_phase.rs
@@ -1,4 +1,5 @@
-//! Queries in two phases: their start, the opening of the second phase, their end and their counters.
+//! Queries in two phases: their start, the opening of the second phase, their end and their counters. The first phase
+//! asks blocks of data, each a shard, which blocks hold matches; the second fetches the blocks that the answers name.
 
 use crate::action::Verdict;
 use crate::counters::Counters;
@@ -40,8 +41,9 @@
         self.planner.second_phase_estimate(now, id)
     }
 
-    /// Records a block's answer of a first phase. An answer that cannot be parsed or names a block that it may not name
-    /// counts as a failed attempt that may have run; otherwise the second phase would silently fetch fewer blocks.
+    /// Records a block's answer of a first phase. An answer that cannot be parsed or names a block that it may not
+    /// name has the outcome `Error`, so that the part may be retried; if it counted as an answer, the second phase
+    /// would silently fetch fewer blocks.
     pub(crate) fn record_match_answer(&mut self, now: Nanos, part: PartId, value: &str) -> Outcome {
         let Some(shard) = self.table.part(part).map(|part| part.shard) else { return Outcome::Error };
         let Ok(answer) = matches::read(value) else {
@@ -82,7 +84,8 @@
         self.add_parts(now, id, first_index, parts.iter());
     }
 
-    /// Ends the planning of a multiget whose client has gone, if it is an unanswered query in two phases.
+    /// Ends the planning of a multiget whose client has gone, and counts it; does nothing unless it is an unanswered
+    /// query in two phases.
     pub(crate) fn finish_abandoned_query(&mut self, now: Nanos, id: MultigetId) {
         let Some(multiget) = self.table.get(id) else { return };
         if !multiget.is_two_phase() || multiget.is_over {
@@ -95,7 +98,7 @@
         self.planner.finish(now, id, multiget.has_second_phase_attempts());
     }
 
-    /// Ends the planning of a query in two phases that has its final answer.
+    /// Ends the planning of a query in two phases that is about to get its final answer, and counts the answer.
     pub(crate) fn finish_answered_query(
         &mut self,
         now: Nanos,
--- a/crates/fernknot-merge/src/lib.rs
+++ b/crates/fernknot-merge/src/lib.rs
@@ -1,7 +1,8 @@
 //! Merging of shards' answers, without I/O or a clock.
 //!
-//! The merged answer consists of the greatest records of all answers, in descending order, if enough shards answered.
-//! The gateway calls [`merge_answers`] once a query is complete.
+//! A record is a fixed number of bytes, compared as a big-endian number. The merged answer consists of the greatest
+//! records of all answers, in descending order, if enough shards answered. The gateway, which sends a client's query
+//! to the shards, calls [`merge_answers`] at the end of the query.
 
 #![deny(missing_docs)]
 
@@ -17,7 +18,8 @@
 /// Answer of one shard.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardAnswer<'a> {
-    /// Seal of the answer (`Answer-Seal`): proof that it belongs to this request.
+    /// Seal of the answer, the value of its header field `Answer-Seal`: a text that proves that the answer belongs to
+    /// this request. Answers of different shards have different seals.
     pub seal: &'a str,
     /// Records of [`RECORD_BYTES`] each.
     pub body: &'a [u8],
@@ -26,9 +28,9 @@
 /// Merged answer to a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MergedAnswer {
-    /// Seals of the merged answers, separated by commas (`Part-Seals`).
+    /// Seals of the merged answers, separated by commas; value of the header field `Part-Seals`.
     pub seals: String,
-    /// Number of shards without an answer (`Parts-Missing`).
+    /// Number of shards without an answer; value of the header field `Parts-Missing`.
     pub missing_shards: usize,
     /// Greatest records in descending order.
     pub body: Vec<u8>,
@@ -37,8 +39,9 @@
 /// Merges the answers to a query that went to `shards` shards into its `top_k` greatest records. Equal records are all
 /// kept.
 ///
-/// Returns `None` if the query did not succeed: there is no answer, or fewer than the fraction `quorum` of the shards
-/// answered. Also if the answers cannot be right: there are more of them than shards, or two have the same seal.
+/// Returns `None` if the query did not succeed, because there is no answer or fewer than the fraction `quorum` of the
+/// shards answered. Also returns `None` if the answers cannot be right, because there are more answers than shards or
+/// two have the same seal.
 #[must_use]
 pub fn merge_answers(
     answers: &[ShardAnswer],
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! State of one query in flight.
+//! State of one query in flight. A block is a set of records that one shard holds, and has that shard's number.
 
 use crate::query::{CandidateBlock, MatchError};
 use crate::term_filter_cache::FilterAnswer;
@@ -12,7 +12,7 @@
 pub(crate) struct FirstPhaseBlock {
     /// Whether its answer arrived.
     pub answered: bool,
-    /// Answer of the block's filter when the query began.
+    /// Answer of the block's cached term filter when the query began.
     pub filter_answer: FilterAnswer,
 }
 
@@ -21,7 +21,8 @@
 pub(crate) struct Candidate {
     /// Description of the block.
     pub block: CandidateBlock,
-    /// Estimated chance that the block is fetched, from 0 to 1; 1 once an answer named it.
+    /// Estimated chance that the block is fetched, from 0 to 1; 1 once a first-phase answer named it, or if all are
+    /// fetched.
     pub fetch_chance: f64,
     /// Whether an answer of the first phase named the block.
     pub named: bool,
@@ -50,19 +51,19 @@
     pub use_case: UseCaseId,
     /// Time of the query's arrival.
     pub began_at: Nanos,
-    /// Time for both phases: the latency target, or the client's time-out if that is less.
+    /// Time from arrival to answer, over both phases: the latency target, or the client's time-out if that is less.
     pub target: Nanos,
     /// End of the first phase and start of the second; `None` while the first one runs.
     pub second_phase_opened_at: Option<Nanos>,
-    /// Blocks that receive a part of the first phase.
+    /// Blocks that receive a part of the first phase, by shard.
     pub first_phase_blocks: BTreeMap<ShardId, FirstPhaseBlock>,
-    /// Blocks that the second phase may fetch.
+    /// Blocks that the second phase may fetch, by shard.
     pub candidates: BTreeMap<ShardId, Candidate>,
     /// Fingerprints of the query's terms.
     pub terms: Vec<u64>,
     /// Number of parts of the second phase; 0 before it is opened.
     pub second_phase_parts: usize,
-    /// Mean work of a candidate, as time of one worker; `None` if that of any candidate is unknown.
+    /// Mean expected work of fetching a candidate, as time of one worker; `None` if that of any candidate is unknown.
     pub mean_effort: Option<Nanos>,
 }
 
@@ -74,7 +75,7 @@
     pub ruled_out_weight: f64,
     /// Whether every candidate is either fetched or ruled out.
     pub is_complete: bool,
-    /// Number of candidates that answers named.
+    /// Number of candidates that answers of the first phase named.
     pub named: usize,
 }
 
@@ -121,9 +122,10 @@
         Ok(())
     }
 
-    /// Applies an answer of the first phase to the fetch chances. Blocks that it names are certain to be fetched. If
-    /// unmatched blocks are pruned, the chances of the others shrink: where blocks may name others, those of all remaining
-    /// candidates; otherwise that of the answering block to 0.
+    /// Applies an answer of the first phase to the fetch chances. Blocks that the answer names are certain to be
+    /// fetched. If blocks that no answer names are pruned (not fetched), the chances of blocks not named yet shrink.
+    /// Where blocks may name others, all of these chances shrink with each answer, to 0 with the last one; otherwise
+    /// only that of the answering block, to 0.
     pub fn apply_answer(&mut self, from: ShardId, named: &[ShardId], settings: &TwoPhaseSettings) {
         if let Some(block) = self.first_phase_blocks.get_mut(&from) {
             block.answered = true;
@@ -151,7 +153,7 @@
         let is_first_complete = self.is_first_phase_complete();
         let mut plan = FetchPlan { blocks: Vec::new(), ruled_out_weight: 0.0, is_complete: true, named: 0 };
         for (shard, candidate) in &mut self.candidates {
-            // A block that did not answer may have named itself, or any block where blocks name others.
+            // A block that did not answer might have named itself, or any block where blocks may name others.
             let is_own_answer_missing =
                 self.first_phase_blocks.get(shard).is_some_and(|block| !block.answered);
             let may_be_named = !candidate.named
--- a/crates/fernknot-two-phase/src/lib.rs
+++ b/crates/fernknot-two-phase/src/lib.rs
@@ -1,8 +1,10 @@
 //! Decisions on queries in two phases, without I/O or a clock.
 //!
-//! The first phase asks blocks which blocks hold matches; the second phase fetches the blocks that the answers name.
-//! This crate keeps the state of such queries while they are in flight, and statistics of earlier ones: durations,
-//! match rates and term filters of blocks. Its caller, `fernknot-engine`, reports to a [`TwoPhasePlanner`] each query
+//! A block is a set of records that one shard holds, and has that shard's number. The first phase asks blocks which
+//! blocks hold matches; the second phase fetches the blocks that the answers name. A term filter is the approximate
+//! set of the search terms in a block, which the block's node sends with its answers. This crate keeps the state of
+//! such queries while they are in flight, and statistics of earlier ones: durations, match rates and term filters of
+//! blocks. Its caller, `fernknot-engine`, reports to a [`TwoPhasePlanner`] each query
 //! ([`begin`](TwoPhasePlanner::begin)), the answers of the first phase
 //! ([`record_match`](TwoPhasePlanner::record_match)) and the query's end ([`finish`](TwoPhasePlanner::finish)). The
 //! planner returns the time that the second phase needs
--- a/crates/fernknot-two-phase/src/planner.rs
+++ b/crates/fernknot-two-phase/src/planner.rs
@@ -10,21 +10,22 @@
 use fernknot_router_config::{TwoPhaseSettings, UnansweredBlock};
 use std::collections::{BTreeMap, HashMap};
 
-/// Queries in flight that have two phases, and statistics of earlier ones by use case.
+/// Queries in flight that have two phases, and statistics of earlier queries by use case. A block is a set of records
+/// that one shard holds; its store is the node that answers for the block.
 #[derive(Default)]
 pub struct TwoPhasePlanner {
     /// Statistics by use case; `None` where queries have one phase.
     use_cases: Vec<Option<UseCaseStatistics>>,
     in_flight: HashMap<MultigetId, QueryInFlight>,
-    /// Cached term filters; `None` if no use case has two phases.
+    /// Cached term filters of blocks, the approximate sets of the terms in them; `None` if no use case has two phases.
     filters: Option<TermFilterCache>,
 }
 
 /// Blocks that an answer of the first phase names.
 struct NamedBlocks {
     blocks: Vec<ShardId>,
-    /// The store confirmed the version of the cached filter instead of looking for matches, and that filter rules the
-    /// block out.
+    /// Whether the store confirmed the version of the cached filter instead of looking for matches, and that filter
+    /// shows that the block cannot match.
     ruled_out_by_filter: bool,
 }
 
@@ -52,12 +53,14 @@
         self.in_flight.len()
     }
 
-    /// Returns the version of a block's cached term filter, for the block's store to confirm.
+    /// Returns the version of a block's cached term filter, for the block's store to confirm; `None` if none is
+    /// cached.
     pub fn filter_version(&self, shard: ShardId) -> Option<u64> {
         self.filters.as_ref()?.version(shard)
     }
 
-    /// Starts a query. Returns the blocks to ask in the first phase, the most likely to match first.
+    /// Starts a query. Returns the blocks to ask in the first phase, those most likely to match first. A query whose
+    /// use case has one phase is not kept, and its blocks stay in their order.
     pub fn begin(&mut self, now: Nanos, id: MultigetId, query: TwoPhaseQuery) -> Vec<ShardId> {
         let Some(Some(statistics)) = self.use_cases.get(query.use_case.0) else {
             return query.first_phase_blocks;
@@ -90,7 +93,8 @@
         order
     }
 
-    /// Returns the estimate of the second phase for the decision module; `None` once the first phase has ended.
+    /// Returns the estimate of the second phase for the decision module; `None` once the first phase has ended, or if
+    /// the query is unknown.
     pub fn second_phase_estimate(&mut self, now: Nanos, id: MultigetId) -> Option<SecondPhaseEstimate> {
         let query = self.in_flight.get(&id).filter(|query| !query.is_second_phase_open())?;
         let statistics = self.use_cases.get_mut(query.use_case.0)?.as_mut()?;
@@ -119,7 +123,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`MatchError`] and ignores the answer if it is invalid.
+    /// Returns a [`MatchError`] and ignores the answer if it is from or names a block that it may not, or names one
+    /// twice.
     pub fn record_match(
         &mut self,
         id: MultigetId,
@@ -170,9 +175,9 @@
         Some(SecondPhase { blocks: plan.blocks, start })
     }
 
-    /// Ends a query that has its final answer or whose client has gone. `second_phase_ran` if parts of the second phase
-    /// were sent. The time until then counts as the duration of the second phase; for one that was abandoned it is a
-    /// lower bound.
+    /// Ends a query that has its final answer or whose client has gone. If parts of the second phase were sent
+    /// (`second_phase_ran`), the time from its opening until now is recorded as its duration, although a second phase
+    /// that the client abandoned would have taken longer.
     pub fn finish(&mut self, now: Nanos, id: MultigetId, second_phase_ran: bool) {
         let Some(query) = self.in_flight.remove(&id) else { return };
         let Some(Some(statistics)) = self.use_cases.get_mut(query.use_case.0) else { return };
@@ -181,8 +186,9 @@
         }
     }
 
-    /// Returns the state of each block of a query whose second phase was opened, for its final answer; `None` if the
-    /// query is unknown. `is_in_answer` returns whether the answer contains a block's value.
+    /// Returns the state of each block that a query could fetch, for its final answer; `None` if the query is unknown.
+    /// Before the second phase is opened, all are `Unasked`. `is_in_answer` returns whether the answer contains a
+    /// block's value.
     ///
     /// `Fetched`: the answer contains the block's value. `Pruned`: every answer that could have named the block
     /// arrived, and none did. `Missing`: the block's value was requested and did not arrive. `Unasked`: none of these.
@@ -223,7 +229,7 @@
     NamedBlocks { blocks: if is_named { vec![from] } else { Vec::new() }, ruled_out_by_filter }
 }
 
-/// Mean work of a block; `None` if that of any block is unknown.
+/// Mean expected work of fetching a block; `None` if that of any block is unknown.
 fn mean_effort(blocks: &[CandidateBlock]) -> Option<Nanos> {
     let total: Option<u64> = blocks.iter().map(|block| Some(block.effort?.0)).sum();
     total.map(|total| Nanos(total / blocks.len().max(1) as u64))
--- a/crates/fernknot-two-phase/src/query.rs
+++ b/crates/fernknot-two-phase/src/query.rs
@@ -1,4 +1,4 @@
-//! Input and output types of the planner.
+//! Input and output types of the planner. A block is a set of records that one shard holds.
 
 use fernknot::interface::{Nanos, SecondPhaseStart, ShardId, UseCaseId};
 use thiserror::Error;
--- a/crates/fernknot-two-phase/src/recent_durations.rs
+++ b/crates/fernknot-two-phase/src/recent_durations.rs
@@ -7,14 +7,16 @@
 const GENERATION_LENGTH: Nanos = Nanos(4_000_000_000);
 /// Longest recorded duration, in microseconds: ten minutes; longer ones count as this.
 const MAX_DURATION_MICROS: u64 = 600_000_000;
-/// Precision of the histograms, in decimal digits. With one digit both take about 3.5 kB together.
+/// Precision of the histograms, in decimal digits. With one digit, the two histograms of a [`RecentDurations`] take
+/// about 3.5 kB together.
 const SIGNIFICANT_DIGITS: u8 = 1;
-/// Minimum number of durations for a quantile.
+/// Number of recent durations below which [`RecentDurations::quantile`] returns `None`.
 const MIN_SAMPLES: u64 = 8;
 const NANOS_PER_MICRO: u64 = 1000;
 
-/// Recent durations in two generations: `all` counts both, `current` those since the last rotation. A rotation drops
-/// the older generation: `current` becomes `all`, and a new generation begins.
+/// Durations of the last four to eight seconds, in two generations of four seconds: `all` counts both, `current` those
+/// since the last rotation. A rotation drops the older generation: `current` becomes `all`, and a new generation
+/// begins.
 #[derive(Clone, Debug)]
 pub struct RecentDurations {
     all: Histogram<u32>,
@@ -53,7 +55,8 @@
         self.current.saturating_record(micros);
     }
 
-    /// Returns the duration that `share` of the recent ones, from 0 to 1, do not exceed; `None` with too few of them.
+    /// Returns the duration that `share` of the recent ones, from 0 to 1, do not exceed; `None` if there are fewer
+    /// than eight recent ones. Durations are exact to about one decimal digit.
     pub fn quantile(&mut self, now: Nanos, share: f64) -> Option<Nanos> {
         self.rotate(now);
         let has_enough = self.all.len() >= MIN_SAMPLES;
--- a/crates/fernknot-two-phase/src/term_filter.rs
+++ b/crates/fernknot-two-phase/src/term_filter.rs
@@ -11,10 +11,9 @@
     xxh3_64(term.as_bytes())
 }
 
-/// Set of term fingerprints with false positives (1 in 256) and no false negatives.
+/// Set of term fingerprints without false negatives. Large sets have false positives, about 1 in 256.
 ///
-/// Large sets are binary fuse filters (Graf and Lemire, "Binary Fuse Filters: Fast and Smaller Than Xor Filters",
-/// 2022).
+/// They are binary fuse filters (Graf and Lemire, "Binary Fuse Filters: Fast and Smaller Than Xor Filters", 2022).
 #[derive(Clone, Debug)]
 pub struct TermFilter(Representation);
 
--- a/crates/fernknot-two-phase/src/term_filter_cache.rs
+++ b/crates/fernknot-two-phase/src/term_filter_cache.rs
@@ -1,7 +1,9 @@
-//! Cache of the term filters of blocks, with a bound on its memory.
+//! Cache of the term filters of blocks, with a bound on its memory. A block's term filter is the approximate set of
+//! the terms in the block at one version, a number that the block's store (the node that answers for it) gives it.
 //!
-//! A cached filter may be stale. By itself it only affects the order and the estimates of a first phase; it rules a
-//! block out only if the block's store confirms the filter's version in the same query.
+//! A cached filter may be stale, as the block may have changed since. The filter alone only affects the order of the
+//! parts of a first phase and its estimates; it rules a block out only if the block's store confirms the filter's
+//! version in the same query.
 
 use crate::term_filter::TermFilter;
 use fernknot::interface::ShardId;
@@ -17,7 +19,7 @@
     Unknown,
     /// The block may contain all terms of the query.
     MayMatch,
-    /// At the filter's version, the block does not contain one of the terms.
+    /// The block did not contain at least one of the terms at the filter's version.
     CannotMatch,
 }
 
@@ -77,7 +79,7 @@
         self.entries.put(shard, entry);
     }
 
-    /// Returns the version of a block's cached filter.
+    /// Returns the version of a block's cached filter; `None` if none is cached.
     pub fn version(&self, shard: ShardId) -> Option<u64> {
         self.entries.peek(&shard).map(|entry| entry.version)
     }
--- a/crates/fernknot-two-phase/src/use_case_statistics.rs
+++ b/crates/fernknot-two-phase/src/use_case_statistics.rs
@@ -1,4 +1,5 @@
-//! Statistics of one use case: durations of phases, and the share of blocks that match.
+//! Statistics of one use case: durations of phases, and the share of blocks that match. The filter of a block is its
+//! cached term filter, which may deny that the block matches; a filter that denies a match wrongly is stale.
 
 use crate::recent_durations::RecentDurations;
 use crate::term_filter_cache::FilterAnswer;
@@ -6,9 +7,10 @@
 use fernknot::state::RunningMean;
 use fernknot_router_config::{LatencySplit, TwoPhaseSettings};
 
-/// Quantile of the durations of recent second phases that the first phase leaves as time for the second.
+/// Quantile of the durations of recent second phases that is reserved for a second phase, and so not available to the
+/// first.
 const RESERVED_TIME_QUANTILE: f64 = 0.9;
-/// Quantile used as the typical duration of a second phase: with less time left, it is more likely late than not.
+/// Quantile used as the typical duration of a second phase: one with less time left is more likely late than not.
 const TYPICAL_DURATION_QUANTILE: f64 = 0.5;
 /// Quantile used as the minimum duration of a second phase.
 const MIN_DURATION_QUANTILE: f64 = 0.05;
@@ -18,9 +20,9 @@
 const RUNNING_MEAN_GAIN: f64 = 0.05;
 /// Match rate assumed before the first query.
 const INITIAL_MATCH_RATE: f64 = 0.5;
-/// Share of stale filters assumed before the first query.
+/// Share of denials by a filter assumed to be wrong before the first query.
 const INITIAL_STALE_RATE: f64 = 0.05;
-/// Minimum chance of a match for a block whose filter allows one.
+/// Minimum estimate of the chance of a match for a block whose filter contains all terms of the query.
 const MIN_CHANCE_IF_FILTER_ALLOWS: f64 = 0.5;
 
 /// Statistics and settings of one use case.
@@ -28,11 +30,11 @@
     /// Settings of the use case.
     pub settings: TwoPhaseSettings,
     first_phases: RecentDurations,
-    /// Durations by size class.
+    /// Durations of second phases, indexed by size class.
     second_phases: Vec<RecentDurations>,
-    /// Share of blocks that match, from 0 to 1.
+    /// Share of a query's candidates that match, from 0 to 1.
     match_rate: RunningMean,
-    /// Share of blocks that match although their filter denied it, from 0 to 1.
+    /// Share of the denials by a block's filter that are wrong, from 0 to 1.
     stale_rate: RunningMean,
 }
 
@@ -74,12 +76,13 @@
         }
     }
 
-    /// Records the share of a query's candidates that matched, where all blocks of the first phase answered.
+    /// Records the share of a query's candidates (the blocks that it may fetch) that matched. Only for queries whose
+    /// first phase was answered completely.
     pub fn record_match_rate(&mut self, rate: f64) {
         self.match_rate.add(rate, RUNNING_MEAN_GAIN);
     }
 
-    /// Records whether a block matched although its filter denied a match.
+    /// Records for a block whose filter denied a match whether the block matched.
     pub fn record_denied_match(&mut self, matched: bool) {
         self.stale_rate.add_with_prior(
             Some(INITIAL_STALE_RATE),
@@ -115,8 +118,8 @@
         second.clamp(min, max)
     }
 
-    /// Returns the expected duration of a second phase: a quantile of recent ones, or, without any, the middle of the
-    /// range that the settings allow.
+    /// Returns the expected duration of a second phase: a quantile of recent ones, or, with too few of these, the
+    /// middle of the range that the settings allow; 0 if it has no parts.
     fn expected_second_phase(&mut self, now: Nanos, parts: f64, target: Nanos) -> Nanos {
         if parts <= 0.0 {
             return Nanos(0);
@@ -126,12 +129,13 @@
         self.second_phase_quantile(now, parts, RESERVED_TIME_QUANTILE).unwrap_or(default)
     }
 
-    /// Returns the minimum duration of a second phase with this number of parts; 0 if unknown.
+    /// Returns the minimum duration of a second phase with this number of parts; 0 with too few recent second phases.
     pub fn min_second_phase(&mut self, now: Nanos, parts: usize) -> Nanos {
         self.second_phase_quantile(now, parts as f64, MIN_DURATION_QUANTILE).unwrap_or_default()
     }
 
-    /// Returns the typical duration of a second phase with this number of parts; 0 if unknown.
+    /// Returns the typical duration of a second phase with this number of parts; 0 without parts, or with too few
+    /// recent second phases.
     pub fn typical_second_phase(&mut self, now: Nanos, parts: usize) -> Nanos {
         match parts {
             0 => Nanos(0),
