--- a/crates/fernknot-bench-adapter/src/adapter.rs
+++ b/crates/fernknot-bench-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Dispatch of events to the instances that they affect.
+//! Dispatch of the bench's events to the instances of the decision module that they affect.
 
 use crate::error::AdapterError;
 use crate::instance::Instance;
@@ -6,16 +6,16 @@
 use fernknot::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// All instances of the decision module.
+/// All instances of the decision module, by the bench's number for each.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Instance>,
-    /// Directories received so far, by number.
+    /// Directories, numbered lists of nodes, received so far, by number; a later event makes an instance apply one.
     directories: HashMap<u64, Vec<Node>>,
 }
 
 impl Adapter {
-    /// Applies a batch and polls the instances that it affects for their decisions.
+    /// Applies the events of a batch, and polls the instances that they affect for their decisions.
     pub fn apply(&mut self, batch: &Batch) -> Result<Reply, AdapterError> {
         let now = Nanos::from_millis(batch.now_ms);
         let mut affected = BTreeSet::new();
--- a/crates/fernknot-bench-adapter/src/error.rs
+++ b/crates/fernknot-bench-adapter/src/error.rs
@@ -22,13 +22,14 @@
         /// Error of the parser.
         source: serde_json::Error,
     },
-    /// An event `view` refers to a directory (`sheet`) that no earlier event `directory` defined.
+    /// An event `view`, which gives an instance a list of nodes, refers by `sheet` to a directory (numbered list) that
+    /// no earlier event `directory` defined.
     #[error("event view: no earlier event directory has its sheet")]
     UnknownDirectory,
     /// The settings of an instance are invalid.
     #[error("{0}")]
     Settings(#[from] fernknot_router_config::ConfigError),
-    /// The status of an event `finished` is not that of any outcome.
+    /// The status of an event `finished`, the end of an attempt, is not that of any outcome.
     #[error("event finished: unknown status {0}")]
     UnknownStatus(u32),
     /// A reply cannot be serialised.
--- a/crates/fernknot-bench-adapter/src/instance.rs
+++ b/crates/fernknot-bench-adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! Instance of the decision module, with the wire's names of its nodes, queries and parts.
+//! Instance of the decision module, which decides for one simulated router, with the names that the bench's messages
+//! (the wire) use for its nodes, queries and parts.
 
 use crate::error::AdapterError;
 use crate::hex;
@@ -19,7 +20,7 @@
 /// Label of the only timer that an instance sets.
 const TIMER_LABEL: u64 = 0;
 
-/// Instance of the decision module.
+/// Instance of the decision module, with the tables that translate its ids into names of the wire.
 pub struct Instance {
     number: u64,
     router: Router,
@@ -44,7 +45,8 @@
 
     // ---- Events ----------------------------------------------------------------------------
 
-    /// Applies a list of nodes, or the loss of the source of lists.
+    /// Applies a list of nodes, or, with [`ListMode::Lost`], the loss of the source of lists, after which the instance
+    /// requests a list again if its settings make it request changes.
     pub fn apply_node_list(&mut self, now: Nanos, mode: ListMode, nodes: &[Node]) {
         let kind = match mode {
             ListMode::Lost => return self.router.list_failed(now),
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Translates a decision into actions of the wire. A decision on an unknown query has none.
+    /// Translates a decision into actions of the wire, and appends these. A decision on an unknown query has none.
     fn carry_out(&mut self, decision: Decision, actions: &mut Vec<Action>) {
         let instance = self.number;
         match decision {
--- a/crates/fernknot-bench-adapter/src/main.rs
+++ b/crates/fernknot-bench-adapter/src/main.rs
@@ -1,8 +1,10 @@
-//! Adapter between fernknot's decision module and a bench that simulates queries and nodes. Reads batches of events
+//! Adapter between fernknot's decision module and the bench, a program that simulates clients' queries and the nodes
+//! that answer them. Each instance of the decision module decides for one simulated router. Reads batches of events
 //! from standard input and writes replies to standard output, one JSON object per line.
 //!
-//! The program translates between the names of the bench's wire format and the module's ids. The bench starts it
-//! (`deploy/balancer.toml`); one process hosts many instances of the module, which share no state.
+//! The adapter translates between the names of the wire format, that of the bench's messages, and the ids of the
+//! decision module. The bench starts it (`deploy/balancer.toml`); one process of the adapter has many instances of the
+//! decision module, which share no state.
 
 mod adapter;
 mod error;
@@ -16,7 +18,7 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-/// Answers each batch with a reply until the end of the input.
+/// Answers each batch, a line of input with events, with a reply until the end of the input.
 fn run() -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut input = std::io::stdin().lock();
--- a/crates/fernknot-bench-adapter/src/names.rs
+++ b/crates/fernknot-bench-adapter/src/names.rs
@@ -1,4 +1,4 @@
-//! Tables between the wire's names and an instance's ids of nodes, queries and parts.
+//! Tables between the names of the wire, the bench's messages, and an instance's ids of nodes, queries and parts.
 
 use fernknot::interface::{MultigetId, NodeId, PartId};
 use std::collections::HashMap;
@@ -11,12 +11,12 @@
 }
 
 impl NodeNames {
-    /// Returns the id of a known node.
+    /// Returns the id of a node; `None` if the name is unknown.
     pub fn id(&self, name: &str) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
-    /// Adds an unknown node and returns its new id.
+    /// Adds a node whose name is unknown, and returns its new id.
     pub fn add(&mut self, name: &str) -> NodeId {
         let id = NodeId(self.names.len() as u32);
         self.names.push(name.to_string());
@@ -24,7 +24,7 @@
         id
     }
 
-    /// Returns the name of a known node.
+    /// Returns the name of a node; panics if the id is unknown.
     pub fn name(&self, id: NodeId) -> &str {
         &self.names[id.0 as usize]
     }
@@ -71,7 +71,7 @@
         Some(part)
     }
 
-    /// Returns the query of this name.
+    /// Returns the query of this name; `None` if the name is unknown or that of a part.
     pub fn query(&self, name: &str) -> Option<MultigetId> {
         match self.by_name.get(name) {
             Some(Named::Query(query)) => Some(*query),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns the part of this name.
+    /// Returns the part of this name; `None` if the name is unknown or that of a query.
     pub fn part(&self, name: &str) -> Option<PartId> {
         match self.by_name.get(name) {
             Some(Named::Part(part)) => Some(*part),
--- a/crates/fernknot-bench-adapter/src/wire.rs
+++ b/crates/fernknot-bench-adapter/src/wire.rs
@@ -1,5 +1,6 @@
-//! Messages of the bench's wire format, as far as the adapter reads and writes them. Rename attributes map the wire's
-//! names to the terms of the code; no other module uses the wire's names.
+//! Messages of the bench's wire format, as far as the adapter reads and writes them. The bench simulates queries and
+//! nodes; an instance of the decision module decides for one simulated router. All times are those of the bench's
+//! clock. Rename attributes map the wire's names to the terms of the code; no other module uses the wire's names.
 
 use crate::error::AdapterError;
 use fernknot_router_config::RawSettings;
@@ -21,13 +22,13 @@
 
 /// Event that the adapter handles.
 pub enum Event {
-    /// `directory`: a list of nodes with a number.
+    /// `directory`: a numbered list of nodes, to which an event `view` may refer.
     Directory(Directory),
     /// `powerOn`: an instance starts.
     InstanceStarted(Box<InstanceStarted>),
     /// `down`: an instance stops.
     InstanceStopped(InstanceOnly),
-    /// `view`: an instance receives a list of nodes.
+    /// `view`: an instance receives a directory, or learns that lists are unavailable.
     NodeList(NodeList),
     /// `order`: a query or a part of one arrives.
     QueryOrPart(QueryOrPart),
@@ -68,7 +69,8 @@
     pub zone: Option<u32>,
     /// Health of the node.
     pub health: NodeHealth,
-    /// Time since which the node has this health, in milliseconds.
+    /// Time since which the node has this health, in milliseconds, which the adapter takes for its last start; 0 if
+    /// that was long ago.
     #[serde(rename = "since", default)]
     pub since_ms: f64,
 }
@@ -113,7 +115,7 @@
     /// Number of the instance.
     #[serde(rename = "router")]
     pub instance: u64,
-    /// Contents of the list.
+    /// Contents of the list, in relation to earlier ones.
     pub mode: ListMode,
     /// Number of the directory that contains the nodes; not used with `lost`.
     #[serde(rename = "sheet")]
@@ -129,7 +131,7 @@
     /// All nodes.
     #[serde(rename = "total")]
     Full,
-    /// All nodes, as another instance knows them.
+    /// All nodes, as another instance knows them; applied like `total`.
     #[serde(rename = "warm_copy")]
     FullFromPeer,
     /// No list: the source of lists is unavailable.
@@ -146,10 +148,10 @@
     /// Name of the query or part on the wire.
     #[serde(rename = "req")]
     pub name: String,
-    /// Number of the customer.
+    /// Index of the customer among the `accounts` of the settings.
     #[serde(rename = "project", default)]
     pub customer: usize,
-    /// Number of the use case.
+    /// Index of the use case among the `classes` of the settings.
     #[serde(rename = "lane", default)]
     pub use_case: usize,
     /// Shard of a part; negative for the query itself.
@@ -161,10 +163,10 @@
     /// Whether the client repeats an earlier query.
     #[serde(rename = "retry", default)]
     pub is_retry: bool,
-    /// Number that a query shares with its parts.
+    /// Number that a query shares with its parts, and by which they are matched.
     #[serde(rename = "query")]
     pub query_number: u64,
-    /// Expected work, in milliseconds, if known.
+    /// Expected work of the query or part, in milliseconds of a node's time; `None` if unknown.
     #[serde(rename = "effort")]
     pub effort_ms: Option<f64>,
     /// Share of the complete answer that a part contributes, from 0 to 1.
@@ -244,7 +246,7 @@
 /// Line of output.
 #[derive(Serialize)]
 pub struct Reply {
-    /// Actions that the instances request, in the order of their numbers.
+    /// Actions that the instances request, in the order of the instances' numbers.
     #[serde(rename = "output")]
     pub actions: Vec<Action>,
 }
@@ -273,7 +275,7 @@
         #[serde(rename = "sendNo")]
         attempt: u32,
     },
-    /// Requests an event `bell` after some time.
+    /// Requests an event `bell` for the instance after a time in milliseconds.
     #[serde(rename = "timer")]
     SetTimer {
         #[serde(rename = "router")]
@@ -282,7 +284,7 @@
         after_ms: f64,
         label: u64,
     },
-    /// Ends a query with an error, after parts of it may have run.
+    /// Ends a query with an error. Parts of it that must not run twice may have run.
     #[serde(rename = "finishError")]
     FailQuery {
         #[serde(rename = "router")]
@@ -290,7 +292,7 @@
         #[serde(rename = "req")]
         query_name: String,
     },
-    /// Ends a query without having run it.
+    /// Ends a query with a rejection. No part of it that must not run twice can have run.
     #[serde(rename = "bounce")]
     RejectQuery {
         #[serde(rename = "router")]
@@ -300,7 +302,7 @@
         #[serde(rename = "wait")]
         retry_after_ms: f64,
     },
-    /// Ends a query with its answer.
+    /// Ends a query, or the first of its two phases, with its answer.
     #[serde(rename = "wrapUp")]
     CompleteQuery {
         #[serde(rename = "router")]
--- a/crates/fernknot-engine/tests/common/mod.rs
+++ b/crates/fernknot-engine/tests/common/mod.rs
@@ -97,7 +97,7 @@
     pub outcome: Option<Outcome>,
     /// Whether the query had its final answer, or its client had gone, before the attempt was sent.
     pub sent_after_end: bool,
-    /// Number of earlier attempts at the part that may have run when this one was sent.
+    /// Number of earlier attempts at the part that may have run already when this attempt was sent.
     pub earlier_possible_runs: usize,
 }
 
@@ -336,7 +336,8 @@
         self.run_actions();
     }
 
-    /// Answers the first phase for `shards`; those in `matching` match.
+    /// Answers the parts of the first phase for `shards`; the blocks of the shards in `matching` name themselves as
+    /// matches.
     pub fn answer_matches(&mut self, query: u64, shards: &[u32], matching: &[u32]) {
         for shard in shards {
             let value = if matching.contains(shard) {
@@ -352,7 +353,7 @@
         self.final_answers.iter().find(|answer| answer.query == query)
     }
 
-    /// State of each block in the final answer, in order.
+    /// State of each block in the final answer, in the order of the answer.
     pub fn block_states(&self, query: u64) -> Vec<(u32, BlockState)> {
         match self.final_answer(query).map(|answer| &answer.verdict) {
             Some(Verdict::Completed { blocks: Some(blocks), .. }) => {
--- a/crates/fernknot-engine/tests/orders.rs
+++ b/crates/fernknot-engine/tests/orders.rs
@@ -21,7 +21,7 @@
     Drain { node: u32, back: bool },
 }
 
-/// Values with which a store may answer a match; `#` is replaced by its own block.
+/// Values with which a node may answer a part of a first phase; `#` stands for the block that the part asks.
 const MATCH_VALUES: [&str; 9] = [
     r#"{"blocks":[#]}"#,
     r#"{"blocks":[#]}"#,
@@ -71,7 +71,8 @@
 struct Observations {
     /// By query: time of its arrival and time-out of its client in milliseconds, and its shards.
     queries: BTreeMap<u64, (f64, f64, Vec<u32>)>,
-    /// By query and shard: whether the block named itself in its first valid match answer before the second phase.
+    /// By query and shard: whether the shard's block named itself as a match in its first valid answer in the first
+    /// phase.
     names_itself: BTreeMap<(u64, u32), bool>,
 }
 
--- a/crates/fernknot-engine/tests/two_phase.rs
+++ b/crates/fernknot-engine/tests/two_phase.rs
@@ -81,7 +81,7 @@
     assert_eq!(host.in_flight(query, Phase::Fetch).len(), 1);
 }
 
-/// The last match answer arrives after `after_ms`; second phases take 100 ms.
+/// The last answer of the first phase arrives `after_ms` after the query; second phases take 100 ms.
 #[test_case(100.0, true; "early")]
 #[test_case(700.0, true; "late, with time left for the second phase")]
 #[test_case(950.0, false; "at 95 % of the latency target")]
@@ -108,7 +108,7 @@
     host.warm_up(12, &ALL, 20.0, 300.0);
     let query = host.submit(IDEMPOTENT, &ALL);
     let start = host.now_ms;
-    // One block is named, so there will be a fetch, and every earlier one took 300 ms.
+    // One block is named as a match, so there will be a fetch, and every earlier fetch took 300 ms.
     host.answer_matches(query, &[0, 1, 2], &[1]);
     host.advance(LATENCY_TARGET_MS);
     let answer = host.final_answer(query).unwrap();
@@ -211,7 +211,7 @@
     let mut host = Host::new(site(), TwoPhaseSettings { min_match_share: 1.0, ..two_phase_settings() }, 3);
     let query = host.submit_with(IDEMPOTENT, &ALL, &[], 500.0);
     host.answer_matches(query, &[0, 1, 2], &[]);
-    // The engine is not polled in between, so the deadline has passed when it applies the answer.
+    // The engine is not polled in between, so the client's deadline has passed when the engine applies the answer.
     let last = host.in_flight(query, Phase::Match)[0].clone();
     host.now_ms += 500.0;
     host.answer_sent(&last, r#"{"blocks":[3]}"#);
@@ -225,7 +225,7 @@
 fn a_stalled_store_whose_block_is_pruned_does_not_affect_the_query() {
     let mut host = Host::new(site(), two_phase_settings(), 1);
     host.warm_up(6, &[0, 3], 20.0, 40.0);
-    // The store of shard 3 answers the match and nothing else: a query in one phase gets no answer.
+    // The node of shard 3 answers parts of first phases and nothing else: a query in one phase gets no answer.
     let stalled = host.submit(ONE_PHASE, &[3]);
     let query = host.submit(IDEMPOTENT, &[0, 3]);
     host.advance(10.0);
@@ -254,7 +254,7 @@
             let fetches = host.in_flight(query, Phase::Fetch);
             assert_eq!(fetches.iter().map(|sent| sent.shard).collect::<Vec<_>>(), [0, 1, 2]);
             assert!(host.final_answer(query).is_none());
-            // The store of shard 3 does not answer, and no fetch is sent to it.
+            // The node of shard 3 does not answer, and no fetch is sent to that node.
             fetches.iter().for_each(|sent| host.answer_sent(sent, "value"));
             let answer = host.final_answer(query).unwrap();
             assert!(is_complete_answer(answer) && answer.at_ms == host.now_ms, "{answer:?}");
@@ -374,7 +374,8 @@
     matches::write(&MatchAnswer { matched_blocks: MatchedBlocks::Blocks(blocks), summary })
 }
 
-/// The router has cached version 6 of the block's term filter, which does not contain the term.
+/// The router has cached version 6 of the block's term filter (the terms in the block), which does not contain the
+/// query's term.
 #[test_case(6, false; "the store confirms the cached version: pruned")]
 #[test_case(7, true; "a later version: fetched")]
 #[test_case(5, true; "an earlier version: fetched")]
--- a/crates/fernknot-protocol/src/discovery.rs
+++ b/crates/fernknot-protocol/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Node lists from discovery, and the long-polling watch that keeps them up to date.
+//! Node lists from discovery, the service that lists the data nodes, and the watch that keeps the lists up to date by
+//! calls that discovery answers once there is a change.
 
 mod list;
 mod watch;
--- a/crates/fernknot-protocol/src/discovery/list.rs
+++ b/crates/fernknot-protocol/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! Parsing of discovery's node lists.
+//! Parsing of the node lists from discovery, the service that lists the data nodes.
 
 use fernknot::interface::{Health, Nanos, PlaceId};
 use serde::Deserialize;
@@ -42,11 +42,11 @@
     pub name: String,
     /// Address at which the node accepts connections.
     pub address: Option<SocketAddr>,
-    /// Failure domain of the node.
+    /// Place of the node in the placement of shards (`cell`): nodes at one place hold the same shards.
     pub place: Option<PlaceId>,
-    /// Name of the node's zone.
+    /// Name of the node's zone (failure domain); `None` if the list gives none.
     pub zone: Option<String>,
-    /// Lifecycle state, which decides whether the node gets calls.
+    /// State of the node: only running ones get new calls.
     pub health: Health,
     /// Unix time of the node's last start; zero if the list gives none.
     pub started_at: Nanos,
@@ -55,7 +55,7 @@
 /// List of data nodes, or changes to an earlier list.
 #[derive(Debug)]
 pub struct NodeList {
-    /// Version of the list.
+    /// Version of the list, which grows with each change until discovery restarts.
     pub generation: u64,
     /// Whether all nodes are listed, so that any other node is gone; otherwise only changed nodes are listed.
     pub is_full: bool,
@@ -76,7 +76,7 @@
     /// The entry is not JSON of the expected form.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// The node with this id is not gone, but lacks a valid address or failure domain.
+    /// The node with this id is not gone, but lacks a valid address or a place.
     #[error("node {0}: hostPort or cell is missing or invalid")]
     MissingAddress(String),
     /// The id is empty, or the start time is not finite.
--- a/crates/fernknot-protocol/src/discovery/watch.rs
+++ b/crates/fernknot-protocol/src/discovery/watch.rs
@@ -1,4 +1,5 @@
-//! Watch of discovery's node list by successive long-polling calls on one connection.
+//! Watch of discovery's node list by successive calls on one connection, which discovery may answer only once the list
+//! changes (long polling).
 
 use super::list::{ListError, NodeList, parse_list};
 use crate::buffer::Buffer;
@@ -10,7 +11,7 @@
 
 const OK: u16 = 200;
 
-/// Error of a call that returned no list.
+/// Error of a call to discovery that returned no list.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
     /// The bytes are not a valid HTTP response.
@@ -24,7 +25,7 @@
     List(#[from] ListError),
 }
 
-/// Result of a successful call.
+/// Result of a call to discovery that returned a list.
 #[derive(Debug)]
 pub struct WatchUpdate {
     /// Complete list, or changes to the previous one.
@@ -42,7 +43,8 @@
 }
 
 impl Watch {
-    /// Writes the next call; returns true if discovery may wait up to `wait` for a change before it responds.
+    /// Writes the next call. Returns true if the call requests changes, so that discovery may wait up to `wait` for
+    /// one before it responds; a complete list is returned at once.
     pub fn write_request(&mut self, out: &mut Buffer, host: SocketAddr, wait: Nanos) -> bool {
         self.reader = ResponseReader::default();
         let wait_ms = wait.as_millis().round() as u64;
--- a/crates/fernknot-protocol/src/frames.rs
+++ b/crates/fernknot-protocol/src/frames.rs
@@ -1,7 +1,9 @@
 //! Frames between a router and a data node: a length of four bytes in little-endian order, a byte for the kind, and the
 //! payload. The length counts the kind and the payload.
 //!
-//! A router sends calls of several parts and cancellations of parts; a node responds to each part separately.
+//! A router sends calls of several parts and cancellations of parts; a node responds to each part separately. A part
+//! is the share of a client's query that goes to one shard. A block is the set of records of one shard; a query in two
+//! phases first asks blocks which blocks hold matches, and then fetches those blocks.
 
 use crate::buffer::Buffer;
 use crate::report;
@@ -37,12 +39,13 @@
 /// Phase of a two-phase query that a part belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPhase {
-    /// First phase: finds the blocks that hold matches.
+    /// First phase: asks the node which blocks hold matches for the query.
     Match {
-        /// Version of the block's summary in the router's cache.
+        /// Version of the block's summary (the terms in the block) that the router has cached; `None` without one. If
+        /// it is still current, the node may confirm that version instead of looking for matches.
         version: Option<u64>,
     },
-    /// Second phase: fetches the block's records.
+    /// Second phase: asks the node for the matching records of the shard's block.
     Fetch,
 }
 
@@ -64,7 +67,7 @@
     pub id: &'a str,
     /// Shard that the part is for.
     pub shard: u32,
-    /// Time-out, key and phase as comma-separated `name=value` pairs.
+    /// Time-out, idempotency key and phase as comma-separated `name=value` pairs.
     pub options: &'a str,
     /// Query text for the node.
     pub text: &'a str,
@@ -77,7 +80,7 @@
     Success,
     /// The node failed to execute the part.
     Fault,
-    /// The node rejected the part without executing it.
+    /// The node rejected the part without executing it, because of its load.
     Overload,
 }
 
@@ -97,11 +100,11 @@
     },
     /// Health check or the response to one; the router sends no health checks and ignores both.
     HealthCheckResponse,
-    /// Reason why the node rejected a frame; the node closes the connection.
+    /// Reason why the node rejected a frame as a whole; the node then closes the connection.
     Rejected(String),
 }
 
-/// Undecoded frame.
+/// Frame whose payload has not been decoded.
 pub struct RawFrame<'a> {
     /// Byte for the kind.
     pub kind: u8,
@@ -114,7 +117,7 @@
 /// Error of a malformed frame, after which the rest of the connection's bytes cannot be read either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The length is zero or above the limit.
+    /// The length is zero or above `max_frame_bytes`.
     #[error("frame length is zero or above the limit")]
     InvalidLength,
     /// The kind is unknown.
@@ -174,10 +177,9 @@
     Some(parts)
 }
 
-/// Returns the next frame of any kind, once it is complete, and leaves it in the buffer.
+/// Returns the next frame of any kind, and leaves it in the buffer; `None` until it is complete.
 ///
-/// # Errors
-/// The frame's length is zero or above the limit.
+/// # Errors The frame's length is zero or above `max_frame_bytes`.
 pub fn peek_frame<'a>(buffer: &'a Buffer, limits: &Limits) -> Result<Option<RawFrame<'a>>, FrameError> {
     let Some((length, rest)) = buffer.data().split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
@@ -190,7 +192,7 @@
     Ok(Some(RawFrame { kind: rest[0], payload: &rest[1..length], length: LENGTH_BYTES + length }))
 }
 
-/// Returns the next frame from a node and consumes its bytes, once it is complete.
+/// Returns the next frame from a node and consumes its bytes; `None` until it is complete.
 ///
 /// # Errors
 /// The bytes are not a frame that a node sends.
--- a/crates/fernknot-protocol/src/http/request.rs
+++ b/crates/fernknot-protocol/src/http/request.rs
@@ -12,16 +12,16 @@
 pub struct Request {
     /// Method as it was sent.
     pub method: String,
-    /// Path with the query.
+    /// Path, with the query string if there is one.
     pub target: String,
     headers: Vec<(String, String)>,
-    /// Body without its framing.
+    /// Body without chunk headers.
     pub body: Vec<u8>,
     /// Whether the connection stays open after the response.
     pub keeps_connection: bool,
     /// Whether the request uses HTTP/1.0, where the response has to announce that the connection stays open.
     pub is_http_1_0: bool,
-    /// Whether the client waits for an interim response before it sends the body.
+    /// Whether the client waits for the interim response 100 before it sends the body.
     pub expects_continue: bool,
 }
 
@@ -36,7 +36,7 @@
         &self.headers
     }
 
-    /// Returns the target without the query.
+    /// Returns the target without the query string.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
--- a/crates/fernknot-protocol/src/http/response_reader.rs
+++ b/crates/fernknot-protocol/src/http/response_reader.rs
@@ -16,7 +16,7 @@
     /// Status code.
     pub status: u16,
     headers: Vec<(String, String)>,
-    /// Body without its framing.
+    /// Body without chunk headers.
     pub body: Vec<u8>,
     /// Whether the connection stays open after the response.
     pub keeps_connection: bool,
--- a/crates/fernknot-protocol/src/lib.rs
+++ b/crates/fernknot-protocol/src/lib.rs
@@ -1,7 +1,9 @@
-//! Wire formats that the router uses with its clients, its data nodes, discovery and its peers.
+//! Wire formats that the router uses with its clients, with the data nodes that it sends queries to, with discovery
+//! (the service that lists these nodes) and with its peers, the other routers.
 //!
 //! The readers take bytes and return messages, the writers add messages to a [`buffer::Buffer`]; neither uses sockets
-//! or clocks. The connections belong to the callers: the router, the gateway, and the stand-ins of the router's tests.
+//! or clocks. The connections belong to the callers: the router, the gateway, and the simulated nodes and clients of
+//! the router's tests.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-protocol/src/matches.rs
+++ b/crates/fernknot-protocol/src/matches.rs
@@ -1,5 +1,7 @@
-//! Match values: a store's responses in the first phase of a two-phase query. They name the blocks that hold matches,
-//! and may have a summary of the store's own block.
+//! Match values: a store's responses in the first phase of a two-phase query, which determines the blocks to fetch in
+//! the second. A block is the set of records of one shard, and has that shard's number; its store is the node that
+//! answers for it. Match values name the blocks that hold matches, and may have a summary of the store's own block:
+//! the fingerprints of the terms in it at one version, a number that grows when the block changes.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -9,10 +11,10 @@
 /// Blocks that hold matches.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MatchedBlocks {
-    /// The listed blocks.
+    /// Exactly the listed blocks, as far as this store knows.
     Blocks(Vec<ShardId>),
-    /// The block is unchanged since this version of its summary, which the router has cached; the router derives the
-    /// result from that summary.
+    /// The store's own block is unchanged since this version of its summary, which the router has cached; the router
+    /// derives from that summary whether the block matches.
     Same(u64),
 }
 
@@ -21,11 +23,12 @@
 pub struct MatchAnswer {
     /// Blocks that hold matches.
     pub matched_blocks: MatchedBlocks,
-    /// Version of the block's summary, and the summary: the fingerprints of all terms in the block.
+    /// Version and content of the summary of the store's own block: the fingerprints of all terms in the block. `None`
+    /// if the store sends no summary.
     pub summary: Option<(u64, Vec<u64>)>,
 }
 
-/// Error of a malformed match value, which is ignored in full.
+/// Error of a malformed match value, no part of which is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MatchError {
     /// The value is not JSON of the expected form.
--- a/crates/fernknot-protocol/src/multiget/body.rs
+++ b/crates/fernknot-protocol/src/multiget/body.rs
@@ -1,10 +1,10 @@
-//! JSON form of a multiget's body.
+//! JSON form of a multiget's body. A bucket is a part of the multiget, for one shard.
 
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Body of a two-phase query: what the first phase asks of which blocks, and what the second asks of the blocks that
-/// responses of the first phase name.
+/// Body of a two-phase query: the first phase's text and the blocks (shards) that it goes to, and the second phase's
+/// text and the blocks that it may go to, if responses of the first phase name them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PhasedBody<'a> {
--- a/crates/fernknot-protocol/src/multiget/error.rs
+++ b/crates/fernknot-protocol/src/multiget/error.rs
@@ -9,13 +9,14 @@
     /// The method is not `POST`.
     #[error("a multiget is a POST")]
     NotPost,
-    /// The request's id is missing, or invalid in frames.
+    /// The request's id is missing, too long, or has characters that frames to nodes cannot contain.
     #[error("Req-Id missing or unfit")]
     InvalidId,
     /// The client's time-out is missing, not positive or too long.
     #[error("Req-Deadline missing or unfit")]
     InvalidDeadline,
-    /// The use case requires an idempotency key, which is missing, or invalid in frames.
+    /// The use case requires an idempotency key, which is missing, too long, or has characters that frames to nodes
+    /// cannot contain.
     #[error("Idempotency-Key missing or unfit")]
     InvalidIdempotencyKey,
     /// The body is not JSON of the expected form.
@@ -30,16 +31,16 @@
     /// A shard does not exist, or is listed twice.
     #[error("a shard is unknown or asked for twice")]
     InvalidShard,
-    /// A part's share is not from 0 to 1.
+    /// A part's share of the complete answer is not from 0 to 1.
     #[error("a part's share is unfit")]
     InvalidShare,
-    /// The shares of all parts do not add up to 1.
+    /// The shares of all parts in the complete answer do not add up to 1.
     #[error("the parts' shares make no whole")]
     InvalidShareSum,
     /// A block is listed for the second phase that no response of the first phase could name.
     #[error("a block is to be fetched that is not asked for matches")]
     UnreachableBlock,
-    /// There are too many terms, or one is empty or too long.
+    /// There are too many search terms, or one is empty or too long.
     #[error("terms unfit")]
     InvalidTerms,
 }
--- a/crates/fernknot-protocol/src/multiget/request.rs
+++ b/crates/fernknot-protocol/src/multiget/request.rs
@@ -1,4 +1,5 @@
-//! Parsing of a multiget request.
+//! Parsing of a multiget request. A block is the set of records of one shard; a part of the first of two phases asks a
+//! block for matches, a part of the second fetches a block.
 
 use super::body::{Body, Bucket, FirstBody, PhasedBody, is_two_phase};
 use super::error::RequestError;
@@ -11,11 +12,11 @@
 /// Part of a multiget for one shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestedPart {
-    /// Shard that is queried.
+    /// Shard that the part queries.
     pub shard: ShardId,
     /// Share of the part in the complete answer, from 0 to 1.
     pub weight: f64,
-    /// Expected processing time of the part, if the client gives one.
+    /// Expected work of the part, as processing time at a node; `None` if the client gives none.
     pub effort: Option<Nanos>,
 }
 
@@ -28,26 +29,28 @@
     pub use_case: UseCaseId,
     /// Idempotency key, if the use case requires one.
     pub key: Option<String>,
-    /// Time that the client waits for the response.
+    /// Time that the client waits for the response, from the arrival of the request.
     pub timeout: Nanos,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Query text for each shard.
+    /// Query text, the same for each shard.
     pub text: String,
     /// Parts of the multiget, one for each shard queried.
     pub parts: Vec<RequestedPart>,
-    /// Second phase of a two-phase query, for which `text` and `parts` are those of the first phase.
+    /// Second phase of a two-phase query, for which `text` and `parts` are those of the first phase; `None` for any
+    /// other query.
     pub second_phase: Option<SecondPhaseRequest>,
 }
 
 /// Second phase of a two-phase query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SecondPhaseRequest {
-    /// Query text for each block.
+    /// Query text, the same for each block that is fetched.
     pub text: String,
-    /// Blocks that may be fetched.
+    /// Parts for the blocks that may be fetched.
     pub parts: Vec<RequestedPart>,
-    /// Search terms of the query, which are looked up in summaries of blocks.
+    /// Search terms that a matching block contains; the router looks them up in cached summaries of the terms in each
+    /// block.
     pub terms: Vec<String>,
 }
 
--- a/crates/fernknot-protocol/src/multiget/response.rs
+++ b/crates/fernknot-protocol/src/multiget/response.rs
@@ -3,7 +3,8 @@
 use fernknot::interface::ShardId;
 use serde::Serialize;
 
-/// Final state of a block of a two-phase query.
+/// State of a block in the response to a two-phase query, which fetches the blocks (sets of records, one per shard)
+/// that match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BlockState {
--- a/crates/fernknot-protocol/src/outbox.rs
+++ b/crates/fernknot-protocol/src/outbox.rs
@@ -1,5 +1,5 @@
-//! Tracking of the frames in a connection's output buffer: which are partly or completely sent, and which can still be
-//! withdrawn.
+//! Tracking of the frames (messages to a node) in a connection's output buffer: which frames the socket has accepted
+//! partly or completely, and which can still be withdrawn.
 
 use crate::buffer::Buffer;
 use std::collections::VecDeque;
--- a/crates/fernknot-protocol/src/peer_updates.rs
+++ b/crates/fernknot-protocol/src/peer_updates.rs
@@ -1,4 +1,5 @@
-//! Encoding of the updates on attempts that routers send to each other.
+//! Encoding of the updates on attempts that routers send to each other. An attempt is one sending of a part of a query
+//! to a node.
 //!
 //! A message starts with a byte for the number of attempts sent, followed by the two-byte tag of the node of each.
 //! Then come, for each other update, the tag of the node and a byte for the outcome of the attempt: the code of its
--- a/crates/fernknot-protocol/src/report.rs
+++ b/crates/fernknot-protocol/src/report.rs
@@ -1,11 +1,11 @@
-//! Parsing of the load that a data node reports of itself, limited to the fields that the decision module uses.
+//! Parsing of the load that a data node reports of itself, limited to the fields of [`LoadReport`].
 
 use fernknot::interface::LoadReport;
 
 /// Returns the report with the values of the named fields; unknown names and numbers that are not finite are ignored.
 ///
-/// Each field has two accepted names: the one of the simulator's wire format, which nodes use on sockets too, and the
-/// one in the example of the protocol's documentation.
+/// Each field has two accepted names: first the one of the bench's wire format, which nodes use on sockets too, then
+/// the one in the example of the node protocol's documentation.
 pub fn from_fields<'a>(fields: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in fields.filter(|(_, value)| value.is_finite()) {
--- a/crates/fernknot-protocol/tests/http.rs
+++ b/crates/fernknot-protocol/tests/http.rs
@@ -7,7 +7,7 @@
 use fernknot_protocol::http::{RequestReader, ResponseHead, ResponseReader};
 use test_case::test_case;
 
-/// Method, target, request id, body, and whether the connection stays open.
+/// Method, target, value of `Req-Id`, body, and whether the connection stays open.
 type RequestFields = (String, String, Option<String>, Vec<u8>, bool);
 
 fn read_requests(bytes: &[u8]) -> (Vec<RequestFields>, Option<String>) {
--- a/crates/fernknot-protocol/tests/multiget.rs
+++ b/crates/fernknot-protocol/tests/multiget.rs
@@ -70,7 +70,7 @@
     };
     assert_eq!(parts(&parsed.parts), [(2, 0.75, false), (0, 0.25, false)]);
     assert_eq!(parts(&second.parts), [(2, 0.75, true), (0, 0.25, false)]);
-    // A use case without two phases rejects such a body.
+    // A use case without two phases rejects the body of a two-phase query.
     let plain_use_case = multiget::parse_multiget(&request("/mark", HEAD, body), &settings(), &limits());
     assert_eq!(status_and_text(plain_use_case.unwrap_err()), (400, "body unfit".to_string()));
 }
--- a/crates/fernknot-two-phase/benches/term_filter.rs
+++ b/crates/fernknot-two-phase/benches/term_filter.rs
@@ -1,5 +1,6 @@
-//! Term filters of blocks: time to look up an absent and a present fingerprint, and memory in bytes, at 100, 1,000 and
-//! 6,000 terms. Compares the filter in use with a sorted list, a fuse filter, a Bloom filter and a hash set.
+//! Term filters, approximate sets of the terms in a block: time to look up an absent and a present fingerprint (hash
+//! of a term), and memory in bytes, at 100, 1,000 and 6,000 terms. Compares the filter in use with a sorted list, a
+//! fuse filter, a Bloom filter and a hash set.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use fastbloom::BloomFilter;
