--- a/crates/fernknot-router-config/src/error.rs
+++ b/crates/fernknot-router-config/src/error.rs
@@ -20,10 +20,10 @@
     /// Neither the key nor the environment variable of this name is set.
     #[error("missing, and {0} is not set")]
     MissingAndNotSet(&'static str),
-    /// The retry budget is given without the window over which retries are counted.
+    /// A retry budget (a limit on retries) is given without the window over which retries are counted.
     #[error("missing, but required with freeResends or extraShare")]
     MissingBudgetWindow,
-    /// Peers are allowed, but their addresses are missing.
+    /// Messages to the peers, the other routers, are allowed, but an address for them is missing.
     #[error("missing, but required with settings.allowed.peers")]
     MissingPeerAddress,
     /// A name is empty, or not unique.
@@ -66,7 +66,7 @@
         /// Least value that is accepted.
         min: f64,
     },
-    /// A number is out of its bounds.
+    /// A number is out of its bounds, which may themselves be excluded.
     #[error("{value} is not between {bounds}")]
     OutOfRange {
         /// Value of the key.
@@ -85,18 +85,20 @@
         /// Number of zones in the list.
         zones: usize,
     },
-    /// The router's position is not an index into the list of peers.
+    /// The router's position is not an index into the list of all routers' addresses (`peers`).
     #[error("{position} is not the index of one of {peers} peers")]
     UnknownPeerPosition {
         /// Value of the key.
         position: usize,
-        /// Number of peers in the list.
+        /// Number of addresses in `peers`.
         peers: usize,
     },
-    /// Membership is enabled, but routers may not send messages to each other.
+    /// The membership protocol, by which routers detect which of them are alive, is enabled, but routers may not send
+    /// messages to each other, or there is only one.
     #[error("needs settings.allowed.peers, and more than one of settings.balancers")]
     NeedsPeers,
-    /// Two peers have the same address or fingerprint. Holds the index of the first of them.
+    /// Two routers' addresses in `peers` are equal, or have the same fingerprint (32-bit hash). Holds the index of the
+    /// first of them.
     #[error("has the address, or the fingerprint of the address, of peers[{0}]")]
     DuplicatePeer(usize),
 }
--- a/crates/fernknot-router-config/src/fingerprint.rs
+++ b/crates/fernknot-router-config/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints: short identifiers that every router computes alike.
+//! Fingerprints: short identifiers of texts, such as names and addresses, that every router computes alike.
 
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
--- a/crates/fernknot-router-config/src/lib.rs
+++ b/crates/fernknot-router-config/src/lib.rs
@@ -1,8 +1,10 @@
-//! Configuration of the router process: parsing, validation and default values.
+//! Configuration of the router process: parsing, validation and default values. A router receives clients' queries and
+//! sends their parts to data nodes, which a service called discovery lists; the other routers are its peers.
 //!
 //! [`RouterConfig`] is the complete configuration of a router process, from its environment and a JSON file. The
 //! `settings` object of that file is [`RawSettings`]; [`RawSettings::decision_settings`] derives the settings of the
-//! decision module, which also runs without sockets. The crate keeps no state: a reload parses the whole configuration.
+//! decision module, which also runs without sockets, in simulations. The crate keeps no state: a reload parses the
+//! whole configuration.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -1,4 +1,6 @@
-//! Limits on the sizes, counts and durations of a router, derived from the resources that it may use.
+//! Limits on the sizes, counts and durations of a router, some of which are derived from the resources that it may
+//! use. Discovery is the service that lists the data nodes; a watch is a series of calls to discovery that are
+//! answered once the list changes. A frame is a message to or from a data node.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::sockets::SocketSettings;
@@ -19,7 +21,7 @@
 /// Share of the memory that term filters of blocks may use, from 0 to 1.
 const TERM_FILTER_MEMORY_SHARE: f64 = 1.0 / 16.0;
 
-/// Limits of a router, from the memory and sockets that it may use.
+/// Limits of a router, from the memory and sockets that it may use and from its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum number of client connections.
@@ -30,19 +32,19 @@
     pub max_head_bytes: usize,
     /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Maximum size of a frame, in bytes.
+    /// Maximum size of a frame without its length field, in bytes.
     pub max_frame_bytes: usize,
-    /// Maximum size of an endpoint list, in bytes.
+    /// Maximum size of a node list from discovery, and of any other body of an HTTP response that is read, in bytes.
     pub max_list_bytes: usize,
     /// Maximum number of header lines of a request or response.
     pub max_headers: usize,
-    /// Maximum size of a chunk's head, or of all trailers, in bytes.
+    /// Maximum size of the size line of a chunk, or of all trailer fields, in a chunked HTTP body, in bytes.
     pub max_chunk_line_bytes: usize,
     /// Maximum length of an identifier chosen by clients, in bytes: a request's id or key, or a part's id.
     pub max_name_bytes: usize,
     /// Tolerance for rounding errors in the sum of the shares of a multiget's parts, which must be 1.
     pub share_tolerance: f64,
-    /// Longest deadline that a client may set.
+    /// Longest time until its deadline that a client may set.
     pub max_client_wait: Nanos,
     /// Number of known nodes from which on a new node reuses the id of a removed one.
     pub max_nodes_before_id_reuse: usize,
@@ -51,27 +53,31 @@
     /// Maximum number of bytes of a connection that are read ahead of their processing or encoded ahead of their
     /// writing; more than the maximum size of a head.
     pub read_ahead_bytes: usize,
-    /// Maximum size of a datagram, in bytes.
+    /// Maximum size of a datagram to other routers, in bytes.
     pub max_datagram_bytes: usize,
     /// Maximum number of datagrams read in one iteration of the event loop.
     pub max_datagrams_per_iteration: usize,
-    /// Maximum number of cancelled parts that a connection remembers to tell a late answer from an unknown one.
+    /// Maximum number of cancelled parts that a connection to a node remembers, to tell a late answer from one to an
+    /// unknown part.
     pub max_remembered_cancellations: usize,
-    /// Maximum size of all term filters of blocks, in bytes.
+    /// Maximum size of all cached term filters, in bytes. A term filter is the approximate set of the search terms in
+    /// a block, the data of one shard; queries in two phases use it.
     pub max_term_filter_bytes: usize,
-    /// Maximum number of terms in a query.
+    /// Maximum number of search terms in a query in two phases.
     pub max_terms: usize,
-    /// Maximum length of a term, in bytes.
+    /// Maximum length of a search term, in bytes.
     pub max_term_bytes: usize,
     /// Maximum size of the log lines that are not yet written to standard error, in bytes.
     pub max_pending_log_bytes: usize,
-    /// Idle time after which a connection to a node is closed; shorter than the node's own idle time-out.
+    /// Idle time after which a connection to a node is closed; shorter than the idle time-out at the node, so that the
+    /// node does not close it while a call is sent.
     pub node_idle_timeout: Nanos,
-    /// Time-out of a connection attempt.
+    /// Time-out of opening a connection to a node.
     pub connect_timeout: Nanos,
-    /// Time from the first byte of a frame within which the frame must be complete.
+    /// Time from the first byte of a frame from a node within which the frame must be complete.
     pub frame_timeout: Nanos,
-    /// Time during which calls are still sent to a node that drains or was removed from the list.
+    /// Time during which calls are still sent to a node that drains (accepts no new work and will stop) or was removed
+    /// from the list.
     pub drain_grace: Nanos,
     /// Idle time after which a client's connection is closed.
     pub client_idle_timeout: Nanos,
@@ -83,26 +89,27 @@
     pub close_timeout: Nanos,
     /// Time that discovery may wait for a change before it answers a watch.
     pub watch_wait: Nanos,
-    /// Additional time after `watch_wait` for the answer to a watch.
+    /// Additional time after `watch_wait` within which discovery has to answer a watch.
     pub watch_grace: Nanos,
     /// Minimum time between the starts of two calls of a watch.
     pub min_watch_interval: Nanos,
-    /// Backoff after the first failed call to discovery; it doubles with each further failure.
+    /// Time between the first failed call to discovery and the next call; it doubles with each further failure, up to
+    /// `max_backoff`.
     pub initial_backoff: Nanos,
-    /// Maximum backoff.
+    /// Maximum time between two failed calls to discovery.
     pub max_backoff: Nanos,
-    /// Time during which clients are still served after the signal to stop.
+    /// Time during which clients are still served after the process got the signal to stop.
     pub shutdown_linger: Nanos,
     /// Time after `shutdown_linger` within which the last pending requests must be answered.
     pub final_response_timeout: Nanos,
     /// Period at the end of `shutdown_linger` during which clients' connections are closed one by one.
     pub connection_handover: Nanos,
-    /// Delay before the next attempt to accept after the process ran out of file descriptors.
+    /// Delay before the next attempt to accept a client's connection after the process ran out of file descriptors.
     pub accept_retry_delay: Nanos,
 }
 
 impl Limits {
-    /// Limits of a process with this number of sockets and this amount of memory, in mebibytes.
+    /// Returns the limits of a process that may use this number of sockets and this amount of memory, in mebibytes.
     ///
     /// # Errors
     /// There are fewer sockets or there is less memory than a router needs.
--- a/crates/fernknot-router-config/src/membership.rs
+++ b/crates/fernknot-router-config/src/membership.rs
@@ -1,4 +1,5 @@
-//! Addresses of the peers, and settings of the membership protocol that detects which of them are alive.
+//! Addresses of the peers, and settings of the membership protocol that detects which of them are alive. A router's
+//! position is its index among all routers.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::fingerprint::fingerprint;
@@ -11,7 +12,8 @@
 const MAX_PROBE_PERIOD_MS: f64 = 60_000.0;
 const DEFAULT_DATAGRAMS_PER_S: f64 = 16.0;
 const MAX_DATAGRAMS_PER_S: f64 = 10_000.0;
-/// With fewer, a router could not answer the probes of the others.
+/// Minimum number of datagrams that a router may send per probe period. With fewer, it could not answer the probes of
+/// the others.
 const MIN_DATAGRAMS_PER_PERIOD: f64 = 4.0;
 
 /// Addresses by which routers reach each other.
@@ -28,7 +30,7 @@
 /// Settings of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipSettings {
-    /// Period in which one other router is probed.
+    /// Period in which the router probes one other router, asking whether it is alive.
     pub probe_period: Nanos,
     /// Maximum rate of the membership datagrams that a router sends, per second.
     pub max_datagrams_per_s: f64,
@@ -38,14 +40,14 @@
     pub name_fingerprint: u32,
 }
 
-/// The `fleet` object of the file; without it membership is off.
+/// The `fleet` object of the configuration file; without it the membership protocol is off.
 #[derive(Deserialize)]
 // The parser's error messages contain the struct's name.
 #[serde(deny_unknown_fields)]
 pub(crate) struct FleetGiven {
     /// Probe period, in milliseconds.
     period: Option<f64>,
-    /// Maximum number of datagrams per second.
+    /// Maximum number of membership datagrams sent per second.
     datagrams: Option<f64>,
 }
 
--- a/crates/fernknot-router-config/src/phase_settings.rs
+++ b/crates/fernknot-router-config/src/phase_settings.rs
@@ -1,4 +1,5 @@
-//! Validation and defaults of the two-phase settings of the use cases.
+//! Validation and defaults of the two-phase settings of the use cases: kinds of queries, called `classes` in the
+//! settings.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::phases::{LatencySplit, TwoPhaseSettings, UnansweredBlock};
--- a/crates/fernknot-router-config/src/phases.rs
+++ b/crates/fernknot-router-config/src/phases.rs
@@ -1,4 +1,5 @@
-//! Settings of two-phase queries: the first phase determines the blocks that match, the second fetches their records.
+//! Settings of two-phase queries. A block is the set of records of one shard. The first phase asks blocks which blocks
+//! match; the second fetches the records of these.
 
 use fernknot::interface::Nanos;
 use serde::Deserialize;
@@ -11,7 +12,7 @@
     Fetch,
     /// The block is not fetched, and the answer is partial.
     Leave,
-    /// The query is rejected.
+    /// The query is not answered: the second phase does not start before all blocks have answered the first one.
     Refuse,
 }
 
@@ -19,9 +20,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LatencySplit {
-    /// The second phase gets as much time as recent second phases of a similar size took.
+    /// The second phase gets as much time as all but the slowest tenth of recent second phases of a similar size took.
     Learned,
-    /// Each phase gets half of the latency target.
+    /// Each phase gets half of the latency target, or of the client's time-out if that is less.
     Half,
 }
 
@@ -30,20 +31,23 @@
 pub struct TwoPhaseSettings {
     /// Latency target of the query.
     pub latency_target: Nanos,
-    /// Minimum share of the latency target for the first phase, above 0.
+    /// Minimum share of the latency target for the first phase, above 0 and below 1.
     pub min_first_phase_share: f64,
-    /// Maximum share of the latency target for the first phase, below 1.
+    /// Maximum share of the latency target for the first phase, at least the minimum and below 1.
     pub max_first_phase_share: f64,
     /// Handling of a block that did not answer the first phase.
     pub unanswered_block: UnansweredBlock,
-    /// Whether a block's match answer may name other blocks as matches.
+    /// Whether a block's answer in the first phase may name other blocks than itself as matches.
     pub may_name_other_blocks: bool,
-    /// Share of the first phase that must be answered before the second phase may start, above 0 and at most 1.
+    /// Sum of the weights of the blocks that must answer the first phase before the second phase may start, above 0
+    /// and at most 1.
     pub min_match_share: f64,
     /// Division of the latency target between the phases.
     pub split: LatencySplit,
-    /// Whether a query is rejected if its second phase cannot finish in time. False only for comparison in experiments.
+    /// Whether a query is rejected if its second phase is too likely to end late. False only for comparison in
+    /// experiments.
     pub rejects_late_second_phase: bool,
-    /// Whether blocks that do not match are not fetched. False only for comparison in experiments.
+    /// Whether only blocks that match, or may match, are fetched. False, for all blocks, only for comparison in
+    /// experiments.
     pub prunes_unmatched: bool,
 }
--- a/crates/fernknot-router-config/src/router.rs
+++ b/crates/fernknot-router-config/src/router.rs
@@ -1,4 +1,5 @@
-//! Configuration of a router process, from its environment and the file that the environment names.
+//! Configuration of a router process, from its environment variables and the file that one of them names. Discovery is
+//! the service that lists the data nodes.
 
 use crate::error::{ConfigError, ConfigFault};
 use crate::limits::Limits;
@@ -21,17 +22,19 @@
     pub discovery: SocketAddr,
     /// Seed of the router's random numbers.
     pub seed: u64,
-    /// Whether failed attempts and connections are logged too.
+    /// Whether failed attempts at parts of queries, and failed connections, are logged too.
     pub verbose: bool,
-    /// Last known endpoint list, in the format of discovery's answers.
+    /// Last known node list, in the format of discovery's answers; used until discovery has answered. `None` to start
+    /// without nodes.
     pub last_known_list: Option<Box<RawValue>>,
-    /// Addresses of the peers; `None` if routers may not send messages to each other, or there is only one.
+    /// Addresses of the peers, the other routers; `None` if routers may not send messages to each other, or there is
+    /// only one.
     pub peer_addresses: Option<PeerAddresses>,
-    /// Settings of the membership protocol; `None` if it is off.
+    /// Settings of the membership protocol, which detects which routers are alive; `None` if it is off.
     pub membership: Option<MembershipSettings>,
     /// Configuration of the decision module.
     pub site: SiteSettings,
-    /// Settings that only the sockets need.
+    /// Settings that the decision module does not need, but a router with sockets does.
     pub sockets: SocketSettings,
     /// Limits on the sizes, counts and durations of the router.
     pub limits: Limits,
@@ -180,8 +183,8 @@
     text.parse().map_err(|_| ConfigError::new(key, ConfigFault::InvalidAddress(text.to_string())))
 }
 
-/// Returns the peers' addresses, which are required if routers may send messages to each other and there is more than
-/// one router.
+/// Returns the routers' addresses, which are required if routers may send messages to each other and there is more
+/// than one router; otherwise `None`.
 fn peer_addresses(file: &File, site: &SiteSettings) -> Result<Option<PeerAddresses>, ConfigError> {
     if !site.peer_updates || site.routers <= 1 {
         return Ok(None);
--- a/crates/fernknot-router-config/src/settings.rs
+++ b/crates/fernknot-router-config/src/settings.rs
@@ -3,7 +3,8 @@
 use crate::phases::{LatencySplit, UnansweredBlock};
 use serde::Deserialize;
 
-/// The settings object in the form that the bench and the router's configuration file have. Unknown keys are ignored.
+/// The settings object in the form that the bench (the simulator that drives the decision module) and the router's
+/// configuration file have. Unknown keys are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", rename = "Facts")]
 pub struct RawSettings {
@@ -23,7 +24,7 @@
     #[serde(default)]
     pub(crate) client_habits: ClientHabits,
     pub(crate) position: Option<usize>,
-    /// Resolution of the host's clock, in milliseconds.
+    /// Resolution of the clock of the program that drives the decision module, in milliseconds.
     pub(crate) tick: f64,
 }
 
@@ -48,7 +49,7 @@
     pub(crate) quota_per_s: f64,
 }
 
-/// Features and limits that apply to a router. Durations are in milliseconds.
+/// Features that a router may use, and limits that apply to it. Durations are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Allowed {
@@ -68,7 +69,7 @@
     pub(crate) max_streams: Option<usize>,
 }
 
-/// A use case. Durations are in milliseconds.
+/// A use case: a kind of queries with one latency target and one value. Durations are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Class {
@@ -87,7 +88,7 @@
     pub(crate) phases: Option<PhasesGiven>,
 }
 
-/// Two-phase settings of a use case; all keys are optional.
+/// Two-phase settings of a use case, see `TwoPhaseSettings`; all keys are optional.
 #[derive(Deserialize)]
 // The parser's error messages contain the struct's name.
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
--- a/crates/fernknot-router-config/src/sockets.rs
+++ b/crates/fernknot-router-config/src/sockets.rs
@@ -13,23 +13,24 @@
     pub use_cases: Vec<(String, bool)>,
     /// Number of shards; all shard ids are below it.
     pub shards: u32,
-    /// Maximum number of concurrent calls on one connection to a node.
+    /// Maximum number of concurrent calls on one connection to a node. A call is one message with parts of queries.
     pub max_calls_per_connection: usize,
-    /// Maximum number of parts in one call.
+    /// Maximum number of parts in one call to a node.
     pub max_parts_per_call: usize,
     /// Idle time after which a node closes a connection.
     pub node_idle_timeout: Nanos,
-    /// Time-out of a connection attempt.
+    /// Time-out of opening a connection to a node.
     pub connect_timeout: Nanos,
-    /// Time during which calls are still sent to a node that drains or was removed from the list.
+    /// Time during which calls are still sent to a node that drains (accepts no new work and will stop) or was removed
+    /// from the list.
     pub drain_grace: Nanos,
-    /// Longest deadline of all use cases.
+    /// Longest of all use cases' times from a query's first try until its client gives up.
     pub longest_deadline: Nanos,
     /// Two-phase settings of each use case; `None` for a use case without two phases.
     pub phases: Vec<Option<TwoPhaseSettings>>,
     /// Index of this router among all routers.
     pub position: usize,
-    /// Names of the zones in the endpoint list; a zone's index is its id.
+    /// Names of the zones in the node list from discovery; a zone's index here is its id.
     pub zones: Vec<String>,
 }
 
--- a/crates/fernknot-router-config/tests/router_config.rs
+++ b/crates/fernknot-router-config/tests/router_config.rs
@@ -145,7 +145,8 @@
     );
 }
 
-/// Returns the example configuration for one of three routers that may exchange messages, with this `fleet` object.
+/// Returns the example configuration for one of three routers that may exchange messages, with this `fleet` object,
+/// the settings of the membership protocol.
 fn with_membership(membership: Value, change: impl Fn(&mut Value)) -> String {
     let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
     config["settings"]["allowed"]["peers"] = json!(true);
--- a/crates/fernknot-schema/src/json_digest.rs
+++ b/crates/fernknot-schema/src/json_digest.rs
@@ -6,8 +6,9 @@
 /// Exponent of the power of 2 below which a float without a fraction is hashed as an integer.
 const FLOAT_INTEGER_LIMIT_EXPONENT: i32 = 63;
 
-/// Hashes a body by its JSON value: the order of keys, white space and the notation of numbers make no difference. The
-/// bytes of a body that is not JSON are hashed as they are. The digest is the same on every machine and in every build.
+/// Hashes a body, the text of a configuration, by its JSON value: the order of keys, white space and the notation of
+/// numbers make no difference. The bytes of a body that is not JSON are hashed as they are. The digest is the same on
+/// every machine and in every build.
 pub fn json_digest(bytes: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     match serde_json::from_slice::<Value>(bytes) {
--- a/crates/fernknot-schema/src/lib.rs
+++ b/crates/fernknot-schema/src/lib.rs
@@ -1,10 +1,13 @@
-//! Parsing and validation of configurations, process settings and heartbeats, without I/O or clock.
+//! Parsing and validation of configurations, process settings and heartbeats, without I/O or clock. Gateways are
+//! processes that send clients' requests on to the nodes of services; controllers are processes that receive
+//! heartbeats of nodes and keep the replicated configuration.
 //!
-//! This crate defines the external JSON formats: the operator's routing configuration ([`RoutingConfig`]), the settings
-//! file of a process ([`ProcessSettings`]) and the heartbeat of a node ([`NodeHeartbeat`]). Their JSON keys are used
-//! only here; other crates use the validated values. Controllers parse configurations and heartbeats that arrive over
-//! HTTP, controllers and gateways parse their settings, and gateways look up routes in a [`RouteTable`]. All errors of
-//! a body are returned at once, each as a [`ValidationError`] with the path of the key.
+//! This crate defines the external JSON formats: the operator's routing configuration ([`RoutingConfig`]), the
+//! settings file of a process ([`ProcessSettings`]) and the heartbeat of a node ([`NodeHeartbeat`]). Their JSON keys
+//! are used only here; other crates use the validated values. Controllers parse configurations and heartbeats that
+//! arrive over HTTP, controllers and gateways parse their settings, and gateways look up routes in a [`RouteTable`].
+//! All errors of a body (the JSON text of a request or file) are returned at once, each as a [`ValidationError`] with
+//! the path of the key.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-schema/src/node_heartbeat.rs
+++ b/crates/fernknot-schema/src/node_heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats that nodes send to controllers.
+//! Heartbeats that nodes send to controllers. A node is a process that answers requests of one service; a controller
+//! keeps the list of nodes.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -10,25 +11,27 @@
 /// Capacity of a node whose heartbeat has none.
 const DEFAULT_CAPACITY: u64 = 1;
 
-/// Body of a heartbeat. The node's id is in the path of the HTTP request.
+/// Body of a heartbeat. The node's id is in the path of the HTTP request that sends it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct NodeHeartbeat {
-    /// Service that the node belongs to.
+    /// Name of the service in the routing configuration whose requests the node answers.
     pub service: String,
     /// Address at which the node accepts requests.
     pub address: SocketAddrV4,
-    /// Zone (failure domain) of the node's machine.
+    /// Zone (failure domain) of the node's machine; empty if the heartbeat has none.
     pub zone: String,
-    /// Epoch of the node's software.
+    /// Version of the node's software, as the node names it (`epoch`); empty if the heartbeat has none. It does not
+    /// affect routing.
     pub software_epoch: String,
-    /// Number of requests that the node executes at the same time.
+    /// Number of requests that the node executes at the same time; 1 if the heartbeat has none.
     pub capacity: u32,
     /// State that the node reports of itself.
     pub state: ReportedNodeState,
-    /// Remaining time of the node's warm-up, in milliseconds.
+    /// Remaining time, in milliseconds, in which the node does not have its full capacity yet; 0 if the heartbeat has
+    /// none.
     pub warm_up_left_ms: u64,
-    /// Number that increases with every heartbeat of the node's incarnation, to detect heartbeats that arrive out of
-    /// order.
+    /// Number that increases with every heartbeat until the node restarts, to detect heartbeats that arrive out of
+    /// order; 0 if the heartbeat has none.
     pub sequence: u64,
 }
 
@@ -82,7 +85,7 @@
     }
 }
 
-/// Parses the epoch, which is a string or a number.
+/// Parses the version of the node's software, which is a string or a number.
 fn parse_software_epoch(root: &ObjectReader<'_>) -> String {
     match root.get("epoch").filter(|epoch| epoch.is_number()) {
         Some(number) => number.to_string(),
--- a/crates/fernknot-schema/src/object_reader.rs
+++ b/crates/fernknot-schema/src/object_reader.rs
@@ -7,7 +7,7 @@
 
 use crate::validation_error::ValidationError;
 
-/// Collects the errors of one body.
+/// Collects the errors of one JSON text.
 #[derive(Debug, Default)]
 pub(crate) struct ErrorCollector {
     errors: RefCell<Vec<ValidationError>>,
@@ -82,7 +82,7 @@
         self.object.into_iter().flatten()
     }
 
-    /// Returns the string under a key.
+    /// Returns the string under a key; `None` if there is none, which is an error if the value is not a string.
     pub fn string(&self, key: &str) -> Option<String> {
         let string = self.get(key)?.as_str().map(str::to_string);
         if string.is_none() {
@@ -91,7 +91,7 @@
         string
     }
 
-    /// Returns the boolean under a key.
+    /// Returns the boolean under a key; `None` if there is none, which is an error if the value is not a boolean.
     pub fn boolean(&self, key: &str) -> Option<bool> {
         let boolean = self.get(key)?.as_bool();
         if boolean.is_none() {
@@ -100,7 +100,8 @@
         boolean
     }
 
-    /// Returns the number under a key, which has to be finite and at least 0.
+    /// Returns the number under a key; `None` if there is none. Another value than a finite number of at least 0 is an
+    /// error.
     pub fn number(&self, key: &str) -> Option<f64> {
         let number = self.get(key)?.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
         if number.is_none() {
@@ -109,8 +110,7 @@
         number
     }
 
-    /// Returns the number under a key, which has to be above 0, or the default if there is none. For divisors and
-    /// intervals.
+    /// Returns the number under a key, or the default if there is none; 0 is an error. For divisors and intervals.
     pub fn positive_or(&self, key: &str, default: f64) -> f64 {
         let number = self.number(key).unwrap_or(default);
         if number == 0.0 {
@@ -138,7 +138,8 @@
         parsed
     }
 
-    /// Returns the list of strings under a key, each parsed as `T`; an invalid string is an error with its index.
+    /// Returns the list of strings under a key, each parsed as `T`; an invalid string is left out and is an error with
+    /// its index, described by `expected`. The list is empty if there is none.
     pub fn list<T: FromStr>(&self, key: &str, expected: &str) -> Vec<T> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let Some(items) = value.as_array() else {
--- a/crates/fernknot-schema/src/process_settings.rs
+++ b/crates/fernknot-schema/src/process_settings.rs
@@ -1,12 +1,14 @@
-//! Settings of a controller or gateway process.
+//! Settings of a controller or gateway process, from the file that the platform gives it. The platform is the
+//! environment that runs the machines and starts the processes. The invariants are the rules by which the users judge
+//! whether the system works; their parameters are in the file, too.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// Value in `serves` for a process that clients call.
+/// Value in [`ProcessSettings::serves`] for a process that clients call.
 pub(crate) const SERVES_EDGE: &str = "edge";
-/// Value in `serves` for a process that nodes and the operator call.
+/// Value in [`ProcessSettings::serves`] for a process that nodes and the operator call.
 pub(crate) const SERVES_CONTROL_PLANE: &str = "control_plane";
 
 /// Validated settings file of a process.
@@ -30,13 +32,15 @@
     pub zones: BTreeMap<String, String>,
     /// Addresses at which the process listens for external callers.
     pub bind_addrs: BindAddrs,
-    /// Ports available for messages between the processes of the system.
+    /// Ports of this machine on which the process may listen for other processes of the system.
     pub port_range: PortRange,
-    /// Control addresses of some of the controllers that ran when the file was written.
+    /// Addresses for nodes and the operator of some of the controllers that ran when the file was written. Other
+    /// processes take only the IP address from an entry, and the port from `port_range`.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the system starts for the first time, with empty disks.
+    /// Whether the system starts for the first time, with empty disks, so that there is no earlier configuration to be
+    /// found.
     pub bootstrap: bool,
-    /// Whether a loss of the machine counts towards the fault budget.
+    /// Whether a loss of the machine counts towards `fault_budget`.
     pub counts_in_fault_budget: bool,
     /// Resources that the machine grants the process.
     pub limits: ResourceLimits,
@@ -46,11 +50,11 @@
     pub discovery: String,
     /// Method by which clients reach the gateways, in the platform's terms.
     pub client_entry: String,
-    /// Approximate interval between two heartbeats of a node, in milliseconds.
+    /// Approximate interval between two heartbeats of a node to the controllers, in milliseconds.
     pub heartbeat_interval_ms: f64,
     /// Names of the invariants that are in force.
     pub invariants: Vec<String>,
-    /// Simultaneous losses under which every invariant holds.
+    /// Simultaneous losses under which every invariant has to hold.
     pub fault_budget: FaultBudget,
     /// Parameters of the invariants.
     pub bounds: InvariantBounds,
@@ -80,22 +84,22 @@
 /// Addresses at which the process listens for external callers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BindAddrs {
-    /// Address for queries of clients.
+    /// Address for queries of clients; present if the process serves clients.
     pub front_addr: Option<SocketAddrV4>,
-    /// Address for the platform's readiness checks.
+    /// Address for the platform's readiness checks; present if the process serves clients.
     pub ready_addr: Option<SocketAddrV4>,
-    /// Address for nodes and the operator.
+    /// Address for nodes and the operator; present if the process serves them.
     pub control_addr: Option<SocketAddrV4>,
 }
 
 /// Resources that the machine grants the process. Missing limits have their default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Share of a core that the process may use.
+    /// Share of a core that the process may use; 1 is a whole core.
     pub cpu_share: f64,
-    /// Speed of that core as a multiple of the platform's standard core.
+    /// Speed of a core as a multiple of the platform's standard core.
     pub core_speed: f64,
-    /// Memory in megabytes.
+    /// Memory of the process, in mebibytes.
     pub memory_mb: f64,
     /// Number of file descriptors that may be open.
     pub fd_limit: u64,
@@ -118,49 +122,54 @@
     }
 }
 
-/// Simultaneous losses under which every invariant holds.
+/// Simultaneous losses under which every invariant has to hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultBudget {
-    /// Number of machines.
+    /// Number of machines that may be lost.
     pub machine_losses: u64,
-    /// Number of zones.
+    /// Number of zones (failure domains) that may be lost.
     pub zones: u64,
-    /// Number of regions.
+    /// Number of regions that may be lost.
     pub region_losses: u64,
 }
 
-/// Parameters of the invariants, under the names in the users' rules. Missing bounds have their default.
+/// Parameters of the invariants, under the names in the users' rules. Missing bounds have their default. A
+/// configuration is one version of the operator's routing configuration; it is acknowledged when a controller answers
+/// the operator that it is accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvariantBounds {
-    /// Longest time by which the list of controllers that callers choose from is out of date, in seconds.
+    /// Longest time by which the list of controllers that external callers choose from is out of date, in seconds.
     pub seed_lag_s: f64,
     /// Time for which the address of a stopped node is not reused, in seconds.
     pub reuse_after_s: f64,
-    /// Time for which a machine has to run and be connected before it counts as in contact, in milliseconds.
+    /// Time in milliseconds for which a machine has to run and be connected before it counts as in contact. Processes
+    /// also take it as the time after which an unreachable machine is considered failed.
     pub contact_ms: f64,
-    /// Time within which a configuration has to be acknowledged, in milliseconds.
+    /// Time from the operator's request within which a configuration has to be acknowledged, in milliseconds.
     pub ack_deadline_ms: f64,
-    /// Time within which a restarted process has to catch up, in seconds.
+    /// Time from its restart within which a process has to catch up with the others, in seconds.
     pub catch_up_s: f64,
     /// Time for which requests may still go to a node after its draining was acknowledged, in milliseconds.
     pub drain_cutoff_ms: f64,
-    /// Time from SIGTERM to SIGKILL, in seconds.
+    /// Time from the signal SIGTERM, which asks a process to stop, to SIGKILL, which ends it, in seconds.
     pub grace_s: f64,
-    /// Time after the last byte of a request within which a loss of the request does not count, in milliseconds.
+    /// Time after the last byte of a request within which the loss of that request does not count against an
+    /// invariant, in milliseconds.
     pub loss_slack_ms: f64,
-    /// Time within which an acknowledged configuration has to be in force everywhere, in milliseconds.
+    /// Time from its acknowledgement within which a configuration has to be in force everywhere, in milliseconds.
     pub apply_ms: f64,
     /// Time for which requests under an older configuration may follow requests under a newer one, in milliseconds.
     pub revert_slack_ms: f64,
     /// Length of the window over which losses of the control plane are evaluated, in milliseconds.
     pub stretch_ms: f64,
-    /// Number of extra attempts allowed per request.
+    /// Number of extra attempts, those beyond a request's first one, allowed per request in a window of
+    /// `retry_window_s`.
     pub retry_ratio: f64,
     /// Length of the window over which extra attempts are counted, in seconds.
     pub retry_window_s: f64,
-    /// Number of extra attempts allowed in each window beyond the ratio.
+    /// Number of extra attempts allowed in each window in addition to those by `retry_ratio`.
     pub retry_slack: f64,
-    /// Time within which service has to recover once lost machines are back, in seconds.
+    /// Time within which the service to clients has to recover once lost machines are back, in seconds.
     pub recover_s: f64,
 }
 
--- a/crates/fernknot-schema/src/process_settings_parser.rs
+++ b/crates/fernknot-schema/src/process_settings_parser.rs
@@ -41,7 +41,7 @@
     let fault_budget = parse_fault_budget(&root.nested("fault_budget"));
     let zone = root.string("zone").unwrap_or_default();
     let zones = parse_zones(&root.nested("zones"));
-    // The region defaults to that of the zone.
+    // The region defaults to that of the machine's zone in `zones`.
     let region = root.string("region").or_else(|| zones.get(&zone).cloned()).unwrap_or_default();
     ProcessSettings {
         node_name: root.string("node_name").unwrap_or_default(),
--- a/crates/fernknot-schema/src/raw_config.rs
+++ b/crates/fernknot-schema/src/raw_config.rs
@@ -13,7 +13,8 @@
 /// Name of the parsed text in error messages of `schematic`.
 const SOURCE_NAME: &str = "plan.json";
 
-/// Number of at least 0, written as `600` or `600.0`; a fraction is rounded up, so that a short time never becomes 0.
+/// Number of at least 0, written as `600` or `600.0`; a fraction is rounded up, so that no time or amount above 0
+/// becomes 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct NonNegativeInteger(pub u64);
 
@@ -175,7 +176,7 @@
 ///
 /// # Errors
 ///
-/// Returns all errors of single settings.
+/// Returns all errors of single settings; conditions on several of them are not checked.
 pub(crate) fn load(text: &str) -> Result<RawConfig, Vec<ValidationError>> {
     let mut loader = ConfigLoader::<RawConfig>::new();
     let loaded = loader.code(text, SOURCE_NAME).and_then(|loader| loader.load());
--- a/crates/fernknot-schema/src/route_table.rs
+++ b/crates/fernknot-schema/src/route_table.rs
@@ -13,8 +13,8 @@
     routes_by_host: HashMap<Vec<u8>, HostRoutes>,
 }
 
-/// Routes of one host. The number of probes of a look-up is at most the number of distinct prefix lengths; it depends
-/// neither on the number of prefixes nor on the length of the path.
+/// Routes of one host. A look-up searches the hash table at most once for each distinct length of the prefixes,
+/// however many prefixes have that length.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
     /// Distinct lengths of the prefixes in bytes, longest first.
@@ -47,14 +47,14 @@
         table
     }
 
-    /// Returns the index in [`RoutingConfig::routes`] of the host's route with the longest prefix of the path. Ignores
-    /// a port of the host and a query of the path.
+    /// Returns the index in [`RoutingConfig::routes`] of the host's route with the longest prefix of the path; `None`
+    /// if there is none. Ignores the case and a port of the host, and a query string of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         self.routes_of_host(host)?.find(path.as_bytes())
     }
 
-    /// Returns whether any route has this host.
+    /// Returns whether any route has this host, whose case and port are ignored.
     pub fn has_host(&self, host: &str) -> bool {
         self.routes_of_host(host).is_some()
     }
--- a/crates/fernknot-schema/src/routing_config.rs
+++ b/crates/fernknot-schema/src/routing_config.rs
@@ -4,10 +4,11 @@
 
 use crate::validation_error::ValidationError;
 
-/// Routing configuration of one version.
+/// Routing configuration of one version: which services (sets of nodes) get which requests of clients.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RoutingConfig {
-    /// Version number that the operator assigns; higher for each new version.
+    /// Version number of the configuration, which the operator assigns; a version replaces only one with a lower
+    /// number.
     pub epoch: u64,
     /// Routes in the order of the operator's list.
     pub routes: Vec<Route>,
@@ -31,30 +32,31 @@
     }
 }
 
-/// Rule for routing the requests of one host and path prefix, with their limits.
+/// Rule for routing the requests of one host and path prefix, with limits on their time and attempts.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
     /// Name for operators; may be empty.
     pub name: String,
-    /// Host that requests of this route are for.
+    /// Host that requests of this route are for, as in their `Host` field; case and port are ignored.
     pub authority: String,
-    /// Prefix of the path of these requests; begins and ends with a slash.
+    /// Prefix of the path of requests of this route; begins and ends with a slash. The longest prefix takes
+    /// precedence.
     pub path_prefix: String,
     /// Whether requests may be executed more than once.
     pub traffic_class: TrafficClass,
-    /// Deadline of a request in milliseconds; never 0.
+    /// Time from a request's arrival within which it has to be answered, in milliseconds; never 0.
     pub deadline_ms: u64,
     /// Latency target in milliseconds; a response within it has its full value.
     pub target_ms: u64,
-    /// Priority of the requests; 0 is the highest.
+    /// Priority of the requests; 0 is the highest. An answer is worth half as much with each further rank.
     pub rank: u32,
     /// Services that the requests are sent to.
     pub target: RouteTarget,
-    /// Largest number of nodes that one client request may be sent to; at least 1.
+    /// Largest number of attempts at a client's request or, in a fanout, at each shard's part of it; at least 1.
     pub max_attempts: u32,
 }
 
-/// Permission to execute a request more than once.
+/// Whether a request may be executed more than once, as by a retry after an unknown result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum TrafficClass {
     /// Requests may be executed more than once.
@@ -74,7 +76,8 @@
     Fanout {
         /// Names of the services.
         shards: Vec<String>,
-        /// Number of records that the client gets, the greatest first.
+        /// Largest number of records that the client gets, the greatest first; records are compared as big-endian
+        /// numbers.
         top_k: usize,
         /// Share of the shards that have to respond for a success, from 0 to 1.
         quorum: f64,
@@ -99,11 +102,11 @@
 pub struct Service {
     /// Name that routes and heartbeats of nodes use.
     pub name: String,
-    /// Path of health checks.
+    /// Path of the requests by which the health of a node is checked.
     pub probe_path: String,
     /// Number of connections that each node accepts from all callers together.
     pub max_connections: u32,
-    /// Protocol of the nodes.
+    /// Protocol by which requests are sent to the nodes, such as `h1`; any text is accepted.
     pub protocol: String,
     /// Whether connections to the nodes use TLS.
     pub tls: bool,
@@ -116,7 +119,7 @@
     pub header_bytes: u64,
     /// Largest size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Longest time to send a request's head, in milliseconds.
+    /// Longest time that a client may take to send a request's head, in milliseconds.
     pub header_ms: u64,
     /// Longest time without a request on a connection, in milliseconds.
     pub idle_ms: u64,
--- a/crates/fernknot-schema/src/routing_config_parser.rs
+++ b/crates/fernknot-schema/src/routing_config_parser.rs
@@ -17,8 +17,8 @@
 const DEFAULT_MAX_ATTEMPTS: u64 = 1;
 
 impl RoutingConfig {
-    /// Parses and validates a configuration. Unknown keys are ignored, and everything that the users' protocol does not
-    /// forbid is accepted, since a valid version must never be rejected.
+    /// Parses and validates a configuration. Unknown keys are ignored, and everything is accepted that the users'
+    /// description of the format does not forbid, since a valid configuration must never be rejected.
     ///
     /// # Errors
     ///
@@ -89,7 +89,8 @@
 
 fn parse_route(mut raw: RawRoute, path: &str, errors: &mut Vec<ValidationError>) -> Route {
     let target = parse_target(&mut raw, path, errors);
-    // Requests of a fanout may always be repeated, whatever the class; other requests without a class may not.
+    // Requests of a fanout may always be executed more than once, whatever the class; other requests without a class
+    // may not.
     let traffic_class = match (&target, raw.traffic_class) {
         (RouteTarget::Fanout { .. }, _) => TrafficClass::Idempotent,
         (_, class) => class.unwrap_or_default().into(),
