--- a/crates/fernknot-router-config/src/limits.rs
+++ b/crates/fernknot-router-config/src/limits.rs
@@ -55,7 +55,7 @@
     pub read_ahead_bytes: usize,
     /// Maximum size of a datagram to other routers, in bytes.
     pub max_datagram_bytes: usize,
-    /// Maximum number of datagrams read in one iteration of the event loop.
+    /// Maximum number of datagrams that the router reads before it handles other events.
     pub max_datagrams_per_iteration: usize,
     /// Maximum number of cancelled parts that a connection to a node remembers, to tell a late answer from one to an
     /// unknown part.
--- a/crates/fernknot-router-config/src/router.rs
+++ b/crates/fernknot-router-config/src/router.rs
@@ -169,7 +169,7 @@
 
 fn decision_settings(settings: &RawSettings) -> Result<SiteSettings, ConfigError> {
     let mut site = settings.decision_settings().map_err(|error| error.below("settings"))?;
-    // On sockets a multiget is one request with one answer, without a second phase.
+    // On sockets, a multiget has a second phase only if its own request says so (`Arrival::second_phase`).
     site.use_cases.iter_mut().for_each(|use_case| use_case.two_phase = false);
     Ok(site)
 }
--- a/crates/fernknot-router-config/src/sockets.rs
+++ b/crates/fernknot-router-config/src/sockets.rs
@@ -35,7 +35,8 @@
 }
 
 impl RawSettings {
-    /// Returns the settings of the sockets. They are optional where only the decision module runs.
+    /// Returns the settings of the sockets. The settings object may lack their keys where only the decision module
+    /// runs.
     ///
     /// # Errors
     /// A key that only sockets need is missing or out of its bounds. The reported key is relative to the settings
@@ -61,7 +62,7 @@
         })
     }
 
-    /// Checks that all names are present and unique, since request paths contain them.
+    /// Checks that the names of all use cases are present and unique, since request paths contain them.
     fn check_class_names(&self) -> Result<(), ConfigError> {
         for (index, class) in self.classes.iter().enumerate() {
             let is_duplicate = self.classes[..index].iter().any(|other| other.name == class.name);
--- a/crates/fernknot-schema/src/process_settings.rs
+++ b/crates/fernknot-schema/src/process_settings.rs
@@ -149,7 +149,8 @@
     pub ack_deadline_ms: f64,
     /// Time from its restart within which a process has to catch up with the others, in seconds.
     pub catch_up_s: f64,
-    /// Time for which requests may still go to a node after its draining was acknowledged, in milliseconds.
+    /// Time for which requests may still go to a node after the system has acknowledged that the node drains (is about
+    /// to stop), in milliseconds.
     pub drain_cutoff_ms: f64,
     /// Time from the signal SIGTERM, which asks a process to stop, to SIGKILL, which ends it, in seconds.
     pub grace_s: f64,
@@ -158,7 +159,8 @@
     pub loss_slack_ms: f64,
     /// Time from its acknowledgement within which a configuration has to be in force everywhere, in milliseconds.
     pub apply_ms: f64,
-    /// Time for which requests under an older configuration may follow requests under a newer one, in milliseconds.
+    /// Time for which requests may still be routed by an older configuration after others were routed by a newer one,
+    /// in milliseconds.
     pub revert_slack_ms: f64,
     /// Length of the window over which losses of the control plane are evaluated, in milliseconds.
     pub stretch_ms: f64,
--- a/crates/fernknot-two-phase/src/in_flight.rs
+++ b/crates/fernknot-two-phase/src/in_flight.rs
@@ -10,7 +10,7 @@
 /// Block that receives a part of the first phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FirstPhaseBlock {
-    /// Whether its answer arrived.
+    /// Whether the block's answer in the first phase arrived.
     pub answered: bool,
     /// Answer of the block's cached term filter when the query began.
     pub filter_answer: FilterAnswer,
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -39,7 +39,7 @@
 const EXTRA_BIN_COUNT: usize = 6;
 /// Step in which expected delays of replicas are compared, as a share of the shortest target.
 const DELAY_STEP_SHARE: f64 = 1.0 / 24.0;
-/// Time until an attempt is overdue: a multiple of its expected delay, but at least a share of the target.
+/// Age of an overdue attempt: a multiple of its expected delay, at least a share of the shortest target.
 const OVERDUE_DELAY_FACTOR: f64 = 2.5;
 const MIN_OVERDUE_SHARE: f64 = 0.3;
 /// Burst that a customer's quota allows, in seconds of the quota.
--- a/src/decide/observation.rs
+++ b/src/decide/observation.rs
@@ -185,7 +185,7 @@
             let attempt = node.peer_attempts.iter().position(|(peer, _, _)| *peer == from);
             match (*update, attempt) {
                 (Update::Sent, _) => node.peer_attempts.push((from, now, work_in_flight)),
-                // An overdue attempt stays work in flight until it is a target old.
+                // An overdue attempt counts as work in flight until it is one shortest target old.
                 (Update::Overdue, _) => node.latencies.add_miss(),
                 (_, attempt) => {
                     let attempt = attempt.map(|index| node.peer_attempts.remove(index));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -87,12 +87,12 @@
 /// Effect of executing a part more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Idempotent: it may be repeated at any time.
+    /// Idempotent: the part may be executed again at any time.
     #[default]
     Idempotent,
     /// Idempotent for this time after the first attempt that may have run was sent: until then, nodes drop duplicates.
     Deduplicated(Nanos),
-    /// Non-idempotent: it must not run twice.
+    /// Non-idempotent: the part must not be executed twice.
     NonIdempotent,
 }
 
@@ -119,7 +119,8 @@
     pub complete_share: f64,
     /// Smallest sum of the weights of the answered parts, from 0 to 1, with which a partial answer may be given.
     pub quorum: f64,
-    /// Whether its queries run in two phases: answers to the first phase's parts determine those of the second.
+    /// Whether all queries of the use case run in two phases: answers to the first phase's parts determine the parts
+    /// of the second. Otherwise only a query with [`Arrival::second_phase`] does.
     pub two_phase: bool,
     /// Limit of attempts per part; `None` for the limit in [`SiteSettings`].
     pub max_attempts: Option<u32>,
@@ -151,8 +152,8 @@
     pub retry_ratio: f64,
     /// Length of the window in which parts and retries are counted.
     pub window: Nanos,
-    /// Whether each shard has a budget of its own, against the parts sent to it, which holds in every window,
-    /// wherever that begins. Otherwise one budget covers all shards and holds in the window that ends now.
+    /// Whether each shard has a budget of its own, for which only its parts count, and which holds in every window,
+    /// wherever the window begins. Otherwise one budget covers all shards, and holds in the window that ends now.
     pub per_shard: bool,
 }
 
@@ -206,11 +207,11 @@
 /// State of a node according to the node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It accepts new attempts.
+    /// The node accepts new attempts.
     Running,
-    /// It completes its attempts and accepts no new ones.
+    /// The node completes the attempts that it has and accepts no new ones.
     Draining,
-    /// It has stopped.
+    /// The node has stopped.
     Gone,
 }
 
@@ -221,7 +222,7 @@
     pub node: NodeId,
     /// Place of the node, which determines its shards.
     pub place: PlaceId,
-    /// Zone of the node, if the list has it.
+    /// Zone of the node; `None` if the list does not give it.
     pub zone: Option<ZoneId>,
     /// State of the node.
     pub health: Health,
@@ -245,9 +246,9 @@
     pub multiget: MultigetId,
     /// Use case of the multiget.
     pub use_case: UseCaseId,
-    /// Customer whose quota it counts against.
+    /// Customer whose quota the multiget counts against.
     pub customer: CustomerId,
-    /// Time at which its client gives up.
+    /// Time at which the multiget's client gives up.
     pub client_deadline: Nanos,
     /// Whether the client marked it as a retry of an earlier query, whose first try its target then counts from.
     pub is_retry: bool,
@@ -258,7 +259,7 @@
     pub second_phase: Option<SecondPhaseEstimate>,
 }
 
-/// Estimate of a second phase while the first one runs.
+/// Estimate of the second phase of a query in two phases, given while the first phase runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondPhaseEstimate {
     /// Expected duration of the second phase. The first phase should end this long before the query's latency target.
@@ -274,10 +275,10 @@
     pub min_first_phase_share: f64,
 }
 
-/// Start of a second phase; its parts follow.
+/// Start of a second phase, whose parts arrive after it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SecondPhaseStart {
-    /// Expected duration of the second phase; `None` admits it however little time is left.
+    /// Expected duration of the second phase; `None` if the phase is to be admitted however little time is left.
     pub expected_duration: Option<Nanos>,
     /// Share of the answer that needs no part of the second phase, from 0 to 1.
     pub known_share: f64,
@@ -303,9 +304,9 @@
 pub enum Outcome {
     /// The node answered.
     Answered,
-    /// The node failed while executing it.
+    /// The node failed while executing the attempt.
     Error,
-    /// The node rejected it before it ran.
+    /// The node rejected the attempt before executing it.
     Rejected,
     /// No answer arrived before the `stop_at` of its [`Decision::SendAttempt`].
     TimedOut,
@@ -313,16 +314,16 @@
     Unreachable,
     /// The answer was malformed.
     Invalid,
-    /// The router cancelled it.
+    /// The router cancelled the attempt, which may have run.
     Cancelled,
-    /// None of its bytes were sent: it cannot have run.
+    /// No byte of the attempt was sent: it cannot have run.
     NeverSent,
 }
 
 /// Load that a node reported with an answer or otherwise; `None` for a figure that the report lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Share of its capacity in use, from 0 to 1.
+    /// Share of the node's capacity that is in use, from 0 to 1.
     pub busy_share: Option<f64>,
     /// Number of parts in its queue. No decision depends on it.
     pub queued_parts: Option<f64>,
@@ -348,13 +349,13 @@
 /// Event of one attempt, as a router reports it to its peers together with the attempt's node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Update {
-    /// It was sent.
+    /// The attempt was sent.
     Sent,
-    /// It was answered after this time.
+    /// The attempt was answered this long after it was sent.
     Answered(Nanos),
-    /// It is not answered yet and has taken much longer than expected; it stays in flight.
+    /// The attempt is not answered yet and has taken much longer than expected; it stays in flight.
     Overdue,
-    /// It failed.
+    /// The attempt was sent and not cancelled, but ended without an answer.
     Failed,
 }
 
@@ -365,9 +366,9 @@
     SendAttempt {
         /// Id of the part.
         part: PartId,
-        /// Node to send it to.
+        /// Node to send the attempt to.
         node: NodeId,
-        /// Time at which it ends as timed out.
+        /// Time at which the attempt ends as timed out.
         stop_at: Nanos,
     },
     /// Cancel an attempt.
--- a/src/state/query.rs
+++ b/src/state/query.rs
@@ -6,15 +6,15 @@
 /// Attempt to have a part answered by a node.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Node that it was sent to.
+    /// Node that the attempt was sent to.
     pub node: NodeId,
-    /// Time at which it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Nanos,
-    /// Time that it was expected to take.
+    /// Time that the attempt was expected to take when it was sent.
     pub expected_delay: Nanos,
-    /// Work in flight at its node when it was sent, itself included.
+    /// Work in flight at the node when the attempt was sent, in sizes of parts, this attempt included.
     pub work_in_flight: f64,
-    /// Outcome; `None` while it is in flight.
+    /// Outcome of the attempt; `None` while it is in flight.
     pub outcome: Option<Outcome>,
     /// Whether the host has been told to cancel it; its outcome may still be missing.
     pub cancelled: bool,
@@ -58,11 +58,11 @@
     pub log_effort: Option<f64>,
     /// Effect of executing it more than once.
     pub effect: Effect,
-    /// Its use case and phase.
+    /// Use case and phase that the part belongs to.
     pub kind: WorkKind,
-    /// All its attempts, in order.
+    /// All attempts of the part, indexed by their number.
     pub attempts: Vec<Attempt>,
-    /// Whether it was answered.
+    /// Whether the part was answered.
     pub answered: bool,
     /// Whether it remains unanswered for good: it gets no further attempt, and later answers are ignored.
     pub given_up: bool,
@@ -96,7 +96,7 @@
 pub struct Multiget {
     /// Use case of the query.
     pub use_case: UseCaseId,
-    /// Customer whose quota it counts against.
+    /// Customer whose quota the query counts against.
     pub customer: CustomerId,
     /// Time by which to answer: the end of the latency target, or the client's deadline if that is earlier.
     pub target_end: Nanos,
--- a/src/state/router.rs
+++ b/src/state/router.rs
@@ -77,7 +77,7 @@
     pub(crate) delay_share: RunningMean,
     /// Work reserved for second phases of multigets in their first phase, in sizes of parts.
     pub(crate) reserved_work: f64,
-    /// Time at which a multiget was last rejected for its expected delay.
+    /// Time at which admission last ended a multiget, because the expected delay of a phase was too long.
     pub(crate) rejected_at: Option<Nanos>,
     /// Multigets to review because of an input. A review makes the decisions due for one multiget.
     pub(crate) review_queue: VecDeque<MultigetId>,
--- a/src/state/use_case.rs
+++ b/src/state/use_case.rs
@@ -13,13 +13,14 @@
     pub latency_target: Nanos,
     /// Time from the client's first try of a query until it gives up, repeated tries included.
     pub hard_limit: Nanos,
-    /// Longest time that a client has been seen to wait for one try.
+    /// Longest time between an arrival and its client's deadline seen so far; a query with less time may be a retry.
     pub longest_wait: Nanos,
     /// Value of an answer after the target, as a share of `value`.
     pub late_value_share: f64,
     /// Whether a partial answer has the square of its share of the complete answer as its share of the value.
     pub squares_partial_value: bool,
-    /// Value of an answer within the target, relative to other use cases.
+    /// Value of an answer within the target, relative to other use cases; per unit of work with
+    /// [`SiteSettings::value_by_work`].
     pub value: f64,
     /// Effect of executing a part of its queries more than once.
     pub effect: Effect,
@@ -29,7 +30,8 @@
     pub complete_share: f64,
     /// Smallest sum of the weights of the answered parts, from 0 to 1, with which a partial answer may be given.
     pub quorum: f64,
-    /// Whether its queries run in two phases: answers to the first phase's parts determine those of the second.
+    /// Whether all queries of the use case run in two phases: answers to the first phase's parts determine the parts
+    /// of the second.
     pub two_phase: bool,
     /// Limit of attempts per part; `None` for the limit in [`SiteSettings`].
     pub max_attempts: Option<u32>,
