--- a/crates/fernknot-router-config/src/sockets.rs
+++ b/crates/fernknot-router-config/src/sockets.rs
@@ -13,28 +13,30 @@
     pub use_cases: Vec<(String, bool)>,
     /// Number of shards; all shard ids are below it.
     pub shards: u32,
-    /// Maximum number of concurrent calls on one connection to a node.
+    /// Maximum number of concurrent calls on one connection to a node. A call is one message with parts of queries.
     pub max_calls_per_connection: usize,
-    /// Maximum number of parts in one call.
+    /// Maximum number of parts in one call to a node.
     pub max_parts_per_call: usize,
     /// Idle time after which a node closes a connection.
     pub node_idle_timeout: Nanos,
-    /// Time-out of a connection attempt.
+    /// Time-out of opening a connection to a node.
     pub connect_timeout: Nanos,
-    /// Time during which calls are still sent to a node that drains or was removed from the list.
+    /// Time during which calls are still sent to a node that drains (accepts no new work and will stop) or was removed
+    /// from the list.
     pub drain_grace: Nanos,
-    /// Longest deadline of all use cases.
+    /// Longest of all use cases' times from a query's first try until its client gives up.
     pub longest_deadline: Nanos,
     /// Two-phase settings of each use case; `None` for a use case without two phases.
     pub phases: Vec<Option<TwoPhaseSettings>>,
     /// Index of this router among all routers.
     pub position: usize,
-    /// Names of the zones in the endpoint list; a zone's index is its id.
+    /// Names of the zones in the node list from discovery; a zone's index here is its id.
     pub zones: Vec<String>,
 }
 
 impl RawSettings {
-    /// Returns the settings of the sockets. They are optional where only the decision module runs.
+    /// Returns the settings of the sockets. The settings object may lack their keys where only the decision module
+    /// runs.
     ///
     /// # Errors
     /// A key that only sockets need is missing or out of its bounds. The reported key is relative to the settings
@@ -60,7 +62,7 @@
         })
     }
 
-    /// Checks that all names are present and unique, since request paths contain them.
+    /// Checks that the names of all use cases are present and unique, since request paths contain them.
     fn check_class_names(&self) -> Result<(), ConfigError> {
         for (index, class) in self.classes.iter().enumerate() {
             let is_duplicate = self.classes[..index].iter().any(|other| other.name == class.name);
--- a/src/decide/observation.rs
+++ b/src/decide/observation.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Records the end of an attempt; only the first end of each counts.
+    /// Records the end of an attempt; a further end of the same attempt counts only as a load report.
     pub fn attempt_ended(&mut self, now: Nanos, end: &AttemptEnd) {
         self.load_reported(end.node, end.report);
         let Some(multiget) = self.multigets.get_mut(&end.part.multiget) else { return };
@@ -185,7 +185,7 @@
             let attempt = node.peer_attempts.iter().position(|(peer, _, _)| *peer == from);
             match (*update, attempt) {
                 (Update::Sent, _) => node.peer_attempts.push((from, now, work_in_flight)),
-                // An overdue attempt stays work in flight until it is a target old.
+                // An overdue attempt counts as work in flight until it is one shortest target old.
                 (Update::Overdue, _) => node.latencies.add_miss(),
                 (_, attempt) => {
                     let attempt = attempt.map(|index| node.peer_attempts.remove(index));
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Finishes a multiget whose client has gone.
+    /// Finishes a multiget whose client has gone, without a decision to answer it.
     pub fn client_gone(&mut self, id: MultigetId) {
         if self.multigets.get(&id).is_some_and(|multiget| !multiget.finished) {
             self.finish(id);
