--- a/crates/fernknot-consensus/src/view_change/acceptor.rs
+++ b/crates/fernknot-consensus/src/view_change/acceptor.rs
@@ -101,8 +101,9 @@
         }
     }
 
-    /// Whether this replica takes part in the change of the view: it does if this is the newest view that it knows.
-    /// Adopts a later view, and announces the current one to the sender of an older.
+    /// Whether this replica takes part in the change from `view` to the next one: it does if `view` is the newest view
+    /// that it knows. Adopts `view` first if it is later than the newest one known so far; if it is earlier, announces
+    /// the newest one to the sender, `from`.
     fn participates_in_change_of(&mut self, from: SocketAddrV4, view: &ChosenView) -> bool {
         let current = self.view().number;
         if view.view.number < current {
--- a/crates/fernknot-controller/src/change.rs
+++ b/crates/fernknot-controller/src/change.rs
@@ -61,7 +61,7 @@
     pub deadline: Nanos,
     /// Earliest time at which the queued change is assessed next, to be proposed, forwarded or finished.
     pub not_before: Nanos,
-    /// What the change waits for.
+    /// Current stage of the change.
     pub stage: ChangeStage,
 }
 
--- a/crates/fernknot-controller/src/node_registry.rs
+++ b/crates/fernknot-controller/src/node_registry.rs
@@ -115,7 +115,7 @@
         self.registry.expire(now)
     }
 
-    /// Number of nodes that are up.
+    /// Number of nodes that are up: ready or draining.
     pub fn up_count(&self) -> usize {
         self.registry.up_count()
     }
--- a/crates/fernknot-gateway/src/discovery.rs
+++ b/crates/fernknot-gateway/src/discovery.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Replaces the seeds with the controllers that the settings name now.
+    /// Adds the controllers that the settings name now to the seeds. Earlier seeds are kept as long as there is room.
     pub(crate) fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.peer_sampling.set_seeds(seeds);
     }
--- a/crates/fernknot-gateway/src/engine_setup.rs
+++ b/crates/fernknot-gateway/src/engine_setup.rs
@@ -39,8 +39,9 @@
         peer_updates: false,
         value_by_work: false,
         zone: Some(settings.zone),
-        // No request counts as a retry. Otherwise the engine would take one with little time left for a retry, and
-        // count its latency target from the first try, although a late answer still has some value.
+        // The gateway marks no request as a retry, so the engine treats each as a first try. With `false`, the engine
+        // would assume that a request whose client waits only briefly is a retry, and count its latency target from
+        // the estimated time of the first try, although a late answer still has some value.
         clients_mark_retries: true,
         // Only requests that cannot be answered in time are rejected: a second rejection costs a request a third of its
         // value, which a late answer would still have.
--- a/crates/fernknot-membership/src/settings.rs
+++ b/crates/fernknot-membership/src/settings.rs
@@ -12,7 +12,7 @@
     PlainSwim,
 }
 
-/// Settings chosen by the host.
+/// Settings chosen by the host, which is the program that drives the protocol: a router or an experiment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipSettings {
     /// SWIM's protocol period: one other router is probed in each.
--- a/crates/fernknot-ownership/src/lib.rs
+++ b/crates/fernknot-ownership/src/lib.rs
@@ -6,8 +6,9 @@
 //! that also increases across consensus views, the terms of the leaders of the controllers.
 //!
 //! The leader among the controllers makes assignments with an [`Assigner`]. Each gateway applies them to its
-//! [`OwnedKeys`], which hands keys over and determines whether the gateway may use its share of a budget. The relays of
-//! `fernknot-distribution` are the owners of topic groups. `docs/distribution.md` compares the alternatives.
+//! [`OwnedKeys`], which hands keys over and determines whether the gateway may use its share of a budget that all
+//! gateways spend together, such as the retry budget. The relays of `fernknot-distribution` are the owners of topic
+//! groups. `docs/distribution.md` compares the alternatives.
 
 #![deny(missing_docs)]
 
--- a/crates/fernknot-ownership/src/owned_keys.rs
+++ b/crates/fernknot-ownership/src/owned_keys.rs
@@ -13,10 +13,11 @@
     pub max_keys: usize,
     /// Maximum time for which the previous owner of a key serves it while waiting for the new owner's notification.
     pub handover_timeout: Nanos,
-    /// Time since the last confirmation of its assignment after which a gateway uses no budget share, because its count
-    /// may lack gateways that joined since. See [`crate::confirmation_timeout`].
+    /// Time since the last confirmation of its assignment after which a gateway may not use its share of the budget: it
+    /// divides the budget by [`Assignment::presumed_alive`], which may not count gateways that have joined since. See
+    /// [`crate::confirmation_timeout`].
     pub confirmation_timeout: Nanos,
-    /// Time window over which the spending of a budget is counted.
+    /// Length of the time window in which the spending of all gateways together must stay within the budget.
     pub budget_window: Nanos,
 }
 
--- a/crates/fernknot-registry/src/registry.rs
+++ b/crates/fernknot-registry/src/registry.rs
@@ -35,8 +35,8 @@
     New,
     /// Something that gateways act on has changed: the state, service, address, zone, capacity or end of the warm-up.
     Changed,
-    /// Nothing that gateways act on has changed: a heartbeat of an incarnation that is up, or a deregistration of one
-    /// that is gone.
+    /// Call that changes nothing that gateways act on: a heartbeat of an incarnation that is up, or a deregistration of
+    /// one that is gone.
     Unchanged,
     /// The heartbeat is older than the known record, repeats the last one of an incarnation that is lost since, or
     /// comes from one that is gone. It changes nothing.
--- a/crates/fernknot-testbed/src/requests.rs
+++ b/crates/fernknot-testbed/src/requests.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Outcome of one attempt at the client.
+/// Outcome of one attempt, as the client sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// A complete response, whatever its status.
--- a/src/decide/hedging.rs
+++ b/src/decide/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: the number of replicas that each part is sent to at once, and the ageing of measurements.
+//! Hedging: how many replicas get each part at once, by Zoolander's formulas, and the ageing of measurements.
 
 use super::*;
 
@@ -13,13 +13,13 @@
 /// Lower bound of a warm node's busy share, which limits the capacity estimated from it.
 const MIN_BUSY_SHARE: f64 = 0.2;
 
-/// Returns the probability that any copy is answered in time, from each one's, as in the paper, section 4.3.
+/// Returns the probability that any copy is answered in time, from each one's, as in Zoolander, section 4.3.
 pub fn service_level(probabilities: &[f64]) -> f64 {
     let add = |(level, missed): (f64, f64), phi: &f64| (level + phi * missed, missed * (1.0 - phi));
     probabilities.iter().fold((0.0, 1.0), add).0
 }
 
-/// Returns the paper's target less M/G/1 queuing (`cv2`: squared variation of service time) and the network.
+/// Returns `target` less M/G/1 queuing delay (`cv2`: squared variation of service time) and network delay.
 pub fn reduced_target(target: f64, mean: f64, cv2: f64, busy_share: f64, network: f64) -> f64 {
     if busy_share >= 1.0 {
         return 0.0;
--- a/src/decide/replica_selection.rs
+++ b/src/decide/replica_selection.rs
@@ -10,7 +10,7 @@
 const OTHER_ZONE_DELAY_SHARE: f64 = 0.25;
 
 impl Router {
-    /// Returns the share of a replica's answers within `target` (ns per size): Phi in the paper, section 4.3.
+    /// Returns the share of a replica's answers within `target` (ns per size): Phi in Zoolander, section 4.3.
     pub(super) fn completion_probability(&self, node: &Node, kind: WorkKind, target: f64) -> f64 {
         let group = self.groups.get(node.place);
         let prior = (group.latencies.count_below(target) + 1.0) / (group.latencies.total() + 1.0);
